--- a/control/describe.go
+++ b/control/describe.go
@@ -12,10 +12,10 @@
 // Kinds of messages between control nodes alone. They follow those of package
 // peer with a gap.
 const (
-	kindDescribe  transport.Kind = 64 + iota // call describeRequest/description, control to control
-	kindReadIndex                            // call readIndexRequest/readIndexReply, control to the primary
-	kindOverview                             // call overviewRequest/overview, control to the primary
-	kindWhere                                // call whereRequest/whereReply, control without a group to a member
+	kindDescribe  transport.Kind = 64 // call describeRequest/description, control to control
+	kindReadIndex transport.Kind = 65 // call readIndexRequest/readIndexReply, control to the primary
+	kindOverview  transport.Kind = 66 // call overviewRequest/overview, control to the primary
+	kindWhere     transport.Kind = 67 // call whereRequest/whereReply, control without a group to a member
 )
 
 const (
