--- a/cmd/deckpulley-control/recover.go
+++ b/cmd/deckpulley-control/recover.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/deckpulley/deckpulley/control"
+	"github.com/deckpulley/deckpulley/control/recovery"
 	"github.com/deckpulley/deckpulley/settings"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -47,7 +47,7 @@
 		return fmt.Errorf("opening the data folder: %w", err)
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	recovered, err := control.Recover(control.RecoverOptions{
+	recovered, err := recovery.Run(recovery.Options{
 		Name:        loaded.Name,
 		Zone:        loaded.Zone,
 		PeerAddress: loaded.PeerAddress,
--- a/cmd/deckpulley-control/serve.go
+++ b/cmd/deckpulley-control/serve.go
@@ -135,7 +135,7 @@
 func (d *daemon) leave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
 	defer cancel()
-	d.node.HandOver(ctx)
+	d.node.TransferLeadership(ctx)
 	if err := d.server.Shutdown(ctx); err != nil {
 		d.logger.Warn("answers cut short", "error", err)
 		_ = d.server.Close()
--- a/cmd/deckpulley-gateway/daemon_test.go
+++ b/cmd/deckpulley-gateway/daemon_test.go
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithTimeout(f.t.Context(), testPatience)
 	defer cancel()
 	for ctx.Err() == nil {
-		reply := f.control.Order(ctx, request)
+		reply := f.control.Submit(ctx, request)
 		if reply.Error == nil && reply.Answer.Error == nil {
 			return
 		}
--- /dev/null
+++ b/control/bootstrap/join.go
@@ -0,0 +1,80 @@
+package bootstrap
+
+import (
+	"context"
+	"errors"
+
+	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/discovery"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+var (
+	// errNotAccepted means that no node that answered belongs to a group which
+	// accepts this one.
+	errNotAccepted = errors.New("control: no group found")
+	// errNoIdentity rejects a request to join that does not say who asks.
+	errNoIdentity = errors.New("control: join without identity or address")
+)
+
+// join asks the primary of a found group to add this node.
+func (b *Bootstrapper) join(ctx context.Context, greetings []discovery.Greeting) {
+	observed := b.engine.Observe()
+	reply, err := b.requestJoin(ctx, observed, greetings)
+	if err != nil {
+		b.log.Debug("join failed", "error", err)
+		return
+	}
+	b.config.Contacts.Learn(ctx, reply.Members)
+	if !reply.Accepted || observed.Cluster != "" {
+		return
+	}
+	if _, err = b.engine.EnterGroup(ctx, reply.Cluster, consensus.Snapshot{}); err != nil {
+		b.log.Debug("join failed", "error", err)
+	}
+}
+
+// requestJoin asks the members that were found, following their hints to the primary.
+func (b *Bootstrapper) requestJoin(ctx context.Context, observed *engine.Observation, greetings []discovery.Greeting) (peer.JoinReply, error) {
+	for _, greeting := range greetings {
+		cluster := greeting.Reply.Cluster
+		if cluster == "" || observed.Cluster != "" && cluster != observed.Cluster {
+			continue
+		}
+		reply, err := b.callJoin(ctx, greeting.Address)
+		b.config.Contacts.SetPrimary(reply.Primary)
+		if err == nil && !reply.Accepted && reply.Primary != "" && reply.Primary != greeting.Address {
+			reply, err = b.callJoin(ctx, reply.Primary)
+		}
+		if err == nil && reply.Accepted {
+			return reply, nil
+		}
+	}
+	return peer.JoinReply{}, errNotAccepted
+}
+
+func (b *Bootstrapper) callJoin(ctx context.Context, address string) (peer.JoinReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, b.config.CallTimeout)
+	defer cancel()
+	join := peer.Join{Member: b.self(b.engine.Observe().Identity)}
+	var reply peer.JoinReply
+	err := b.config.Network.Call(ctx, address, peer.KindJoin, &join, &reply)
+	return reply, err
+}
+
+// ServeJoin handles peer.KindJoin, the request of a node whose disk or address is new.
+func (b *Bootstrapper) ServeJoin(ctx context.Context, _ string, decode func(any) error) (any, error) {
+	var join peer.Join
+	if err := decode(&join); err != nil {
+		return nil, err
+	}
+	if join.Member.ID == consensus.None || join.Member.Address == "" {
+		return nil, errNoIdentity
+	}
+	reply, err := b.engine.Join(ctx, join.Member)
+	if err != nil {
+		return nil, err
+	}
+	return &reply, nil
+}
--- /dev/null
+++ b/control/discovery/greeter.go
@@ -0,0 +1,54 @@
+package discovery
+
+import (
+	"context"
+	"time"
+
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/transport"
+)
+
+// Greeter asks other nodes which group they belong to.
+type Greeter struct {
+	name        string
+	engine      *engine.Engine
+	network     transport.Network
+	contacts    *Contacts
+	callTimeout time.Duration
+}
+
+// NewGreeter returns the greeter of a node with a name. The timeout bounds one call.
+func NewGreeter(name string, engine *engine.Engine, network transport.Network, contacts *Contacts, callTimeout time.Duration) *Greeter {
+	return &Greeter{name: name, engine: engine, network: network, contacts: contacts, callTimeout: callTimeout}
+}
+
+// Greet says Hello to all contacts at once, and returns who answered.
+func (g *Greeter) Greet(ctx context.Context) []Greeting {
+	targets := g.contacts.Addresses()
+	answers := make(chan *Greeting, len(targets))
+	for _, address := range targets {
+		go func() {
+			answers <- g.greetOne(ctx, address)
+		}()
+	}
+	var greetings []Greeting
+	for range targets {
+		if answer := <-answers; answer != nil {
+			greetings = append(greetings, *answer)
+		}
+	}
+	return greetings
+}
+
+// greetOne returns nil if the address does not answer.
+func (g *Greeter) greetOne(ctx context.Context, address string) *Greeting {
+	ctx, cancel := context.WithTimeout(ctx, g.callTimeout)
+	defer cancel()
+	hello := peer.Hello{Name: g.name, Identity: g.engine.Observe().Identity}
+	answer := &Greeting{Address: address}
+	if err := g.network.Call(ctx, address, peer.KindHello, &hello, &answer.Reply); err != nil {
+		return nil
+	}
+	return answer
+}
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -57,8 +57,8 @@
 		}
 		time.Sleep(stall)
 		f.await("the stalled node to follow", func() bool {
-			o := old.observe()
-			return o.status.Role == consensus.Follower && o.contents.Version() == 2
+			o := old.engine.Observe()
+			return o.Status.Role == consensus.Follower && o.Catalog.Version() == 2
 		})
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
--- a/control/bench_test.go
+++ b/control/engine/bench_test.go
@@ -1,4 +1,4 @@
-package control
+package engine
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/metrics"
+	"github.com/deckpulley/deckpulley/control/statemachine"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
@@ -22,22 +24,22 @@
 // loneMachineOn starts a group's only node on a disk, which is empty at first.
 func loneMachineOn(b testing.TB, store *storage.Memory) *machine {
 	b.Helper()
-	options := Options{
+	config := Config{
 		Name:        "control-1",
 		PeerAddress: "control-1:1",
 		Network:     transport.NewMemory().Node("control-1", "control-1:1"),
 		Store:       store,
 		Logger:      slog.New(slog.DiscardHandler),
 	}.withDefaults()
-	m, err := newMachine(options, options.Logger, newMetrics(), 0)
+	m, err := newMachine(config, metrics.New(), 0)
 	if err != nil {
 		b.Fatal(err)
 	}
 	if m.group != nil {
 		return m
 	}
-	snapshot, err := firstSnapshot("cluster", options.Name, []consensus.Member{{ID: "disk-1", Name: options.Name, Address: options.PeerAddress}})
-	if err != nil || !m.adopt(0, "cluster", snapshot) {
+	snapshot, err := statemachine.First("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
+	if err != nil || !m.enterGroup(0, "cluster", snapshot) {
 		b.Fatal("no group was formed: ", err)
 	}
 	return m
@@ -46,9 +48,9 @@
 // advance lets the time pass in ticks.
 func (m *machine) advance(b testing.TB, now *time.Duration, length time.Duration) {
 	b.Helper()
-	for end := *now + length; *now < end; *now += defaultTickInterval {
+	for end := *now + length; *now < end; *now += DefaultTickInterval {
 		m.tick(*now)
-		if err := m.settle(*now); err != nil {
+		if err := m.process(*now); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -77,10 +79,10 @@
 					renewals[i].Held = transfer.To
 				}
 				renewals[i].Active = grant.Activate
-				if err := m.settle(now); err != nil {
+				if err := m.process(now); err != nil {
 					b.Fatal(err)
 				}
-				m.observe(now, nil)
+				m.observe(now)
 			}
 			for round := range 4 {
 				for i := range renewals {
@@ -93,8 +95,8 @@
 				now += interval
 				renew(i % gateways)
 			}
-			_, leases := m.gatewayMembers(now)
-			b.ReportMetric(float64(leases), "leases")
+			leases := m.leadership.leases.Holders(now)
+			b.ReportMetric(float64(len(leases)), "leases")
 		})
 	}
 }
--- /dev/null
+++ b/control/engine/engine.go
@@ -0,0 +1,153 @@
+// Package engine runs the event loop of a control node.
+//
+// One goroutine, the event loop, owns the replicated log, the replicated state,
+// the leases and the disk. Everything else queues events for it, and reads the
+// immutable Observation that it publishes after each batch of them.
+package engine
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"github.com/deckpulley/deckpulley/control/eventqueue"
+	"github.com/deckpulley/deckpulley/control/metrics"
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+// maxBatch bounds the events handled before their writes are synced.
+const maxBatch = 1024
+
+// Engine is the event loop of one node, and what others may ask of it. Its methods
+// are safe for concurrent use.
+type Engine struct {
+	config   Config
+	queue    *eventqueue.Queue
+	metrics  *metrics.Metrics
+	observed atomic.Pointer[Observation]
+	machine  *machine // owned by the event loop
+}
+
+// New reads the disk and prepares the event loop of a queue. Run runs it.
+func New(config Config, queue *eventqueue.Queue, metrics *metrics.Metrics) (*Engine, error) {
+	config = config.withDefaults()
+	machine, err := newMachine(config, metrics, queue.Now())
+	if err != nil {
+		return nil, err
+	}
+	e := &Engine{config: config, queue: queue, metrics: metrics, machine: machine}
+	e.observed.Store(machine.observe(queue.Now()))
+	return e, nil
+}
+
+// Run is the event loop. It returns nil once stop is closed, and otherwise the
+// error that ended it: a *storage.FinalError for a failed write. Whoever still waits
+// for an update is answered before it returns.
+func (e *Engine) Run(stop <-chan struct{}) error {
+	err := e.loop(stop)
+	e.machine.failWaiters(eventqueue.ErrStopped)
+	return err
+}
+
+func (e *Engine) loop(stop <-chan struct{}) error {
+	ticker := time.NewTicker(e.config.TickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return nil
+		case <-ticker.C:
+			e.machine.tick(e.queue.Now())
+		case event := <-e.queue.Events():
+			e.handle(event)
+			e.handleQueued()
+		}
+		if err := e.machine.process(e.queue.Now()); err != nil {
+			return err
+		}
+		e.publish()
+	}
+}
+
+// handle reads the clock after the event was taken: an event is never judged by
+// a time before it was sent, and a process that was frozen sees the elapsed time
+// before it sees what queued up meanwhile.
+func (e *Engine) handle(event eventqueue.Event) {
+	now := e.queue.Now()
+	e.machine.tick(now)
+	event(now)
+}
+
+// handleQueued takes what is queued, so that one sync covers all of it.
+func (e *Engine) handleQueued() {
+	for range maxBatch {
+		select {
+		case event := <-e.queue.Events():
+			e.handle(event)
+		default:
+			return
+		}
+	}
+}
+
+// publish replaces the observation and wakes those who wait for a change.
+func (e *Engine) publish() {
+	previous := e.observed.Load()
+	current := e.machine.observe(e.queue.Now())
+	e.observed.Store(current)
+	close(previous.superseded)
+	e.updateGauges(current)
+}
+
+func (e *Engine) updateGauges(o *Observation) {
+	e.metrics.Term.Set(float64(o.Status.Term))
+	e.metrics.CommitIndex.Set(float64(o.Status.Commit))
+	e.metrics.AppliedIndex.Set(float64(o.Applied))
+	e.metrics.Serial.Set(float64(o.Serial))
+	e.metrics.InForceSerial.Set(float64(o.InForce))
+	primary := 0.0
+	if o.Primary {
+		primary = 1
+	}
+	e.metrics.Primary.Set(primary)
+	if o.Catalog != nil {
+		e.metrics.Version.Set(float64(o.Catalog.Version()))
+	}
+}
+
+// Observe returns the newest observation.
+func (e *Engine) Observe() *Observation { return e.observed.Load() }
+
+// WaitUntil waits for an observation that satisfies the condition. It returns
+// false when ctx or the node ended first.
+func (e *Engine) WaitUntil(ctx context.Context, condition func(*Observation) bool) bool {
+	for {
+		current := e.Observe()
+		if condition(current) {
+			return true
+		}
+		select {
+		case <-current.superseded:
+		case <-ctx.Done():
+			return false
+		case <-e.queue.Done():
+			return false
+		}
+	}
+}
+
+// ServeConsensus handles peer.KindConsensus. A full queue drops the message: the
+// replicated log sends again.
+func (e *Engine) ServeConsensus(_ context.Context, _ string, decode func(any) error) (any, error) {
+	var wrapped peer.ConsensusMessage
+	if err := decode(&wrapped); err != nil {
+		return nil, err
+	}
+	queued := e.queue.Offer(func(now time.Duration) {
+		e.machine.step(now, wrapped)
+	})
+	if !queued {
+		e.metrics.DroppedMessages.Inc()
+	}
+	return nil, nil
+}
--- a/control/gatewaywrites_test.go
+++ b/control/engine/gateways_test.go
@@ -1,4 +1,4 @@
-package control
+package engine
 
 import (
 	"crypto/rand"
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"github.com/deckpulley/deckpulley/control/leases"
+	"github.com/deckpulley/deckpulley/control/transfer"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -19,10 +21,10 @@
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
 	crowd := newCrowd(gateways, "1")
-	before := m.table.Serial()
+	before := m.state.Table.Serial()
 	crowd.renew(t, m, now)
 	m.advance(t, &now, 50*time.Millisecond)
-	if changes := m.table.Serial() - before; changes > mostChanges {
+	if changes := m.state.Table.Serial() - before; changes > mostChanges {
 		t.Errorf("%d gateways that came at once are %d changes of the registry, want at most %d", gateways, changes, mostChanges)
 	}
 	crowd.renew(t, m, now)
@@ -48,8 +50,8 @@
 
 	m = loneMachineOn(t, store)
 	now = 0
-	for m.leadership == nil || !m.leadership.ready {
-		m.advance(t, &now, defaultTickInterval)
+	for m.leadership == nil || m.leadership.leases == nil {
+		m.advance(t, &now, DefaultTickInterval)
 	}
 	crowd = newCrowd(gateways, "2")
 	term := m.leadership.term
@@ -60,8 +62,8 @@
 	if written := m.recorded("2"); written > 0 {
 		t.Errorf("%d new records were written before anybody may serve", written)
 	}
-	m.advance(t, &now, 2*defaultTickInterval)
-	if m.leadership.grantor.Activate() == 0 {
+	m.advance(t, &now, 2*DefaultTickInterval)
+	if m.leadership.leases.ActivatableSerial() == 0 {
 		t.Error("nothing may become active although every gateway was heard")
 	}
 	crowd.renew(t, m, now)
@@ -70,7 +72,7 @@
 			t.Fatalf("%s may not serve yet", crowd[i].Gateway.Name)
 		}
 	}
-	m.advance(t, &now, 4*defaultTickInterval)
+	m.advance(t, &now, 4*DefaultTickInterval)
 	if written := m.recorded("2"); written != gateways {
 		t.Errorf("%d of %d gateways are recorded", written, gateways)
 	}
@@ -79,7 +81,7 @@
 // recorded counts the member records with an incarnation.
 func (m *machine) recorded(incarnation string) int {
 	count := 0
-	for _, record := range m.contents.Gateways() {
+	for _, record := range m.catalog.Gateways() {
 		if record.Incarnation == incarnation {
 			count++
 		}
@@ -100,15 +102,15 @@
 	}
 	m = loneMachineOn(t, store)
 	now = 0
-	for m.leadership == nil || !m.leadership.ready {
-		m.advance(t, &now, defaultTickInterval)
+	for m.leadership == nil || m.leadership.leases == nil {
+		m.advance(t, &now, DefaultTickInterval)
 	}
 	crowd := newCrowd(2, "2")
 	ready := now
-	for m.contents.Gateways()["gateway-1"].Incarnation != "2" {
+	for m.catalog.Gateways()["gateway-1"].Incarnation != "2" {
 		crowd.renew(t, m, now)
-		m.advance(t, &now, defaultTickInterval)
-		if now-ready > takeoverHold+200*time.Millisecond {
+		m.advance(t, &now, DefaultTickInterval)
+		if now-ready > leases.TakeoverDelay+200*time.Millisecond {
 			t.Fatal("a gateway that returned is not recorded")
 		}
 	}
@@ -134,7 +136,7 @@
 	}
 	others.renew(t, m, now) // as many new records
 	m.advance(t, &now, interval)
-	bound := transferShare * defaultLinkMbps * 1e6 / 8 * (interval + pacedBurst).Seconds()
+	bound := transfer.LinkShare * DefaultLinkMbps * 1e6 / 8 * (interval + transfer.Burst).Seconds()
 	for range mostIntervals {
 		sent, behind := 0, 0
 		for i := range crowd {
@@ -149,7 +151,7 @@
 			} else if transfer != nil {
 				crowd[i].Held = transfer.To
 			}
-			if crowd[i].Held != m.table.Serial() {
+			if crowd[i].Held != m.state.Table.Serial() {
 				behind++
 			}
 		}
@@ -194,7 +196,7 @@
 			leased++
 		}
 	}
-	if err := m.settle(now); err != nil {
+	if err := m.process(now); err != nil {
 		t.Fatal(err)
 	}
 	return leased
--- /dev/null
+++ b/control/engine/members.go
@@ -0,0 +1,170 @@
+package engine
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/eventqueue"
+	"github.com/deckpulley/deckpulley/control/membership"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// maintenanceInterval is the time between two checks of a primary of members,
+// gateways and its own records.
+const maintenanceInterval = 100 * time.Millisecond
+
+// Join asks the group of this node to admit a node as a voter.
+func (e *Engine) Join(ctx context.Context, member consensus.Member) (peer.JoinReply, error) {
+	return eventqueue.Ask(ctx, e.queue, func(now time.Duration) peer.JoinReply {
+		return e.machine.join(now, member)
+	})
+}
+
+// join records the request of a node. It is accepted if the node is a member
+// already or may be admitted.
+func (m *machine) join(now time.Duration, member consensus.Member) peer.JoinReply {
+	reply := peer.JoinReply{Cluster: m.cluster}
+	if m.group == nil {
+		return reply
+	}
+	status := m.group.Status()
+	reply.Members = status.Membership.Members
+	reply.Primary = m.addressOf(status.Membership, status.Leader)
+	leadership, serving := m.serving()
+	if !serving {
+		return reply
+	}
+	member.Learner = false
+	request := membership.JoinRequest{Member: member, ReceivedAt: now}
+	leadership.members.RecordJoin(request)
+	_, known := membership.Find(status.Membership, member.ID)
+	repair := m.repair(now, status)
+	reply.Accepted = known || repair.CanAdmit(request)
+	return reply
+}
+
+// maintain is what a primary does at intervals. While a node asks to join, the
+// repair goes on without waiting for them: until it is done, one more loss can
+// cost the majority.
+func (m *machine) maintain(now time.Duration) {
+	leadership, serving := m.serving()
+	if !serving {
+		return
+	}
+	if now < leadership.nextMaintenance {
+		if leadership.members.HasJoins() {
+			m.repairGroup(now)
+		}
+		return
+	}
+	leadership.nextMaintenance = now + maintenanceInterval
+	m.recordHead(now, leadership)
+	m.recordMembers(now, leadership)
+	m.expireLeases(now, leadership)
+	m.repairGroup(now)
+}
+
+// expireLeases drops expired leases and marks lapsed gateways down.
+func (m *machine) expireLeases(now time.Duration, leadership *leadership) {
+	for _, holder := range leadership.leases.Expired(now) {
+		m.log.Warn("lease expired", "gateway", holder.Holder, "incarnation", holder.Incarnation, "term", leadership.term)
+	}
+	for _, change := range leadership.leases.Lapsed(now, m.catalog) {
+		m.changeGatewayRecord(now, change)
+	}
+}
+
+// recordHead puts this node into the head record as the primary.
+func (m *machine) recordHead(now time.Duration, leadership *leadership) {
+	head := m.state.Table.Head()
+	if leadership.headPending || head.Primary == m.config.Name {
+		return
+	}
+	head.Primary = m.config.Name
+	head.Serial = registry.NextSerial(head.Serial)
+	leadership.headPending = true
+	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.HeadRecord(places.Apex, head))})
+	m.propose(now, update, func(registry.Result, error) { leadership.headPending = false })
+}
+
+// recordMembers brings the member (NS) records in line with the voters.
+func (m *machine) recordMembers(now time.Duration, leadership *leadership) {
+	if leadership.membersPending {
+		return
+	}
+	changes := m.memberChanges()
+	if len(changes) == 0 {
+		return
+	}
+	leadership.membersPending = true
+	m.propose(now, m.ownUpdate(nil, changes), func(registry.Result, error) { leadership.membersPending = false })
+}
+
+// memberChanges adds records before it deletes any, since the last one must stay.
+func (m *machine) memberChanges() []registry.Record {
+	missing := make(map[string]bool)
+	for _, member := range m.group.Status().Membership.Members {
+		if !member.Learner {
+			missing[member.Name] = true
+		}
+	}
+	var deleted []registry.Record
+	for _, record := range m.state.Table.View().Lookup(places.Apex, registry.TypeNS) {
+		name := string(record.Data)
+		if !missing[name] {
+			deleted = append(deleted, registry.DeleteRecord(record))
+		}
+		delete(missing, name)
+	}
+	var changes []registry.Record
+	for name := range missing {
+		changes = append(changes, registry.Add(registry.MemberRecord(places.Apex, name)))
+	}
+	return append(changes, deleted...)
+}
+
+// repairGroup takes the next step toward a complete group, one change at a time.
+func (m *machine) repairGroup(now time.Duration) {
+	leadership := m.leadership
+	leadership.members.ExpireJoins(now)
+	status := m.group.Status()
+	leadership.members.Observe(now, status.Membership)
+	self := m.self()
+	if known, found := membership.Find(status.Membership, m.identity); found && known != self {
+		leadership.members.RecordMove(membership.JoinRequest{Member: self, ReceivedAt: now})
+	}
+	repair := m.repair(now, status)
+	next, needed := repair.Next()
+	if !needed {
+		return
+	}
+	index, _, err := m.group.ProposeMembership(now, next.Membership)
+	switch {
+	case errors.Is(err, consensus.ErrMembershipPending):
+	case err != nil:
+		m.log.Warn("membership change rejected", "change", next.Reason, "term", status.Term, "error", err)
+	default:
+		m.log.Info("membership change proposed", "change", next.Reason, "index", index, "term", status.Term)
+	}
+}
+
+// self is this node as a member of the group.
+func (m *machine) self() consensus.Member {
+	return consensus.Member{ID: m.identity, Name: m.config.Name, Address: m.config.PeerAddress, Zone: m.config.Zone}
+}
+
+func (m *machine) repair(now time.Duration, status consensus.Status) membership.Repair {
+	return membership.Repair{
+		Now:          now,
+		Elected:      m.leadership.elected,
+		Status:       status,
+		Joins:        m.leadership.members.Joins(),
+		FirstSeen:    m.leadership.members.FirstSeen(),
+		Voters:       m.state.Voters,
+		ReplaceAfter: m.config.ReplaceAfter,
+	}
+}
--- /dev/null
+++ b/control/engine/renewal.go
@@ -0,0 +1,152 @@
+package engine
+
+import (
+	"context"
+	"time"
+
+	"github.com/deckpulley/deckpulley/control/eventqueue"
+	"github.com/deckpulley/deckpulley/control/leases"
+	"github.com/deckpulley/deckpulley/control/membership"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// Labels of the renewals counter.
+const (
+	renewalGranted = "granted"
+	renewalRefused = "refused"
+)
+
+// ServeRenew handles peer.KindRenew, a gateway's renewal.
+func (e *Engine) ServeRenew(ctx context.Context, _ string, decode func(any) error) (any, error) {
+	var renew peer.Renew
+	if err := decode(&renew); err != nil {
+		return nil, err
+	}
+	grant, err := eventqueue.Ask(ctx, e.queue, func(now time.Duration) peer.Grant {
+		return e.machine.renew(now, renew)
+	})
+	if err != nil {
+		return nil, err
+	}
+	return &grant, nil
+}
+
+// renew decides one renewal.
+func (m *machine) renew(now time.Duration, renew peer.Renew) peer.Grant {
+	grant := peer.Grant{Cluster: m.cluster}
+	if m.group == nil {
+		return grant
+	}
+	status := m.group.Status()
+	grant.Term = status.Term
+	grant.Control = membership.Addresses(status.Membership)
+	leadership, serving := m.serving()
+	if !serving {
+		grant.Primary = m.addressOf(status.Membership, status.Leader)
+		m.addFirstTable(now, &grant, renew)
+		return grant
+	}
+	if m.foreign(renew, status.Term) {
+		grant.Primary = m.addressOf(status.Membership, status.Leader)
+		return grant
+	}
+	contact, known := m.group.QuorumContact()
+	decision := leadership.leases.Renew(now, contact, known, &renew)
+	if change, needed := leadership.leases.RecordRenewal(now, m.catalog, &renew); needed {
+		m.changeGatewayRecord(now, change)
+	}
+	grant.Activate = decision.Activate
+	if !decision.Granted {
+		m.metrics.Renewals.WithLabelValues(renewalRefused).Inc()
+		return grant
+	}
+	m.metrics.Renewals.WithLabelValues(renewalGranted).Inc()
+	grant.Granted = true
+	if leadership.leases.MayLease(m.catalog, renew.Gateway) {
+		grant.LeaseMS = decision.Length.Milliseconds()
+	}
+	m.transfers.Add(now, &grant, m.state.Table, renew.Held)
+	return grant
+}
+
+// addFirstTable gives a gateway that has none the table of a node that is not the
+// primary: the gateway may keep it, and activates nothing of it before the primary
+// says so. After a loss of power the primary alone could not send the complete table
+// to all gateways at once.
+func (m *machine) addFirstTable(now time.Duration, grant *peer.Grant, renew peer.Renew) {
+	sameGroup := renew.Cluster == "" || renew.Cluster == m.cluster
+	if renew.Held == 0 && sameGroup && grant.Primary != "" && m.state != nil {
+		m.transfers.Add(now, grant, m.state.Table, renew.Held)
+	}
+}
+
+// foreign is true for a renewal that this primary must not answer with a grant:
+// from another group, or from a gateway that knows a newer term or serial.
+func (m *machine) foreign(renew peer.Renew, term uint64) bool {
+	if renew.Cluster != "" && renew.Cluster != m.cluster {
+		return true
+	}
+	if renew.Term > term {
+		return true
+	}
+	serial := m.state.Table.Serial()
+	ahead := renew.Held != 0 && registry.SerialLess(serial, renew.Held)
+	if ahead {
+		m.log.Error("gateway ahead of primary", "gateway", renew.Gateway.Name, "received_serial", renew.Held, "serial", serial, "term", term)
+	}
+	return ahead
+}
+
+// changeGatewayRecord changes a gateway's member record with the next update.
+func (m *machine) changeGatewayRecord(now time.Duration, change leases.RecordChange) {
+	m.log.Info("gateway record change queued", "gateway", change.Gateway, "up", change.New.Up, "incarnation", change.New.Incarnation, "term", m.leadership.term)
+	m.leadership.leases.QueueRecord(change)
+	m.proposeGatewayRecords(now)
+}
+
+// proposeGatewayRecords proposes the queued changes unless an update is in progress.
+func (m *machine) proposeGatewayRecords(now time.Duration) {
+	leadership, serving := m.serving()
+	if !serving {
+		return
+	}
+	update, due := leadership.leases.NextRecordUpdate(now)
+	if !due {
+		return
+	}
+	m.propose(now, m.ownUpdate(update.Prerequisites, update.Changes), func(registry.Result, error) { update.Finished() })
+}
+
+// reviewLeases works out what gateways may activate and what is in force, and
+// notifies the gateways of a change.
+func (m *machine) reviewLeases(now time.Duration) {
+	leadership, serving := m.serving()
+	if !serving {
+		return
+	}
+	leadership.leases.ExpectHolders(now, m.catalog)
+	if leadership.leases.NeedsConfirmation() {
+		m.group.Confirm(now)
+	}
+	contact, known := m.group.QuorumContact()
+	if leadership.leases.Review(contact, known, m.state.Table.Serial()) && leadership.leases.TakeNotification() {
+		m.notifyGateways(leadership)
+	}
+}
+
+// notifyGateways makes the gateways renew: there is a new serial, a new activation
+// or a new primary.
+func (m *machine) notifyGateways(leadership *leadership) {
+	review := leadership.leases.LastReview()
+	notify := peer.Notify{
+		Cluster:  m.cluster,
+		Term:     leadership.term,
+		Primary:  m.config.PeerAddress,
+		Serial:   review.Serial,
+		Activate: review.Activate,
+	}
+	for _, address := range leadership.leases.Addresses(m.catalog) {
+		m.network.Send(address, peer.KindNotify, &notify)
+	}
+}
--- /dev/null
+++ b/control/executor/decide.go
@@ -0,0 +1,111 @@
+package executor
+
+import (
+	"context"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/operation"
+	"github.com/deckpulley/deckpulley/internal/planted"
+	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// decide decides an operation at the primary, or repeats the answer that it got before.
+func (e *Executor) decide(ctx context.Context, observed *engine.Observation, execution *execution) attempt {
+	state, err := e.engine.OperationState(ctx, execution.ID())
+	if err != nil || !state.Primary {
+		return tryAgain
+	}
+	if state.Decided {
+		return e.repeatAnswer(ctx, execution, state)
+	}
+	if execution.IsRouteMap() {
+		if attempt, refused := e.reviewRouteMap(ctx, execution, state.Catalog); refused {
+			return attempt
+		}
+	}
+	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Number: state.Number, Surplus: state.Surplus})
+	if err != nil {
+		return rejected(apierror.Internal(err))
+	}
+	if planted.Active(planted.AcknowledgeUnwritten) && state.Catalog.Version() > 0 {
+		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
+	}
+	if planted.Active(planted.PrimaryStays) && e.config.Queue.Now()-observed.Contact > e.config.LeaseLength {
+		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
+	}
+	result, err := e.engine.Propose(ctx, decision.Update)
+	execution.sent = execution.sent || mayBeProposed(err)
+	if err != nil {
+		return tryAgain
+	}
+	if result.Code != registry.NoError {
+		return e.updateFailed(execution, result)
+	}
+	e.log.Info("operation decided", "order", execution.ID(), "accepted", decision.Answer.Accepted, "code", decision.Answer.Code,
+		"version", decision.Answer.Version, "serial", result.Serial, "term", observed.Status.Term)
+	return e.acknowledge(ctx, execution, decision.Answer, result.Serial)
+}
+
+// updateFailed tells a decision whose facts have changed meanwhile, which is made
+// anew, from an update that can never be applied.
+func (e *Executor) updateFailed(execution *execution, result registry.Result) attempt {
+	if result.Section == registry.SectionPrerequisite {
+		return tryAgain
+	}
+	e.log.Error("operation update failed", "order", execution.ID(), "code", result.Code.String(), "section", result.Section, "reason", result.Reason)
+	return internalError("update answered %s in section %q", result.Code, result.Section)
+}
+
+// repeatAnswer gives the first answer to an operation again.
+func (e *Executor) repeatAnswer(ctx context.Context, execution *execution, state engine.OperationState) attempt {
+	if state.Answer.Digest != execution.Digest() {
+		return rejected(operation.Conflict())
+	}
+	if planted.Active(planted.RefuseResentOrder) {
+		state.Answer.Accepted, state.Answer.Code = false, string(api.CodeVersionConflict)
+	}
+	return e.acknowledge(ctx, execution, state.Answer, state.Serial)
+}
+
+// reviewRouteMap refuses an operation on the route map that the newest state does not
+// admit. That is final only if the state is proven to be the newest and has no answer
+// yet.
+func (e *Executor) reviewRouteMap(ctx context.Context, execution *execution, current *places.Contents) (_ attempt, refused bool) {
+	if execution.RefuseRouteMap(current) == nil {
+		return attempt{}, false
+	}
+	observed, problem := e.config.Reader.Linearizable(ctx)
+	if problem != nil || !observed.Primary {
+		return tryAgain, true
+	}
+	if _, decided := observed.Catalog.Order(execution.ID()); decided {
+		return tryAgain, true
+	}
+	if reason := execution.RefuseRouteMap(observed.Catalog); reason != nil {
+		return rejected(reason), true
+	}
+	return tryAgain, true
+}
+
+// acknowledge answers with a stored decision: a refusal at once, an acceptance
+// once its serial is in force at every gateway that may place requests.
+func (e *Executor) acknowledge(ctx context.Context, execution *execution, decided places.Order, serial uint32) attempt {
+	answer := operation.Answer(execution.ID(), decided, serial)
+	if !decided.Accepted {
+		return answered(answer)
+	}
+	inForce := false
+	started := e.config.Queue.Now()
+	e.engine.WaitUntil(ctx, func(o *engine.Observation) bool {
+		inForce = o.Primary && o.InForceKnown && !registry.SerialLess(o.InForce, serial)
+		return inForce || !o.Primary
+	})
+	if !inForce {
+		return tryAgain
+	}
+	e.config.Metrics.InForceSeconds.Observe((e.config.Queue.Now() - started).Seconds())
+	return answered(answer)
+}
--- /dev/null
+++ b/control/executor/forward.go
@@ -0,0 +1,76 @@
+package executor
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/updates"
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+// answerReserve is the time that a forwarding node keeps to pass an answer back.
+const answerReserve = 100 * time.Millisecond
+
+// errEmptyReply is a reply that has neither an answer nor an error.
+var errEmptyReply = errors.New("control: empty reply to an order")
+
+// Serve handles peer.KindOrder, an operation that another control node forwards.
+func (e *Executor) Serve(ctx context.Context, _ string, decode func(any) error) (any, error) {
+	var request peer.OrderRequest
+	if err := decode(&request); err != nil {
+		return nil, err
+	}
+	wait := min(max(time.Duration(request.WaitMS)*time.Millisecond, answerReserve), MaxWait)
+	ctx, cancel := context.WithTimeout(ctx, wait)
+	defer cancel()
+	reply := e.Execute(ctx, request)
+	return &reply, nil
+}
+
+// forward sends an operation to the primary.
+func (e *Executor) forward(ctx context.Context, observed *engine.Observation, execution *execution) attempt {
+	primary := e.config.Contacts.PrimaryAddress(observed)
+	if primary == "" || primary == e.config.PeerAddress {
+		return tryAgain
+	}
+	if execution.Request().Hops >= updates.MaxHops {
+		return rejected(apierror.NoPrimary("forwarded too often without reaching the primary", api.OutcomeUnknown))
+	}
+	reply, err := e.callPrimary(ctx, primary, execution.Request())
+	execution.sent = true
+	if err != nil {
+		e.log.Debug("operation forwarding failed", "order", execution.ID(), "primary", primary, "error", err)
+		return tryAgain
+	}
+	if reply.Error != nil && reply.Error.Code == api.CodeNoPrimary {
+		return tryAgain // it speaks for that node alone, not for earlier attempts
+	}
+	return attempt{reply: reply, final: true}
+}
+
+// callPrimary gives up when another node becomes the primary: the first may be frozen.
+// After an error the operation may have been executed, or may be later.
+func (e *Executor) callPrimary(ctx context.Context, primary string, request peer.OrderRequest) (peer.OrderReply, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() {
+		e.engine.WaitUntil(ctx, func(o *engine.Observation) bool { return e.config.Contacts.PrimaryAddress(o) != primary })
+		cancel()
+	}()
+	request.Hops++
+	if deadline, bounded := ctx.Deadline(); bounded {
+		request.WaitMS = (time.Until(deadline) - answerReserve).Milliseconds()
+	}
+	var reply peer.OrderReply
+	if err := e.config.Network.Call(ctx, primary, peer.KindOrder, &request, &reply); err != nil {
+		return peer.OrderReply{}, err
+	}
+	if reply.Answer == nil && reply.Error == nil {
+		return peer.OrderReply{}, errEmptyReply
+	}
+	return reply, nil
+}
--- /dev/null
+++ b/control/executor/forward_test.go
@@ -0,0 +1,69 @@
+package executor
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/discovery"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/eventqueue"
+	"github.com/deckpulley/deckpulley/control/metrics"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/storage"
+	"github.com/deckpulley/deckpulley/transport"
+)
+
+// scriptedNetwork answers calls one after the other.
+type scriptedNetwork struct {
+	transport.Network
+	calls []func(reply *peer.OrderReply) error
+}
+
+func (s *scriptedNetwork) Call(_ context.Context, _ string, _ transport.Kind, _, reply any) error {
+	call := s.calls[0]
+	s.calls = s.calls[1:]
+	return call(reply.(*peer.OrderReply))
+}
+
+// newForwardingExecutor returns the executor of a node that sends every operation to
+// a primary over the network: it has no group, and a member has named the primary.
+func newForwardingExecutor(t *testing.T, network transport.Network) *Executor {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	queue := eventqueue.New()
+	started, err := engine.New(engine.Config{Name: "node", PeerAddress: "here", Network: network, Store: storage.NewMemory("disk"), Logger: log}, queue, metrics.New())
+	if err != nil {
+		t.Fatal(err)
+	}
+	contacts := discovery.NewContacts(started, "here", nil, nil)
+	contacts.SetPrimary("there")
+	return New(Config{PeerAddress: "here", Queue: queue, Engine: started, Network: network, Contacts: contacts, Metrics: metrics.New(), Logger: log})
+}
+
+// TestForwardedOperationIsNotRefusedOnceItsOutcomeIsUnknown loses the answer of a
+// primary that may have executed an operation. The next one's refusal for want of a
+// primary, which comes as the time runs out, says nothing about the first.
+func TestForwardedOperationIsNotRefusedOnceItsOutcomeIsUnknown(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		network := &scriptedNetwork{calls: []func(*peer.OrderReply) error{
+			func(*peer.OrderReply) error { return errors.New("the answer was lost") },
+			func(reply *peer.OrderReply) error {
+				cancel()
+				reply.Error = apierror.NoPrimary("no primary was reached in time; the order was not carried out", api.OutcomeRefused)
+				return nil
+			},
+		}}
+		executor := newForwardingExecutor(t, network)
+		request := peer.OrderRequest{Evacuation: &api.EvacuationOrder{OrderID: "o1", Zone: "z"}}
+		reply := executor.Execute(ctx, request)
+		if reply.Error == nil || reply.Error.Outcome != api.OutcomeUnknown || len(network.calls) != 0 {
+			t.Fatalf("answered %+v, %d calls left", reply.Error, len(network.calls))
+		}
+	})
+}
--- /dev/null
+++ b/control/executor/replicas.go
@@ -0,0 +1,39 @@
+package executor
+
+import (
+	"context"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/operation"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// executeReplicas makes the registry's list of replicas that of the platform. It
+// answers after the commit; gateways receive it as any other change.
+func (e *Executor) executeReplicas(ctx context.Context, execution *execution, list *api.ReplicaList) attempt {
+	e.replicas.Lock()
+	defer e.replicas.Unlock()
+	observed, problem := e.config.Reader.Linearizable(ctx)
+	if problem != nil || !observed.Primary {
+		return tryAgain
+	}
+	update, problem := operation.ReplicaUpdate(observed.Catalog, list)
+	if problem != nil {
+		return rejected(problem)
+	}
+	answer := &api.OrderAnswer{Accepted: true, Version: observed.Catalog.Version(), Serial: observed.Serial}
+	if len(update.Changes) == 0 {
+		return answered(answer)
+	}
+	result, err := e.engine.Propose(ctx, update)
+	execution.sent = execution.sent || mayBeProposed(err)
+	if err != nil {
+		return tryAgain
+	}
+	if result.Code != registry.NoError {
+		return e.updateFailed(execution, result)
+	}
+	e.log.Info("replica list applied", "replicas", len(list.Replicas), "changes", len(update.Changes), "serial", result.Serial, "term", observed.Status.Term)
+	answer.Serial = result.Serial
+	return answered(answer)
+}
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -150,7 +150,7 @@
 	f.await("a primary", func() bool {
 		found = nil
 		for name, node := range f.nodes {
-			if node.observe().primary && !contains(except, name) {
+			if node.engine.Observe().Primary && !contains(except, name) {
 				found = node
 			}
 		}
@@ -425,5 +425,5 @@
 
 // freeze holds a node's event loop up, while what arrives queues before it.
 func (f *fleet) freeze(node *Node, length time.Duration) {
-	node.offer(func(time.Duration) { time.Sleep(length) })
+	node.queue.Offer(func(time.Duration) { time.Sleep(length) })
 }
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -10,6 +10,8 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/configuration"
+	"github.com/deckpulley/deckpulley/control/membership"
+	"github.com/deckpulley/deckpulley/control/permission"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/registry"
 )
@@ -68,11 +70,11 @@
 			t.Errorf("replicas (-want +got):\n%s", difference)
 		}
 		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOrder{OrderID: "empty", Zone: "north-1"})
-		if !f.primary().observe().contents.Evacuated("north-1") {
+		if !f.primary().engine.Observe().Catalog.Evacuated("north-1") {
 			t.Error("the zone is not evacuated after the acknowledgement")
 		}
 		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOrder{OrderID: "refill", Zone: "north-1", Withdraw: true})
-		if f.primary().observe().contents.Evacuated("north-1") {
+		if f.primary().engine.Observe().Catalog.Evacuated("north-1") {
 			t.Error("the zone is evacuated after the withdrawal's acknowledgement")
 		}
 		var refused api.OrderAnswer
@@ -169,7 +171,7 @@
 				t.Errorf("%s answered %+v", id, answer)
 			}
 		}
-		contents := f.primary().observe().contents
+		contents := f.primary().engine.Observe().Catalog
 		if tenant, known := contents.Tenant("added"); !known || tenant.Weight != 7 || contents.Version() != 2 {
 			t.Errorf("version %d, tenant %+v", contents.Version(), tenant)
 		}
@@ -197,8 +199,8 @@
 		proposals.Go(func() {
 			for range count / 16 {
 				update := registry.NewUpdate("places.", nil, nil)
-				update.Requestor = requestorControl + "test"
-				if _, err := primary.propose(f.t.Context(), update); err != nil {
+				update.Requestor = permission.Control("test")
+				if _, err := primary.engine.Propose(f.t.Context(), update); err != nil {
 					f.t.Errorf("worker %d: %v", worker, err)
 					return
 				}
@@ -231,7 +233,7 @@
 				t.Errorf("the loser was told %+v", answer)
 			}
 		}
-		if version := f.primary().observe().contents.Version(); accepted != 1 || version != 2 {
+		if version := f.primary().engine.Observe().Catalog.Version(); accepted != 1 || version != 2 {
 			t.Errorf("%d of 3 writers won, the version is %d", accepted, version)
 		}
 	})
@@ -242,10 +244,10 @@
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		base := uint64(0)
-		cluster := f.primary().observe().cluster
+		cluster := f.primary().engine.Observe().Cluster
 		for round, name := range append(controlNames, controlNames[0]) {
 			f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
-			time.Sleep(2 * learnerPatience) // a primary long leading counts a newcomer's time from its coming
+			time.Sleep(2 * membership.LearnerTimeout) // a primary long leading counts a newcomer's time from its coming
 			f.mustSend(f.primary(), "order-"+string(rune('a'+round)), base)
 			base++
 			f.stop(name)
@@ -272,18 +274,18 @@
 // the version.
 func (f *fleet) checkWhole(cluster string, version uint64) {
 	f.t.Helper()
-	membership := f.primary().observe().status.Membership
-	if len(membership.Members) != len(controlNames) {
-		f.t.Fatalf("members are %+v", membership.Members)
+	current := f.primary().engine.Observe().Status.Membership
+	if len(current.Members) != len(controlNames) {
+		f.t.Fatalf("members are %+v", current.Members)
 	}
 	for name, node := range f.nodes {
-		member, found := findMember(membership, node.observe().identity)
+		member, found := membership.Find(current, node.engine.Observe().Identity)
 		if !found || member.Learner {
-			f.t.Errorf("%s with disk %s does not vote", name, node.observe().identity)
+			f.t.Errorf("%s with disk %s does not vote", name, node.engine.Observe().Identity)
 		}
 		f.await(name+" to apply the configuration", func() bool {
-			o := node.observe()
-			return o.cluster == cluster && o.contents != nil && o.contents.Version() == version
+			o := node.engine.Observe()
+			return o.Cluster == cluster && o.Catalog != nil && o.Catalog.Version() == version
 		})
 	}
 }
@@ -291,7 +293,7 @@
 func TestFreshNodeNeverFormsBesideAGroup(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		f.start(controlNames...)
-		cluster := f.primary().observe().cluster
+		cluster := f.primary().engine.Observe().Cluster
 		// The node with the lowest name comes back wiped and meets one survivor
 		// without a majority, and one node that is wiped too.
 		for _, name := range controlNames {
@@ -302,11 +304,11 @@
 		f.start(controlNames...)
 		time.Sleep(patience)
 		for _, name := range []string{controlNames[0], controlNames[2]} {
-			if got := f.nodes[name].observe().cluster; got != "" {
+			if got := f.nodes[name].engine.Observe().Cluster; got != "" {
 				t.Errorf("%s formed or joined %s beside a group that has no majority", name, got)
 			}
 		}
-		if got := f.nodes[controlNames[1]].observe().cluster; got != cluster {
+		if got := f.nodes[controlNames[1]].engine.Observe().Cluster; got != cluster {
 			t.Errorf("the survivor belongs to %q, want %q", got, cluster)
 		}
 	})
@@ -317,7 +319,7 @@
 		f.start(controlNames[0], controlNames[1])
 		time.Sleep(patience)
 		for name, node := range f.nodes {
-			if node.observe().cluster != "" {
+			if node.engine.Observe().Cluster != "" {
 				t.Errorf("%s formed a group without %s", name, controlNames[2])
 			}
 		}
@@ -331,9 +333,9 @@
 func (f *fleet) timeToInForce() time.Duration {
 	f.stop(f.primary().options.Name)
 	primary := f.primary()
-	elected := primary.observe().at
-	f.await("the first serial in force", func() bool { return primary.observe().inForceKnown })
-	return primary.observe().at - elected
+	elected := primary.engine.Observe().At
+	f.await("the first serial in force", func() bool { return primary.engine.Observe().InForceKnown })
+	return primary.engine.Observe().At - elected
 }
 
 func TestLeaveHandsLeadershipOver(t *testing.T) {
@@ -364,20 +366,20 @@
 		f.start("control-4")
 		f.await("the replacement", func() bool { return f.members(f.primary()).RepairDone })
 		f.mustSend(f.primary(), "order-1", 0)
-		before := f.primary().observe().status
+		before := f.primary().engine.Observe().Status
 		f.start(replaced)
 		time.Sleep(patience)
-		after := f.primary().observe().status
+		after := f.primary().engine.Observe().Status
 		if after.Term != before.Term || !cmp.Equal(after.Membership, before.Membership) {
 			t.Errorf("the replaced disk's return changed term %d to %d, or members %v to %v", before.Term, after.Term, before.Membership, after.Membership)
 		}
-		if f.nodes[replaced].observe().ready() == nil {
+		if f.nodes[replaced].engine.Observe().Ready() == nil {
 			t.Error("a node that the group does not count says that it is ready")
 		}
 		f.stop("control-4")
 		f.await("the old disk to be taken in", func() bool {
-			o := f.nodes[replaced].observe()
-			return f.members(f.primary()).RepairDone && o.contents.Version() == 1
+			o := f.nodes[replaced].engine.Observe()
+			return f.members(f.primary()).RepairDone && o.Catalog.Version() == 1
 		})
 	})
 }
@@ -402,7 +404,7 @@
 				f.cut(cutOff.options.PeerAddress, f.options[name].PeerAddress)
 			}
 		}
-		time.Sleep(2 * reachableWithin)
+		time.Sleep(2 * membership.ReachableTimeout)
 		for _, name := range controlNames {
 			if name == cutOff.options.Name {
 				continue
--- /dev/null
+++ b/control/httpapi/operations.go
@@ -0,0 +1,102 @@
+package httpapi
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/configuration"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/executor"
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+// An operation's handler reads the body and names the author; submit does the rest.
+
+func (h *handlers) putConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
+	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationOrder) (peer.OrderRequest, *api.Error) {
+		if len(body.Document) > configuration.MaxDocumentBytes {
+			message := fmt.Sprintf("must have at most %d bytes", configuration.MaxDocumentBytes)
+			return peer.OrderRequest{}, apierror.TooLarge("document", message)
+		}
+		body.Author = authorOf(body.Author, operator)
+		return peer.OrderRequest{Configuration: body}, nil
+	})
+}
+
+func (h *handlers) patchConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
+	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationChangeOrder) (peer.OrderRequest, *api.Error) {
+		body.Author = authorOf(body.Author, operator)
+		return peer.OrderRequest{ConfigurationChange: body}, nil
+	})
+}
+
+func (h *handlers) postEvacuation(w http.ResponseWriter, r *http.Request, operator string) {
+	submitBody(h, w, r, MaxSmallBody, func(body *api.EvacuationOrder) (peer.OrderRequest, *api.Error) {
+		body.Author = authorOf(body.Author, operator)
+		return peer.OrderRequest{Evacuation: body}, nil
+	})
+}
+
+func (h *handlers) putReplicas(w http.ResponseWriter, r *http.Request, _ string) {
+	submitBody(h, w, r, maxOperationBody, func(body *api.ReplicaList) (peer.OrderRequest, *api.Error) {
+		return peer.OrderRequest{Replicas: body}, nil
+	})
+}
+
+func authorOf(author, operator string) string {
+	if author == "" {
+		return operator
+	}
+	return author
+}
+
+// submitBody submits the operation that a request's body describes.
+func submitBody[Body any](h *handlers, w http.ResponseWriter, r *http.Request, limit int64, request func(*Body) (peer.OrderRequest, *api.Error)) {
+	var body Body
+	if problem := readJSON(w, r, limit, &body); problem != nil {
+		writeError(w, problem)
+		return
+	}
+	operation, problem := request(&body)
+	if problem != nil {
+		writeError(w, problem)
+		return
+	}
+	h.submit(w, r, operation)
+}
+
+// submit executes an operation within the time that its sender gives.
+func (h *handlers) submit(w http.ResponseWriter, r *http.Request, request peer.OrderRequest) {
+	wait, problem := h.waitOf(r)
+	if problem != nil {
+		writeError(w, problem)
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), wait)
+	defer cancel()
+	reply := h.config.Executor.Submit(ctx, request)
+	switch {
+	case reply.Error != nil:
+		writeError(w, reply.Error)
+	case reply.Answer.Error != nil:
+		writeJSON(w, reply.Answer.Error.Status(), reply.Answer)
+	default:
+		writeJSON(w, http.StatusOK, reply.Answer)
+	}
+}
+
+func (h *handlers) waitOf(r *http.Request) (time.Duration, *api.Error) {
+	text := r.URL.Query().Get(parameterWait)
+	if text == "" {
+		return h.config.OperationWait, nil
+	}
+	millis, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || millis < 0 || millis > executor.MaxWait.Milliseconds() {
+		return 0, apierror.Invalid(parameterWait, fmt.Sprintf("must be a number of milliseconds up to %d", executor.MaxWait.Milliseconds()))
+	}
+	return time.Duration(millis) * time.Millisecond, nil
+}
--- /dev/null
+++ b/control/leases/review.go
@@ -0,0 +1,52 @@
+package leases
+
+import "time"
+
+// Review is the result of a review of all leases.
+type Review struct {
+	// Contact is the send time of the newest heartbeat round that a quorum
+	// acknowledged, if ContactKnown.
+	Contact      time.Duration
+	ContactKnown bool
+	// Serial is that of the table.
+	Serial uint32
+	// Activate is the newest serial that gateways may activate; 0 if none.
+	Activate uint32
+	// InForce is the newest serial known to be active at every lease holder, if
+	// InForceKnown.
+	InForce      uint32
+	InForceKnown bool
+}
+
+// Review works out which serial may be activated and which is in force. Both follow
+// from the serial, the proof of leadership and the gateways' reports: it returns
+// false, and does nothing, if none of these has changed.
+func (m *Manager) Review(contact time.Duration, contactKnown bool, serial uint32) bool {
+	unchanged := contact == m.review.Contact && contactKnown == m.review.ContactKnown && serial == m.review.Serial
+	if unchanged && !m.reportsChanged {
+		return false
+	}
+	m.reportsChanged = false
+	m.review.Contact, m.review.ContactKnown = contact, contactKnown
+	m.review.Serial = serial
+	if contactKnown {
+		m.grantor.SetContact(contact)
+	}
+	m.review.Activate = m.grantor.Activate()
+	m.review.InForce, m.review.InForceKnown = m.grantor.InForce()
+	return true
+}
+
+// LastReview returns the result of the newest review.
+func (m *Manager) LastReview() Review { return m.review }
+
+// TakeNotification returns true if gateways are to be notified: the serial or the
+// activation is not that of the last notification. The caller then sends one.
+func (m *Manager) TakeNotification() bool {
+	if m.review.Serial == m.notifiedSerial && m.review.Activate == m.notifiedActivate {
+		return false
+	}
+	m.notifiedSerial = m.review.Serial
+	m.notifiedActivate = m.review.Activate
+	return true
+}
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/leases"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/places"
@@ -91,7 +93,7 @@
 		}
 		f.await("the other nodes to have the order", func() bool {
 			for _, name := range controlNames {
-				if f.nodes[name].observe().contents.Version() == 0 {
+				if f.nodes[name].engine.Observe().Catalog.Version() == 0 {
 					return false
 				}
 			}
@@ -140,7 +142,7 @@
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
 		old := f.primary()
-		term := old.observe().status.Term
+		term := old.engine.Observe().Status.Term
 		// A gateway that knows the old primary alone, and waits for its answer.
 		lonely := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
 		f.await("a lease", lonely.valid)
@@ -153,8 +155,8 @@
 			t.Errorf("the thawed primary granted %d leases", after-before)
 		}
 		f.await("the thawed node to follow", func() bool {
-			o := old.observe()
-			return o.status.Role == consensus.Follower && o.contents.Version() == 2
+			o := old.engine.Observe()
+			return o.Status.Role == consensus.Follower && o.Catalog.Version() == 2
 		})
 	})
 }
@@ -168,14 +170,14 @@
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", quiet.valid)
-		record := func() places.Gateway { return f.primary().observe().contents.Gateways()["gateway-1"] }
+		record := func() places.Gateway { return f.primary().engine.Observe().Catalog.Gateways()["gateway-1"] }
 
 		f.cut(quiet.address, quiet.control...)
 		cut := time.Now()
 		f.await("the record to say down", func() bool { return !record().Up })
 		renewal := lease.DefaultTerms().Renewal
-		if took := time.Since(cut); took < (quietRenewals-1)*renewal || took > (quietRenewals+2)*renewal {
-			t.Errorf("marked down after %v, want about %v", took, quietRenewals*renewal)
+		if took := time.Since(cut); took < (leases.MissedRenewals-1)*renewal || took > (leases.MissedRenewals+2)*renewal {
+			t.Errorf("marked down after %v, want about %v", took, leases.MissedRenewals*renewal)
 		}
 		if !record().MayHold {
 			t.Error("the record says that it holds no lease while it may")
@@ -204,14 +206,14 @@
 		f.cut(old.options.PeerAddress, controlAddressesBut(f, old)...)
 		successor := f.primary(old.options.Name)
 		elected := time.Now()
-		record := func() places.Gateway { return successor.observe().contents.Gateways()["gateway-1"] }
+		record := func() places.Gateway { return successor.engine.Observe().Catalog.Gateways()["gateway-1"] }
 
 		f.await("the record to say down", func() bool { return !record().Up })
-		if took := time.Since(elected); took > (quietRenewals+2)*lease.DefaultTerms().Renewal {
+		if took := time.Since(elected); took > (leases.MissedRenewals+2)*lease.DefaultTerms().Renewal {
 			t.Errorf("still named %v after the election", took)
 		}
 		f.await("the record to say that the lease has ended", func() bool { return !record().MayHold })
-		longest := lease.DefaultTerms().Window() + defaultGatewayGrace + time.Second
+		longest := lease.DefaultTerms().Window() + engine.DefaultGatewayGrace + time.Second
 		if took := time.Since(elected); took > longest {
 			t.Errorf("a lease of the old primary was waited for during %v", took)
 		}
--- a/control/repair_test.go
+++ b/control/membership/repair_test.go
@@ -1,4 +1,4 @@
-package control
+package membership
 
 import (
 	"testing"
@@ -35,15 +35,15 @@
 		}
 		return extended
 	}
-	asks := func(member consensus.Member) []joinRequest {
-		return []joinRequest{{member: member, asked: now}}
+	asks := func(member consensus.Member) []JoinRequest {
+		return []JoinRequest{{Member: member, ReceivedAt: now}}
 	}
 	cases := []struct {
 		name    string
 		members []consensus.Member
 		contact map[consensus.ID]time.Duration
 		match   map[consensus.ID]uint64
-		joins   []joinRequest
+		joins   []JoinRequest
 		want    []consensus.Member // nil: no step
 		done    bool
 		pending bool // a membership change is not committed
@@ -54,7 +54,7 @@
 		{name: "a silent voter is no repair done", members: all, contact: lost, match: caughtUp},
 		{name: "two voters are no repair done", members: []consensus.Member{a, b}, contact: fresh, match: caughtUp},
 		{name: "a wiped disk at its address comes as a learner", members: all, contact: lost, match: caughtUp, joins: asks(wiped), want: []consensus.Member{a, b, c, learner(wiped)}},
-		{name: "an older disk's late request is ignored", members: all, contact: fresh, match: caughtUp, joins: []joinRequest{{member: wiped, asked: now - 1}}, done: true},
+		{name: "an older disk's late request is ignored", members: all, contact: fresh, match: caughtUp, joins: []JoinRequest{{Member: wiped, ReceivedAt: now - 1}}, done: true},
 		{name: "another address waits for the voter of its zone to be long gone", members: all, contact: lost, match: caughtUp, joins: asks(moved)},
 		{name: "another address replaces the voter of its zone", members: all, contact: longLost, match: caughtUp, joins: asks(moved), want: []consensus.Member{a, b, c, learner(moved)}},
 		{name: "a stranger to a whole group is not taken", members: all, contact: fresh, match: caughtUp, joins: asks(moved), done: true},
@@ -69,18 +69,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := repair{
-				now:          now,
-				status:       consensus.Status{ID: "a", Commit: 900, Settled: !c.pending, Match: c.match, Contact: c.contact, Membership: consensus.Membership{Members: c.members}},
-				joins:        c.joins,
-				voters:       3,
-				replaceAfter: defaultReplaceAfter,
+			r := Repair{
+				Now:          now,
+				Status:       consensus.Status{ID: "a", Commit: 900, Settled: !c.pending, Match: c.match, Contact: c.contact, Membership: consensus.Membership{Members: c.members}},
+				Joins:        c.joins,
+				Voters:       3,
+				ReplaceAfter: 3 * time.Second,
 			}
-			next, reason := r.next()
-			if difference := cmp.Diff(c.want, next.Members); difference != "" {
-				t.Errorf("next step %q (-want +got):\n%s", reason, difference)
+			next, _ := r.Next()
+			if difference := cmp.Diff(c.want, next.Membership.Members); difference != "" {
+				t.Errorf("next step %q (-want +got):\n%s", next.Reason, difference)
 			}
-			if got := r.done(); got != c.done {
+			if got := r.Done(); got != c.done {
 				t.Errorf("done is %t, want %t", got, c.done)
 			}
 		})
--- a/control/metrics_test.go
+++ b/control/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package control
+package metrics
 
 import (
 	"testing"
@@ -7,5 +7,5 @@
 )
 
 func TestMetricsPageListsWhatIsRegistered(t *testing.T) {
-	metricspage.Compare(t, "../docs/METRICS.md", "deckpulley_control_", newMetrics().registry)
+	metricspage.Compare(t, "../../docs/METRICS.md", "deckpulley_control_", New().Registry)
 }
--- a/control/traffic.go
+++ b/control/metrics/traffic.go
@@ -1,29 +1,30 @@
-package control
+package metrics
 
 import (
 	"strconv"
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/deckpulley/deckpulley/control/message"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/transport"
 )
 
 // kindNames names the kinds of messages that a control node sends or receives.
 var kindNames = map[transport.Kind]string{
-	0:                  "transport",
-	peer.KindConsensus: "consensus",
-	peer.KindHello:     "hello",
-	peer.KindForm:      "form",
-	peer.KindJoin:      "join",
-	peer.KindRenew:     "renew",
-	peer.KindNotify:    "notify",
-	peer.KindUpdate:    "update",
-	peer.KindOrder:     "order",
-	kindDescribe:       "describe",
-	kindReadIndex:      "read_index",
-	kindOverview:       "overview",
-	kindWhere:          "where",
+	0:                     "transport",
+	peer.KindConsensus:    "consensus",
+	peer.KindHello:        "hello",
+	peer.KindForm:         "form",
+	peer.KindJoin:         "join",
+	peer.KindRenew:        "renew",
+	peer.KindNotify:       "notify",
+	peer.KindUpdate:       "update",
+	peer.KindOrder:        "order",
+	message.KindDescribe:  "describe",
+	message.KindReadIndex: "read_index",
+	message.KindOverview:  "overview",
+	message.KindWhere:     "where",
 }
 
 func kindName(kind transport.Kind) string {
@@ -35,9 +36,17 @@
 
 // countingNetwork is a network that counts its messages, as *transport.Node does.
 type countingNetwork interface {
+	// Counters returns the totals by kind of message.
 	Counters() map[transport.Kind]transport.KindCounters
 }
 
+// RegisterTraffic adds the counters of a network to the metrics, if it counts.
+func (m *Metrics) RegisterTraffic(network transport.Network) {
+	if counting, counts := network.(countingNetwork); counts {
+		m.Registry.MustRegister(newTrafficCollector(counting))
+	}
+}
+
 // trafficCollector turns the network's counters into metrics.
 type trafficCollector struct {
 	network  countingNetwork
@@ -48,7 +57,7 @@
 
 func newTrafficCollector(network countingNetwork) *trafficCollector {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
-		return prometheus.NewDesc(metricsNamespace+"_"+name, help, labels, nil)
+		return prometheus.NewDesc(namespace+"_"+name, help, labels, nil)
 	}
 	return &trafficCollector{
 		network:  network,
--- /dev/null
+++ b/control/metrics/traffic_test.go
@@ -0,0 +1,27 @@
+package metrics
+
+import (
+	"testing"
+
+	"github.com/deckpulley/deckpulley/control/message"
+	"github.com/deckpulley/deckpulley/transport"
+)
+
+func TestTrafficLabelsNameControlsOwnMessages(t *testing.T) {
+	cases := []struct {
+		kind transport.Kind
+		want string
+	}{
+		{kind: message.KindDescribe, want: "describe"},
+		{kind: message.KindReadIndex, want: "read_index"},
+		{kind: message.KindOverview, want: "overview"},
+		{kind: message.KindWhere, want: "where"},
+	}
+	for _, c := range cases {
+		t.Run(c.want, func(t *testing.T) {
+			if got := kindName(c.kind); got != c.want {
+				t.Errorf("label of the traffic metrics is %q, want %q", got, c.want)
+			}
+		})
+	}
+}
--- a/control/node.go
+++ b/control/node.go
@@ -1,9 +1,8 @@
 // Package control is the control node: it keeps the registry on a replicated
 // log, grants leases to gateways, and answers operators and the platform.
 //
-// One goroutine, the event loop, owns the replicated log, the registry table,
-// the lease grantor and the disk. Everything else hands it events and reads the
-// immutable observation that it publishes after each batch of them.
+// A Node puts the parts together. Package engine has the event loop, which owns the
+// state; the packages around it have one concern each and ask the engine.
 package control
 
 import (
@@ -11,55 +10,60 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
+	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/bootstrap"
+	"github.com/deckpulley/deckpulley/control/discovery"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/eventqueue"
+	"github.com/deckpulley/deckpulley/control/executor"
+	"github.com/deckpulley/deckpulley/control/httpapi"
+	"github.com/deckpulley/deckpulley/control/identity"
+	"github.com/deckpulley/deckpulley/control/inventory"
+	"github.com/deckpulley/deckpulley/control/locator"
+	"github.com/deckpulley/deckpulley/control/message"
+	"github.com/deckpulley/deckpulley/control/metrics"
+	"github.com/deckpulley/deckpulley/control/readindex"
+	"github.com/deckpulley/deckpulley/control/status"
+	"github.com/deckpulley/deckpulley/control/updates"
 	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-const (
-	// eventQueueLength bounds the events waiting for the loop.
-	eventQueueLength = 4096
-	// eventBatch bounds the events handled before their writes are synced.
-	eventBatch = 1024
-	// transferWait bounds handing leadership over at the end.
-	transferWait = 2 * time.Second
-)
+// transferTimeout bounds the transfer of leadership when a node ends.
+const transferTimeout = 2 * time.Second
 
 // ErrStopped is returned by requests to a node that has ended.
-var ErrStopped = errors.New("control: node has stopped")
-
-// event runs on the loop, with the time read after it was taken from the queue.
-type event func(now time.Duration)
+var ErrStopped = eventqueue.ErrStopped
 
 // Node is one control node. Its methods are safe for concurrent use.
 type Node struct {
 	options     Options
 	log         *slog.Logger
 	incarnation string
-	started     time.Time
 	network     transport.Network
-	metrics     *metrics
 
-	events   chan event
-	observed atomic.Pointer[observation]
-	machine  *machine // owned by the event loop
+	queue        *eventqueue.Queue
+	engine       *engine.Engine
+	reader       *readindex.Reader
+	executor     *executor.Executor
+	bootstrapper *bootstrap.Bootstrapper
+	describer    *discovery.Describer
+	locator      *locator.Locator
+	reporter     *status.Reporter
+	updates      *updates.Forwarder
+	inventory    *inventory.Reader // nil without Options.Inventory
+	handler      http.Handler
 
-	formation formation
-	outsider  outsider
-	describer describer
-	platform  sync.Mutex // one platform list is compared and proposed at a time
-
-	context  context.Context
-	cancel   context.CancelFunc
 	workers  sync.WaitGroup
 	stop     chan struct{}
 	stopOnce sync.Once
-	done     chan struct{}
-	err      error // set before done is closed
+	err      error // set before the queue is closed
 }
 
 // New reads the disk and prepares a node. It registers its message handlers and
@@ -69,49 +73,128 @@
 		return nil, err
 	}
 	options = options.withDefaults()
-	incarnation := randomID()
-	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		options:     options,
 		log:         options.Logger.With("region", options.Region),
-		incarnation: incarnation,
-		started:     time.Now(),
+		incarnation: identity.New(),
 		network:     options.Network,
-		metrics:     newMetrics(),
-		events:      make(chan event, eventQueueLength),
-		context:     ctx,
-		cancel:      cancel,
+		queue:       eventqueue.New(),
 		stop:        make(chan struct{}),
-		done:        make(chan struct{}),
 	}
-	machine, err := newMachine(n.options, n.log, n.metrics, n.clock())
+	metrics := metrics.New()
+	engine, err := engine.New(n.engineConfig(), n.queue, metrics)
 	if err != nil {
-		cancel()
 		return nil, err
 	}
-	n.machine = machine
-	if counting, counts := options.Network.(countingNetwork); counts {
-		n.metrics.registry.MustRegister(newTrafficCollector(counting))
-	}
-	n.formation.contacts = make(map[string]bool)
-	n.observed.Store(machine.observe(n.clock(), nil))
+	n.engine = engine
+	n.assemble(metrics)
 	n.handleMessages()
 	return n, nil
 }
 
+func (n *Node) engineConfig() engine.Config {
+	options := n.options
+	return engine.Config{
+		Name:              options.Name,
+		PeerAddress:       options.PeerAddress,
+		Zone:              options.Zone,
+		LinkMbps:          options.LinkMbps,
+		Network:           options.Network,
+		Store:             options.Store,
+		Logger:            n.log,
+		Lease:             options.Lease,
+		GatewayGrace:      options.GatewayGrace,
+		ElectionTimeout:   options.ElectionTimeout,
+		HeartbeatInterval: options.HeartbeatInterval,
+		StartupTimeout:    options.StartupTimeout,
+		Seed:              options.Seed,
+		TickInterval:      options.TickInterval,
+		SnapshotInterval:  options.SnapshotInterval,
+		ReplaceAfter:      options.ReplaceAfter,
+		Voters:            options.Voters,
+	}
+}
+
+// assemble makes the parts around the engine.
+func (n *Node) assemble(metrics *metrics.Metrics) {
+	options := n.options
+	contacts := discovery.NewContacts(n.engine, options.PeerAddress, options.Seeds, options.InitialControl)
+	n.describer = discovery.NewDescriber(n.description(), n.engine, n.network, options.CallTimeout)
+	n.reader = readindex.New(n.engine, n.network, options.PeerAddress, options.CallTimeout)
+	n.locator = locator.New(options.Name, n.engine, n.network, contacts, n.log)
+	n.updates = updates.New(n.engine, n.network, options.PeerAddress, n.log)
+	n.bootstrapper = bootstrap.New(bootstrap.Config{
+		Name:           options.Name,
+		PeerAddress:    options.PeerAddress,
+		Zone:           options.Zone,
+		InitialControl: options.InitialControl,
+		Interval:       options.DiscoveryInterval,
+		CallTimeout:    options.CallTimeout,
+		Engine:         n.engine,
+		Network:        n.network,
+		Contacts:       contacts,
+		Describer:      n.describer,
+		Logger:         n.log,
+	})
+	n.executor = executor.New(executor.Config{
+		PeerAddress: options.PeerAddress,
+		LeaseLength: options.Lease.Length,
+		Queue:       n.queue,
+		Engine:      n.engine,
+		Network:     n.network,
+		Reader:      n.reader,
+		Contacts:    contacts,
+		Metrics:     metrics,
+		Logger:      n.log,
+	})
+	n.reporter = status.New(status.Config{
+		Name:        options.Name,
+		PeerAddress: options.PeerAddress,
+		CallTimeout: options.CallTimeout,
+		Engine:      n.engine,
+		Network:     n.network,
+		Describer:   n.describer,
+	})
+	n.handler = httpapi.NewHandler(httpapi.Config{
+		Tokens:        options.Tokens,
+		CallTimeout:   options.CallTimeout,
+		OperationWait: options.OrderWait,
+		Engine:        n.engine,
+		Executor:      n.executor,
+		Reader:        n.reader,
+		Reporter:      n.reporter,
+		Metrics:       metrics.Registry,
+	})
+	if options.Inventory != nil {
+		n.inventory = inventory.NewReader(options.Inventory, options.InventoryInterval, n.engine, n.executor, n.log)
+	}
+	metrics.RegisterTraffic(n.network)
+}
+
+// description is this node's own, without its identity.
+func (n *Node) description() message.Description {
+	return message.Description{
+		Name:            n.options.Name,
+		Zone:            n.options.Zone,
+		Region:          n.options.Region,
+		Incarnation:     n.incarnation,
+		OperatorAddress: n.options.OperatorAddress,
+	}
+}
+
 // handleMessages registers what other processes may send.
 func (n *Node) handleMessages() {
-	n.network.Handle(peer.KindConsensus, n.serveConsensus)
-	n.network.Handle(peer.KindHello, n.serveHello)
-	n.network.Handle(peer.KindForm, n.serveForm)
-	n.network.Handle(peer.KindJoin, n.serveJoin)
-	n.network.Handle(peer.KindRenew, n.serveRenew)
-	n.network.Handle(peer.KindUpdate, n.serveUpdate)
-	n.network.Handle(peer.KindOrder, n.serveOrder)
-	n.network.Handle(kindDescribe, n.serveDescribe)
-	n.network.Handle(kindReadIndex, n.serveReadIndex)
-	n.network.Handle(kindOverview, n.serveOverview)
-	n.network.Handle(kindWhere, n.serveWhere)
+	n.network.Handle(peer.KindConsensus, n.engine.ServeConsensus)
+	n.network.Handle(peer.KindHello, n.bootstrapper.ServeHello)
+	n.network.Handle(peer.KindForm, n.bootstrapper.ServeForm)
+	n.network.Handle(peer.KindJoin, n.bootstrapper.ServeJoin)
+	n.network.Handle(peer.KindRenew, n.engine.ServeRenew)
+	n.network.Handle(peer.KindUpdate, n.updates.Serve)
+	n.network.Handle(peer.KindOrder, n.executor.Serve)
+	n.network.Handle(message.KindDescribe, n.describer.Serve)
+	n.network.Handle(message.KindReadIndex, n.reader.Serve)
+	n.network.Handle(message.KindOverview, n.reporter.Serve)
+	n.network.Handle(message.KindWhere, n.locator.Serve)
 }
 
 // Start begins to serve peers and to take part in the group.
@@ -119,37 +202,54 @@
 	if err := n.network.Start(); err != nil {
 		return fmt.Errorf("control: starting the network: %w", err)
 	}
-	n.log.Info("control node started", "incarnation", n.incarnation, "identity", string(n.machine.identity), "cluster", n.machine.cluster)
-	go n.run()
-	n.goWorker(n.runDiscovery)
-	n.goWorker(n.runDescriber)
-	if n.options.Inventory != nil {
-		n.goWorker(n.runInventory)
+	observed := n.engine.Observe()
+	n.log.Info("control node started", "incarnation", n.incarnation, "identity", string(observed.Identity), "cluster", observed.Cluster)
+	ctx, cancel := context.WithCancel(context.Background())
+	go n.run(cancel)
+	n.goWorker(ctx, n.bootstrapper.Run)
+	n.goWorker(ctx, n.describer.Run)
+	if n.inventory != nil {
+		n.goWorker(ctx, n.inventory.Run)
 	}
 	return nil
 }
 
-func (n *Node) goWorker(work func(context.Context)) {
+// goWorker runs what ends with ctx; run waits for it.
+func (n *Node) goWorker(ctx context.Context, work func(context.Context)) {
 	n.workers.Add(1)
 	go func() {
 		defer n.workers.Done()
-		work(n.context)
+		work(ctx)
 	}()
 }
 
+// run runs the event loop, and ends the node after it: the workers, the network and
+// the disk, in this order. cancel ends the workers' context.
+func (n *Node) run(cancel context.CancelFunc) {
+	err := n.engine.Run(n.stop)
+	if err != nil {
+		n.log.Error("control node failed", "error", err)
+	}
+	cancel()
+	closeErr := n.network.Close()
+	n.workers.Wait()
+	n.err = errors.Join(err, closeErr, n.options.Store.Close())
+	n.queue.Close()
+}
+
 // Done is closed when the node has ended; Err then says why.
-func (n *Node) Done() <-chan struct{} { return n.done }
+func (n *Node) Done() <-chan struct{} { return n.queue.Done() }
 
-// Err returns the error that ended the node: a *storage error for a failed
+// Err returns the error that ended the node: a *storage.FinalError for a failed
 // write, nil after Stop. It blocks until the node has ended.
 func (n *Node) Err() error {
-	<-n.done
+	<-n.queue.Done()
 	return n.err
 }
 
 // Leave hands leadership over if this node has it, and stops.
 func (n *Node) Leave(ctx context.Context) error {
-	n.HandOver(ctx)
+	n.TransferLeadership(ctx)
 	return n.Stop()
 }
 
@@ -159,141 +259,52 @@
 	return n.Err()
 }
 
-// HandOver gives leadership to another member if this node has it, and waits for
-// that, at the most two seconds.
-func (n *Node) HandOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, transferWait)
+// TransferLeadership hands leadership to another member if this node has it, and
+// waits for that, at most two seconds.
+func (n *Node) TransferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	asked := false
-	n.waitUntil(ctx, func(o *observation) bool {
-		if o.status.Role != consensus.Leader || len(o.status.Membership.Members) < 2 {
+	requested := false
+	n.engine.WaitUntil(ctx, func(o *engine.Observation) bool {
+		if o.Status.Role != consensus.Leader || len(o.Status.Membership.Members) < 2 {
 			return true
 		}
-		if !asked {
-			asked = true
-			n.post(ctx, n.machine.transferLeadership)
+		if !requested {
+			requested = true
+			n.engine.TransferLeadership(ctx)
 		}
 		return false
 	})
 }
 
-// clock is the monotonic time since the node was made.
-func (n *Node) clock() time.Duration { return time.Since(n.started) }
-
-// run is the event loop. Leaving it ends the node.
-func (n *Node) run() {
-	err := n.loop()
-	if err != nil {
-		n.log.Error("control node ends", "error", err)
-	}
-	n.machine.abandon()
-	n.cancel()
-	closeErr := n.network.Close()
-	n.workers.Wait()
-	n.err = errors.Join(err, closeErr, n.options.Store.Close())
-	close(n.done)
-}
-
-func (n *Node) loop() error {
-	ticker := time.NewTicker(n.options.TickInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-n.stop:
-			return nil
-		case <-ticker.C:
-			n.machine.tick(n.clock())
-		case next := <-n.events:
-			n.handle(next)
-			n.handleWaiting()
-		}
-		if err := n.machine.settle(n.clock()); err != nil {
-			return err
-		}
-		n.publish()
-	}
-}
+// Server returns an HTTP server for the operators' port with every limit set.
+// The caller gives it an address, starts it and closes it.
+func (n *Node) Server() *http.Server { return httpapi.NewServer(n.handler) }
 
-// handle reads the clock after the event was taken: an event is never judged by
-// a time before it was sent, and a process that was frozen sees the elapsed time
-// before it sees what queued up meanwhile.
-func (n *Node) handle(next event) {
-	now := n.clock()
-	n.machine.tick(now)
-	next(now)
-}
+// Handler serves the operators' port.
+func (n *Node) Handler() http.Handler { return n.handler }
 
-// handleWaiting takes what is queued, so that one sync covers all of it.
-func (n *Node) handleWaiting() {
-	for range eventBatch {
-		select {
-		case next := <-n.events:
-			n.handle(next)
-		default:
-			return
-		}
-	}
-}
+// Where returns the HTTP addresses of the gateways that a client of a region should
+// use, at most limit. It is empty when none is known.
+func (n *Node) Where(region string, limit int) []string { return n.locator.Where(region, limit) }
 
-// post queues an event, waiting for room. It returns false if ctx or the node
-// ended first.
-func (n *Node) post(ctx context.Context, next event) bool {
-	select {
-	case n.events <- next:
-		return true
-	case <-ctx.Done():
-		return false
-	case <-n.done:
-		return false
-	}
-}
-
-// offer queues an event if there is room.
-func (n *Node) offer(next event) bool {
-	select {
-	case n.events <- next:
-		return true
-	default:
-		return false
-	}
-}
-
-// ask runs a question on the loop and waits for its answer.
-func ask[Answer any](ctx context.Context, n *Node, question func(now time.Duration) Answer) (Answer, error) {
-	reply := make(chan Answer, 1)
-	var none Answer
-	if !n.post(ctx, func(now time.Duration) { reply <- question(now) }) {
-		return none, stoppedOr(ctx)
-	}
-	select {
-	case answer := <-reply:
-		return answer, nil
-	case <-ctx.Done():
-		return none, ctx.Err()
-	case <-n.done:
-		return none, ErrStopped
-	}
+// Submit executes an operation, here or at the primary. It answers when the operation
+// is in force everywhere, when it is refused, or when ctx ends.
+func (n *Node) Submit(ctx context.Context, request peer.OrderRequest) peer.OrderReply {
+	return n.executor.Submit(ctx, request)
 }
 
-func stoppedOr(ctx context.Context) error {
-	if err := ctx.Err(); err != nil {
-		return err
+// CurrentConfiguration returns the newest configuration: its version and text as they
+// were submitted, and false before the first one. It waits for proof that nothing
+// newer was acknowledged.
+func (n *Node) CurrentConfiguration(ctx context.Context) (places.Configuration, bool, *api.Error) {
+	observed, problem := n.reader.Linearizable(ctx)
+	if problem != nil {
+		return places.Configuration{}, false, problem
 	}
-	return ErrStopped
-}
-
-// serveConsensus queues a message of the replicated log. A full queue drops it:
-// the log sends again.
-func (n *Node) serveConsensus(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var wrapped peer.ConsensusMessage
-	if err := decode(&wrapped); err != nil {
-		return nil, err
-	}
-	queued := n.offer(func(now time.Duration) {
-		n.machine.step(now, wrapped)
-	})
-	if !queued {
-		n.metrics.droppedMessages.Inc()
+	if observed.Catalog == nil {
+		return places.Configuration{}, false, nil
 	}
-	return nil, nil
+	current, configured := observed.Catalog.ConfigurationRecord()
+	return current, configured, nil
 }
--- /dev/null
+++ b/control/operation/decide.go
@@ -0,0 +1,205 @@
+package operation
+
+import (
+	"fmt"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/configuration"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/permission"
+	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/internal/planted"
+	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// Facts are the state at the primary that a decision follows from. The
+// prerequisites of the decision's update make it void if they have changed meanwhile.
+type Facts struct {
+	Catalog *places.Contents
+	// Number orders the answers by age.
+	Number uint64
+	// Surplus are the oldest answers, which make room for this one.
+	Surplus []registry.Name
+}
+
+// Decision is the answer to an operation, and the update that makes it so.
+type Decision struct {
+	Update registry.Update
+	Answer places.Order
+}
+
+// Decide decides an operation that has an id. A refusal is a decision too. An error
+// is a defect, or an *api.Error of an operation on the route map that RefuseRouteMap
+// refuses.
+func (o *Operation) Decide(facts Facts) (Decision, error) {
+	if o.request.Configuration != nil {
+		return o.decideConfiguration(facts)
+	}
+	if o.request.ConfigurationChange != nil {
+		return o.decideConfigurationChange(facts)
+	}
+	if o.request.RouteMap != nil {
+		return o.decideRouteMap(facts)
+	}
+	return o.decideEvacuation(facts), nil
+}
+
+// decideConfiguration accepts a document that was built on the current version.
+// Either way the decision is valid only while that version is the current one.
+func (o *Operation) decideConfiguration(facts Facts) (Decision, error) {
+	request := o.request.Configuration
+	if refused, stale := o.refuseOldBase(facts, request.BaseVersion); stale && !planted.Active(planted.AcceptOldBase) {
+		return refused, nil
+	}
+	return o.acceptDocument(facts, o.document, request.Author, request.Document)
+}
+
+// decideConfigurationChange makes a change to the document of the version that it
+// was built on, if that is the current one and the result is valid.
+func (o *Operation) decideConfigurationChange(facts Facts) (Decision, error) {
+	request := o.request.ConfigurationChange
+	if refused, stale := o.refuseOldBase(facts, request.BaseVersion); stale {
+		return refused, nil
+	}
+	text, document, problem := changedDocument(facts.Catalog, o.change)
+	if problem != nil {
+		return o.refuse(facts, basePrerequisite(facts), problem), nil
+	}
+	return o.acceptDocument(facts, document, request.Author, text)
+}
+
+// changedDocument is the current document with a change made to it.
+func changedDocument(current *places.Contents, change *documentchange.Change) (string, *configuration.Document, *api.Error) {
+	record, _ := current.ConfigurationRecord()
+	text, err := documentchange.ApplyToMappings(record.Document, change)
+	if err != nil {
+		return "", nil, invalidChange(err)
+	}
+	document, err := configuration.Load(text)
+	if err != nil {
+		return "", nil, invalidDocument(err)
+	}
+	return text, document, nil
+}
+
+// refuseOldBase refuses what was not built on the current version.
+func (o *Operation) refuseOldBase(facts Facts, base uint64) (refused Decision, stale bool) {
+	if base == facts.Catalog.Version() {
+		return Decision{}, false
+	}
+	return o.refuse(facts, basePrerequisite(facts), versionConflict(base, facts.Catalog.Version())), true
+}
+
+func versionConflict(base, current uint64) *api.Error {
+	return &api.Error{
+		Code:    api.CodeVersionConflict,
+		Outcome: api.OutcomeRefused,
+		Message: fmt.Sprintf("built on version %d, the current version is %d", base, current),
+		Field:   "base_version",
+	}
+}
+
+// basePrerequisite is that the current version is still the current one.
+func basePrerequisite(facts Facts) registry.Record {
+	return configuration.BasePrerequisite(facts.Catalog.View())
+}
+
+// acceptDocument makes a document the next version.
+func (o *Operation) acceptDocument(facts Facts, document *configuration.Document, author, text string) (Decision, error) {
+	version := facts.Catalog.Version() + 1
+	changes, err := configuration.Changes(facts.Catalog.View(), document, version, author, text)
+	if err != nil {
+		return Decision{}, err
+	}
+	return o.accept(facts, version, author, basePrerequisite(facts), changes), nil
+}
+
+// decideEvacuation evacuates a zone of the current configuration, or withdraws that.
+func (o *Operation) decideEvacuation(facts Facts) Decision {
+	request := o.request.Evacuation
+	name := places.ZoneName(request.Zone)
+	if _, known := facts.Catalog.Zones()[request.Zone]; !known {
+		return o.refuse(facts, registry.Absent(name, places.TypeZone), &api.Error{
+			Code:    api.CodeNotFound,
+			Message: fmt.Sprintf("the configuration has no zone %q", request.Zone),
+			Field:   "zone",
+		})
+	}
+	change := registry.DeleteSet(name, places.TypeEvacuation)
+	if !request.Withdraw {
+		change = registry.Add(places.EvacuationRecord(request.Zone, places.Evacuation{Author: request.Author, Order: request.OrderID}))
+	}
+	exists := registry.Exists(name, places.TypeZone)
+	return o.accept(facts, facts.Catalog.Version(), request.Author, exists, []registry.Record{change})
+}
+
+// accept is a decision with changes, valid under a prerequisite. The version is that
+// after the changes.
+func (o *Operation) accept(facts Facts, version uint64, author string, prerequisite registry.Record, changes []registry.Record) Decision {
+	answer := places.Order{Digest: o.digest, Accepted: true, Version: version, Number: facts.Number}
+	return o.decision(facts, answer, author, prerequisite, changes)
+}
+
+// refuse is a decision without changes, valid under a prerequisite.
+func (o *Operation) refuse(facts Facts, prerequisite registry.Record, reason *api.Error) Decision {
+	answer := places.Order{
+		Digest:  o.digest,
+		Version: facts.Catalog.Version(),
+		Number:  facts.Number,
+		Code:    string(reason.Code),
+		Field:   reason.Field,
+		Reason:  reason.Message,
+	}
+	return o.decision(facts, answer, "", prerequisite, nil)
+}
+
+// decision adds the answer's record to the changes, once: no answer may exist.
+func (o *Operation) decision(facts Facts, answer places.Order, author string, prerequisite registry.Record, changes []registry.Record) Decision {
+	unanswered := registry.Absent(places.OrderName(o.ID()), places.TypeOrder)
+	changes = append(changes, registry.Add(places.OrderRecord(o.ID(), answer)))
+	for _, oldest := range facts.Surplus {
+		changes = append(changes, registry.DeleteSet(oldest, places.TypeOrder))
+	}
+	update := registry.NewUpdate(places.Apex, []registry.Record{prerequisite, unanswered}, changes)
+	update.Requestor = permission.Operator(author)
+	return Decision{Update: update, Answer: answer}
+}
+
+// Answer is the answer to an operation whose decision was stored, visible since a serial.
+func Answer(id string, decided places.Order, serial uint32) *api.OrderAnswer {
+	answer := &api.OrderAnswer{
+		OrderID:  id,
+		Accepted: decided.Accepted,
+		Version:  decided.Version,
+		Serial:   serial,
+	}
+	if !decided.Accepted {
+		answer.Error = &api.Error{
+			Code:    api.Code(decided.Code),
+			Outcome: api.OutcomeRefused,
+			Message: decided.Reason,
+			Field:   decided.Field,
+		}
+	}
+	return answer
+}
+
+// Conflict rejects an operation whose id was used for another one.
+func Conflict() *api.Error {
+	return &api.Error{
+		Code:    api.CodeOrderConflict,
+		Outcome: api.OutcomeRefused,
+		Message: "this order id was used for another order",
+		Field:   "order_id",
+	}
+}
+
+// Unfinished answers an operation whose time ran out. It may have been executed if
+// it was sent to a primary or proposed.
+func Unfinished(sent bool) *api.Error {
+	if !sent {
+		return apierror.NoPrimary("no primary was reached in time; the order was not carried out", api.OutcomeRefused)
+	}
+	return apierror.Pending("the order is not yet known to be in force everywhere; send it again with the same order id")
+}
--- /dev/null
+++ b/control/operation/golden_test.go
@@ -0,0 +1,54 @@
+package operation
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/internal/golden"
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+// TestGoldenOperationDigests holds the digests under which answers to operations are
+// kept, as they stand in the registry.
+func TestGoldenOperationDigests(t *testing.T) {
+	cases := []struct {
+		name  string
+		parts []any
+	}{
+		{name: "configuration", parts: []any{"configuration", uint64(7), "document"}},
+		{name: "configuration-change", parts: []any{"configuration change", uint64(7), "change"}},
+		{name: "evacuation", parts: []any{"evacuation", "zone-1", false}},
+		{name: "route-map", parts: []any{"routemap", uint64(7), "text"}},
+		{name: "route-map-change", parts: []any{"routemap change", uint64(7), "text"}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			golden.Compare(t, "digest-"+c.name, encode(t, digestOf(c.parts...)))
+		})
+	}
+}
+
+// TestGoldenEvacuationDigest goes the whole way from a request to its digest.
+func TestGoldenEvacuationDigest(t *testing.T) {
+	checked, problem := New(peer.OrderRequest{Evacuation: &api.EvacuationOrder{OrderID: "operation-1", Zone: "zone-1", Author: "operator-1"}})
+	if problem != nil {
+		t.Fatal(problem)
+	}
+	golden.Compare(t, "digest-evacuation", encode(t, checked.Digest()))
+}
+
+func encode(t *testing.T, digest uint64) []byte {
+	t.Helper()
+	encoded, err := cbor.Marshal(digest)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return encoded
+}
+
+func TestGoldenRouteMapIdentity(t *testing.T) {
+	identity := routeMapID(&peer.RouteMapOrder{BaseVersion: 7, Text: "text"})
+	golden.Compare(t, "identity-route-map", []byte(identity))
+}
--- /dev/null
+++ b/control/operation/replicas.go
@@ -0,0 +1,110 @@
+package operation
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/permission"
+	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// maxReplicas bounds the platform's list.
+const maxReplicas = 20_000
+
+// checkReplicas checks the form of the platform's list.
+func checkReplicas(list *api.ReplicaList) *api.Error {
+	if len(list.Replicas) > maxReplicas {
+		return apierror.Invalid("replicas", fmt.Sprintf("must have at most %d entries", maxReplicas))
+	}
+	seen := make(map[string]bool, len(list.Replicas))
+	for i, entry := range list.Replicas {
+		if field, reason := checkReplica(entry, seen); field != "" {
+			return apierror.Invalid(fmt.Sprintf("replicas[%d].%s", i, field), reason)
+		}
+		seen[entry.ID] = true
+	}
+	return nil
+}
+
+func checkReplica(entry api.ReplicaEntry, seen map[string]bool) (field, reason string) {
+	switch {
+	case places.CheckObjectName(entry.ID) != nil:
+		return "id", objectNameLength()
+	case seen[entry.ID]:
+		return "id", fmt.Sprintf("%q is listed twice", entry.ID)
+	case places.CheckObjectName(entry.Service) != nil:
+		return "service", objectNameLength()
+	case places.CheckObjectName(entry.Zone) != nil:
+		return "zone", objectNameLength()
+	case !strings.Contains(entry.Address, ":") || len(entry.Address) > api.MaxNameBytes:
+		return "address", "must be host:port"
+	default:
+		return "", ""
+	}
+}
+
+// ReplicaUpdate is the update that makes the registry's list of replicas that of the
+// platform. It has no changes if the lists are the same.
+func ReplicaUpdate(current *places.Contents, list *api.ReplicaList) (registry.Update, *api.Error) {
+	changes, problem := replicaChanges(current, list)
+	if problem != nil {
+		return registry.Update{}, problem
+	}
+	update := registry.NewUpdate(places.Apex, nil, changes)
+	update.Requestor = permission.Platform
+	return update, nil
+}
+
+// replicaChanges lists what differs between the registry and the platform's list.
+func replicaChanges(current *places.Contents, list *api.ReplicaList) ([]registry.Record, *api.Error) {
+	var changes []registry.Record
+	listed := make(map[string]bool, len(list.Replicas))
+	known := current.Replicas()
+	for i, entry := range list.Replicas {
+		zone, found := current.Zones()[entry.Zone]
+		if !found {
+			return nil, apierror.Invalid(fmt.Sprintf("replicas[%d].zone", i), fmt.Sprintf("the configuration has no zone %q", entry.Zone))
+		}
+		listed[entry.ID] = true
+		replica := places.Replica{Service: entry.Service, Zone: entry.Zone, Region: zone.Region, Address: entry.Address, Slots: entry.Slots}
+		if old, present := known[entry.ID]; !present || old != replica {
+			changes = append(changes, registry.Add(places.ReplicaRecord(entry.ID, replica)))
+		}
+		changes = append(changes, drainChange(current, entry)...)
+		changes = append(changes, conditionChange(current, entry)...)
+	}
+	for id := range known {
+		if !listed[id] {
+			changes = append(changes, registry.DeleteName(places.ReplicaName(id)))
+		}
+	}
+	return changes, nil
+}
+
+func drainChange(current *places.Contents, entry api.ReplicaEntry) []registry.Record {
+	if current.Drained(entry.ID) == entry.Draining {
+		return nil
+	}
+	if entry.Draining {
+		return []registry.Record{registry.Add(places.DrainRecord(entry.ID, places.Drain{Reason: "listed as draining"}))}
+	}
+	return []registry.Record{registry.DeleteSet(places.ReplicaName(entry.ID), places.TypeDrain)}
+}
+
+// conditionChange follows a list that says which replicas are warming up.
+func conditionChange(current *places.Contents, entry api.ReplicaEntry) []registry.Record {
+	if entry.ColdMS == nil {
+		return nil
+	}
+	desired := places.Condition{State: places.ConditionUp}
+	if *entry.ColdMS > 0 {
+		desired.State = places.ConditionCold
+	}
+	if recorded, known := current.Condition(entry.ID); known && recorded == desired {
+		return nil
+	}
+	return []registry.Record{registry.Add(places.ConditionRecord(entry.ID, desired))}
+}
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -16,8 +15,8 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/places"
-	"github.com/deckpulley/deckpulley/registry"
+	"github.com/deckpulley/deckpulley/control/httpapi"
+	"github.com/deckpulley/deckpulley/control/recovery"
 	"github.com/deckpulley/deckpulley/settings"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -56,7 +55,7 @@
 		{"unknown field", "POST", "/v1/evacuations", `{"order_id":"a","zone":"b","when":"now"}`, testToken, 400, api.CodeInvalid, "when"},
 		{"wrong type", "POST", "/v1/evacuations", `{"order_id":"a","zone":7}`, testToken, 400, api.CodeInvalid, "zone"},
 		{"two documents", "POST", "/v1/evacuations", `{"order_id":"a","zone":"b"}{}`, testToken, 400, api.CodeInvalid, ""},
-		{"body too large", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", maxSmallBody) + `"}`, testToken, 413, api.CodeTooLarge, ""},
+		{"body too large", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", httpapi.MaxSmallBody) + `"}`, testToken, 413, api.CodeTooLarge, ""},
 		{"document too large", "PUT", "/v1/configuration", configurationOrder(strings.Repeat("a", configuration.MaxDocumentBytes+1)), testToken, 413, api.CodeTooLarge, "document"},
 		{"no order id", "POST", "/v1/evacuations", `{"zone":"b"}`, testToken, 400, api.CodeInvalid, "order_id"},
 		{"order id too long", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", 129) + `","zone":"b"}`, testToken, 400, api.CodeInvalid, "order_id"},
@@ -77,10 +76,10 @@
 		handler := f.primary().Handler()
 		f.await("the head to name the primary", func() bool {
 			primary := f.primary()
-			contents := primary.observe().contents
+			contents := primary.engine.Observe().Catalog
 			return contents != nil && contents.View().Head().Primary == primary.options.Name
 		})
-		serial := f.primary().observe().serial
+		serial := f.primary().engine.Observe().Serial
 		for _, c := range cases {
 			request := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
 			request.Header.Set("Authorization", "Bearer "+c.token)
@@ -96,7 +95,7 @@
 				t.Errorf("%s: %s\n%s", c.name, answer.Error.Message, difference)
 			}
 		}
-		if got := f.primary().observe().serial; got != serial {
+		if got := f.primary().engine.Observe().Serial; got != serial {
 			t.Errorf("the serial went from %d to %d", serial, got)
 		}
 	})
@@ -113,7 +112,7 @@
 				f.stop(name)
 			}
 		}
-		f.await("the survivor to miss its primary", func() bool { return survivor.observe().leaderAddress() == "" })
+		f.await("the survivor to miss its primary", func() bool { return survivor.engine.Observe().LeaderAddress() == "" })
 		var answer api.ErrorBody
 		order := api.ConfigurationOrder{OrderID: "order-2", BaseVersion: 1, Document: document(t)}
 		status := f.request(survivor, http.MethodPut, api.PathConfiguration+"?wait_ms=500", order, &answer)
@@ -145,8 +144,8 @@
 		f.disks[name].Reopen()
 		f.start(name)
 		f.await("the node to catch up", func() bool {
-			o := f.nodes[name].observe()
-			return o.contents != nil && o.contents.Version() == 2
+			o := f.nodes[name].engine.Observe()
+			return o.Catalog != nil && o.Catalog.Version() == 2
 		})
 	})
 }
@@ -156,12 +155,12 @@
 		f.start(controlNames...)
 		first := f.mustSend(f.primary(), "order-1", 0)
 		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
-		cluster := f.primary().observe().cluster
+		cluster := f.primary().engine.Observe().Cluster
 		for _, name := range controlNames {
 			f.stop(name)
 		}
 		survivor := f.options[controlNames[0]]
-		recovered, err := Recover(RecoverOptions{
+		recovered, err := recovery.Run(recovery.Options{
 			Name:        survivor.Name,
 			Zone:        survivor.Zone,
 			PeerAddress: survivor.PeerAddress,
@@ -175,54 +174,23 @@
 		f.wipe(controlNames[1])
 		f.start(controlNames...)
 		f.await("the new disk to vote", func() bool {
-			o := f.nodes[controlNames[1]].observe()
-			return o.cluster == recovered.Cluster && o.voter()
+			o := f.nodes[controlNames[1]].engine.Observe()
+			return o.Cluster == recovered.Cluster && o.Voter()
 		})
-		if got := f.nodes[controlNames[2]].observe().cluster; got != cluster {
+		if got := f.nodes[controlNames[2]].engine.Observe().Cluster; got != cluster {
 			t.Errorf("the old disk went over to %s", got)
 		}
 		_, again := f.send(f.primary(), "order-1", 0, document(t))
 		if difference := cmp.Diff(first, again); difference != "" {
 			t.Errorf("the order's answer is not kept (-first +again):\n%s", difference)
 		}
-		_, next := f.send(f.primary(), "order-2", 1+recoveredVersionStep, document(t))
-		if !next.Accepted || next.Version != 2+recoveredVersionStep {
+		_, next := f.send(f.primary(), "order-2", 1+recovery.VersionStep, document(t))
+		if !next.Accepted || next.Version != 2+recovery.VersionStep {
 			t.Errorf("the next order was answered %+v", next)
 		}
 	})
 }
 
-func TestOldestOrdersMakeRoom(t *testing.T) {
-	const limit = 3
-	var book orderBook
-	follow := func(serial uint32, changes ...registry.Record) {
-		update := registry.NewUpdate(places.Apex, nil, changes)
-		book.follow(&update, registry.Result{Changed: true, Serial: serial})
-	}
-	for i := range 5 {
-		order := fmt.Sprintf("order-%d", i)
-		changes := []registry.Record{registry.Add(places.OrderRecord(order, places.Order{}))}
-		for _, name := range book.surplus(limit) {
-			changes = append(changes, registry.DeleteSet(name, places.TypeOrder))
-		}
-		follow(uint32(10+i), changes...)
-		if len(book.serials) > limit {
-			t.Fatalf("%d orders are kept, at most %d may be", len(book.serials), limit)
-		}
-	}
-	refused := registry.NewUpdate(places.Apex, nil, []registry.Record{registry.Add(places.OrderRecord("order-9", places.Order{}))})
-	book.follow(&refused, registry.Result{Code: registry.YXRRSet})
-	want := []orderEntry{{places.OrderName("order-2"), 12}, {places.OrderName("order-3"), 13}, {places.OrderName("order-4"), 14}}
-	if difference := cmp.Diff(want, book.entries()); difference != "" {
-		t.Errorf("kept orders (-want +got):\n%s", difference)
-	}
-	var copied orderBook
-	copied.restore(book.entries())
-	if difference := cmp.Diff(book.entries(), copied.entries()); difference != "" {
-		t.Errorf("restored orders (-want +got):\n%s", difference)
-	}
-}
-
 func TestHistoryListsTheNewestOrders(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		f.start(controlNames...)
--- a/control/options.go
+++ b/control/options.go
@@ -5,24 +5,19 @@
 	"log/slog"
 	"time"
 
+	"github.com/deckpulley/deckpulley/control/inventory"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/settings"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Defaults of Options.
+// Defaults of Options. Those of the event loop are in package engine.
 const (
-	defaultTickInterval      = 25 * time.Millisecond
-	defaultStartupTimeout    = 100 * time.Millisecond
 	defaultDiscoveryInterval = 250 * time.Millisecond
 	defaultCallTimeout       = time.Second
-	defaultReplaceAfter      = 3 * time.Second
-	defaultGatewayGrace      = time.Second
 	defaultOrderWait         = 10 * time.Second
-	defaultSnapshotInterval  = 4096
 	defaultInventoryInterval = 500 * time.Millisecond
-	defaultLinkMbps          = 100
 )
 
 // Options sets up a Node. Network, Store and the names are required; every
@@ -34,14 +29,14 @@
 	Name   string
 	Zone   string
 	Region string
-	// PeerAddress is where other processes reach this node (host:port);
-	// OperatorAddress is told to operators and not bound by Node.
+	// PeerAddress is where other processes reach this node (host:port).
+	// OperatorAddress is reported to operators; Node does not bind it.
 	PeerAddress     string
 	OperatorAddress string
-	// Seeds are peers' addresses of other processes, a first contact only.
+	// Seeds are peer addresses of other processes, for a first contact only.
 	Seeds []string
 	// InitialControl maps the names of the control nodes that form a new group
-	// to their peers' addresses. A node that it does not list only joins.
+	// to their peer addresses. A node that it does not list only joins.
 	InitialControl map[string]string
 
 	// Network carries messages; Node starts it, and closes it when it ends.
@@ -50,46 +45,49 @@
 	Store storage.Store
 	// Logger defaults to slog.Default. It should name the node.
 	Logger *slog.Logger
-	// Tokens returns the operators' tokens as they are now; nil permits orders
+	// Tokens returns the operators' tokens as they are now; nil permits operations
 	// without one.
 	Tokens func() settings.Tokens
 
-	// Lease are the terms that gateways hold too.
+	// Lease are the terms that gateways use too. Default lease.DefaultTerms.
 	Lease lease.Terms
-	// ElectionTimeout and HeartbeatInterval are passed to the replicated log.
+	// ElectionTimeout and HeartbeatInterval are passed to the replicated log, which
+	// has their defaults.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 	// StartupTimeout is the least time from the start to an election of a node
-	// that was a member before.
+	// that was a member before. Default 100 ms.
 	StartupTimeout time.Duration
 	// Seed drives the random election timeouts; 0 draws one.
 	Seed uint64
 
-	// TickInterval is the longest time between two looks at the clock.
+	// TickInterval is the longest time between two readings of the clock. Default
+	// 25 ms.
 	TickInterval time.Duration
 	// DiscoveryInterval is the time between two rounds of asking other nodes for
-	// the group, while this node is not a voter with a leader.
+	// the group, while this node is not a voter with a leader. Default 250 ms.
 	DiscoveryInterval time.Duration
-	// CallTimeout bounds one call to another control node.
+	// CallTimeout bounds one call to another control node. Default 1 s.
 	CallTimeout time.Duration
 	// ReplaceAfter is how long a voter must be unreachable before a node with
-	// another address may take its place.
+	// another address may replace it. Default 3 s.
 	ReplaceAfter time.Duration
 	// GatewayGrace is how long after the end of its lease a gateway is marked
-	// down, and how long a lease must hold before it is marked up again.
+	// down, and how long a lease must last before it is marked up again. Default 1 s.
 	GatewayGrace time.Duration
-	// OrderWait is how long an order may wait to be in force when its sender
-	// does not say.
+	// OrderWait is how long an operation may wait to be in force when its sender
+	// does not say. Default 10 s.
 	OrderWait time.Duration
-	// Voters is the number of voters of a whole group, if above that of its
-	// formation: nodes that ask to join are taken in until there are so many.
+	// Voters is the number of voters of a complete group, if above that of its
+	// bootstrap: nodes that ask to join are admitted until there are so many.
 	Voters int
 	// Inventory, if set, is read by the primary for the list of replicas, every
-	// InventoryInterval.
-	Inventory         Inventory
+	// InventoryInterval, by default 500 ms.
+	Inventory         inventory.Source
 	InventoryInterval time.Duration
 
 	// SnapshotInterval is the number of entries applied between two snapshots.
+	// Default 4096.
 	SnapshotInterval uint64
 }
 
@@ -108,7 +106,7 @@
 	return nil
 }
 
-// withDefaults fills in what is zero.
+// withDefaults fills in what is zero and is not left to package engine.
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
@@ -116,23 +114,10 @@
 	if o.Lease == (lease.Terms{}) {
 		o.Lease = lease.DefaultTerms()
 	}
-	setDefault(&o.TickInterval, defaultTickInterval)
-	setDefault(&o.StartupTimeout, defaultStartupTimeout)
 	setDefault(&o.DiscoveryInterval, defaultDiscoveryInterval)
 	setDefault(&o.CallTimeout, defaultCallTimeout)
-	setDefault(&o.ReplaceAfter, defaultReplaceAfter)
-	setDefault(&o.GatewayGrace, defaultGatewayGrace)
 	setDefault(&o.OrderWait, defaultOrderWait)
 	setDefault(&o.InventoryInterval, defaultInventoryInterval)
-	if o.LinkMbps <= 0 {
-		o.LinkMbps = defaultLinkMbps
-	}
-	if o.SnapshotInterval == 0 {
-		o.SnapshotInterval = defaultSnapshotInterval
-	}
-	if o.Seed == 0 {
-		o.Seed = randomSeed()
-	}
 	return o
 }
 
--- a/control/policy.go
+++ b/control/permission/permission.go
@@ -1,4 +1,5 @@
-package control
+// Package permission decides which requestor may change which types of records.
+package permission
 
 import (
 	"fmt"
@@ -8,17 +9,28 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// Prefixes of the requestor of an update, judged by the permission step.
+// Prefixes of the requestor of an update. They are stored in the log.
 const (
-	requestorControl  = "control:"  // a control node, for its own records
-	requestorGateway  = "gateway:"  // a gateway that watches replicas
-	requestorOperator = "operator:" // an order with its author
-	requestorPlatform = "platform:" // the list of replicas
+	controlPrefix  = "control:"
+	gatewayPrefix  = "gateway:"
+	operatorPrefix = "operator:"
 )
 
-// permit is the permission step (section 3.3). It judges by the update alone,
-// so that every copy of the table decides alike.
-func permit(update *registry.Update) error {
+// Platform is the requestor of the platform's list of replicas.
+const Platform = "platform:"
+
+// Control is the requestor of a control node's updates of the fleet's own records.
+func Control(name string) string { return controlPrefix + name }
+
+// Gateway is the requestor of the updates of a gateway that watches replicas.
+func Gateway(address string) string { return gatewayPrefix + address }
+
+// Operator is the requestor of an operation by its author, who may be empty.
+func Operator(author string) string { return operatorPrefix + author }
+
+// Check is the permission step of an update (RFC 2136, section 3.3). It depends
+// on the update alone, so that every replica of the table decides alike.
+func Check(update *registry.Update) error {
 	allowed := allowedTypes(update.Requestor)
 	if allowed == nil {
 		return fmt.Errorf("requestor %q may change nothing", update.Requestor)
@@ -33,13 +45,13 @@
 
 func allowedTypes(requestor string) func(registry.Record) bool {
 	switch {
-	case strings.HasPrefix(requestor, requestorControl):
+	case strings.HasPrefix(requestor, controlPrefix):
 		return controlMayChange
-	case strings.HasPrefix(requestor, requestorGateway):
+	case strings.HasPrefix(requestor, gatewayPrefix):
 		return gatewayMayChange
-	case strings.HasPrefix(requestor, requestorOperator):
+	case strings.HasPrefix(requestor, operatorPrefix):
 		return operatorMayChange
-	case strings.HasPrefix(requestor, requestorPlatform):
+	case strings.HasPrefix(requestor, Platform):
 		return platformMayChange
 	default:
 		return nil
@@ -55,7 +67,7 @@
 	}
 }
 
-// gatewayMayChange leaves watchers the condition of replicas, nothing else.
+// gatewayMayChange restricts gateways to the condition of replicas.
 func gatewayMayChange(record registry.Record) bool {
 	return record.Type == places.TypeCondition
 }
@@ -69,8 +81,8 @@
 	}
 }
 
-// platformMayChange has the condition too, for a list that tells which replicas
-// are cold. It includes deleting a replica's name with everything at it.
+// platformMayChange includes the condition, since the platform's list may say
+// which replicas are warming up, and deleting a replica's name with all its records.
 func platformMayChange(record registry.Record) bool {
 	switch record.Type {
 	case places.TypeReplica, places.TypeDrain, places.TypeCondition:
--- /dev/null
+++ b/control/readindex/readindex.go
@@ -0,0 +1,91 @@
+// Package readindex makes reads linearizable: a read sees everything that was
+// acknowledged before it began. The primary proves that it still leads and tells its
+// commit index, and the reader waits until it has applied that.
+package readindex
+
+import (
+	"context"
+	"time"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/message"
+	"github.com/deckpulley/deckpulley/transport"
+)
+
+// Reader makes the reads of one node linearizable. Its methods are safe for
+// concurrent use.
+type Reader struct {
+	engine      *engine.Engine
+	network     transport.Network
+	peerAddress string
+	callTimeout time.Duration
+}
+
+// New returns the reader of a node with a peer address. The timeout bounds the
+// answer to another node's request.
+func New(engine *engine.Engine, network transport.Network, peerAddress string, callTimeout time.Duration) *Reader {
+	return &Reader{engine: engine, network: network, peerAddress: peerAddress, callTimeout: callTimeout}
+}
+
+// Linearizable waits until this node has applied everything that was acknowledged
+// before the call, and returns what it then shows.
+func (r *Reader) Linearizable(ctx context.Context) (*engine.Observation, *api.Error) {
+	index, err := r.readIndex(ctx)
+	if err != nil {
+		return nil, apierror.NoPrimary("the primary could not be asked: "+err.Error(), api.OutcomeRefused)
+	}
+	if !r.engine.WaitUntil(ctx, func(o *engine.Observation) bool { return o.Applied >= index }) {
+		return nil, apierror.NoPrimary("this node is behind the primary", api.OutcomeRefused)
+	}
+	return r.engine.Observe(), nil
+}
+
+// Serve handles message.KindReadIndex.
+func (r *Reader) Serve(ctx context.Context, _ string, _ func(any) error) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.callTimeout)
+	defer cancel()
+	index, err := r.ownReadIndex(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return &message.ReadIndexReply{Index: index}, nil
+}
+
+func (r *Reader) readIndex(ctx context.Context) (uint64, error) {
+	observed := r.engine.Observe()
+	if observed.Primary {
+		return r.ownReadIndex(ctx)
+	}
+	primary := observed.LeaderAddress()
+	if primary == "" || primary == r.peerAddress {
+		return 0, engine.ErrNotPrimary
+	}
+	var reply message.ReadIndexReply
+	if err := r.network.Call(ctx, primary, message.KindReadIndex, &message.ReadIndexRequest{}, &reply); err != nil {
+		return 0, err
+	}
+	return reply.Index, nil
+}
+
+// ownReadIndex is the primary's commit index, once a majority has answered a
+// heartbeat that was sent after the read began.
+func (r *Reader) ownReadIndex(ctx context.Context) (uint64, error) {
+	barrier, err := r.engine.ReadBarrier(ctx)
+	if err != nil || !barrier.Primary {
+		return 0, engine.ErrNotPrimary
+	}
+	confirmed := false
+	r.engine.WaitUntil(ctx, func(o *engine.Observation) bool {
+		if !o.Primary || o.Status.Term != barrier.Term {
+			return true
+		}
+		confirmed = o.ContactKnown && o.Contact >= barrier.AskedAt
+		return confirmed
+	})
+	if !confirmed {
+		return 0, engine.ErrNotPrimary
+	}
+	return barrier.Commit, nil
+}
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/inventory"
 	"github.com/deckpulley/deckpulley/documentchange"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/places"
@@ -38,7 +39,7 @@
 func carryOut(node *Node, request peer.OrderRequest) peer.OrderReply {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return node.Order(ctx, request)
+	return node.Submit(ctx, request)
 }
 
 func accepted(reply peer.OrderReply) bool {
@@ -66,7 +67,7 @@
 		if reply := carryOut(f.primary(), first); !accepted(reply) || reply.Answer.Version != 3 {
 			t.Errorf("the first again: %+v", reply)
 		}
-		current, configured, problem := f.primary().Current(t.Context())
+		current, configured, problem := f.primary().CurrentConfiguration(t.Context())
 		if problem != nil || !configured || current.Version != 7 || current.Document != second.RouteMap.Text {
 			t.Errorf("current: %+v, %v", current, problem)
 		}
@@ -101,7 +102,7 @@
 				}
 			}
 		}
-		if version := f.primary().observe().contents.Version(); version != 3 {
+		if version := f.primary().engine.Observe().Catalog.Version(); version != 3 {
 			t.Errorf("version %d", version)
 		}
 		// What was refused for its base is taken once that base is the current one.
@@ -188,12 +189,12 @@
 				t.Errorf("sent again to %s: %+v", name, reply)
 			}
 		}
-		current, _, problem := f.primary().Current(t.Context())
+		current, _, problem := f.primary().CurrentConfiguration(t.Context())
 		want := `{"version":8,"routes":[{"name":"added"},{"name":"again"}],"services":[{"name":"s"}],"kept":true}`
 		if problem != nil || current.Document != want {
 			t.Errorf("got %s, %v", current.Document, problem)
 		}
-		routes := f.primary().observe().contents.PathRoutes()
+		routes := f.primary().engine.Observe().Catalog.PathRoutes()
 		if _, removed := routes["r"]; removed || len(routes) != 2 || routes["added"].PathPrefix != "/added/" {
 			t.Errorf("got %+v", routes)
 		}
@@ -233,7 +234,7 @@
 				}
 			}
 		}
-		current, _, _ := f.primary().Current(t.Context())
+		current, _, _ := f.primary().CurrentConfiguration(t.Context())
 		if current.Document != fmt.Sprintf(mapText, 3) || current.Version != 3 {
 			t.Errorf("got %+v", current)
 		}
@@ -297,7 +298,7 @@
 }
 
 // startWithInventory starts everything with a map of routes in force.
-func (f *fleet) startWithInventory(inventory Inventory) {
+func (f *fleet) startWithInventory(inventory inventory.Source) {
 	f.t.Helper()
 	for _, name := range controlNames {
 		options := f.options[name]
@@ -318,7 +319,7 @@
 		entry := api.ReplicaEntry{ID: "a", Service: "s", Zone: "zone-1", Address: "a:1", Slots: 4, ColdMS: &cold}
 		inventory.set(nil, entry)
 		f.startWithInventory(inventory)
-		contents := func() *places.Contents { return f.primary().observe().contents }
+		contents := func() *places.Contents { return f.primary().engine.Observe().Catalog }
 		state := func() places.ConditionState {
 			condition, _ := contents().Condition("a")
 			return condition.State
@@ -386,7 +387,7 @@
 	f.startGateway("gateway-1")
 	var outside *Node
 	for _, node := range f.nodes {
-		if node.observe().outside() {
+		if node.engine.Observe().WithoutGroup() {
 			outside = node
 		}
 	}
@@ -397,7 +398,7 @@
 	if reply := carryOut(outside, routeMapOrder(0, 1)); !accepted(reply) {
 		f.t.Errorf("an order to a node without a group: %+v", reply)
 	}
-	if _, _, problem := outside.Current(f.t.Context()); problem == nil {
+	if _, _, problem := outside.CurrentConfiguration(f.t.Context()); problem == nil {
 		f.t.Error("a node without a group is sure of the newest configuration")
 	}
 }
@@ -405,7 +406,7 @@
 // voters lists the voters as the primary knows them.
 func (f *fleet) voters() []consensus.Member {
 	var voters []consensus.Member
-	for _, member := range f.primary().observe().status.Membership.Members {
+	for _, member := range f.primary().engine.Observe().Status.Membership.Members {
 		if !member.Learner {
 			voters = append(voters, member)
 		}
--- /dev/null
+++ b/control/statemachine/operationlog_test.go
@@ -0,0 +1,42 @@
+package statemachine
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+func TestOldestOperationsMakeRoom(t *testing.T) {
+	const limit = 3
+	var log OperationLog
+	follow := func(serial uint32, changes ...registry.Record) {
+		update := registry.NewUpdate(places.Apex, nil, changes)
+		log.follow(&update, registry.Result{Changed: true, Serial: serial})
+	}
+	for i := range 5 {
+		order := fmt.Sprintf("order-%d", i)
+		changes := []registry.Record{registry.Add(places.OrderRecord(order, places.Order{}))}
+		for _, name := range log.Surplus(limit) {
+			changes = append(changes, registry.DeleteSet(name, places.TypeOrder))
+		}
+		follow(uint32(10+i), changes...)
+		if len(log.serials) > limit {
+			t.Fatalf("%d operations are kept, at most %d may be", len(log.serials), limit)
+		}
+	}
+	refused := registry.NewUpdate(places.Apex, nil, []registry.Record{registry.Add(places.OrderRecord("order-9", places.Order{}))})
+	log.follow(&refused, registry.Result{Code: registry.YXRRSet})
+	want := []OperationEntry{{places.OrderName("order-2"), 12}, {places.OrderName("order-3"), 13}, {places.OrderName("order-4"), 14}}
+	if difference := cmp.Diff(want, log.entries()); difference != "" {
+		t.Errorf("kept operations (-want +got):\n%s", difference)
+	}
+	var copied OperationLog
+	copied.restore(log.entries())
+	if difference := cmp.Diff(log.entries(), copied.entries()); difference != "" {
+		t.Errorf("restored operations (-want +got):\n%s", difference)
+	}
+}
