--- /dev/null
+++ b/routemap/golden_test.go
@@ -0,0 +1,144 @@
+package routemap
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/deckpulley/deckpulley/internal/canonical"
+)
+
+// updateGolden writes the files of testdata/golden anew. What is in them is
+// stored on disks and sent between builds, so a file is added, never changed.
+var updateGolden = flag.Bool("update-golden", false, "write the files of testdata/golden anew")
+
+// checkGolden compares an encoding with the file that an earlier build left, and
+// returns the file's bytes.
+func checkGolden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".cbor")
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, golden) {
+		t.Errorf("%s: encoded as\n%x, want\n%x", path, encoded, golden)
+	}
+	return golden
+}
+
+// testGolden encodes want, compares it with its file and decodes the file again.
+func testGolden[T any](t *testing.T, name string, want T) {
+	t.Helper()
+	t.Run(name, func(t *testing.T) {
+		encoded, err := canonical.Encoding().Marshal(want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var got T
+		if err := canonical.Decoding(canonical.Bounds{}).Unmarshal(checkGolden(t, name, encoded), &got); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("decoded %+v, want %+v", got, want)
+		}
+	})
+}
+
+// goldenRoute has another value in each field.
+func goldenRoute() Route {
+	return Route{
+		Name:        "chat",
+		Host:        "Example.test",
+		PathPrefix:  "/chat/",
+		Kind:        Stream,
+		Targets:     []Target{{Service: "model", Weight: 3}, {Service: "spare", Weight: 1}},
+		Timeout:     15 * time.Second,
+		FirstEvent:  920 * time.Millisecond,
+		EventGap:    33 * time.Millisecond,
+		MaxAttempts: 4,
+		Priority:    5,
+		Sticky:      true,
+		Resumable:   true,
+		Homes:       []string{"north", "south"},
+	}
+}
+
+// goldenService has another value in each field.
+func goldenService() Service {
+	return Service{
+		Name:           "model",
+		MaxConnections: 100,
+		ColdPerSecond:  2.5,
+		ColdStart:      30 * time.Second,
+		Slots:          8,
+		CacheTokens:    200_000,
+		HealthPath:     "/health",
+	}
+}
+
+// goldenMap has a route of each kind.
+func goldenMap() Map {
+	return Map{
+		Version: 7,
+		Routes: []Route{
+			goldenRoute(),
+			{Name: "pages", Host: "example.test", PathPrefix: "/", Kind: Repeatable, Targets: []Target{{Service: "spare", Weight: 1}}, Timeout: time.Second},
+			{Name: "pay", Host: "example.test", PathPrefix: "/pay/", Kind: Once, Targets: []Target{{Service: "spare", Weight: 1}}, Timeout: time.Second},
+		},
+		Services: []Service{goldenService(), {Name: "spare"}},
+		Limits:   Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 33, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute},
+	}
+}
+
+func TestGoldenRoute(t *testing.T) {
+	testGolden(t, "route", goldenRoute())
+	testGolden(t, "route-zero", Route{})
+}
+
+func TestGoldenService(t *testing.T) {
+	testGolden(t, "service", goldenService())
+	testGolden(t, "service-zero", Service{})
+}
+
+func TestGoldenLimits(t *testing.T) {
+	testGolden(t, "limits", goldenMap().Limits)
+	testGolden(t, "limits-zero", Limits{})
+}
+
+func TestGoldenMap(t *testing.T) {
+	testGolden(t, "map", goldenMap())
+	testGolden(t, "map-zero", Map{})
+}
+
+func TestGoldenChange(t *testing.T) {
+	testGolden(t, "change", Change{
+		Version:         8,
+		Routes:          []Route{goldenRoute()},
+		Services:        []Service{goldenService()},
+		RemovedRoutes:   []string{"pages", "unknown"},
+		RemovedServices: []string{"spare"},
+	})
+	testGolden(t, "change-zero", Change{})
+}
+
+// TestGoldenKinds holds the texts that are stored and sent.
+func TestGoldenKinds(t *testing.T) {
+	for got, want := range map[Kind]string{Repeatable: "repeatable", Once: "once", Stream: "stream"} {
+		if string(got) != want {
+			t.Errorf("kind %q, want %q", got, want)
+		}
+	}
+}
