--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -16,9 +16,9 @@
 type EntryKind uint8
 
 const (
-	EntryNormal     EntryKind = iota // Data belongs to the state machine
-	EntryMembership                  // Data is an encoded Membership
-	EntryNoop                        // first entry of a term
+	EntryNormal     EntryKind = 0 // Data belongs to the state machine
+	EntryMembership EntryKind = 1 // Data is an encoded Membership
+	EntryNoop       EntryKind = 2 // first entry of a term
 )
 
 // Entry is one entry of the log.
@@ -63,16 +63,16 @@
 type MessageKind uint8
 
 const (
-	MessagePreVote MessageKind = iota + 1
-	MessagePreVoteReply
-	MessageVote
-	MessageVoteReply
-	MessageAppend
-	MessageAppendReply
-	MessageHeartbeat
-	MessageHeartbeatReply
-	MessageSnapshot
-	MessageTimeoutNow
+	MessagePreVote        MessageKind = 1
+	MessagePreVoteReply   MessageKind = 2
+	MessageVote           MessageKind = 3
+	MessageVoteReply      MessageKind = 4
+	MessageAppend         MessageKind = 5
+	MessageAppendReply    MessageKind = 6
+	MessageHeartbeat      MessageKind = 7
+	MessageHeartbeatReply MessageKind = 8
+	MessageSnapshot       MessageKind = 9
+	MessageTimeoutNow     MessageKind = 10
 )
 
 // Message passes between members.
