--- a/peer/peer.go
+++ b/peer/peer.go
@@ -13,24 +13,24 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Kinds of messages.
+// Kinds of messages. The numbers are sent: they stay, and a new kind gets a new one.
 const (
-	KindConsensus    transport.Kind = iota + 1 // one-way ConsensusMessage, control to control
-	KindHello                                  // call Hello/HelloReply, any node to control
-	KindForm                                   // call Form/FormReply, forming control node to the others
-	KindJoin                                   // call Join/JoinReply, new control node to control
-	KindRenew                                  // call Renew/Grant, gateway to primary
-	KindNotify                                 // one-way Notify, primary to gateway
-	KindUpdate                                 // call UpdateRequest/UpdateReply, any node toward the primary
-	KindOrder                                  // call OrderRequest/OrderReply, control toward the primary
-	KindMintTicket                             // call MintTicket/MintTicketReply, gateway to gateway
-	KindOffer                                  // call Offer/OfferReply, gateway to gateway
-	KindWithdraw                               // call Withdraw/WithdrawReply, gateway to gateway
-	KindLoad                                   // one-way RegionLoad, gateway to gateway
-	KindRun                                    // stream Run to RunEvents, gateway to the gateway that granted
-	KindOwner                                  // stream OwnerRequest to RunEvents, gateway to a ticket's owner
-	KindReplicaLoads                           // one-way ReplicaLoads, gateway to its group's aggregator
-	KindLoadDigest                             // one-way LoadDigest, aggregator to gateways and other aggregators
+	KindConsensus    transport.Kind = 1  // one-way ConsensusMessage, control to control
+	KindHello        transport.Kind = 2  // call Hello/HelloReply, any node to control
+	KindForm         transport.Kind = 3  // call Form/FormReply, forming control node to the others
+	KindJoin         transport.Kind = 4  // call Join/JoinReply, new control node to control
+	KindRenew        transport.Kind = 5  // call Renew/Grant, gateway to primary
+	KindNotify       transport.Kind = 6  // one-way Notify, primary to gateway
+	KindUpdate       transport.Kind = 7  // call UpdateRequest/UpdateReply, any node toward the primary
+	KindOrder        transport.Kind = 8  // call OrderRequest/OrderReply, control toward the primary
+	KindMintTicket   transport.Kind = 9  // call MintTicket/MintTicketReply, gateway to gateway
+	KindOffer        transport.Kind = 10 // call Offer/OfferReply, gateway to gateway
+	KindWithdraw     transport.Kind = 11 // call Withdraw/WithdrawReply, gateway to gateway
+	KindLoad         transport.Kind = 12 // one-way RegionLoad, gateway to gateway
+	KindRun          transport.Kind = 13 // stream Run to RunEvents, gateway to the gateway that granted
+	KindOwner        transport.Kind = 14 // stream OwnerRequest to RunEvents, gateway to a ticket's owner
+	KindReplicaLoads transport.Kind = 15 // one-way ReplicaLoads, gateway to its group's aggregator
+	KindLoadDigest   transport.Kind = 16 // one-way LoadDigest, aggregator to gateways and other aggregators
 )
 
 // ConsensusMessage wraps one message of the replicated log. Cluster keeps the
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -9,20 +9,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// frameType says what an envelope is for.
+// frameType says what an envelope is for. The numbers are sent: they stay.
 type frameType uint8
 
 const (
-	frameOneWay  frameType = iota + 1 // message without an answer
-	frameRequest                      // call; answered by frameReply or frameFailure with the same ID
-	frameReply
-	frameFailure
-	frameCancel // the caller of ID has given up
-	framePing   // answered by framePong at once
-	framePong
-	frameOpen // request of a stream; followed by items and frameEnd or frameFailure
-	frameItem
-	frameEnd
+	frameOneWay  frameType = 1 // message without an answer
+	frameRequest frameType = 2 // call; answered by frameReply or frameFailure with the same ID
+	frameReply   frameType = 3
+	frameFailure frameType = 4
+	frameCancel  frameType = 5 // the caller of ID has given up
+	framePing    frameType = 6 // answered by framePong at once
+	framePong    frameType = 7
+	frameOpen    frameType = 8 // request of a stream; followed by items and frameEnd or frameFailure
+	frameItem    frameType = 9
+	frameEnd     frameType = 10
 )
 
 // envelope is the CBOR content of a frame.
--- a/transport/handshake.go
+++ b/transport/handshake.go
@@ -26,12 +26,12 @@
 	dialerLabel      = "deckpulley dialer 1"
 )
 
-// purpose says what a connection carries.
+// purpose says what a connection carries. The numbers are sent: they stay.
 type purpose uint8
 
 const (
-	purposeMessages purpose = iota + 1
-	purposeStreams
+	purposeMessages purpose = 1
+	purposeStreams  purpose = 2
 )
 
 type hello struct {
