--- a/places/places.go
+++ b/places/places.go
@@ -10,27 +10,28 @@
 // Apex is the name of the one table of a fleet.
 const Apex registry.Name = "places."
 
-// Kinds of records beside the head (SOA) and member (NS) records.
+// Kinds of records beside the head (SOA) and member (NS) records. The numbers are
+// stored and sent: one is never changed or used again.
 const (
-	TypeConfiguration registry.Type = registry.FirstOwnType + iota // "configuration.places."
-	TypeService                                                    // "<service>.services.places."
-	TypeRoute                                                      // "<model>.routes.places."
-	TypeRegion                                                     // "<region>.regions.places."
-	TypeZone                                                       // "<zone>.zones.places.": its region
-	TypeEvacuation                                                 // "<zone>.zones.places.": present while evacuated
-	TypeClient                                                     // "<client>.clients.places."
-	TypeHome                                                       // "<home>.homes.places."
-	TypeTenant                                                     // "<tenant>.tenants.places."
-	TypeLimits                                                     // "configuration.places.": set points
-	TypeReplica                                                    // "<replica>.replicas.places.": from the platform's list
-	TypeDrain                                                      // "<replica>.replicas.places.": the platform wants it drained
-	TypeCondition                                                  // "<replica>.replicas.places.": from its watcher
-	TypeGateway                                                    // "<gateway>.gateways.places.": member record of a gateway
-	TypeOrder                                                      // "<order id>.orders.places.": answer to an order
-	TypeDocument                                                   // "<digest>.documents.places.": a chunk of the document
-	TypePathRoute                                                  // "<route>.pathroutes.places.": a route by host and path
-	TypePool                                                       // "<service>.services.places.": a service that such routes lead to
-	TypeRequestLimits                                              // "configuration.places.": what clients of such routes may send
+	TypeConfiguration registry.Type = 1024 // "configuration.places."
+	TypeService       registry.Type = 1025 // "<service>.services.places."
+	TypeRoute         registry.Type = 1026 // "<model>.routes.places."
+	TypeRegion        registry.Type = 1027 // "<region>.regions.places."
+	TypeZone          registry.Type = 1028 // "<zone>.zones.places.": its region
+	TypeEvacuation    registry.Type = 1029 // "<zone>.zones.places.": present while evacuated
+	TypeClient        registry.Type = 1030 // "<client>.clients.places."
+	TypeHome          registry.Type = 1031 // "<home>.homes.places."
+	TypeTenant        registry.Type = 1032 // "<tenant>.tenants.places."
+	TypeLimits        registry.Type = 1033 // "configuration.places.": set points
+	TypeReplica       registry.Type = 1034 // "<replica>.replicas.places.": from the platform's list
+	TypeDrain         registry.Type = 1035 // "<replica>.replicas.places.": the platform wants it drained
+	TypeCondition     registry.Type = 1036 // "<replica>.replicas.places.": from its watcher
+	TypeGateway       registry.Type = 1037 // "<gateway>.gateways.places.": member record of a gateway
+	TypeOrder         registry.Type = 1038 // "<order id>.orders.places.": answer to an order
+	TypeDocument      registry.Type = 1039 // "<digest>.documents.places.": a chunk of the document
+	TypePathRoute     registry.Type = 1040 // "<route>.pathroutes.places.": a route by host and path
+	TypePool          registry.Type = 1041 // "<service>.services.places.": a service that such routes lead to
+	TypeRequestLimits registry.Type = 1042 // "configuration.places.": what clients of such routes may send
 )
 
 // Configuration is the version marker of the configuration in the table.
