--- a/api/error.go
+++ b/api/error.go
@@ -50,7 +50,7 @@
 	CodeReplicaIncomplete Code = "replica_incomplete"  // the answer is shorter than announced
 	CodeReplicaStalled    Code = "replica_stalled"     // no event within the allowed gap
 	CodeVersionConflict   Code = "version_conflict"    // the base version is not the current one
-	CodeOrderConflict     Code = "order_conflict"      // the order id was used for another order
+	CodeOperationConflict Code = "order_conflict"      // the order id was used for another order
 	CodeNoPrimary         Code = "no_primary"          // no primary can be reached
 	CodePending           Code = "pending"             // stored, not yet known to be in force everywhere
 	CodeCanceled          Code = "canceled"            // the caller went away
@@ -100,7 +100,7 @@
 		return http.StatusUnauthorized
 	case CodeNotFound:
 		return http.StatusNotFound
-	case CodeDuplicate, CodeVersionConflict, CodeOrderConflict, CodeStale, CodeRestarted:
+	case CodeDuplicate, CodeVersionConflict, CodeOperationConflict, CodeStale, CodeRestarted:
 		return http.StatusConflict
 	case CodeTicketExpired, CodeTicketOrphaned:
 		return http.StatusGone
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -63,7 +63,7 @@
 	goldenMember = api.MemberStatus{
 		Name: "control-1", Role: "control", Zone: "north-1", Region: "north", Incarnation: "i-1",
 		PeerAddress: "127.0.0.1:7401", HTTPAddress: "127.0.0.1:7402", Up: true, Identity: "0a0b", Voter: true,
-		Learner: true, MatchIndex: 118, LeaseMS: 2900, HeldSerial: 41, ActiveSerial: 40, ActiveVersion: 12,
+		Learner: true, MatchIndex: 118, LeaseMS: 2900, ReceivedSerial: 41, ActiveSerial: 40, ActiveVersion: 12,
 	}
 
 	goldenLoad = api.ServiceLoad{
@@ -71,8 +71,8 @@
 		Queued: 5, Replicas: 4, Usable: 3, Cold: 1, Draining: 2, Ejected: 6,
 	}
 
-	goldenOrder = api.OrderStatus{
-		Number: 31, OrderID: "order-9", Accepted: true, Version: 12, Code: api.CodeVersionConflict,
+	goldenOrder = api.OperationStatus{
+		Number: 31, OperationID: "order-9", Accepted: true, Version: 12, Code: api.CodeVersionConflict,
 		Field: "base_version", Reason: "the current version is 12",
 	}
 
@@ -83,7 +83,7 @@
 
 	goldenHTTPReplica = api.HTTPReplicaStatus{
 		ID: "replica-1", Service: "explain", Zone: "north-1", Region: "north", Address: "127.0.0.1:7500",
-		State: api.HTTPReplicaUsable, Requests: 4, ReadingMS: 800, Slowness: 1.5,
+		State: api.HTTPReplicaUsable, Requests: 4, PrefillMS: 800, Slowness: 1.5,
 	}
 )
 
@@ -136,18 +136,18 @@
 		{file: "http_replica_status", document: &goldenHTTPReplica},
 		{file: "http_replicas_answer", document: &api.HTTPReplicasAnswer{Gateway: "gateway-1", Replicas: []api.HTTPReplicaStatus{goldenHTTPReplica}}},
 		// Operators and the platform.
-		{file: "configuration_order", document: &api.ConfigurationOrder{
-			OrderID: "order-9", BaseVersion: 11, Author: "alice", Document: "regions:\n  north: {}\n",
+		{file: "configuration_order", document: &api.ConfigurationOperation{
+			OperationID: "order-9", BaseVersion: 11, Author: "alice", Document: "regions:\n  north: {}\n",
 		}},
-		{file: "configuration_order_minimal", minimal: true, document: &api.ConfigurationOrder{OrderID: "order-9"}},
-		{file: "configuration_change_order", document: &api.ConfigurationChangeOrder{
-			OrderID: "order-9", BaseVersion: 11, Author: "alice", Change: "remove:\n  tenants: [old]\n",
+		{file: "configuration_order_minimal", minimal: true, document: &api.ConfigurationOperation{OperationID: "order-9"}},
+		{file: "configuration_change_order", document: &api.ConfigurationPatchOperation{
+			OperationID: "order-9", BaseVersion: 11, Author: "alice", Change: "remove:\n  tenants: [old]\n",
 		}},
-		{file: "configuration_change_order_minimal", minimal: true, document: &api.ConfigurationChangeOrder{OrderID: "order-9"}},
-		{file: "evacuation_order", document: &api.EvacuationOrder{OrderID: "order-9", Zone: "north-1", Withdraw: true, Author: "alice"}},
-		{file: "evacuation_order_minimal", minimal: true, document: &api.EvacuationOrder{OrderID: "order-9", Zone: "north-1"}},
-		{file: "order_answer", document: &api.OrderAnswer{OrderID: "order-9", Accepted: true, Version: 12, Serial: 40, Error: &goldenError}},
-		{file: "order_answer_minimal", minimal: true, document: &api.OrderAnswer{OrderID: "order-9"}},
+		{file: "configuration_change_order_minimal", minimal: true, document: &api.ConfigurationPatchOperation{OperationID: "order-9"}},
+		{file: "evacuation_order", document: &api.EvacuationOperation{OperationID: "order-9", Zone: "north-1", Withdraw: true, Author: "alice"}},
+		{file: "evacuation_order_minimal", minimal: true, document: &api.EvacuationOperation{OperationID: "order-9", Zone: "north-1"}},
+		{file: "order_answer", document: &api.OperationResult{OperationID: "order-9", Accepted: true, Version: 12, Serial: 40, Error: &goldenError}},
+		{file: "order_answer_minimal", minimal: true, document: &api.OperationResult{OperationID: "order-9"}},
 		{file: "configuration_answer", document: &api.ConfigurationAnswer{Version: 12, Serial: 40, Author: "alice", Document: "regions: {}\n"}},
 		{file: "configuration_answer_minimal", minimal: true, document: &api.ConfigurationAnswer{}},
 		{file: "zone_status", document: &goldenZone},
@@ -169,8 +169,8 @@
 		{file: "status_answer_minimal", minimal: true, document: &api.StatusAnswer{Node: "control-2"}},
 		{file: "service_load", document: &goldenLoad},
 		{file: "order_status", document: &goldenOrder},
-		{file: "order_status_minimal", minimal: true, document: &api.OrderStatus{Number: 31, OrderID: "order-9", Accepted: true, Version: 12}},
-		{file: "orders_answer", document: &api.OrdersAnswer{Serial: 40, Orders: []api.OrderStatus{goldenOrder}}},
+		{file: "order_status_minimal", minimal: true, document: &api.OperationStatus{Number: 31, OperationID: "order-9", Accepted: true, Version: 12}},
+		{file: "orders_answer", document: &api.OperationsAnswer{Serial: 40, Orders: []api.OperationStatus{goldenOrder}}},
 		{file: "explain_step", document: &goldenExplainStep},
 		{file: "explain_region", document: &goldenExplainRegion},
 		{file: "explain_replica", document: &goldenExplainReplica},
@@ -275,7 +275,7 @@
 		},
 		Paths: []string{
 			api.PathWhere, api.PathRequests, api.PathLive, api.PathReady, api.PathHTTPReplicas, api.PathConfiguration,
-			api.PathZones, api.PathEvacuations, api.PathStatus, api.PathMembers, api.PathReplicas, api.PathOrders,
+			api.PathZones, api.PathEvacuations, api.PathStatus, api.PathMembers, api.PathReplicas, api.PathOperations,
 			api.PathMetrics, api.PathExplain, api.PathReplicaReport, api.PathReplicaGenerate,
 		},
 	}
@@ -284,7 +284,7 @@
 		api.CodeTicketInvalid, api.CodeTicketExpired, api.CodeTicketOrphaned, api.CodeDuplicate, api.CodeOverloaded,
 		api.CodeDeadline, api.CodeNoCapacity, api.CodeHomeUnavailable, api.CodeNoLease, api.CodeNotReady, api.CodeStale,
 		api.CodeRestarted, api.CodeReplicaDraining, api.CodeReplicaError, api.CodeReplicaBroken, api.CodeReplicaMismatch,
-		api.CodeReplicaIncomplete, api.CodeReplicaStalled, api.CodeVersionConflict, api.CodeOrderConflict,
+		api.CodeReplicaIncomplete, api.CodeReplicaStalled, api.CodeVersionConflict, api.CodeOperationConflict,
 		api.CodeNoPrimary, api.CodePending, api.CodeCanceled, api.CodeInternal,
 	} {
 		values.Codes = append(values.Codes, goldenCode{Code: code, Status: (&api.Error{Code: code}).Status()})
--- a/api/http.go
+++ b/api/http.go
@@ -36,8 +36,8 @@
 	State   HTTPReplicaState `json:"state"`
 	// Requests are the gateway's own attempts under way.
 	Requests int `json:"requests"`
-	// ReadingMS is the reading of prompts that it has before it, by all gateways.
-	ReadingMS int64 `json:"reading_ms"`
+	// PrefillMS is the reading of prompts that it has before it, by all gateways.
+	PrefillMS int64 `json:"reading_ms"`
 	// Slowness is its measured time to read over the expected one.
 	Slowness float64 `json:"slowness"`
 }
--- a/api/operator.go
+++ b/api/operator.go
@@ -9,7 +9,7 @@
 	PathStatus        = "/v1/status"        // GET StatusAnswer
 	PathMembers       = "/v1/members"       // GET MembersAnswer
 	PathReplicas      = "/v1/replicas"      // GET ReplicasAnswer; PUT ReplicaList (platform)
-	PathOrders        = "/v1/orders"        // GET OrdersAnswer
+	PathOperations    = "/v1/orders"        // GET OrdersAnswer
 	PathMetrics       = "/metrics"
 )
 
@@ -17,10 +17,10 @@
 // ExplainAnswer. Nothing is decided or sent.
 const PathExplain = "/v1/explain"
 
-// ConfigurationOrder hands over a whole configuration document.
-type ConfigurationOrder struct {
-	// OrderID makes a resend safe: the first answer is repeated.
-	OrderID string `json:"order_id"`
+// ConfigurationOperation hands over a whole configuration document.
+type ConfigurationOperation struct {
+	// OperationID makes a resend safe: the first answer is repeated.
+	OperationID string `json:"order_id"`
 	// BaseVersion is the version the document was built on; 0 is none yet.
 	BaseVersion uint64 `json:"base_version"`
 	Author      string `json:"author,omitempty"`
@@ -28,11 +28,11 @@
 	Document string `json:"document"`
 }
 
-// ConfigurationChangeOrder changes named items of the configuration document and
+// ConfigurationPatchOperation changes named items of the configuration document and
 // leaves the rest of its text.
-type ConfigurationChangeOrder struct {
-	// OrderID makes a resend safe: the first answer is repeated.
-	OrderID string `json:"order_id"`
+type ConfigurationPatchOperation struct {
+	// OperationID makes a resend safe: the first answer is repeated.
+	OperationID string `json:"order_id"`
 	// BaseVersion is the version that the change is made to, and no other.
 	BaseVersion uint64 `json:"base_version"`
 	Author      string `json:"author,omitempty"`
@@ -40,18 +40,18 @@
 	Change string `json:"change"`
 }
 
-// EvacuationOrder empties a zone, or withdraws that.
-type EvacuationOrder struct {
-	OrderID  string `json:"order_id"`
-	Zone     string `json:"zone"`
-	Withdraw bool   `json:"withdraw,omitempty"`
-	Author   string `json:"author,omitempty"`
+// EvacuationOperation empties a zone, or withdraws that.
+type EvacuationOperation struct {
+	OperationID string `json:"order_id"`
+	Zone        string `json:"zone"`
+	Withdraw    bool   `json:"withdraw,omitempty"`
+	Author      string `json:"author,omitempty"`
 }
 
-// OrderAnswer acknowledges an order. It is stored with the order's effect and
+// OperationResult acknowledges an order. It is stored with the order's effect and
 // repeated to every resend.
-type OrderAnswer struct {
-	OrderID string `json:"order_id"`
+type OperationResult struct {
+	OperationID string `json:"order_id"`
 	// Accepted is false for a refused order; Error then says why.
 	Accepted bool `json:"accepted"`
 	// Version is the configuration version after the order.
@@ -134,10 +134,10 @@
 	Learner    bool   `json:"learner,omitempty"`
 	MatchIndex uint64 `json:"match_index,omitempty"`
 	// LeaseMS, HeldSerial, ActiveSerial and ActiveVersion are set for gateways, at the primary.
-	LeaseMS       int64  `json:"lease_ms,omitempty"`
-	HeldSerial    uint32 `json:"held_serial,omitempty"`
-	ActiveSerial  uint32 `json:"active_serial,omitempty"`
-	ActiveVersion uint64 `json:"active_version,omitempty"`
+	LeaseMS        int64  `json:"lease_ms,omitempty"`
+	ReceivedSerial uint32 `json:"held_serial,omitempty"`
+	ActiveSerial   uint32 `json:"active_serial,omitempty"`
+	ActiveVersion  uint64 `json:"active_version,omitempty"`
 }
 
 // MembersAnswer lists the nodes.
@@ -187,12 +187,12 @@
 	Ejected  int `json:"ejected"`
 }
 
-// OrderStatus is one order's answer that is still kept.
-type OrderStatus struct {
+// OperationStatus is one order's answer that is still kept.
+type OperationStatus struct {
 	// Number orders the answers by age, newer is larger.
-	Number   uint64 `json:"number"`
-	OrderID  string `json:"order_id"`
-	Accepted bool   `json:"accepted"`
+	Number      uint64 `json:"number"`
+	OperationID string `json:"order_id"`
+	Accepted    bool   `json:"accepted"`
 	// Version is the configuration version after the order.
 	Version uint64 `json:"version"`
 	// Code, Field and Reason say why an order was refused.
@@ -201,10 +201,10 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// OrdersAnswer lists kept orders, newest first.
-type OrdersAnswer struct {
-	Serial uint32        `json:"serial"`
-	Orders []OrderStatus `json:"orders"`
+// OperationsAnswer lists kept orders, newest first.
+type OperationsAnswer struct {
+	Serial uint32            `json:"serial"`
+	Orders []OperationStatus `json:"orders"`
 }
 
 // ExplainStep is one step of the decision about a request.
--- a/places/contents.go
+++ b/catalog/contents.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// Contents is the typed reading of one view of the table, immutable. Large sets
+// State is the typed reading of one view of the table, immutable. Large sets
 // (routes, clients, homes, tenants, orders) are looked up on demand; small ones
 // are decoded once. Maps returned are shared and must not be changed.
-type Contents struct {
+type State struct {
 	view          registry.View
 	configuration Configuration
 	configured    bool
@@ -33,8 +33,8 @@
 }
 
 // Read decodes a whole view. It costs in proportion to the small sets.
-func Read(view registry.View) (*Contents, error) {
-	contents := &Contents{
+func Read(view registry.View) (*State, error) {
+	contents := &State{
 		view:        view,
 		services:    objects[Service]{},
 		regions:     objects[Region]{},
@@ -63,9 +63,9 @@
 	return contents, nil
 }
 
-// ReadMarker decodes only the version marker of a view, without the text. It is
+// ReadConfigurationHeader decodes only the version marker of a view, without the text. It is
 // the zero Configuration before the first configuration.
-func ReadMarker(view registry.View) (Configuration, error) {
+func ReadConfigurationHeader(view registry.View) (Configuration, error) {
 	for _, record := range view.Lookup(ConfigurationName, TypeConfiguration) {
 		return decodeAs[Configuration](record)
 	}
@@ -75,7 +75,7 @@
 // Next returns the reading of a newer view, given the transfer that led to it
 // from the view of c. It costs in proportion to the transfer and to the small
 // sets that the transfer touches; the others are shared with c.
-func (c *Contents) Next(view registry.View, transfer registry.Transfer) (*Contents, error) {
+func (c *State) Next(view registry.View, transfer registry.Transfer) (*State, error) {
 	if transfer.Full || transfer.From != c.Serial() || transfer.To != view.Serial() {
 		return Read(view)
 	}
@@ -103,7 +103,7 @@
 
 // setReplicaRegions derives each replica's region from its zone: a configuration
 // may have moved the zone since the platform listed the replica.
-func (c *Contents) setReplicaRegions() {
+func (c *State) setReplicaRegions() {
 	c.replicas = make(map[string]Replica, len(c.listed))
 	for name, replica := range c.listed {
 		replica.Region = c.zones[replica.Zone].Region
@@ -112,7 +112,7 @@
 }
 
 // own makes the set of one kind a copy, once, before it is changed.
-func (c *Contents) own(recordType registry.Type, copied map[registry.Type]bool) {
+func (c *State) own(recordType registry.Type, copied map[registry.Type]bool) {
 	if copied[recordType] {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // put takes one record into the reading. Kinds that are looked up on demand are skipped.
-func (c *Contents) put(record registry.Record) error {
+func (c *State) put(record registry.Record) error {
 	switch record.Type {
 	case TypeConfiguration:
 		c.configured = true
@@ -140,7 +140,7 @@
 }
 
 // drop takes one record out of the reading.
-func (c *Contents) drop(record registry.Record) error {
+func (c *State) drop(record registry.Record) error {
 	switch record.Type {
 	case TypeConfiguration:
 		c.configured = false
@@ -158,7 +158,7 @@
 
 // set returns the decoded objects of a kind, nil for a kind that is not a set or
 // that is looked up on demand.
-func (c *Contents) set(recordType registry.Type) objectSet {
+func (c *State) set(recordType registry.Type) objectSet {
 	switch recordType {
 	case TypeService:
 		return &c.services
@@ -212,17 +212,17 @@
 }
 
 // View returns the view that was read.
-func (c *Contents) View() registry.View { return c.view }
+func (c *State) View() registry.View { return c.view }
 
 // Version returns the configuration version, zero before the first configuration.
-func (c *Contents) Version() uint64 { return c.configuration.Version }
+func (c *State) Version() uint64 { return c.configuration.Version }
 
 // Serial returns the serial of the view.
-func (c *Contents) Serial() uint32 { return c.view.Serial() }
+func (c *State) Serial() uint32 { return c.view.Serial() }
 
-// ConfigurationRecord returns the version marker with the document's text.
+// Configuration returns the version marker with the document's text.
 // It is false before the first configuration.
-func (c *Contents) ConfigurationRecord() (Configuration, bool) {
+func (c *State) Configuration() (Configuration, bool) {
 	if !c.configured {
 		return Configuration{}, false
 	}
@@ -235,83 +235,83 @@
 	return configuration, true
 }
 
-// Marker returns the version marker without the text, at no cost.
-func (c *Contents) Marker() (Configuration, bool) { return c.configuration, c.configured }
+// ConfigurationHeader returns the version marker without the text, at no cost.
+func (c *State) ConfigurationHeader() (Configuration, bool) { return c.configuration, c.configured }
 
 // Limits returns the set points, defaults filled in.
-func (c *Contents) Limits() Limits { return c.limits }
+func (c *State) Limits() Limits { return c.limits }
 
 // Service returns a service.
-func (c *Contents) Service(service string) (Service, bool) {
+func (c *State) Service(service string) (Service, bool) {
 	value, found := c.services[service]
 	return value, found
 }
 
 // Services returns all services.
-func (c *Contents) Services() map[string]Service { return c.services }
+func (c *State) Services() map[string]Service { return c.services }
 
 // Route returns the route of a model name.
-func (c *Contents) Route(model string) (Route, bool) {
+func (c *State) Route(model string) (Route, bool) {
 	return lookup[Route](c.view, RouteName(model), TypeRoute)
 }
 
 // Regions returns all regions.
-func (c *Contents) Regions() map[string]Region { return c.regions }
+func (c *State) Regions() map[string]Region { return c.regions }
 
 // Zones returns all zones.
-func (c *Contents) Zones() map[string]Zone { return c.zones }
+func (c *State) Zones() map[string]Zone { return c.zones }
 
-// Evacuated reports whether a zone is evacuated.
-func (c *Contents) Evacuated(zone string) bool {
+// IsEvacuated reports whether a zone is evacuated.
+func (c *State) IsEvacuated(zone string) bool {
 	_, found := c.evacuations[zone]
 	return found && !planted.Active(planted.IgnoreEvacuation)
 }
 
 // Evacuations returns all evacuations by zone.
-func (c *Contents) Evacuations() map[string]Evacuation { return c.evacuations }
+func (c *State) Evacuations() map[string]Evacuation { return c.evacuations }
 
 // Client returns the mapping of a client group.
-func (c *Contents) Client(client string) (Client, bool) {
+func (c *State) Client(client string) (Client, bool) {
 	return lookup[Client](c.view, ClientName(client), TypeClient)
 }
 
 // Home returns a home rule.
-func (c *Contents) Home(home string) (Home, bool) {
+func (c *State) Home(home string) (Home, bool) {
 	return lookup[Home](c.view, HomeName(home), TypeHome)
 }
 
 // Tenant returns a tenant.
-func (c *Contents) Tenant(tenant string) (Tenant, bool) {
+func (c *State) Tenant(tenant string) (Tenant, bool) {
 	return lookup[Tenant](c.view, TenantName(tenant), TypeTenant)
 }
 
 // Replicas returns all replicas, each in the region that its zone has now; the
 // region is empty if the configuration no longer has the zone.
-func (c *Contents) Replicas() map[string]Replica { return c.replicas }
+func (c *State) Replicas() map[string]Replica { return c.replicas }
 
-// Drained reports whether the platform drains a replica.
-func (c *Contents) Drained(replica string) bool {
+// IsDraining reports whether the platform drains a replica.
+func (c *State) IsDraining(replica string) bool {
 	_, found := c.drains[replica]
 	return found && !planted.Active(planted.IgnoreDrainList)
 }
 
 // Condition returns the condition of a replica.
-func (c *Contents) Condition(replica string) (Condition, bool) {
+func (c *State) Condition(replica string) (Condition, bool) {
 	value, found := c.conditions[replica]
 	return value, found
 }
 
 // Gateways returns the member records of all gateways, up or not.
-func (c *Contents) Gateways() map[string]Gateway { return c.gateways }
+func (c *State) Gateways() map[string]Gateway { return c.gateways }
 
 // PathRoutes returns the routes by host and path, by name.
-func (c *Contents) PathRoutes() map[string]routemap.Route { return c.pathRoutes }
+func (c *State) PathRoutes() map[string]routemap.Route { return c.pathRoutes }
 
 // Pools returns the services that routes by host and path lead to.
-func (c *Contents) Pools() map[string]routemap.Service { return c.pools }
+func (c *State) Pools() map[string]routemap.Service { return c.pools }
 
 // RouteMap returns the map of routes by host and path, in the order of the names.
-func (c *Contents) RouteMap() *routemap.Map {
+func (c *State) RouteMap() *routemap.Map {
 	routes := &routemap.Map{Version: c.Version(), Limits: c.requestLimits}
 	for _, name := range slices.Sorted(maps.Keys(c.pathRoutes)) {
 		routes.Routes = append(routes.Routes, c.pathRoutes[name])
@@ -323,22 +323,22 @@
 }
 
 // RequestLimits returns what clients of routes by host and path may send.
-func (c *Contents) RequestLimits() routemap.Limits { return c.requestLimits }
+func (c *State) RequestLimits() routemap.Limits { return c.requestLimits }
 
-// Order returns the stored answer to an order.
-func (c *Contents) Order(order string) (Order, bool) {
-	return lookup[Order](c.view, OrderName(order), TypeOrder)
+// OperationResult returns the stored answer to an order.
+func (c *State) OperationResult(order string) (OperationResult, bool) {
+	return lookup[OperationResult](c.view, OperationName(order), TypeOperation)
 }
 
-// WalkOrders calls visit for the stored answers until it returns false. The
+// WalkOperationResults calls visit for the stored answers until it returns false. The
 // order of the visits is that of the places, not of the answers' age.
-func (c *Contents) WalkOrders(visit func(order string, answer Order) bool) error {
+func (c *State) WalkOperationResults(visit func(order string, answer OperationResult) bool) error {
 	var failure error
-	c.view.Walk(ordersName, TypeOrder, func(record registry.Record) bool {
+	c.view.Walk(ordersName, TypeOperation, func(record registry.Record) bool {
 		order, err := ObjectName(record.Name)
 		if err == nil {
-			var answer Order
-			answer, err = decodeAs[Order](record)
+			var answer OperationResult
+			answer, err = decodeAs[OperationResult](record)
 			if err == nil {
 				return visit(order, answer)
 			}
--- a/places/document.go
+++ b/catalog/document.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import (
 	"crypto/sha256"
@@ -18,8 +18,8 @@
 	digestBytes      = 16      // octets of a chunk's SHA-256 kept as its name
 )
 
-// SplitDocument returns the chunks of a text in order. Joined they are the text.
-func SplitDocument(text string) []string {
+// SplitChunks returns the chunks of a text in order. Joined they are the text.
+func SplitChunks(text string) []string {
 	var chunks []string
 	start := 0
 	for at := 0; at < len(text); {
@@ -45,11 +45,11 @@
 	return min(end, limit)
 }
 
-// DocumentRecords returns the records that hold a text and the digests to put
+// ChunkRecords returns the records that hold a text and the digests to put
 // into Configuration.Chunks.
-func DocumentRecords(text string) (records []registry.Record, digests [][]byte) {
+func ChunkRecords(text string) (records []registry.Record, digests [][]byte) {
 	seen := map[registry.Name]bool{}
-	for _, chunk := range SplitDocument(text) {
+	for _, chunk := range SplitChunks(text) {
 		digest := sha256.Sum256([]byte(chunk))
 		digests = append(digests, digest[:digestBytes])
 		name := chunkName(digest[:digestBytes])
@@ -57,13 +57,13 @@
 			continue
 		}
 		seen[name] = true
-		records = append(records, registry.Record{Name: name, Type: TypeDocument, Class: registry.ClassTable, Data: []byte(chunk)})
+		records = append(records, registry.Record{Name: name, Type: TypeDocumentChunk, Class: registry.ClassTable, Data: []byte(chunk)})
 	}
 	return records, digests
 }
 
-// DocumentNames returns the places of the chunks with these digests.
-func DocumentNames(digests [][]byte) []registry.Name {
+// ChunkNames returns the places of the chunks with these digests.
+func ChunkNames(digests [][]byte) []registry.Name {
 	var names []registry.Name
 	for _, digest := range digests {
 		names = append(names, chunkName(digest))
@@ -79,7 +79,7 @@
 func joinDocument(view registry.View, digests [][]byte) (string, error) {
 	var text strings.Builder
 	for _, digest := range digests {
-		records := view.Lookup(chunkName(digest), TypeDocument)
+		records := view.Lookup(chunkName(digest), TypeDocumentChunk)
 		if len(records) != 1 {
 			return "", fmt.Errorf("places: chunk %x of the document is missing", digest)
 		}
--- /dev/null
+++ b/catalog/example_test.go
@@ -0,0 +1,31 @@
+package catalog_test
+
+import (
+	"fmt"
+
+	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// The objects of a fleet are records of a table, read back as types.
+func Example() {
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{
+		registry.Add(catalog.ZoneRecord("north-1", catalog.Zone{Region: "north"})),
+		registry.Add(catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "order-1"})),
+	})
+	fmt.Println(table.Apply(&update, nil).Code)
+	contents, err := catalog.Read(table.View())
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	fmt.Println(contents.Zones()["north-1"].Region, contents.IsEvacuated("north-1"))
+	// Output:
+	// NOERROR
+	// north true
+}
--- a/places/golden_test.go
+++ b/catalog/golden_test.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import (
 	"bytes"
@@ -42,28 +42,28 @@
 const goldenDocument = "regions:\n  north: {zones: [north-1], capacity: 5}\n"
 
 func goldenRecords() []goldenRecord {
-	chunks, digests := DocumentRecords(goldenDocument)
+	chunks, digests := ChunkRecords(goldenDocument)
 	configuration := Configuration{Version: 1<<40 + 7, Author: "anna", Chunks: digests}
 	service := Service{Kind: "model", MaxConcurrency: 8}
 	route := Route{Service: "explain", Class: "long", Home: "bank-home", Weight: 3}
 	region := Region{Spill: []string{"south", "west"}, Capacity: 5}
-	limits := Limits{RetryRatio: 0.15, QueueLength: 70, TargetUtilization: 0.75, FirstTokenMS: 900, ColdConcurrency: 2, StreamGapMS: 9000}
+	limits := Limits{RetryRatio: 0.15, QueueLength: 70, TargetUtilization: 0.75, FirstTokenMS: 900, WarmupConcurrency: 2, StreamGapMS: 9000}
 	replica := Replica{Service: "explain", Zone: "north-1", Region: "north", Address: "10.0.0.7:8000", Slots: 4}
-	warmingUp := Condition{State: ConditionCold, Incarnation: "2f", Feeder: "gateway-1"}
+	warmingUp := Condition{State: ConditionWarmingUp, Incarnation: "2f", WarmupGateway: "gateway-1"}
 	gateway := Gateway{
 		Incarnation: "1a", Zone: "north-1", Region: "north", PeerAddress: "10.0.0.8:7400", HTTPAddress: "10.0.0.8:7401",
-		Up: true, MayHold: true, LinkMbps: 25_000,
+		Up: true, MayHoldLease: true, LinkMbps: 25_000,
 	}
-	accepted := Order{Digest: 1<<63 + 5, Accepted: true, Version: 7, Number: 300}
-	rejected := Order{Digest: 9, Version: 7, Number: 301, Code: "invalid", Reason: "is not a zone", Field: "zone"}
+	accepted := OperationResult{Digest: 1<<63 + 5, Accepted: true, Version: 7, Sequence: 300}
+	rejected := OperationResult{Digest: 9, Version: 7, Sequence: 301, Code: "invalid", Reason: "is not a zone", Field: "zone"}
 	pathRoute := routemap.Route{
 		Name: "review", Host: "llm.example", PathPrefix: "/review/", Kind: routemap.Stream,
 		Targets: []routemap.Target{{Service: "pool", Weight: 9}, {Service: "web", Weight: 1}},
-		Timeout: 15 * time.Second, FirstEvent: time.Second, EventGap: 33 * time.Millisecond,
-		MaxAttempts: 2, Priority: 1, Sticky: true, Resumable: true, Homes: []string{"north"},
+		Timeout: 15 * time.Second, FirstEventTarget: time.Second, EventGapTarget: 33 * time.Millisecond,
+		MaxAttempts: 2, Priority: 1, CacheAffinity: true, Resumable: true, HomeRegions: []string{"north"},
 	}
 	pool := routemap.Service{
-		Name: "pool", MaxConnections: 390, ColdPerSecond: 10, ColdStart: 3 * time.Second, Slots: 8, CacheTokens: 400_000, HealthPath: "/healthz",
+		Name: "pool", MaxConnections: 390, SlowStartRate: 10, SlowStartDuration: 3 * time.Second, Slots: 8, CacheTokens: 400_000, HealthPath: "/healthz",
 	}
 	requestLimits := routemap.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 	return []goldenRecord{
@@ -77,7 +77,7 @@
 		golden("region", region, RegionRecord("north", region)),
 		golden("region, zero fields", Region{}, RegionRecord("south", Region{})),
 		golden("zone", Zone{Region: "north"}, ZoneRecord("north-1", Zone{Region: "north"})),
-		golden("evacuation", Evacuation{Author: "anna", Order: "op-1"}, EvacuationRecord("north-1", Evacuation{Author: "anna", Order: "op-1"})),
+		golden("evacuation", Evacuation{Author: "anna", OperationID: "op-1"}, EvacuationRecord("north-1", Evacuation{Author: "anna", OperationID: "op-1"})),
 		golden("evacuation, zero fields", Evacuation{}, EvacuationRecord("south-1", Evacuation{})),
 		golden("client", Client{Region: "north"}, ClientRecord("branch", Client{Region: "north"})),
 		golden("home", Home{Regions: []string{"north", "south"}}, HomeRecord("bank-home", Home{Regions: []string{"north", "south"}})),
@@ -96,8 +96,8 @@
 		golden("condition, down", Condition{State: ConditionDown}, ConditionRecord("replica-4", Condition{State: ConditionDown})),
 		golden("gateway", gateway, GatewayRecord("gateway-1", gateway)),
 		golden("gateway, zero fields", Gateway{}, GatewayRecord("gateway-2", Gateway{})),
-		golden("operation, accepted", accepted, OrderRecord("op-1", accepted)),
-		golden("operation, rejected", rejected, OrderRecord("Op_2", rejected)),
+		golden("operation, accepted", accepted, OperationResultRecord("op-1", accepted)),
+		golden("operation, rejected", rejected, OperationResultRecord("Op_2", rejected)),
 		golden("route by path", pathRoute, PathRouteRecord(pathRoute)),
 		golden("route by path, zero fields", routemap.Route{Name: "page"}, PathRouteRecord(routemap.Route{Name: "page"})),
 		golden("service of routes by path", pool, PoolRecord(pool)),
@@ -293,7 +293,7 @@
 		fmt.Fprintf(&document, "  route-%d: {service: explain, class: quick}\n", i)
 	}
 	document.WriteString(strings.Repeat("x", maxChunkBytes+100))
-	records, digests := DocumentRecords(document.String())
+	records, digests := ChunkRecords(document.String())
 	var text strings.Builder
 	for _, digest := range digests {
 		fmt.Fprintf(&text, "%x\n", digest)
--- a/places/limits.go
+++ b/catalog/limits.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 // Defaults of the set points.
 const (
@@ -6,7 +6,7 @@
 	DefaultQueueLength       = 64
 	DefaultTargetUtilization = 0.8
 	DefaultFirstTokenMS      = 920
-	DefaultColdConcurrency   = 1
+	DefaultWarmupConcurrency = 1
 	DefaultStreamGapMS       = 10_000
 )
 
@@ -16,7 +16,7 @@
 	fill(&l.QueueLength, DefaultQueueLength)
 	fill(&l.TargetUtilization, DefaultTargetUtilization)
 	fill(&l.FirstTokenMS, DefaultFirstTokenMS)
-	fill(&l.ColdConcurrency, DefaultColdConcurrency)
+	fill(&l.WarmupConcurrency, DefaultWarmupConcurrency)
 	fill(&l.StreamGapMS, DefaultStreamGapMS)
 	return l
 }
--- a/places/names.go
+++ b/catalog/names.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import (
 	"encoding/base32"
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// Under returns the name below which records of a kind are, the apex if they are
+// ParentName returns the name below which records of a kind are, the apex if they are
 // at a fixed name.
-func Under(recordType registry.Type) registry.Name {
+func ParentName(recordType registry.Type) registry.Name {
 	switch recordType {
 	case TypeService, TypePool:
 		return servicesName
@@ -79,9 +79,9 @@
 		return replicasName
 	case TypeGateway:
 		return gatewaysName
-	case TypeOrder:
+	case TypeOperation:
 		return ordersName
-	case TypeDocument:
+	case TypeDocumentChunk:
 		return documentsName
 	}
 	return Apex
@@ -118,8 +118,8 @@
 // GatewayName is the place of a gateway.
 func GatewayName(gateway string) registry.Name { return place(gatewaysName, gateway) }
 
-// OrderName is the place of the answer to an order.
-func OrderName(order string) registry.Name { return place(ordersName, order) }
+// OperationName is the place of the answer to an order.
+func OperationName(order string) registry.Name { return place(ordersName, order) }
 
 // ObjectName returns the object whose place the name is: the reverse of the
 // functions above. ConfigurationName has no object.
--- a/places/places.go
+++ b/catalog/places.go
@@ -1,7 +1,7 @@
-// Package places defines the records that deckpulley keeps in its registry: the
+// Package catalog defines the records that deckpulley keeps in its registry: the
 // names, the kinds and the typed data of each. It translates between records
 // and types and decides nothing.
-package places
+package catalog
 
 import (
 	"github.com/deckpulley/deckpulley/registry"
@@ -27,8 +27,8 @@
 	TypeDrain         registry.Type = 1035 // "<replica>.replicas.places.": the platform wants it drained
 	TypeCondition     registry.Type = 1036 // "<replica>.replicas.places.": from its watcher
 	TypeGateway       registry.Type = 1037 // "<gateway>.gateways.places.": member record of a gateway
-	TypeOrder         registry.Type = 1038 // "<order id>.orders.places.": answer to an order
-	TypeDocument      registry.Type = 1039 // "<digest>.documents.places.": a chunk of the document
+	TypeOperation     registry.Type = 1038 // "<order id>.orders.places.": answer to an order
+	TypeDocumentChunk registry.Type = 1039 // "<digest>.documents.places.": a chunk of the document
 	TypePathRoute     registry.Type = 1040 // "<route>.pathroutes.places.": a route by host and path
 	TypePool          registry.Type = 1041 // "<service>.services.places.": a service that such routes lead to
 	TypeRequestLimits registry.Type = 1042 // "configuration.places.": what clients of such routes may send
@@ -85,8 +85,8 @@
 
 // Evacuation marks a zone as evacuated.
 type Evacuation struct {
-	Author string `cbor:"1,keyasint,omitempty"`
-	Order  string `cbor:"2,keyasint"`
+	Author      string `cbor:"1,keyasint,omitempty"`
+	OperationID string `cbor:"2,keyasint"`
 }
 
 // Client maps a client group to the region that serves it.
@@ -115,8 +115,8 @@
 	TargetUtilization float64 `cbor:"3,keyasint"`
 	// FirstTokenMS is the set point for the first token, in ms. Default 920.
 	FirstTokenMS int `cbor:"4,keyasint"`
-	// ColdConcurrency is the first step of a cold replica's ramp. Default 1.
-	ColdConcurrency int `cbor:"5,keyasint"`
+	// WarmupConcurrency is the first step of a cold replica's ramp. Default 1.
+	WarmupConcurrency int `cbor:"5,keyasint"`
 	// StreamGapMS is the longest wait for the next event of a stream. Default 10000.
 	StreamGapMS int `cbor:"6,keyasint"`
 }
@@ -135,10 +135,10 @@
 type ConditionState string
 
 const (
-	ConditionUp       ConditionState = "up"
-	ConditionCold     ConditionState = "cold"
-	ConditionDraining ConditionState = "draining"
-	ConditionDown     ConditionState = "down"
+	ConditionUp        ConditionState = "up"
+	ConditionWarmingUp ConditionState = "cold"
+	ConditionDraining  ConditionState = "draining"
+	ConditionDown      ConditionState = "down"
 )
 
 // Condition is written by the replica's one watcher, conditional on the
@@ -147,8 +147,8 @@
 	State ConditionState `cbor:"1,keyasint"`
 	// Incarnation is the replica's.
 	Incarnation string `cbor:"2,keyasint,omitempty"`
-	// Feeder is the one gateway that may place requests while State is cold.
-	Feeder string `cbor:"3,keyasint,omitempty"`
+	// WarmupGateway is the one gateway that may place requests while State is cold.
+	WarmupGateway string `cbor:"3,keyasint,omitempty"`
 }
 
 // Gateway is the member record of a gateway.
@@ -160,22 +160,22 @@
 	HTTPAddress string `cbor:"5,keyasint"`
 	// Up is false once its lease has run out.
 	Up bool `cbor:"6,keyasint"`
-	// MayHold is true from before its first lease until its last one has run out:
+	// MayHoldLease is true from before its first lease until its last one has run out:
 	// a new primary waits only for gateways of which it is true.
-	MayHold bool `cbor:"7,keyasint,omitempty"`
+	MayHoldLease bool `cbor:"7,keyasint,omitempty"`
 	// LinkMbps is what its network link carries, in Mbit/s; 0 is not told.
 	LinkMbps int `cbor:"8,keyasint,omitempty"`
 }
 
-// Order keeps the first answer to an order.
-type Order struct {
+// OperationResult keeps the first answer to an order.
+type OperationResult struct {
 	// Digest is a hash of the order's content: the same id with other content is a conflict.
 	Digest   uint64 `cbor:"1,keyasint"`
 	Accepted bool   `cbor:"2,keyasint"`
 	Version  uint64 `cbor:"3,keyasint"`
-	// Number orders the answers by age; the oldest beyond the kept number are removed.
-	Number uint64 `cbor:"4,keyasint"`
-	Code   string `cbor:"5,keyasint,omitempty"`
-	Reason string `cbor:"6,keyasint,omitempty"`
-	Field  string `cbor:"7,keyasint,omitempty"`
+	// Sequence orders the answers by age; the oldest beyond the kept number are removed.
+	Sequence uint64 `cbor:"4,keyasint"`
+	Code     string `cbor:"5,keyasint,omitempty"`
+	Reason   string `cbor:"6,keyasint,omitempty"`
+	Field    string `cbor:"7,keyasint,omitempty"`
 }
--- a/places/places_test.go
+++ b/catalog/places_test.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import (
 	"strings"
@@ -56,7 +56,7 @@
 		line := rapid.StringMatching(`[a-z]{0,20}\n?`)
 		text := strings.Join(rapid.SliceOfN(line, 0, 400).Draw(t, "lines"), "")
 		text += strings.Repeat("x", rapid.IntRange(0, 3*maxChunkBytes).Draw(t, "long"))
-		chunks := SplitDocument(text)
+		chunks := SplitChunks(text)
 		if strings.Join(chunks, "") != text {
 			t.Fatalf("chunks do not join to the text")
 		}
@@ -71,11 +71,11 @@
 // newTable returns a table with one object of each kind.
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
-	table, err := registry.New(Apex, Schema(), registry.Head{Primary: "control-1", Serial: 1}, []string{"control-1"})
+	table, err := registry.New(Apex, Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	chunks, digests := DocumentRecords("regions: {}\n")
+	chunks, digests := ChunkRecords("regions: {}\n")
 	apply(t, table, append(chunks,
 		ConfigurationRecord(Configuration{Version: 1, Author: "anna", Chunks: digests}),
 		LimitsRecord(Limits{QueueLength: 9}),
@@ -83,15 +83,15 @@
 		RouteRecord("Explain.Long", Route{Service: "explain", Class: "long"}),
 		RegionRecord("north", Region{Spill: []string{"south"}, Capacity: 5}),
 		ZoneRecord("north-1", Zone{Region: "north"}),
-		EvacuationRecord("north-1", Evacuation{Order: "order-1"}),
+		EvacuationRecord("north-1", Evacuation{OperationID: "order-1"}),
 		ClientRecord("branch", Client{Region: "north"}),
 		HomeRecord("bank-home", Home{Regions: []string{"north"}}),
 		TenantRecord("bank", Tenant{Home: "bank-home", Weight: 2}),
 		ReplicaRecord("replica-1", Replica{Service: "explain", Zone: "north-1", Region: "north", Address: "127.0.0.1:1"}),
 		DrainRecord("replica-1", Drain{}),
-		ConditionRecord("replica-1", Condition{State: ConditionCold, Feeder: "gateway-1"}),
+		ConditionRecord("replica-1", Condition{State: ConditionWarmingUp, WarmupGateway: "gateway-1"}),
 		GatewayRecord("gateway-1", Gateway{Incarnation: "i", Up: true}),
-		OrderRecord("order-1", Order{Digest: 7, Accepted: true, Version: 1, Number: 1}),
+		OperationResultRecord("order-1", OperationResult{Digest: 7, Accepted: true, Version: 1, Sequence: 1}),
 	)...)
 	return table
 }
@@ -101,12 +101,12 @@
 	update := registry.NewUpdate(Apex, nil, changes)
 	result := table.Apply(&update, nil)
 	if result.Code != registry.NoError {
-		t.Fatalf("apply: %s, record %d: %v", result.Code, result.Failed, result.Reason)
+		t.Fatalf("apply: %s, record %d: %v", result.Code, result.FailedIndex, result.Reason)
 	}
 	return result
 }
 
-func read(t *testing.T, table *registry.Table) *Contents {
+func read(t *testing.T, table *registry.Table) *State {
 	t.Helper()
 	contents, err := Read(table.View())
 	if err != nil {
@@ -121,15 +121,15 @@
 	client, _ := contents.Client("branch")
 	home, _ := contents.Home("bank-home")
 	tenant, _ := contents.Tenant("bank")
-	order, _ := contents.Order("order-1")
+	order, _ := contents.OperationResult("order-1")
 	condition, _ := contents.Condition("replica-1")
-	configuration, _ := contents.ConfigurationRecord()
+	configuration, _ := contents.Configuration()
 	got := []any{
 		contents.Version(), contents.Serial(), contents.Limits().QueueLength, contents.Limits().RetryRatio,
 		contents.Services()["explain"].Kind, route.Service, hasRoute, contents.Regions()["north"].Capacity,
-		contents.Zones()["north-1"].Region, contents.Evacuated("north-1"), contents.Evacuated("south-1"),
+		contents.Zones()["north-1"].Region, contents.IsEvacuated("north-1"), contents.IsEvacuated("south-1"),
 		client.Region, home.Regions[0], tenant.Weight, contents.Replicas()["replica-1"].Address,
-		contents.Drained("replica-1"), condition.Feeder, contents.Gateways()["gateway-1"].Up, order.Digest,
+		contents.IsDraining("replica-1"), condition.WarmupGateway, contents.Gateways()["gateway-1"].Up, order.Digest,
 		configuration.Document,
 	}
 	want := []any{
@@ -160,21 +160,21 @@
 		ReplicaRecord("replica-2", Replica{Service: "explain"}),
 		RouteRecord("other", Route{Service: "explain"}),
 	)
-	next, err := before.Next(table.View(), table.Difference(before.Serial()))
+	next, err := before.Next(table.View(), table.TransferSince(before.Serial()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	whole := read(t, table)
-	options := []cmp.Option{cmp.AllowUnexported(Contents{}), cmpopts.IgnoreFields(Contents{}, "view")}
+	options := []cmp.Option{cmp.AllowUnexported(State{}), cmpopts.IgnoreFields(State{}, "view")}
 	if difference := cmp.Diff(whole, next, options...); difference != "" {
 		t.Errorf("Next differs from Read (-read +next):\n%s", difference)
 	}
 	apply(t, table, DrainRecord("replica-2", Drain{}))
-	last := table.Difference(next.Serial())
-	if skipped, err := before.Next(table.View(), last); err != nil || len(skipped.Replicas()) != 2 || !skipped.Drained("replica-2") {
+	last := table.TransferSince(next.Serial())
+	if skipped, err := before.Next(table.View(), last); err != nil || len(skipped.Replicas()) != 2 || !skipped.IsDraining("replica-2") {
 		t.Errorf("a transfer that starts elsewhere: %v", err)
 	}
-	if !before.Evacuated("north-1") || before.Limits().QueueLength != 9 || len(before.Replicas()) != 1 {
+	if !before.IsEvacuated("north-1") || before.Limits().QueueLength != 9 || len(before.Replicas()) != 1 {
 		t.Error("Next has changed the contents it started from")
 	}
 	services["probe"] = Service{}
@@ -197,12 +197,12 @@
 	}
 	for _, move := range moves {
 		apply(t, table, move.change)
-		next, err := contents.Next(table.View(), table.Difference(contents.Serial()))
+		next, err := contents.Next(table.View(), table.TransferSince(contents.Serial()))
 		if err != nil {
 			t.Fatal(err)
 		}
 		contents = next
-		for _, reading := range []*Contents{contents, read(t, table)} {
+		for _, reading := range []*State{contents, read(t, table)} {
 			if got := reading.Replicas()["replica-1"].Region; got != move.want {
 				t.Errorf("region %q, want %q", got, move.want)
 			}
--- a/places/records.go
+++ b/catalog/records.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import (
 	"fmt"
@@ -30,8 +30,8 @@
 		singleton[Drain](TypeDrain, "DRAIN"),
 		singleton[Condition](TypeCondition, "CONDITION"),
 		singleton[Gateway](TypeGateway, "GATEWAY"),
-		singleton[Order](TypeOrder, "ORDER"),
-		registry.Kind{Type: TypeDocument, Name: "DOCUMENT", Singleton: true},
+		singleton[OperationResult](TypeOperation, "ORDER"),
+		registry.Kind{Type: TypeDocumentChunk, Name: "DOCUMENT", Singleton: true},
 		singleton[routemap.Route](TypePathRoute, "PATHROUTE"),
 		singleton[routemap.Service](TypePool, "POOL"),
 		singleton[routemap.Limits](TypeRequestLimits, "REQUESTLIMITS"),
@@ -148,9 +148,9 @@
 	return newRecord(GatewayName(gateway), TypeGateway, value)
 }
 
-// OrderRecord returns the record of the answer to an order.
-func OrderRecord(order string, value Order) registry.Record {
-	return newRecord(OrderName(order), TypeOrder, value)
+// OperationResultRecord returns the record of the answer to an order.
+func OperationResultRecord(order string, value OperationResult) registry.Record {
+	return newRecord(OperationName(order), TypeOperation, value)
 }
 
 // ConfigurationRecord returns the version marker. The document's text is not in
--- a/places/seed_test.go
+++ b/catalog/seed_test.go
@@ -1,4 +1,4 @@
-package places
+package catalog
 
 import "flag"
 
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -90,7 +90,7 @@
 	return ctx
 }
 
-var accepted = api.OrderAnswer{OrderID: "o", Accepted: true, Version: 3, Serial: 9}
+var accepted = api.OperationResult{OperationID: "o", Accepted: true, Version: 3, Serial: 9}
 
 func TestOrdersFailOverAndKeepTheirID(t *testing.T) {
 	first := &script{answers: []func(http.ResponseWriter){
@@ -101,7 +101,7 @@
 	}}
 	addresses := serve(t, first)
 	c := newClient(t, nobody(t), addresses[0])
-	order := api.ConfigurationOrder{BaseVersion: 2, Document: "x"}
+	order := api.ConfigurationOperation{BaseVersion: 2, Document: "x"}
 	answer, err := c.Apply(patient(t), &order)
 	if err != nil {
 		t.Fatal(err)
@@ -109,9 +109,9 @@
 	if diff := cmp.Diff(&accepted, answer); diff != "" {
 		t.Error(diff)
 	}
-	want := fmt.Sprintf(`{"order_id":%q,"base_version":2,"document":"x"}`, order.OrderID)
-	if order.OrderID == "" || len(first.bodies) != 4 {
-		t.Fatalf("order %q, %d attempts", order.OrderID, len(first.bodies))
+	want := fmt.Sprintf(`{"order_id":%q,"base_version":2,"document":"x"}`, order.OperationID)
+	if order.OperationID == "" || len(first.bodies) != 4 {
+		t.Fatalf("order %q, %d attempts", order.OperationID, len(first.bodies))
 	}
 	for i, body := range first.bodies {
 		if body != want || first.headers[i].Get("Authorization") != "Bearer secret" {
@@ -125,7 +125,7 @@
 
 func TestErrorsAreTyped(t *testing.T) {
 	conflict := api.Error{Code: api.CodeVersionConflict, Outcome: api.OutcomeRefused, Message: "version is 5"}
-	refused := api.OrderAnswer{OrderID: "o", Version: 5, Error: &conflict}
+	refused := api.OperationResult{OperationID: "o", Version: 5, Error: &conflict}
 	cases := []struct {
 		name   string
 		answer func(http.ResponseWriter)
@@ -144,7 +144,7 @@
 			addresses := serve(t, &script{answers: []func(http.ResponseWriter){c.answer}})
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 			defer cancel()
-			_, err := newClient(t, addresses...).Evacuate(ctx, &api.EvacuationOrder{Zone: "z"})
+			_, err := newClient(t, addresses...).Evacuate(ctx, &api.EvacuationOperation{Zone: "z"})
 			wantProblem(t, err, c.want, c.run)
 		})
 	}
@@ -280,19 +280,19 @@
 	var mutex sync.Mutex
 	var seen []string
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		var order api.EvacuationOrder
+		var order api.EvacuationOperation
 		json.NewDecoder(r.Body).Decode(&order) // a read has no body
 		mutex.Lock()
-		seen = append(seen, r.Method+" "+order.OrderID)
+		seen = append(seen, r.Method+" "+order.OperationID)
 		mutex.Unlock()
 		<-released
 	}))
 	defer silent.Close()
 	defer close(released)
 	answering := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var order api.EvacuationOrder
+		var order api.EvacuationOperation
 		json.NewDecoder(r.Body).Decode(&order)
-		json.NewEncoder(w).Encode(api.OrderAnswer{OrderID: order.OrderID, Accepted: true, Version: 7})
+		json.NewEncoder(w).Encode(api.OperationResult{OperationID: order.OperationID, Accepted: true, Version: 7})
 	}))
 	defer answering.Close()
 	connect := func() *Client {
@@ -308,13 +308,13 @@
 	if answer, err := connect().Configuration(t.Context(), true); err != nil || answer.Version != 7 {
 		t.Errorf("read: %+v, %v", answer, err)
 	}
-	order := api.EvacuationOrder{Zone: "north-1"}
-	if answer, err := connect().Evacuate(t.Context(), &order); err != nil || answer.OrderID != order.OrderID {
+	order := api.EvacuationOperation{Zone: "north-1"}
+	if answer, err := connect().Evacuate(t.Context(), &order); err != nil || answer.OperationID != order.OperationID {
 		t.Errorf("order: %+v, %v", answer, err)
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
-	want := []string{"GET ", "POST " + order.OrderID}
+	want := []string{"GET ", "POST " + order.OperationID}
 	if difference := cmp.Diff(want, seen); difference != "" {
 		t.Error(difference)
 	}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -17,7 +17,7 @@
 func Example() {
 	attempts := 0
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var order api.EvacuationOrder
+		var order api.EvacuationOperation
 		if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 			panic(err)
 		}
@@ -25,7 +25,7 @@
 		if attempts == 1 {
 			panic(http.ErrAbortHandler) // the answer is lost
 		}
-		answer, _ := json.Marshal(api.OrderAnswer{OrderID: order.OrderID, Accepted: true, Version: 3})
+		answer, _ := json.Marshal(api.OperationResult{OperationID: order.OperationID, Accepted: true, Version: 3})
 		w.Write(answer)
 	}))
 	defer node.Close()
@@ -34,12 +34,12 @@
 		fmt.Println(err)
 		return
 	}
-	order := api.EvacuationOrder{Zone: "north-1"}
+	order := api.EvacuationOperation{Zone: "north-1"}
 	answer, err := connection.Evacuate(context.Background(), &order)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(answer.Accepted, answer.OrderID == order.OrderID, attempts)
+	fmt.Println(answer.Accepted, answer.OperationID == order.OperationID, attempts)
 	// Output: true true 2
 }
--- a/client/operator.go
+++ b/client/operator.go
@@ -14,27 +14,27 @@
 // Apply hands over a whole configuration and waits until it is in force. An
 // empty order id is filled in with a new one, and every resend carries the same.
 // After an error with outcome unknown, call again with the same order.
-func (c *Client) Apply(ctx context.Context, order *api.ConfigurationOrder) (*api.OrderAnswer, error) {
-	fillOrderID(&order.OrderID)
+func (c *Client) Apply(ctx context.Context, order *api.ConfigurationOperation) (*api.OperationResult, error) {
+	fillOrderID(&order.OperationID)
 	return c.order(ctx, http.MethodPut, api.PathConfiguration, order)
 }
 
 // Change changes named items of the configuration and waits until that is in
 // force. Order ids are kept as in Apply.
-func (c *Client) Change(ctx context.Context, order *api.ConfigurationChangeOrder) (*api.OrderAnswer, error) {
-	fillOrderID(&order.OrderID)
+func (c *Client) Change(ctx context.Context, order *api.ConfigurationPatchOperation) (*api.OperationResult, error) {
+	fillOrderID(&order.OperationID)
 	return c.order(ctx, http.MethodPatch, api.PathConfiguration, order)
 }
 
 // Evacuate empties a zone, or withdraws that, and waits until it is in force.
 // Order ids are kept as in Apply.
-func (c *Client) Evacuate(ctx context.Context, order *api.EvacuationOrder) (*api.OrderAnswer, error) {
-	fillOrderID(&order.OrderID)
+func (c *Client) Evacuate(ctx context.Context, order *api.EvacuationOperation) (*api.OperationResult, error) {
+	fillOrderID(&order.OperationID)
 	return c.order(ctx, http.MethodPost, api.PathEvacuations, order)
 }
 
 // ReplaceReplicas hands over the platform's whole list of replicas.
-func (c *Client) ReplaceReplicas(ctx context.Context, list api.ReplicaList) (*api.OrderAnswer, error) {
+func (c *Client) ReplaceReplicas(ctx context.Context, list api.ReplicaList) (*api.OperationResult, error) {
 	return c.order(ctx, http.MethodPut, api.PathReplicas, list)
 }
 
@@ -44,12 +44,12 @@
 	}
 }
 
-func (c *Client) order(ctx context.Context, method, path string, order any) (*api.OrderAnswer, error) {
+func (c *Client) order(ctx context.Context, method, path string, order any) (*api.OperationResult, error) {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return nil, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: fmt.Sprintf("encoding the order: %v", err)}
 	}
-	var answer api.OrderAnswer
+	var answer api.OperationResult
 	if err := c.do(ctx, call{method: method, path: path, body: body, waits: true}, &answer); err != nil {
 		return nil, err
 	}
@@ -94,12 +94,12 @@
 
 // Orders lists the newest kept answers to orders, limit of them at the most; 0 is
 // the server's own limit.
-func (c *Client) Orders(ctx context.Context, limit int) (*api.OrdersAnswer, error) {
+func (c *Client) Orders(ctx context.Context, limit int) (*api.OperationsAnswer, error) {
 	query := url.Values{}
 	if limit > 0 {
 		query.Set("limit", strconv.Itoa(limit))
 	}
-	return read[api.OrdersAnswer](ctx, c, api.PathOrders, query)
+	return read[api.OperationsAnswer](ctx, c, api.PathOperations, query)
 }
 
 // Explain asks a gateway's operators' port where a request would go and why.
--- a/cmd/deckpulley-control/serve.go
+++ b/cmd/deckpulley-control/serve.go
@@ -42,7 +42,7 @@
 	}
 	d := &daemon{path: path, overrides: overrides, level: new(slog.LevelVar)}
 	d.level.Set(loaded.LogLevel())
-	d.logger = loaded.LoggerTo(os.Stderr, d.level)
+	d.logger = loaded.NewLogger(os.Stderr, d.level)
 	for _, warning := range loaded.Warnings() {
 		d.logger.Warn(warning)
 	}
@@ -81,10 +81,10 @@
 		return nil, fmt.Errorf("opening the data folder: %w", err)
 	}
 	d.network, err = transport.Listen(transport.Config{
-		Name:      loaded.Name,
-		Listen:    loaded.PeerAddress,
-		Keys:      keys,
-		Overrides: loaded.DialOverrides,
+		Name:             loaded.Name,
+		Listen:           loaded.PeerAddress,
+		Keys:             keys,
+		AddressOverrides: loaded.DialOverrides,
 	}, d.logger)
 	if err != nil {
 		return nil, fmt.Errorf("binding the peers' port: %w", err)
--- a/cmd/deckpulley-gateway/daemon.go
+++ b/cmd/deckpulley-gateway/daemon.go
@@ -58,7 +58,7 @@
 	}
 	d := &daemon{level: new(slog.LevelVar)}
 	d.level.Set(loaded.LogLevel())
-	d.log = loaded.LoggerTo(os.Stderr, d.level).With("region", loaded.Region)
+	d.log = loaded.NewLogger(os.Stderr, d.level).With("region", loaded.Region)
 	d.tokens.Store(&tokens)
 	for _, warning := range loaded.Warnings() {
 		d.log.Warn(warning)
@@ -84,10 +84,10 @@
 		}
 	}
 	d.network, err = transport.Listen(transport.Config{
-		Name:      loaded.Name,
-		Listen:    loaded.PeerAddress,
-		Keys:      keys,
-		Overrides: loaded.DialOverrides,
+		Name:             loaded.Name,
+		Listen:           loaded.PeerAddress,
+		Keys:             keys,
+		AddressOverrides: loaded.DialOverrides,
 	}, d.log)
 	if err != nil {
 		return fmt.Errorf("peers' port: %w", err)
@@ -132,7 +132,7 @@
 	proxy := httpgateway.NewProxy(httpgateway.ProxyOptions{
 		Info:    info,
 		Network: d.network,
-		Bounds:  dispatch.Bounds{RetryRatio: granted.RetryRatio, ColdOvershoot: granted.ColdOvershoot},
+		Bounds:  dispatch.Bounds{RetryRatio: granted.RetryRatio, ColdOvershoot: granted.WarmupOvershoot},
 		Logger:  d.log,
 	})
 	d.proxied = proxy.Server()
--- a/cmd/deckpulley-gateway/daemon_test.go
+++ b/cmd/deckpulley-gateway/daemon_test.go
@@ -153,7 +153,7 @@
 }
 
 // order carries an order out until it is in force.
-func (f *httpFleet) order(request peer.OrderRequest) {
+func (f *httpFleet) order(request peer.OperationRequest) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), testPatience)
 	defer cancel()
@@ -180,7 +180,7 @@
 		f.replicas = append(f.replicas, replica)
 		list.Replicas = append(list.Replicas, api.ReplicaEntry{ID: name, Service: service, Zone: "z1", Address: server.Listener.Addr().String()})
 	}
-	f.order(peer.OrderRequest{Replicas: list})
+	f.order(peer.OperationRequest{Replicas: list})
 }
 
 // get sends one request to the HTTP address.
@@ -224,7 +224,7 @@
 	if status, text := f.get("early", "/pages/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the first document: %d %s", status, text)
 	}
-	f.order(peer.OrderRequest{Configuration: &api.ConfigurationOrder{OrderID: "first", Document: httpDocument}})
+	f.order(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "first", Document: httpDocument}})
 	f.addReplicas("pool", "r1", "r2")
 	f.until(func() bool { status, _ := f.get("warm", "/pages/x"); return status == http.StatusOK })
 
@@ -235,14 +235,14 @@
 		t.Errorf("without a route: %d", status)
 	}
 	moved := strings.ReplaceAll(httpDocument, "/pages/", "/moved/")
-	f.order(peer.OrderRequest{Configuration: &api.ConfigurationOrder{OrderID: "second", BaseVersion: 1, Document: moved}})
+	f.order(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "second", BaseVersion: 1, Document: moved}})
 	if status, _ := f.get("three", "/pages/x"); status != http.StatusNotFound {
 		t.Errorf("by the former document: %d", status)
 	}
 	if status, text := f.get("four", "/moved/x"); status != http.StatusOK {
 		t.Errorf("by the new document: %d %s", status, text)
 	}
-	f.order(peer.OrderRequest{Evacuation: &api.EvacuationOrder{OrderID: "third", Zone: "z1"}})
+	f.order(peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "third", Zone: "z1"}})
 	if status, _ := f.get("five", "/moved/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("in an evacuated zone: %d", status)
 	}
--- a/cmd/deckpulleyctl/config.go
+++ b/cmd/deckpulleyctl/config.go
@@ -209,8 +209,8 @@
 			text, _, err := readDocument(command, path)
 			return text, err
 		},
-		send: func(ctx context.Context, connection *client.Client, id, author, text string, version uint64) (*api.OrderAnswer, error) {
-			return connection.Apply(ctx, &api.ConfigurationOrder{OrderID: id, BaseVersion: version, Author: author, Document: text})
+		send: func(ctx context.Context, connection *client.Client, id, author, text string, version uint64) (*api.OperationResult, error) {
+			return connection.Apply(ctx, &api.ConfigurationOperation{OperationID: id, BaseVersion: version, Author: author, Document: text})
 		},
 	}.command(shared)
 }
@@ -236,8 +236,8 @@
 a lost order with the same --order-id and --base-version.`,
 		base: "version that the change is made to; default the current one",
 		read: readChange,
-		send: func(ctx context.Context, connection *client.Client, id, author, text string, version uint64) (*api.OrderAnswer, error) {
-			return connection.Change(ctx, &api.ConfigurationChangeOrder{OrderID: id, BaseVersion: version, Author: author, Change: text})
+		send: func(ctx context.Context, connection *client.Client, id, author, text string, version uint64) (*api.OperationResult, error) {
+			return connection.Change(ctx, &api.ConfigurationPatchOperation{OperationID: id, BaseVersion: version, Author: author, Change: text})
 		},
 	}.command(shared)
 }
@@ -261,7 +261,7 @@
 	// base is the help of --base-version.
 	base string
 	read func(command *cobra.Command, path string) (text string, err error)
-	send func(ctx context.Context, connection *client.Client, id, author, text string, version uint64) (*api.OrderAnswer, error)
+	send func(ctx context.Context, connection *client.Client, id, author, text string, version uint64) (*api.OperationResult, error)
 }
 
 func (o versionedOrder) command(shared *options) *cobra.Command {
@@ -309,10 +309,10 @@
 	return current.Version, nil
 }
 
-func (o *options) showOrder(command *cobra.Command, answer *api.OrderAnswer) error {
+func (o *options) showOrder(command *cobra.Command, answer *api.OperationResult) error {
 	return o.show(command.OutOrStdout(), answer, func() *table {
 		rows := &table{header: []string{"ORDER", "ACCEPTED", "VERSION", "SERIAL"}}
-		rows.add(answer.OrderID, yesNo(answer.Accepted), answer.Version, answer.Serial)
+		rows.add(answer.OperationID, yesNo(answer.Accepted), answer.Version, answer.Serial)
 		return rows
 	})
 }
--- a/cmd/deckpulleyctl/fleet.go
+++ b/cmd/deckpulleyctl/fleet.go
@@ -55,7 +55,7 @@
 				return err
 			}
 			defer cancel()
-			order := api.EvacuationOrder{OrderID: flags.id(), Zone: arguments[0], Withdraw: withdraw, Author: flags.author}
+			order := api.EvacuationOperation{OperationID: flags.id(), Zone: arguments[0], Withdraw: withdraw, Author: flags.author}
 			answer, err := connection.Evacuate(ctx, &order)
 			if err != nil {
 				return flags.explain(command, err, "")
@@ -106,7 +106,7 @@
 	case member.Voter:
 		return fmt.Sprintf("voter, index %d", member.MatchIndex)
 	case member.LeaseMS > 0:
-		return fmt.Sprintf("lease %d ms, serial %d held, %d active", member.LeaseMS, member.HeldSerial, member.ActiveSerial)
+		return fmt.Sprintf("lease %d ms, serial %d held, %d active", member.LeaseMS, member.ReceivedSerial, member.ActiveSerial)
 	default:
 		return ""
 	}
@@ -134,7 +134,7 @@
 	rows := &table{header: []string{"REPLICA", "SERVICE", "ZONE", "REGION", "ADDRESS", "STATE", "REQUESTS", "READING MS", "SLOWNESS"}}
 	for _, replica := range answer.Replicas {
 		rows.add(replica.ID, replica.Service, replica.Zone, replica.Region, replica.Address, string(replica.State),
-			strconv.Itoa(replica.Requests), strconv.FormatInt(replica.ReadingMS, 10), strconv.FormatFloat(replica.Slowness, 'f', 2, 64))
+			strconv.Itoa(replica.Requests), strconv.FormatInt(replica.PrefillMS, 10), strconv.FormatFloat(replica.Slowness, 'f', 2, 64))
 	}
 	return rows
 }
--- a/cmd/deckpulleyctl/main.go
+++ b/cmd/deckpulleyctl/main.go
@@ -62,7 +62,7 @@
 		return exitDegraded
 	case !errors.As(err, &problem):
 		return exitUsage
-	case problem.Code == api.CodeVersionConflict || problem.Code == api.CodeOrderConflict:
+	case problem.Code == api.CodeVersionConflict || problem.Code == api.CodeOperationConflict:
 		return exitConflict
 	case problem.Outcome == api.OutcomeUnknown:
 		return exitUnknown
--- a/cmd/deckpulleyctl/main_test.go
+++ b/cmd/deckpulleyctl/main_test.go
@@ -39,15 +39,15 @@
 			api.PathZones:         api.ZonesAnswer{Zones: []api.ZoneStatus{{Zone: "north-1", Region: "north", Evacuated: true}}},
 			api.PathStatus: api.StatusAnswer{Node: "c1", Primary: "c2", Term: 7, Leases: 8, CommitIndex: 6, Members: []api.MemberStatus{
 				{Name: "c1", Role: "control", Up: true, Voter: true, MatchIndex: 5},
-				{Name: "g1", Role: "gateway", Up: true, LeaseMS: 900, HeldSerial: 9, ActiveSerial: 9, ActiveVersion: 4},
+				{Name: "g1", Role: "gateway", Up: true, LeaseMS: 900, ReceivedSerial: 9, ActiveSerial: 9, ActiveVersion: 4},
 			}, Services: []api.ServiceLoad{{Service: "model", Region: "north", Utilization: 0.5, SetPoint: 0.8, Spill: 0.1, Limit: 8, InFlight: 3, Queued: 1, Replicas: 2, Cold: 2}}},
-			api.PathOrders: api.OrdersAnswer{Orders: []api.OrderStatus{
-				{Number: 7, OrderID: "o2", Version: 4, Code: api.CodeVersionConflict, Reason: "the base is 3"},
-				{Number: 6, OrderID: "o1", Accepted: true, Version: 4},
+			api.PathOperations: api.OperationsAnswer{Orders: []api.OperationStatus{
+				{Number: 7, OperationID: "o2", Version: 4, Code: api.CodeVersionConflict, Reason: "the base is 3"},
+				{Number: 6, OperationID: "o1", Accepted: true, Version: 4},
 			}},
 			api.PathMembers: api.MembersAnswer{RepairDone: true, Members: []api.MemberStatus{
 				{Name: "c1", Role: "control", Up: true, Voter: true, MatchIndex: 5},
-				{Name: "g1", Role: "gateway", Up: true, LeaseMS: 900, HeldSerial: 9, ActiveSerial: 9},
+				{Name: "g1", Role: "gateway", Up: true, LeaseMS: 900, ReceivedSerial: 9, ActiveSerial: 9},
 			}},
 			api.PathReplicas: api.ReplicasAnswer{Replicas: append([]api.ReplicaStatus{
 				{ReplicaEntry: api.ReplicaEntry{ID: "r1", Service: "model", Zone: "north-1", Address: "127.0.0.1:1"}, Region: "north", Condition: "up"},
@@ -73,7 +73,7 @@
 		json.NewEncoder(w).Encode(api.ErrorBody{Error: n.problem})
 		return
 	}
-	json.NewEncoder(w).Encode(api.OrderAnswer{OrderID: "o", Accepted: true, Version: 5, Serial: 10})
+	json.NewEncoder(w).Encode(api.OperationResult{OperationID: "o", Accepted: true, Version: 5, Serial: 10})
 }
 
 // tool runs the command against a fake node.
--- a/cmd/deckpulleyctl/status.go
+++ b/cmd/deckpulleyctl/status.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/client"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // gatewayTimeout bounds asking one gateway, so that a lost one does not hold up
@@ -159,7 +159,7 @@
 // addConditions adds the replicas that are down to what is degraded.
 func (s *fleetStatus) addConditions() {
 	for _, replica := range s.Replicas {
-		if replica.Condition == string(places.ConditionDown) && !replica.Draining {
+		if replica.Condition == string(catalog.ConditionDown) && !replica.Draining {
 			s.Degraded = append(s.Degraded, fmt.Sprintf("replica %s of service %s in zone %s is down: restart it, or take it off the platform's list", replica.ID, replica.Service, replica.Zone))
 		}
 	}
@@ -241,7 +241,7 @@
 	rows := &table{header: []string{"GATEWAY", "ZONE", "REGION", "UP", "LEASE MS", "HELD", "ACTIVE", "VERSION", "CALLERS"}}
 	for _, member := range status.Members {
 		if member.Role == roleGateway {
-			rows.add(member.Name, member.Zone, member.Region, yesNo(member.Up), member.LeaseMS, member.HeldSerial, member.ActiveSerial, member.ActiveVersion, member.HTTPAddress)
+			rows.add(member.Name, member.Zone, member.Region, yesNo(member.Up), member.LeaseMS, member.ReceivedSerial, member.ActiveSerial, member.ActiveVersion, member.HTTPAddress)
 		}
 	}
 	return rows
@@ -262,7 +262,7 @@
 	for _, replica := range replicas {
 		state := cmp.Or(replica.Condition, conditionUnseen)
 		if replica.Draining {
-			state = string(places.ConditionDraining)
+			state = string(catalog.ConditionDraining)
 		}
 		place := slices.IndexFunc(counted, func(c conditionCount) bool {
 			return c.region == replica.Region && c.service == replica.Service
@@ -282,9 +282,9 @@
 func conditionTable(status *fleetStatus) *table {
 	rows := &table{header: []string{"REGION", "SERVICE", "REPLICAS UP", "COLD", "DRAINING", "DOWN", "UNSEEN"}}
 	for _, counted := range countConditions(status.Replicas) {
-		of := func(state places.ConditionState) int { return counted.counts[string(state)] }
-		rows.add(counted.region, counted.service, of(places.ConditionUp), of(places.ConditionCold),
-			of(places.ConditionDraining), of(places.ConditionDown), of(conditionUnseen))
+		of := func(state catalog.ConditionState) int { return counted.counts[string(state)] }
+		rows.add(counted.region, counted.service, of(catalog.ConditionUp), of(catalog.ConditionWarmingUp),
+			of(catalog.ConditionDraining), of(catalog.ConditionDown), of(conditionUnseen))
 	}
 	return rows
 }
--- a/configuration/change.go
+++ b/configuration/change.go
@@ -7,7 +7,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 )
 
 // changeSections are the sections of a document that a change may name items of.
@@ -25,22 +25,22 @@
 
 // ParseChange reads a change of a document from YAML or JSON and checks its form.
 // Whether the changed document is valid is judged when the change is made. The
-// error is a *documentchange.Problem.
-func ParseChange(text string) (*documentchange.Change, error) {
+// error is a *patch.FieldError.
+func ParseChange(text string) (*patch.Change, error) {
 	if len(text) > MaxDocumentBytes {
-		return nil, &documentchange.Problem{Reason: fmt.Sprintf("has %d bytes, at most %d", len(text), MaxDocumentBytes)}
+		return nil, &patch.FieldError{Reason: fmt.Sprintf("has %d bytes, at most %d", len(text), MaxDocumentBytes)}
 	}
 	var found report
 	root := parseNode(text, &found)
 	if err := found.err(); err != nil {
-		return nil, &documentchange.Problem{Reason: err.Error()}
+		return nil, &patch.FieldError{Reason: err.Error()}
 	}
 	var written changeText
 	if err := checkChangeFields(root); err != nil {
 		return nil, err
 	}
 	if err := root.Decode(&written); err != nil {
-		return nil, &documentchange.Problem{Reason: err.Error()}
+		return nil, &patch.FieldError{Reason: err.Error()}
 	}
 	change, err := written.translate()
 	if err != nil {
@@ -52,35 +52,35 @@
 // checkChangeFields refuses what a change does not have.
 func checkChangeFields(root *yaml.Node) error {
 	if root.Kind != yaml.MappingNode {
-		return &documentchange.Problem{Reason: "must be a mapping, is " + kindOf(root)}
+		return &patch.FieldError{Reason: "must be a mapping, is " + kindOf(root)}
 	}
 	for i := 0; i+1 < len(root.Content); i += 2 {
 		field := root.Content[i].Value
 		if field != "upsert" && field != "remove" {
-			return &documentchange.Problem{Field: field, Reason: "unknown field"}
+			return &patch.FieldError{Field: field, Reason: "unknown field"}
 		}
 		sections := root.Content[i+1]
 		for j := 0; j+1 < len(sections.Content); j += 2 {
 			if name := sections.Content[j].Value; !slices.Contains(changeSections, name) {
-				return &documentchange.Problem{Field: field + "." + name, Reason: "unknown section"}
+				return &patch.FieldError{Field: field + "." + name, Reason: "unknown section"}
 			}
 		}
 	}
 	return nil
 }
 
-func (t *changeText) translate() (*documentchange.Change, error) {
-	change := &documentchange.Change{}
+func (t *changeText) translate() (*patch.Change, error) {
+	change := &patch.Change{}
 	for _, name := range changeSections {
-		section := documentchange.Section{Name: name, Remove: t.Remove[name]}
+		section := patch.Section{Name: name, Remove: t.Remove[name]}
 		items := t.Upsert[name]
 		for _, item := range slices.Sorted(maps.Keys(items)) {
 			node := items[item]
 			value, err := yaml.Marshal(&node)
 			if err != nil {
-				return nil, &documentchange.Problem{Field: join("upsert."+name, item), Reason: err.Error()}
+				return nil, &patch.FieldError{Field: join("upsert."+name, item), Reason: err.Error()}
 			}
-			section.Upsert = append(section.Upsert, documentchange.Item{Name: item, Value: string(value)})
+			section.Upsert = append(section.Upsert, patch.Item{Name: item, Value: string(value)})
 		}
 		if len(section.Upsert)+len(section.Remove) > 0 {
 			change.Sections = append(change.Sections, section)
--- a/configuration/change_test.go
+++ b/configuration/change_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 )
 
 func TestParseChange(t *testing.T) {
@@ -38,7 +38,7 @@
 		strings.Repeat("x", MaxDocumentBytes+1):              "",
 	}
 	for text, field := range tests {
-		var problem *documentchange.Problem
+		var problem *patch.FieldError
 		if _, err := ParseChange(text); !errors.As(err, &problem) || problem.Field != field {
 			t.Errorf("%.60q: got %v, want a problem at %q", text, err, field)
 		}
--- a/configuration/changes.go
+++ b/configuration/changes.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -16,13 +16,13 @@
 // the table.
 var ErrVersion = errors.New("configuration: version is not newer")
 
-// BasePrerequisite requires that the configuration is still the one in the view:
+// UnchangedPrerequisite requires that the configuration is still the one in the view:
 // of two updates built on the same view, the second fails.
-func BasePrerequisite(current registry.View) registry.Record {
-	for _, record := range current.Lookup(places.ConfigurationName, places.TypeConfiguration) {
+func UnchangedPrerequisite(current registry.View) registry.Record {
+	for _, record := range current.Lookup(catalog.ConfigurationName, catalog.TypeConfiguration) {
 		return registry.Equals(record)
 	}
-	return registry.Absent(places.ConfigurationName, places.TypeConfiguration)
+	return registry.Absent(catalog.ConfigurationName, catalog.TypeConfiguration)
 }
 
 // Changes returns what turns the configuration in the view into the document.
@@ -37,9 +37,9 @@
 	return changes(current, wanted, version, author, text)
 }
 
-// MapChanges is Changes for a map of routes by host and path. zones are the
+// RouteMapChanges is Changes for a map of routes by host and path. zones are the
 // fleet's zones with their regions.
-func MapChanges(current registry.View, routes *routemap.Map, zones map[string]string, text string) ([]registry.Record, error) {
+func RouteMapChanges(current registry.View, routes *routemap.Map, zones map[string]string, text string) ([]registry.Record, error) {
 	if err := routes.Validate(); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	work := &difference{current: current, wanted: map[setName]bool{}, dropped: map[setName]bool{}}
 	wanted(work)
 	digests := work.wantText(text)
-	work.want(places.ConfigurationRecord(places.Configuration{Version: version, Author: author, Chunks: digests}))
+	work.want(catalog.ConfigurationRecord(catalog.Configuration{Version: version, Author: author, Chunks: digests}))
 	work.dropUnwanted()
 	work.dropText(marker.Chunks)
 	return work.changes, nil
@@ -68,8 +68,8 @@
 // wantMap requires the records of a map of routes, in a fixed order.
 func (d *difference) wantMap(routes *routemap.Map, zones map[string]string) {
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		d.want(places.RegionRecord(zones[zone], places.Region{Capacity: 1}))
-		d.want(places.ZoneRecord(zone, places.Zone{Region: zones[zone]}))
+		d.want(catalog.RegionRecord(zones[zone], catalog.Region{Capacity: 1}))
+		d.want(catalog.ZoneRecord(zone, catalog.Zone{Region: zones[zone]}))
 	}
 	d.wantRoutes(routes)
 }
@@ -77,18 +77,18 @@
 // wantRoutes requires the records of services and routes by host and path.
 func (d *difference) wantRoutes(routes *routemap.Map) {
 	for _, service := range routes.Services {
-		d.want(places.PoolRecord(service))
+		d.want(catalog.PoolRecord(service))
 	}
 	for _, route := range routes.Routes {
-		d.want(places.PathRouteRecord(route))
+		d.want(catalog.PathRouteRecord(route))
 	}
-	d.want(places.RequestLimitsRecord(routes.Limits))
+	d.want(catalog.RequestLimitsRecord(routes.Limits))
 }
 
-func currentMarker(current registry.View) (places.Configuration, error) {
-	contents, err := places.ReadMarker(current)
+func currentMarker(current registry.View) (catalog.Configuration, error) {
+	contents, err := catalog.ReadConfigurationHeader(current)
 	if err != nil {
-		return places.Configuration{}, fmt.Errorf("configuration: reading the current version: %w", err)
+		return catalog.Configuration{}, fmt.Errorf("configuration: reading the current version: %w", err)
 	}
 	return contents, nil
 }
@@ -125,32 +125,32 @@
 func (d *difference) wantDocument(document *Document) {
 	for _, name := range slices.Sorted(maps.Keys(document.Regions)) {
 		region := document.Regions[name]
-		d.want(places.RegionRecord(name, places.Region{Spill: region.Spill, Capacity: region.Capacity}))
+		d.want(catalog.RegionRecord(name, catalog.Region{Spill: region.Spill, Capacity: region.Capacity}))
 		for _, zone := range region.Zones {
-			d.want(places.ZoneRecord(zone, places.Zone{Region: name}))
+			d.want(catalog.ZoneRecord(zone, catalog.Zone{Region: name}))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(document.Services)) {
 		service := document.Services[name]
-		d.want(places.ServiceRecord(name, places.Service{Kind: service.Kind, MaxConcurrency: service.MaxConcurrency}))
+		d.want(catalog.ServiceRecord(name, catalog.Service{Kind: service.Kind, MaxConcurrency: service.MaxConcurrency}))
 	}
 	for _, name := range slices.Sorted(maps.Keys(document.Routes)) {
 		route := document.Routes[name]
-		d.want(places.RouteRecord(name, places.Route{
+		d.want(catalog.RouteRecord(name, catalog.Route{
 			Service: route.Service, Class: route.Class, Home: route.Home, Weight: weightOrDefault(route.Weight),
 		}))
 	}
 	for _, name := range slices.Sorted(maps.Keys(document.Clients)) {
-		d.want(places.ClientRecord(name, places.Client{Region: document.Clients[name]}))
+		d.want(catalog.ClientRecord(name, catalog.Client{Region: document.Clients[name]}))
 	}
 	for _, name := range slices.Sorted(maps.Keys(document.Homes)) {
-		d.want(places.HomeRecord(name, places.Home{Regions: document.Homes[name]}))
+		d.want(catalog.HomeRecord(name, catalog.Home{Regions: document.Homes[name]}))
 	}
 	for _, name := range slices.Sorted(maps.Keys(document.Tenants)) {
 		tenant := document.Tenants[name]
-		d.want(places.TenantRecord(name, places.Tenant{Home: tenant.Home, Weight: weightOrDefault(tenant.Weight)}))
+		d.want(catalog.TenantRecord(name, catalog.Tenant{Home: tenant.Home, Weight: weightOrDefault(tenant.Weight)}))
 	}
-	d.want(places.LimitsRecord(places.Limits(document.Limits)))
+	d.want(catalog.LimitsRecord(catalog.Limits(document.Limits)))
 	if !document.HTTP.empty() {
 		d.wantRoutes(document.routeMap())
 	}
@@ -168,7 +168,7 @@
 
 // wantText requires the chunks of the text and returns their digests.
 func (d *difference) wantText(text string) [][]byte {
-	records, digests := places.DocumentRecords(text)
+	records, digests := catalog.ChunkRecords(text)
 	for _, record := range records {
 		d.want(record)
 	}
@@ -177,8 +177,8 @@
 
 // dropText removes the chunks of the former text that the new one does not use.
 func (d *difference) dropText(former [][]byte) {
-	for _, name := range places.DocumentNames(former) {
-		d.drop(name, places.TypeDocument)
+	for _, name := range catalog.ChunkNames(former) {
+		d.drop(name, catalog.TypeDocumentChunk)
 	}
 }
 
@@ -186,22 +186,22 @@
 // evacuations of zones that go.
 func (d *difference) dropUnwanted() {
 	kinds := []registry.Type{
-		places.TypeRegion, places.TypeZone, places.TypeService, places.TypeRoute,
-		places.TypeClient, places.TypeHome, places.TypeTenant,
-		places.TypePathRoute, places.TypePool,
+		catalog.TypeRegion, catalog.TypeZone, catalog.TypeService, catalog.TypeRoute,
+		catalog.TypeClient, catalog.TypeHome, catalog.TypeTenant,
+		catalog.TypePathRoute, catalog.TypePool,
 	}
 	for _, kind := range kinds {
-		d.current.Walk(places.Under(kind), kind, func(record registry.Record) bool {
+		d.current.Walk(catalog.ParentName(kind), kind, func(record registry.Record) bool {
 			d.drop(record.Name, kind)
 			return true
 		})
 	}
-	if len(d.current.Lookup(places.ConfigurationName, places.TypeRequestLimits)) > 0 {
-		d.drop(places.ConfigurationName, places.TypeRequestLimits)
+	if len(d.current.Lookup(catalog.ConfigurationName, catalog.TypeRequestLimits)) > 0 {
+		d.drop(catalog.ConfigurationName, catalog.TypeRequestLimits)
 	}
-	d.current.Walk(places.Under(places.TypeZone), places.TypeEvacuation, func(record registry.Record) bool {
-		if !d.wanted[setName{record.Name, places.TypeZone}] {
-			d.drop(record.Name, places.TypeEvacuation)
+	d.current.Walk(catalog.ParentName(catalog.TypeZone), catalog.TypeEvacuation, func(record registry.Record) bool {
+		if !d.wanted[setName{record.Name, catalog.TypeZone}] {
+			d.drop(record.Name, catalog.TypeEvacuation)
 		}
 		return true
 	})
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -52,12 +52,12 @@
 	Weight int    `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema:"minimum=0,maximum=1000"`
 }
 
-// Limits are the set points; a zero field means the default of places.Limits.
+// Limits are the set points; a zero field means the default of catalog.Limits.
 type Limits struct {
 	RetryRatio        float64 `yaml:"retry_ratio,omitempty" json:"retry_ratio,omitempty" jsonschema:"minimum=0,maximum=0.2"`
 	QueueLength       int     `yaml:"queue_length,omitempty" json:"queue_length,omitempty" jsonschema:"minimum=0,maximum=10000"`
 	TargetUtilization float64 `yaml:"target_utilization,omitempty" json:"target_utilization,omitempty" jsonschema:"minimum=0,maximum=1"`
 	FirstTokenMS      int     `yaml:"first_token_ms,omitempty" json:"first_token_ms,omitempty" jsonschema:"minimum=0,maximum=60000"`
-	ColdConcurrency   int     `yaml:"cold_concurrency,omitempty" json:"cold_concurrency,omitempty" jsonschema:"minimum=0,maximum=64"`
+	WarmupConcurrency int     `yaml:"cold_concurrency,omitempty" json:"cold_concurrency,omitempty" jsonschema:"minimum=0,maximum=64"`
 	StreamGapMS       int     `yaml:"stream_gap_ms,omitempty" json:"stream_gap_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
 }
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/examples"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
@@ -18,8 +18,8 @@
 
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
-	head := registry.Head{Primary: "control-1", Serial: 1}
-	table, err := registry.New(places.Apex, places.Schema(), head, []string{"control-1"})
+	head := registry.SOA{Primary: "control-1", Serial: 1}
+	table, err := registry.New(catalog.Apex, catalog.Schema(), head, []string{"control-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	marker, err := places.ReadMarker(table.View())
+	marker, err := catalog.ReadConfigurationHeader(table.View())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,16 +41,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	update := registry.NewUpdate(places.Apex, []registry.Record{BasePrerequisite(table.View())}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{UnchangedPrerequisite(table.View())}, changes)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
-		t.Fatalf("%s at record %d: %v", result.Code, result.Failed, result.Reason)
+		t.Fatalf("%s at record %d: %v", result.Code, result.FailedIndex, result.Reason)
 	}
 	return changes
 }
 
-func read(t *testing.T, table *registry.Table) *places.Contents {
+func read(t *testing.T, table *registry.Table) *catalog.State {
 	t.Helper()
-	contents, err := places.Read(table.View())
+	contents, err := catalog.Read(table.View())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 				t.Errorf("%s: zone %s-1 is in region %q", deployment, region, got)
 			}
 		}
-		configuration, found := contents.ConfigurationRecord()
+		configuration, found := contents.Configuration()
 		if !found || configuration.Document != text || configuration.Author != "anna" || configuration.Version != 1 {
 			t.Errorf("%s: configuration reads back differently", deployment)
 		}
@@ -116,15 +116,15 @@
 	table := newTable(t)
 	configure(t, table, baseDocument)
 	again := configure(t, table, baseDocument)
-	if len(again) != 1 || again[0].Type != places.TypeConfiguration {
+	if len(again) != 1 || again[0].Type != catalog.TypeConfiguration {
 		t.Errorf("the same document again changes %d records, want the version marker alone", len(again))
 	}
 	edited := strings.Replace(baseDocument, "capacity: 5", "capacity: 6", 1)
 	edited = strings.Replace(edited, "  snippet:\n    service: snippets\n", "", 1)
-	want := map[registry.Type]int{places.TypeRegion: 1, places.TypeRoute: 1, places.TypeConfiguration: 1}
+	want := map[registry.Type]int{catalog.TypeRegion: 1, catalog.TypeRoute: 1, catalog.TypeConfiguration: 1}
 	got := map[registry.Type]int{}
 	for _, change := range configure(t, table, edited) {
-		if change.Type != places.TypeDocument {
+		if change.Type != catalog.TypeDocumentChunk {
 			got[change.Type]++
 		}
 	}
@@ -132,11 +132,11 @@
 		t.Errorf("changes by kind (-want +got):\n%s", difference)
 	}
 	chunks := 0
-	table.View().Walk(places.Under(places.TypeDocument), places.TypeDocument, func(registry.Record) bool {
+	table.View().Walk(catalog.ParentName(catalog.TypeDocumentChunk), catalog.TypeDocumentChunk, func(registry.Record) bool {
 		chunks++
 		return true
 	})
-	if want := len(places.SplitDocument(edited)); chunks != want {
+	if want := len(catalog.SplitChunks(edited)); chunks != want {
 		t.Errorf("%d chunks in the table, the document has %d", chunks, want)
 	}
 	contents := read(t, table)
@@ -163,7 +163,7 @@
 	}
 	held := table.Serial()
 	configure(t, table, grown[0]+many.String()+"  one-more:\n    service: explain\n"+grown[1])
-	difference := table.Difference(held)
+	difference := table.TransferSince(held)
 	data, err := registry.EncodeTransfer(difference)
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 		t.Errorf("one route more of %d (document of %d octets) transfers %d octets, want at most %d", routes, len(whole), len(data), bound)
 	}
 	t.Logf("document of %d octets; one more route: %d records, %d octets", len(whole), len(difference.Added)+len(difference.Removed), len(data))
-	configuration, _ := read(t, table).ConfigurationRecord()
+	configuration, _ := read(t, table).Configuration()
 	if !strings.Contains(configuration.Document, "one-more") || len(configuration.Document) <= len(whole) {
 		t.Error("the grown document does not read back")
 	}
@@ -182,19 +182,19 @@
 func TestEvacuationsStayWithTheirZones(t *testing.T) {
 	table := newTable(t)
 	configure(t, table, baseDocument)
-	evacuate := registry.NewUpdate(places.Apex, nil, []registry.Record{
-		places.EvacuationRecord("north-1", places.Evacuation{Order: "a"}),
-		places.EvacuationRecord("south-1", places.Evacuation{Order: "b"}),
+	evacuate := registry.NewUpdate(catalog.Apex, nil, []registry.Record{
+		catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "a"}),
+		catalog.EvacuationRecord("south-1", catalog.Evacuation{OperationID: "b"}),
 	})
 	if result := table.Apply(&evacuate, nil); result.Code != registry.NoError {
 		t.Fatal(result.Code)
 	}
 	configure(t, table, strings.Replace(baseDocument, "[south-1]", "[south-2]", 1))
 	contents := read(t, table)
-	if !contents.Evacuated("north-1") {
+	if !contents.IsEvacuated("north-1") {
 		t.Error("the evacuation of a zone that stays is gone")
 	}
-	if contents.Evacuated("south-1") {
+	if contents.IsEvacuated("south-1") {
 		t.Error("the evacuation of a removed zone stays")
 	}
 	if _, found := contents.Zones()["south-1"]; found {
@@ -215,7 +215,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		update := registry.NewUpdate(places.Apex, []registry.Record{BasePrerequisite(view)}, changes)
+		update := registry.NewUpdate(catalog.Apex, []registry.Record{UnchangedPrerequisite(view)}, changes)
 		codes = append(codes, table.Apply(&update, nil).Code)
 	}
 	if codes[0] != registry.NoError || codes[1] != registry.YXRRSet {
--- a/configuration/example_test.go
+++ b/configuration/example_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -27,7 +27,7 @@
 		fmt.Println(err)
 		return
 	}
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Serial: 1}, []string{"control-1"})
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Serial: 1}, []string{"control-1"})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -37,10 +37,10 @@
 		fmt.Println(err)
 		return
 	}
-	update := registry.NewUpdate(places.Apex, []registry.Record{configuration.BasePrerequisite(table.View())}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{configuration.UnchangedPrerequisite(table.View())}, changes)
 	fmt.Println(table.Apply(&update, nil).Code)
 
-	contents, err := places.Read(table.View())
+	contents, err := catalog.Read(table.View())
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -22,14 +22,14 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		document, err := Load(text)
 		if err != nil {
-			var problems *Problems
-			if !errors.As(err, &problems) || len(problems.List) == 0 || problems.List[0].Reason == "" {
+			var problems *DocumentError
+			if !errors.As(err, &problems) || len(problems.Problems) == 0 || problems.Problems[0].Reason == "" {
 				t.Fatalf("an error without reasons: %v", err)
 			}
 			return
 		}
-		head := registry.Head{Primary: "p", Serial: 1}
-		table, err := registry.New(places.Apex, places.Schema(), head, []string{"p"})
+		head := registry.SOA{Primary: "p", Serial: 1}
+		table, err := registry.New(catalog.Apex, catalog.Schema(), head, []string{"p"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatalf("changes of a valid document: %v", err)
 		}
-		update := registry.NewUpdate(places.Apex, nil, changes)
+		update := registry.NewUpdate(catalog.Apex, nil, changes)
 		if result := table.Apply(&update, nil); result.Code != registry.NoError {
 			t.Fatalf("applying a valid document: %s: %v", result.Code, result.Reason)
 		}
--- a/configuration/golden_test.go
+++ b/configuration/golden_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/internal/canonical"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -64,7 +64,7 @@
 		Homes:   map[string][]string{"bank-home": {"north", "south"}},
 		Tenants: map[string]Tenant{"bank": {Home: "bank-home", Weight: 2}, "shop": {}},
 		Limits: Limits{
-			RetryRatio: 0.15, QueueLength: 70, TargetUtilization: 0.75, FirstTokenMS: 900, ColdConcurrency: 2, StreamGapMS: 9000,
+			RetryRatio: 0.15, QueueLength: 70, TargetUtilization: 0.75, FirstTokenMS: 900, WarmupConcurrency: 2, StreamGapMS: 9000,
 		},
 		HTTP: HTTP{
 			Services: map[string]HTTPService{
@@ -156,7 +156,7 @@
 // applies it to the table, and compares its bytes with a golden file.
 func goldenUpdate(t *testing.T, file string, table *registry.Table, changes []registry.Record) {
 	t.Helper()
-	update := registry.NewUpdate(places.Apex, []registry.Record{BasePrerequisite(table.View())}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{UnchangedPrerequisite(table.View())}, changes)
 	encoded, err := registry.EncodeUpdate(&update)
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +174,7 @@
 		t.Errorf("%s decodes differently (-now +stored):\n%s", file, difference)
 	}
 	if result := table.Apply(&decoded, nil); result.Code != registry.NoError {
-		t.Fatalf("applying %s: %s at record %d: %v", file, result.Code, result.Failed, result.Reason)
+		t.Fatalf("applying %s: %s at record %d: %v", file, result.Code, result.FailedIndex, result.Reason)
 	}
 }
 
@@ -204,12 +204,12 @@
 			t.Fatal(err)
 		}
 		goldenUpdate(t, name+".update.hex", table, changes)
-		configuration, _ := read(t, table).ConfigurationRecord()
+		configuration, _ := read(t, table).Configuration()
 		if configuration.Document != text {
 			t.Errorf("%s reads back as %q", name, configuration.Document)
 		}
 	}
-	changes, err := MapChanges(table.View(), goldenRouteMap(), map[string]string{"zone-a": "north"}, "the map's text\n")
+	changes, err := RouteMapChanges(table.View(), goldenRouteMap(), map[string]string{"zone-a": "north"}, "the map's text\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,13 +223,13 @@
 	return &routemap.Map{
 		Version: 3,
 		Services: []routemap.Service{{
-			Name: "pool", MaxConnections: 390, ColdPerSecond: 10, ColdStart: 3 * time.Second, Slots: 8, CacheTokens: 400_000, HealthPath: "/healthz",
+			Name: "pool", MaxConnections: 390, SlowStartRate: 10, SlowStartDuration: 3 * time.Second, Slots: 8, CacheTokens: 400_000, HealthPath: "/healthz",
 		}},
 		Routes: []routemap.Route{{
 			Name: "review", Host: "llm.example", PathPrefix: "/review/", Kind: routemap.Stream,
 			Targets: []routemap.Target{{Service: "pool", Weight: 9}},
-			Timeout: 15 * time.Second, FirstEvent: time.Second, EventGap: 33 * time.Millisecond,
-			MaxAttempts: 2, Priority: 1, Sticky: true, Resumable: true, Homes: []string{"north"},
+			Timeout: 15 * time.Second, FirstEventTarget: time.Second, EventGapTarget: 33 * time.Millisecond,
+			MaxAttempts: 2, Priority: 1, CacheAffinity: true, Resumable: true, HomeRegions: []string{"north"},
 		}},
 		Limits: routemap.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute},
 	}
--- a/configuration/http.go
+++ b/configuration/http.go
@@ -86,27 +86,27 @@
 
 func (s *HTTPService) translate(name string) routemap.Service {
 	return routemap.Service{
-		Name:           name,
-		MaxConnections: s.MaxConnections,
-		ColdPerSecond:  s.ColdPerSecond,
-		ColdStart:      milliseconds(s.ColdStartMS),
-		Slots:          s.Slots,
-		CacheTokens:    s.CacheTokens,
+		Name:              name,
+		MaxConnections:    s.MaxConnections,
+		SlowStartRate:     s.ColdPerSecond,
+		SlowStartDuration: milliseconds(s.ColdStartMS),
+		Slots:             s.Slots,
+		CacheTokens:       s.CacheTokens,
 	}
 }
 
 func (r *HTTPRoute) translate(name string, homes []string) routemap.Route {
 	route := routemap.Route{
-		Name:        name,
-		Host:        r.Host,
-		PathPrefix:  r.PathPrefix,
-		Kind:        routemap.Kind(r.Kind),
-		Timeout:     milliseconds(r.TimeoutMS),
-		FirstEvent:  milliseconds(r.FirstEventMS),
-		MaxAttempts: max(r.MaxAttempts, 1),
-		Priority:    r.Priority,
-		Resumable:   r.Resumable,
-		Homes:       homes,
+		Name:             name,
+		Host:             r.Host,
+		PathPrefix:       r.PathPrefix,
+		Kind:             routemap.Kind(r.Kind),
+		Timeout:          milliseconds(r.TimeoutMS),
+		FirstEventTarget: milliseconds(r.FirstEventMS),
+		MaxAttempts:      max(r.MaxAttempts, 1),
+		Priority:         r.Priority,
+		Resumable:        r.Resumable,
+		HomeRegions:      homes,
 	}
 	for _, target := range r.Targets {
 		route.Targets = append(route.Targets, routemap.Target{Service: target.Service, Weight: target.Weight})
@@ -156,9 +156,9 @@
 
 // httpPlaces requires that no two routes have the same host and prefix.
 func (v *validation) httpPlaces(routes []routemap.Route) {
-	taken := make(map[routemap.Place]string, len(routes))
+	taken := make(map[routemap.RouteKey]string, len(routes))
 	for i := range routes {
-		place := routes[i].Place()
+		place := routes[i].Key()
 		if other, found := taken[place]; found {
 			v.problem(join("http.routes", routes[i].Name)+".path_prefix", "route %q has the same host and prefix", other)
 			continue
@@ -169,7 +169,7 @@
 
 // routemapProblem reports what package routemap found wrong, nil for nothing.
 func (v *validation) routemapProblem(err error) {
-	var found *routemap.Problem
+	var found *routemap.FieldError
 	if errors.As(err, &found) {
 		v.problem(found.Field, "%s", found.Reason)
 	}
--- a/configuration/http_test.go
+++ b/configuration/http_test.go
@@ -44,13 +44,13 @@
 		t.Fatal(err)
 	}
 	page, review := translated.Routes[0], translated.Routes[1]
-	if page.Name != "page" || page.MaxAttempts != 1 || page.Kind != routemap.Repeatable {
+	if page.Name != "page" || page.MaxAttempts != 1 || page.Kind != routemap.Idempotent {
 		t.Errorf("got %+v", page)
 	}
-	if review.Kind != routemap.Stream || !review.Resumable || review.Timeout != 15*time.Second || len(review.Homes) != 1 || review.Homes[0] != "north" || len(review.Targets) != 2 {
+	if review.Kind != routemap.Stream || !review.Resumable || review.Timeout != 15*time.Second || len(review.HomeRegions) != 1 || review.HomeRegions[0] != "north" || len(review.Targets) != 2 {
 		t.Errorf("got %+v", review)
 	}
-	if pool := translated.Services[0]; pool.ColdStart != 3*time.Second || pool.CacheTokens != 400000 {
+	if pool := translated.Services[0]; pool.SlowStartDuration != 3*time.Second || pool.CacheTokens != 400000 {
 		t.Errorf("got %+v", pool)
 	}
 }
@@ -77,11 +77,11 @@
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(baseDocument+httpPart, test.old, test.replacement, 1)
 			_, err := Load(text)
-			var problems *Problems
+			var problems *DocumentError
 			if !errors.As(err, &problems) {
 				t.Fatalf("got %v", err)
 			}
-			for _, problem := range problems.List {
+			for _, problem := range problems.Problems {
 				if problem.Field == test.field && problem.Reason != "" && problem.Line > 0 {
 					return
 				}
--- a/configuration/invalid_test.go
+++ b/configuration/invalid_test.go
@@ -162,12 +162,12 @@
 
 func wantProblems(t *testing.T, err error, want []string) {
 	t.Helper()
-	var problems *Problems
+	var problems *DocumentError
 	if !errors.As(err, &problems) {
 		t.Fatalf("error %v, want *Problems", err)
 	}
 	var got []string
-	for _, problem := range problems.List {
+	for _, problem := range problems.Problems {
 		got = append(got, problem.String())
 	}
 	if difference := cmp.Diff(want, got); difference != "" {
@@ -180,12 +180,12 @@
 	for i := range MaxProblems + 7 {
 		document.Regions[fmt.Sprintf("region-%d", i)] = Region{Zones: []string{fmt.Sprintf("zone-%d", i)}}
 	}
-	var problems *Problems
+	var problems *DocumentError
 	if err := document.Validate(); !errors.As(err, &problems) {
 		t.Fatalf("error %v, want *Problems", err)
 	}
-	if len(problems.List) != MaxProblems || problems.Omitted != 7 {
-		t.Errorf("%d problems listed, %d omitted", len(problems.List), problems.Omitted)
+	if len(problems.Problems) != MaxProblems || problems.Omitted != 7 {
+		t.Errorf("%d problems listed, %d omitted", len(problems.Problems), problems.Omitted)
 	}
 }
 
--- a/configuration/problems.go
+++ b/configuration/problems.go
@@ -38,19 +38,19 @@
 	return text.String()
 }
 
-// Problems is the error of a document that is not valid.
-type Problems struct {
-	// List holds the problems in the order of their lines, at most MaxProblems.
-	List []Problem
+// DocumentError is the error of a document that is not valid.
+type DocumentError struct {
+	// Problems holds the problems in the order of their lines, at most MaxProblems.
+	Problems []Problem
 	// Omitted counts the problems beyond those.
 	Omitted int
 }
 
 // Error writes every problem on a line of its own.
-func (p *Problems) Error() string {
+func (p *DocumentError) Error() string {
 	var text strings.Builder
 	text.WriteString("invalid configuration")
-	for _, problem := range p.List {
+	for _, problem := range p.Problems {
 		text.WriteString("\n\t")
 		text.WriteString(problem.String())
 	}
@@ -88,7 +88,7 @@
 		return nil
 	}
 	slices.SortStableFunc(r.list, func(a, b Problem) int { return a.Line - b.Line })
-	return &Problems{List: r.list, Omitted: r.omitted}
+	return &DocumentError{Problems: r.list, Omitted: r.omitted}
 }
 
 // Bounds of the search for the nearest name, whose cost grows with the number of
--- a/configuration/validate.go
+++ b/configuration/validate.go
@@ -31,7 +31,7 @@
 	MinTargetUtilization = 0.1
 	MaxTargetUtilization = 1
 	MaxFirstTokenMS      = 60_000
-	MaxColdConcurrency   = 64
+	MaxWarmupConcurrency = 64
 	MinStreamGapMS       = 100
 	MaxStreamGapMS       = 600_000
 )
@@ -273,7 +273,7 @@
 	}{
 		{"limits.queue_length", limits.QueueLength, 1, MaxQueueLength},
 		{"limits.first_token_ms", limits.FirstTokenMS, 1, MaxFirstTokenMS},
-		{"limits.cold_concurrency", limits.ColdConcurrency, 1, MaxColdConcurrency},
+		{"limits.cold_concurrency", limits.WarmupConcurrency, 1, MaxWarmupConcurrency},
 		{"limits.stream_gap_ms", limits.StreamGapMS, MinStreamGapMS, MaxStreamGapMS},
 	}
 	for _, count := range counts {
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -120,7 +120,7 @@
 		kept := slices.DeleteFunc(slices.Clone(disk.Entries), func(entry Entry) bool { return entry.Index >= first })
 		disk.Entries = append(kept, ready.Entries...)
 	}
-	c.applied[id] = append(c.applied[id], ready.Committed...)
+	c.applied[id] = append(c.applied[id], ready.CommittedEntries...)
 	node.Advance(ready)
 	return ready.Messages
 }
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -77,20 +77,20 @@
 
 // Message passes between members.
 type Message struct {
-	Kind     MessageKind `cbor:"1,keyasint"`
-	From     ID          `cbor:"2,keyasint"`
-	To       ID          `cbor:"3,keyasint"`
-	Term     uint64      `cbor:"4,keyasint"`
-	Index    uint64      `cbor:"5,keyasint,omitempty"` // previous index, last index or match
-	LogTerm  uint64      `cbor:"6,keyasint,omitempty"`
-	Commit   uint64      `cbor:"7,keyasint,omitempty"`
-	Entries  []Entry     `cbor:"8,keyasint,omitempty"`
-	Reject   bool        `cbor:"9,keyasint,omitempty"`
-	Hint     uint64      `cbor:"10,keyasint,omitempty"` // where to try next after a rejection
-	Round    uint64      `cbor:"11,keyasint,omitempty"` // echoes the heartbeat round, see Node.QuorumContact
-	Snapshot *Snapshot   `cbor:"12,keyasint,omitempty"`
-	// Transfer marks a vote asked for by the leader itself: stickiness is waived.
-	Transfer bool `cbor:"13,keyasint,omitempty"`
+	Kind           MessageKind `cbor:"1,keyasint"`
+	From           ID          `cbor:"2,keyasint"`
+	To             ID          `cbor:"3,keyasint"`
+	Term           uint64      `cbor:"4,keyasint"`
+	Index          uint64      `cbor:"5,keyasint,omitempty"` // previous index, last index or match
+	LogTerm        uint64      `cbor:"6,keyasint,omitempty"`
+	Commit         uint64      `cbor:"7,keyasint,omitempty"`
+	Entries        []Entry     `cbor:"8,keyasint,omitempty"`
+	Reject         bool        `cbor:"9,keyasint,omitempty"`
+	RejectHint     uint64      `cbor:"10,keyasint,omitempty"` // where to try next after a rejection
+	HeartbeatRound uint64      `cbor:"11,keyasint,omitempty"` // echoes the heartbeat round, see Node.QuorumContact
+	Snapshot       *Snapshot   `cbor:"12,keyasint,omitempty"`
+	// LeadershipTransfer marks a vote asked for by the leader itself: stickiness is waived.
+	LeadershipTransfer bool `cbor:"13,keyasint,omitempty"`
 }
 
 // Role is a member's present part.
@@ -108,11 +108,11 @@
 // Committed, then calls Advance. Nothing may be reordered across these steps.
 // storage.Persist does the first. A HardState or Snapshot of nil is unchanged.
 type Ready struct {
-	HardState *HardState
-	Snapshot  *Snapshot
-	Entries   []Entry
-	Messages  []Message
-	Committed []Entry
+	HardState        *HardState
+	Snapshot         *Snapshot
+	Entries          []Entry
+	Messages         []Message
+	CommittedEntries []Entry
 }
 
 // Status is a view for people and for the driver.
@@ -125,14 +125,14 @@
 	Applied    uint64
 	LastIndex  uint64
 	Membership Membership
-	// Settled is true at a leader that has committed an entry of its own term and
+	// MembershipCommitted is true at a leader that has committed an entry of its own term and
 	// its newest membership. Only then do Commit and Membership tell what a
 	// successor would find: a repair is not done before.
-	Settled bool
+	MembershipCommitted bool
 	// Match and Contact are kept by a leader: the highest index known stored, and
 	// the time of the last answer, by member.
-	Match   map[ID]uint64
-	Contact map[ID]time.Duration
+	Match       map[ID]uint64
+	LastContact map[ID]time.Duration
 }
 
 // Config sets up a Node. Times are monotonic and counted from any fixed start.
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -65,7 +65,7 @@
 	c.restart(old)
 	c.block = func(message Message) bool { return message.Kind == MessageAppend }
 	node := c.nodes[old]
-	node.Plant(planted)
+	node.InjectDefects(planted)
 	node.campaign(true)
 	c.settle()
 	if node.role != Leader {
@@ -230,7 +230,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if from := KeepFrom(snapshot, 5); leader.log.boundaryIndex != from-1 || from != last-4 {
+	if from := FirstRetainedIndex(snapshot, 5); leader.log.boundaryIndex != from-1 || from != last-4 {
 		t.Fatalf("log begins after %d, keep from %d, last %d", leader.log.boundaryIndex, from, last)
 	}
 	if _, err := leader.Compact(last, nil, 5); !errors.Is(err, ErrCompacted) {
@@ -274,8 +274,8 @@
 		want error
 	}{
 		{follower, plus, ErrNotLeader},
-		{leader, twice, ErrMembershipStep},
-		{leader, swapped, ErrMembershipStep},
+		{leader, twice, ErrMembershipMultipleChanges},
+		{leader, swapped, ErrMembershipMultipleChanges},
 		{leader, doubled, ErrMembershipInvalid},
 		{leader, Membership{}, ErrMembershipInvalid},
 		{leader, plus, nil},
@@ -386,7 +386,7 @@
 	if err := old.TransferLeadership(c.now, next.config.ID); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := old.Propose(c.now, nil); !errors.Is(err, ErrTransferring) {
+	if _, _, err := old.Propose(c.now, nil); !errors.Is(err, ErrLeadershipTransfer) {
 		t.Fatalf("proposal during a transfer: %v", err)
 	}
 	c.settle()
@@ -448,7 +448,7 @@
 	if status := node.Status(); status.Term != 5 || status.Commit != 9 || node.vote != None {
 		t.Fatalf("term %d, commit %d, vote %q", status.Term, status.Commit, node.vote)
 	}
-	if _, err := New(Config{ID: "a", Entries: entriesOf(1, 3)}); !errors.Is(err, ErrConfig) {
+	if _, err := New(Config{ID: "a", Entries: entriesOf(1, 3)}); !errors.Is(err, ErrInvalidConfig) {
 		t.Fatalf("a gap in the log: %v", err)
 	}
 }
--- a/consensus/contact.go
+++ b/consensus/contact.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// Confirm begins a heartbeat round now, so that QuorumContact is renewed sooner than
+// ConfirmLeadership begins a heartbeat round now, so that QuorumContact is renewed sooner than
 // the interval does it. It does nothing at a member that does not lead.
-func (n *Node) Confirm(now time.Duration) {
+func (n *Node) ConfirmLeadership(now time.Duration) {
 	n.now = max(n.now, now)
 	if n.role == Leader {
 		n.beginRound()
@@ -93,10 +93,10 @@
 func (n *Node) sendHeartbeat(to ID) {
 	match := n.leadership.progress[to].match
 	n.send(Message{
-		Kind:   MessageHeartbeat,
-		To:     to,
-		Commit: min(n.commit, match), // the member may hold something else beyond
-		Round:  n.leadership.round,
+		Kind:           MessageHeartbeat,
+		To:             to,
+		Commit:         min(n.commit, match), // the member may hold something else beyond
+		HeartbeatRound: n.leadership.round,
 	})
 }
 
@@ -173,14 +173,14 @@
 func (n *Node) handleHeartbeat(message Message) {
 	n.followLeader(message.From)
 	n.commitTo(message.Commit)
-	n.send(Message{Kind: MessageHeartbeatReply, To: message.From, Round: message.Round})
+	n.send(Message{Kind: MessageHeartbeatReply, To: message.From, HeartbeatRound: message.HeartbeatRound})
 }
 
 func (n *Node) handleHeartbeatReply(message Message) {
 	if n.role != Leader {
 		return
 	}
-	member := n.noteAnswer(message.From, message.Round)
+	member := n.noteAnswer(message.From, message.HeartbeatRound)
 	if member == nil {
 		return
 	}
--- a/consensus/defects.go
+++ b/consensus/defects.go
@@ -7,5 +7,5 @@
 	defectCommitOlderTerm = defect.CommitOlderTerm
 	defectTwoChanges      = defect.TwoMembershipChanges
 	defectVoteIgnoresLog  = defect.VoteIgnoresLog
-	defectFreshContact    = defect.FreshContact
+	defectFreshContact    = defect.ContactFromArrival
 )
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -85,7 +85,7 @@
 	case PreCandidate:
 		n.askVoters(Message{Kind: MessagePreVote, Term: n.term + 1})
 	case Candidate:
-		n.askVoters(Message{Kind: MessageVote, Transfer: n.transferred})
+		n.askVoters(Message{Kind: MessageVote, LeadershipTransfer: n.transferred})
 	}
 }
 
@@ -107,7 +107,7 @@
 	n.ballots = map[ID]bool{n.config.ID: true}
 	n.transferred = transfer
 	n.back()
-	n.askVoters(Message{Kind: MessageVote, Transfer: transfer})
+	n.askVoters(Message{Kind: MessageVote, LeadershipTransfer: transfer})
 	n.countBallots()
 }
 
@@ -126,7 +126,7 @@
 }
 
 func (n *Node) handlePreVote(message Message) {
-	if n.hearsLeader() && !message.Transfer || n.backsAnother(message.From) {
+	if n.hearsLeader() && !message.LeadershipTransfer || n.backsAnother(message.From) {
 		return
 	}
 	granted := message.Term > n.term && n.acceptableLog(message)
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -6,13 +6,13 @@
 var (
 	// ErrNotLeader means that only the leader can do this, and the node is not it.
 	ErrNotLeader = errors.New("consensus: not the leader")
-	// ErrTransferring means that a transfer of the leadership is under way.
-	ErrTransferring = errors.New("consensus: leadership is being transferred")
+	// ErrLeadershipTransfer means that a transfer of the leadership is under way.
+	ErrLeadershipTransfer = errors.New("consensus: leadership is being transferred")
 	// ErrMembershipPending means that the previous change is not committed, or
 	// that the leader has not committed an entry of its own term yet.
 	ErrMembershipPending = errors.New("consensus: a membership change is pending")
-	// ErrMembershipStep means that the change touches more than one member.
-	ErrMembershipStep = errors.New("consensus: a membership change may touch one member only")
+	// ErrMembershipMultipleChanges means that the change touches more than one member.
+	ErrMembershipMultipleChanges = errors.New("consensus: a membership change may touch one member only")
 	// ErrMembershipInvalid means an empty or doubled identity, or no voter at all.
 	ErrMembershipInvalid = errors.New("consensus: membership is invalid")
 	// ErrNotVoter means that the target of a transfer does not vote.
@@ -26,6 +26,6 @@
 	ErrCompacted = errors.New("consensus: a snapshot reaches as far already")
 	// ErrNotApplied means that the index is not applied yet.
 	ErrNotApplied = errors.New("consensus: index is not applied yet")
-	// ErrConfig means that the restored state or a setting makes no sense.
-	ErrConfig = errors.New("consensus: configuration is invalid")
+	// ErrInvalidConfig means that the restored state or a setting makes no sense.
+	ErrInvalidConfig = errors.New("consensus: configuration is invalid")
 )
--- a/consensus/example_test.go
+++ b/consensus/example_test.go
@@ -23,7 +23,7 @@
 			ready := node.Ready()
 			// Persist ready.HardState, ready.Snapshot and ready.Entries with a
 			// sync, then send ready.Messages, then apply.
-			for _, entry := range ready.Committed {
+			for _, entry := range ready.CommittedEntries {
 				if entry.Kind == consensus.EntryNormal {
 					fmt.Printf("index %d: %s\n", entry.Index, entry.Data)
 				}
--- a/consensus/golden_encoding_test.go
+++ b/consensus/golden_encoding_test.go
@@ -97,21 +97,21 @@
 		stored("pre-vote reply, granted", message(MessagePreVoteReply, func(m *Message) { m.Term = 6 })),
 		stored("pre-vote reply, rejected", message(MessagePreVoteReply, func(m *Message) { m.Reject = true })),
 		stored("vote", message(MessageVote, func(m *Message) { m.Term, m.Index, m.LogTerm = 6, 302, 5 })),
-		stored("vote after a transfer", message(MessageVote, func(m *Message) { m.Term, m.Index, m.LogTerm, m.Transfer = 6, 302, 5, true })),
+		stored("vote after a transfer", message(MessageVote, func(m *Message) { m.Term, m.Index, m.LogTerm, m.LeadershipTransfer = 6, 302, 5, true })),
 		stored("vote reply, granted", message(MessageVoteReply, func(m *Message) { m.Term = 6 })),
 		stored("vote reply, rejected", message(MessageVoteReply, func(m *Message) { m.Reject = true })),
 		stored("append", message(MessageAppend, func(m *Message) {
-			m.Index, m.LogTerm, m.Commit, m.Entries, m.Round = 299, 4, 298, entries, 77
+			m.Index, m.LogTerm, m.Commit, m.Entries, m.HeartbeatRound = 299, 4, 298, entries, 77
 		})),
-		stored("append, empty", message(MessageAppend, func(m *Message) { m.Index, m.LogTerm, m.Commit, m.Round = 302, 5, 302, 78 })),
-		stored("append reply", message(MessageAppendReply, func(m *Message) { m.Index, m.Round = 302, 77 })),
+		stored("append, empty", message(MessageAppend, func(m *Message) { m.Index, m.LogTerm, m.Commit, m.HeartbeatRound = 302, 5, 302, 78 })),
+		stored("append reply", message(MessageAppendReply, func(m *Message) { m.Index, m.HeartbeatRound = 302, 77 })),
 		stored("append reply, rejected", message(MessageAppendReply, func(m *Message) {
-			m.Index, m.LogTerm, m.Reject, m.Hint, m.Round = 299, 3, true, 250, 77
+			m.Index, m.LogTerm, m.Reject, m.RejectHint, m.HeartbeatRound = 299, 3, true, 250, 77
 		})),
-		stored("heartbeat", message(MessageHeartbeat, func(m *Message) { m.Commit, m.Round = 302, 79 })),
-		stored("heartbeat reply", message(MessageHeartbeatReply, func(m *Message) { m.Round = 79 })),
+		stored("heartbeat", message(MessageHeartbeat, func(m *Message) { m.Commit, m.HeartbeatRound = 302, 79 })),
+		stored("heartbeat reply", message(MessageHeartbeatReply, func(m *Message) { m.HeartbeatRound = 79 })),
 		stored("snapshot", message(MessageSnapshot, func(m *Message) {
-			m.Round = 80
+			m.HeartbeatRound = 80
 			m.Snapshot = &Snapshot{Index: 1200, Term: 4, Membership: goldenMembership, Data: []byte("table")}
 		})),
 		stored("timeout now", message(MessageTimeoutNow, nil)),
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -28,12 +28,12 @@
 		return log, nil
 	}
 	if !contiguous(entries) {
-		return nil, ErrConfig
+		return nil, ErrInvalidConfig
 	}
 	first := entries[0]
 	last := entries[len(entries)-1]
 	if first.Index > snapshot.Index+1 {
-		return nil, ErrConfig
+		return nil, ErrInvalidConfig
 	}
 	if last.Index < snapshot.Index {
 		return log, nil
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -196,7 +196,7 @@
 		return ErrMembershipPending
 	}
 	if distance(n.membership(), membership) > 1 {
-		return ErrMembershipStep
+		return ErrMembershipMultipleChanges
 	}
 	return nil
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -74,7 +74,7 @@
 // group and waits to be told its log.
 func New(config Config) (*Node, error) {
 	if config.ID == None {
-		return nil, fmt.Errorf("%w: no identity", ErrConfig)
+		return nil, fmt.Errorf("%w: no identity", ErrInvalidConfig)
 	}
 	setDefaults(&config)
 	log, err := newLog(config.Snapshot, config.Entries)
@@ -91,7 +91,7 @@
 		applied: max(config.Applied, config.Snapshot.Index),
 	}
 	if node.applied > node.commit {
-		return nil, fmt.Errorf("%w: applied %d is beyond the commit %d", ErrConfig, node.applied, node.commit)
+		return nil, fmt.Errorf("%w: applied %d is beyond the commit %d", ErrInvalidConfig, node.applied, node.commit)
 	}
 	node.raiseToLog()
 	if err := node.restoreConfigurations(); err != nil {
@@ -135,9 +135,9 @@
 	}
 }
 
-// Plant switches deliberate faults on, for the simulation that proves that its
+// InjectDefects switches deliberate faults on, for the simulation that proves that its
 // checks see them. A non-empty set cannot be made outside this module.
-func (n *Node) Plant(defects defect.Set) {
+func (n *Node) InjectDefects(defects defect.Set) {
 	n.defects = defects
 }
 
@@ -222,7 +222,7 @@
 			return true // carries the term that was asked about
 		}
 	case MessageVote:
-		if n.hearsLeader() && !message.Transfer {
+		if n.hearsLeader() && !message.LeadershipTransfer {
 			return false
 		}
 	}
@@ -289,8 +289,8 @@
 		Membership: n.membership().clone(),
 	}
 	if n.role == Leader {
-		status.Match, status.Contact = n.leadership.report(n)
-		status.Settled = n.settled()
+		status.Match, status.LastContact = n.leadership.report(n)
+		status.MembershipCommitted = n.settled()
 	}
 	return status
 }
--- a/consensus/ready.go
+++ b/consensus/ready.go
@@ -19,13 +19,13 @@
 		n.replicateToAll()
 	}
 	ready := Ready{
-		Snapshot:  n.pendingSnapshot,
-		Entries:   n.log.unstable(),
-		Committed: n.log.slice(n.applied+1, n.commit, unlimited),
-		Messages:  n.outbox,
+		Snapshot:         n.pendingSnapshot,
+		Entries:          n.log.unstable(),
+		CommittedEntries: n.log.slice(n.applied+1, n.commit, unlimited),
+		Messages:         n.outbox,
 	}
 	if n.pendingSnapshot != nil {
-		ready.Committed = n.log.slice(n.pendingSnapshot.Index+1, n.commit, unlimited)
+		ready.CommittedEntries = n.log.slice(n.pendingSnapshot.Index+1, n.commit, unlimited)
 	}
 	n.outbox = nil
 	if n.mustPersistHardState() || len(ready.Entries) > 0 || ready.Snapshot != nil {
@@ -47,8 +47,8 @@
 		last := ready.Entries[count-1]
 		n.log.stableTo(last.Index, last.Term)
 	}
-	if count := len(ready.Committed); count > 0 {
-		n.applied = max(n.applied, ready.Committed[count-1].Index)
+	if count := len(ready.CommittedEntries); count > 0 {
+		n.applied = max(n.applied, ready.CommittedEntries[count-1].Index)
 	}
 	if n.role == Leader {
 		n.advanceCommit()
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -86,7 +86,7 @@
 	}
 	n.expireTransfer()
 	if n.leadership.transferTo != None {
-		return ErrTransferring
+		return ErrLeadershipTransfer
 	}
 	return nil
 }
@@ -134,13 +134,13 @@
 		return false
 	}
 	n.send(Message{
-		Kind:    MessageAppend,
-		To:      to,
-		Index:   member.next - 1,
-		LogTerm: previousTerm,
-		Commit:  n.commit,
-		Entries: entries,
-		Round:   n.leadership.round,
+		Kind:           MessageAppend,
+		To:             to,
+		Index:          member.next - 1,
+		LogTerm:        previousTerm,
+		Commit:         n.commit,
+		Entries:        entries,
+		HeartbeatRound: n.leadership.round,
 	})
 	member.sentCommit = n.commit
 	if member.state == progressProbe {
@@ -168,7 +168,7 @@
 
 func (n *Node) handleAppend(message Message) {
 	n.followLeader(message.From)
-	reply := Message{Kind: MessageAppendReply, To: message.From, Round: message.Round}
+	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	if message.Index < n.commit {
 		// What is committed here is the same everywhere.
 		reply.Index = n.commit
@@ -178,8 +178,8 @@
 	if !n.log.matches(message.Index, message.LogTerm) {
 		reply.Index = message.Index
 		reply.Reject = true
-		reply.Hint = n.log.conflictHint(message.Index, message.LogTerm)
-		reply.LogTerm, _ = n.log.term(reply.Hint)
+		reply.RejectHint = n.log.conflictHint(message.Index, message.LogTerm)
+		reply.LogTerm, _ = n.log.term(reply.RejectHint)
 		n.send(reply)
 		return
 	}
@@ -215,7 +215,7 @@
 	if n.role != Leader {
 		return
 	}
-	member := n.noteAnswer(message.From, message.Round)
+	member := n.noteAnswer(message.From, message.HeartbeatRound)
 	if member == nil {
 		return
 	}
@@ -246,7 +246,7 @@
 	if member.state == progressProbe && message.Index != member.next-1 {
 		return
 	}
-	hint := message.Hint
+	hint := message.RejectHint
 	if message.LogTerm > 0 {
 		hint = n.log.conflictHint(hint, message.LogTerm)
 	}
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -20,14 +20,14 @@
 		Membership: n.membershipAt(index).clone(),
 		Data:       data,
 	}
-	n.log.compact(snapshot, KeepFrom(snapshot, keep)-1)
+	n.log.compact(snapshot, FirstRetainedIndex(snapshot, keep)-1)
 	n.compactConfigurations(index)
 	return snapshot, nil
 }
 
-// KeepFrom returns the first index that stays in the log when keep entries
+// FirstRetainedIndex returns the first index that stays in the log when keep entries
 // before the snapshot's index are kept.
-func KeepFrom(snapshot Snapshot, keep uint64) uint64 {
+func FirstRetainedIndex(snapshot Snapshot, keep uint64) uint64 {
 	if keep >= snapshot.Index {
 		return 1
 	}
@@ -42,10 +42,10 @@
 	member.snapshotSent = n.now
 	member.inflight = nil
 	n.send(Message{
-		Kind:     MessageSnapshot,
-		To:       to,
-		Round:    n.leadership.round,
-		Snapshot: &snapshot,
+		Kind:           MessageSnapshot,
+		To:             to,
+		HeartbeatRound: n.leadership.round,
+		Snapshot:       &snapshot,
 	})
 }
 
@@ -54,7 +54,7 @@
 func (n *Node) handleSnapshot(message Message) {
 	n.followLeader(message.From)
 	snapshot := *message.Snapshot
-	reply := Message{Kind: MessageAppendReply, To: message.From, Round: message.Round}
+	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	switch {
 	case snapshot.Index <= n.commit:
 		reply.Index = n.commit
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -71,12 +71,12 @@
 				m.tick(now)
 				grant := m.renew(now, renewals[i])
 				renewals[i].Term = grant.Term
-				if transfer, err := grant.Difference(); err != nil {
+				if transfer, err := grant.UnpackTransfer(); err != nil {
 					b.Fatal(err)
 				} else if transfer != nil {
-					renewals[i].Held = transfer.To
+					renewals[i].ReceivedSerial = transfer.To
 				}
-				renewals[i].Active = grant.Activate
+				renewals[i].ActiveSerial = grant.ActivationSerial
 				if err := m.settle(now); err != nil {
 					b.Fatal(err)
 				}
--- a/control/decision.go
+++ b/control/decision.go
@@ -4,10 +4,10 @@
 	"fmt"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/documentchange"
 	"github.com/deckpulley/deckpulley/internal/planted"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -17,7 +17,7 @@
 // plan is a decision and the update that makes it so.
 type plan struct {
 	update registry.Update
-	answer places.Order
+	answer catalog.OperationResult
 }
 
 func (t *task) plan(facts orderFacts) (plan, error) {
@@ -52,16 +52,16 @@
 	}
 	text, document, problem := changedDocument(facts.contents, t.change)
 	if problem != nil {
-		base := configuration.BasePrerequisite(facts.contents.View())
+		base := configuration.UnchangedPrerequisite(facts.contents.View())
 		return t.refuse(facts, base, problem.Code, problem.Field, problem.Message), nil
 	}
 	return t.acceptDocument(facts, document, order.Author, text)
 }
 
 // changedDocument is the current document with a change made to it.
-func changedDocument(contents *places.Contents, change *documentchange.Change) (string, *configuration.Document, *api.Error) {
-	current, _ := contents.ConfigurationRecord()
-	text, err := documentchange.ApplyToMappings(current.Document, change)
+func changedDocument(contents *catalog.State, change *patch.Change) (string, *configuration.Document, *api.Error) {
+	current, _ := contents.Configuration()
+	text, err := patch.ApplyYAML(current.Document, change)
 	if err != nil {
 		return "", nil, invalidChange(err)
 	}
@@ -79,60 +79,60 @@
 		return plan{}, false
 	}
 	reason := fmt.Sprintf("built on version %d, the current version is %d", base, current)
-	while := configuration.BasePrerequisite(facts.contents.View())
+	while := configuration.UnchangedPrerequisite(facts.contents.View())
 	return t.refuse(facts, while, api.CodeVersionConflict, "base_version", reason), true
 }
 
 // acceptDocument makes a document the next version.
 func (t *task) acceptDocument(facts orderFacts, document *configuration.Document, author, text string) (plan, error) {
 	version := facts.contents.Version() + 1
-	base := configuration.BasePrerequisite(facts.contents.View())
+	base := configuration.UnchangedPrerequisite(facts.contents.View())
 	changes, err := configuration.Changes(facts.contents.View(), document, version, author, text)
 	if err != nil {
 		return plan{}, err
 	}
-	answer := places.Order{Digest: t.digest, Accepted: true, Version: version, Number: facts.number}
+	answer := catalog.OperationResult{Digest: t.digest, Accepted: true, Version: version, Sequence: facts.number}
 	return t.decide(facts, answer, author, []registry.Record{base}, changes), nil
 }
 
 // planEvacuation empties a zone of the current configuration, or withdraws that.
 func (t *task) planEvacuation(facts orderFacts) plan {
 	order := t.request.Evacuation
-	name := places.ZoneName(order.Zone)
+	name := catalog.ZoneName(order.Zone)
 	if _, known := facts.contents.Zones()[order.Zone]; !known {
 		reason := fmt.Sprintf("the configuration has no zone %q", order.Zone)
-		return t.refuse(facts, registry.Absent(name, places.TypeZone), api.CodeNotFound, "zone", reason)
+		return t.refuse(facts, registry.Absent(name, catalog.TypeZone), api.CodeNotFound, "zone", reason)
 	}
-	change := registry.DeleteSet(name, places.TypeEvacuation)
+	change := registry.DeleteSet(name, catalog.TypeEvacuation)
 	if !order.Withdraw {
-		change = registry.Add(places.EvacuationRecord(order.Zone, places.Evacuation{Author: order.Author, Order: order.OrderID}))
+		change = registry.Add(catalog.EvacuationRecord(order.Zone, catalog.Evacuation{Author: order.Author, OperationID: order.OperationID}))
 	}
-	answer := places.Order{Digest: t.digest, Accepted: true, Version: facts.contents.Version(), Number: facts.number}
-	exists := registry.Exists(name, places.TypeZone)
+	answer := catalog.OperationResult{Digest: t.digest, Accepted: true, Version: facts.contents.Version(), Sequence: facts.number}
+	exists := registry.Exists(name, catalog.TypeZone)
 	return t.decide(facts, answer, order.Author, []registry.Record{exists}, []registry.Record{change})
 }
 
 func (t *task) refuse(facts orderFacts, while registry.Record, code api.Code, field, reason string) plan {
-	answer := places.Order{
-		Digest:  t.digest,
-		Version: facts.contents.Version(),
-		Number:  facts.number,
-		Code:    string(code),
-		Field:   field,
-		Reason:  reason,
+	answer := catalog.OperationResult{
+		Digest:   t.digest,
+		Version:  facts.contents.Version(),
+		Sequence: facts.number,
+		Code:     string(code),
+		Field:    field,
+		Reason:   reason,
 	}
 	return t.decide(facts, answer, "", []registry.Record{while}, nil)
 }
 
 // decide adds the answer's record to the changes, once: no answer may exist.
-func (t *task) decide(facts orderFacts, answer places.Order, author string, prerequisites, changes []registry.Record) plan {
-	name := places.OrderName(t.id())
-	prerequisites = append(prerequisites, registry.Absent(name, places.TypeOrder))
-	changes = append(changes, registry.Add(places.OrderRecord(t.id(), answer)))
+func (t *task) decide(facts orderFacts, answer catalog.OperationResult, author string, prerequisites, changes []registry.Record) plan {
+	name := catalog.OperationName(t.id())
+	prerequisites = append(prerequisites, registry.Absent(name, catalog.TypeOperation))
+	changes = append(changes, registry.Add(catalog.OperationResultRecord(t.id(), answer)))
 	for _, oldest := range facts.surplus {
-		changes = append(changes, registry.DeleteSet(oldest, places.TypeOrder))
+		changes = append(changes, registry.DeleteSet(oldest, catalog.TypeOperation))
 	}
-	update := registry.NewUpdate(places.Apex, prerequisites, changes)
+	update := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 	update.Requestor = requestorOperator + author
 	return plan{update: update, answer: answer}
 }
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -22,12 +22,12 @@
 	}
 	observed := n.observe()
 	return &peer.HelloReply{
-		Name:     n.options.Name,
-		Identity: observed.identity,
-		Cluster:  observed.cluster,
-		Forming:  n.promise(observed, hello),
-		Leader:   observed.status.Leader,
-		Members:  observed.status.Membership.Members,
+		Name:                 n.options.Name,
+		Identity:             observed.identity,
+		Cluster:              observed.cluster,
+		BootstrapCoordinator: n.promise(observed, hello),
+		Leader:               observed.status.Leader,
+		Members:              observed.status.Membership.Members,
 	}, nil
 }
 
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -49,7 +49,7 @@
 		f.stores[old.options.Name].stall(stall)
 		started := time.Now()
 		f.mustSend(through, "order-2", 1)
-		if took := time.Since(started); took > lease.DefaultTerms().Window()+2*time.Second {
+		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
 			t.Errorf("with a primary whose disk stalls an order took %v", took)
 		}
 		if successor := f.primary(old.options.Name); successor == old {
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
@@ -198,16 +198,16 @@
 }
 
 // send hands a configuration over and returns the status and the answer.
-func (f *fleet) send(node *Node, id string, base uint64, document string) (int, api.OrderAnswer) {
+func (f *fleet) send(node *Node, id string, base uint64, document string) (int, api.OperationResult) {
 	f.t.Helper()
-	var answer api.OrderAnswer
-	order := api.ConfigurationOrder{OrderID: id, BaseVersion: base, Author: "test", Document: document}
+	var answer api.OperationResult
+	order := api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: "test", Document: document}
 	status := f.request(node, http.MethodPut, api.PathConfiguration, order, &answer)
 	return status, answer
 }
 
 // mustSend is send for an order that must be accepted.
-func (f *fleet) mustSend(node *Node, id string, base uint64) api.OrderAnswer {
+func (f *fleet) mustSend(node *Node, id string, base uint64) api.OperationResult {
 	f.t.Helper()
 	status, answer := f.send(node, id, base, document(f.t))
 	if status != http.StatusOK || !answer.Accepted {
@@ -274,8 +274,8 @@
 		cancel:  cancel,
 		done:    make(chan struct{}),
 		notify:  make(chan struct{}, 1),
-		holder:  lease.NewHolder(lease.DefaultTerms()),
-		copy:    registry.NewSecondary(places.Apex, places.Schema()),
+		holder:  lease.NewHolder(lease.DefaultConfig()),
+		copy:    registry.NewSecondary(catalog.Apex, catalog.Schema()),
 		granted: make(map[uint64]int),
 	}
 	for _, name := range control {
@@ -319,7 +319,7 @@
 		select {
 		case <-ctx.Done():
 		case <-g.notify:
-		case <-time.After(lease.DefaultTerms().Renewal):
+		case <-time.After(lease.DefaultConfig().RenewalInterval):
 		}
 	}
 }
@@ -339,12 +339,12 @@
 	g.mutex.Lock()
 	sent := time.Since(g.started)
 	renew := peer.Renew{
-		Cluster: g.holder.Cluster(),
-		Gateway: peer.GatewayInfo{Name: g.name, Incarnation: "1", Zone: "zone-1", Region: "region-1", PeerAddress: g.address, HTTPAddress: g.name + ":2"},
-		Term:    g.holder.Term(),
-		Held:    g.held,
-		Active:  g.active,
-		Valid:   g.holder.Valid(sent),
+		Cluster:        g.holder.Cluster(),
+		Gateway:        peer.GatewayInfo{Name: g.name, Incarnation: "1", Zone: "zone-1", Region: "region-1", PeerAddress: g.address, HTTPAddress: g.name + ":2"},
+		Term:           g.holder.Term(),
+		ReceivedSerial: g.held,
+		ActiveSerial:   g.active,
+		LeaseValid:     g.holder.Valid(sent),
 	}
 	g.mutex.Unlock()
 	var grant peer.Grant
@@ -358,7 +358,7 @@
 
 func (g *testGateway) take(sent time.Duration, grant peer.Grant) bool {
 	length := time.Duration(grant.LeaseMS) * time.Millisecond
-	if err := g.holder.Granted(time.Since(g.started), sent, grant.Term, grant.Cluster, length); err != nil {
+	if err := g.holder.HandleGrant(time.Since(g.started), sent, grant.Term, grant.Cluster, length); err != nil {
 		return false
 	}
 	if length > 0 {
@@ -372,7 +372,7 @@
 		}
 		g.held = g.copy.Serial()
 	}
-	if grant.Activate != 0 && !registry.SerialLess(grant.Activate, g.held) && g.active != g.held {
+	if grant.ActivationSerial != 0 && !registry.SerialLess(grant.ActivationSerial, g.held) && g.active != g.held {
 		g.active = g.held
 		g.activeAt = append(g.activeAt, g.active)
 	}
@@ -390,8 +390,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := 0
-	g.copy.View().Walk(places.Apex, registry.TypeANY, func(record registry.Record) bool {
-		if record.Type == places.TypeOrder || record.Type == places.TypeDocument {
+	g.copy.View().Walk(catalog.Apex, registry.TypeANY, func(record registry.Record) bool {
+		if record.Type == catalog.TypeOperation || record.Type == catalog.TypeDocumentChunk {
 			count++
 		}
 		return true
@@ -412,7 +412,7 @@
 }
 
 // cut separates one address from others, both ways.
-func (f *fleet) cut(address string, others ...string) { f.setCut(f.network.Cut, address, others) }
+func (f *fleet) cut(address string, others ...string) { f.setCut(f.network.Partition, address, others) }
 
 func (f *fleet) heal(address string, others ...string) { f.setCut(f.network.Heal, address, others) }
 
--- a/control/formation.go
+++ b/control/formation.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -37,7 +37,7 @@
 
 // serveForm makes a fresh node a voter of a new group, once.
 func (n *Node) serveForm(ctx context.Context, from string, decode func(any) error) (any, error) {
-	var form peer.Form
+	var form peer.Bootstrap
 	if err := decode(&form); err != nil {
 		return nil, err
 	}
@@ -51,11 +51,11 @@
 		return nil, err
 	}
 	n.log.Info("asked to form a group", "from", from, "cluster", form.Cluster, "accepted", accepted)
-	return &peer.FormReply{Accepted: accepted}, nil
+	return &peer.BootstrapReply{Accepted: accepted}, nil
 }
 
 // form adopts a group in whose first membership this disk stands.
-func (m *machine) form(now time.Duration, form peer.Form, promised consensus.ID) bool {
+func (m *machine) form(now time.Duration, form peer.Bootstrap, promised consensus.ID) bool {
 	if m.cluster != "" {
 		return m.cluster == form.Cluster
 	}
@@ -87,7 +87,7 @@
 		return false
 	}
 	m.cluster = cluster
-	if err := m.open(storage.Loaded{Identity: m.identity, Cluster: cluster, Snapshot: snapshot}, now); err != nil {
+	if err := m.open(storage.State{Identity: m.identity, Cluster: cluster, Snapshot: snapshot}, now); err != nil {
 		m.failure = err
 		return false
 	}
@@ -101,8 +101,8 @@
 	for _, member := range members {
 		names = append(names, member.Name)
 	}
-	head := registry.Head{Primary: primary, Serial: firstSerial, Refresh: headRefresh, Expire: headExpire}
-	table, err := registry.New(places.Apex, places.Schema(), head, names)
+	head := registry.SOA{Primary: primary, Serial: firstSerial, Refresh: headRefresh, Expire: headExpire}
+	table, err := registry.New(catalog.Apex, catalog.Schema(), head, names)
 	if err != nil {
 		return consensus.Snapshot{}, fmt.Errorf("control: making the first table: %w", err)
 	}
@@ -131,7 +131,7 @@
 			return false
 		}
 		reply, answered := replyFrom(replies, address)
-		if !answered || reply.Name != name || reply.Cluster != "" || reply.Forming != observed.identity {
+		if !answered || reply.Name != name || reply.Cluster != "" || reply.BootstrapCoordinator != observed.identity {
 			return false
 		}
 	}
@@ -165,7 +165,7 @@
 	}
 	n.log.Info("formed a group", "cluster", cluster, "members", len(members))
 	for _, member := range members[1:] {
-		n.sendForm(ctx, member.Address, peer.Form{Cluster: cluster, Snapshot: snapshot})
+		n.sendForm(ctx, member.Address, peer.Bootstrap{Cluster: cluster, Snapshot: snapshot})
 	}
 }
 
@@ -178,7 +178,7 @@
 		if !found || member.Learner || greeting.reply.Cluster != "" {
 			continue
 		}
-		form, err := ask(ctx, n, func(time.Duration) peer.Form { return n.machine.currentForm() })
+		form, err := ask(ctx, n, func(time.Duration) peer.Bootstrap { return n.machine.currentForm() })
 		if err == nil && form.Snapshot.Index > 0 {
 			n.sendForm(ctx, greeting.address, form)
 		}
@@ -188,16 +188,16 @@
 // currentForm offers the state of the group at its formation. After the first
 // change there is nothing to offer: the group had a majority by then, and its
 // leader brings a member up to date.
-func (m *machine) currentForm() peer.Form {
+func (m *machine) currentForm() peer.Bootstrap {
 	if m.table == nil || m.applied != 1 {
-		return peer.Form{}
+		return peer.Bootstrap{}
 	}
 	data, err := m.snapshotData()
 	if err != nil {
-		return peer.Form{}
+		return peer.Bootstrap{}
 	}
 	membership := m.group.Status().Membership
-	return peer.Form{
+	return peer.Bootstrap{
 		Cluster:  m.cluster,
 		Snapshot: consensus.Snapshot{Index: 1, Term: 1, Membership: membership, Data: data},
 	}
@@ -223,11 +223,11 @@
 	return members, nil
 }
 
-func (n *Node) sendForm(ctx context.Context, address string, form peer.Form) {
+func (n *Node) sendForm(ctx context.Context, address string, form peer.Bootstrap) {
 	ctx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
-	var reply peer.FormReply
-	if err := n.network.Call(ctx, address, peer.KindForm, &form, &reply); err != nil {
+	var reply peer.BootstrapReply
+	if err := n.network.Call(ctx, address, peer.KindBootstrap, &form, &reply); err != nil {
 		n.log.Warn("member not told of the group", "address", address, "error", err)
 	}
 }
--- a/control/forward.go
+++ b/control/forward.go
@@ -66,7 +66,7 @@
 
 // serveOrder takes an order that another control node forwards.
 func (n *Node) serveOrder(ctx context.Context, _ string, decode func(any) error) (any, error) {
-	var request peer.OrderRequest
+	var request peer.OperationRequest
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 
 // forwardOrder passes an order to the primary, and gives up when another node
 // becomes that: the first may be frozen. An error leaves the order's fate open.
-func (n *Node) forwardOrder(ctx context.Context, primary string, request peer.OrderRequest) (peer.OrderReply, error) {
+func (n *Node) forwardOrder(ctx context.Context, primary string, request peer.OperationRequest) (peer.OperationReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -90,12 +90,12 @@
 	if deadline, bounded := ctx.Deadline(); bounded {
 		request.WaitMS = (time.Until(deadline) - answerSlack).Milliseconds()
 	}
-	var reply peer.OrderReply
-	if err := n.network.Call(ctx, primary, peer.KindOrder, &request, &reply); err != nil {
-		return peer.OrderReply{}, err
+	var reply peer.OperationReply
+	if err := n.network.Call(ctx, primary, peer.KindOperation, &request, &reply); err != nil {
+		return peer.OperationReply{}, err
 	}
 	if reply.Answer == nil && reply.Error == nil {
-		return peer.OrderReply{}, errors.New("control: empty reply to an order")
+		return peer.OperationReply{}, errors.New("control: empty reply to an order")
 	}
 	return reply, nil
 }
--- a/control/forward_test.go
+++ b/control/forward_test.go
@@ -16,13 +16,13 @@
 // scriptedNetwork answers calls one after the other.
 type scriptedNetwork struct {
 	transport.Network
-	calls []func(reply *peer.OrderReply) error
+	calls []func(reply *peer.OperationReply) error
 }
 
 func (s *scriptedNetwork) Call(_ context.Context, _ string, _ transport.Kind, _, reply any) error {
 	call := s.calls[0]
 	s.calls = s.calls[1:]
-	return call(reply.(*peer.OrderReply))
+	return call(reply.(*peer.OperationReply))
 }
 
 // TestForwardedOrderIsNotRefusedOnceItsFateIsOpen loses the answer of a primary
@@ -31,9 +31,9 @@
 func TestForwardedOrderIsNotRefusedOnceItsFateIsOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		network := &scriptedNetwork{calls: []func(*peer.OrderReply) error{
-			func(*peer.OrderReply) error { return errors.New("the answer was lost") },
-			func(reply *peer.OrderReply) error {
+		network := &scriptedNetwork{calls: []func(*peer.OperationReply) error{
+			func(*peer.OperationReply) error { return errors.New("the answer was lost") },
+			func(reply *peer.OperationReply) error {
 				cancel()
 				reply.Error = noPrimary("no primary was reached in time; the order was not carried out", api.OutcomeRefused)
 				return nil
@@ -47,7 +47,7 @@
 			}},
 			superseded: make(chan struct{}),
 		})
-		order := peer.OrderRequest{Evacuation: &api.EvacuationOrder{OrderID: "o1", Zone: "z"}}
+		order := peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "o1", Zone: "z"}}
 		reply := n.order(ctx, order)
 		if reply.Error == nil || reply.Error.Outcome != api.OutcomeUnknown || len(network.calls) != 0 {
 			t.Fatalf("answered %+v, %d calls left", reply.Error, len(network.calls))
--- a/control/gatewaywrites.go
+++ b/control/gatewaywrites.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -17,9 +17,9 @@
 // gatewayWrite is a change of one gateway's member record.
 type gatewayWrite struct {
 	name   string
-	old    places.Gateway
+	old    catalog.Gateway
 	known  bool // old is there
-	wanted places.Gateway
+	wanted catalog.Gateway
 	done   func()
 }
 
@@ -27,7 +27,7 @@
 // member records go one after the other, so that gateways that come at once, as after
 // a loss of power, become one change of the registry and not one each: every change
 // goes to every gateway.
-func (m *machine) writeGateway(now time.Duration, name string, old places.Gateway, known bool, wanted places.Gateway, done func()) {
+func (m *machine) writeGateway(now time.Duration, name string, old catalog.Gateway, known bool, wanted catalog.Gateway, done func()) {
 	m.log.Info("gateway member record", "gateway", name, "up", wanted.Up, "incarnation", wanted.Incarnation, "term", m.leadership.term)
 	leadership := m.leadership
 	leadership.writes = append(leadership.writes, gatewayWrite{name: name, old: old, known: known, wanted: wanted, done: done})
@@ -48,7 +48,7 @@
 	changes := make([]registry.Record, 0, count)
 	for i := range writes {
 		prerequisites = append(prerequisites, writes[i].prerequisite())
-		changes = append(changes, registry.Add(places.GatewayRecord(writes[i].name, writes[i].wanted)))
+		changes = append(changes, registry.Add(catalog.GatewayRecord(writes[i].name, writes[i].wanted)))
 	}
 	m.propose(now, m.ownUpdate(prerequisites, changes), func(registry.Result, error) {
 		leadership.writing = false
@@ -62,13 +62,13 @@
 // earlier ones. Every change of the registry goes to every gateway, and after a loss
 // of power what they need first is the table that is there, to serve by it.
 func (l *leadership) holdsWrites(now time.Duration) bool {
-	return !l.grantor.Settled() && now-l.readyAt < takeoverHold
+	return !l.grantor.GracePeriodOver() && now-l.readyAt < takeoverHold
 }
 
 // prerequisite is the record that is replaced, or that there is none.
 func (w *gatewayWrite) prerequisite() registry.Record {
 	if w.known {
-		return registry.Equals(places.GatewayRecord(w.name, w.old))
+		return registry.Equals(catalog.GatewayRecord(w.name, w.old))
 	}
-	return registry.Absent(places.GatewayName(w.name), places.TypeGateway)
+	return registry.Absent(catalog.GatewayName(w.name), catalog.TypeGateway)
 }
--- a/control/gatewaywrites_test.go
+++ b/control/gatewaywrites_test.go
@@ -61,12 +61,12 @@
 		t.Errorf("%d new records were written before anybody may serve", written)
 	}
 	m.advance(t, &now, 2*defaultTickInterval)
-	if m.leadership.grantor.Activate() == 0 {
+	if m.leadership.grantor.ActivationSerial() == 0 {
 		t.Error("nothing may become active although every gateway was heard")
 	}
 	crowd.renew(t, m, now)
 	for i := range crowd {
-		if crowd[i].Active == 0 {
+		if crowd[i].ActiveSerial == 0 {
 			t.Fatalf("%s may not serve yet", crowd[i].Gateway.Name)
 		}
 	}
@@ -144,12 +144,12 @@
 			if grant.LeaseMS == 0 {
 				t.Fatalf("%s lost its lease", crowd[i].Gateway.Name)
 			}
-			if transfer, err := grant.Difference(); err != nil {
+			if transfer, err := grant.UnpackTransfer(); err != nil {
 				t.Fatal(err)
 			} else if transfer != nil {
-				crowd[i].Held = transfer.To
+				crowd[i].ReceivedSerial = transfer.To
 			}
-			if crowd[i].Held != m.table.Serial() {
+			if crowd[i].ReceivedSerial != m.table.Serial() {
 				behind++
 			}
 		}
@@ -182,13 +182,13 @@
 	for i := range c {
 		m.tick(now)
 		grant := m.renew(now, c[i])
-		c[i].Term, c[i].Active = grant.Term, grant.Activate
-		transfer, err := grant.Difference()
+		c[i].Term, c[i].ActiveSerial = grant.Term, grant.ActivationSerial
+		transfer, err := grant.UnpackTransfer()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if transfer != nil {
-			c[i].Held = transfer.To
+			c[i].ReceivedSerial = transfer.To
 		}
 		if grant.LeaseMS > 0 {
 			leased++
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -14,9 +14,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/transport"
 )
@@ -93,7 +93,7 @@
 	learner := api.MemberStatus{Name: "control-4", Role: "control", Zone: "zone-2", PeerAddress: "10.0.0.4:7141", Identity: "disk-4", Learner: true}
 	gateway := api.MemberStatus{
 		Name: "gateway-1", Role: "gateway", Zone: "zone-3", Region: "region-2", Incarnation: "89abcdef0123456789abcdef",
-		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, LeaseMS: 2500, HeldSerial: 41, ActiveSerial: 40, ActiveVersion: 7,
+		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, LeaseMS: 2500, ReceivedSerial: 41, ActiveSerial: 40, ActiveVersion: 7,
 	}
 	cases := []struct {
 		name    string
@@ -167,54 +167,54 @@
 	update registry.Update
 } {
 	update := func(requestor string, prerequisites, changes []registry.Record) registry.Update {
-		made := registry.NewUpdate(places.Apex, prerequisites, changes)
+		made := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 		made.Requestor = requestor
 		return made
 	}
-	gateway := places.Gateway{
+	gateway := catalog.Gateway{
 		Incarnation: "89abcdef0123456789abcdef", Zone: "zone-3", Region: "region-2",
-		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, MayHold: true, LinkMbps: 100,
+		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, MayHoldLease: true, LinkMbps: 100,
 	}
 	down := gateway
 	down.Up = false
-	accepted := places.Order{Digest: 0x0123456789abcdef, Accepted: true, Version: 0, Number: 2}
-	refused := places.Order{Digest: 0xfedcba9876543210, Version: 0, Number: 3, Code: "version_conflict", Field: "base_version", Reason: "built on version 1, the current version is 0"}
+	accepted := catalog.OperationResult{Digest: 0x0123456789abcdef, Accepted: true, Version: 0, Sequence: 2}
+	refused := catalog.OperationResult{Digest: 0xfedcba9876543210, Version: 0, Sequence: 3, Code: "version_conflict", Field: "base_version", Reason: "built on version 1, the current version is 0"}
 	return []struct {
 		name   string
 		update registry.Update
 	}{
 		{name: "update-head", update: update(requestorControl+"control-1", nil, []registry.Record{
-			registry.Add(registry.HeadRecord(places.Apex, registry.Head{Primary: "control-1", Serial: 2, Refresh: headRefresh, Expire: headExpire})),
+			registry.Add(registry.SOARecord(catalog.Apex, registry.SOA{Primary: "control-1", Serial: 2, Refresh: headRefresh, Expire: headExpire})),
 		})},
 		{name: "update-members", update: update(requestorControl+"control-1", nil, []registry.Record{
-			registry.Add(registry.MemberRecord(places.Apex, "control-4")),
-			registry.DeleteRecord(registry.MemberRecord(places.Apex, "control-3")),
+			registry.Add(registry.NSRecord(catalog.Apex, "control-4")),
+			registry.DeleteRecord(registry.NSRecord(catalog.Apex, "control-3")),
 		})},
 		{name: "update-gateway-added", update: update(requestorControl+"control-1",
-			[]registry.Record{registry.Absent(places.GatewayName("gateway-1"), places.TypeGateway)},
-			[]registry.Record{registry.Add(places.GatewayRecord("gateway-1", gateway))},
+			[]registry.Record{registry.Absent(catalog.GatewayName("gateway-1"), catalog.TypeGateway)},
+			[]registry.Record{registry.Add(catalog.GatewayRecord("gateway-1", gateway))},
 		)},
 		{name: "update-gateway-down", update: update(requestorControl+"control-1",
-			[]registry.Record{registry.Equals(places.GatewayRecord("gateway-1", gateway))},
-			[]registry.Record{registry.Add(places.GatewayRecord("gateway-1", down))},
+			[]registry.Record{registry.Equals(catalog.GatewayRecord("gateway-1", gateway))},
+			[]registry.Record{registry.Add(catalog.GatewayRecord("gateway-1", down))},
 		)},
 		{name: "update-evacuation", update: update(requestorOperator+"operator-1",
-			[]registry.Record{registry.Absent(places.OrderName("operation-1"), places.TypeOrder)},
+			[]registry.Record{registry.Absent(catalog.OperationName("operation-1"), catalog.TypeOperation)},
 			[]registry.Record{
-				registry.Add(places.EvacuationRecord("zone-1", places.Evacuation{Author: "operator-1", Order: "operation-1"})),
-				registry.Add(places.OrderRecord("operation-1", accepted)),
+				registry.Add(catalog.EvacuationRecord("zone-1", catalog.Evacuation{Author: "operator-1", OperationID: "operation-1"})),
+				registry.Add(catalog.OperationResultRecord("operation-1", accepted)),
 			},
 		)},
 		{name: "update-refusal", update: update(requestorOperator,
-			[]registry.Record{registry.Absent(places.OrderName("operation-2"), places.TypeOrder)},
-			[]registry.Record{registry.Add(places.OrderRecord("operation-2", refused))},
+			[]registry.Record{registry.Absent(catalog.OperationName("operation-2"), catalog.TypeOperation)},
+			[]registry.Record{registry.Add(catalog.OperationResultRecord("operation-2", refused))},
 		)},
 		{name: "update-replicas", update: update(requestorPlatform, nil, []registry.Record{
-			registry.Add(places.ReplicaRecord("replica-1", places.Replica{Service: "service-1", Zone: "zone-1", Region: "region-1", Address: "10.0.2.1:9000", Slots: 4})),
-			registry.Add(places.DrainRecord("replica-1", places.Drain{Reason: "listed as draining"})),
+			registry.Add(catalog.ReplicaRecord("replica-1", catalog.Replica{Service: "service-1", Zone: "zone-1", Region: "region-1", Address: "10.0.2.1:9000", Slots: 4})),
+			registry.Add(catalog.DrainRecord("replica-1", catalog.Drain{Reason: "listed as draining"})),
 		})},
 		{name: "update-condition", update: update(requestorGateway+"10.0.1.1:7141", nil, []registry.Record{
-			registry.Add(places.ConditionRecord("replica-1", places.Condition{State: places.ConditionUp})),
+			registry.Add(catalog.ConditionRecord("replica-1", catalog.Condition{State: catalog.ConditionUp})),
 		})},
 	}
 }
@@ -251,7 +251,7 @@
 	if first.Cluster != goldenCluster || first.Voters != 3 || len(first.Orders) != 0 {
 		t.Errorf("the first snapshot is of group %q with %d voters and orders %v", first.Cluster, first.Voters, first.Orders)
 	}
-	table, err := registry.Restore(places.Schema(), first.Table)
+	table, err := registry.Restore(catalog.Schema(), first.Table)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,8 +275,8 @@
 		Cluster: goldenCluster,
 		Table:   encodedTable,
 		Orders: []orderEntry{
-			{Name: places.OrderName("operation-1"), Serial: 6},
-			{Name: places.OrderName("operation-2"), Serial: 7},
+			{Name: catalog.OperationName("operation-1"), Serial: 6},
+			{Name: catalog.OperationName("operation-2"), Serial: 7},
 		},
 		Voters: 3,
 	}
@@ -319,7 +319,7 @@
 			}
 		})
 	}
-	order := peer.RouteMapOrder{BaseVersion: 7, Text: "text"}
+	order := peer.RouteMapOperation{BaseVersion: 7, Text: "text"}
 	if got, want := routeMapID(&order), "map-"; !strings.HasPrefix(got, want) {
 		t.Errorf("identity %q does not begin with %q", got, want)
 	}
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -67,16 +67,16 @@
 		if difference := cmp.Diff(want, read.Replicas); difference != "" {
 			t.Errorf("replicas (-want +got):\n%s", difference)
 		}
-		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOrder{OrderID: "empty", Zone: "north-1"})
-		if !f.primary().observe().contents.Evacuated("north-1") {
+		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOperation{OperationID: "empty", Zone: "north-1"})
+		if !f.primary().observe().contents.IsEvacuated("north-1") {
 			t.Error("the zone is not evacuated after the acknowledgement")
 		}
-		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOrder{OrderID: "refill", Zone: "north-1", Withdraw: true})
-		if f.primary().observe().contents.Evacuated("north-1") {
+		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOperation{OperationID: "refill", Zone: "north-1", Withdraw: true})
+		if f.primary().observe().contents.IsEvacuated("north-1") {
 			t.Error("the zone is evacuated after the withdrawal's acknowledgement")
 		}
-		var refused api.OrderAnswer
-		status := f.request(f.follower(), http.MethodPost, api.PathEvacuations, api.EvacuationOrder{OrderID: "nowhere", Zone: "moon"}, &refused)
+		var refused api.OperationResult
+		status := f.request(f.follower(), http.MethodPost, api.PathEvacuations, api.EvacuationOperation{OperationID: "nowhere", Zone: "moon"}, &refused)
 		if status != http.StatusNotFound || refused.Accepted || refused.Error.Outcome != api.OutcomeRefused {
 			t.Errorf("evacuating an unknown zone answered %d %+v", status, refused)
 		}
@@ -85,7 +85,7 @@
 
 func (f *fleet) put(path, method string, body any) {
 	f.t.Helper()
-	var answer api.OrderAnswer
+	var answer api.OperationResult
 	if status := f.request(f.follower(), method, path, body, &answer); status != http.StatusOK || !answer.Accepted {
 		f.t.Fatalf("%s %s answered %d %+v", method, path, status, answer)
 	}
@@ -140,9 +140,9 @@
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
-		change := func(node *Node, id string, base uint64, text string) (int, api.OrderAnswer) {
-			var answer api.OrderAnswer
-			order := api.ConfigurationChangeOrder{OrderID: id, BaseVersion: base, Change: text}
+		change := func(node *Node, id string, base uint64, text string) (int, api.OperationResult) {
+			var answer api.OperationResult
+			order := api.ConfigurationPatchOperation{OperationID: id, BaseVersion: base, Change: text}
 			status := f.request(node, http.MethodPatch, api.PathConfiguration, order, &answer)
 			return status, answer
 		}
@@ -173,7 +173,7 @@
 		if tenant, known := contents.Tenant("added"); !known || tenant.Weight != 7 || contents.Version() != 2 {
 			t.Errorf("version %d, tenant %+v", contents.Version(), tenant)
 		}
-		current, _ := contents.ConfigurationRecord()
+		current, _ := contents.Configuration()
 		read, err := configuration.Load(current.Document)
 		if err != nil {
 			t.Fatal(err)
@@ -213,7 +213,7 @@
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-0", 0)
-		answers := make([]api.OrderAnswer, len(controlNames))
+		answers := make([]api.OperationResult, len(controlNames))
 		var writers sync.WaitGroup
 		for i, name := range controlNames {
 			writers.Go(func() {
@@ -431,7 +431,7 @@
 		started := time.Now()
 		f.mustSend(through, "order-2", 1)
 		// An election takes up to two time-outs of 600 ms, then older leases run out.
-		if took := time.Since(started); took > lease.DefaultTerms().Window()+2*time.Second {
+		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
 			t.Errorf("the order took %v", took)
 		}
 		time.Sleep(patience)
--- a/control/history.go
+++ b/control/history.go
@@ -8,7 +8,7 @@
 	"strconv"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 const (
@@ -30,7 +30,7 @@
 		limit = given
 	}
 	observed := n.observe()
-	answer := api.OrdersAnswer{Serial: observed.serial, Orders: []api.OrderStatus{}}
+	answer := api.OperationsAnswer{Serial: observed.serial, Orders: []api.OperationStatus{}}
 	if observed.contents != nil {
 		orders, err := newestOrders(observed.contents, limit)
 		if err != nil {
@@ -43,23 +43,23 @@
 }
 
 // newestOrders returns up to limit kept orders, newest first.
-func newestOrders(contents *places.Contents, limit int) ([]api.OrderStatus, error) {
-	orders := []api.OrderStatus{}
-	err := contents.WalkOrders(func(id string, order places.Order) bool {
-		orders = append(orders, api.OrderStatus{
-			Number:   order.Number,
-			OrderID:  id,
-			Accepted: order.Accepted,
-			Version:  order.Version,
-			Code:     api.Code(order.Code),
-			Field:    order.Field,
-			Reason:   order.Reason,
+func newestOrders(contents *catalog.State, limit int) ([]api.OperationStatus, error) {
+	orders := []api.OperationStatus{}
+	err := contents.WalkOperationResults(func(id string, order catalog.OperationResult) bool {
+		orders = append(orders, api.OperationStatus{
+			Number:      order.Sequence,
+			OperationID: id,
+			Accepted:    order.Accepted,
+			Version:     order.Version,
+			Code:        api.Code(order.Code),
+			Field:       order.Field,
+			Reason:      order.Reason,
 		})
 		return true
 	})
 	if err != nil {
 		return nil, err
 	}
-	slices.SortFunc(orders, func(a, b api.OrderStatus) int { return cmp.Compare(b.Number, a.Number) })
+	slices.SortFunc(orders, func(a, b api.OperationStatus) int { return cmp.Compare(b.Number, a.Number) })
 	return orders[:min(limit, len(orders))], nil
 }
--- a/control/http.go
+++ b/control/http.go
@@ -65,7 +65,7 @@
 	mux.HandleFunc("GET "+api.PathMembers, n.getMembers)
 	mux.HandleFunc("GET "+api.PathReplicas, n.getReplicas)
 	mux.HandleFunc("PUT "+api.PathReplicas, n.authorized(n.putReplicas))
-	mux.HandleFunc("GET "+api.PathOrders, n.getOrders)
+	mux.HandleFunc("GET "+api.PathOperations, n.getOrders)
 	mux.HandleFunc("GET "+api.PathLive, n.getLive)
 	mux.HandleFunc("GET "+api.PathReady, n.getReady)
 	mux.Handle("GET "+api.PathMetrics, promhttp.HandlerFor(n.metrics.registry, promhttp.HandlerOpts{}))
@@ -114,7 +114,7 @@
 }
 
 func (n *Node) putConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
-	var order api.ConfigurationOrder
+	var order api.ConfigurationOperation
 	if problem := readJSON(w, r, maxOrderBody, &order); problem != nil {
 		writeError(w, problem)
 		return
@@ -124,27 +124,27 @@
 		return
 	}
 	order.Author = authorOf(order.Author, operator)
-	n.serveHTTPOrder(w, r, peer.OrderRequest{Configuration: &order})
+	n.serveHTTPOrder(w, r, peer.OperationRequest{Configuration: &order})
 }
 
 func (n *Node) patchConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
-	var order api.ConfigurationChangeOrder
+	var order api.ConfigurationPatchOperation
 	if problem := readJSON(w, r, maxOrderBody, &order); problem != nil {
 		writeError(w, problem)
 		return
 	}
 	order.Author = authorOf(order.Author, operator)
-	n.serveHTTPOrder(w, r, peer.OrderRequest{ConfigurationChange: &order})
+	n.serveHTTPOrder(w, r, peer.OperationRequest{ConfigurationChange: &order})
 }
 
 func (n *Node) postEvacuation(w http.ResponseWriter, r *http.Request, operator string) {
-	var order api.EvacuationOrder
+	var order api.EvacuationOperation
 	if problem := readJSON(w, r, maxSmallBody, &order); problem != nil {
 		writeError(w, problem)
 		return
 	}
 	order.Author = authorOf(order.Author, operator)
-	n.serveHTTPOrder(w, r, peer.OrderRequest{Evacuation: &order})
+	n.serveHTTPOrder(w, r, peer.OperationRequest{Evacuation: &order})
 }
 
 func (n *Node) putReplicas(w http.ResponseWriter, r *http.Request, _ string) {
@@ -153,7 +153,7 @@
 		writeError(w, problem)
 		return
 	}
-	n.serveHTTPOrder(w, r, peer.OrderRequest{Replicas: &list})
+	n.serveHTTPOrder(w, r, peer.OperationRequest{Replicas: &list})
 }
 
 func authorOf(author, operator string) string {
@@ -164,7 +164,7 @@
 }
 
 // serveHTTPOrder carries an order out within the time that its sender gives.
-func (n *Node) serveHTTPOrder(w http.ResponseWriter, r *http.Request, request peer.OrderRequest) {
+func (n *Node) serveHTTPOrder(w http.ResponseWriter, r *http.Request, request peer.OperationRequest) {
 	wait, problem := n.waitOf(r)
 	if problem != nil {
 		writeError(w, problem)
@@ -184,7 +184,7 @@
 	}
 }
 
-func answerLabel(reply peer.OrderReply) string {
+func answerLabel(reply peer.OperationReply) string {
 	switch {
 	case reply.Error != nil:
 		return string(reply.Error.Code)
--- a/control/inventory.go
+++ b/control/inventory.go
@@ -46,7 +46,7 @@
 		n.log.Warn("list of replicas not read", "error", err)
 		return
 	}
-	reply := n.order(ctx, peer.OrderRequest{Replicas: list})
+	reply := n.order(ctx, peer.OperationRequest{Replicas: list})
 	if reply.Error != nil {
 		n.log.Warn("list of replicas not taken", "error", reply.Error)
 	}
--- a/control/leases.go
+++ b/control/leases.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -141,7 +141,7 @@
 	}
 	status := m.group.Status()
 	grant.Term = status.Term
-	grant.Control = addressesOf(status.Membership)
+	grant.ControlAddresses = addressesOf(status.Membership)
 	leadership, serving := m.serving()
 	if !serving {
 		grant.Primary = m.addressOf(status.Membership, status.Leader)
@@ -154,26 +154,26 @@
 	}
 	contact, known := m.group.QuorumContact()
 	decision := leadership.grantor.Renew(now, contact, known, lease.Request{
-		Holder:      renew.Gateway.Name,
-		Incarnation: renew.Gateway.Incarnation,
-		Held:        renew.Held,
-		Active:      renew.Active,
-		Leaving:     renew.Gateway.Leaving,
-		Valid:       renew.Valid,
-		Term:        renew.Term,
+		Holder:         renew.Gateway.Name,
+		Incarnation:    renew.Gateway.Incarnation,
+		ReceivedSerial: renew.ReceivedSerial,
+		ActiveSerial:   renew.ActiveSerial,
+		Release:        renew.Gateway.Draining,
+		LeaseValid:     renew.LeaseValid,
+		Term:           renew.Term,
 	})
 	m.noteGateway(now, renew)
-	grant.Activate = decision.Activate
-	if !decision.Granted {
+	grant.ActivationSerial = decision.ActivationSerial
+	if !decision.Authoritative {
 		m.metrics.renewals.WithLabelValues("refused").Inc()
 		return grant
 	}
 	m.metrics.renewals.WithLabelValues("granted").Inc()
 	grant.Granted = true
 	if m.mayLease(renew.Gateway) {
-		grant.LeaseMS = decision.Length.Milliseconds()
+		grant.LeaseMS = decision.LeaseDuration.Milliseconds()
 	}
-	m.addTransfer(now, &grant, renew.Held)
+	m.addTransfer(now, &grant, renew.ReceivedSerial)
 	return grant
 }
 
@@ -183,8 +183,8 @@
 // table to all gateways at once.
 func (m *machine) addFirstTable(now time.Duration, grant *peer.Grant, renew peer.Renew) {
 	known := renew.Cluster == "" || renew.Cluster == m.cluster
-	if renew.Held == 0 && known && grant.Primary != "" && m.table != nil {
-		m.addTransfer(now, grant, renew.Held)
+	if renew.ReceivedSerial == 0 && known && grant.Primary != "" && m.table != nil {
+		m.addTransfer(now, grant, renew.ReceivedSerial)
 	}
 }
 
@@ -195,7 +195,7 @@
 	record, known := m.contents.Gateways()[info.Name]
 	state := m.leadership.gateways[info.Name]
 	ending := state != nil && state.ending
-	return known && record.MayHold && record.Incarnation == info.Incarnation && !ending
+	return known && record.MayHoldLease && record.Incarnation == info.Incarnation && !ending
 }
 
 // expectHolders tells the grantor who may hold a lease of an earlier primary.
@@ -206,11 +206,11 @@
 	leadership.expected = true
 	var holders []lease.HolderID
 	for name, record := range m.contents.Gateways() {
-		if record.MayHold || record.Up { // older records only have the latter
+		if record.MayHoldLease || record.Up { // older records only have the latter
 			holders = append(holders, lease.HolderID{Holder: name, Incarnation: record.Incarnation})
 		}
 	}
-	leadership.grantor.Expect(now, holders)
+	leadership.grantor.ExpectReclaims(now, holders)
 }
 
 // foreign is true for a renewal that this primary must not answer with a grant:
@@ -222,9 +222,9 @@
 	if renew.Term > term {
 		return true
 	}
-	ahead := renew.Held != 0 && registry.SerialLess(m.table.Serial(), renew.Held)
+	ahead := renew.ReceivedSerial != 0 && registry.SerialLess(m.table.Serial(), renew.ReceivedSerial)
 	if ahead {
-		m.log.Error("gateway holds a newer serial than the primary", "gateway", renew.Gateway.Name, "held", renew.Held, "serial", m.table.Serial(), "term", term)
+		m.log.Error("gateway holds a newer serial than the primary", "gateway", renew.Gateway.Name, "held", renew.ReceivedSerial, "serial", m.table.Serial(), "term", term)
 	}
 	return ahead
 }
@@ -240,16 +240,16 @@
 		m.leadership.gateways[renew.Gateway.Name] = state
 	}
 	restarted := state.info.Incarnation != renew.Gateway.Incarnation
-	lapsed := now-state.renewed > m.options.Lease.Length
+	lapsed := now-state.renewed > m.options.Lease.Duration
 	if restarted || lapsed {
 		state.since = now
 	}
-	if restarted || lapsed || state.held != renew.Held || state.active != renew.Active {
+	if restarted || lapsed || state.held != renew.ReceivedSerial || state.active != renew.ActiveSerial {
 		m.leadership.leasesChanged = true
 	}
 	state.info = renew.Gateway
-	state.held = renew.Held
-	state.active = renew.Active
+	state.held = renew.ReceivedSerial
+	state.active = renew.ActiveSerial
 	state.renewed = now
 	state.heard = now
 	state.activeVersion = renew.ActiveVersion
@@ -282,15 +282,15 @@
 		return
 	}
 	old, known := m.contents.Gateways()[name]
-	wanted := places.Gateway{
-		Incarnation: state.info.Incarnation,
-		Zone:        state.info.Zone,
-		Region:      state.info.Region,
-		PeerAddress: state.info.PeerAddress,
-		HTTPAddress: state.info.HTTPAddress,
-		Up:          !state.info.Leaving,
-		MayHold:     !state.info.Leaving,
-		LinkMbps:    state.info.LinkMbps,
+	wanted := catalog.Gateway{
+		Incarnation:  state.info.Incarnation,
+		Zone:         state.info.Zone,
+		Region:       state.info.Region,
+		PeerAddress:  state.info.PeerAddress,
+		HTTPAddress:  state.info.HTTPAddress,
+		Up:           !state.info.Draining,
+		MayHoldLease: !state.info.Draining,
+		LinkMbps:     state.info.LinkMbps,
 	}
 	returned := known && !old.Up && old.Incarnation == wanted.Incarnation
 	if returned && now-state.since < m.options.GatewayGrace {
@@ -315,21 +315,21 @@
 // renewals, so that nobody is sent to them, and notes whose lease has run out,
 // with a grace. Those that never renewed with this primary are included.
 func (m *machine) markLapsedGateways(now time.Duration) {
-	patience := m.options.Lease.Length + m.options.Lease.Margin + m.options.GatewayGrace
+	patience := m.options.Lease.Duration + m.options.Lease.ClockDriftMargin + m.options.GatewayGrace
 	for name, record := range m.contents.Gateways() {
 		state, known := m.leadership.gateways[name]
 		if !known {
 			state = &gatewayState{renewed: m.lastUnheardRenewal(), heard: m.leadership.elected}
 			m.leadership.gateways[name] = state
 		}
-		ended := record.MayHold && now-state.renewed > patience
-		quiet := record.Up && now-state.heard > quietRenewals*m.options.Lease.Renewal
+		ended := record.MayHoldLease && now-state.renewed > patience
+		quiet := record.Up && now-state.heard > quietRenewals*m.options.Lease.RenewalInterval
 		if state.pending || !ended && !quiet {
 			continue
 		}
 		down := record
 		down.Up = false
-		down.MayHold = record.MayHold && !ended
+		down.MayHoldLease = record.MayHoldLease && !ended
 		state.pending = true
 		state.ending = ended
 		m.writeGateway(now, name, record, true, down, func() { state.pending, state.ending = false, false })
@@ -345,7 +345,7 @@
 // the window that a new primary waits for older leases.
 func (m *machine) lastUnheardRenewal() time.Duration {
 	terms := m.options.Lease
-	return m.leadership.elected + terms.Window() - terms.Length - terms.Margin
+	return m.leadership.elected + terms.GracePeriod() - terms.Duration - terms.ClockDriftMargin
 }
 
 // reviewLeases works out what may become active and what is in force. Both
@@ -357,9 +357,9 @@
 		return
 	}
 	m.expectHolders(now, leadership)
-	if leadership.grantor.AwaitsProof() && !leadership.confirming {
+	if leadership.grantor.AwaitsQuorumContact() && !leadership.confirming {
 		leadership.confirming = true
-		m.group.Confirm(now)
+		m.group.ConfirmLeadership(now)
 	}
 	contact, known := m.group.QuorumContact()
 	serial := m.table.Serial()
@@ -370,10 +370,10 @@
 	leadership.contact, leadership.contactKnown = contact, known
 	leadership.serial = serial
 	if known {
-		leadership.grantor.SetContact(contact)
+		leadership.grantor.SetQuorumContact(contact)
 	}
-	leadership.activate = leadership.grantor.Activate()
-	leadership.inForce, leadership.inForceKnown = leadership.grantor.InForce()
+	leadership.activate = leadership.grantor.ActivationSerial()
+	leadership.inForce, leadership.inForceKnown = leadership.grantor.SerialInForce()
 	m.notifyGateways(leadership)
 }
 
@@ -386,11 +386,11 @@
 	leadership.notifiedSerial = leadership.serial
 	leadership.notifiedActivate = leadership.activate
 	notify := peer.Notify{
-		Cluster:  m.cluster,
-		Term:     leadership.term,
-		Primary:  m.options.PeerAddress,
-		Serial:   leadership.serial,
-		Activate: leadership.activate,
+		Cluster:          m.cluster,
+		Term:             leadership.term,
+		Primary:          m.options.PeerAddress,
+		Serial:           leadership.serial,
+		ActivationSerial: leadership.activate,
 	}
 	for _, address := range m.gatewayAddresses() {
 		m.network.Send(address, peer.KindNotify, &notify)
@@ -421,7 +421,7 @@
 
 // ownUpdate is an update that this node makes for the fleet's own records.
 func (m *machine) ownUpdate(prerequisites, changes []registry.Record) registry.Update {
-	update := registry.NewUpdate(places.Apex, prerequisites, changes)
+	update := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 	update.Requestor = requestorControl + m.options.Name
 	return update
 }
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // A gateway that the new primary does not hear of may go on under its lease: the
@@ -23,7 +23,7 @@
 		f.cut(lost.address, lost.control...)
 		waited := f.timeToInForce()
 		// The time of the election is read up to one poll after it.
-		if window := lease.DefaultTerms().Window(); waited < window-50*time.Millisecond {
+		if window := lease.DefaultConfig().GracePeriod(); waited < window-50*time.Millisecond {
 			t.Errorf("in force is known %v after the election, the leases of an earlier primary may last %v", waited, window)
 		}
 		if !gateway.valid() {
@@ -41,7 +41,7 @@
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", first.valid)
 		f.await("the other lease", second.valid)
-		if waited, window := f.timeToInForce(), lease.DefaultTerms().Window(); waited > window/2 {
+		if waited, window := f.timeToInForce(), lease.DefaultConfig().GracePeriod(); waited > window/2 {
 			t.Errorf("in force is known only %v after the election", waited)
 		}
 	})
@@ -56,7 +56,7 @@
 		f.await("a lease", gateway.valid)
 		f.stopGateway("gateway-1")
 		f.startGateway("gateway-1")
-		if waited, window := f.timeToInForce(), lease.DefaultTerms().Window(); waited > window/2 {
+		if waited, window := f.timeToInForce(), lease.DefaultConfig().GracePeriod(); waited > window/2 {
 			t.Errorf("in force is known only %v after the election", waited)
 		}
 	})
@@ -80,10 +80,10 @@
 			if err := asking.Call(t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
 				t.Fatal(err)
 			}
-			if grant.Granted || grant.LeaseMS != 0 || grant.Activate != 0 || grant.Primary != primary.options.PeerAddress {
+			if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
 				t.Errorf("%s answers %+v", node.options.Name, grant)
 			}
-			transfer, err := grant.Difference()
+			transfer, err := grant.UnpackTransfer()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -105,7 +105,7 @@
 			if !given(node, peer.Renew{}) {
 				t.Errorf("%s gives no table", name)
 			}
-			if given(node, peer.Renew{Held: 1}) || given(node, peer.Renew{Cluster: "another"}) {
+			if given(node, peer.Renew{ReceivedSerial: 1}) || given(node, peer.Renew{Cluster: "another"}) {
 				t.Errorf("%s gives a table to one that holds one, or of another group", name)
 			}
 		}
@@ -168,25 +168,25 @@
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", quiet.valid)
-		record := func() places.Gateway { return f.primary().observe().contents.Gateways()["gateway-1"] }
+		record := func() catalog.Gateway { return f.primary().observe().contents.Gateways()["gateway-1"] }
 
 		f.cut(quiet.address, quiet.control...)
 		cut := time.Now()
 		f.await("the record to say down", func() bool { return !record().Up })
-		renewal := lease.DefaultTerms().Renewal
+		renewal := lease.DefaultConfig().RenewalInterval
 		if took := time.Since(cut); took < (quietRenewals-1)*renewal || took > (quietRenewals+2)*renewal {
 			t.Errorf("marked down after %v, want about %v", took, quietRenewals*renewal)
 		}
-		if !record().MayHold {
+		if !record().MayHoldLease {
 			t.Error("the record says that it holds no lease while it may")
 		}
 		f.mustSend(f.primary(), "order-2", 1)
 		if quiet.valid() {
 			t.Error("acknowledged while a gateway with the older version may place requests")
 		}
-		f.await("the record to say that the lease has ended", func() bool { return !record().MayHold })
+		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
 		f.heal(quiet.address, quiet.control...)
-		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHold && quiet.valid() })
+		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHoldLease && quiet.valid() })
 	})
 }
 
@@ -204,14 +204,14 @@
 		f.cut(old.options.PeerAddress, controlAddressesBut(f, old)...)
 		successor := f.primary(old.options.Name)
 		elected := time.Now()
-		record := func() places.Gateway { return successor.observe().contents.Gateways()["gateway-1"] }
+		record := func() catalog.Gateway { return successor.observe().contents.Gateways()["gateway-1"] }
 
 		f.await("the record to say down", func() bool { return !record().Up })
-		if took := time.Since(elected); took > (quietRenewals+2)*lease.DefaultTerms().Renewal {
+		if took := time.Since(elected); took > (quietRenewals+2)*lease.DefaultConfig().RenewalInterval {
 			t.Errorf("still named %v after the election", took)
 		}
-		f.await("the record to say that the lease has ended", func() bool { return !record().MayHold })
-		longest := lease.DefaultTerms().Window() + defaultGatewayGrace + time.Second
+		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
+		longest := lease.DefaultConfig().GracePeriod() + defaultGatewayGrace + time.Second
 		if took := time.Since(elected); took > longest {
 			t.Errorf("a lease of the old primary was waited for during %v", took)
 		}
--- a/control/machine.go
+++ b/control/machine.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
@@ -30,7 +30,7 @@
 	group   *consensus.Node
 	// table is nil until the first snapshot of the group is here.
 	table    *registry.Table
-	contents *places.Contents
+	contents *catalog.State
 	orders   orderBook
 	applied  uint64
 	// voters is the number of voters of the group without loss.
@@ -96,7 +96,7 @@
 }
 
 // open starts the replicated log from what the disk holds.
-func (m *machine) open(loaded storage.Loaded, now time.Duration) error {
+func (m *machine) open(loaded storage.State, now time.Duration) error {
 	group, err := consensus.New(consensus.Config{
 		ID:                m.identity,
 		ElectionTimeout:   m.options.ElectionTimeout,
@@ -171,7 +171,7 @@
 			return err
 		}
 	}
-	for _, entry := range ready.Committed {
+	for _, entry := range ready.CommittedEntries {
 		if err := m.apply(now, entry); err != nil {
 			return err
 		}
@@ -232,7 +232,7 @@
 			return fmt.Errorf("control: committed entry %d: %w", entry.Index, err)
 		}
 		if planted.Active(planted.ForgetEvacuations) && m.leadership == nil {
-			update.Changes = slices.DeleteFunc(update.Changes, func(change registry.Record) bool { return change.Type == places.TypeEvacuation })
+			update.Changes = slices.DeleteFunc(update.Changes, func(change registry.Record) bool { return change.Type == catalog.TypeEvacuation })
 		}
 		result = m.table.Apply(&update, permit)
 		m.orders.follow(&update, result)
@@ -265,12 +265,12 @@
 	return nil
 }
 
-func (m *machine) nextContents() (*places.Contents, error) {
+func (m *machine) nextContents() (*catalog.State, error) {
 	view := m.table.View()
 	if m.contents == nil {
-		return places.Read(view)
+		return catalog.Read(view)
 	}
-	return m.contents.Next(view, m.table.Difference(m.contents.Serial()))
+	return m.contents.Next(view, m.table.TransferSince(m.contents.Serial()))
 }
 
 // observe makes the reading that the loop publishes.
--- a/control/node.go
+++ b/control/node.go
@@ -103,11 +103,11 @@
 func (n *Node) handleMessages() {
 	n.network.Handle(peer.KindConsensus, n.serveConsensus)
 	n.network.Handle(peer.KindHello, n.serveHello)
-	n.network.Handle(peer.KindForm, n.serveForm)
+	n.network.Handle(peer.KindBootstrap, n.serveForm)
 	n.network.Handle(peer.KindJoin, n.serveJoin)
 	n.network.Handle(peer.KindRenew, n.serveRenew)
 	n.network.Handle(peer.KindUpdate, n.serveUpdate)
-	n.network.Handle(peer.KindOrder, n.serveOrder)
+	n.network.Handle(peer.KindOperation, n.serveOrder)
 	n.network.Handle(kindDescribe, n.serveDescribe)
 	n.network.Handle(kindReadIndex, n.serveReadIndex)
 	n.network.Handle(kindOverview, n.serveOverview)
--- a/control/observation.go
+++ b/control/observation.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -18,7 +18,7 @@
 	status   consensus.Status
 	// view and contents are the applied table; contents is nil before there is one.
 	view     registry.View
-	contents *places.Contents
+	contents *catalog.State
 	serial   uint32
 	applied  uint64
 	// primary is true while this node leads and holds everything that was
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/settings"
 	"github.com/deckpulley/deckpulley/storage"
@@ -40,7 +40,7 @@
 
 func TestOperatorsPortRejectsWhatIsMalformed(t *testing.T) {
 	configurationOrder := func(document string) string {
-		encoded, _ := json.Marshal(api.ConfigurationOrder{OrderID: "order", Document: document})
+		encoded, _ := json.Marshal(api.ConfigurationOperation{OperationID: "order", Document: document})
 		return string(encoded)
 	}
 	cases := []struct {
@@ -78,7 +78,7 @@
 		f.await("the head to name the primary", func() bool {
 			primary := f.primary()
 			contents := primary.observe().contents
-			return contents != nil && contents.View().Head().Primary == primary.options.Name
+			return contents != nil && contents.View().SOA().Primary == primary.options.Name
 		})
 		serial := f.primary().observe().serial
 		for _, c := range cases {
@@ -115,7 +115,7 @@
 		}
 		f.await("the survivor to miss its primary", func() bool { return survivor.observe().leaderAddress() == "" })
 		var answer api.ErrorBody
-		order := api.ConfigurationOrder{OrderID: "order-2", BaseVersion: 1, Document: document(t)}
+		order := api.ConfigurationOperation{OperationID: "order-2", BaseVersion: 1, Document: document(t)}
 		status := f.request(survivor, http.MethodPut, api.PathConfiguration+"?wait_ms=500", order, &answer)
 		if status != http.StatusServiceUnavailable || answer.Error.Code != api.CodeNoPrimary || answer.Error.Outcome != api.OutcomeRefused || !answer.Error.Retry {
 			t.Errorf("without a majority an order was answered %d %+v", status, answer.Error)
@@ -132,7 +132,7 @@
 		f.mustSend(f.primary(), "order-1", 0)
 		failing := f.primary()
 		name := failing.options.Name
-		f.disks[name].Plan(storage.CrashPlan{Write: 1})
+		f.disks[name].ScheduleCrash(storage.CrashPlan{Write: 1})
 		_, answer := f.send(f.follower(), "order-2", 1, document(t))
 		if !answer.Accepted {
 			t.Errorf("the order was answered %+v", answer)
@@ -196,23 +196,23 @@
 	const limit = 3
 	var book orderBook
 	follow := func(serial uint32, changes ...registry.Record) {
-		update := registry.NewUpdate(places.Apex, nil, changes)
+		update := registry.NewUpdate(catalog.Apex, nil, changes)
 		book.follow(&update, registry.Result{Changed: true, Serial: serial})
 	}
 	for i := range 5 {
 		order := fmt.Sprintf("order-%d", i)
-		changes := []registry.Record{registry.Add(places.OrderRecord(order, places.Order{}))}
+		changes := []registry.Record{registry.Add(catalog.OperationResultRecord(order, catalog.OperationResult{}))}
 		for _, name := range book.surplus(limit) {
-			changes = append(changes, registry.DeleteSet(name, places.TypeOrder))
+			changes = append(changes, registry.DeleteSet(name, catalog.TypeOperation))
 		}
 		follow(uint32(10+i), changes...)
 		if len(book.serials) > limit {
 			t.Fatalf("%d orders are kept, at most %d may be", len(book.serials), limit)
 		}
 	}
-	refused := registry.NewUpdate(places.Apex, nil, []registry.Record{registry.Add(places.OrderRecord("order-9", places.Order{}))})
+	refused := registry.NewUpdate(catalog.Apex, nil, []registry.Record{registry.Add(catalog.OperationResultRecord("order-9", catalog.OperationResult{}))})
 	book.follow(&refused, registry.Result{Code: registry.YXRRSet})
-	want := []orderEntry{{places.OrderName("order-2"), 12}, {places.OrderName("order-3"), 13}, {places.OrderName("order-4"), 14}}
+	want := []orderEntry{{catalog.OperationName("order-2"), 12}, {catalog.OperationName("order-3"), 13}, {catalog.OperationName("order-4"), 14}}
 	if difference := cmp.Diff(want, book.entries()); difference != "" {
 		t.Errorf("kept orders (-want +got):\n%s", difference)
 	}
@@ -231,13 +231,13 @@
 		f.mustSend(f.primary(), "order-2", 1)
 		f.send(f.primary(), "order-3", 1, document(t)) // outraced
 		f.send(f.primary(), "order-2", 1, document(t)) // resent
-		var answer api.OrdersAnswer
-		if status := f.request(f.primary(), http.MethodGet, api.PathOrders+"?limit=2", nil, &answer); status != http.StatusOK {
+		var answer api.OperationsAnswer
+		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=2", nil, &answer); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
-		want := []api.OrderStatus{
-			{OrderID: "order-3", Version: 2, Code: api.CodeVersionConflict},
-			{OrderID: "order-2", Version: 2, Accepted: true},
+		want := []api.OperationStatus{
+			{OperationID: "order-3", Version: 2, Code: api.CodeVersionConflict},
+			{OperationID: "order-2", Version: 2, Accepted: true},
 		}
 		got := slices.Clone(answer.Orders)
 		for i := range got {
@@ -253,7 +253,7 @@
 			t.Error(difference)
 		}
 		var problem api.ErrorBody
-		if status := f.request(f.primary(), http.MethodGet, api.PathOrders+"?limit=none", nil, &problem); status != http.StatusBadRequest || problem.Error.Field != "limit" {
+		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=none", nil, &problem); status != http.StatusBadRequest || problem.Error.Field != "limit" {
 			t.Errorf("limit not a number: %d %+v", status, problem.Error)
 		}
 	})
--- a/control/options.go
+++ b/control/options.go
@@ -55,7 +55,7 @@
 	Tokens func() settings.Tokens
 
 	// Lease are the terms that gateways hold too.
-	Lease lease.Terms
+	Lease lease.Config
 	// ElectionTimeout and HeartbeatInterval are passed to the replicated log.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
@@ -113,8 +113,8 @@
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
-	if o.Lease == (lease.Terms{}) {
-		o.Lease = lease.DefaultTerms()
+	if o.Lease == (lease.Config{}) {
+		o.Lease = lease.DefaultConfig()
 	}
 	setDefault(&o.TickInterval, defaultTickInterval)
 	setDefault(&o.StartupTimeout, defaultStartupTimeout)
--- a/control/orderbook.go
+++ b/control/orderbook.go
@@ -1,7 +1,7 @@
 package control
 
 import (
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -28,7 +28,7 @@
 		return
 	}
 	for _, change := range update.Changes {
-		if change.Type != places.TypeOrder {
+		if change.Type != catalog.TypeOperation {
 			continue
 		}
 		if change.Class == registry.ClassTable {
--- a/control/orders.go
+++ b/control/orders.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -23,10 +23,10 @@
 
 // order carries an order out, here or at the primary, and answers when it is in
 // force everywhere, when it is refused, or when ctx ends.
-func (n *Node) order(ctx context.Context, request peer.OrderRequest) peer.OrderReply {
+func (n *Node) order(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	task, problem := newTask(request)
 	if problem != nil {
-		return peer.OrderReply{Error: problem}
+		return peer.OperationReply{Error: problem}
 	}
 	for {
 		observed := n.observe()
@@ -35,7 +35,7 @@
 			return reply
 		}
 		if !n.pause(ctx, observed) {
-			return peer.OrderReply{Error: task.unfinished()}
+			return peer.OperationReply{Error: task.unfinished()}
 		}
 	}
 }
@@ -57,36 +57,36 @@
 }
 
 // tryOrder makes one attempt. It is not final when another attempt may succeed.
-func (n *Node) tryOrder(ctx context.Context, observed *observation, task *task) (peer.OrderReply, bool) {
+func (n *Node) tryOrder(ctx context.Context, observed *observation, task *task) (peer.OperationReply, bool) {
 	if observed.primary {
 		return n.decideOrder(ctx, observed, task)
 	}
 	primary := n.primaryAddress(observed)
 	if primary == "" || primary == n.options.PeerAddress {
-		return peer.OrderReply{}, false
+		return peer.OperationReply{}, false
 	}
 	if task.request.Hops >= maxHops {
-		return peer.OrderReply{Error: noPrimary("forwarded too often without reaching the primary", api.OutcomeUnknown)}, true
+		return peer.OperationReply{Error: noPrimary("forwarded too often without reaching the primary", api.OutcomeUnknown)}, true
 	}
 	reply, err := n.forwardOrder(ctx, primary, task.request)
 	task.sent = true
 	if err != nil {
 		n.log.Debug("order not forwarded", "order", task.id(), "primary", primary, "error", err)
-		return peer.OrderReply{}, false
+		return peer.OperationReply{}, false
 	}
 	if reply.Error != nil && reply.Error.Code == api.CodeNoPrimary {
-		return peer.OrderReply{}, false // it speaks for that node alone, not for earlier attempts
+		return peer.OperationReply{}, false // it speaks for that node alone, not for earlier attempts
 	}
 	return reply, true
 }
 
-func (n *Node) decideOrder(ctx context.Context, observed *observation, task *task) (peer.OrderReply, bool) {
+func (n *Node) decideOrder(ctx context.Context, observed *observation, task *task) (peer.OperationReply, bool) {
 	if task.request.Replicas != nil {
 		return n.decideReplicas(ctx, task)
 	}
 	facts, err := ask(ctx, n, func(time.Duration) orderFacts { return n.machine.orderFacts(task) })
 	if err != nil || !facts.primary {
-		return peer.OrderReply{}, false
+		return peer.OperationReply{}, false
 	}
 	if facts.known {
 		return n.repeatAnswer(ctx, task, facts)
@@ -98,18 +98,18 @@
 	}
 	plan, err := task.plan(facts)
 	if err != nil {
-		return peer.OrderReply{Error: internalError(err)}, true
+		return peer.OperationReply{Error: internalError(err)}, true
 	}
 	if planted.Active(planted.AcknowledgeUnwritten) && facts.contents.Version() > 0 {
-		return peer.OrderReply{Answer: orderAnswer(task.id(), plan.answer, observed.serial+1)}, true
+		return peer.OperationReply{Answer: orderAnswer(task.id(), plan.answer, observed.serial+1)}, true
 	}
-	if planted.Active(planted.PrimaryStays) && n.clock()-observed.contact > n.options.Lease.Length {
-		return peer.OrderReply{Answer: orderAnswer(task.id(), plan.answer, observed.serial+1)}, true
+	if planted.Active(planted.PrimaryStays) && n.clock()-observed.contact > n.options.Lease.Duration {
+		return peer.OperationReply{Answer: orderAnswer(task.id(), plan.answer, observed.serial+1)}, true
 	}
 	result, err := n.propose(ctx, plan.update)
 	task.sent = task.sent || !errors.Is(err, ErrNotPrimary)
 	if err != nil {
-		return peer.OrderReply{}, false
+		return peer.OperationReply{}, false
 	}
 	if result.Code != registry.NoError {
 		return n.outraced(task, result)
@@ -120,19 +120,19 @@
 
 // outraced tells a decision that another one overtook, which is taken anew, from
 // an update that can never be applied.
-func (n *Node) outraced(task *task, result registry.Result) (peer.OrderReply, bool) {
+func (n *Node) outraced(task *task, result registry.Result) (peer.OperationReply, bool) {
 	if result.Section == registry.SectionPrerequisite {
-		return peer.OrderReply{}, false
+		return peer.OperationReply{}, false
 	}
 	n.log.Error("order's update failed", "order", task.id(), "code", result.Code.String(), "section", result.Section, "reason", result.Reason)
-	return peer.OrderReply{Error: internalError(fmt.Errorf("update answered %s in section %q", result.Code, result.Section))}, true
+	return peer.OperationReply{Error: internalError(fmt.Errorf("update answered %s in section %q", result.Code, result.Section))}, true
 }
 
 // repeatAnswer gives the first answer to an order again.
-func (n *Node) repeatAnswer(ctx context.Context, task *task, facts orderFacts) (peer.OrderReply, bool) {
+func (n *Node) repeatAnswer(ctx context.Context, task *task, facts orderFacts) (peer.OperationReply, bool) {
 	if facts.stored.Digest != task.digest {
-		return peer.OrderReply{Error: &api.Error{
-			Code:    api.CodeOrderConflict,
+		return peer.OperationReply{Error: &api.Error{
+			Code:    api.CodeOperationConflict,
 			Outcome: api.OutcomeRefused,
 			Message: "this order id was used for another order",
 			Field:   "order_id",
@@ -146,10 +146,10 @@
 
 // acknowledge answers with a stored decision: a refusal at once, an acceptance
 // once its serial is in force at every gateway that may place requests.
-func (n *Node) acknowledge(ctx context.Context, task *task, decided places.Order, serial uint32) (peer.OrderReply, bool) {
+func (n *Node) acknowledge(ctx context.Context, task *task, decided catalog.OperationResult, serial uint32) (peer.OperationReply, bool) {
 	answer := orderAnswer(task.id(), decided, serial)
 	if !decided.Accepted {
-		return peer.OrderReply{Answer: answer}, true
+		return peer.OperationReply{Answer: answer}, true
 	}
 	inForce := false
 	started := n.clock()
@@ -158,18 +158,18 @@
 		return inForce || !o.primary
 	})
 	if !inForce {
-		return peer.OrderReply{}, false
+		return peer.OperationReply{}, false
 	}
 	n.metrics.inForceSeconds.Observe((n.clock() - started).Seconds())
-	return peer.OrderReply{Answer: answer}, true
+	return peer.OperationReply{Answer: answer}, true
 }
 
-func orderAnswer(id string, decided places.Order, serial uint32) *api.OrderAnswer {
-	answer := &api.OrderAnswer{
-		OrderID:  id,
-		Accepted: decided.Accepted,
-		Version:  decided.Version,
-		Serial:   serial,
+func orderAnswer(id string, decided catalog.OperationResult, serial uint32) *api.OperationResult {
+	answer := &api.OperationResult{
+		OperationID: id,
+		Accepted:    decided.Accepted,
+		Version:     decided.Version,
+		Serial:      serial,
 	}
 	if !decided.Accepted {
 		answer.Error = &api.Error{
@@ -187,11 +187,11 @@
 	primary bool
 	// known is true if the order was decided: stored is its answer, visible since serial.
 	known  bool
-	stored places.Order
+	stored catalog.OperationResult
 	serial uint32
 	// contents and number are what a new decision builds on; surplus are the
 	// answers that a new one pushes out.
-	contents *places.Contents
+	contents *catalog.State
 	number   uint64
 	surplus  []registry.Name
 }
@@ -201,8 +201,8 @@
 		return orderFacts{}
 	}
 	facts := orderFacts{primary: true, contents: m.contents, number: m.applied, surplus: m.orders.surplus(orderLimit)}
-	facts.stored, facts.known = m.contents.Order(task.id())
-	facts.serial = m.orders.serials[places.OrderName(task.id())]
+	facts.stored, facts.known = m.contents.OperationResult(task.id())
+	facts.serial = m.orders.serials[catalog.OperationName(task.id())]
 	return facts
 }
 
--- a/control/policy.go
+++ b/control/policy.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -48,7 +48,7 @@
 
 func controlMayChange(record registry.Record) bool {
 	switch record.Type {
-	case registry.TypeSOA, registry.TypeNS, places.TypeGateway:
+	case registry.TypeSOA, registry.TypeNS, catalog.TypeGateway:
 		return true
 	default:
 		return false
@@ -57,12 +57,12 @@
 
 // gatewayMayChange leaves watchers the condition of replicas, nothing else.
 func gatewayMayChange(record registry.Record) bool {
-	return record.Type == places.TypeCondition
+	return record.Type == catalog.TypeCondition
 }
 
 func operatorMayChange(record registry.Record) bool {
 	switch record.Type {
-	case registry.TypeSOA, registry.TypeNS, places.TypeGateway, places.TypeCondition:
+	case registry.TypeSOA, registry.TypeNS, catalog.TypeGateway, catalog.TypeCondition:
 		return false
 	default:
 		return true
@@ -73,7 +73,7 @@
 // are cold. It includes deleting a replica's name with everything at it.
 func platformMayChange(record registry.Record) bool {
 	switch record.Type {
-	case places.TypeReplica, places.TypeDrain, places.TypeCondition:
+	case catalog.TypeReplica, catalog.TypeDrain, catalog.TypeCondition:
 		return true
 	case registry.TypeANY:
 		return isReplicaName(record.Name)
@@ -83,6 +83,6 @@
 }
 
 func isReplicaName(name registry.Name) bool {
-	object, err := places.ObjectName(name)
-	return err == nil && places.ReplicaName(object) == name
+	object, err := catalog.ObjectName(name)
+	return err == nil && catalog.ReplicaName(object) == name
 }
--- a/control/proposal.go
+++ b/control/proposal.go
@@ -65,7 +65,7 @@
 	}
 	data, err := registry.EncodeUpdate(&update)
 	if err != nil {
-		done(registry.Result{Code: registry.FormErr, Serial: m.table.Serial(), Failed: -1}, nil)
+		done(registry.Result{Code: registry.FormErr, Serial: m.table.Serial(), FailedIndex: -1}, nil)
 		return
 	}
 	index, term, err := m.group.Propose(now, data)
--- a/control/recover.go
+++ b/control/recover.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"log/slog"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -86,12 +86,12 @@
 
 // replay applies everything in the log, committed or not: what this copy holds
 // may have been acknowledged.
-func replay(loaded storage.Loaded) (*survivor, error) {
+func replay(loaded storage.State) (*survivor, error) {
 	content, err := decodeSnapshot(loaded.Snapshot.Data)
 	if err != nil {
 		return nil, err
 	}
-	table, err := registry.Restore(places.Schema(), content.Table)
+	table, err := registry.Restore(catalog.Schema(), content.Table)
 	if err != nil {
 		return nil, fmt.Errorf("control: restoring snapshot %d: %w", loaded.Snapshot.Index, err)
 	}
@@ -131,16 +131,16 @@
 
 // stepVersion raises the configuration version past what replicas may have seen.
 func (s *survivor) stepVersion(name string, recovered *Recovered) error {
-	contents, err := places.Read(s.table.View())
+	contents, err := catalog.Read(s.table.View())
 	if err != nil {
 		return fmt.Errorf("control: reading the table: %w", err)
 	}
-	marker, configured := contents.Marker()
+	marker, configured := contents.ConfigurationHeader()
 	recovered.Version = marker.Version
 	if configured {
 		marker.Version += recoveredVersionStep
-		record := registry.Add(places.ConfigurationRecord(marker))
-		update := registry.NewUpdate(places.Apex, nil, []registry.Record{record})
+		record := registry.Add(catalog.ConfigurationRecord(marker))
+		update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{record})
 		update.Requestor = requestorOperator + "recover:" + name
 		if result := s.table.Apply(&update, permit); result.Code != registry.NoError {
 			return fmt.Errorf("control: raising the version answered %s: %w", result.Code, errors.Join(result.Reason))
@@ -153,7 +153,7 @@
 
 // store writes the state as the first of a group of one. Each write alone leaves
 // a disk on which the recovery can be run again.
-func (s *survivor) store(options RecoverOptions, loaded storage.Loaded, recovered Recovered) error {
+func (s *survivor) store(options RecoverOptions, loaded storage.State, recovered Recovered) error {
 	table, err := s.table.Snapshot()
 	if err != nil {
 		return fmt.Errorf("control: encoding the table: %w", err)
