--- a/control/repair.go
+++ b/control/repair.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -90,7 +90,7 @@
 
 // recordHead puts this node into the head record as the primary.
 func (m *machine) recordHead(now time.Duration) {
-	head := m.table.Head()
+	head := m.table.SOA()
 	if m.leadership.headPending || head.Primary == m.options.Name {
 		return
 	}
@@ -98,7 +98,7 @@
 	head.Serial = registry.NextSerial(head.Serial)
 	m.leadership.headPending = true
 	leadership := m.leadership
-	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.HeadRecord(places.Apex, head))})
+	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.SOARecord(catalog.Apex, head))})
 	m.propose(now, update, func(registry.Result, error) { leadership.headPending = false })
 }
 
@@ -114,7 +114,7 @@
 		}
 	}
 	var changes []registry.Record
-	for _, record := range m.table.View().Lookup(places.Apex, registry.TypeNS) {
+	for _, record := range m.table.View().Lookup(catalog.Apex, registry.TypeNS) {
 		name := string(record.Data)
 		if !wanted[name] {
 			changes = append(changes, registry.DeleteRecord(record))
@@ -123,7 +123,7 @@
 	}
 	var added []registry.Record
 	for name := range wanted {
-		added = append(added, registry.Add(registry.MemberRecord(places.Apex, name)))
+		added = append(added, registry.Add(registry.NSRecord(catalog.Apex, name)))
 	}
 	if len(changes)+len(added) == 0 {
 		return
@@ -213,7 +213,7 @@
 	if id == r.status.ID {
 		return 0
 	}
-	return r.now - max(r.status.Contact[id], r.noticed[id], r.elected)
+	return r.now - max(r.status.LastContact[id], r.noticed[id], r.elected)
 }
 
 // answeredLately is true only on evidence: an answer in this term.
@@ -221,7 +221,7 @@
 	if id == r.status.ID {
 		return true
 	}
-	contact, heard := r.status.Contact[id]
+	contact, heard := r.status.LastContact[id]
 	return heard && r.now-contact <= reachableWithin
 }
 
@@ -230,7 +230,7 @@
 // on its way. A newcomer that votes only by an uncommitted entry may lose its
 // vote with one disk more.
 func (r *repair) done() bool {
-	if !r.status.Settled {
+	if !r.status.MembershipCommitted {
 		return false
 	}
 	voters := 0
@@ -344,7 +344,7 @@
 	whole := r.countVoters() >= r.voters
 	matches := []func(voter consensus.Member) bool{
 		func(voter consensus.Member) bool {
-			return voter.Address == member.Address && r.status.Contact[voter.ID] < request.asked
+			return voter.Address == member.Address && r.status.LastContact[voter.ID] < request.asked
 		},
 		func(voter consensus.Member) bool { return whole && voter.Name == member.Name && r.unreachable(voter) },
 		func(voter consensus.Member) bool { return whole && voter.Zone == member.Zone && r.unreachable(voter) },
--- a/control/repair_test.go
+++ b/control/repair_test.go
@@ -71,7 +71,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := repair{
 				now:          now,
-				status:       consensus.Status{ID: "a", Commit: 900, Settled: !c.pending, Match: c.match, Contact: c.contact, Membership: consensus.Membership{Members: c.members}},
+				status:       consensus.Status{ID: "a", Commit: 900, MembershipCommitted: !c.pending, Match: c.match, LastContact: c.contact, Membership: consensus.Membership{Members: c.members}},
 				joins:        c.joins,
 				voters:       3,
 				replaceAfter: defaultReplaceAfter,
--- a/control/routemap.go
+++ b/control/routemap.go
@@ -10,10 +10,10 @@
 	"strconv"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -33,7 +33,7 @@
 )
 
 // checkRouteMap checks the form of an order for a map of routes.
-func (t *task) checkRouteMap(order *peer.RouteMapOrder) *api.Error {
+func (t *task) checkRouteMap(order *peer.RouteMapOperation) *api.Error {
 	if len(order.Text) > configuration.MaxDocumentBytes {
 		return invalid("text", fmt.Sprintf("must have at most %d bytes", configuration.MaxDocumentBytes))
 	}
@@ -54,14 +54,14 @@
 }
 
 func invalidMap(err error) *api.Error {
-	var problem *routemap.Problem
+	var problem *routemap.FieldError
 	if errors.As(err, &problem) {
 		return invalid(problem.Field, problem.Reason)
 	}
 	return invalid("", err.Error())
 }
 
-func routeMapID(order *peer.RouteMapOrder) string {
+func routeMapID(order *peer.RouteMapOperation) string {
 	prefix := routeMapIDPrefix
 	if order.Change != nil {
 		prefix = routeMapChangeIDPrefix
@@ -78,13 +78,13 @@
 
 // resultOf is what an order makes of the current configuration. A change is made
 // to it by the primary, in the order's place in the log.
-func resultOf(order *peer.RouteMapOrder, contents *places.Contents) (routeMapResult, *api.Error) {
+func resultOf(order *peer.RouteMapOperation, contents *catalog.State) (routeMapResult, *api.Error) {
 	if order.Change == nil {
 		return routeMapResult{routes: &order.Map, text: order.Text}, nil
 	}
-	current, _ := contents.ConfigurationRecord()
+	current, _ := contents.Configuration()
 	version := json.RawMessage(strconv.FormatUint(order.Change.Map.Version, 10))
-	text, err := documentchange.ApplyToLists(current.Document, &order.Change.Text, map[string]json.RawMessage{versionMember: version})
+	text, err := patch.ApplyJSON(current.Document, &order.Change.Text, map[string]json.RawMessage{versionMember: version})
 	if err != nil {
 		return routeMapResult{}, invalidChange(err)
 	}
@@ -100,7 +100,7 @@
 
 // refuseRouteMap returns why an order may not be carried out on the newest
 // state, nil if it may.
-func (t *task) refuseRouteMap(contents *places.Contents) *api.Error {
+func (t *task) refuseRouteMap(contents *catalog.State) *api.Error {
 	order := t.request.RouteMap
 	current := contents.Version()
 	switch {
@@ -127,37 +127,37 @@
 	if problem != nil {
 		return plan{}, problem
 	}
-	base := configuration.BasePrerequisite(facts.contents.View())
-	changes, err := configuration.MapChanges(facts.contents.View(), result.routes, order.Zones, result.text)
+	base := configuration.UnchangedPrerequisite(facts.contents.View())
+	changes, err := configuration.RouteMapChanges(facts.contents.View(), result.routes, order.Zones, result.text)
 	if err != nil {
 		return plan{}, err
 	}
-	answer := places.Order{Digest: t.digest, Accepted: true, Version: result.routes.Version, Number: facts.number}
+	answer := catalog.OperationResult{Digest: t.digest, Accepted: true, Version: result.routes.Version, Sequence: facts.number}
 	return t.decide(facts, answer, "", []registry.Record{base}, changes), nil
 }
 
 // reviewRouteMap refuses an order that the newest state does not admit. It is
 // final only if the state is proven to be the newest and holds no answer yet.
-func (n *Node) reviewRouteMap(ctx context.Context, task *task, facts orderFacts) (reply peer.OrderReply, refused, final bool) {
+func (n *Node) reviewRouteMap(ctx context.Context, task *task, facts orderFacts) (reply peer.OperationReply, refused, final bool) {
 	if task.refuseRouteMap(facts.contents) == nil {
-		return peer.OrderReply{}, false, false
+		return peer.OperationReply{}, false, false
 	}
 	observed, problem := n.linearizable(ctx)
 	if problem != nil || !observed.primary {
-		return peer.OrderReply{}, true, false
+		return peer.OperationReply{}, true, false
 	}
-	if _, known := observed.contents.Order(task.id()); known {
-		return peer.OrderReply{}, true, false
+	if _, known := observed.contents.OperationResult(task.id()); known {
+		return peer.OperationReply{}, true, false
 	}
 	if reason := task.refuseRouteMap(observed.contents); reason != nil {
-		return peer.OrderReply{Error: reason}, true, true
+		return peer.OperationReply{Error: reason}, true, true
 	}
-	return peer.OrderReply{}, true, false
+	return peer.OperationReply{}, true, false
 }
 
 // Order carries an order out, here or at the primary. It answers when the order
 // is in force everywhere, when it is refused, or when ctx ends.
-func (n *Node) Order(ctx context.Context, request peer.OrderRequest) peer.OrderReply {
+func (n *Node) Order(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	reply := n.order(ctx, request)
 	n.metrics.orders.WithLabelValues(answerLabel(reply)).Inc()
 	return reply
@@ -166,14 +166,14 @@
 // Current returns the newest configuration: its version and text as they were
 // handed over, and false before the first one. It waits for proof that nothing
 // newer was acknowledged.
-func (n *Node) Current(ctx context.Context) (places.Configuration, bool, *api.Error) {
+func (n *Node) Current(ctx context.Context) (catalog.Configuration, bool, *api.Error) {
 	observed, problem := n.linearizable(ctx)
 	if problem != nil {
-		return places.Configuration{}, false, problem
+		return catalog.Configuration{}, false, problem
 	}
 	if observed.contents == nil {
-		return places.Configuration{}, false, nil
+		return catalog.Configuration{}, false, nil
 	}
-	current, configured := observed.contents.ConfigurationRecord()
+	current, configured := observed.contents.Configuration()
 	return current, configured, nil
 }
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -9,17 +9,17 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/routemap"
 	"github.com/deckpulley/deckpulley/storage"
 )
 
 // routeMapOrder is an order for a map with one route.
-func routeMapOrder(base, version uint64) peer.OrderRequest {
-	return peer.OrderRequest{RouteMap: &peer.RouteMapOrder{
+func routeMapOrder(base, version uint64) peer.OperationRequest {
+	return peer.OperationRequest{RouteMap: &peer.RouteMapOperation{
 		BaseVersion: base,
 		Text:        fmt.Sprintf("a map of version %d", version),
 		Zones:       map[string]string{"zone-1": "region-1"},
@@ -27,7 +27,7 @@
 			Version:  version,
 			Services: []routemap.Service{{Name: "s"}},
 			Routes: []routemap.Route{{
-				Name: "r", Host: "h", PathPrefix: "/", Kind: routemap.Once, Timeout: time.Second,
+				Name: "r", Host: "h", PathPrefix: "/", Kind: routemap.AtMostOnce, Timeout: time.Second,
 				Targets: []routemap.Target{{Service: "s", Weight: 1}},
 			}},
 		},
@@ -35,13 +35,13 @@
 }
 
 // carryOut sends an order to a node and waits for its answer.
-func carryOut(node *Node, request peer.OrderRequest) peer.OrderReply {
+func carryOut(node *Node, request peer.OperationRequest) peer.OperationReply {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	return node.Order(ctx, request)
 }
 
-func accepted(reply peer.OrderReply) bool {
+func accepted(reply peer.OperationReply) bool {
 	return reply.Error == nil && reply.Answer.Error == nil && reply.Answer.Accepted
 }
 
@@ -83,7 +83,7 @@
 		invalidRoute := routeMapOrder(3, 9)
 		invalidRoute.RouteMap.Map.Routes[0].Timeout = 0
 		tests := map[string]struct {
-			request peer.OrderRequest
+			request peer.OperationRequest
 			code    api.Code
 			field   string
 		}{
@@ -122,9 +122,9 @@
 		base := uint64(0)
 		for round := range uint64(6) {
 			version := base + 2
-			orders := [2]peer.OrderRequest{routeMapOrder(base, version), routeMapOrder(base, version)}
+			orders := [2]peer.OperationRequest{routeMapOrder(base, version), routeMapOrder(base, version)}
 			orders[1].RouteMap.Text += ", another one" // the same number
-			var replies [2]peer.OrderReply
+			var replies [2]peer.OperationReply
 			var both sync.WaitGroup
 			nodes := [2]*Node{f.primary(), f.follower()}
 			for i := range orders {
@@ -142,7 +142,7 @@
 const mapText = `{"version":%d,"routes":[{"name":"r"}],"services":[{"name":"s"}],"kept":true}`
 
 // routeMapChange is an order that adds a route and removes others.
-func routeMapChange(base, version uint64, added string, removed ...string) peer.OrderRequest {
+func routeMapChange(base, version uint64, added string, removed ...string) peer.OperationRequest {
 	order := routeMapOrder(base, version)
 	route := order.RouteMap.Map.Routes[0]
 	route.Name, route.PathPrefix = added, "/"+added+"/"
@@ -150,9 +150,9 @@
 	order.RouteMap.Map = routemap.Map{}
 	order.RouteMap.Change = &peer.RouteMapChange{
 		Map: routemap.Change{Version: version, Routes: []routemap.Route{route}, RemovedRoutes: removed},
-		Text: documentchange.Change{Sections: []documentchange.Section{{
+		Text: patch.Change{Sections: []patch.Section{{
 			Name:   "routes",
-			Upsert: []documentchange.Item{{Name: added, Value: fmt.Sprintf(`{"name":%q}`, added)}},
+			Upsert: []patch.Item{{Name: added, Value: fmt.Sprintf(`{"name":%q}`, added)}},
 			Remove: removed,
 		}}},
 	}
@@ -160,7 +160,7 @@
 }
 
 // readableMapOrder is an order for a map whose text can be changed.
-func readableMapOrder(base, version uint64) peer.OrderRequest {
+func readableMapOrder(base, version uint64) peer.OperationRequest {
 	order := routeMapOrder(base, version)
 	order.RouteMap.Text = fmt.Sprintf(mapText, version)
 	return order
@@ -213,7 +213,7 @@
 		noService.RouteMap.Change.Map.RemovedServices = []string{"s"}
 		both := routeMapChange(3, 9, "added", "added")
 		tests := map[string]struct {
-			request peer.OrderRequest
+			request peer.OperationRequest
 			code    api.Code
 			field   string
 		}{
@@ -251,8 +251,8 @@
 		base := uint64(1)
 		for round := range uint64(6) {
 			version := base + 2
-			orders := [2]peer.OrderRequest{readableMapOrder(base, version), routeMapChange(base, version, "added")}
-			var replies [2]peer.OrderReply
+			orders := [2]peer.OperationRequest{readableMapOrder(base, version), routeMapChange(base, version, "added")}
+			var replies [2]peer.OperationReply
 			var both sync.WaitGroup
 			nodes := [2]*Node{f.primary(), f.follower()}
 			for i := range orders {
@@ -318,15 +318,15 @@
 		entry := api.ReplicaEntry{ID: "a", Service: "s", Zone: "zone-1", Address: "a:1", Slots: 4, ColdMS: &cold}
 		inventory.set(nil, entry)
 		f.startWithInventory(inventory)
-		contents := func() *places.Contents { return f.primary().observe().contents }
-		state := func() places.ConditionState {
+		contents := func() *catalog.State { return f.primary().observe().contents }
+		state := func() catalog.ConditionState {
 			condition, _ := contents().Condition("a")
 			return condition.State
 		}
-		f.await("the replica", func() bool { return contents().Replicas()["a"].Slots == 4 && state() == places.ConditionCold })
+		f.await("the replica", func() bool { return contents().Replicas()["a"].Slots == 4 && state() == catalog.ConditionWarmingUp })
 		entry.ColdMS, entry.Draining = &warm, true
 		inventory.set(nil, entry)
-		f.await("a warm one that drains", func() bool { return state() == places.ConditionUp && contents().Drained("a") })
+		f.await("a warm one that drains", func() bool { return state() == catalog.ConditionUp && contents().IsDraining("a") })
 		inventory.set(errors.New("the list does not answer"))
 		time.Sleep(5 * time.Second)
 		if _, kept := contents().Replicas()["a"]; !kept {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -54,7 +54,7 @@
 	if content.Cluster != m.cluster {
 		return fmt.Errorf("control: snapshot %d belongs to group %s, this node to %s", snapshot.Index, content.Cluster, m.cluster)
 	}
-	table, err := registry.Restore(places.Schema(), content.Table)
+	table, err := registry.Restore(catalog.Schema(), content.Table)
 	if err != nil {
 		return fmt.Errorf("control: restoring snapshot %d: %w", snapshot.Index, err)
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return fmt.Errorf("control: compacting the log: %w", err)
 	}
-	if err := m.store.SaveSnapshot(snapshot, consensus.KeepFrom(snapshot, snapshotKeep)); err != nil {
+	if err := m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, snapshotKeep)); err != nil {
 		return fmt.Errorf("control: writing a snapshot: %w", err)
 	}
 	m.snapshotIndex = snapshot.Index
--- a/control/status.go
+++ b/control/status.go
@@ -99,7 +99,7 @@
 	view.Status.Members = append(view.Status.Members, gateways...)
 	view.Status.Primary = m.options.Name
 	view.Status.Leases = leases
-	view.Status.InForceSerial, _ = leadership.grantor.InForce()
+	view.Status.InForceSerial, _ = leadership.grantor.SerialInForce()
 	view.Status.Degraded = m.degraded(view, status)
 	return view
 }
@@ -140,8 +140,8 @@
 			continue
 		}
 		member.LeaseMS = holder.Remaining.Milliseconds()
-		member.HeldSerial = holder.Held
-		member.ActiveSerial = holder.Active
+		member.ReceivedSerial = holder.ReceivedSerial
+		member.ActiveSerial = holder.ActiveSerial
 		if state := m.leadership.gateways[holder.Holder]; state != nil {
 			member.ActiveVersion = state.activeVersion
 		}
@@ -265,7 +265,7 @@
 		answer.Zones = append(answer.Zones, api.ZoneStatus{
 			Zone:      zone,
 			Region:    record.Region,
-			Evacuated: observed.contents.Evacuated(zone),
+			Evacuated: observed.contents.IsEvacuated(zone),
 		})
 	}
 	slices.SortFunc(answer.Zones, func(a, b api.ZoneStatus) int { return strings.Compare(a.Zone, b.Zone) })
@@ -278,7 +278,7 @@
 	if observed.contents == nil {
 		return answer
 	}
-	if current, known := observed.contents.ConfigurationRecord(); known {
+	if current, known := observed.contents.Configuration(); known {
 		answer.Version = current.Version
 		answer.Author = current.Author
 		answer.Document = current.Document
--- a/control/task.go
+++ b/control/task.go
@@ -8,18 +8,18 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // task is one order on its way through this node.
 type task struct {
-	request  peer.OrderRequest
+	request  peer.OperationRequest
 	document *configuration.Document
 	// change is that of an order which changes the document.
-	change *documentchange.Change
+	change *patch.Change
 	digest uint64
 	// routeMapID is the identity of an order for a map of routes.
 	routeMapID string
@@ -28,7 +28,7 @@
 }
 
 // newTask checks the form of an order.
-func newTask(request peer.OrderRequest) (*task, *api.Error) {
+func newTask(request peer.OperationRequest) (*task, *api.Error) {
 	t := &task{request: request}
 	switch {
 	case request.Configuration != nil:
@@ -49,13 +49,13 @@
 func (t *task) id() string {
 	switch {
 	case t.request.Configuration != nil:
-		return t.request.Configuration.OrderID
+		return t.request.Configuration.OperationID
 	case t.request.Evacuation != nil:
-		return t.request.Evacuation.OrderID
+		return t.request.Evacuation.OperationID
 	case t.request.RouteMap != nil:
 		return t.routeMapID
 	case t.request.ConfigurationChange != nil:
-		return t.request.ConfigurationChange.OrderID
+		return t.request.ConfigurationChange.OperationID
 	default:
 		return ""
 	}
@@ -75,8 +75,8 @@
 	}
 }
 
-func (t *task) checkConfiguration(order *api.ConfigurationOrder) *api.Error {
-	if problem := checkOrderID(order.OrderID, order.Author); problem != nil {
+func (t *task) checkConfiguration(order *api.ConfigurationOperation) *api.Error {
+	if problem := checkOrderID(order.OperationID, order.Author); problem != nil {
 		return problem
 	}
 	document, err := configuration.Load(order.Document)
@@ -88,8 +88,8 @@
 	return nil
 }
 
-func (t *task) checkConfigurationChange(order *api.ConfigurationChangeOrder) *api.Error {
-	if problem := checkOrderID(order.OrderID, order.Author); problem != nil {
+func (t *task) checkConfigurationChange(order *api.ConfigurationPatchOperation) *api.Error {
+	if problem := checkOrderID(order.OperationID, order.Author); problem != nil {
 		return problem
 	}
 	change, err := configuration.ParseChange(order.Change)
@@ -103,7 +103,7 @@
 
 // invalidChange names the field of a change that cannot be made.
 func invalidChange(err error) *api.Error {
-	var problem *documentchange.Problem
+	var problem *patch.FieldError
 	if errors.As(err, &problem) {
 		return invalid("change."+problem.Field, problem.Reason)
 	}
@@ -113,27 +113,27 @@
 // invalidDocument names the first problem's field; the message has all of them.
 func invalidDocument(err error) *api.Error {
 	answer := invalid("document", err.Error())
-	var problems *configuration.Problems
-	if errors.As(err, &problems) && len(problems.List) > 0 && problems.List[0].Field != "" {
-		answer.Field = "document." + problems.List[0].Field
+	var problems *configuration.DocumentError
+	if errors.As(err, &problems) && len(problems.Problems) > 0 && problems.Problems[0].Field != "" {
+		answer.Field = "document." + problems.Problems[0].Field
 	}
 	return answer
 }
 
-func (t *task) checkEvacuation(order *api.EvacuationOrder) *api.Error {
-	if problem := checkOrderID(order.OrderID, order.Author); problem != nil {
+func (t *task) checkEvacuation(order *api.EvacuationOperation) *api.Error {
+	if problem := checkOrderID(order.OperationID, order.Author); problem != nil {
 		return problem
 	}
-	if places.CheckObjectName(order.Zone) != nil {
-		return invalid("zone", fmt.Sprintf("must have 1 to %d bytes", places.MaxObjectNameBytes))
+	if catalog.CheckObjectName(order.Zone) != nil {
+		return invalid("zone", fmt.Sprintf("must have 1 to %d bytes", catalog.MaxObjectNameBytes))
 	}
 	t.digest = digestOf("evacuation", order.Zone, order.Withdraw)
 	return nil
 }
 
 func checkOrderID(id, author string) *api.Error {
-	if places.CheckObjectName(id) != nil {
-		return invalid("order_id", fmt.Sprintf("must have 1 to %d bytes", places.MaxObjectNameBytes))
+	if catalog.CheckObjectName(id) != nil {
+		return invalid("order_id", fmt.Sprintf("must have 1 to %d bytes", catalog.MaxObjectNameBytes))
 	}
 	if len(author) > api.MaxNameBytes {
 		return invalid("author", fmt.Sprintf("must have at most %d bytes", api.MaxNameBytes))
--- a/control/transfers.go
+++ b/control/transfers.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -80,7 +80,7 @@
 
 // differenceFrom works a transfer out, and packs it if it is large.
 func (m *machine) differenceFrom(held uint32) difference {
-	transfer := forGateways(m.table.Difference(held))
+	transfer := forGateways(m.table.TransferSince(held))
 	packed, err := peer.PackTransfer(&transfer)
 	if err != nil {
 		m.log.Error("a transfer is sent as it is", "error", err)
@@ -103,7 +103,7 @@
 func gatewayRecords(records []registry.Record) []registry.Record {
 	var kept []registry.Record
 	for _, record := range records {
-		if record.Type != places.TypeDocument && record.Type != places.TypeOrder {
+		if record.Type != catalog.TypeDocumentChunk && record.Type != catalog.TypeOperation {
 			kept = append(kept, record)
 		}
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -5,8 +5,8 @@
 	"cmp"
 	"slices"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // Question is a client's question, and what the answer depends on beside the
@@ -29,10 +29,10 @@
 // Answer returns the addresses of the gateways to use: those of the client's
 // region, or of all regions if none is up there or the asked node is cut off, so
 // that what the region cannot serve is served elsewhere.
-func (q *Question) Answer(gateways map[string]places.Gateway) []string {
-	names := q.usable(gateways, func(other places.Gateway) bool { return other.Region == q.Region })
+func (q *Question) Answer(gateways map[string]catalog.Gateway) []string {
+	names := q.usable(gateways, func(other catalog.Gateway) bool { return other.Region == q.Region })
 	if len(names) == 0 || q.CutOff {
-		names = q.usable(gateways, func(places.Gateway) bool { return true })
+		names = q.usable(gateways, func(catalog.Gateway) bool { return true })
 	}
 	names = names[:min(q.Limit, len(names))]
 	list := make([]string, 0, len(names))
@@ -43,7 +43,7 @@
 }
 
 // usable lists the gateways that are up.
-func (q *Question) usable(gateways map[string]places.Gateway, wanted func(places.Gateway) bool) []string {
+func (q *Question) usable(gateways map[string]catalog.Gateway, wanted func(catalog.Gateway) bool) []string {
 	var names []string
 	for name, other := range gateways {
 		leaving := name == q.Asked && q.Leaving
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -5,11 +5,11 @@
 	"strings"
 	"testing"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 func TestAnswer(t *testing.T) {
-	gateways := map[string]places.Gateway{
+	gateways := map[string]catalog.Gateway{
 		"a1": {Region: "a", HTTPAddress: "a1:1", Up: true},
 		"a2": {Region: "a", HTTPAddress: "a2:1", Up: true},
 		"a3": {Region: "a", HTTPAddress: "a3:1"},
--- a/directory/example_test.go
+++ b/directory/example_test.go
@@ -3,12 +3,12 @@
 import (
 	"fmt"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/directory"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 func Example() {
-	gateways := map[string]places.Gateway{
+	gateways := map[string]catalog.Gateway{
 		"a": {Region: "north", HTTPAddress: "10.0.0.1:80", Up: true},
 		"b": {Region: "north", HTTPAddress: "10.0.0.2:80"}, // down
 		"c": {Region: "south", HTTPAddress: "10.1.0.1:80", Up: true},
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -67,7 +67,7 @@
 
 // find returns the choice for the next attempt, or why there is none. The
 // dispatcher's mutex is held.
-func (s *search) find() (*choice, *Refusal) {
+func (s *search) find() (*choice, *RequestError) {
 	var ranked [excluded][]*replica
 	full := false
 	for _, r := range s.service.replicas {
@@ -88,9 +88,9 @@
 		}
 	}
 	if full {
-		return nil, &Refusal{Code: Overloaded, RetryAfter: busyRetryAfter}
+		return nil, &RequestError{Code: Overloaded, RetryAfter: busyRetryAfter}
 	}
-	return nil, &Refusal{Code: NoReplica, RetryAfter: absentRetryAfter}
+	return nil, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter}
 }
 
 // allowed says whether the operators and the list permit the replica.
@@ -98,7 +98,7 @@
 	if r.draining || r.evacuated || r.replaced || s.tried[r.id] {
 		return false
 	}
-	return len(s.route.Homes) == 0 || slices.Contains(s.route.Homes, r.region)
+	return len(s.route.HomeRegions) == 0 || slices.Contains(s.route.HomeRegions, r.region)
 }
 
 // crowded says whether this gateway uses its part of the replica's connections.
@@ -127,21 +127,21 @@
 
 // ramped says whether a cold replica's bound holds for the replica.
 func (s *search) ramped(r *replica) bool {
-	return s.service.spec.ColdPerSecond > 0 && r.isCold(s.now)
+	return s.service.spec.SlowStartRate > 0 && r.isCold(s.now)
 }
 
 // best chooses among replicas of one rank.
-func (s *search) best(list []*replica) (*choice, *Refusal) {
+func (s *search) best(list []*replica) (*choice, *RequestError) {
 	work := s.work()
 	cached := s.cached()
 	candidates := s.candidates(list, cached)
 	position, expected := placement.Choose(candidates, work)
 	if s.refusable() && expected > s.longest(&candidates[position], work) {
-		return nil, &Refusal{Code: Overloaded, RetryAfter: busyRetryAfter}
+		return nil, &RequestError{Code: Overloaded, RetryAfter: busyRetryAfter}
 	}
 	chosen := list[position]
 	if s.ramped(chosen) {
-		gap := time.Duration(float64(time.Second) / (s.dispatcher.options.Bounds.coldShare() * s.service.spec.ColdPerSecond))
+		gap := time.Duration(float64(time.Second) / (s.dispatcher.options.Bounds.coldShare() * s.service.spec.SlowStartRate))
 		chosen.nextCold = s.now.Add(gap)
 	}
 	return &choice{
@@ -153,13 +153,13 @@
 
 // refusable says whether a request may be refused for waiting. One that may have run
 // would not come again as one that has not: a late answer is worth more to it.
-func (s *search) refusable() bool { return s.route.FirstEvent > 0 && !s.repeats }
+func (s *search) refusable() bool { return s.route.FirstEventTarget > 0 && !s.repeats }
 
 // longest is the expected time to the first event, in seconds, beyond which the
 // request is refused: it would be late for waiting. When it comes again it may be
 // in time; here it would only delay others.
 func (s *search) longest(chosen *placement.Candidate, work placement.Work) float64 {
-	aim := s.route.FirstEvent.Seconds()
+	aim := s.route.FirstEventTarget.Seconds()
 	own := 0.0
 	if chosen.Speed > 0 {
 		own = max(0, work.Tokens-chosen.Cached) / chosen.Speed
@@ -217,7 +217,7 @@
 		c.Speed = readingSpeed / (line.factor * r.slowness)
 		c.Wait += line.start + r.backlog.left(s.now).Seconds()
 		c.Cached = float64(cached)
-		room := memoryShare*float64(s.service.spec.CacheTokens) - r.held - float64(others.Held)
+		room := memoryShare*float64(s.service.spec.CacheTokens) - r.held - float64(others.Tokens)
 		if room < s.request.Tokens {
 			c.Wait += s.service.hold
 		}
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -51,7 +51,7 @@
 
 // claim waits for claims that crossed the attempt's own. It returns the attempt,
 // or the one that takes its place at another replica.
-func (r *run) claim(ctx context.Context, at *placed) (*placed, *Refusal) {
+func (r *run) claim(ctx context.Context, at *placed) (*placed, *RequestError) {
 	if at.work.own.seconds() < claimedReading {
 		return at, nil
 	}
@@ -74,7 +74,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	since := at.work.began.Add(-claimTime)
-	own := peer.KeyOf(d.options.Gateway)
+	own := peer.NewReplicaKey(d.options.Gateway)
 	for i := range at.replica.claims {
 		other := &at.replica.claims[i]
 		if other.at.After(since) && other.precedes(at.work.reading, own) {
@@ -91,6 +91,6 @@
 	at.work.end()
 	at.replica.backlog.add(time.Now(), -at.work.reading)
 	if d.options.Placed != nil {
-		d.options.Placed(peer.PlacedPrompt{Replica: at.replica.key, ReadingMS: -int(at.work.reading.Milliseconds())})
+		d.options.Placed(peer.PlacedPrompt{Replica: at.replica.key, PrefillMS: -int(at.work.reading.Milliseconds())})
 	}
 }
--- a/dispatch/claim_test.go
+++ b/dispatch/claim_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -33,7 +33,7 @@
 	pair := &gatewayPair{first: newFixture(t), second: newFixtureOf(t, "g2")}
 	for _, f := range []*fixture{pair.first, pair.second} {
 		for _, name := range []string{"g1", "g2"} {
-			f.apply(registry.Add(places.GatewayRecord(name, places.Gateway{Region: ownRegion, Zone: "east-1", Up: true})))
+			f.apply(registry.Add(catalog.GatewayRecord(name, catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})))
 		}
 		f.configure(withPrompts)
 		for _, name := range replicas {
@@ -50,7 +50,7 @@
 
 func withPrompts(route *routemap.Route, service *routemap.Service) {
 	route.Kind = routemap.Stream
-	route.FirstEvent = time.Second
+	route.FirstEventTarget = time.Second
 	service.CacheTokens = 400_000
 }
 
@@ -61,11 +61,11 @@
 		time.AfterFunc(newsDelay, func() { to.dispatcher.Observe(&news) })
 	}
 	from.dispatcher.options.Placed = func(prompt peer.PlacedPrompt) {
-		prompt.Gateway = peer.KeyOf(name)
-		report(peer.RegionLoads{Placed: []peer.PlacedPrompt{prompt}})
+		prompt.Gateway = peer.NewReplicaKey(name)
+		report(peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{prompt}})
 	}
-	from.dispatcher.options.Read = func(prompt peer.ReadPrompt) {
-		report(peer.RegionLoads{Read: []peer.ReadPrompt{prompt}})
+	from.dispatcher.options.Read = func(prompt peer.PrefillSample) {
+		report(peer.RegionLoads{PrefillSamples: []peer.PrefillSample{prompt}})
 	}
 }
 
@@ -169,8 +169,8 @@
 		names := []string{"a", "b", "c", "d", "e"}
 		for _, holder := range names {
 			pair := newGatewayPair(t, names...)
-			pair.second.dispatcher.Observe(&peer.RegionLoads{Placed: []peer.PlacedPrompt{
-				{Replica: peer.KeyOf(holder), Prefixes: placement.Hashes(chainOf("shared", 9000))},
+			pair.second.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{
+				{Replica: peer.NewReplicaKey(holder), Prefixes: placement.Hashes(chainOf("shared", 9000))},
 			}})
 			pair.second.serve(func(r *Request) {
 				r.Tokens = 9500
@@ -308,10 +308,10 @@
 	f.answer = func(context.Context, *Attempt) (*Answer, error) { return events("id: 1\ndata: x\n\n", nil), nil }
 	f.fillRetryBudget()
 	busy := func(name string) peer.PlacedPrompt {
-		return peer.PlacedPrompt{Replica: peer.KeyOf(name), ReadingMS: 1500}
+		return peer.PlacedPrompt{Replica: peer.NewReplicaKey(name), PrefillMS: 1500}
 	}
 	f.answer = func(context.Context, *Attempt) (*Answer, error) {
-		f.dispatcher.Observe(&peer.RegionLoads{Placed: []peer.PlacedPrompt{busy("a"), busy("b")}})
+		f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{busy("a"), busy("b")}})
 		switch {
 		case len(f.replicasAsked()) > 1:
 			return events("id: 2\ndata: y\n\n", nil), nil
@@ -340,7 +340,7 @@
 	f.configure(withPrompts)
 	f.addReplica("a", "east-1")
 	f.answer = func(context.Context, *Attempt) (*Answer, error) { return events("id: 1\ndata: x\n\n", nil), nil }
-	f.dispatcher.Observe(&peer.RegionLoads{Placed: []peer.PlacedPrompt{{Replica: peer.KeyOf("a"), ReadingMS: int(test.backlog.Milliseconds())}}})
+	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("a"), PrefillMS: int(test.backlog.Milliseconds())}}})
 	_, refusal := f.serve(func(r *Request) { r.Tokens = test.tokens })
 	if refused := refusal != nil; refused != test.refused {
 		t.Errorf("refused: %v, %v", refused, refusal)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -130,15 +130,15 @@
 	ClientGone Code = "client_gone" // nobody waits for the answer
 )
 
-// Refusal is why a request was not served. Begun says that a part of an answer
+// RequestError is why a request was not served. Begun says that a part of an answer
 // was sent, so that only breaking it off remains.
-type Refusal struct {
+type RequestError struct {
 	Code       Code
 	RetryAfter time.Duration
 	Begun      bool
 }
 
-func (r *Refusal) Error() string { return "dispatch: " + string(r.Code) }
+func (r *RequestError) Error() string { return "dispatch: " + string(r.Code) }
 
 // Options sets up a Dispatcher.
 type Options struct {
@@ -154,7 +154,7 @@
 	Placed func(prompt peer.PlacedPrompt)
 	// Read, if set, is told of each prompt that a replica of the own region read
 	// alone. It must not block.
-	Read func(prompt peer.ReadPrompt)
+	Read func(prompt peer.PrefillSample)
 	// Random draws from [0, 1). Default math/rand/v2.
 	Random func() float64
 	Logger *slog.Logger
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -48,7 +48,7 @@
 // newTable is an empty registry.
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "c", Serial: 1}, []string{"c"})
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "c", Serial: 1}, []string{"c"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 		Gateway: gateway, Zone: "east-1", Region: ownRegion, Backend: f,
 		Random: func() float64 { return 0 }, Logger: slog.New(slog.DiscardHandler),
 	})
-	f.apply(registry.Add(places.GatewayRecord(gateway, places.Gateway{Region: ownRegion, Zone: "east-1", Up: true})))
+	f.apply(registry.Add(catalog.GatewayRecord(gateway, catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})))
 	return f
 }
 
@@ -92,11 +92,11 @@
 // apply changes the registry and makes it decide.
 func (f *fixture) apply(changes ...registry.Record) {
 	f.t.Helper()
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := f.table.Apply(&update, nil); result.Code != registry.NoError {
 		f.t.Fatalf("update answered %v: %s", result.Code, result.Reason)
 	}
-	contents, err := places.Read(f.table.View())
+	contents, err := catalog.Read(f.table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -108,12 +108,12 @@
 // configure makes a map with one route of the given kind decide.
 func (f *fixture) configure(change func(*routemap.Route, *routemap.Service)) {
 	f.t.Helper()
-	contents, err := places.Read(f.table.View())
+	contents, err := catalog.Read(f.table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	route := routemap.Route{
-		Name: "r", Host: "h", PathPrefix: "/", Kind: routemap.Once, Timeout: 5 * time.Second, MaxAttempts: 2,
+		Name: "r", Host: "h", PathPrefix: "/", Kind: routemap.AtMostOnce, Timeout: 5 * time.Second, MaxAttempts: 2,
 		Targets: []routemap.Target{{Service: "s", Weight: 1}},
 	}
 	service := routemap.Service{Name: "s", Slots: 8, MaxConnections: 100}
@@ -121,7 +121,7 @@
 		change(&route, &service)
 	}
 	routes := &routemap.Map{Version: contents.Version() + 1, Routes: []routemap.Route{route}, Services: []routemap.Service{service}}
-	changes, err := configuration.MapChanges(f.table.View(), routes, zones, fmt.Sprint("text ", routes.Version))
+	changes, err := configuration.RouteMapChanges(f.table.View(), routes, zones, fmt.Sprint("text ", routes.Version))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -130,11 +130,11 @@
 
 func (f *fixture) addReplica(id, zone string) {
 	f.t.Helper()
-	f.apply(registry.Add(places.ReplicaRecord(id, places.Replica{Service: "s", Zone: zone, Region: zones[zone], Address: id + ":1"})))
+	f.apply(registry.Add(catalog.ReplicaRecord(id, catalog.Replica{Service: "s", Zone: zone, Region: zones[zone], Address: id + ":1"})))
 }
 
 // serve sends one request.
-func (f *fixture) serve(change func(*Request)) (*recorder, *Refusal) {
+func (f *fixture) serve(change func(*Request)) (*recorder, *RequestError) {
 	f.t.Helper()
 	request := &Request{ID: "id", Method: http.MethodPost, Host: "h", Path: "/x", Target: "/x", Header: http.Header{}, Arrived: time.Now()}
 	if change != nil {
@@ -241,21 +241,21 @@
 		}
 	}
 	expect("at first", "near")
-	f.apply(registry.Add(places.DrainRecord("near", places.Drain{})))
+	f.apply(registry.Add(catalog.DrainRecord("near", catalog.Drain{})))
 	expect("drained", "far")
-	f.apply(registry.DeleteSet(places.ReplicaName("near"), places.TypeDrain))
+	f.apply(registry.DeleteSet(catalog.ReplicaName("near"), catalog.TypeDrain))
 	expect("not drained any more", "near")
-	f.apply(registry.Add(places.EvacuationRecord("east-1", places.Evacuation{Order: "o"})))
+	f.apply(registry.Add(catalog.EvacuationRecord("east-1", catalog.Evacuation{OperationID: "o"})))
 	expect("evacuated", "far")
-	f.apply(registry.DeleteSet(places.ZoneName("east-1"), places.TypeEvacuation))
+	f.apply(registry.DeleteSet(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
 	expect("taken back", "near")
-	f.apply(registry.DeleteName(places.ReplicaName("near")))
+	f.apply(registry.DeleteName(catalog.ReplicaName("near")))
 	expect("not listed", "far")
-	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Homes = []string{ownRegion} })
+	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.HomeRegions = []string{ownRegion} })
 	expect("bound to a region without replicas", "")
 	f.addReplica("new", "east-2")
 	expect("a new replica in the home", "new")
-	f.apply(registry.DeleteSet(places.PathRouteName("r"), places.TypePathRoute))
+	f.apply(registry.DeleteSet(catalog.PathRouteName("r"), catalog.TypePathRoute))
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Host = "elsewhere" })
 	expect("without the route", "")
 }
@@ -270,14 +270,14 @@
 		attempts  int
 		code      Code // of the refusal, empty if it is served
 	}{
-		"once, unsent":          {routemap.Once, false, Unsent, 2, ""},
-		"once, full":            {routemap.Once, false, Full, 2, ""},
-		"once, replaced":        {routemap.Once, false, Replaced, 2, ""},
-		"once, broken":          {routemap.Once, false, Broken, 1, Unknown},
+		"once, unsent":          {routemap.AtMostOnce, false, Unsent, 2, ""},
+		"once, full":            {routemap.AtMostOnce, false, Full, 2, ""},
+		"once, replaced":        {routemap.AtMostOnce, false, Replaced, 2, ""},
+		"once, broken":          {routemap.AtMostOnce, false, Broken, 1, Unknown},
 		"stream, broken":        {routemap.Stream, false, Broken, 1, Unknown},
 		"resumable, broken":     {routemap.Stream, true, Broken, 2, ""},
-		"repeatable, broken":    {routemap.Repeatable, false, Broken, 2, ""},
-		"repeatable, refused":   {routemap.Repeatable, false, Full, 2, ""},
+		"repeatable, broken":    {routemap.Idempotent, false, Broken, 2, ""},
+		"repeatable, refused":   {routemap.Idempotent, false, Full, 2, ""},
 		"stream, nothing there": {routemap.Stream, false, Unsent, 2, ""},
 	}
 	for name, test := range tests {
@@ -339,7 +339,7 @@
 			t.Fatalf("asked %v", f.replicasAsked())
 		}
 	}
-	f.dispatcher.Observe(&peer.RegionLoads{Placed: []peer.PlacedPrompt{{Replica: peer.KeyOf("r3"), ReadingMS: 200}}})
+	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
 	f.sent = nil
 	ask(20)
 	if asked := f.replicasAsked(); len(asked) != 1 || asked[0] == "r3" {
@@ -433,7 +433,7 @@
 // promises the contrary.
 func TestARefusalAfterABreakDoesNotSayNotRun(t *testing.T) {
 	f := newFixture(t)
-	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Repeatable })
+	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Idempotent })
 	f.addReplica("a", "east-1")
 	for range 20 {
 		f.serve(nil)
@@ -446,7 +446,7 @@
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	f := newFixture(t)
-	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Repeatable })
+	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Idempotent })
 	for i := range 6 {
 		f.addReplica(fmt.Sprint("r", i), "east-1")
 	}
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/dispatch"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -42,8 +42,8 @@
 
 func (exampleClient) Flush() {}
 
-func exampleContents() (*places.Contents, error) {
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "control-1", Serial: 1}, []string{"control-1"})
+func exampleContents() (*catalog.State, error) {
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
 		return nil, err
 	}
@@ -51,20 +51,20 @@
 		Version:  1,
 		Services: []routemap.Service{{Name: "pages"}},
 		Routes: []routemap.Route{{
-			Name: "site", Host: "example.test", PathPrefix: "/", Kind: routemap.Once, Timeout: time.Second,
+			Name: "site", Host: "example.test", PathPrefix: "/", Kind: routemap.AtMostOnce, Timeout: time.Second,
 			MaxAttempts: 1, Targets: []routemap.Target{{Service: "pages", Weight: 1}},
 		}},
 	}
-	changes, err := configuration.MapChanges(table.View(), routes, map[string]string{"north-1": "north"}, "the operators' text")
+	changes, err := configuration.RouteMapChanges(table.View(), routes, map[string]string{"north-1": "north"}, "the operators' text")
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range []string{"r1", "r2"} {
-		changes = append(changes, registry.Add(places.ReplicaRecord(name, places.Replica{Service: "pages", Zone: "north-1", Region: "north", Address: name + ":80"})))
+		changes = append(changes, registry.Add(catalog.ReplicaRecord(name, catalog.Replica{Service: "pages", Zone: "north-1", Region: "north", Address: name + ":80"})))
 	}
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	table.Apply(&update, nil)
-	return places.Read(table.View())
+	return catalog.Read(table.View())
 }
 
 // A request that may run once only is sent to another replica as long as no byte
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -64,25 +64,25 @@
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if loads.Whole {
+	if loads.Complete {
 		d.loads.report(now, loads.Aggregator, loads.Loads)
 	}
-	for _, added := range loads.Added {
+	for _, added := range loads.PrefillTotals {
 		if r, known := d.byKey[added.Replica]; known {
-			r.give(now, time.Duration(added.ReadingMS)*time.Millisecond)
+			r.give(now, time.Duration(added.PrefillMS)*time.Millisecond)
 		}
 	}
-	for _, placed := range loads.Placed {
+	for _, placed := range loads.PlacedPrompts {
 		if r, known := d.byKey[placed.Replica]; known {
-			reading := time.Duration(placed.ReadingMS) * time.Millisecond
+			reading := time.Duration(placed.PrefillMS) * time.Millisecond
 			r.give(now, reading)
 			r.noteClaim(now, placed.Gateway, reading)
 			d.holds(r, placed.Prefixes)
 		}
 	}
-	for _, read := range loads.Read {
+	for _, read := range loads.PrefillSamples {
 		if r, known := d.byKey[read.Replica]; known {
-			d.learn(r, microseconds(read.WorkUS), microseconds(read.TookUS))
+			d.learn(r, microseconds(read.ReferenceUS), microseconds(read.MeasuredUS))
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	loads := make(map[peer.ReplicaKey]peer.Load)
 	for key, r := range d.byKey {
 		if r.inFlight > 0 {
-			loads[key] = peer.Load{Requests: r.inFlight, Held: int(r.held)}
+			loads[key] = peer.Load{Requests: r.inFlight, Tokens: int(r.held)}
 		}
 	}
 	return loads
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -5,9 +5,9 @@
 	"sort"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/outlier"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
@@ -43,7 +43,7 @@
 const coldMargin = 1500 * time.Millisecond
 
 // Update makes a newer reading of the registry decide.
-func (d *Dispatcher) Update(contents *places.Contents) {
+func (d *Dispatcher) Update(contents *catalog.State) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.updateServices(contents)
@@ -84,7 +84,7 @@
 // startWait is how long a request may wait for the first plan.
 const startWait = 400 * time.Millisecond
 
-func tableOf(contents *places.Contents) *routemap.Table {
+func tableOf(contents *catalog.State) *routemap.Table {
 	routes := make([]routemap.Route, 0, len(contents.PathRoutes()))
 	for _, route := range contents.PathRoutes() {
 		routes = append(routes, route)
@@ -92,7 +92,7 @@
 	return routemap.NewTable(routes)
 }
 
-func gatewaysUp(contents *places.Contents) (all []string, byRegion map[string][]string) {
+func gatewaysUp(contents *catalog.State) (all []string, byRegion map[string][]string) {
 	byRegion = make(map[string][]string)
 	for name, gateway := range contents.Gateways() {
 		if gateway.Up {
@@ -103,7 +103,7 @@
 	return all, byRegion
 }
 
-func (d *Dispatcher) updateServices(contents *places.Contents) {
+func (d *Dispatcher) updateServices(contents *catalog.State) {
 	for name, spec := range contents.Pools() {
 		known, found := d.services[name]
 		if !found {
@@ -126,7 +126,7 @@
 
 // updateReplicas brings the replicas in line with the list, and keeps what was
 // seen of those that stay.
-func (d *Dispatcher) updateReplicas(contents *places.Contents, now time.Time) {
+func (d *Dispatcher) updateReplicas(contents *catalog.State, now time.Time) {
 	for id := range d.replicas {
 		if _, listed := contents.Replicas()[id]; !listed {
 			d.dropReplica(id)
@@ -157,19 +157,19 @@
 }
 
 // describe takes over what the registry says of a replica.
-func (d *Dispatcher) describe(r *replica, listed places.Replica, contents *places.Contents, now time.Time) {
+func (d *Dispatcher) describe(r *replica, listed catalog.Replica, contents *catalog.State, now time.Time) {
 	r.service = listed.Service
 	r.zone = listed.Zone
 	r.region = listed.Region
 	r.address = listed.Address
 	r.slots = listed.Slots
-	r.draining = contents.Drained(r.id)
+	r.draining = contents.IsDraining(r.id)
 	condition, _ := contents.Condition(r.id)
-	r.cold = condition.State == places.ConditionCold
-	evacuated := contents.Evacuated(listed.Zone)
+	r.cold = condition.State == catalog.ConditionWarmingUp
+	evacuated := contents.IsEvacuated(listed.Zone)
 	if r.evacuated && !evacuated {
 		if known, found := d.services[r.service]; found {
-			r.coldUntil = now.Add(known.spec.ColdStart + coldMargin)
+			r.coldUntil = now.Add(known.spec.SlowStartDuration + coldMargin)
 		}
 	}
 	r.evacuated = evacuated
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -16,7 +16,7 @@
 const wholeLimit = 256 << 10
 
 // relayWhole passes on an answer that is no series of events.
-func (r *run) relayWhole(ctx context.Context, at *placed, answer *Answer) (again bool, refusal *Refusal) {
+func (r *run) relayWhole(ctx context.Context, at *placed, answer *Answer) (again bool, refusal *RequestError) {
 	first, err := io.ReadAll(io.LimitReader(answer.Body, wholeLimit+1))
 	if err != nil {
 		return r.broken(ctx, at, err)
@@ -32,7 +32,7 @@
 	}
 	r.begin(answer)
 	if _, err := r.client.Write(first); err != nil {
-		return false, &Refusal{Code: ClientGone, Begun: true}
+		return false, &RequestError{Code: ClientGone, Begun: true}
 	}
 	if _, err := io.Copy(r.client, answer.Body); err != nil {
 		return r.broken(ctx, at, err)
@@ -53,7 +53,7 @@
 // relayEvents passes events on one by one, whole events only. The head of the
 // answer waits for the first event, so that an attempt which breaks off before
 // it has begun nothing.
-func (r *run) relayEvents(ctx context.Context, at *placed, answer *Answer, watch *silenceWatch) (again bool, refusal *Refusal) {
+func (r *run) relayEvents(ctx context.Context, at *placed, answer *Answer, watch *silenceWatch) (again bool, refusal *RequestError) {
 	events := newEventReader(answer.Body)
 	for {
 		event, err := events.next()
@@ -73,7 +73,7 @@
 		}
 		r.begin(answer)
 		if _, err := r.client.Write(event.text); err != nil {
-			return false, &Refusal{Code: ClientGone}
+			return false, &RequestError{Code: ClientGone}
 		}
 		r.client.Flush()
 		if event.id != "" {
@@ -93,7 +93,7 @@
 }
 
 // broken decides what follows an answer that broke off.
-func (r *run) broken(ctx context.Context, at *placed, err error) (again bool, refusal *Refusal) {
+func (r *run) broken(ctx context.Context, at *placed, err error) (again bool, refusal *RequestError) {
 	if refusal := r.timeLeft(ctx); refusal != nil {
 		return false, refusal
 	}
@@ -117,7 +117,7 @@
 	if took, measured := at.work.open(now); measured && at.replica.region == d.options.Region {
 		d.learn(at.replica, at.work.own.work, took)
 		if d.options.Read != nil {
-			d.options.Read(peer.ReadPrompt{Replica: at.replica.key, WorkUS: uint32(1e6 * at.work.own.work), TookUS: uint32(1e6 * took)})
+			d.options.Read(peer.PrefillSample{Replica: at.replica.key, ReferenceUS: uint32(1e6 * at.work.own.work), MeasuredUS: uint32(1e6 * took)})
 		}
 	}
 	at.replica.reached()
--- a/dispatch/replica.go
+++ b/dispatch/replica.go
@@ -63,7 +63,7 @@
 }
 
 func newReplica(id string) *replica {
-	return &replica{id: id, key: peer.KeyOf(id), number: -1, hash: placement.Hash(id), slowness: 1}
+	return &replica{id: id, key: peer.NewReplicaKey(id), number: -1, hash: placement.Hash(id), slowness: 1}
 }
 
 // isCold says whether the ramp of cold replicas binds.
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -43,7 +43,7 @@
 // Serve carries one request. It returns nil if a whole answer was relayed, also
 // if that is a replica's own error, and else why not. It returns at the latest
 // at the end of the route's time-out or of the client's wait.
-func (d *Dispatcher) Serve(ctx context.Context, request *Request, client Client) *Refusal {
+func (d *Dispatcher) Serve(ctx context.Context, request *Request, client Client) *RequestError {
 	refusal := d.serve(ctx, request, client)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -56,14 +56,14 @@
 	return refusal
 }
 
-func (d *Dispatcher) serve(ctx context.Context, request *Request, client Client) *Refusal {
+func (d *Dispatcher) serve(ctx context.Context, request *Request, client Client) *RequestError {
 	decided := d.awaitPlan(ctx)
 	if decided == nil {
-		return &Refusal{Code: NotReady, RetryAfter: startRetryAfter}
+		return &RequestError{Code: NotReady, RetryAfter: startRetryAfter}
 	}
 	route := decided.routes.Lookup(request.Host, request.Path)
 	if route == nil {
-		return &Refusal{Code: NoRoute}
+		return &RequestError{Code: NoRoute}
 	}
 	wait := route.Timeout
 	if request.Wait > 0 {
@@ -85,7 +85,7 @@
 }
 
 // carry makes attempts until one is answered or none is left.
-func (r *run) carry(ctx context.Context) *Refusal {
+func (r *run) carry(ctx context.Context) *RequestError {
 	for {
 		if refusal := r.timeLeft(ctx); refusal != nil {
 			return refusal
@@ -108,22 +108,22 @@
 }
 
 // timeLeft refuses a request whose time is over or whose client has left.
-func (r *run) timeLeft(ctx context.Context) *Refusal {
+func (r *run) timeLeft(ctx context.Context) *RequestError {
 	err := ctx.Err()
 	switch {
 	case err == nil:
 		return nil
 	case !errors.Is(err, context.DeadlineExceeded):
-		return &Refusal{Code: ClientGone, Begun: r.begun}
+		return &RequestError{Code: ClientGone, Begun: r.begun}
 	case r.attempts > 0:
-		return &Refusal{Code: TimedOut, Begun: r.begun}
+		return &RequestError{Code: TimedOut, Begun: r.begun}
 	default:
-		return &Refusal{Code: NoTime, Begun: r.begun}
+		return &RequestError{Code: NoTime, Begun: r.begun}
 	}
 }
 
 // final keeps a refusal honest: what may have run is not refused as not run.
-func (r *run) final(refusal *Refusal) *Refusal {
+func (r *run) final(refusal *RequestError) *RequestError {
 	refusal.Begun = r.begun
 	if r.attempts == 0 {
 		return refusal
@@ -138,13 +138,13 @@
 
 // place chooses the replica of the next attempt, gives it the prompt, and tells
 // the other gateways.
-func (r *run) place() (*placed, *Refusal) {
+func (r *run) place() (*placed, *RequestError) {
 	d := r.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	known, found := d.services[r.service]
 	if !found {
-		return nil, &Refusal{Code: NoReplica, RetryAfter: absentRetryAfter}
+		return nil, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter}
 	}
 	now := time.Now()
 	if !r.noted {
@@ -194,7 +194,7 @@
 	}
 	d.options.Placed(peer.PlacedPrompt{
 		Replica:   taken.replica.key,
-		ReadingMS: int(taken.reading.Milliseconds()),
+		PrefillMS: int(taken.reading.Milliseconds()),
 		Prefixes:  prefixes,
 	})
 }
@@ -240,7 +240,7 @@
 
 // attempt sends the request once and relays the answer. again says that another
 // attempt is to be made.
-func (r *run) attempt(ctx context.Context, at *placed) (again bool, refusal *Refusal) {
+func (r *run) attempt(ctx context.Context, at *placed) (again bool, refusal *RequestError) {
 	r.dispatcher.begin()
 	defer r.dispatcher.finish(at)
 	sending, cancel := context.WithCancel(ctx)
@@ -263,7 +263,7 @@
 		return r.relayEvents(ctx, at, answer, watch)
 	}
 	if r.begun {
-		return false, &Refusal{Code: Unknown} // nothing that could go on with the events sent
+		return false, &RequestError{Code: Unknown} // nothing that could go on with the events sent
 	}
 	return r.relayWhole(ctx, at, answer)
 }
@@ -283,7 +283,7 @@
 }
 
 // failed decides what follows an attempt without an answer.
-func (r *run) failed(ctx context.Context, at *placed, err error) (again bool, refusal *Refusal) {
+func (r *run) failed(ctx context.Context, at *placed, err error) (again bool, refusal *RequestError) {
 	failure := &AttemptError{Failure: Broken, Err: err}
 	errors.As(err, &failure)
 	if failure.Failure == Broken {
@@ -303,31 +303,31 @@
 		return r.afterUnsent(at, now, failure.Silent)
 	case Replaced:
 		at.replica.replaced = true
-		return r.afterRefusal(now, mostReplaced, &Refusal{Code: NoReplica, RetryAfter: absentRetryAfter})
+		return r.afterRefusal(now, mostReplaced, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter})
 	case Full:
 		at.replica.fullUntil = now.Add(max(fullAvoidance, failure.RetryAfter))
 		at.service.outliers.Refusal(now, at.replica.id)
-		return r.afterRefusal(now, mostRefused, &Refusal{Code: Overloaded, RetryAfter: busyRetryAfter})
+		return r.afterRefusal(now, mostRefused, &RequestError{Code: Overloaded, RetryAfter: busyRetryAfter})
 	default:
 		return r.afterBreak(at, now)
 	}
 }
 
-func (r *run) afterUnsent(at *placed, now time.Time, silent bool) (bool, *Refusal) {
+func (r *run) afterUnsent(at *placed, now time.Time, silent bool) (bool, *RequestError) {
 	at.replica.unreachable(now)
 	if silent {
 		r.dispatcher.zone(at.replica.zone).noteSilent(now, at.replica.id)
 	}
 	r.unsent++
 	if r.unsent >= mostUnsent {
-		return false, &Refusal{Code: NoReplica, RetryAfter: absentRetryAfter}
+		return false, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter}
 	}
 	return true, nil
 }
 
 // afterRefusal tries another replica within a number of them and the budget: the
 // refused attempt arrived at a replica as any other.
-func (r *run) afterRefusal(now time.Time, most int, refusal *Refusal) (bool, *Refusal) {
+func (r *run) afterRefusal(now time.Time, most int, refusal *RequestError) (bool, *RequestError) {
 	r.refused++
 	if r.refused >= most || !r.dispatcher.budget.Allow(now) {
 		return false, refusal
@@ -338,16 +338,16 @@
 
 // afterBreak repeats what may be repeated, or goes on after the last event, within
 // the route's attempts and the budget.
-func (r *run) afterBreak(at *placed, now time.Time) (bool, *Refusal) {
+func (r *run) afterBreak(at *placed, now time.Time) (bool, *RequestError) {
 	at.replica.unreachable(now)
 	at.service.outliers.Failure(now, at.replica.id)
 	resumable := r.route.Resumable && r.after != ""
-	if r.begun && !resumable || !r.route.MayRepeat() || r.attempts >= r.route.MaxAttempts {
-		return false, &Refusal{Code: Unknown}
+	if r.begun && !resumable || !r.route.Retryable() || r.attempts >= r.route.MaxAttempts {
+		return false, &RequestError{Code: Unknown}
 	}
 	counts := &r.dispatcher.counts
 	if !r.dispatcher.budget.Allow(now) {
-		return false, &Refusal{Code: Unknown}
+		return false, &RequestError{Code: Unknown}
 	}
 	counts.Retries++
 	if r.begun {
--- a/dispatch/simulation_bound_test.go
+++ b/dispatch/simulation_bound_test.go
@@ -83,7 +83,7 @@
 		replicas: make(map[string]*simulatedReplica), record: newSimulatedRecord(),
 		distort: func(routes *routemap.Map) {
 			for i := range routes.Routes {
-				routes.Routes[i].Homes = nil
+				routes.Routes[i].HomeRegions = nil
 			}
 		},
 	}
@@ -156,7 +156,7 @@
 	}
 	took := client.began.Sub(request.Arrived)
 	outcome.times = append(outcome.times, took)
-	if took > trueRoute(request.Path).FirstEvent {
+	if took > trueRoute(request.Path).FirstEventTarget {
 		outcome.late++
 	}
 }
--- a/dispatch/simulation_checks_test.go
+++ b/dispatch/simulation_checks_test.go
@@ -32,7 +32,7 @@
 	began   time.Duration // into the day
 	took    time.Duration
 	wait    time.Duration
-	refusal *Refusal
+	refusal *RequestError
 	text    string
 	ran     []string // replicas
 	arrived int
@@ -83,7 +83,7 @@
 	return try
 }
 
-func (r *simulatedRecord) end(try *simulatedTry, refusal *Refusal, text string, wait time.Duration) {
+func (r *simulatedRecord) end(try *simulatedTry, refusal *RequestError, text string, wait time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	try.refusal = refusal
@@ -122,7 +122,7 @@
 	try := r.tries[name]
 	try.ran = append(try.ran, replica.id)
 	route := trueRoute(try.request.Path)
-	if region := simulatedZones[replica.zone]; len(route.Homes) > 0 && !slices.Contains(route.Homes, region) {
+	if region := simulatedZones[replica.zone]; len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, region) {
 		r.wrong = append(r.wrong, fmt.Sprintf("HOME: %s runs in %s", name, region))
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	for name, try := range r.tries {
 		route := trueRoute(try.request.Path)
-		if !route.MayRepeat() && runs[try.request.ID] > 1 {
+		if !route.Retryable() && runs[try.request.ID] > 1 {
 			r.wrong = append(r.wrong, fmt.Sprintf("TWICE: %s ran %d times", name, runs[try.request.ID]))
 		}
 	}
--- a/dispatch/simulation_days_test.go
+++ b/dispatch/simulation_days_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -62,7 +62,7 @@
 	other := &simulatedReplica{id: "other-at-" + crashed.id, zone: crashed.zone, service: "web-2", address: crashed.address, slowness: 1, enginePace: 0.5}
 	f.place(other) // the list still names the one that crashed
 	f.at(troubleAt + 1500*time.Millisecond)
-	f.change(registry.DeleteName(places.ReplicaName(crashed.id)))
+	f.change(registry.DeleteName(catalog.ReplicaName(crashed.id)))
 	f.addReplica("new-"+crashed.id, crashed.zone, "model")
 	fresh := f.replicaAt("new-" + crashed.id + ":80")
 	f.makeCold(fresh, true)
@@ -83,7 +83,7 @@
 	f.at(troubleAt + time.Second)
 	killed.start()
 	f.spread()
-	f.change(registry.Add(places.GatewayRecord(lost.name, places.Gateway{Region: lost.region(), Zone: lost.zone})))
+	f.change(registry.Add(catalog.GatewayRecord(lost.name, catalog.Gateway{Region: lost.region(), Zone: lost.zone})))
 	f.at(troubleEnd)
 	f.settle()
 }
@@ -95,7 +95,7 @@
 	models := f.replicasOf("model", "north-1")
 	models[0].crash()
 	f.at(troubleAt + time.Second)
-	f.change(registry.DeleteName(places.ReplicaName(models[0].id)))
+	f.change(registry.DeleteName(catalog.ReplicaName(models[0].id)))
 	f.addReplica("later", "north-1", "model")
 	f.makeCold(f.replicaAt("later:80"), true)
 	f.gateways[1].end()
@@ -129,13 +129,13 @@
 	for _, g := range f.gateways {
 		if g.region() == "east" {
 			g.cutOff.Store(true)
-			f.change(registry.Add(places.GatewayRecord(g.name, places.Gateway{Region: "east", Zone: g.zone})))
+			f.change(registry.Add(catalog.GatewayRecord(g.name, catalog.Gateway{Region: "east", Zone: g.zone})))
 		}
 	}
 	f.at(troubleAt + 3*time.Second)
 	for _, g := range f.gateways {
 		g.cutOff.Store(false)
-		f.change(registry.Add(places.GatewayRecord(g.name, places.Gateway{Region: g.region(), Zone: g.zone, Up: g.region() != "south"})))
+		f.change(registry.Add(catalog.GatewayRecord(g.name, catalog.Gateway{Region: g.region(), Zone: g.zone, Up: g.region() != "south"})))
 	}
 	f.at(troubleEnd)
 	f.makeCold(cold, false)
@@ -149,11 +149,11 @@
 	f.crowd("north-1", 60)
 	f.configure("web-2")
 	f.at(troubleAt + time.Second)
-	f.change(registry.Add(places.EvacuationRecord("north-1", places.Evacuation{Order: "o"})))
+	f.change(registry.Add(catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "o"})))
 	f.record.evacuated("north-1")
 	f.at(troubleAt + 3*time.Second)
 	f.record.takenBack("north-1")
-	f.change(registry.DeleteSet(places.ZoneName("north-1"), places.TypeEvacuation))
+	f.change(registry.DeleteSet(catalog.ZoneName("north-1"), catalog.TypeEvacuation))
 	f.configure("web")
 	f.at(troubleEnd + settleTime) // the zone's replicas count as cold for a while
 	f.record.settledAt(troubleEnd + 2*settleTime)
@@ -190,7 +190,7 @@
 }{
 	"a break is called unsent": {rule: "TWICE", day: "replicas", plant: lying(Unsent)},
 	"a break is called full":   {rule: "REFUSED", day: "replicas", plant: lying(Full)},
-	"homes are lost":           {rule: "HOME", day: "control machines", distort: forRoutes(func(r *routemap.Route) { r.Homes = nil })},
+	"homes are lost":           {rule: "HOME", day: "control machines", distort: forRoutes(func(r *routemap.Route) { r.HomeRegions = nil })},
 	"attempts are not bounded": {
 		rule: "ATTEMPTS", day: "own machines",
 		plant: func(f *simulatedFleet) {
@@ -211,7 +211,7 @@
 		plant: func(f *simulatedFleet) {
 			f.later(troubleAt+1700*time.Millisecond, func() { f.crowd("north-1", 250) })
 		},
-		distort: func(m *routemap.Map) { m.Services[0].ColdPerSecond = 0 },
+		distort: func(m *routemap.Map) { m.Services[0].SlowStartRate = 0 },
 	},
 	"an evacuation is not heard": {rule: "EVACUATION", day: "crowds, operators", plant: func(f *simulatedFleet) {
 		f.at(troubleAt)
--- a/dispatch/simulation_replica_test.go
+++ b/dispatch/simulation_replica_test.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -64,7 +64,7 @@
 	f.mutex.Lock()
 	f.replicas[r.address] = r
 	f.mutex.Unlock()
-	f.change(registry.Add(places.ReplicaRecord(r.id, places.Replica{Service: r.service, Zone: r.zone, Region: simulatedZones[r.zone], Address: r.address})))
+	f.change(registry.Add(catalog.ReplicaRecord(r.id, catalog.Replica{Service: r.service, Zone: r.zone, Region: simulatedZones[r.zone], Address: r.address})))
 }
 
 func (f *simulatedFleet) replicaAt(address string) *simulatedReplica {
@@ -249,10 +249,10 @@
 // makeCold starts the cold time of a replica: the list says so, and the checks
 // hold it.
 func (f *simulatedFleet) makeCold(r *simulatedReplica, cold bool) {
-	state := places.ConditionUp
+	state := catalog.ConditionUp
 	if cold {
-		state = places.ConditionCold
+		state = catalog.ConditionWarmingUp
 		f.record.cold(r)
 	}
-	f.change(registry.Add(places.ConditionRecord(r.id, places.Condition{State: state})))
+	f.change(registry.Add(catalog.ConditionRecord(r.id, catalog.Condition{State: state})))
 }
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -12,11 +12,11 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/loadexchange"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -49,15 +49,15 @@
 	return &routemap.Map{
 		Version: version,
 		Services: []routemap.Service{
-			{Name: "model", CacheTokens: 490_000, MaxConnections: 390, ColdPerSecond: 10, ColdStart: 3 * time.Second},
+			{Name: "model", CacheTokens: 490_000, MaxConnections: 390, SlowStartRate: 10, SlowStartDuration: 3 * time.Second},
 			{Name: "web", Slots: 6, MaxConnections: 130},
 			{Name: "web-2", Slots: 6, MaxConnections: 130},
 		},
 		Routes: []routemap.Route{
-			{Name: "review", Host: "h", PathPrefix: "/review/", Kind: routemap.Stream, MaxAttempts: 1, Priority: 1, Timeout: 10 * time.Second, FirstEvent: time.Second, Targets: to("model")},
-			{Name: "ask", Host: "h", PathPrefix: "/ask/", Kind: routemap.Stream, Resumable: true, MaxAttempts: 2, Timeout: 3 * time.Second, FirstEvent: 500 * time.Millisecond, Targets: to("model"), Homes: []string{"north", "east"}},
-			{Name: "order", Host: "h", PathPrefix: "/order/", Kind: routemap.Once, MaxAttempts: 1, Timeout: 4 * time.Second, FirstEvent: 400 * time.Millisecond, Targets: to(pages)},
-			{Name: "page", Host: "h", PathPrefix: "/page/", Kind: routemap.Repeatable, MaxAttempts: 3, Timeout: 2 * time.Second, FirstEvent: 400 * time.Millisecond, Targets: to(pages)},
+			{Name: "review", Host: "h", PathPrefix: "/review/", Kind: routemap.Stream, MaxAttempts: 1, Priority: 1, Timeout: 10 * time.Second, FirstEventTarget: time.Second, Targets: to("model")},
+			{Name: "ask", Host: "h", PathPrefix: "/ask/", Kind: routemap.Stream, Resumable: true, MaxAttempts: 2, Timeout: 3 * time.Second, FirstEventTarget: 500 * time.Millisecond, Targets: to("model"), HomeRegions: []string{"north", "east"}},
+			{Name: "order", Host: "h", PathPrefix: "/order/", Kind: routemap.AtMostOnce, MaxAttempts: 1, Timeout: 4 * time.Second, FirstEventTarget: 400 * time.Millisecond, Targets: to(pages)},
+			{Name: "page", Host: "h", PathPrefix: "/page/", Kind: routemap.Idempotent, MaxAttempts: 3, Timeout: 2 * time.Second, FirstEventTarget: 400 * time.Millisecond, Targets: to(pages)},
 		},
 	}
 }
@@ -165,7 +165,7 @@
 	g := &simulatedGateway{fleet: f, name: name, zone: zone}
 	g.start()
 	f.gateways = append(f.gateways, g)
-	f.change(registry.Add(places.GatewayRecord(name, places.Gateway{Region: simulatedZones[zone], Zone: zone, Up: true})))
+	f.change(registry.Add(catalog.GatewayRecord(name, catalog.Gateway{Region: simulatedZones[zone], Zone: zone, Up: true})))
 }
 
 // start begins a process without any knowledge.
@@ -178,7 +178,7 @@
 	g.dispatcher = New(Options{
 		Gateway: g.name, Zone: g.zone, Region: g.region(), Backend: g, Random: f.draw, Logger: slog.New(slog.DiscardHandler),
 		Placed: func(prompt peer.PlacedPrompt) { g.exchange.Placed(prompt) },
-		Read:   func(prompt peer.ReadPrompt) { g.exchange.Measured(prompt) },
+		Read:   func(prompt peer.PrefillSample) { g.exchange.Measured(prompt) },
 	})
 	g.exchange = loadexchange.NewNode(loadexchange.Config{
 		Name: g.name, Region: g.region(), Loads: g.dispatcher, Observe: g.dispatcher.Observe,
@@ -206,7 +206,7 @@
 	if f.distort != nil {
 		f.distort(routes)
 	}
-	changes, err := configuration.MapChanges(f.table.View(), routes, simulatedZones, fmt.Sprint("text ", f.version))
+	changes, err := configuration.RouteMapChanges(f.table.View(), routes, simulatedZones, fmt.Sprint("text ", f.version))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 // change brings a change into the registry and on its way to the gateways.
 func (f *simulatedFleet) change(changes ...registry.Record) {
 	f.t.Helper()
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := f.table.Apply(&update, nil); result.Code != registry.NoError {
 		f.t.Fatalf("update answered %v", result.Code)
 	}
@@ -226,7 +226,7 @@
 // spread sends the newest reading of the registry to all gateways in touch.
 func (f *simulatedFleet) spread() {
 	f.t.Helper()
-	contents, err := places.Read(f.table.View())
+	contents, err := catalog.Read(f.table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -239,7 +239,7 @@
 }
 
 // take makes a reading decide unless a newer one does.
-func (g *simulatedGateway) take(contents *places.Contents) {
+func (g *simulatedGateway) take(contents *catalog.State) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.alive.Err() != nil || g.serial != 0 && !registry.SerialLess(g.serial, contents.Serial()) {
@@ -381,7 +381,7 @@
 		outcome := f.try(g, request, try, end)
 		promised := outcome.refusal != nil && outcome.refusal.RetryAfter > 0
 		lost := outcome.refusal != nil && outcome.refusal.Code == ClientGone
-		if !promised && (!lost || !route.MayRepeat()) {
+		if !promised && (!lost || !route.Retryable()) {
 			return
 		}
 		time.Sleep(max(outcome.retryAfter(), nearDelay))
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -34,7 +34,7 @@
 		Address:   r.address,
 		State:     d.state(r, now),
 		Requests:  r.inFlight,
-		ReadingMS: r.backlog.left(now).Milliseconds(),
+		PrefillMS: r.backlog.left(now).Milliseconds(),
 		Slowness:  r.slowness,
 	}
 }
--- a/dispatch/stream_test.go
+++ b/dispatch/stream_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 )
@@ -149,18 +149,18 @@
 func TestColdReplicas(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(_ *routemap.Route, service *routemap.Service) {
-		service.ColdPerSecond, service.ColdStart = 10, 3*time.Second
+		service.SlowStartRate, service.SlowStartDuration = 10, 3*time.Second
 	})
 	f.addReplica("a", "east-1")
 	f.addReplica("b", "east-1")
-	f.apply(registry.Add(places.ConditionRecord("a", places.Condition{State: places.ConditionCold})))
+	f.apply(registry.Add(catalog.ConditionRecord("a", catalog.Condition{State: catalog.ConditionWarmingUp})))
 	for range 10 {
 		f.serve(nil)
 	}
 	if asked := f.replicasAsked(); strings.Contains(strings.Join(asked, ","), "a") {
 		t.Errorf("a cold replica was used beside a warm one: %v", asked)
 	}
-	f.apply(registry.DeleteName(places.ReplicaName("b")))
+	f.apply(registry.DeleteName(catalog.ReplicaName("b")))
 	f.sent = nil
 	for range 10 {
 		f.serve(nil)
@@ -170,9 +170,9 @@
 	}
 	// Of two gateways, one feeds it.
 	f.apply(
-		registry.Add(places.GatewayRecord("g2", places.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
-		registry.Add(places.GatewayRecord("g3", places.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
-		registry.Add(places.GatewayRecord("g4", places.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
+		registry.Add(catalog.GatewayRecord("g2", catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
+		registry.Add(catalog.GatewayRecord("g3", catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
+		registry.Add(catalog.GatewayRecord("g4", catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
 	)
 	feeders := 0
 	for _, name := range []string{"g1", "g2", "g3", "g4"} {
@@ -192,11 +192,11 @@
 func TestAZoneThatIsTakenBackIsCold(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(_ *routemap.Route, service *routemap.Service) {
-		service.ColdPerSecond, service.ColdStart = 10, 3*time.Second
+		service.SlowStartRate, service.SlowStartDuration = 10, 3*time.Second
 	})
 	f.addReplica("a", "east-1")
-	f.apply(registry.Add(places.EvacuationRecord("east-1", places.Evacuation{Order: "o"})))
-	f.apply(registry.DeleteSet(places.ZoneName("east-1"), places.TypeEvacuation))
+	f.apply(registry.Add(catalog.EvacuationRecord("east-1", catalog.Evacuation{OperationID: "o"})))
+	f.apply(registry.DeleteSet(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
 	for range 5 {
 		f.serve(nil)
 	}
--- a/dispatch/watch.go
+++ b/dispatch/watch.go
@@ -21,7 +21,7 @@
 // could not be sent again.
 func (r *run) watchSilence(at *placed, cancel context.CancelFunc) *silenceWatch {
 	w := &silenceWatch{cancel: cancel, since: time.Now()}
-	if !r.route.MayRepeat() || r.attempts+1 >= r.route.MaxAttempts {
+	if !r.route.Retryable() || r.attempts+1 >= r.route.MaxAttempts {
 		return w
 	}
 	w.heard = func() time.Time { return r.dispatcher.options.Backend.Heard(at.endpoint.Address) }
--- a/examples/embedding/holder.go
+++ b/examples/embedding/holder.go
@@ -84,7 +84,7 @@
 // renew asks once. The lease counts from before the sending.
 func (h *holder) renew(ctx context.Context) error {
 	sent := h.now()
-	request := lease.Request{
+	request := renewal{
 		Holder: "holder", Incarnation: "1",
 		Held: h.table.Serial(), Active: h.active,
 		Valid: h.lease.Valid(sent), Term: h.lease.Term(),
@@ -93,7 +93,7 @@
 	if err := h.call(ctx, h.primary, kindRenew, &request, &answer); err != nil {
 		return err
 	}
-	if err := h.lease.Granted(h.now(), sent, answer.Term, clusterName, answer.Length); err != nil {
+	if err := h.lease.HandleGrant(h.now(), sent, answer.Term, clusterName, answer.Length); err != nil {
 		return err
 	}
 	h.watch.Heard(time.Now())
--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -23,13 +23,13 @@
 const (
 	kindLog    transport.Kind = iota + 1 // one-way consensus.Message, member to member
 	kindUpdate                           // call updateRequest/updateReply, anybody to the primary
-	kindRenew                            // call lease.Request/grant, holder to the primary
+	kindRenew                            // call renewal/grant, holder to the primary
 )
 
 // The table: names below one apex, with one kind of record.
 const (
 	apex        registry.Name = "locks.example."
-	typeLock                  = registry.FirstOwnType
+	typeLock                  = registry.FirstPrivateType
 	printerLock registry.Name = "printer.locks.example."
 )
 
@@ -107,12 +107,12 @@
 }
 
 // terms are short ones, so that the program is.
-func terms() lease.Terms {
-	return lease.Terms{
-		Length:    900 * time.Millisecond,
-		Margin:    100 * time.Millisecond,
-		QuorumAge: 400 * time.Millisecond,
-		Renewal:   200 * time.Millisecond,
+func terms() lease.Config {
+	return lease.Config{
+		Duration:            900 * time.Millisecond,
+		ClockDriftMargin:    100 * time.Millisecond,
+		MaxQuorumContactAge: 400 * time.Millisecond,
+		RenewalInterval:     200 * time.Millisecond,
 	}
 }
 
--- a/examples/embedding/member.go
+++ b/examples/embedding/member.go
@@ -27,6 +27,23 @@
 	Serial uint32                `cbor:"2,keyasint"`
 }
 
+// renewal asks the primary for a lease, and tells what the holder has.
+type renewal struct {
+	Holder, Incarnation string
+	Held, Active        uint32
+	Leaving, Valid      bool
+	Term                uint64
+}
+
+// request is the renewal as the grantor sees it.
+func (r *renewal) request() lease.Request {
+	return lease.Request{
+		Holder: r.Holder, Incarnation: r.Incarnation,
+		ReceivedSerial: r.Held, ActiveSerial: r.Active,
+		Release: r.Leaving, LeaseValid: r.Valid, Term: r.Term,
+	}
+}
+
 // grant answers a renewal.
 type grant struct {
 	Term     uint64             `cbor:"1,keyasint"`
@@ -63,7 +80,7 @@
 		return nil, err
 	}
 	// Equal on all members: the log then makes equal tables of it.
-	table, err := registry.New(apex, kinds, registry.Head{Primary: "a", Serial: 1}, []string{"a", "b", "c"})
+	table, err := registry.New(apex, kinds, registry.SOA{Primary: "a", Serial: 1}, []string{"a", "b", "c"})
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +180,7 @@
 		for i := range ready.Messages {
 			m.network.Send(m.addresses[ready.Messages[i].To], kindLog, &ready.Messages[i])
 		}
-		for _, entry := range ready.Committed {
+		for _, entry := range ready.CommittedEntries {
 			if err := m.apply(entry); err != nil {
 				return err
 			}
@@ -205,7 +222,7 @@
 	}
 	m.grantor.SetSerial(m.table.Serial())
 	if contact, known := m.group.QuorumContact(); known {
-		m.grantor.SetContact(contact)
+		m.grantor.SetQuorumContact(contact)
 	}
 }
 
@@ -254,12 +271,12 @@
 }
 
 func (m *member) serveRenew(ctx context.Context, _ string, decode func(any) error) (any, error) {
-	var request lease.Request
+	var request renewal
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
 	decided := make(chan *grant, 1)
-	err := m.do(ctx, func(now time.Duration) { decided <- m.renew(now, request) })
+	err := m.do(ctx, func(now time.Duration) { decided <- m.renew(now, request.request()) })
 	if err != nil {
 		return nil, err
 	}
@@ -277,15 +294,15 @@
 	}
 	contact, known := m.group.QuorumContact()
 	decision := m.grantor.Renew(now, contact, known, request)
-	if !decision.Granted {
+	if !decision.Authoritative {
 		return nil
 	}
-	answer := &grant{Term: m.grantor.Term(), Length: decision.Length, Activate: decision.Activate}
-	if serial, known := m.grantor.InForce(); known {
+	answer := &grant{Term: m.grantor.Term(), Length: decision.LeaseDuration, Activate: decision.ActivationSerial}
+	if serial, known := m.grantor.SerialInForce(); known {
 		answer.InForce = serial
 	}
-	if request.Held != m.table.Serial() {
-		transfer := m.table.Difference(request.Held)
+	if request.ReceivedSerial != m.table.Serial() {
+		transfer := m.table.TransferSince(request.ReceivedSerial)
 		answer.Transfer = &transfer
 	}
 	return answer
--- a/gateway/agent/agent.go
+++ b/gateway/agent/agent.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/transport"
 )
@@ -27,13 +27,13 @@
 	// Seeds are the peers' addresses of the first contact.
 	Seeds []string
 	// Terms are the fleet's lease terms.
-	Terms lease.Terms
+	Terms lease.Config
 	// Network carries the messages. New registers its handlers; the owner starts it.
 	Network transport.Network
 	// Clock is monotonic and starts anywhere.
 	Clock func() time.Duration
 	// Activated is called, in order, for every contents that begins to decide.
-	Activated func(*places.Contents)
+	Activated func(*catalog.State)
 	Logger    *slog.Logger
 }
 
@@ -45,7 +45,7 @@
 	wake chan struct{}
 	// validUntil is the end of the lease in nanoseconds of the clock.
 	validUntil atomic.Int64
-	active     atomic.Pointer[places.Contents]
+	active     atomic.Pointer[catalog.State]
 	renewals   atomic.Uint64
 	refusals   atomic.Uint64
 
@@ -60,9 +60,9 @@
 	// leaseTerm is the term of the newest lease.
 	leaseTerm uint64
 	table     *registry.Table
-	newest    *places.Contents
+	newest    *catalog.State
 	// pending are copies newer than the active one, oldest first.
-	pending []*places.Contents
+	pending []*catalog.State
 	changed chan struct{} // closed and replaced at each activation
 }
 
@@ -80,7 +80,7 @@
 		wake:     make(chan struct{}, 1),
 		contacts: newContacts(options.Seeds, options.Gateway.Name),
 		holder:   lease.NewHolder(options.Terms),
-		table:    registry.NewSecondary(places.Apex, places.Schema()),
+		table:    registry.NewSecondary(catalog.Apex, catalog.Schema()),
 		changed:  make(chan struct{}),
 
 		unanswered: make(map[string]int),
@@ -106,7 +106,7 @@
 }
 
 // Active is the contents that decides, nil before the first activation.
-func (a *Agent) Active() *places.Contents { return a.active.Load() }
+func (a *Agent) Active() *catalog.State { return a.active.Load() }
 
 // Status describes an agent.
 type Status struct {
@@ -181,9 +181,9 @@
 	return true, nil
 }
 
-func (a *Agent) read(view registry.View, transfer registry.Transfer) (*places.Contents, error) {
+func (a *Agent) read(view registry.View, transfer registry.Transfer) (*catalog.State, error) {
 	if a.newest == nil {
-		return places.Read(view)
+		return catalog.Read(view)
 	}
 	return a.newest.Next(view, transfer)
 }
@@ -191,7 +191,7 @@
 // forgetCopy makes the next renewal ask for a full transfer. What is active
 // stays so.
 func (a *Agent) forgetCopy() {
-	a.table = registry.NewSecondary(places.Apex, places.Schema())
+	a.table = registry.NewSecondary(catalog.Apex, catalog.Schema())
 	a.newest = nil
 }
 
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -11,9 +11,9 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/transport"
 )
@@ -61,8 +61,8 @@
 		c.renewed++
 		c.last = renew
 		grant := c.grant
-		if c.table != nil && grant.Granted && renew.Held != c.table.Serial() {
-			transfer := c.table.Difference(renew.Held)
+		if c.table != nil && grant.Granted && renew.ReceivedSerial != c.table.Serial() {
+			transfer := c.table.TransferSince(renew.ReceivedSerial)
 			grant.Transfer = &transfer
 		}
 		return &grant, nil
@@ -87,7 +87,7 @@
 }
 
 func newTable(t *testing.T) *registry.Table {
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "c1", Serial: 10}, []string{"c1"})
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "c1", Serial: 10}, []string{"c1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 }
 
 func addVersion(table *registry.Table, version uint64) {
-	update := registry.NewUpdate(places.Apex, nil, []registry.Record{registry.Add(places.ConfigurationRecord(places.Configuration{Version: version}))})
+	update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: version}))})
 	table.Apply(&update, nil)
 }
 
@@ -107,8 +107,8 @@
 	c1, c2, c3 := newControlNode(t, memory, "c1"), newControlNode(t, memory, "c2"), newControlNode(t, memory, "c3")
 	table := newTable(t)
 	c1.table, c3.table = table, table
-	c2.set(peer.Grant{Cluster: "c", Term: 1, Primary: "c1", Control: []string{"c1", "c2"}})
-	c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, Activate: 10, Control: []string{"c1", "c3"}})
+	c2.set(peer.Grant{Cluster: "c", Term: 1, Primary: "c1", ControlAddresses: []string{"c1", "c2"}})
+	c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 10, ControlAddresses: []string{"c1", "c3"}})
 
 	var skew atomic.Int64
 	started := time.Now()
@@ -116,9 +116,9 @@
 	var activations []uint32
 	network := memory.Node("g1", "g1")
 	a := New(Options{
-		Gateway: peer.GatewayInfo{Name: "g1", Incarnation: "i"}, Seeds: []string{"c2"}, Terms: lease.DefaultTerms(),
+		Gateway: peer.GatewayInfo{Name: "g1", Incarnation: "i"}, Seeds: []string{"c2"}, Terms: lease.DefaultConfig(),
 		Network: network, Clock: clock, Logger: slog.New(slog.DiscardHandler),
-		Activated: func(contents *places.Contents) { activations = append(activations, contents.Serial()) },
+		Activated: func(contents *catalog.State) { activations = append(activations, contents.Serial()) },
 	})
 	if err := network.Start(); err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	waitFor(t, "a lease through the seed's hint", func() bool { return a.Valid() && a.Active() != nil && a.Active().Serial() == 10 })
 	addVersion(table, 1)
 	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "c", Term: 1, Primary: "c1", Serial: 11})
-	waitFor(t, "serial 11 to be held", func() bool { return c1.lastRenew().Held == 11 })
+	waitFor(t, "serial 11 to be held", func() bool { return c1.lastRenew().ReceivedSerial == 11 })
 	if a.Active().Serial() != 10 {
 		t.Fatalf("serial %d is active before it may be", a.Active().Serial())
 	}
@@ -144,20 +144,20 @@
 	defer stop()
 	versioned := make(chan error, 1)
 	go func() { versioned <- a.AwaitVersion(waiting, 1) }()
-	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "c", Term: 1, Primary: "c1", Serial: 11, Activate: 11})
+	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "c", Term: 1, Primary: "c1", Serial: 11, ActivationSerial: 11})
 	if err := <-versioned; err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the primary to learn of it", func() bool { renew := c1.lastRenew(); return renew.Active == 11 && renew.ActiveVersion == 1 })
+	waitFor(t, "the primary to learn of it", func() bool { renew := c1.lastRenew(); return renew.ActiveSerial == 11 && renew.ActiveVersion == 1 })
 
 	addVersion(table, 2)
 	c1.set(peer.Grant{Cluster: "c", Term: 2, Primary: "c3"})
-	c3.set(peer.Grant{Granted: true, Cluster: "c", Term: 2, LeaseMS: 1800, Activate: 12})
+	c3.set(peer.Grant{Granted: true, Cluster: "c", Term: 2, LeaseMS: 1800, ActivationSerial: 12})
 	waitFor(t, "the new primary", func() bool { return a.Status().Primary == "c3" && a.Active().Serial() == 12 })
-	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "c", Term: 1, Primary: "c1", Activate: 13})
-	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "other", Term: 9, Primary: "c1", Activate: 13})
+	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "c", Term: 1, Primary: "c1", ActivationSerial: 13})
+	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "other", Term: 9, Primary: "c1", ActivationSerial: 13})
 	c3.set(peer.Grant{Cluster: "c", Term: 2})
-	c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, Activate: 13})
+	c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 13})
 	skew.Add(int64(time.Hour))
 	if a.Valid() {
 		t.Fatal("the lease outlives its time")
@@ -167,10 +167,10 @@
 	if a.Valid() || a.Status().Term != 2 {
 		t.Fatal("took a lease of an older term")
 	}
-	c3.set(peer.Grant{Granted: true, Cluster: "c", Term: 3, LeaseMS: 1800, Activate: 12})
+	c3.set(peer.Grant{Granted: true, Cluster: "c", Term: 3, LeaseMS: 1800, ActivationSerial: 12})
 	waitFor(t, "a lease again", a.Valid)
 	a.Leave(ctx)
-	if a.Valid() || !c3.lastRenew().Gateway.Leaving {
+	if a.Valid() || !c3.lastRenew().Gateway.Draining {
 		t.Fatal("did not leave")
 	}
 	if len(activations) != 3 {
@@ -185,13 +185,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		memory := transport.NewMemory()
 		c1, c2 := newControlNode(t, memory, "c1"), newControlNode(t, memory, "c2")
-		whole := newTable(t).Difference(0)
-		c2.set(peer.Grant{Cluster: "c", Term: 4, Primary: "c1", Control: []string{"c1", "c2"}, Transfer: &whole})
+		whole := newTable(t).TransferSince(0)
+		c2.set(peer.Grant{Cluster: "c", Term: 4, Primary: "c1", ControlAddresses: []string{"c1", "c2"}, Transfer: &whole})
 		c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 4})
 		network := memory.Node("g", "g")
 		started := time.Now()
 		a := New(Options{
-			Gateway: peer.GatewayInfo{Name: "g", Incarnation: "i"}, Seeds: []string{"c2"}, Terms: lease.DefaultTerms(),
+			Gateway: peer.GatewayInfo{Name: "g", Incarnation: "i"}, Seeds: []string{"c2"}, Terms: lease.DefaultConfig(),
 			Network: network, Clock: func() time.Duration { return time.Since(started) }, Logger: slog.New(slog.DiscardHandler),
 		})
 		if err := network.Start(); err != nil {
@@ -204,10 +204,10 @@
 			time.Sleep(time.Millisecond)
 		}
 		first := c1.lastRenew()
-		if first.Held != 10 || first.Term != 4 || first.Active != 0 || a.Active() != nil {
-			t.Errorf("the first renewal holds %d of term %d, active %d", first.Held, first.Term, first.Active)
+		if first.ReceivedSerial != 10 || first.Term != 4 || first.ActiveSerial != 0 || a.Active() != nil {
+			t.Errorf("the first renewal holds %d of term %d, active %d", first.ReceivedSerial, first.Term, first.ActiveSerial)
 		}
-		c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 4, LeaseMS: 1800, Activate: 10})
+		c1.set(peer.Grant{Granted: true, Cluster: "c", Term: 4, LeaseMS: 1800, ActivationSerial: 10})
 		time.Sleep(time.Second)
 		if a.Active() == nil || a.Active().Serial() != 10 || !a.Valid() {
 			t.Error("what was held is not active")
@@ -260,7 +260,7 @@
 	network := memory.Node("g", "g")
 	started := time.Now()
 	a := New(Options{
-		Gateway: peer.GatewayInfo{Name: name, Incarnation: "i"}, Seeds: []string{"c1", "c2", "c3"}, Terms: lease.DefaultTerms(),
+		Gateway: peer.GatewayInfo{Name: name, Incarnation: "i"}, Seeds: []string{"c1", "c2", "c3"}, Terms: lease.DefaultConfig(),
 		Network: network, Clock: func() time.Duration { return time.Since(started) }, Logger: slog.New(slog.DiscardHandler),
 	})
 	if err := network.Start(); err != nil {
@@ -275,9 +275,9 @@
 	}
 	time.Sleep(electionTime - returnTime)
 	for _, node := range nodes {
-		node.set(peer.Grant{Cluster: "c", Term: 1, Primary: "c3", Control: []string{"c1", "c2", "c3"}})
+		node.set(peer.Grant{Cluster: "c", Term: 1, Primary: "c3", ControlAddresses: []string{"c1", "c2", "c3"}})
 	}
-	nodes["c3"].set(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, Activate: 10})
+	nodes["c3"].set(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 10})
 	time.Sleep(bound)
 	if !a.Valid() {
 		t.Errorf("%s has no lease %v after there is a primary", name, bound)
@@ -293,9 +293,9 @@
 // TestCopyIsDiscarded gives the agent a transfer that does not fit.
 func TestCopyIsDiscarded(t *testing.T) {
 	memory := transport.NewMemory()
-	a := New(Options{Network: memory.Node("g", "g"), Terms: lease.DefaultTerms(), Clock: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler)})
+	a := New(Options{Network: memory.Node("g", "g"), Terms: lease.DefaultConfig(), Clock: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler)})
 	table := newTable(t)
-	if took, err := a.take(table.Difference(0)); err != nil || !took {
+	if took, err := a.take(table.TransferSince(0)); err != nil || !took {
 		t.Fatal(took, err)
 	}
 	a.activate(10)
@@ -307,7 +307,7 @@
 	}
 	for version := range uint64(2 * maxPending) {
 		addVersion(table, version+1)
-		if _, err := a.take(table.Difference(a.heldLocked())); err != nil {
+		if _, err := a.take(table.TransferSince(a.heldLocked())); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/gateway/agent/forward.go
+++ b/gateway/agent/forward.go
@@ -35,11 +35,11 @@
 }
 
 // Order sends an operator's or the platform's order toward the primary.
-func (a *Agent) Order(ctx context.Context, order peer.OrderRequest) (peer.OrderReply, error) {
-	var reply peer.OrderReply
+func (a *Agent) Order(ctx context.Context, order peer.OperationRequest) (peer.OperationReply, error) {
+	var reply peer.OperationReply
 	err := a.forward(ctx, func(address string) (string, bool, error) {
-		reply = peer.OrderReply{}
-		err := a.options.Network.Call(ctx, address, peer.KindOrder, &order, &reply)
+		reply = peer.OperationReply{}
+		err := a.options.Network.Call(ctx, address, peer.KindOperation, &order, &reply)
 		lost := err == nil && reply.Error != nil && reply.Error.Code == api.CodeNoPrimary
 		return "", !lost, err
 	})
--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -78,7 +78,7 @@
 	now := a.options.Clock()
 	if err != nil {
 		if planted.Active(planted.GiveUpLease) && a.renewals.Load() > 0 {
-			a.holder.Leave()
+			a.holder.Release()
 		}
 		a.refusals.Add(1)
 		a.unanswered[address]++
@@ -87,10 +87,10 @@
 		return searchPause, false
 	}
 	if grant.Term < a.holder.Term() {
-		grant.Primary, grant.Control = "", nil // a node that lags names the primary of the past
+		grant.Primary, grant.ControlAddresses = "", nil // a node that lags names the primary of the past
 	}
 	delete(a.unanswered, address)
-	a.contacts.learn(grant.Control)
+	a.contacts.learn(grant.ControlAddresses)
 	hinted = a.contacts.answered(now, address, grant.Granted, grant.Primary)
 	if !grant.Granted {
 		a.refusals.Add(1)
@@ -133,19 +133,19 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	request := peer.Renew{
-		Cluster: a.holder.Cluster(),
-		Gateway: a.options.Gateway,
-		Term:    a.holder.Term(),
-		Held:    a.heldLocked(),
-		Valid:   a.Valid(),
+		Cluster:        a.holder.Cluster(),
+		Gateway:        a.options.Gateway,
+		Term:           a.holder.Term(),
+		ReceivedSerial: a.heldLocked(),
+		LeaseValid:     a.Valid(),
 	}
 	if active := a.active.Load(); active != nil {
-		request.Active = active.Serial()
+		request.ActiveSerial = active.Serial()
 		request.ActiveVersion = active.Version()
 	}
 	address := a.contacts.next()
-	timeout := a.options.Terms.Length / callShare
-	if request.Held == 0 {
+	timeout := a.options.Terms.Duration / callShare
+	if request.ReceivedSerial == 0 {
 		timeout = min(firstTimeout, searchTimeout<<min(a.unanswered[address], maxDoublings))
 	}
 	return address, request, timeout
@@ -155,17 +155,17 @@
 // While nothing is held here it is short: after a loss of all power nodes come back
 // one after the other, and the first primary is one that was asked too early.
 func (a *Agent) suspicion(request *peer.Renew) time.Duration {
-	if request.Held == 0 {
+	if request.ReceivedSerial == 0 {
 		return searchTimeout / 2
 	}
-	return a.options.Terms.Length / callShare
+	return a.options.Terms.Duration / callShare
 }
 
 // granted takes a grant and returns the wait before the next renewal.
 func (a *Agent) granted(sent time.Duration, grant *peer.Grant) time.Duration {
 	length := time.Duration(grant.LeaseMS) * time.Millisecond
 	now := a.options.Clock()
-	if err := a.holder.Granted(now, sent, grant.Term, grant.Cluster, length); err != nil {
+	if err := a.holder.HandleGrant(now, sent, grant.Term, grant.Cluster, length); err != nil {
 		a.refusals.Add(1)
 		a.log.Warn("grant dropped", "term", grant.Term, "error", err)
 		a.contacts.primary = ""
@@ -181,15 +181,15 @@
 		a.log.Error("copy discarded", "error", err)
 		return searchPause
 	}
-	activated := a.activate(grant.Activate)
+	activated := a.activate(grant.ActivationSerial)
 	if took || activated {
 		return 0 // the primary waits for the news
 	}
-	return a.options.Terms.Renewal
+	return a.options.Terms.RenewalInterval
 }
 
 func (a *Agent) takeGrant(grant *peer.Grant) (bool, error) {
-	transfer, err := grant.Difference()
+	transfer, err := grant.UnpackTransfer()
 	if err != nil || transfer == nil {
 		return false, err
 	}
@@ -207,9 +207,9 @@
 // primary is told if it can be reached.
 func (a *Agent) Leave(ctx context.Context) {
 	a.mutex.Lock()
-	a.holder.Leave()
+	a.holder.Release()
 	a.validUntil.Store(0)
-	a.options.Gateway.Leaving = true
+	a.options.Gateway.Draining = true
 	a.mutex.Unlock()
 	address, request, _ := a.nextRenewal()
 	if address == "" {
@@ -245,8 +245,8 @@
 			a.stopAsking()
 		}
 	}
-	if notify.Activate != 0 && a.Valid() && a.leaseTerm == notify.Term {
-		a.activate(notify.Activate)
+	if notify.ActivationSerial != 0 && a.Valid() && a.leaseTerm == notify.Term {
+		a.activate(notify.ActivationSerial)
 	}
 	a.renewSoon()
 	return nil, nil
@@ -266,9 +266,9 @@
 		return nil, errNoControl
 	}
 	return &peer.Grant{
-		Cluster: a.holder.Cluster(),
-		Term:    a.holder.Term(),
-		Primary: a.contacts.primary,
-		Control: a.contacts.members,
+		Cluster:          a.holder.Cluster(),
+		Term:             a.holder.Term(),
+		Primary:          a.contacts.primary,
+		ControlAddresses: a.contacts.members,
 	}, nil
 }
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/routing"
 )
 
@@ -20,7 +20,7 @@
 // explanation gathers the steps of one decision.
 type explanation struct {
 	gateway *Gateway
-	active  *places.Contents
+	active  *catalog.State
 	request *api.GenerateRequest
 	answer  *api.ExplainAnswer
 }
@@ -48,7 +48,7 @@
 	writeJSON(w, http.StatusOK, g.explain(active, &request))
 }
 
-func (g *Gateway) explain(active *places.Contents, request *api.GenerateRequest) *api.ExplainAnswer {
+func (g *Gateway) explain(active *catalog.State, request *api.GenerateRequest) *api.ExplainAnswer {
 	e := &explanation{
 		gateway: g,
 		active:  active,
@@ -113,7 +113,7 @@
 	e.step("class", string(resolved.Class), "%s", classReason(e.request, route))
 }
 
-func classReason(request *api.GenerateRequest, route places.Route) string {
+func classReason(request *api.GenerateRequest, route catalog.Route) string {
 	switch {
 	case request.Class != "":
 		return "named by the request"
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -41,10 +41,10 @@
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
 		p.apply(
-			registry.Add(places.HomeRecord("at-south", places.Home{Regions: []string{"south"}})),
-			registry.Add(places.HomeRecord("at-north", places.Home{Regions: []string{"north"}})),
-			registry.Add(places.TenantRecord("bank", places.Tenant{Home: "at-south"})),
-			registry.Add(places.ClientRecord("near-south", places.Client{Region: "south"})),
+			registry.Add(catalog.HomeRecord("at-south", catalog.Home{Regions: []string{"south"}})),
+			registry.Add(catalog.HomeRecord("at-north", catalog.Home{Regions: []string{"north"}})),
+			registry.Add(catalog.TenantRecord("bank", catalog.Tenant{Home: "at-south"})),
+			registry.Add(catalog.ClientRecord("near-south", catalog.Client{Region: "south"})),
 		)
 	})
 	replicas := []*fakeReplica{f.replica("r1", "north"), f.replica("r2", "south")}
@@ -110,7 +110,7 @@
 		t.Errorf("without max_tokens: status %d", status)
 	}
 	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(places.DrainRecord("r1", places.Drain{})))
+		p.apply(registry.Add(catalog.DrainRecord("r1", catalog.Drain{})))
 	})
 	waitFor(t, "the drained replica", func() bool {
 		_, answer := explained(t, north, question("drained"))
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/stream"
 	"github.com/deckpulley/deckpulley/transport"
@@ -29,7 +29,7 @@
 const patience = 15 * time.Second
 
 // testTerms renew often and last long, so that a busy machine takes no lease away.
-var testTerms = lease.Terms{Length: 30 * time.Second, Margin: time.Second, QuorumAge: time.Second, Renewal: 50 * time.Millisecond}
+var testTerms = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
 
 func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
@@ -47,18 +47,18 @@
 	table    *registry.Table
 	silent   bool   // grants nothing
 	activate uint32 // limit of activation; 0 is the newest serial
-	orders   []peer.OrderRequest
+	orders   []peer.OperationRequest
 }
 
 func newPrimary(t testing.TB, network transport.Network) *primary {
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "control", Serial: 1}, []string{"control"})
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control", Serial: 1}, []string{"control"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &primary{table: table}
 	network.Handle(peer.KindRenew, p.renew)
 	network.Handle(peer.KindUpdate, p.update)
-	network.Handle(peer.KindOrder, p.order)
+	network.Handle(peer.KindOperation, p.order)
 	if err := network.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -77,19 +77,19 @@
 		return &peer.Grant{Cluster: "cluster", Term: 1}, nil
 	}
 	info := renew.Gateway
-	p.apply(registry.Add(places.GatewayRecord(info.Name, places.Gateway{
+	p.apply(registry.Add(catalog.GatewayRecord(info.Name, catalog.Gateway{
 		Incarnation: info.Incarnation, Zone: info.Zone, Region: info.Region,
-		PeerAddress: info.PeerAddress, HTTPAddress: info.HTTPAddress, Up: !info.Leaving,
+		PeerAddress: info.PeerAddress, HTTPAddress: info.HTTPAddress, Up: !info.Draining,
 	})))
-	grant := &peer.Grant{Granted: true, Cluster: "cluster", Term: 1, Activate: p.table.Serial(), Control: []string{"control"}}
+	grant := &peer.Grant{Granted: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
 	if p.activate != 0 {
-		grant.Activate = p.activate
+		grant.ActivationSerial = p.activate
 	}
-	if renew.Active != 0 {
-		grant.LeaseMS = testTerms.Length.Milliseconds()
+	if renew.ActiveSerial != 0 {
+		grant.LeaseMS = testTerms.Duration.Milliseconds()
 	}
-	if renew.Held != p.table.Serial() {
-		transfer := p.table.Difference(renew.Held)
+	if renew.ReceivedSerial != p.table.Serial() {
+		transfer := p.table.TransferSince(renew.ReceivedSerial)
 		grant.Transfer = &transfer
 	}
 	return grant, nil
@@ -107,20 +107,20 @@
 }
 
 func (p *primary) order(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var order peer.OrderRequest
+	var order peer.OperationRequest
 	if err := decode(&order); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.orders = append(p.orders, order)
-	return &peer.OrderReply{Answer: &api.OrderAnswer{Accepted: true}}, nil
+	return &peer.OperationReply{Answer: &api.OperationResult{Accepted: true}}, nil
 }
 
 func (p *primary) apply(changes ...registry.Record) {
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := p.table.Apply(&update, nil); result.Code != registry.NoError {
-		panic(fmt.Sprintf("update: %v at %s %d", result.Code, result.Section, result.Failed))
+		panic(fmt.Sprintf("update: %v at %s %d", result.Code, result.Section, result.FailedIndex))
 	}
 }
 
@@ -231,14 +231,14 @@
 	f := &fleet{t: t, memory: memory, primary: newPrimary(t, memory.Node("control", "control"))}
 	f.primary.set(func(p *primary) {
 		p.apply(
-			registry.Add(places.ConfigurationRecord(places.Configuration{Version: 1})),
-			registry.Add(places.ServiceRecord("explain", places.Service{Kind: "model", MaxConcurrency: 64})),
-			registry.Add(places.RouteRecord("m", places.Route{Service: "explain"})),
-			registry.Add(places.RegionRecord("north", places.Region{Capacity: 1, Spill: []string{"south"}})),
-			registry.Add(places.RegionRecord("south", places.Region{Capacity: 1, Spill: []string{"north"}})),
-			registry.Add(places.ZoneRecord("north-1", places.Zone{Region: "north"})),
-			registry.Add(places.ZoneRecord("south-1", places.Zone{Region: "south"})),
-			registry.Add(places.LimitsRecord(places.Limits{StreamGapMS: 300})),
+			registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: 1})),
+			registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 64})),
+			registry.Add(catalog.RouteRecord("m", catalog.Route{Service: "explain"})),
+			registry.Add(catalog.RegionRecord("north", catalog.Region{Capacity: 1, Spill: []string{"south"}})),
+			registry.Add(catalog.RegionRecord("south", catalog.Region{Capacity: 1, Spill: []string{"north"}})),
+			registry.Add(catalog.ZoneRecord("north-1", catalog.Zone{Region: "north"})),
+			registry.Add(catalog.ZoneRecord("south-1", catalog.Zone{Region: "south"})),
+			registry.Add(catalog.LimitsRecord(catalog.Limits{StreamGapMS: 300})),
 		)
 	})
 	return f
@@ -247,7 +247,7 @@
 func (f *fleet) replica(name, region string) *fakeReplica {
 	replica := newFakeReplica(f.t, name)
 	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(places.ReplicaRecord(name, places.Replica{
+		p.apply(registry.Add(catalog.ReplicaRecord(name, catalog.Replica{
 			Service: "explain", Zone: region + "-1", Region: region, Address: replica.server.Listener.Addr().String(),
 		})))
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,11 +19,11 @@
 	"golang.org/x/time/rate"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/gateway/agent"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/routing"
 	"github.com/deckpulley/deckpulley/ticket"
 	"github.com/deckpulley/deckpulley/transport"
@@ -59,7 +59,7 @@
 // of the registry; *httpgateway.Proxy is the real one.
 type HTTPProxy interface {
 	// Update makes a newer reading of the registry decide.
-	Update(contents *places.Contents)
+	Update(contents *catalog.State)
 	// Run does what is to be done beside requests until ctx ends.
 	Run(ctx context.Context)
 	// Replicas describes the replicas as the proxy holds them.
@@ -78,7 +78,7 @@
 	// Keys are the fleet's keys, newest first.
 	Keys [][]byte
 	// Terms are the fleet's lease terms.
-	Terms lease.Terms
+	Terms lease.Config
 	// Network carries the messages to our own processes. The gateway starts it.
 	Network transport.Network
 	// Router decides where requests run. Optional.
@@ -228,10 +228,10 @@
 		Logger:    g.log,
 	})
 	g.newMetrics()
-	options.Network.Handle(peer.KindMintTicket, g.serveMint)
+	options.Network.Handle(peer.KindIssueTicket, g.serveMint)
 	options.Network.Handle(peer.KindOffer, g.serveOffer)
 	options.Network.Handle(peer.KindWithdraw, g.serveWithdraw)
-	options.Network.Handle(peer.KindLoad, g.serveLoad)
+	options.Network.Handle(peer.KindRegionUtilization, g.serveLoad)
 	options.Network.HandleStream(peer.KindRun, g.serveRun)
 	options.Network.HandleStream(peer.KindOwner, g.serveOwner)
 	return g, nil
@@ -320,7 +320,7 @@
 	return g.options.Dial(ctx, network, address)
 }
 
-func (g *Gateway) activated(contents *places.Contents) {
+func (g *Gateway) activated(contents *catalog.State) {
 	g.router.SetPlan(contents)
 	if g.options.HTTP != nil {
 		g.options.HTTP.Update(contents)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/stream"
 )
@@ -432,7 +432,7 @@
 	f.ready(g)
 	f.primary.set(func(p *primary) {
 		p.activate = p.table.Serial()
-		p.apply(registry.Add(places.ConfigurationRecord(places.Configuration{Version: 2})))
+		p.apply(registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: 2})))
 	})
 	waitFor(t, "the new serial to be held", func() bool { return g.agent.Status().Held > g.agent.Status().Active })
 	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
--- a/gateway/hop.go
+++ b/gateway/hop.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/stream"
 )
 
@@ -46,11 +46,11 @@
 			return nil, fmt.Errorf("gateway: peer's events: %w", err)
 		}
 		switch {
-		case event.Piece != nil:
-			if err := order.Piece(event.Piece); err != nil {
+		case event.Chunk != nil:
+			if err := order.Piece(event.Chunk); err != nil {
 				return nil, err
 			}
-			data, err := json.Marshal(event.Piece)
+			data, err := json.Marshal(event.Chunk)
 			if err != nil {
 				return nil, fmt.Errorf("gateway: encoding a piece: %w", err)
 			}
@@ -84,7 +84,7 @@
 			if err := json.Unmarshal(data, piece); err != nil {
 				return fmt.Errorf("gateway: decoding a piece: %w", err)
 			}
-			return send(&peer.RunEvent{Piece: piece})
+			return send(&peer.RunEvent{Chunk: piece})
 		})
 		if err != nil {
 			return err
@@ -94,12 +94,12 @@
 
 // peersIn returns up to limit gateways of a region that can be asked, in an
 // order left to chance.
-func (g *Gateway) peersIn(region string, limit int) []places.Gateway {
+func (g *Gateway) peersIn(region string, limit int) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
 		return nil
 	}
-	var members []places.Gateway
+	var members []catalog.Gateway
 	for name, member := range active.Gateways() {
 		if member.Region == region && name != g.options.Info.Name && usable(active, member) {
 			members = append(members, member)
@@ -136,7 +136,7 @@
 
 // offer asks one gateway and, if it grants, runs the request there. Nothing runs
 // for an offer alone, so that one without an answer can be left to die.
-func (r *runner) offer(ctx context.Context, member places.Gateway, wait time.Duration) verdict {
+func (r *runner) offer(ctx context.Context, member catalog.Gateway, wait time.Duration) verdict {
 	g := r.gateway
 	offer := r.newOffer()
 	offer.WaitMS = wait.Milliseconds()
@@ -182,16 +182,16 @@
 	left := max(1, time.Until(r.route.Deadline).Milliseconds())
 	request.WaitMS = min(left, api.MaxWaitMS)
 	offer := &peer.Offer{
-		OfferID:   fmt.Sprintf("%s/%s/%d", info.Name, info.Incarnation, g.counter.Add(1)),
-		From:      info.Name,
-		Request:   request,
-		HomeOnly:  r.route.Home,
-		TimeLeft:  left,
-		Attempt:   r.made() + 1,
-		Incarnate: info.Incarnation,
+		OfferID:     fmt.Sprintf("%s/%s/%d", info.Name, info.Incarnation, g.counter.Add(1)),
+		From:        info.Name,
+		Request:     request,
+		HomeRegions: r.route.Home,
+		RemainingMS: left,
+		Attempt:     r.made() + 1,
+		Incarnation: info.Incarnation,
 	}
 	if active := g.agent.Active(); active != nil {
-		offer.Version = active.Version()
+		offer.ConfigurationVersion = active.Version()
 	}
 	return offer
 }
--- a/gateway/hop_test.go
+++ b/gateway/hop_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -48,8 +48,8 @@
 	lost := spilled("lost")
 	go func() { done <- north.send(t, lost) }()
 	<-started
-	f.memory.Cut("g2", "g1")
-	f.memory.Cut("g1", "g2")
+	f.memory.Partition("g2", "g1")
+	f.memory.Partition("g1", "g2")
 	if got := <-done; got.outcome() != "replica_broken/unknown" {
 		t.Fatalf("got %s", got.outcome())
 	}
@@ -67,7 +67,7 @@
 func TestRefusedHopCountsAsAttempt(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(places.ClientRecord("southerner", places.Client{Region: "south"})))
+		p.apply(registry.Add(catalog.ClientRecord("southerner", catalog.Client{Region: "south"})))
 	})
 	far, near := f.replica("far", "south"), f.replica("near", "north")
 	north := f.gateway("g1", "north", "a", nil)
@@ -107,7 +107,7 @@
 func TestDisplacedRequestsWaitForRoom(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(places.ServiceRecord("explain", places.Service{Kind: "model", MaxConcurrency: 1})))
+		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
 	})
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
@@ -171,7 +171,7 @@
 func TestWaitingOffers(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(places.ServiceRecord("explain", places.Service{Kind: "model", MaxConcurrency: 1})))
+		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
 	})
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
@@ -181,7 +181,7 @@
 	offer := func(id string, wait time.Duration) peer.OfferReply {
 		request := question(id)
 		request.Repeatable = true
-		asked := peer.Offer{OfferID: id, From: "g1", Request: request, TimeLeft: 10_000, Version: 1, Attempt: 1, WaitMS: wait.Milliseconds()}
+		asked := peer.Offer{OfferID: id, From: "g1", Request: request, RemainingMS: 10_000, ConfigurationVersion: 1, Attempt: 1, WaitMS: wait.Milliseconds()}
 		var reply peer.OfferReply
 		if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &asked, &reply); err != nil {
 			t.Error(err)
@@ -224,7 +224,7 @@
 func TestDisplacedRequestIsGivenUpAtOnce(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(places.ServiceRecord("explain", places.Service{Kind: "model", MaxConcurrency: 1})))
+		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
 	})
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
@@ -260,7 +260,7 @@
 	f.ready(north, south)
 	request := question("offered")
 	request.Repeatable = true
-	offer := peer.Offer{OfferID: "o1", From: "g1", Request: request, TimeLeft: 5000, Version: 1, Attempt: 1}
+	offer := peer.Offer{OfferID: "o1", From: "g1", Request: request, RemainingMS: 5000, ConfigurationVersion: 1, Attempt: 1}
 	var reply peer.OfferReply
 	if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &offer, &reply); err != nil || !reply.Granted {
 		t.Fatalf("offer: %+v %v", reply, err)
--- a/gateway/mint.go
+++ b/gateway/mint.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
@@ -60,7 +60,7 @@
 		if candidate.PeerAddress == g.options.Info.PeerAddress {
 			return g.mint(request)
 		}
-		answer, failure := g.mintAt(ctx, []places.Gateway{candidate}, request)
+		answer, failure := g.mintAt(ctx, []catalog.Gateway{candidate}, request)
 		if answer != nil || failure != nil {
 			return answer, failure
 		}
@@ -70,7 +70,7 @@
 
 // ownersIn lists the gateways of a region that may own a request, in the order
 // of their rendezvous scores for its id.
-func (g *Gateway) ownersIn(region, requestID string, self bool) []places.Gateway {
+func (g *Gateway) ownersIn(region, requestID string, self bool) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
 		return nil
@@ -89,7 +89,7 @@
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Compare(placement.Score(key, placement.Hash(b)), placement.Score(key, placement.Hash(a)))
 	})
-	owners := make([]places.Gateway, 0, len(names))
+	owners := make([]catalog.Gateway, 0, len(names))
 	for _, name := range names {
 		owners = append(owners, active.Gateways()[name])
 	}
@@ -98,11 +98,11 @@
 
 // mintAt asks gateways in turn for a ticket. An owner's word that the request id
 // is taken or closed is final; anything else leaves the next one to be asked.
-func (g *Gateway) mintAt(ctx context.Context, members []places.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+func (g *Gateway) mintAt(ctx context.Context, members []catalog.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	for _, member := range members {
 		asking, cancel := context.WithTimeout(ctx, mintTimeout)
-		var reply peer.MintTicketReply
-		err := g.options.Network.Call(asking, member.PeerAddress, peer.KindMintTicket, &peer.MintTicket{Request: *request}, &reply)
+		var reply peer.IssueTicketReply
+		err := g.options.Network.Call(asking, member.PeerAddress, peer.KindIssueTicket, &peer.IssueTicket{Request: *request}, &reply)
 		cancel()
 		switch {
 		case err != nil:
@@ -138,25 +138,25 @@
 // mayOwn is false in an evacuated zone: its tickets would die with it.
 func (g *Gateway) mayOwn() bool {
 	active := g.agent.Active()
-	return active != nil && !active.Evacuated(g.options.Info.Zone)
+	return active != nil && !active.IsEvacuated(g.options.Info.Zone)
 }
 
 func (g *Gateway) serveMint(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var request peer.MintTicket
+	var request peer.IssueTicket
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
 	if failure := checkWhere(&request.Request); failure != nil {
-		return &peer.MintTicketReply{Error: failure}, nil
+		return &peer.IssueTicketReply{Error: failure}, nil
 	}
 	if failure := g.mayAccept(); failure != nil {
-		return &peer.MintTicketReply{Error: failure}, nil
+		return &peer.IssueTicketReply{Error: failure}, nil
 	}
 	if !g.mayOwn() {
-		return &peer.MintTicketReply{Error: refusedLater(api.CodeNotReady, comeBack, "the zone is evacuated")}, nil
+		return &peer.IssueTicketReply{Error: refusedLater(api.CodeNotReady, comeBack, "the zone is evacuated")}, nil
 	}
 	answer, failure := g.mint(&request.Request)
-	return &peer.MintTicketReply{Answer: answer, Error: failure}, nil
+	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
 }
 
 // mint makes a ticket that this process owns.
@@ -234,8 +234,8 @@
 	return all[:min(len(all), maxAlternates)]
 }
 
-func usable(active *places.Contents, member places.Gateway) bool {
-	return member.Up && !active.Evacuated(member.Zone)
+func usable(active *catalog.State, member catalog.Gateway) bool {
+	return member.Up && !active.IsEvacuated(member.Zone)
 }
 
 func (g *Gateway) shuffle(addresses []string) {
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -197,16 +197,16 @@
 	if failure := g.mayAccept(); failure != nil {
 		return nil, failure
 	}
-	asked.Request.WaitMS = asked.TimeLeft
+	asked.Request.WaitMS = asked.RemainingMS
 	if failure := checkGenerate(&asked.Request); failure != nil {
 		return nil, failure
 	}
-	if !planted.Active(planted.IgnoreHome) && len(asked.HomeOnly) > 0 && !slices.Contains(asked.HomeOnly, g.region()) {
+	if !planted.Active(planted.IgnoreHome) && len(asked.HomeRegions) > 0 && !slices.Contains(asked.HomeRegions, g.region()) {
 		return nil, failed(api.CodeHomeUnavailable, api.OutcomeRefused, "region %s is not a home of the request", g.region())
 	}
 	active := g.agent.Active()
-	if active.Version() < asked.Version && !g.agent.Proven(asked.Version) {
-		return nil, refusedLater(api.CodeNoLease, comeBack, "configuration %d is not active here yet", asked.Version)
+	if active.Version() < asked.ConfigurationVersion && !g.agent.Proven(asked.ConfigurationVersion) {
+		return nil, refusedLater(api.CodeNoLease, comeBack, "configuration %d is not active here yet", asked.ConfigurationVersion)
 	}
 	route, failure := g.router.Resolve(asked.Request, time.Now())
 	if failure != nil {
@@ -244,9 +244,9 @@
 
 func (g *Gateway) remember(asked *peer.Offer, route routing.Request, slot *routing.Slot) (*peer.OfferReply, *api.Error) {
 	now := g.options.Clock()
-	left := time.Duration(asked.TimeLeft) * time.Millisecond
+	left := time.Duration(asked.RemainingMS) * time.Millisecond
 	life := min(grantLife, left)
-	reply := peer.OfferReply{Granted: true, GrantMS: life.Milliseconds(), Incarnation: g.options.Info.Incarnation}
+	reply := peer.OfferReply{Granted: true, ReservationMS: life.Milliseconds(), Incarnation: g.options.Info.Incarnation}
 	reserved := &offer{
 		state:    offerGranted,
 		request:  asked.Request,
--- a/gateway/operator.go
+++ b/gateway/operator.go
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 const (
@@ -77,18 +77,18 @@
 	status := g.agent.Status()
 	info := g.options.Info
 	return api.MemberStatus{
-		Name:          info.Name,
-		Role:          "gateway",
-		Zone:          info.Zone,
-		Region:        info.Region,
-		Incarnation:   info.Incarnation,
-		PeerAddress:   info.PeerAddress,
-		HTTPAddress:   info.HTTPAddress,
-		Up:            !g.draining.Load(),
-		LeaseMS:       status.Lease.Milliseconds(),
-		HeldSerial:    status.Held,
-		ActiveSerial:  status.Active,
-		ActiveVersion: status.ActiveVersion,
+		Name:           info.Name,
+		Role:           "gateway",
+		Zone:           info.Zone,
+		Region:         info.Region,
+		Incarnation:    info.Incarnation,
+		PeerAddress:    info.PeerAddress,
+		HTTPAddress:    info.HTTPAddress,
+		Up:             !g.draining.Load(),
+		LeaseMS:        status.Lease.Milliseconds(),
+		ReceivedSerial: status.Held,
+		ActiveSerial:   status.Active,
+		ActiveVersion:  status.ActiveVersion,
 	}
 }
 
@@ -145,20 +145,20 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-func replicaStatus(active *places.Contents, id string, replica places.Replica) api.ReplicaStatus {
+func replicaStatus(active *catalog.State, id string, replica catalog.Replica) api.ReplicaStatus {
 	status := api.ReplicaStatus{
 		ReplicaEntry: api.ReplicaEntry{
 			ID:       id,
 			Service:  replica.Service,
 			Zone:     replica.Zone,
 			Address:  replica.Address,
-			Draining: active.Drained(id),
+			Draining: active.IsDraining(id),
 		},
 		Region: replica.Region,
 	}
 	if condition, known := active.Condition(id); known {
 		status.Condition = string(condition.State)
-		status.Feeder = condition.Feeder
+		status.Feeder = condition.WarmupGateway
 	}
 	return status
 }
@@ -176,7 +176,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), orderWait)
 	defer cancel()
-	reply, err := g.agent.Order(ctx, peer.OrderRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
+	reply, err := g.agent.Order(ctx, peer.OperationRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
 	if err != nil {
 		failure := refusedLater(api.CodeNoPrimary, comeBack, "no primary can be reached")
 		failure.Outcome = api.OutcomeUnknown
@@ -186,7 +186,7 @@
 	writeOrder(w, &reply)
 }
 
-func writeOrder(w http.ResponseWriter, reply *peer.OrderReply) {
+func writeOrder(w http.ResponseWriter, reply *peer.OperationReply) {
 	switch {
 	case reply.Error != nil:
 		writeError(w, reply.Error)
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/stream"
 )
@@ -98,7 +98,7 @@
 	}
 	f.primary.mutex.Lock()
 	defer f.primary.mutex.Unlock()
-	contents, err := places.Read(f.primary.table.View())
+	contents, err := catalog.Read(f.primary.table.View())
 	if err != nil || contents.Gateways()["g1"].Up || g.agent.Valid() {
 		t.Errorf("the lease was not given up: %+v %v", contents.Gateways()["g1"], err)
 	}
@@ -185,7 +185,7 @@
 		<-r.Context().Done()
 		close(canceled)
 	})
-	f.primary.set(func(p *primary) { p.apply(registry.Add(places.LimitsRecord(places.Limits{StreamGapMS: 60_000}))) })
+	f.primary.set(func(p *primary) { p.apply(registry.Add(catalog.LimitsRecord(catalog.Limits{StreamGapMS: 60_000}))) })
 	waitFor(t, "a long gap", func() bool { return g.streamGap() == time.Minute })
 	request := question("hang-up")
 	request.Stream, request.WaitMS = true, 60_000
--- a/gateway/verdict.go
+++ b/gateway/verdict.go
@@ -175,7 +175,7 @@
 	if pieces > 0 {
 		outcome = api.OutcomeFailed
 	}
-	var fault *stream.Fault
+	var fault *stream.ReadError
 	if errors.As(err, &fault) {
 		return failed(fault.Code, outcome, "the replica's stream broke: %s", fault.Reason)
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routing"
 )
@@ -109,7 +109,7 @@
 	return false
 }
 
-func (g *Gateway) startPoll(ctx context.Context, active *places.Contents, replica string, slots chan struct{}, polls *sync.WaitGroup) {
+func (g *Gateway) startPoll(ctx context.Context, active *catalog.State, replica string, slots chan struct{}, polls *sync.WaitGroup) {
 	record, listed := active.Replicas()[replica]
 	if !listed {
 		return
@@ -130,7 +130,7 @@
 }
 
 // pollEntered polls a replica, and again as long as that is asked for meanwhile.
-func (g *Gateway) pollEntered(ctx context.Context, replica string, record places.Replica) {
+func (g *Gateway) pollEntered(ctx context.Context, replica string, record catalog.Replica) {
 	g.poll(ctx, replica, record)
 	for g.polling.leave(replica) {
 		g.poll(ctx, replica, record)
@@ -162,7 +162,7 @@
 
 // poll asks one replica for its report. An answer in the name of another replica
 // is a failure: the address has changed hands.
-func (g *Gateway) poll(ctx context.Context, replica string, record places.Replica) {
+func (g *Gateway) poll(ctx context.Context, replica string, record catalog.Replica) {
 	asking, cancel := context.WithTimeout(ctx, g.options.PollTimeout)
 	defer cancel()
 	report, err := g.replicas.report(asking, record.Address)
@@ -225,15 +225,15 @@
 // conditionUpdate replaces the condition that the change was derived from, if it
 // still holds and the replica is still listed.
 func (g *Gateway) conditionUpdate(change routing.ConditionChange) registry.Update {
-	name := places.ReplicaName(change.Replica)
-	prerequisites := []registry.Record{registry.Exists(name, places.TypeReplica)}
+	name := catalog.ReplicaName(change.Replica)
+	prerequisites := []registry.Record{registry.Exists(name, catalog.TypeReplica)}
 	if change.Old == nil {
-		prerequisites = append(prerequisites, registry.Absent(name, places.TypeCondition))
+		prerequisites = append(prerequisites, registry.Absent(name, catalog.TypeCondition))
 	} else {
-		prerequisites = append(prerequisites, registry.Equals(places.ConditionRecord(change.Replica, *change.Old)))
+		prerequisites = append(prerequisites, registry.Equals(catalog.ConditionRecord(change.Replica, *change.Old)))
 	}
-	changes := []registry.Record{registry.Add(places.ConditionRecord(change.Replica, change.New))}
-	update := registry.NewUpdate(places.Apex, prerequisites, changes)
+	changes := []registry.Record{registry.Add(catalog.ConditionRecord(change.Replica, change.New))}
+	update := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 	update.Requestor = requestorGateway + g.options.Info.Name
 	return update
 }
@@ -243,7 +243,7 @@
 func (g *Gateway) gossip(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
-	digest := peer.RegionLoad{Region: g.region(), Gateway: g.options.Info.Name}
+	digest := peer.RegionUtilization{Region: g.region(), Gateway: g.options.Info.Name}
 	for {
 		select {
 		case <-ctx.Done():
@@ -254,9 +254,9 @@
 			continue
 		}
 		digest.Sequence++
-		digest.Services = g.router.Load()
+		digest.UtilizationByService = g.router.Load()
 		for _, address := range g.otherRegions(gossipPeers) {
-			g.options.Network.Send(address, peer.KindLoad, &digest)
+			g.options.Network.Send(address, peer.KindRegionUtilization, &digest)
 		}
 	}
 }
@@ -286,12 +286,12 @@
 }
 
 func (g *Gateway) serveLoad(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var digest peer.RegionLoad
+	var digest peer.RegionUtilization
 	if err := decode(&digest); err != nil {
 		return nil, err
 	}
 	if digest.Region != g.region() {
-		g.router.SetRemoteLoad(digest.Region, digest.Services, time.Now())
+		g.router.SetRemoteLoad(digest.Region, digest.UtilizationByService, time.Now())
 	}
 	return nil, nil
 }
--- a/httpgateway/answer.go
+++ b/httpgateway/answer.go
@@ -34,7 +34,7 @@
 func (a *clientAnswer) Flush() { _ = a.controller.Flush() }
 
 // refuse answers a request that was not served.
-func (p *Proxy) refuse(w http.ResponseWriter, id string, refusal *dispatch.Refusal) {
+func (p *Proxy) refuse(w http.ResponseWriter, id string, refusal *dispatch.RequestError) {
 	if refusal.Begun || refusal.Code == dispatch.ClientGone {
 		panic(http.ErrAbortHandler) // breaks the connection off, so that the answer looks cut
 	}
--- a/httpgateway/example_test.go
+++ b/httpgateway/example_test.go
@@ -6,10 +6,10 @@
 	"net/http"
 	"net/http/httptest"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/httpgateway"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/transport"
 )
@@ -26,8 +26,8 @@
 
 // exampleContents is a registry with the document and one replica. In a fleet it
 // comes from the primary, by an agent.
-func exampleContents(replica string) (*places.Contents, error) {
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "control-1", Serial: 1}, []string{"control-1"})
+func exampleContents(replica string) (*catalog.State, error) {
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
 		return nil, err
 	}
@@ -39,10 +39,10 @@
 	if err != nil {
 		return nil, err
 	}
-	changes = append(changes, registry.Add(places.ReplicaRecord("r1", places.Replica{Service: "pages", Zone: "north-1", Region: "north", Address: replica})))
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	changes = append(changes, registry.Add(catalog.ReplicaRecord("r1", catalog.Replica{Service: "pages", Zone: "north-1", Region: "north", Address: replica})))
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	table.Apply(&update, nil)
-	return places.Read(table.View())
+	return catalog.Read(table.View())
 }
 
 func ExampleProxy() {
--- a/httpgateway/gateway.go
+++ b/httpgateway/gateway.go
@@ -31,7 +31,7 @@
 	// Info is what the primary and the other gateways learn of this one.
 	Info  peer.GatewayInfo
 	Seeds []string
-	Terms lease.Terms
+	Terms lease.Config
 	// Network carries the messages; the gateway starts it and closes it.
 	Network transport.Network
 	// Headers name the headers of requests. Default DefaultHeaders.
--- a/httpgateway/loads.go
+++ b/httpgateway/loads.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/loadexchange"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // newExchange returns the proxy's part in the exchange of loads.
@@ -26,7 +26,7 @@
 }
 
 // gatewaysUp are the gateways that take part in the exchange.
-func gatewaysUp(contents *places.Contents) map[string]loadexchange.Gateway {
+func gatewaysUp(contents *catalog.State) map[string]loadexchange.Gateway {
 	up := make(map[string]loadexchange.Gateway)
 	for name, gateway := range contents.Gateways() {
 		if gateway.Up {
--- a/httpgateway/proxy.go
+++ b/httpgateway/proxy.go
@@ -10,10 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/dispatch"
 	"github.com/deckpulley/deckpulley/loadexchange"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/transport"
 )
 
@@ -37,7 +37,7 @@
 	options    ProxyOptions
 	dispatcher *dispatch.Dispatcher
 	backend    *backend
-	contents   atomic.Pointer[places.Contents]
+	contents   atomic.Pointer[catalog.State]
 	exchange   *loadexchange.Node
 }
 
@@ -55,7 +55,7 @@
 		Backend: p.backend,
 		Bounds:  options.Bounds,
 		Placed:  func(prompt peer.PlacedPrompt) { p.exchange.Placed(prompt) },
-		Read:    func(prompt peer.ReadPrompt) { p.exchange.Measured(prompt) },
+		Read:    func(prompt peer.PrefillSample) { p.exchange.Measured(prompt) },
 		Logger:  options.Logger,
 	})
 	p.exchange = p.newExchange()
@@ -65,7 +65,7 @@
 }
 
 // Update makes a newer reading of the registry decide.
-func (p *Proxy) Update(contents *places.Contents) {
+func (p *Proxy) Update(contents *catalog.State) {
 	p.contents.Store(contents)
 	p.dispatcher.Update(contents)
 	p.exchange.SetGateways(gatewaysUp(contents))
--- a/internal/benchmark/benchmark_test.go
+++ b/internal/benchmark/benchmark_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -128,7 +128,7 @@
 	for number := before + 1; number <= before+count; number++ {
 		expected = append(expected, registry.Equals(numberedRecord(number)))
 	}
-	check := peer.UpdateRequest{Update: registry.NewUpdate(places.Apex, expected, nil)}
+	check := peer.UpdateRequest{Update: registry.NewUpdate(catalog.Apex, expected, nil)}
 	primary, err := g.primary()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/benchmark/gateway_job.go
+++ b/internal/benchmark/gateway_job.go
@@ -43,7 +43,7 @@
 		},
 		Seeds:   config.Seeds,
 		Keys:    keys,
-		Terms:   lease.DefaultTerms(),
+		Terms:   lease.DefaultConfig(),
 		Network: network,
 		Logger:  workerLogger(config),
 	})
--- a/internal/benchmark/group.go
+++ b/internal/benchmark/group.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/control"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
@@ -263,8 +263,8 @@
 
 // probeAt is updateAt for an update of a record that no other update changes.
 func (g *group) probeAt(ctx context.Context, at *member) (uint32, error) {
-	condition := places.Condition{State: places.ConditionUp, Incarnation: time.Now().String()}
-	return g.send(ctx, at, places.ConditionRecord("probe", condition))
+	condition := catalog.Condition{State: catalog.ConditionUp, Incarnation: time.Now().String()}
+	return g.send(ctx, at, catalog.ConditionRecord("probe", condition))
 }
 
 // updateAt sends the next update to a member, which must be the primary, and
@@ -278,7 +278,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := peer.UpdateRequest{
-		Update: registry.NewUpdate(places.Apex, nil, []registry.Record{registry.Add(record)}),
+		Update: registry.NewUpdate(catalog.Apex, nil, []registry.Record{registry.Add(record)}),
 		Hops:   hopsExhausted,
 	}
 	request.Update.Requestor = requestor
@@ -294,13 +294,13 @@
 
 // numberedRecord is what the update of a number writes.
 func numberedRecord(number uint64) registry.Record {
-	condition := places.Condition{State: places.ConditionUp, Incarnation: fmt.Sprintf("incarnation-%d", number)}
-	return places.ConditionRecord(fmt.Sprintf("replica-%d", number%changedNames), condition)
+	condition := catalog.Condition{State: catalog.ConditionUp, Incarnation: fmt.Sprintf("incarnation-%d", number)}
+	return catalog.ConditionRecord(fmt.Sprintf("replica-%d", number%changedNames), condition)
 }
 
 // order sends an operator's or the platform's order to the primary and waits
 // until it is in force.
-func (g *group) order(request peer.OrderRequest) (*api.OrderAnswer, error) {
+func (g *group) order(request peer.OperationRequest) (*api.OperationResult, error) {
 	primary, err := g.primary()
 	if err != nil {
 		return nil, err
@@ -308,8 +308,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	request.WaitMS = patience.Milliseconds()
-	var reply peer.OrderReply
-	if err := g.client.Call(ctx, primary.address, peer.KindOrder, &request, &reply); err != nil {
+	var reply peer.OperationReply
+	if err := g.client.Call(ctx, primary.address, peer.KindOperation, &request, &reply); err != nil {
 		return nil, fmt.Errorf("order: %w", err)
 	}
 	switch {
--- a/internal/benchmark/holders.go
+++ b/internal/benchmark/holders.go
@@ -61,7 +61,7 @@
 			HTTPAddress: network.Address(),
 		},
 		Seeds:   config.Seeds,
-		Terms:   lease.DefaultTerms(),
+		Terms:   lease.DefaultConfig(),
 		Network: network,
 		Clock:   func() time.Duration { return time.Since(started) },
 		Logger:  workerLogger(config),
--- a/internal/benchmark/leases.go
+++ b/internal/benchmark/leases.go
@@ -197,9 +197,9 @@
 	for range count {
 		time.Sleep(time.Duration(random.Int64N(int64(changePause))))
 		document := strings.Replace(text, field, fmt.Sprintf("first_token_ms: %d", 921+version), 1)
-		order := api.ConfigurationOrder{OrderID: fmt.Sprintf("order-%d", version), BaseVersion: version, Document: document}
+		order := api.ConfigurationOperation{OperationID: fmt.Sprintf("order-%d", version), BaseVersion: version, Document: document}
 		sent := time.Now()
-		answer, err := g.order(peer.OrderRequest{Configuration: &order})
+		answer, err := g.order(peer.OperationRequest{Configuration: &order})
 		if err != nil {
 			return 0, err
 		}
--- a/internal/benchmark/site.go
+++ b/internal/benchmark/site.go
@@ -94,15 +94,15 @@
 
 // configure sends the configuration and the list of replicas.
 func (s *site) configure() error {
-	order := api.ConfigurationOrder{OrderID: "configuration", Document: siteDocument}
-	if _, err := s.group.order(peer.OrderRequest{Configuration: &order}); err != nil {
+	order := api.ConfigurationOperation{OperationID: "configuration", Document: siteDocument}
+	if _, err := s.group.order(peer.OperationRequest{Configuration: &order}); err != nil {
 		return err
 	}
 	var list api.ReplicaList
 	for _, replica := range s.replicas {
 		list.Replicas = append(list.Replicas, api.ReplicaEntry{ID: replica.id, Service: replica.service, Zone: "north-1", Address: replica.address})
 	}
-	_, err := s.group.order(peer.OrderRequest{Replicas: &list})
+	_, err := s.group.order(peer.OperationRequest{Replicas: &list})
 	return err
 }
 
--- a/internal/defect/defect.go
+++ b/internal/defect/defect.go
@@ -28,12 +28,12 @@
 	LeaseNotWaitedOut
 	// KeepIdentity gives a wiped disk its old identity back.
 	KeepIdentity
-	// FreshContact takes the arrival of an answer for the send time of its round.
-	FreshContact
+	// ContactFromArrival takes the arrival of an answer for the send time of its round.
+	ContactFromArrival
 	// AcknowledgeProposal answers an order when it is proposed, not when it is committed.
 	AcknowledgeProposal
-	// GrantWithoutContact grants leases without a proof of leadership.
-	GrantWithoutContact
+	// GrantWithoutQuorumContact grants leases without a proof of leadership.
+	GrantWithoutQuorumContact
 	// LeaseFromArrival counts a lease from the grant's arrival at the holder.
 	LeaseFromArrival
 	// ChangeOldContent makes changes to the value that was current at the election.
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/internal/emulator"
 	"github.com/deckpulley/deckpulley/internal/standin"
 	"github.com/deckpulley/deckpulley/internal/workload"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routing"
 )
@@ -58,7 +58,7 @@
 // newLive builds the fleet with the example document of the deployment, applied
 // as version 1, with warm replicas.
 func newLive(profile *workload.Profile) (*live, error) {
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: primaryName, Serial: 1}, []string{primaryName})
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: primaryName, Serial: 1}, []string{primaryName})
 	if err != nil {
 		return nil, fmt.Errorf("making the table: %w", err)
 	}
@@ -74,21 +74,21 @@
 	for _, region := range profile.Regions {
 		for index := range region.ModelReplicas {
 			name := fmt.Sprintf("%s-replica-%d", region.Name, index+1)
-			listed := places.Replica{Service: service, Zone: region.Zone, Region: region.Name, Address: name}
-			records = append(records, registry.Add(places.ReplicaRecord(name, listed)))
+			listed := catalog.Replica{Service: service, Zone: region.Zone, Region: region.Name, Address: name}
+			records = append(records, registry.Add(catalog.ReplicaRecord(name, listed)))
 			l.startReplica(name, false)
 		}
 		for index := range gatewaysPerRegion {
 			name := fmt.Sprintf("%s-gateway-%d", region.Name, index+1)
-			member := places.Gateway{Incarnation: "1", Zone: region.Zone, Region: region.Name, Up: true}
-			records = append(records, registry.Add(places.GatewayRecord(name, member)))
+			member := catalog.Gateway{Incarnation: "1", Zone: region.Zone, Region: region.Name, Up: true}
+			records = append(records, registry.Add(catalog.GatewayRecord(name, member)))
 			l.gateways = append(l.gateways, &liveGateway{
 				name: name, region: region.Name,
 				router: routing.New(routing.Config{Region: region.Name, Gateway: name, Seed: uint64(len(l.gateways)), PollInterval: pollInterval}),
 			})
 		}
 	}
-	update := registry.NewUpdate(places.Apex, nil, records)
+	update := registry.NewUpdate(catalog.Apex, nil, records)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
 		return nil, fmt.Errorf("filling the table: %v", result.Code)
 	}
@@ -112,7 +112,7 @@
 func (l *live) activate() error {
 	l.activation.Lock()
 	defer l.activation.Unlock()
-	contents, err := places.Read(l.table.View())
+	contents, err := catalog.Read(l.table.View())
 	if err != nil {
 		return fmt.Errorf("reading the table: %w", err)
 	}
@@ -208,16 +208,16 @@
 }
 
 func (l *live) writeCondition(change routing.ConditionChange) {
-	name := places.ReplicaName(change.Replica)
-	before := registry.Absent(name, places.TypeCondition)
+	name := catalog.ReplicaName(change.Replica)
+	before := registry.Absent(name, catalog.TypeCondition)
 	if change.Old != nil {
-		before = registry.Equals(places.ConditionRecord(change.Replica, *change.Old))
+		before = registry.Equals(catalog.ConditionRecord(change.Replica, *change.Old))
 	}
 	changes := []registry.Record{
-		registry.DeleteSet(name, places.TypeCondition),
-		registry.Add(places.ConditionRecord(change.Replica, change.New)),
+		registry.DeleteSet(name, catalog.TypeCondition),
+		registry.Add(catalog.ConditionRecord(change.Replica, change.New)),
 	}
-	update := registry.NewUpdate(places.Apex, []registry.Record{before}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{before}, changes)
 	if result := l.table.Apply(&update, nil); result.Code != registry.NoError {
 		return // the watcher offers the change again
 	}
--- a/internal/experiment/response.go
+++ b/internal/experiment/response.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/internal/workload"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routing"
 )
@@ -70,7 +70,7 @@
 type Response struct {
 	Deployment  string
 	Disturbance Disturbance
-	Limits      places.Limits
+	Limits      catalog.Limits
 	Regions     []string
 	Samples     []Sample
 	// Answers, Refusals, Failures and Spills are over the whole run.
@@ -92,7 +92,7 @@
 	defer fleet.close()
 	ctx, cancel := context.WithTimeout(ctx, responseLength)
 	defer cancel()
-	contents, err := places.Read(fleet.table.View())
+	contents, err := catalog.Read(fleet.table.View())
 	if err != nil {
 		return nil, fmt.Errorf("reading the table: %w", err)
 	}
@@ -160,7 +160,7 @@
 
 // setUp writes whether a region's gateways are up.
 func (l *live) setUp(region string, up bool) {
-	contents, err := places.Read(l.table.View())
+	contents, err := catalog.Read(l.table.View())
 	if err != nil {
 		l.meter.note(err)
 		return
@@ -169,10 +169,10 @@
 	for name, gateway := range contents.Gateways() {
 		if gateway.Region == region {
 			gateway.Up = up
-			changes = append(changes, registry.Add(places.GatewayRecord(name, gateway)))
+			changes = append(changes, registry.Add(catalog.GatewayRecord(name, gateway)))
 		}
 	}
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := l.table.Apply(&update, nil); result.Code != registry.NoError {
 		l.meter.note(fmt.Errorf("writing gateways: %v", result.Code))
 	}
--- a/internal/experiment/response_test.go
+++ b/internal/experiment/response_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // TestColdReplicasStayOnTheirRamp runs the cold experiment in the fake time of a
@@ -75,7 +75,7 @@
 		{"above to the end", func(time.Duration) float64 { return 1.6 }, Reaction{Peak: 1.6, Overshoot: 1}, responseLength - responseBegin},
 	}
 	for _, test := range cases {
-		response := &Response{Regions: []string{"north"}, Limits: places.Limits{TargetUtilization: 0.8, FirstTokenMS: 920}}
+		response := &Response{Regions: []string{"north"}, Limits: catalog.Limits{TargetUtilization: 0.8, FirstTokenMS: 920}}
 		for at := time.Duration(0); at < responseLength; at += sampleInterval {
 			value := steady
 			if at >= responseBegin {
--- a/internal/fleet/operator/operator.go
+++ b/internal/fleet/operator/operator.go
@@ -74,7 +74,7 @@
 	id := o.NextOrderID()
 	return Order{
 		ID: id, method: http.MethodPut, path: api.PathConfiguration,
-		body: api.ConfigurationOrder{OrderID: id, BaseVersion: base, Author: o.name, Document: document},
+		body: api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: o.name, Document: document},
 		line: eventlog.Event{Order: id, Detail: checker.DetailConfiguration, Base: base, Target: Digest(document)},
 	}
 }
@@ -88,7 +88,7 @@
 	}
 	return Order{
 		ID: id, method: http.MethodPost, path: api.PathEvacuations,
-		body: api.EvacuationOrder{OrderID: id, Zone: zone, Withdraw: withdraw, Author: o.name},
+		body: api.EvacuationOperation{OperationID: id, Zone: zone, Withdraw: withdraw, Author: o.name},
 		line: eventlog.Event{Order: id, Detail: detail, Zone: zone},
 	}
 }
@@ -206,7 +206,7 @@
 // readAnswer tells definite answers from those after which the same order must
 // be sent again.
 func readAnswer(status int, text []byte) (Answer, bool) {
-	var body api.OrderAnswer
+	var body api.OperationResult
 	if json.Unmarshal(text, &body) != nil {
 		return Answer{Message: "an answer that does not decode"}, false
 	}
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/gateway/agent"
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/transport"
 )
 
@@ -36,7 +36,7 @@
 	// Keys are the fleet's keys.
 	Keys [][]byte
 	// Terms are the fleet's lease terms.
-	Terms lease.Terms
+	Terms lease.Config
 }
 
 // Fleet is a number of hollow gateways.
@@ -144,9 +144,9 @@
 }
 
 // activated returns one gateway's note of what becomes active there.
-func (f *Fleet) activated() func(*places.Contents) {
+func (f *Fleet) activated() func(*catalog.State) {
 	newest := uint64(0)
-	return func(contents *places.Contents) {
+	return func(contents *catalog.State) {
 		version := contents.Version()
 		if version == newest {
 			return
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(g.ctx, readyWait)
 	defer cancel()
 	sent := time.Now()
-	answer, err := g.client.Apply(ctx, &api.ConfigurationOrder{BaseVersion: g.version, Author: "scale", Document: text})
+	answer, err := g.client.Apply(ctx, &api.ConfigurationOperation{BaseVersion: g.version, Author: "scale", Document: text})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/scale/parts.go
+++ b/internal/scale/parts.go
@@ -86,7 +86,7 @@
 		Host:   host,
 		Seeds:  what.Seeds,
 		Keys:   [][]byte{what.Key},
-		Terms:  lease.DefaultTerms(),
+		Terms:  lease.DefaultConfig(),
 	})
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 		},
 		Seeds:          what.Seeds,
 		Keys:           [][]byte{what.Key},
-		Terms:          lease.DefaultTerms(),
+		Terms:          lease.DefaultConfig(),
 		Network:        network,
 		Seed:           1,
 		MaxConnections: 4096,
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -98,12 +98,12 @@
 	0:                  "pings, handshakes",
 	peer.KindConsensus: "consensus",
 	peer.KindHello:     "hello",
-	peer.KindForm:      "form",
+	peer.KindBootstrap: "form",
 	peer.KindJoin:      "join",
 	peer.KindRenew:     "renew and grant",
 	peer.KindNotify:    "notify",
 	peer.KindUpdate:    "update",
-	peer.KindOrder:     "order",
+	peer.KindOperation: "order",
 }
 
 func (r *measured) kindTable(m *markdown) {
--- a/internal/simulation/crashes.go
+++ b/internal/simulation/crashes.go
@@ -21,7 +21,7 @@
 func (w *world) planCrash() {
 	m := w.target()
 	if m.node != nil {
-		m.store.Plan(storage.CrashPlan{Write: 1 + w.random.IntN(writesAhead), After: w.chance(0.5)})
+		m.store.ScheduleCrash(storage.CrashPlan{Write: 1 + w.random.IntN(writesAhead), AfterWrite: w.chance(0.5)})
 	}
 }
 
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -66,7 +66,7 @@
 	g.buffer = nil
 	g.started = g.world.now
 	g.drift = mostDrift * (2*g.world.random.Float64() - 1)
-	g.holder = lease.NewHolder(lease.DefaultTerms())
+	g.holder = lease.NewHolder(lease.DefaultConfig())
 	g.copied = registry.NewSecondary(apex, schema)
 	g.held = nil
 	g.active = 0
@@ -104,7 +104,7 @@
 }
 
 func (g *gateway) renewLater(incarnation int) {
-	g.world.after(lease.DefaultTerms().Renewal, func() {
+	g.world.after(lease.DefaultConfig().RenewalInterval, func() {
 		if g.incarnation != incarnation || !g.up {
 			return
 		}
@@ -126,12 +126,12 @@
 func (g *gateway) renew(to *machine) {
 	now := g.clock()
 	asked := renewal{sent: now, request: lease.Request{
-		Holder:      g.name,
-		Incarnation: fmt.Sprint(g.incarnation),
-		Held:        g.newest(),
-		Active:      g.active,
-		Valid:       g.holder.Valid(now),
-		Term:        g.holder.Term(),
+		Holder:         g.name,
+		Incarnation:    fmt.Sprint(g.incarnation),
+		ReceivedSerial: g.newest(),
+		ActiveSerial:   g.active,
+		LeaseValid:     g.holder.Valid(now),
+		Term:           g.holder.Term(),
 	}}
 	incarnation := g.incarnation
 	g.world.network.send(g.name, to.name, func() {
@@ -145,10 +145,10 @@
 
 // leave gives the lease up before the process ends.
 func (g *gateway) leave() {
-	g.holder.Leave()
+	g.holder.Release()
 	to := g.primary
 	asked := renewal{sent: g.clock(), request: lease.Request{
-		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), Active: g.active, Leaving: true,
+		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.active, Release: true,
 	}}
 	g.world.network.send(g.name, to.name, func() {
 		to.receive(func() { to.grant(g, asked) })
@@ -164,7 +164,7 @@
 	if asked.request.Incarnation != fmt.Sprint(g.incarnation) {
 		return // the connection that it came on is gone
 	}
-	if !reply.decision.Granted {
+	if !reply.decision.Authoritative {
 		if reply.hint != nil && reply.hint != g.primary {
 			g.primary = reply.hint
 			g.renew(g.primary)
@@ -175,12 +175,12 @@
 	if g.world.has(defect.LeaseFromArrival) {
 		sent = now
 	}
-	if err := g.holder.Granted(now, sent, reply.term, clusterName, reply.decision.Length); err != nil {
+	if err := g.holder.HandleGrant(now, sent, reply.term, clusterName, reply.decision.LeaseDuration); err != nil {
 		return
 	}
 	g.primary = reply.from
 	changed := g.take(reply.transfer)
-	if g.activate(reply.decision.Activate) || changed {
+	if g.activate(reply.decision.ActivationSerial) || changed {
 		g.renew(g.primary)
 	}
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -72,7 +72,7 @@
 		store:    storage.NewMemory(w.newIdentity()),
 	}
 	if w.has(defect.MissingSync) {
-		m.store.LoseSync(lostWrites)
+		m.store.DropSyncedWrites(lostWrites)
 	}
 	w.machines = append(w.machines, m)
 	return m
@@ -142,7 +142,7 @@
 		m.world.violate(RuleDurable, "%s cannot start from its disk: %v", m.name, err)
 		return
 	}
-	node.Plant(m.world.options.Defects)
+	node.InjectDefects(m.world.options.Defects)
 	m.node = node
 	m.identity = held.Identity
 	m.process++
@@ -266,7 +266,7 @@
 			m.stop(ready)
 			return
 		}
-		if len(ready.Committed) > 0 && m.leadership != nil && m.leadership.grantor == nil {
+		if len(ready.CommittedEntries) > 0 && m.leadership != nil && m.leadership.grantor == nil {
 			m.world.atFirstCommit(m)
 		}
 		m.finish(ready)
@@ -344,7 +344,7 @@
 	if ready.Snapshot != nil {
 		m.restoreState(*ready.Snapshot)
 	}
-	for _, entry := range ready.Committed {
+	for _, entry := range ready.CommittedEntries {
 		if entry.Kind == consensus.EntryNormal {
 			if _, err := m.state.apply(entry.Data); err != nil {
 				m.world.violate(RuleAgreement, "%s cannot apply index %d: %v", m.name, entry.Index, err)
@@ -372,7 +372,7 @@
 		return
 	}
 	m.compacts = snapshot.Index
-	if m.store.SaveSnapshot(snapshot, consensus.KeepFrom(snapshot, keep)) != nil {
+	if m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, keep)) != nil {
 		m.powerCut()
 	}
 }
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -38,9 +38,9 @@
 }
 
 const (
-	typeVersion = registry.FirstOwnType
-	typeOrder   = registry.FirstOwnType + 1
-	typeContent = registry.FirstOwnType + 2
+	typeVersion = registry.FirstPrivateType
+	typeOrder   = registry.FirstPrivateType + 1
+	typeContent = registry.FirstPrivateType + 2
 
 	apex        registry.Name = "places."
 	versionName registry.Name = "version.places."
@@ -77,7 +77,7 @@
 }
 
 func newBook() *book {
-	head := registry.Head{Primary: "none", Serial: firstSerial}
+	head := registry.SOA{Primary: "none", Serial: firstSerial}
 	table, err := registry.New(apex, schema, head, []string{"control"})
 	if err != nil {
 		panic(err)
@@ -175,10 +175,10 @@
 
 // claim makes the update that names a new primary in the head record.
 func (b *book) claim(primary string) registry.Update {
-	head := b.table.Head()
+	head := b.table.SOA()
 	head.Primary = primary
 	head.Serial = registry.NextSerial(head.Serial)
-	return registry.NewUpdate(apex, nil, []registry.Record{registry.Add(registry.HeadRecord(apex, head))})
+	return registry.NewUpdate(apex, nil, []registry.Record{registry.Add(registry.SOARecord(apex, head))})
 }
 
 // apply evaluates one update. Every machine does so in the log's order.
@@ -208,7 +208,7 @@
 	if !dropAnswers {
 		return b.table.Snapshot()
 	}
-	whole := b.table.Difference(0)
+	whole := b.table.TransferSince(0)
 	kept := registry.Transfer{Full: true, To: whole.To}
 	for _, record := range whole.Added {
 		if record.Type != typeOrder {
--- a/internal/simulation/primary.go
+++ b/internal/simulation/primary.go
@@ -61,7 +61,7 @@
 		elected -= notWaited
 	}
 	m.leadership.contentAtFirst = m.state.content()
-	m.leadership.grantor = lease.NewGrantor(lease.DefaultTerms(), m.leadership.term, elected, m.state.serial())
+	m.leadership.grantor = lease.NewGrantor(lease.DefaultConfig(), m.leadership.term, elected, m.state.serial())
 	m.propose(m.state.claim(m.name))
 }
 
@@ -166,9 +166,9 @@
 		return 0, false
 	}
 	if contact, known := m.contact(); known {
-		m.leadership.grantor.SetContact(contact)
+		m.leadership.grantor.SetQuorumContact(contact)
 	}
-	serial, known := m.leadership.grantor.InForce()
+	serial, known := m.leadership.grantor.SerialInForce()
 	if known {
 		m.world.checks.reportedInForce(m, serial)
 	}
@@ -177,7 +177,7 @@
 
 // contact is the proof of leadership.
 func (m *machine) contact() (time.Duration, bool) {
-	if m.world.has(defect.GrantWithoutContact) {
+	if m.world.has(defect.GrantWithoutQuorumContact) {
 		return m.clock(), true
 	}
 	return m.node.QuorumContact()
@@ -220,7 +220,7 @@
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return
 	}
-	now := notice{serial: m.state.serial(), activate: m.leadership.grantor.Activate()}
+	now := notice{serial: m.state.serial(), activate: m.leadership.grantor.ActivationSerial()}
 	if now == m.leadership.notified {
 		return
 	}
@@ -240,8 +240,8 @@
 		decision := m.leadership.grantor.Renew(m.clock(), contact, known, asked.request)
 		reply.decision = decision
 		reply.term = m.leadership.term
-		if decision.Granted && registry.SerialLess(asked.request.Held, m.state.serial()) {
-			transfer := m.state.table.Difference(asked.request.Held)
+		if decision.Authoritative && registry.SerialLess(asked.request.ReceivedSerial, m.state.serial()) {
+			transfer := m.state.table.TransferSince(asked.request.ReceivedSerial)
 			reply.transfer = &transfer
 		}
 	} else {
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -20,7 +20,7 @@
 		if m.node == nil {
 			m.restart()
 		} else {
-			m.store.Plan(storage.CrashPlan{})
+			m.store.ScheduleCrash(storage.CrashPlan{})
 			m.stall = 0
 			m.thaw()
 		}
--- a/internal/simulation/repair.go
+++ b/internal/simulation/repair.go
@@ -127,7 +127,7 @@
 // whose late request to join came after its removal.
 func (m *machine) dropSilentLearner(status consensus.Status) bool {
 	for position, member := range status.Membership.Members {
-		heard := max(m.leadership.elected, status.Contact[member.ID], m.joins[member.ID].heard)
+		heard := max(m.leadership.elected, status.LastContact[member.ID], m.joins[member.ID].heard)
 		if !member.Learner || m.clock()-heard < learnerPatience {
 			continue
 		}
@@ -180,7 +180,7 @@
 
 // reaches tells whether a member has answered lately.
 func (m *machine) reaches(status consensus.Status, id consensus.ID) bool {
-	heard, answered := status.Contact[id]
+	heard, answered := status.LastContact[id]
 	return answered && m.clock()-heard <= reachable
 }
 
@@ -209,7 +209,7 @@
 	if !known || m.clock()-contact > reachable || status.Role != consensus.Leader {
 		return false
 	}
-	if !status.Settled || len(status.Membership.Voters()) < m.world.faults.size {
+	if !status.MembershipCommitted || len(status.Membership.Voters()) < m.world.faults.size {
 		return false
 	}
 	for _, member := range status.Membership.Members {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -90,7 +90,7 @@
 	quick := []defect.Defect{
 		defect.MissingSync, defect.SnapshotDropsOrders, defect.ReuseSerial,
 		defect.LeaseNotWaitedOut, defect.AcknowledgeProposal, defect.SendBeforeSync,
-		defect.VoteIgnoresLog, defect.TwoMembershipChanges, defect.FreshContact,
+		defect.VoteIgnoresLog, defect.TwoMembershipChanges, defect.ContactFromArrival,
 		defect.ChangeOldContent,
 	}
 	// Histories that show a defect within quickHunt of the first are not there for
--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -15,10 +15,10 @@
 			for i := range requests {
 				requests[i] = ask(fmt.Sprint("gateway-", i), 5, 5)
 			}
-			step := DefaultTerms().Renewal / time.Duration(holders)
+			step := DefaultConfig().RenewalInterval / time.Duration(holders)
 			for i := 0; b.Loop(); i++ {
 				now += step
-				if !grantor.Renew(now, now, true, requests[i%holders]).Granted {
+				if !grantor.Renew(now, now, true, requests[i%holders]).Authoritative {
 					b.Fatal("not granted")
 				}
 			}
--- a/lease/grantor.go
+++ b/lease/grantor.go
@@ -17,38 +17,38 @@
 type Request struct {
 	Holder      string
 	Incarnation string
-	// Held is the newest serial that the holder has a copy of, 0 for none.
-	Held uint32
-	// Active is the serial that decides at the holder, 0 for none. It never falls
+	// ReceivedSerial is the newest serial that the holder has a copy of, 0 for none.
+	ReceivedSerial uint32
+	// ActiveSerial is the serial that decides at the holder, 0 for none. It never falls
 	// within one incarnation.
-	Active uint32
-	// Leaving gives the lease up; the holder has stopped acting on it already.
-	Leaving bool
-	// Valid says that the holder's lease was valid when it sent the request.
-	Valid bool
+	ActiveSerial uint32
+	// Release gives the lease up; the holder has stopped acting on it already.
+	Release bool
+	// LeaseValid says that the holder's lease was valid when it sent the request.
+	LeaseValid bool
 	// Term is the newest term that the holder knew when it sent the request.
 	Term uint64
 }
 
 // Decision answers one renewal.
 type Decision struct {
-	// Granted says that the grantor leads: the transfer and Activate may be
+	// Authoritative says that the grantor leads: the transfer and Activate may be
 	// taken from it. Without it nothing else holds.
-	Granted bool
-	// Length of the lease from the sending of the request. Zero is no lease yet:
+	Authoritative bool
+	// LeaseDuration of the lease from the sending of the request. Zero is no lease yet:
 	// the holder must first make a newer serial active.
-	Length time.Duration
-	// Activate allows every held serial up to this one to become active; 0 is none.
-	Activate uint32
+	LeaseDuration time.Duration
+	// ActivationSerial allows every held serial up to this one to become active; 0 is none.
+	ActivationSerial uint32
 }
 
 // HolderStatus describes one live lease.
 type HolderStatus struct {
-	Holder      string
-	Incarnation string
-	Remaining   time.Duration
-	Held        uint32
-	Active      uint32
+	Holder         string
+	Incarnation    string
+	Remaining      time.Duration
+	ReceivedSerial uint32
+	ActiveSerial   uint32
 }
 
 // lease is what the grantor knows of one holder.
@@ -103,7 +103,7 @@
 // Grantor is the primary's side for one term of leadership. It is not safe for
 // concurrent use. Discard it when the leadership is lost.
 type Grantor struct {
-	terms       Terms
+	terms       Config
 	term        uint64
 	windowEnd   time.Duration
 	serial      uint32 // newest serial of the table
@@ -127,8 +127,8 @@
 
 // NewGrantor begins a term at the monotonic time elected. serial is
 // the table's once every entry of earlier terms is applied.
-func NewGrantor(terms Terms, term uint64, elected time.Duration, serial uint32) *Grantor {
-	windowEnd := elected + terms.Window()
+func NewGrantor(terms Config, term uint64, elected time.Duration, serial uint32) *Grantor {
+	windowEnd := elected + terms.GracePeriod()
 	if planted.Active(planted.SlowTakeover) {
 		windowEnd += slowTakeover
 	}
@@ -143,13 +143,13 @@
 	}
 }
 
-// Expect tells every holder that may have a lease of an earlier primary. The
+// ExpectReclaims tells every holder that may have a lease of an earlier primary. The
 // window then ends as soon as each of them is accounted for: it asked under
 // another incarnation, so that the named one has ended, or it asked knowing this
 // term, so that it drops earlier grants, and holds either no valid lease or one
 // of this grantor. Call it before the first Renew, if at all; the list must
 // contain every holder to which an earlier primary may have granted.
-func (g *Grantor) Expect(now time.Duration, holders []HolderID) {
+func (g *Grantor) ExpectReclaims(now time.Duration, holders []HolderID) {
 	g.expected = make(map[string]string, len(holders))
 	for _, holder := range holders {
 		g.expected[holder.Holder] = holder.Incarnation
@@ -167,7 +167,7 @@
 		return // it may be late, and from before the incarnation that is named
 	}
 	restarted := request.Incarnation != incarnation
-	if restarted || granted || !request.Valid {
+	if restarted || granted || !request.LeaseValid {
 		delete(g.expected, request.Holder)
 		g.settled = now
 	}
@@ -184,10 +184,10 @@
 	}
 }
 
-// SetContact tells the newest proof of leadership: the sending time of the newest
+// SetQuorumContact tells the newest proof of leadership: the sending time of the newest
 // heartbeat round that a majority acknowledged in this term. Call it whenever it
 // changes and before InForce, since leases are judged as run out only up to it.
-func (g *Grantor) SetContact(contact time.Duration) {
+func (g *Grantor) SetQuorumContact(contact time.Duration) {
 	if g.contactSeen && contact <= g.contact {
 		return
 	}
@@ -203,44 +203,44 @@
 func (g *Grantor) Renew(now, contact time.Duration, contactKnown bool, request Request) Decision {
 	id := HolderID{Holder: request.Holder, Incarnation: request.Incarnation}
 	if contactKnown {
-		g.SetContact(contact)
+		g.SetQuorumContact(contact)
 	}
-	if request.Leaving {
+	if request.Release {
 		g.leave(now, id)
-		return Decision{Activate: g.Activate()}
+		return Decision{ActivationSerial: g.ActivationSerial()}
 	}
 	if !g.provenLeader(now) {
 		return Decision{}
 	}
 	if now < g.left[id] {
-		return Decision{Granted: true, Activate: g.Activate()}
+		return Decision{Authoritative: true, ActivationSerial: g.ActivationSerial()}
 	}
 	length := time.Duration(0)
 	mayHold := g.mayHold(request)
 	if mayHold {
 		g.grant(now, id, request)
-		length = g.terms.Length
+		length = g.terms.Duration
 	}
 	g.account(now, request, mayHold)
-	return Decision{Granted: true, Length: length, Activate: g.activation(request.Active)}
+	return Decision{Authoritative: true, LeaseDuration: length, ActivationSerial: g.activation(request.ActiveSerial)}
 }
 
 func (g *Grantor) provenLeader(now time.Duration) bool {
-	return g.contactSeen && now-g.contact <= g.terms.QuorumAge
+	return g.contactSeen && now-g.contact <= g.terms.MaxQuorumContactAge
 }
 
 // mayHold keeps the invariant: whoever gets a lease is not behind anything that
 // was reported in force by this or an earlier primary.
 func (g *Grantor) mayHold(request Request) bool {
-	if request.Active == 0 {
+	if request.ActiveSerial == 0 {
 		return false
 	}
 	bound := g.floor
-	if serial, known := g.InForce(); known {
+	if serial, known := g.SerialInForce(); known {
 		bound = serial
 	}
-	continued := !g.windowOver() && request.Valid && request.Term == g.term
-	return continued || !serialLess(request.Active, bound)
+	continued := !g.windowOver() && request.LeaseValid && request.Term == g.term
+	return continued || !serialLess(request.ActiveSerial, bound)
 }
 
 func (g *Grantor) grant(now time.Duration, id HolderID, request Request) {
@@ -249,12 +249,12 @@
 		entry = &lease{}
 		g.leases[id] = entry
 	}
-	if !g.live(entry) || serialLess(entry.held, request.Held) || serialLess(entry.active, request.Active) {
+	if !g.live(entry) || serialLess(entry.held, request.ReceivedSerial) || serialLess(entry.active, request.ActiveSerial) {
 		g.oldest.known = false
 	}
-	entry.expires = now + g.terms.Length + g.terms.Margin
-	entry.held = newerSerial(entry.held, request.Held)
-	entry.reportActive(now, request.Active)
+	entry.expires = now + g.terms.Duration + g.terms.ClockDriftMargin
+	entry.held = newerSerial(entry.held, request.ReceivedSerial)
+	entry.reportActive(now, request.ActiveSerial)
 	entry.told = false
 }
 
@@ -271,7 +271,7 @@
 			delete(g.left, other)
 		}
 	}
-	g.left[id] = now + g.terms.Length + g.terms.Margin
+	g.left[id] = now + g.terms.Duration + g.terms.ClockDriftMargin
 }
 
 // windowOver says whether every lease of earlier primaries has run out or is
@@ -284,12 +284,12 @@
 	return accounted || g.contact >= g.windowEnd
 }
 
-// Settled says whether nobody can have a lease of an earlier primary any more.
-func (g *Grantor) Settled() bool { return g.windowOver() }
+// GracePeriodOver says whether nobody can have a lease of an earlier primary any more.
+func (g *Grantor) GracePeriodOver() bool { return g.windowOver() }
 
-// AwaitsProof says that each holder that may have a lease of an earlier primary is
+// AwaitsQuorumContact says that each holder that may have a lease of an earlier primary is
 // accounted for, and that only a newer proof of leadership is missing.
-func (g *Grantor) AwaitsProof() bool {
+func (g *Grantor) AwaitsQuorumContact() bool {
 	return g.expected != nil && len(g.expected) == 0 && !g.windowOver()
 }
 
@@ -333,19 +333,19 @@
 	return entry.expires > g.contact
 }
 
-// Activate returns the newest serial that holders may make active: the newest
+// ActivationSerial returns the newest serial that holders may make active: the newest
 // one held by all of them, and never older than one that a holder reported as
 // active. 0 is none yet.
-func (g *Grantor) Activate() uint32 {
+func (g *Grantor) ActivationSerial() uint32 {
 	return g.activation(0)
 }
 
-// InForce returns the newest serial that every live lease holder reports as
+// SerialInForce returns the newest serial that every live lease holder reports as
 // active, as of the newest proof of leadership: call SetContact first. It is unknown
 // (false) until the leases of earlier primaries have run out, or while a live
 // lease has no active serial as of that proof and nothing was known before. What
 // it returns never falls.
-func (g *Grantor) InForce() (uint32, bool) {
+func (g *Grantor) SerialInForce() (uint32, bool) {
 	if !g.windowOver() {
 		return 0, false
 	}
@@ -385,11 +385,11 @@
 			continue
 		}
 		holders = append(holders, HolderStatus{
-			Holder:      id.Holder,
-			Incarnation: id.Incarnation,
-			Remaining:   entry.expires - now,
-			Held:        entry.held,
-			Active:      entry.active,
+			Holder:         id.Holder,
+			Incarnation:    id.Incarnation,
+			Remaining:      entry.expires - now,
+			ReceivedSerial: entry.held,
+			ActiveSerial:   entry.active,
 		})
 	}
 	sort.Slice(holders, func(i, j int) bool {
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -7,14 +7,14 @@
 
 // Reasons for dropping what a primary says. The whole message is to be dropped.
 var (
-	ErrOldTerm      = errors.New("lease: from an older term")
+	ErrStaleTerm    = errors.New("lease: from an older term")
 	ErrOtherCluster = errors.New("lease: from another cluster")
-	ErrLeft         = errors.New("lease: given up")
+	ErrReleased     = errors.New("lease: given up")
 )
 
 // Holder is a gateway's side. It is not safe for concurrent use.
 type Holder struct {
-	terms   Terms
+	terms   Config
 	term    uint64
 	cluster string
 	until   time.Duration
@@ -23,7 +23,7 @@
 }
 
 // NewHolder returns a holder without a lease.
-func NewHolder(terms Terms) *Holder {
+func NewHolder(terms Config) *Holder {
 	return &Holder{terms: terms}
 }
 
@@ -34,7 +34,7 @@
 		return ErrOtherCluster
 	}
 	if term < h.term {
-		return ErrOldTerm
+		return ErrStaleTerm
 	}
 	h.term = term
 	if h.cluster == "" {
@@ -43,11 +43,11 @@
 	return nil
 }
 
-// Granted takes a grant for the renewal that was sent at the time sent. A length
+// HandleGrant takes a grant for the renewal that was sent at the time sent. A length
 // of zero leaves the lease as it is. On an error the grant is to be dropped whole.
-func (h *Holder) Granted(now, sent time.Duration, term uint64, cluster string, length time.Duration) error {
+func (h *Holder) HandleGrant(now, sent time.Duration, term uint64, cluster string, length time.Duration) error {
 	if h.left {
-		return ErrLeft
+		return ErrReleased
 	}
 	if err := h.Observe(term, cluster); err != nil {
 		return err
@@ -55,7 +55,7 @@
 	if length <= 0 || sent > now {
 		return nil
 	}
-	length = min(length, h.terms.Length)
+	length = min(length, h.terms.Duration)
 	if until := sent + length; !h.held || until > h.until {
 		h.until = until
 		h.held = true
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Leave gives the lease up for good. Call it before telling the primary.
-func (h *Holder) Leave() { h.left = true }
+// Release gives the lease up for good. Call it before telling the primary.
+func (h *Holder) Release() { h.left = true }
 
 // Valid says whether the lease is in force.
 func (h *Holder) Valid(now time.Duration) bool {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -5,7 +5,7 @@
 //
 // The invariant that both sides keep together: at no moment has a holder with a
 // valid lease an active serial older than one that any primary has reported by
-// Grantor.InForce. It rests on these rules.
+// Grantor.SerialInForce. It rests on these rules.
 //
 //   - A holder counts its lease from the sending of the renewal; the grantor
 //     counts Length+Margin from its own, later, granting.
@@ -21,7 +21,7 @@
 //     reports as active, and grants to a holder that is behind the serial of its
 //     election only if that holder still had a valid lease when it asked, and
 //     asked knowing the grantor's term. The window ends early if the grantor was
-//     told who may have such a lease (Grantor.Expect) and each is accounted for.
+//     told who may have such a lease (Grantor.ExpectReclaims) and each is accounted for.
 package lease
 
 import (
@@ -34,42 +34,42 @@
 // NoDeadline is returned by Grantor.NextDeadline when nothing is due.
 const NoDeadline = time.Duration(math.MaxInt64)
 
-// Terms are the constants both sides must agree on.
-type Terms struct {
-	// Length of a lease, from the holder's sending of the renewal. Default 1800 ms.
-	Length time.Duration
-	// Margin covers the drift of two monotonic clocks over a lease. Default 200 ms.
-	Margin time.Duration
-	// QuorumAge is the oldest proof of leadership (consensus.Node.QuorumContact) with
+// Config are the constants both sides must agree on.
+type Config struct {
+	// Duration of a lease, from the holder's sending of the renewal. Default 1800 ms.
+	Duration time.Duration
+	// ClockDriftMargin covers the drift of two monotonic clocks over a lease. Default 200 ms.
+	ClockDriftMargin time.Duration
+	// MaxQuorumContactAge is the oldest proof of leadership (consensus.Node.QuorumContact) with
 	// which a primary may still grant. Default 400 ms.
-	QuorumAge time.Duration
-	// Renewal is the interval between a holder's renewals. Default 300 ms.
-	Renewal time.Duration
+	MaxQuorumContactAge time.Duration
+	// RenewalInterval is the interval between a holder's renewals. Default 300 ms.
+	RenewalInterval time.Duration
 }
 
-// DefaultTerms returns the documented defaults.
-func DefaultTerms() Terms {
-	return Terms{
-		Length:    1800 * time.Millisecond,
-		Margin:    200 * time.Millisecond,
-		QuorumAge: 400 * time.Millisecond,
-		Renewal:   300 * time.Millisecond,
+// DefaultConfig returns the documented defaults.
+func DefaultConfig() Config {
+	return Config{
+		Duration:            1800 * time.Millisecond,
+		ClockDriftMargin:    200 * time.Millisecond,
+		MaxQuorumContactAge: 400 * time.Millisecond,
+		RenewalInterval:     300 * time.Millisecond,
 	}
 }
 
 // Validate says whether leases of these terms can be kept up.
-func (t Terms) Validate() error {
+func (t Config) Validate() error {
 	switch {
-	case t.Length <= 0:
+	case t.Duration <= 0:
 		return errors.New("length must be above zero")
-	case t.Margin <= 0:
+	case t.ClockDriftMargin <= 0:
 		return errors.New("margin must be above zero")
-	case t.QuorumAge <= 0:
+	case t.MaxQuorumContactAge <= 0:
 		return errors.New("quorum_age must be above zero")
-	case t.Renewal <= 0:
+	case t.RenewalInterval <= 0:
 		return errors.New("renewal must be above zero")
-	case t.Length < minimumRenewals*t.Renewal:
-		return fmt.Errorf("length %v must be at least %d renewals of %v", t.Length, minimumRenewals, t.Renewal)
+	case t.Duration < minimumRenewals*t.RenewalInterval:
+		return fmt.Errorf("length %v must be at least %d renewals of %v", t.Duration, minimumRenewals, t.RenewalInterval)
 	}
 	return nil
 }
@@ -78,9 +78,9 @@
 // one does not end it.
 const minimumRenewals = 2
 
-// Window is how long a new primary waits for the leases that it cannot know of.
-func (t Terms) Window() time.Duration {
-	return t.Length + t.QuorumAge + t.Margin
+// GracePeriod is how long a new primary waits for the leases that it cannot know of.
+func (t Config) GracePeriod() time.Duration {
+	return t.Duration + t.MaxQuorumContactAge + t.ClockDriftMargin
 }
 
 // serialLess compares two serials as RFC 1982 does. Zero stands for "none" and
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,23 +12,23 @@
 
 // ask renews as a holder that has made active what it holds.
 func ask(holder string, held, active uint32) Request {
-	return Request{Holder: holder, Incarnation: "1", Held: held, Active: active, Term: 7}
+	return Request{Holder: holder, Incarnation: "1", ReceivedSerial: held, ActiveSerial: active, Term: 7}
 }
 
 // settled is a grantor of term 7 with serial 5 whose window is over at the
 // returned time.
 func settled() (*Grantor, time.Duration) {
-	terms := DefaultTerms()
+	terms := DefaultConfig()
 	grantor := NewGrantor(terms, 7, 0, 5)
-	now := terms.Window()
-	grantor.SetContact(now)
+	now := terms.GracePeriod()
+	grantor.SetQuorumContact(now)
 	return grantor, now
 }
 
 func wantInForce(t *testing.T, grantor *Grantor, now time.Duration, want uint32, wantKnown bool) {
 	t.Helper()
-	grantor.SetContact(now)
-	if serial, known := grantor.InForce(); serial != want || known != wantKnown {
+	grantor.SetQuorumContact(now)
+	if serial, known := grantor.SerialInForce(); serial != want || known != wantKnown {
 		t.Fatalf("in force at %v: %d (%v), want %d (%v)", now, serial, known, want, wantKnown)
 	}
 }
@@ -37,7 +37,7 @@
 	grantor, now := settled()
 	want := func(got Decision, activate uint32) {
 		t.Helper()
-		expected := Decision{Granted: true, Length: 1800 * ms, Activate: activate}
+		expected := Decision{Authoritative: true, LeaseDuration: 1800 * ms, ActivationSerial: activate}
 		if diff := cmp.Diff(expected, got); diff != "" {
 			t.Fatal(diff)
 		}
@@ -69,7 +69,7 @@
 		t.Fatalf("expired too early: %v", expired)
 	}
 	wantInForce(t, grantor, end, 5, true) // a has not reported 6 yet
-	if activate := grantor.Activate(); activate != 6 {
+	if activate := grantor.ActivationSerial(); activate != 6 {
 		t.Fatalf("activate %d, want 6", activate)
 	}
 	if diff := cmp.Diff([]HolderID{{Holder: "gone", Incarnation: "1"}}, grantor.Expired(end)); diff != "" {
@@ -82,7 +82,7 @@
 	wantInForce(t, grantor, end, 6, true)
 
 	back := grantor.Renew(end, end, true, ask("gone", 5, 5))
-	if diff := cmp.Diff(Decision{Granted: true, Activate: 6}, back); diff != "" {
+	if diff := cmp.Diff(Decision{Authoritative: true, ActivationSerial: 6}, back); diff != "" {
 		t.Fatalf("a holder that is behind: %s", diff)
 	}
 }
@@ -95,10 +95,10 @@
 	if got := grantor.Renew(late, now, true, ask("b", 6, 6)); got != (Decision{}) {
 		t.Fatalf("granted on an old proof: %+v", got)
 	}
-	if serial, known := grantor.InForce(); serial != 5 || !known {
+	if serial, known := grantor.SerialInForce(); serial != 5 || !known {
 		t.Fatalf("in force %d (%v): judged beyond the proof of leadership", serial, known)
 	}
-	unknown := NewGrantor(DefaultTerms(), 1, 0, 1)
+	unknown := NewGrantor(DefaultConfig(), 1, 0, 1)
 	if got := unknown.Renew(0, 0, false, ask("a", 1, 1)); got != (Decision{}) {
 		t.Fatalf("granted without a proof: %+v", got)
 	}
@@ -114,28 +114,28 @@
 	later := now + 100*ms
 	grantor.Renew(later, now, true, ask("a", 6, 6))
 	leaving := ask("b", 5, 5)
-	leaving.Leaving = true
+	leaving.Release = true
 	grantor.Renew(later, now, true, leaving)
-	if serial, _ := grantor.InForce(); serial != 5 {
+	if serial, _ := grantor.SerialInForce(); serial != 5 {
 		t.Fatalf("in force %d on a proof from before the reports", serial)
 	}
 	wantInForce(t, grantor, later, 6, true)
 }
 
 func TestNewPrimaryWaitsOutOlderLeases(t *testing.T) {
-	terms := DefaultTerms()
+	terms := DefaultConfig()
 	grantor := NewGrantor(terms, 7, 0, 5)
-	now := terms.Window() - ms
+	now := terms.GracePeriod() - ms
 	cases := []struct {
 		name    string
 		request Request
 		want    Decision
 	}{
-		{"fresh", ask("fresh", 0, 0), Decision{Granted: true}},
-		{"lapsed and behind", ask("lapsed", 4, 4), Decision{Granted: true, Activate: 4}},
-		{"valid but asked before it knew the term", Request{Holder: "b", Held: 4, Active: 4, Valid: true, Term: 6}, Decision{Granted: true, Activate: 4}},
-		{"valid and behind", Request{Holder: "c", Held: 5, Active: 4, Valid: true, Term: 7}, Decision{Granted: true, Length: terms.Length, Activate: 4}},
-		{"lapsed and up to date", ask("d", 5, 5), Decision{Granted: true, Length: terms.Length, Activate: 5}},
+		{"fresh", ask("fresh", 0, 0), Decision{Authoritative: true}},
+		{"lapsed and behind", ask("lapsed", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
+		{"valid but asked before it knew the term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
+		{"valid and behind", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 4}},
+		{"lapsed and up to date", ask("d", 5, 5), Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 5}},
 	}
 	for _, c := range cases {
 		if diff := cmp.Diff(c.want, grantor.Renew(now, now, true, c.request)); diff != "" {
@@ -150,12 +150,12 @@
 	grantor, now := settled()
 	grantor.Renew(now, now, true, ask("a", 5, 5))
 	got := grantor.Renew(now, now, true, ask("ahead", 9, 9))
-	if got.Activate != 9 {
-		t.Fatalf("activate %d, want 9", got.Activate)
+	if got.ActivationSerial != 9 {
+		t.Fatalf("activate %d, want 9", got.ActivationSerial)
 	}
 	if diff := cmp.Diff([]HolderStatus{
-		{Holder: "a", Incarnation: "1", Remaining: 2000 * ms, Held: 5, Active: 5},
-		{Holder: "ahead", Incarnation: "1", Remaining: 2000 * ms, Held: 9, Active: 9},
+		{Holder: "a", Incarnation: "1", Remaining: 2000 * ms, ReceivedSerial: 5, ActiveSerial: 5},
+		{Holder: "ahead", Incarnation: "1", Remaining: 2000 * ms, ReceivedSerial: 9, ActiveSerial: 9},
 	}, grantor.Holders(now)); diff != "" {
 		t.Fatal(diff)
 	}
@@ -168,18 +168,18 @@
 	grantor.SetSerial(6)
 	grantor.Renew(now, now, true, ask("b", 6, 6))
 	leaving := ask("a", 5, 5)
-	leaving.Leaving = true
+	leaving.Release = true
 	grantor.Renew(now, now, true, leaving)
 	wantInForce(t, grantor, now, 6, true)
-	if got := grantor.Renew(now, now, true, ask("a", 6, 6)); got.Length != 0 {
+	if got := grantor.Renew(now, now, true, ask("a", 6, 6)); got.LeaseDuration != 0 {
 		t.Fatal("a late renewal of a holder that has left was granted")
 	}
 }
 
 func TestSerialsWrapAround(t *testing.T) {
 	const last = ^uint32(0)
-	grantor := NewGrantor(DefaultTerms(), 7, 0, last)
-	now := DefaultTerms().Window()
+	grantor := NewGrantor(DefaultConfig(), 7, 0, last)
+	now := DefaultConfig().GracePeriod()
 	grantor.Renew(now, now, true, ask("a", last, last))
 	grantor.SetSerial(1)
 	grantor.Renew(now, now, true, ask("a", 1, 1))
@@ -187,7 +187,7 @@
 }
 
 func TestHolderCountsFromTheSending(t *testing.T) {
-	holder := NewHolder(DefaultTerms())
+	holder := NewHolder(DefaultConfig())
 	if holder.Valid(0) || holder.Remaining(0) != 0 {
 		t.Fatal("valid before any grant")
 	}
@@ -201,14 +201,14 @@
 		until     time.Duration
 	}{
 		{"first", 100 * ms, 50 * ms, 3, "x", 1800 * ms, nil, 1850 * ms},
-		{"older term", 200 * ms, 200 * ms, 2, "x", 1800 * ms, ErrOldTerm, 1850 * ms},
+		{"older term", 200 * ms, 200 * ms, 2, "x", 1800 * ms, ErrStaleTerm, 1850 * ms},
 		{"other cluster", 200 * ms, 200 * ms, 3, "y", 1800 * ms, ErrOtherCluster, 1850 * ms},
 		{"no length keeps the lease", 300 * ms, 250 * ms, 4, "x", 0, nil, 1850 * ms},
 		{"late reply to an old renewal", 400 * ms, 10 * ms, 4, "x", 1800 * ms, nil, 1850 * ms},
 		{"longer than the terms allow", 500 * ms, 400 * ms, 4, "x", time.Hour, nil, 2200 * ms},
 	}
 	for _, step := range steps {
-		err := holder.Granted(step.now, step.sent, step.term, step.cluster, step.length)
+		err := holder.HandleGrant(step.now, step.sent, step.term, step.cluster, step.length)
 		if !errors.Is(err, step.want) {
 			t.Fatalf("%s: %v, want %v", step.name, err, step.want)
 		}
@@ -219,24 +219,24 @@
 	if holder.Term() != 4 || holder.Cluster() != "x" {
 		t.Fatalf("term %d of %q", holder.Term(), holder.Cluster())
 	}
-	holder.Leave()
-	if holder.Valid(500*ms) || !errors.Is(holder.Granted(500*ms, 500*ms, 5, "x", 1800*ms), ErrLeft) {
+	holder.Release()
+	if holder.Valid(500*ms) || !errors.Is(holder.HandleGrant(500*ms, 500*ms, 5, "x", 1800*ms), ErrReleased) {
 		t.Fatal("valid after leaving")
 	}
 }
 
 func TestTermsAreChecked(t *testing.T) {
-	if err := DefaultTerms().Validate(); err != nil {
+	if err := DefaultConfig().Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Terms){
-		"length": func(terms *Terms) { terms.Length = 0 },
-		"margin": func(terms *Terms) { terms.Margin = -1 },
-		"quorum": func(terms *Terms) { terms.QuorumAge = 0 },
-		"renew":  func(terms *Terms) { terms.Renewal = terms.Length },
-		"never":  func(terms *Terms) { terms.Renewal = 0 },
+	for name, spoil := range map[string]func(*Config){
+		"length": func(terms *Config) { terms.Duration = 0 },
+		"margin": func(terms *Config) { terms.ClockDriftMargin = -1 },
+		"quorum": func(terms *Config) { terms.MaxQuorumContactAge = 0 },
+		"renew":  func(terms *Config) { terms.RenewalInterval = terms.Duration },
+		"never":  func(terms *Config) { terms.RenewalInterval = 0 },
 	} {
-		terms := DefaultTerms()
+		terms := DefaultConfig()
 		spoil(&terms)
 		if terms.Validate() == nil {
 			t.Errorf("%s: accepted", name)
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -77,7 +77,7 @@
 
 type simulation struct {
 	choose    chooser
-	terms     Terms
+	terms     Config
 	real      time.Duration
 	serial    uint32 // newest committed
 	primaries []*simulatedPrimary
@@ -99,7 +99,7 @@
 }
 
 func newSimulation(choose chooser) *simulation {
-	s := &simulation{choose: choose, terms: DefaultTerms(), serial: 1, recorded: make(map[string]string)}
+	s := &simulation{choose: choose, terms: DefaultConfig(), serial: 1, recorded: make(map[string]string)}
 	for i := range simulatedHolders {
 		s.holders = append(s.holders, &simulatedHolder{
 			clock:  chooseClock(choose),
@@ -189,7 +189,7 @@
 	for name, incarnation := range s.recorded {
 		expected = append(expected, HolderID{Holder: name, Incarnation: incarnation})
 	}
-	primary.grantor.Expect(primary.clock.read(s.real), expected)
+	primary.grantor.ExpectReclaims(primary.clock.read(s.real), expected)
 }
 
 // mayLease keeps the rule that a lease is granted only to a holder that the
@@ -215,7 +215,7 @@
 	primary := s.primaries[index]
 	if index == len(s.primaries)-1 && s.choose(4) > 0 {
 		lag := time.Duration(s.choose(300)) * time.Millisecond
-		elected := primary.grantor.windowEnd - s.terms.Window()
+		elected := primary.grantor.windowEnd - s.terms.GracePeriod()
 		contact := primary.clock.read(s.real) - lag
 		if contact >= elected && contact > primary.contact {
 			primary.contact, primary.known = contact, true
@@ -241,25 +241,25 @@
 	h := s.holders[index]
 	now := h.clock.read(s.real)
 	request := Request{
-		Holder:      h.name,
-		Incarnation: fmt.Sprint(h.incarnation),
-		Active:      h.active,
-		Valid:       h.holder.Valid(now),
-		Term:        h.holder.Term(),
+		Holder:       h.name,
+		Incarnation:  fmt.Sprint(h.incarnation),
+		ActiveSerial: h.active,
+		LeaseValid:   h.holder.Valid(now),
+		Term:         h.holder.Term(),
 	}
 	for _, serial := range h.copies {
-		request.Held = newerSerial(request.Held, serial)
+		request.ReceivedSerial = newerSerial(request.ReceivedSerial, serial)
 	}
 	if s.choose(40) == 0 {
-		h.holder.Leave()
-		request.Leaving = true
+		h.holder.Release()
+		request.Release = true
 	}
 	target := len(s.primaries) - 1
 	if s.choose(4) == 0 {
 		target = s.choose(len(s.primaries))
 	}
 	s.renewals = append(s.renewals, renewal{holder: index, primary: target, sent: now, request: request})
-	if request.Leaving {
+	if request.Release {
 		s.restart(index)
 	}
 }
@@ -280,11 +280,11 @@
 	contact, known := s.refreshContact(message.primary)
 	now := primary.clock.read(s.real)
 	decision := primary.grantor.Renew(now, contact, known, message.request)
-	if !decision.Granted {
-		decision.Activate = 0
+	if !decision.Authoritative {
+		decision.ActivationSerial = 0
 	}
 	if !s.mayLease(message.primary, message.request) {
-		decision.Length = 0
+		decision.LeaseDuration = 0
 	}
 	var incarnation int
 	fmt.Sscan(message.request.Incarnation, &incarnation)
@@ -308,21 +308,21 @@
 		return
 	}
 	now := h.clock.read(s.real)
-	length := message.decision.Length
-	if !message.decision.Granted {
+	length := message.decision.LeaseDuration
+	if !message.decision.Authoritative {
 		length = 0
 	}
-	if err := h.holder.Granted(now, message.sent, message.term, "cluster", length); err != nil {
+	if err := h.holder.HandleGrant(now, message.sent, message.term, "cluster", length); err != nil {
 		return
 	}
-	if !message.decision.Granted {
+	if !message.decision.Authoritative {
 		return
 	}
 	if length > 0 {
 		s.granted++
 	}
 	h.copies = append(h.copies, message.transfer)
-	h.activateUpTo(message.decision.Activate)
+	h.activateUpTo(message.decision.ActivationSerial)
 }
 
 // hint is what a node that follows a primary tells a holder: the primary's term, and
@@ -346,7 +346,7 @@
 	if h.holder.Observe(primary.grantor.Term(), "cluster") != nil {
 		return
 	}
-	h.activateUpTo(primary.grantor.Activate())
+	h.activateUpTo(primary.grantor.ActivationSerial())
 }
 
 func (h *simulatedHolder) activateUpTo(activate uint32) {
@@ -362,9 +362,9 @@
 	primary := s.primaries[index]
 	contact, known := s.refreshContact(index)
 	if known {
-		primary.grantor.SetContact(contact)
+		primary.grantor.SetQuorumContact(contact)
 	}
-	serial, sure := primary.grantor.InForce()
+	serial, sure := primary.grantor.SerialInForce()
 	if sure && serialLess(s.inForce, serial) {
 		s.inForce = serial
 		s.advances++
@@ -441,10 +441,10 @@
 func TestSimulationFindsPlantedDefects(t *testing.T) {
 	defects := map[string]func(*simulation){
 		"a new primary does not wait out older leases": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.windowEnd = g.windowEnd - s.terms.Window() }
+			s.defect = func(g *Grantor) { g.windowEnd = g.windowEnd - s.terms.GracePeriod() }
 		},
 		"the margin does not cover the drift": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.terms.Margin = -100 * time.Millisecond }
+			s.defect = func(g *Grantor) { g.terms.ClockDriftMargin = -100 * time.Millisecond }
 		},
 		"leadership is assumed without proof": func(s *simulation) {
 			s.blind = true
--- a/loadexchange/aggregator.go
+++ b/loadexchange/aggregator.go
@@ -67,9 +67,9 @@
 	}
 	news := slices.Clone(digest.Regions)
 	for i := range news {
-		if news[i].Whole {
+		if news[i].Complete {
 			a.others[news[i].Aggregator] = memberReport{at: now, loads: news[i].Loads}
-			news[i].Whole, news[i].Loads = false, nil
+			news[i].Complete, news[i].Loads = false, nil
 		}
 	}
 	a.relayed.add(news)
@@ -208,7 +208,7 @@
 		part := items.without(name)
 		part.Region, part.Aggregator = x.region, x.name
 		if due[name] {
-			part.Whole, part.Loads = true, a.othersOf(name, all)
+			part.Complete, part.Loads = true, a.othersOf(name, all)
 		}
 		digest := &peer.LoadDigest{Aggregator: x.name, Regions: append([]peer.RegionLoads{part}, relayed...)}
 		x.sendMember(now, name, digest, effects)
@@ -252,7 +252,7 @@
 	part := items.whole()
 	part.Region, part.Aggregator = x.region, x.name
 	if whole {
-		part.Whole, part.Loads = true, sumOf(a.members)
+		part.Complete, part.Loads = true, sumOf(a.members)
 	}
 	if isEmpty(&part) && len(forwarded) == 0 {
 		return 0
@@ -279,9 +279,9 @@
 	size := digestBytes
 	for i := range digest.Regions {
 		part := &digest.Regions[i]
-		size += loadBytes*len(part.Loads) + addedBytes*len(part.Added) + readBytes*len(part.Read)
-		for j := range part.Placed {
-			size += placedBytes + prefixBytes*len(part.Placed[j].Prefixes)
+		size += loadBytes*len(part.Loads) + addedBytes*len(part.PrefillTotals) + readBytes*len(part.PrefillSamples)
+		for j := range part.PlacedPrompts {
+			size += placedBytes + prefixBytes*len(part.PlacedPrompts[j].Prefixes)
 		}
 	}
 	return size
@@ -320,8 +320,8 @@
 	others := make(map[peer.ReplicaKey]peer.Load, len(sums))
 	for replica, sum := range sums {
 		sum.Requests -= own[replica].Requests
-		sum.Held -= own[replica].Held
-		if sum.Requests > 0 || sum.Held > 0 {
+		sum.Tokens -= own[replica].Tokens
+		if sum.Requests > 0 || sum.Tokens > 0 {
 			others[replica] = sum
 		}
 	}
@@ -349,7 +349,7 @@
 		to := x.gateways[name]
 		part := items.concerning(func(replica peer.ReplicaKey) bool { return x.loads.RegionOf(replica) == region })
 		part.Region, part.Aggregator = x.region, x.name
-		part.Whole, part.Loads = whole, sums
+		part.Complete, part.Loads = whole, sums
 		digest := &peer.LoadDigest{Aggregator: x.name, Regions: []peer.RegionLoads{part}}
 		effects.Send = append(effects.Send, Outgoing{Address: to.Address, Digest: digest})
 		bytes += sizeOf(digest)
--- a/loadexchange/example_test.go
+++ b/loadexchange/example_test.go
@@ -27,16 +27,16 @@
 	aggregator.SetGateways(gateways)
 
 	now := time.Now()
-	reporter.Placed(peer.PlacedPrompt{Replica: peer.KeyOf("replica-a"), ReadingMS: 120})
+	reporter.Placed(peer.PlacedPrompt{Replica: peer.NewReplicaKey("replica-a"), PrefillMS: 120})
 	effects, _ := reporter.Step(now)
 	for _, message := range effects.Send {
-		fmt.Println("to", message.Address, len(message.Report.Placed), "prompt")
+		fmt.Println("to", message.Address, len(message.Report.PlacedPrompts), "prompt")
 		aggregator.HandleReport(now, message.Report)
 	}
 	effects, _ = aggregator.Step(now)
 	for _, part := range effects.Observed {
-		for _, placed := range part.Placed {
-			fmt.Println("learnt of", placed.ReadingMS, "ms at replica-a:", placed.Replica == peer.KeyOf("replica-a"))
+		for _, placed := range part.PlacedPrompts {
+			fmt.Println("learnt of", placed.PrefillMS, "ms at replica-a:", placed.Replica == peer.NewReplicaKey("replica-a"))
 		}
 	}
 	// Output:
--- a/loadexchange/exchange.go
+++ b/loadexchange/exchange.go
@@ -147,13 +147,13 @@
 // Placed notes a prompt that the own gateway gave to a replica. A long one is told
 // with the next step, without delay.
 func (x *Exchange) Placed(prompt peer.PlacedPrompt) {
-	prompt.Gateway = peer.KeyOf(x.name)
+	prompt.Gateway = peer.NewReplicaKey(x.name)
 	x.own.placed = append(x.own.placed, prompt)
 	x.own.urgent = x.own.urgent || isUrgent(&prompt)
 }
 
 // Measured notes what a prompt told of a replica's speed.
-func (x *Exchange) Measured(prompt peer.ReadPrompt) {
+func (x *Exchange) Measured(prompt peer.PrefillSample) {
 	x.own.read = append(x.own.read, prompt)
 }
 
@@ -210,8 +210,8 @@
 func observe(digest *peer.LoadDigest, effects *Effects) {
 	for i := range digest.Regions {
 		part := digest.Regions[i]
-		part.Added = bounded(part.Added, func(added *peer.AddedReading) *int { return &added.ReadingMS })
-		part.Placed = bounded(part.Placed, func(placed *peer.PlacedPrompt) *int { return &placed.ReadingMS })
+		part.PrefillTotals = bounded(part.PrefillTotals, func(added *peer.PrefillTotal) *int { return &added.PrefillMS })
+		part.PlacedPrompts = bounded(part.PlacedPrompts, func(placed *peer.PlacedPrompt) *int { return &placed.PrefillMS })
 		effects.Observed = append(effects.Observed, part)
 	}
 }
