--- a/loadexchange/exchange_test.go
+++ b/loadexchange/exchange_test.go
@@ -65,7 +65,7 @@
 func TestSumsLeaveTheOwnLoadOut(t *testing.T) {
 	w := newWorld(t, 1, map[string]int{"north": 5, "south": 3})
 	for _, g := range w.gateways {
-		g.load = map[peer.ReplicaKey]peer.Load{w.key("north-replica"): {Requests: 2, Held: 1000}, w.key("south-replica"): {Requests: 1}}
+		g.load = map[peer.ReplicaKey]peer.Load{w.key("north-replica"): {Requests: 2, Tokens: 1000}, w.key("south-replica"): {Requests: 1}}
 	}
 	w.run(4 * time.Second)
 	for name, g := range w.gateways {
@@ -73,7 +73,7 @@
 		for _, loads := range g.sums {
 			total = total.Add(loads[w.key("north-replica")])
 		}
-		if total.Requests != 14 || total.Held != 7000 {
+		if total.Requests != 14 || total.Tokens != 7000 {
 			t.Errorf("%s knows of %+v, want the 14 requests of the 7 others", name, total)
 		}
 	}
@@ -164,7 +164,7 @@
 			reading = 60
 		}
 		replica := fmt.Sprintf("%s-replica-%d", region, w.random.IntN(regionReplicas))
-		g.load[w.key(replica)] = peer.Load{Requests: 1, Held: 12_000}
+		g.load[w.key(replica)] = peer.Load{Requests: 1, Tokens: 12_000}
 		w.at(time.Duration(w.random.Int64N(int64(costSeconds*time.Second))), func() { g.place(replica, reading) })
 	}
 	w.run(costSeconds * time.Second)
@@ -257,9 +257,9 @@
 	g := w.other("north")
 	liar := func(name string, readingMS int) Effects {
 		return g.exchange.HandleDigest(w.now, &peer.LoadDigest{Aggregator: name, Regions: []peer.RegionLoads{{
-			Region: "north", Aggregator: name, Whole: true,
-			Added:  []peer.AddedReading{{Replica: w.key("north-replica"), ReadingMS: readingMS}},
-			Placed: []peer.PlacedPrompt{{Replica: w.key("north-replica"), ReadingMS: readingMS}},
+			Region: "north", Aggregator: name, Complete: true,
+			PrefillTotals: []peer.PrefillTotal{{Replica: w.key("north-replica"), PrefillMS: readingMS}},
+			PlacedPrompts: []peer.PlacedPrompt{{Replica: w.key("north-replica"), PrefillMS: readingMS}},
 		}}})
 	}
 	for i := range 4 {
@@ -273,7 +273,7 @@
 	}
 	for _, absurd := range []int{1 << 40, -1 << 40} {
 		for _, part := range liar(w.aggregator("north").name, absurd).Observed {
-			for _, told := range []int{part.Added[0].ReadingMS, part.Placed[0].ReadingMS} {
+			for _, told := range []int{part.PrefillTotals[0].PrefillMS, part.PlacedPrompts[0].PrefillMS} {
 				if told > mostReading || told < -mostReading {
 					t.Errorf("a reading of %d ms is believed", told)
 				}
@@ -290,7 +290,7 @@
 	g.place("north-replica", 100)
 	w.run(2 * time.Second)
 	fresh := New("fresh", "north", g)
-	fresh.Placed(peer.PlacedPrompt{Replica: w.key("north-replica"), ReadingMS: 100})
+	fresh.Placed(peer.PlacedPrompt{Replica: w.key("north-replica"), PrefillMS: 100})
 	effects, next := fresh.Step(w.now)
 	if g.sent > 0 || len(effects.Send) > 0 {
 		t.Errorf("%d messages sent, and %+v", g.sent, effects.Send)
@@ -354,7 +354,7 @@
 			region := regions[n%3]
 			g := w.gateways[fmt.Sprintf("%s-%03d", region, w.random.IntN(gateways))]
 			replica := fmt.Sprintf("%s-replica-%d", region, w.random.IntN(replicas))
-			g.load[w.key(replica)] = peer.Load{Requests: 1, Held: 12_000}
+			g.load[w.key(replica)] = peer.Load{Requests: 1, Tokens: 12_000}
 			w.at(time.Duration(w.random.Int64N(int64(length*time.Second))), func() { g.place(replica, readingMS+n) })
 		}
 		w.run((length + 1) * time.Second)
--- a/loadexchange/news.go
+++ b/loadexchange/news.go
@@ -28,19 +28,19 @@
 type origin struct {
 	gateway string
 	placed  []peer.PlacedPrompt
-	read    []peer.ReadPrompt
+	read    []peer.PrefillSample
 }
 
 // add keeps the news of one report.
 func (n *news) add(report *peer.ReplicaLoads, urgentReading int) {
-	if len(report.Placed)+len(report.Read) == 0 {
+	if len(report.PlacedPrompts)+len(report.PrefillSamples) == 0 {
 		return
 	}
-	n.origins = append(n.origins, origin{gateway: report.Gateway, placed: report.Placed, read: report.Read})
-	n.placed += len(report.Placed)
-	for _, placed := range report.Placed {
-		n.urgent = n.urgent || placed.ReadingMS >= urgentReading
-		n.pressing = n.pressing || placed.ReadingMS >= pressingReading
+	n.origins = append(n.origins, origin{gateway: report.Gateway, placed: report.PlacedPrompts, read: report.PrefillSamples})
+	n.placed += len(report.PlacedPrompts)
+	for _, placed := range report.PlacedPrompts {
+		n.urgent = n.urgent || placed.PrefillMS >= urgentReading
+		n.pressing = n.pressing || placed.PrefillMS >= pressingReading
 	}
 }
 
@@ -109,7 +109,7 @@
 func (s *items) told(from func(*origin) bool, as func(*peer.PlacedPrompt) telling) peer.RegionLoads {
 	var part peer.RegionLoads
 	added := newReadings()
-	read := make(map[peer.ReplicaKey]peer.ReadPrompt)
+	read := make(map[peer.ReplicaKey]peer.PrefillSample)
 	for i := range s.origins {
 		each := &s.origins[i]
 		if !from(each) {
@@ -120,18 +120,18 @@
 			switch how := as(placed); {
 			case how == notAtAll:
 			case how == asSum || s.coarse:
-				added.add(placed.Replica, placed.ReadingMS)
+				added.add(placed.Replica, placed.PrefillMS)
 			default:
-				part.Placed = append(part.Placed, *placed)
+				part.PlacedPrompts = append(part.PlacedPrompts, *placed)
 			}
 		}
 		for _, prompt := range each.read {
 			read[prompt.Replica] = prompt
 		}
 	}
-	part.Added = added.list()
+	part.PrefillTotals = added.list()
 	for _, replica := range slices.Sorted(maps.Keys(read)) {
-		part.Read = append(part.Read, read[replica])
+		part.PrefillSamples = append(part.PrefillSamples, read[replica])
 	}
 	return part
 }
@@ -144,10 +144,10 @@
 func (r readings) add(replica peer.ReplicaKey, readingMS int) { r[replica] += readingMS }
 
 // list returns the sums in the order of the replicas.
-func (r readings) list() []peer.AddedReading {
-	var list []peer.AddedReading
+func (r readings) list() []peer.PrefillTotal {
+	var list []peer.PrefillTotal
 	for _, replica := range slices.Sorted(maps.Keys(r)) {
-		list = append(list, peer.AddedReading{Replica: replica, ReadingMS: r[replica]})
+		list = append(list, peer.PrefillTotal{Replica: replica, PrefillMS: r[replica]})
 	}
 	return list
 }
--- a/loadexchange/node.go
+++ b/loadexchange/node.go
@@ -33,7 +33,7 @@
 	inbox struct {
 		sync.Mutex
 		placed []peer.PlacedPrompt
-		read   []peer.ReadPrompt
+		read   []peer.PrefillSample
 	}
 
 	mutex    sync.Mutex
@@ -121,7 +121,7 @@
 }
 
 // Measured notes what a prompt told of a replica's speed. It does not block.
-func (n *Node) Measured(prompt peer.ReadPrompt) {
+func (n *Node) Measured(prompt peer.PrefillSample) {
 	n.inbox.Lock()
 	defer n.inbox.Unlock()
 	n.inbox.read = append(n.inbox.read, prompt)
--- a/loadexchange/relayed.go
+++ b/loadexchange/relayed.go
@@ -19,14 +19,14 @@
 func (r *relayed) add(parts []peer.RegionLoads) {
 	for i := range parts {
 		part := &parts[i]
-		for j := range part.Placed {
-			r.urgent = r.urgent || isUrgent(&part.Placed[j])
+		for j := range part.PlacedPrompts {
+			r.urgent = r.urgent || isUrgent(&part.PlacedPrompts[j])
 		}
-		for _, added := range part.Added {
-			r.urgent = r.urgent || added.ReadingMS >= pressingReading
+		for _, added := range part.PrefillTotals {
+			r.urgent = r.urgent || added.PrefillMS >= pressingReading
 		}
 		at := slices.IndexFunc(r.parts, func(known peer.RegionLoads) bool {
-			return known.Aggregator == part.Aggregator || known.Region == part.Region && !known.Whole && !part.Whole
+			return known.Aggregator == part.Aggregator || known.Region == part.Region && !known.Complete && !part.Complete
 		})
 		if at < 0 {
 			r.parts = append(r.parts, *part)
@@ -37,16 +37,16 @@
 }
 
 // isUrgent says whether the gateways of a region are told of a prompt soon.
-func isUrgent(placed *peer.PlacedPrompt) bool { return placed.ReadingMS >= urgentReading }
+func isUrgent(placed *peer.PlacedPrompt) bool { return placed.PrefillMS >= urgentReading }
 
 // join adds a newer part of the same aggregator to an older one.
 func join(older, newer *peer.RegionLoads) {
-	if newer.Whole {
-		older.Whole, older.Loads = true, newer.Loads
+	if newer.Complete {
+		older.Complete, older.Loads = true, newer.Loads
 	}
-	older.Added = slices.Concat(older.Added, newer.Added)
-	older.Placed = slices.Concat(older.Placed, newer.Placed)
-	older.Read = slices.Concat(older.Read, newer.Read)
+	older.PrefillTotals = slices.Concat(older.PrefillTotals, newer.PrefillTotals)
+	older.PlacedPrompts = slices.Concat(older.PlacedPrompts, newer.PlacedPrompts)
+	older.PrefillSamples = slices.Concat(older.PrefillSamples, newer.PrefillSamples)
 }
 
 // take returns what was collected, once. If it is to be coarse, no prompt is told by
@@ -56,21 +56,21 @@
 	*r = relayed{}
 	for i := range parts {
 		added := newReadings()
-		for _, reading := range parts[i].Added {
-			added.add(reading.Replica, reading.ReadingMS)
+		for _, reading := range parts[i].PrefillTotals {
+			added.add(reading.Replica, reading.PrefillMS)
 		}
 		if coarse {
-			for _, placed := range parts[i].Placed {
-				added.add(placed.Replica, placed.ReadingMS)
+			for _, placed := range parts[i].PlacedPrompts {
+				added.add(placed.Replica, placed.PrefillMS)
 			}
-			parts[i].Placed = nil
+			parts[i].PlacedPrompts = nil
 		}
-		parts[i].Added = added.list()
+		parts[i].PrefillTotals = added.list()
 	}
 	return parts
 }
 
 // isEmpty says whether a part tells nothing.
 func isEmpty(part *peer.RegionLoads) bool {
-	return !part.Whole && len(part.Added)+len(part.Placed)+len(part.Read) == 0
+	return !part.Complete && len(part.PrefillTotals)+len(part.PlacedPrompts)+len(part.PrefillSamples) == 0
 }
--- a/loadexchange/reporter.go
+++ b/loadexchange/reporter.go
@@ -10,7 +10,7 @@
 type reporter struct {
 	// placed and read are what the aggregator has yet to be told.
 	placed   []peer.PlacedPrompt
-	read     []peer.ReadPrompt
+	read     []peer.PrefillSample
 	urgent   bool
 	reported time.Time
 
@@ -40,7 +40,7 @@
 		return
 	}
 	x.chooseAggregator(now)
-	report := &peer.ReplicaLoads{Gateway: x.name, Loads: x.loads.Loads(), Placed: own.placed, Read: own.read}
+	report := &peer.ReplicaLoads{Gateway: x.name, Loads: x.loads.Loads(), PlacedPrompts: own.placed, PrefillSamples: own.read}
 	own.placed, own.read, own.urgent = nil, nil, false
 	own.reported = now
 	if own.aggregator == x.name {
--- a/loadexchange/world_test.go
+++ b/loadexchange/world_test.go
@@ -116,8 +116,8 @@
 
 // key is the key of a replica that is made by being named.
 func (w *world) key(replica string) peer.ReplicaKey {
-	w.replicas[peer.KeyOf(replica)] = replica
-	return peer.KeyOf(replica)
+	w.replicas[peer.NewReplicaKey(replica)] = replica
+	return peer.NewReplicaKey(replica)
 }
 
 // at runs something after a delay.
@@ -158,19 +158,19 @@
 		g.send(message)
 	}
 	for _, part := range effects.Observed {
-		if part.Whole {
+		if part.Complete {
 			g.sums[part.Aggregator] = part.Loads
 		}
-		for _, added := range part.Added {
+		for _, added := range part.PrefillTotals {
 			g.hear(added.Replica)
 		}
-		for _, placed := range part.Placed {
-			if placed.Gateway == peer.KeyOf(g.name) {
+		for _, placed := range part.PlacedPrompts {
+			if placed.Gateway == peer.NewReplicaKey(g.name) {
 				g.world.t.Errorf("%s hears of its own prompt", g.name)
 			}
 			g.hear(placed.Replica)
 			if part.Region == g.world.up[g.name].Region {
-				g.world.ages = append(g.world.ages, g.world.now.Sub(g.world.placed[placed.ReadingMS]))
+				g.world.ages = append(g.world.ages, g.world.now.Sub(g.world.placed[placed.PrefillMS]))
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 // place gives a prompt to a replica, as the dispatcher does.
 func (g *worldGateway) place(replica string, readingMS int) {
 	g.world.placed[readingMS] = g.world.now
-	g.exchange.Placed(peer.PlacedPrompt{Replica: g.world.key(replica), ReadingMS: readingMS})
+	g.exchange.Placed(peer.PlacedPrompt{Replica: g.world.key(replica), PrefillMS: readingMS})
 	g.step()
 }
 
--- a/documentchange/change.go
+++ b/patch/change.go
@@ -1,4 +1,4 @@
-// Package documentchange changes named items of a document and leaves the rest as
+// Package patch changes named items of a document and leaves the rest as
 // its author wrote it: items are added, replaced or removed by their names. It is
 // pure, and knows no document's meaning: whoever applies a change judges the
 // result.
@@ -6,7 +6,7 @@
 // Removing a name that the document does not have is ignored, as RFC 2136
 // (section 3.4.2.3) does with records: a condition belongs into the version that
 // the change is built on.
-package documentchange
+package patch
 
 import "fmt"
 
@@ -33,13 +33,13 @@
 	Sections []Section `cbor:"1,keyasint,omitempty"`
 }
 
-// Problem is why a change or its result cannot be used. Field names the place.
-type Problem struct {
+// FieldError is why a change or its result cannot be used. Field names the place.
+type FieldError struct {
 	Field  string
 	Reason string
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("change: %s: %s", p.Field, p.Reason) }
+func (p *FieldError) Error() string { return fmt.Sprintf("change: %s: %s", p.Field, p.Reason) }
 
 // Validate returns a *Problem for the first thing wrong with the form of the
 // change: a name that is empty, stands twice, or is to be both kept and removed.
@@ -49,7 +49,7 @@
 	for i := range c.Sections {
 		section := &c.Sections[i]
 		if section.Name == "" || sections[section.Name] {
-			return &Problem{Field: section.Name, Reason: "sections need names of their own"}
+			return &FieldError{Field: section.Name, Reason: "sections need names of their own"}
 		}
 		sections[section.Name] = true
 		items += len(section.Upsert) + len(section.Remove)
@@ -58,7 +58,7 @@
 		}
 	}
 	if items > MaxItems {
-		return &Problem{Field: "change", Reason: fmt.Sprintf("names %d items, at most %d", items, MaxItems)}
+		return &FieldError{Field: "change", Reason: fmt.Sprintf("names %d items, at most %d", items, MaxItems)}
 	}
 	return nil
 }
@@ -69,11 +69,11 @@
 	note := func(field, name string, use int) error {
 		switch {
 		case name == "":
-			return &Problem{Field: field, Reason: "has no name"}
+			return &FieldError{Field: field, Reason: "has no name"}
 		case seen[name] == use:
-			return &Problem{Field: field, Reason: fmt.Sprintf("%q stands twice", name)}
+			return &FieldError{Field: field, Reason: fmt.Sprintf("%q stands twice", name)}
 		case seen[name] != 0:
-			return &Problem{Field: field, Reason: fmt.Sprintf("%q is upserted as well", name)}
+			return &FieldError{Field: field, Reason: fmt.Sprintf("%q is upserted as well", name)}
 		}
 		seen[name] = use
 		return nil
--- a/documentchange/change_test.go
+++ b/patch/change_test.go
@@ -1,4 +1,4 @@
-package documentchange
+package patch
 
 import (
 	"encoding/json"
@@ -27,7 +27,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			err := test.change.Validate()
-			var problem *Problem
+			var problem *FieldError
 			switch {
 			case test.field == "" && err != nil:
 				t.Errorf("got %v", err)
@@ -77,7 +77,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got, err := ApplyToLists(test.document, &test.change, set)
+			got, err := ApplyJSON(test.document, &test.change, set)
 			if err != nil || got != test.want {
 				t.Errorf("got  %s, %v\nwant %s", got, err, test.want)
 			}
@@ -91,8 +91,8 @@
 func TestApplyToListsRefuses(t *testing.T) {
 	change := Change{Sections: []Section{{Name: "routes", Upsert: []Item{{Name: "r", Value: `{`}}}}}
 	for _, document := range []string{`[]`, `{"routes":{}}`, `{"routes":[1]}`, `{"a":`, `{} {}`, `{"routes":[]}`} {
-		var problem *Problem
-		if got, err := ApplyToLists(document, &change, nil); !errors.As(err, &problem) {
+		var problem *FieldError
+		if got, err := ApplyJSON(document, &change, nil); !errors.As(err, &problem) {
 			t.Errorf("%s: got %s, %v", document, got, err)
 		}
 	}
@@ -125,7 +125,7 @@
     services:
         s: {}
 `
-	if got, err := ApplyToMappings(mappingDocument, &change); err != nil || got != want {
+	if got, err := ApplyYAML(mappingDocument, &change); err != nil || got != want {
 		t.Errorf("got %s, %v", got, err)
 	}
 }
@@ -133,8 +133,8 @@
 func TestApplyToMappingsRefuses(t *testing.T) {
 	change := Change{Sections: []Section{{Name: "http.routes", Upsert: []Item{{Name: "r", Value: `{`}}}}}
 	for _, document := range []string{"", "http: 1", "http: {routes: []}", "a: [", "http: {}"} {
-		var problem *Problem
-		if got, err := ApplyToMappings(document, &change); !errors.As(err, &problem) {
+		var problem *FieldError
+		if got, err := ApplyYAML(document, &change); !errors.As(err, &problem) {
 			t.Errorf("%q: got %s, %v", document, got, err)
 		}
 	}
@@ -159,14 +159,14 @@
 		if change.Validate() != nil {
 			return
 		}
-		once, err := ApplyToLists(document, &change, nil)
+		once, err := ApplyJSON(document, &change, nil)
 		if err != nil {
 			return
 		}
 		if !json.Valid([]byte(once)) {
 			t.Fatalf("%q became %q", document, once)
 		}
-		twice, err := ApplyToLists(once, &change, nil)
+		twice, err := ApplyJSON(once, &change, nil)
 		if err != nil || twice != once {
 			t.Fatalf("%q became %q, then %q, %v", document, once, twice, err)
 		}
--- a/documentchange/golden_test.go
+++ b/patch/golden_test.go
@@ -1,4 +1,4 @@
-package documentchange
+package patch
 
 import (
 	"bytes"
@@ -83,13 +83,13 @@
 	}}
 	cases := map[string]func() (string, error){
 		"lists.json": func() (string, error) {
-			return ApplyToLists(`{ "version":7,"routes":[{"name":"a"}, {"weight":1.50,"name":"b"},{"name":"c"}],"limits" : {"a":1e3} }`, &list, nil)
+			return ApplyJSON(`{ "version":7,"routes":[{"name":"a"}, {"weight":1.50,"name":"b"},{"name":"c"}],"limits" : {"a":1e3} }`, &list, nil)
 		},
 		"lists-version.json": func() (string, error) {
-			return ApplyToLists(`{"version":7,"routes":[]}`, &list, map[string]json.RawMessage{"version": json.RawMessage("8")})
+			return ApplyJSON(`{"version":7,"routes":[]}`, &list, map[string]json.RawMessage{"version": json.RawMessage("8")})
 		},
-		"lists-empty.json": func() (string, error) { return ApplyToLists("", &list, nil) },
-		"mappings.yaml":    func() (string, error) { return ApplyToMappings(mappingDocument, &mapping) },
+		"lists-empty.json": func() (string, error) { return ApplyJSON("", &list, nil) },
+		"mappings.yaml":    func() (string, error) { return ApplyYAML(mappingDocument, &mapping) },
 	}
 	for name, apply := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/documentchange/lists.go
+++ b/patch/lists.go
@@ -1,4 +1,4 @@
-package documentchange
+package patch
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 	value json.RawMessage
 }
 
-// ApplyToLists applies a valid change to a JSON object whose sections are lists of
+// ApplyJSON applies a valid change to a JSON object whose sections are lists of
 // objects with a "name" each. set gives further members of the object new values.
 // Items keep their places; new ones follow in the order of the change. What is
 // not named keeps its text. The error is a *Problem.
-func ApplyToLists(document string, change *Change, set map[string]json.RawMessage) (string, error) {
+func ApplyJSON(document string, change *Change, set map[string]json.RawMessage) (string, error) {
 	members, err := readObject(document)
 	if err != nil {
 		return "", err
@@ -57,7 +57,7 @@
 func (s *Section) applyToList(list json.RawMessage) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(list, &items); err != nil {
-		return nil, &Problem{Field: s.Name, Reason: "is no list: " + err.Error()}
+		return nil, &FieldError{Field: s.Name, Reason: "is no list: " + err.Error()}
 	}
 	removed := s.removals()
 	upserted := s.upserts()
@@ -68,7 +68,7 @@
 			Name string `json:"name"`
 		}
 		if err := json.Unmarshal(item, &named); err != nil {
-			return nil, &Problem{Field: fmt.Sprintf("%s[%d].%s", s.Name, i, itemName), Reason: err.Error()}
+			return nil, &FieldError{Field: fmt.Sprintf("%s[%d].%s", s.Name, i, itemName), Reason: err.Error()}
 		}
 		if removed[named.Name] {
 			continue
@@ -86,7 +86,7 @@
 	}
 	encoded, err := encodeList(kept)
 	if err != nil {
-		return nil, &Problem{Field: "upsert." + s.Name, Reason: err.Error()}
+		return nil, &FieldError{Field: "upsert." + s.Name, Reason: err.Error()}
 	}
 	return encoded, nil
 }
@@ -100,22 +100,22 @@
 	decoder := json.NewDecoder(bytes.NewReader([]byte(text)))
 	opening, err := decoder.Token()
 	if err != nil {
-		return nil, &Problem{Field: "document", Reason: err.Error()}
+		return nil, &FieldError{Field: "document", Reason: err.Error()}
 	}
 	if opening != json.Delim('{') {
-		return nil, &Problem{Field: "document", Reason: "must be an object"}
+		return nil, &FieldError{Field: "document", Reason: "must be an object"}
 	}
 	var members []member
 	for decoder.More() {
 		if err := readMember(decoder, &members); err != nil {
-			return nil, &Problem{Field: "document", Reason: err.Error()}
+			return nil, &FieldError{Field: "document", Reason: err.Error()}
 		}
 	}
 	if _, err := decoder.Token(); err != nil {
-		return nil, &Problem{Field: "document", Reason: err.Error()}
+		return nil, &FieldError{Field: "document", Reason: err.Error()}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, &Problem{Field: "document", Reason: "something follows the object"}
+		return nil, &FieldError{Field: "document", Reason: "something follows the object"}
 	}
 	return members, nil
 }
@@ -160,7 +160,7 @@
 		}
 		name, err := json.Marshal(member.name)
 		if err != nil {
-			return "", &Problem{Field: member.name, Reason: err.Error()}
+			return "", &FieldError{Field: member.name, Reason: err.Error()}
 		}
 		object.Write(name)
 		object.WriteByte(':')
--- a/documentchange/mappings.go
+++ b/patch/mappings.go
@@ -1,4 +1,4 @@
-package documentchange
+package patch
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ApplyToMappings applies a valid change to a YAML or JSON document whose sections
+// ApplyYAML applies a valid change to a YAML or JSON document whose sections
 // are mappings from names to items. A section's name is the path to it, joined by
 // points: "http.routes". Comments and the order of what is not named stay. The
 // error is a *Problem.
-func ApplyToMappings(document string, change *Change) (string, error) {
+func ApplyYAML(document string, change *Change) (string, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal([]byte(document), &root); err != nil {
-		return "", &Problem{Field: "document", Reason: err.Error()}
+		return "", &FieldError{Field: "document", Reason: err.Error()}
 	}
 	if root.Kind != yaml.DocumentNode || len(root.Content) != 1 {
-		return "", &Problem{Field: "document", Reason: "is empty"}
+		return "", &FieldError{Field: "document", Reason: "is empty"}
 	}
 	for i := range change.Sections {
 		if err := change.Sections[i].applyToMapping(root.Content[0]); err != nil {
@@ -26,7 +26,7 @@
 	}
 	text, err := yaml.Marshal(&root)
 	if err != nil {
-		return "", &Problem{Field: "document", Reason: err.Error()}
+		return "", &FieldError{Field: "document", Reason: err.Error()}
 	}
 	return string(text), nil
 }
@@ -39,17 +39,17 @@
 	for _, step := range strings.Split(s.Name, ".") {
 		next, err := child(section, step)
 		if err != nil {
-			return &Problem{Field: s.Name, Reason: err.Error()}
+			return &FieldError{Field: s.Name, Reason: err.Error()}
 		}
 		section = next
 	}
 	if section.Kind != yaml.MappingNode {
-		return &Problem{Field: s.Name, Reason: "is no mapping"}
+		return &FieldError{Field: s.Name, Reason: "is no mapping"}
 	}
 	removeKeys(section, s.removals())
 	for _, item := range s.Upsert {
 		if err := putKey(section, item); err != nil {
-			return &Problem{Field: fmt.Sprintf("upsert.%s.%s", s.Name, item.Name), Reason: err.Error()}
+			return &FieldError{Field: fmt.Sprintf("upsert.%s.%s", s.Name, item.Name), Reason: err.Error()}
 		}
 	}
 	return nil
--- a/peer/golden_messages_test.go
+++ b/peer/golden_messages_test.go
@@ -39,16 +39,16 @@
 	}{
 		{"consensus", peer.KindConsensus, 1},
 		{"hello", peer.KindHello, 2},
-		{"form", peer.KindForm, 3},
+		{"form", peer.KindBootstrap, 3},
 		{"join", peer.KindJoin, 4},
 		{"renew", peer.KindRenew, 5},
 		{"notify", peer.KindNotify, 6},
 		{"update", peer.KindUpdate, 7},
-		{"order", peer.KindOrder, 8},
-		{"mint ticket", peer.KindMintTicket, 9},
+		{"order", peer.KindOperation, 8},
+		{"mint ticket", peer.KindIssueTicket, 9},
 		{"offer", peer.KindOffer, 10},
 		{"withdraw", peer.KindWithdraw, 11},
-		{"load", peer.KindLoad, 12},
+		{"load", peer.KindRegionUtilization, 12},
 		{"run", peer.KindRun, 13},
 		{"owner", peer.KindOwner, 14},
 		{"replica loads", peer.KindReplicaLoads, 15},
@@ -88,10 +88,10 @@
 	add("Hello empty", peer.Hello{})
 	add("HelloReply", filled[peer.HelloReply]())
 	add("HelloReply empty", peer.HelloReply{})
-	add("Form", filled[peer.Form]())
-	add("Form empty", peer.Form{})
-	add("FormReply", filled[peer.FormReply]())
-	add("FormReply empty", peer.FormReply{})
+	add("Form", filled[peer.Bootstrap]())
+	add("Form empty", peer.Bootstrap{})
+	add("FormReply", filled[peer.BootstrapReply]())
+	add("FormReply empty", peer.BootstrapReply{})
 	add("Join", filled[peer.Join]())
 	add("Join empty", peer.Join{})
 	add("JoinReply", filled[peer.JoinReply]())
@@ -110,21 +110,21 @@
 		add(fmt.Sprintf("UpdateReply code %d", code), reply)
 	}
 	add("UpdateReply empty", peer.UpdateReply{})
-	add("OrderRequest all", filled[peer.OrderRequest]())
-	add("OrderRequest configuration", peer.OrderRequest{Configuration: filledPointer[api.ConfigurationOrder](), Hops: 1, WaitMS: 2})
-	add("OrderRequest evacuation", peer.OrderRequest{Evacuation: filledPointer[api.EvacuationOrder](), Hops: 1, WaitMS: 2})
-	add("OrderRequest replicas", peer.OrderRequest{Replicas: filledPointer[api.ReplicaList](), Hops: 1, WaitMS: 2})
-	add("OrderRequest route map", peer.OrderRequest{RouteMap: filledPointer[peer.RouteMapOrder](), Hops: 1, WaitMS: 2})
-	add("OrderRequest configuration change", peer.OrderRequest{ConfigurationChange: filledPointer[api.ConfigurationChangeOrder](), Hops: 1, WaitMS: 2})
-	add("OrderRequest empty", peer.OrderRequest{})
-	add("OrderReply answer", peer.OrderReply{Answer: filledPointer[api.OrderAnswer]()})
-	add("OrderReply error", peer.OrderReply{Error: filledPointer[api.Error]()})
-	add("OrderReply empty", peer.OrderReply{})
-	add("MintTicket", filled[peer.MintTicket]())
-	add("MintTicket empty", peer.MintTicket{})
-	add("MintTicketReply answer", peer.MintTicketReply{Answer: filledPointer[api.WhereAnswer]()})
-	add("MintTicketReply error", peer.MintTicketReply{Error: filledPointer[api.Error]()})
-	add("MintTicketReply empty", peer.MintTicketReply{})
+	add("OrderRequest all", filled[peer.OperationRequest]())
+	add("OrderRequest configuration", peer.OperationRequest{Configuration: filledPointer[api.ConfigurationOperation](), Hops: 1, WaitMS: 2})
+	add("OrderRequest evacuation", peer.OperationRequest{Evacuation: filledPointer[api.EvacuationOperation](), Hops: 1, WaitMS: 2})
+	add("OrderRequest replicas", peer.OperationRequest{Replicas: filledPointer[api.ReplicaList](), Hops: 1, WaitMS: 2})
+	add("OrderRequest route map", peer.OperationRequest{RouteMap: filledPointer[peer.RouteMapOperation](), Hops: 1, WaitMS: 2})
+	add("OrderRequest configuration change", peer.OperationRequest{ConfigurationChange: filledPointer[api.ConfigurationPatchOperation](), Hops: 1, WaitMS: 2})
+	add("OrderRequest empty", peer.OperationRequest{})
+	add("OrderReply answer", peer.OperationReply{Answer: filledPointer[api.OperationResult]()})
+	add("OrderReply error", peer.OperationReply{Error: filledPointer[api.Error]()})
+	add("OrderReply empty", peer.OperationReply{})
+	add("MintTicket", filled[peer.IssueTicket]())
+	add("MintTicket empty", peer.IssueTicket{})
+	add("MintTicketReply answer", peer.IssueTicketReply{Answer: filledPointer[api.WhereAnswer]()})
+	add("MintTicketReply error", peer.IssueTicketReply{Error: filledPointer[api.Error]()})
+	add("MintTicketReply empty", peer.IssueTicketReply{})
 	add("Offer", filled[peer.Offer]())
 	add("Offer empty", peer.Offer{})
 	add("OfferReply", filled[peer.OfferReply]())
@@ -133,14 +133,14 @@
 	add("Withdraw empty", peer.Withdraw{})
 	add("WithdrawReply", filled[peer.WithdrawReply]())
 	add("WithdrawReply empty", peer.WithdrawReply{})
-	add("RegionLoad", filled[peer.RegionLoad]())
-	add("RegionLoad empty", peer.RegionLoad{})
+	add("RegionLoad", filled[peer.RegionUtilization]())
+	add("RegionLoad empty", peer.RegionUtilization{})
 	add("Run", filled[peer.Run]())
 	add("Run empty", peer.Run{})
 	add("OwnerRequest", filled[peer.OwnerRequest]())
 	add("OwnerRequest empty", peer.OwnerRequest{})
 	add("RunEvent answer", peer.RunEvent{Answer: filledPointer[api.GenerateAnswer](), Attempts: 1})
-	add("RunEvent piece", peer.RunEvent{Piece: filledPointer[api.StreamPiece]()})
+	add("RunEvent piece", peer.RunEvent{Chunk: filledPointer[api.StreamPiece]()})
 	add("RunEvent end", peer.RunEvent{End: filledPointer[api.StreamEnd](), Attempts: 2})
 	add("RunEvent error", peer.RunEvent{Error: filledPointer[api.Error](), Attempts: 3})
 	add("RunEvent empty", peer.RunEvent{})
@@ -211,7 +211,7 @@
 		t.Errorf("packed content is %x, want %x", got, want)
 	}
 	grant := peer.Grant{Packed: packed}
-	if difference, err := grant.Difference(); err != nil || !reflect.DeepEqual(difference, want) {
+	if difference, err := grant.UnpackTransfer(); err != nil || !reflect.DeepEqual(difference, want) {
 		t.Errorf("the grant's difference is %+v, %v, want %+v", difference, err, want)
 	}
 }
@@ -222,7 +222,7 @@
 	transfer := &registry.Transfer{From: 6, To: 7}
 	for i := range records {
 		record := registry.Record{
-			Name: registry.Name(fmt.Sprintf("gateway-%d.fleet", i)), Type: registry.FirstOwnType,
+			Name: registry.Name(fmt.Sprintf("gateway-%d.fleet", i)), Type: registry.FirstPrivateType,
 			Class: registry.ClassTable, TTL: uint32(i), Data: []byte(fmt.Sprintf("data of gateway %d", i)),
 		}
 		if i%4 == 0 {
--- a/peer/packed_test.go
+++ b/peer/packed_test.go
@@ -5,8 +5,8 @@
 	"reflect"
 	"testing"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -14,10 +14,10 @@
 func tableOf(gateways int) *registry.Transfer {
 	transfer := &registry.Transfer{Full: true, To: 7}
 	for i := range gateways {
-		transfer.Added = append(transfer.Added, places.GatewayRecord(fmt.Sprintf("edge-north-hall%d-%d", i%6, i), places.Gateway{
+		transfer.Added = append(transfer.Added, catalog.GatewayRecord(fmt.Sprintf("edge-north-hall%d-%d", i%6, i), catalog.Gateway{
 			Incarnation: fmt.Sprintf("%024x", uint64(i+1)*0x9e3779b97f4a7c15), Zone: fmt.Sprintf("north-hall%d", i%6), Region: "north",
 			PeerAddress: fmt.Sprintf("10.1.%d.%d:7141", i/200, i%200), HTTPAddress: fmt.Sprintf("10.1.%d.%d:8080", i/200, i%200),
-			Up: true, MayHold: true, LinkMbps: 10,
+			Up: true, MayHoldLease: true, LinkMbps: 10,
 		}))
 	}
 	return transfer
@@ -37,7 +37,7 @@
 		t.Errorf("%d octets are packed into %d", len(plain), len(packed))
 	}
 	grant := peer.Grant{Packed: packed}
-	unpacked, err := grant.Difference()
+	unpacked, err := grant.UnpackTransfer()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		t.Errorf("packed into %d octets, %v", len(packed), err)
 	}
 	grant := peer.Grant{Transfer: transfer}
-	if same, err := grant.Difference(); err != nil || same != transfer {
+	if same, err := grant.UnpackTransfer(); err != nil || same != transfer {
 		t.Errorf("%v, %v", same, err)
 	}
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -7,7 +7,7 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/consensus"
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/routemap"
 	"github.com/deckpulley/deckpulley/transport"
@@ -15,22 +15,22 @@
 
 // Kinds of messages. The numbers are sent: they stay, and a new kind gets a new one.
 const (
-	KindConsensus    transport.Kind = 1  // one-way ConsensusMessage, control to control
-	KindHello        transport.Kind = 2  // call Hello/HelloReply, any node to control
-	KindForm         transport.Kind = 3  // call Form/FormReply, forming control node to the others
-	KindJoin         transport.Kind = 4  // call Join/JoinReply, new control node to control
-	KindRenew        transport.Kind = 5  // call Renew/Grant, gateway to primary
-	KindNotify       transport.Kind = 6  // one-way Notify, primary to gateway
-	KindUpdate       transport.Kind = 7  // call UpdateRequest/UpdateReply, any node toward the primary
-	KindOrder        transport.Kind = 8  // call OrderRequest/OrderReply, control toward the primary
-	KindMintTicket   transport.Kind = 9  // call MintTicket/MintTicketReply, gateway to gateway
-	KindOffer        transport.Kind = 10 // call Offer/OfferReply, gateway to gateway
-	KindWithdraw     transport.Kind = 11 // call Withdraw/WithdrawReply, gateway to gateway
-	KindLoad         transport.Kind = 12 // one-way RegionLoad, gateway to gateway
-	KindRun          transport.Kind = 13 // stream Run to RunEvents, gateway to the gateway that granted
-	KindOwner        transport.Kind = 14 // stream OwnerRequest to RunEvents, gateway to a ticket's owner
-	KindReplicaLoads transport.Kind = 15 // one-way ReplicaLoads, gateway to its group's aggregator
-	KindLoadDigest   transport.Kind = 16 // one-way LoadDigest, aggregator to gateways and other aggregators
+	KindConsensus         transport.Kind = 1  // one-way ConsensusMessage, control to control
+	KindHello             transport.Kind = 2  // call Hello/HelloReply, any node to control
+	KindBootstrap         transport.Kind = 3  // call Form/FormReply, forming control node to the others
+	KindJoin              transport.Kind = 4  // call Join/JoinReply, new control node to control
+	KindRenew             transport.Kind = 5  // call Renew/Grant, gateway to primary
+	KindNotify            transport.Kind = 6  // one-way Notify, primary to gateway
+	KindUpdate            transport.Kind = 7  // call UpdateRequest/UpdateReply, any node toward the primary
+	KindOperation         transport.Kind = 8  // call OrderRequest/OrderReply, control toward the primary
+	KindIssueTicket       transport.Kind = 9  // call MintTicket/MintTicketReply, gateway to gateway
+	KindOffer             transport.Kind = 10 // call Offer/OfferReply, gateway to gateway
+	KindWithdraw          transport.Kind = 11 // call Withdraw/WithdrawReply, gateway to gateway
+	KindRegionUtilization transport.Kind = 12 // one-way RegionLoad, gateway to gateway
+	KindRun               transport.Kind = 13 // stream Run to RunEvents, gateway to the gateway that granted
+	KindOwner             transport.Kind = 14 // stream OwnerRequest to RunEvents, gateway to a ticket's owner
+	KindReplicaLoads      transport.Kind = 15 // one-way ReplicaLoads, gateway to its group's aggregator
+	KindLoadDigest        transport.Kind = 16 // one-way LoadDigest, aggregator to gateways and other aggregators
 )
 
 // ConsensusMessage wraps one message of the replicated log. Cluster keeps the
@@ -52,21 +52,21 @@
 	Identity consensus.ID `cbor:"2,keyasint"`
 	// Cluster is empty while the node belongs to no group.
 	Cluster string `cbor:"3,keyasint,omitempty"`
-	// Forming is the identity of the node whose Form it has promised to accept.
-	Forming consensus.ID       `cbor:"4,keyasint,omitempty"`
-	Leader  consensus.ID       `cbor:"5,keyasint,omitempty"`
-	Members []consensus.Member `cbor:"6,keyasint,omitempty"`
+	// BootstrapCoordinator is the identity of the node whose Form it has promised to accept.
+	BootstrapCoordinator consensus.ID       `cbor:"4,keyasint,omitempty"`
+	Leader               consensus.ID       `cbor:"5,keyasint,omitempty"`
+	Members              []consensus.Member `cbor:"6,keyasint,omitempty"`
 }
 
-// Form tells a fresh control node the first membership of a new group. It is
+// Bootstrap tells a fresh control node the first membership of a new group. It is
 // accepted once, by a node that has no group. A doubled one changes nothing.
-type Form struct {
+type Bootstrap struct {
 	Cluster  string             `cbor:"1,keyasint"`
 	Snapshot consensus.Snapshot `cbor:"2,keyasint"`
 }
 
-// FormReply acknowledges after the disk has it.
-type FormReply struct {
+// BootstrapReply acknowledges after the disk has it.
+type BootstrapReply struct {
 	Accepted bool `cbor:"1,keyasint"`
 }
 
@@ -92,7 +92,7 @@
 	Region      string `cbor:"4,keyasint"`
 	PeerAddress string `cbor:"5,keyasint"`
 	HTTPAddress string `cbor:"6,keyasint"`
-	Leaving     bool   `cbor:"7,keyasint,omitempty"` // drains and goes: give the lease up
+	Draining    bool   `cbor:"7,keyasint,omitempty"` // drains and goes: give the lease up
 	// LinkMbps is what its network link carries, in Mbit/s; 0 is not told.
 	LinkMbps int `cbor:"8,keyasint,omitempty"`
 }
@@ -103,13 +103,13 @@
 	Cluster string      `cbor:"1,keyasint,omitempty"` // empty until first granted
 	Gateway GatewayInfo `cbor:"2,keyasint"`
 	Term    uint64      `cbor:"3,keyasint"` // newest term the gateway has seen
-	// Held is the newest serial it has a copy of, 0 for none; Active is the one
+	// ReceivedSerial is the newest serial it has a copy of, 0 for none; Active is the one
 	// that decides its placements, 0 for none.
-	Held          uint32 `cbor:"4,keyasint"`
-	Active        uint32 `cbor:"5,keyasint"`
-	ActiveVersion uint64 `cbor:"6,keyasint"`
-	// Valid says that the gateway's lease is valid at the sending.
-	Valid bool `cbor:"7,keyasint,omitempty"`
+	ReceivedSerial uint32 `cbor:"4,keyasint"`
+	ActiveSerial   uint32 `cbor:"5,keyasint"`
+	ActiveVersion  uint64 `cbor:"6,keyasint"`
+	// LeaseValid says that the gateway's lease is valid at the sending.
+	LeaseValid bool `cbor:"7,keyasint,omitempty"`
 }
 
 // Grant answers Renew. Only a primary with proof of its leadership grants.
@@ -124,21 +124,21 @@
 	// Zero with Granted is no lease yet: the gateway makes what it may active and
 	// renews at once. An older lease that is still valid stays so.
 	LeaseMS int64 `cbor:"4,keyasint,omitempty"`
-	// Activate allows the gateway to make every held serial up to this one active; 0 is none.
-	Activate uint32 `cbor:"5,keyasint,omitempty"`
+	// ActivationSerial allows the gateway to make every held serial up to this one active; 0 is none.
+	ActivationSerial uint32 `cbor:"5,keyasint,omitempty"`
 	// Transfer brings the gateway's copy up to date; nil when it is, or when Packed
 	// has it.
 	Transfer *registry.Transfer `cbor:"6,keyasint,omitempty"`
 	// Primary is the peers' address of the primary when this node is not it; empty if unknown.
 	Primary string `cbor:"7,keyasint,omitempty"`
-	// Control lists the control nodes' peers' addresses as they are now.
-	Control []string `cbor:"8,keyasint,omitempty"`
+	// ControlAddresses lists the control nodes' peers' addresses as they are now.
+	ControlAddresses []string `cbor:"8,keyasint,omitempty"`
 	// Packed is a large transfer.
 	Packed PackedTransfer `cbor:"9,keyasint,omitempty"`
 }
 
-// Difference returns what brings the gateway's copy up to date, nil when it is.
-func (g *Grant) Difference() (*registry.Transfer, error) {
+// UnpackTransfer returns what brings the gateway's copy up to date, nil when it is.
+func (g *Grant) UnpackTransfer() (*registry.Transfer, error) {
 	if g.Packed != nil {
 		return g.Packed.Unpack()
 	}
@@ -153,8 +153,8 @@
 	Term    uint64 `cbor:"2,keyasint"`
 	Primary string `cbor:"3,keyasint"` // peers' address
 	Serial  uint32 `cbor:"4,keyasint"`
-	// Activate is as in Grant: a gateway with a lease of this term acts on it at once.
-	Activate uint32 `cbor:"5,keyasint,omitempty"`
+	// ActivationSerial is as in Grant: a gateway with a lease of this term acts on it at once.
+	ActivationSerial uint32 `cbor:"5,keyasint,omitempty"`
 }
 
 // UpdateRequest forwards one registry update toward the primary (section 6).
@@ -172,24 +172,24 @@
 	Primary string `cbor:"3,keyasint,omitempty"`
 }
 
-// OrderRequest forwards an operator's or the platform's order. Exactly one of
+// OperationRequest forwards an operator's or the platform's order. Exactly one of
 // the orders is set.
-type OrderRequest struct {
-	Configuration *api.ConfigurationOrder `cbor:"1,keyasint,omitempty"`
-	Evacuation    *api.EvacuationOrder    `cbor:"2,keyasint,omitempty"`
-	Replicas      *api.ReplicaList        `cbor:"3,keyasint,omitempty"`
-	Hops          uint8                   `cbor:"4,keyasint"`
+type OperationRequest struct {
+	Configuration *api.ConfigurationOperation `cbor:"1,keyasint,omitempty"`
+	Evacuation    *api.EvacuationOperation    `cbor:"2,keyasint,omitempty"`
+	Replicas      *api.ReplicaList            `cbor:"3,keyasint,omitempty"`
+	Hops          uint8                       `cbor:"4,keyasint"`
 	// WaitMS is how long the sender will wait, in milliseconds.
-	WaitMS   int64          `cbor:"5,keyasint"`
-	RouteMap *RouteMapOrder `cbor:"6,keyasint,omitempty"`
+	WaitMS   int64              `cbor:"5,keyasint"`
+	RouteMap *RouteMapOperation `cbor:"6,keyasint,omitempty"`
 	// ConfigurationChange changes named items of the configuration document.
-	ConfigurationChange *api.ConfigurationChangeOrder `cbor:"7,keyasint,omitempty"`
+	ConfigurationChange *api.ConfigurationPatchOperation `cbor:"7,keyasint,omitempty"`
 }
 
-// RouteMapOrder hands over a whole map of routes by host and path, or a change of
+// RouteMapOperation hands over a whole map of routes by host and path, or a change of
 // the current one. Its identity is its base version and its text: the same order,
 // sent again, is the same.
-type RouteMapOrder struct {
+type RouteMapOperation struct {
 	BaseVersion uint64 `cbor:"1,keyasint"`
 	// Map is the whole map; it is not used if Change is set.
 	Map routemap.Map `cbor:"2,keyasint"`
@@ -202,7 +202,7 @@
 }
 
 // Version is that of the map that the order leads to.
-func (o *RouteMapOrder) Version() uint64 {
+func (o *RouteMapOperation) Version() uint64 {
 	if o.Change != nil {
 		return o.Change.Map.Version
 	}
@@ -212,24 +212,24 @@
 // RouteMapChange is a change of a map of routes, and the same change of the text
 // in which operators read the map back.
 type RouteMapChange struct {
-	Map  routemap.Change       `cbor:"1,keyasint"`
-	Text documentchange.Change `cbor:"2,keyasint"`
+	Map  routemap.Change `cbor:"1,keyasint"`
+	Text patch.Change    `cbor:"2,keyasint"`
 }
 
-// OrderReply carries the first answer to the order, or an error that leaves the
+// OperationReply carries the first answer to the order, or an error that leaves the
 // order open.
-type OrderReply struct {
-	Answer *api.OrderAnswer `cbor:"1,keyasint,omitempty"`
-	Error  *api.Error       `cbor:"2,keyasint,omitempty"`
+type OperationReply struct {
+	Answer *api.OperationResult `cbor:"1,keyasint,omitempty"`
+	Error  *api.Error           `cbor:"2,keyasint,omitempty"`
 }
 
-// MintTicket asks another region's gateway to own a request.
-type MintTicket struct {
+// IssueTicket asks another region's gateway to own a request.
+type IssueTicket struct {
 	Request api.WhereRequest `cbor:"1,keyasint"`
 }
 
-// MintTicketReply carries the owner's ticket.
-type MintTicketReply struct {
+// IssueTicketReply carries the owner's ticket.
+type IssueTicketReply struct {
 	Answer *api.WhereAnswer `cbor:"1,keyasint,omitempty"`
 	Error  *api.Error       `cbor:"2,keyasint,omitempty"`
 }
@@ -237,14 +237,14 @@
 // Offer asks a gateway of another region to take a request. A lost reply
 // leaves a grant that dies by itself.
 type Offer struct {
-	OfferID   string              `cbor:"1,keyasint"`
-	From      string              `cbor:"2,keyasint"` // gateway name
-	Request   api.GenerateRequest `cbor:"3,keyasint"` // without its ticket
-	HomeOnly  []string            `cbor:"4,keyasint,omitempty"`
-	TimeLeft  int64               `cbor:"5,keyasint"` // ms
-	Version   uint64              `cbor:"6,keyasint"` // sender's active configuration version
-	Attempt   int                 `cbor:"7,keyasint"`
-	Incarnate string              `cbor:"8,keyasint"` // sender's incarnation
+	OfferID              string              `cbor:"1,keyasint"`
+	From                 string              `cbor:"2,keyasint"` // gateway name
+	Request              api.GenerateRequest `cbor:"3,keyasint"` // without its ticket
+	HomeRegions          []string            `cbor:"4,keyasint,omitempty"`
+	RemainingMS          int64               `cbor:"5,keyasint"` // ms
+	ConfigurationVersion uint64              `cbor:"6,keyasint"` // sender's active configuration version
+	Attempt              int                 `cbor:"7,keyasint"`
+	Incarnation          string              `cbor:"8,keyasint"` // sender's incarnation
 	// WaitMS is how long the request may wait there for room, in the queue and in
 	// turn with the region's own requests; 0 asks for room at once.
 	WaitMS int64 `cbor:"9,keyasint,omitempty"`
@@ -252,9 +252,9 @@
 
 // OfferReply grants a reservation that lives GrantMS, or declines.
 type OfferReply struct {
-	Granted bool       `cbor:"1,keyasint"`
-	GrantMS int64      `cbor:"2,keyasint,omitempty"`
-	Error   *api.Error `cbor:"3,keyasint,omitempty"`
+	Granted       bool       `cbor:"1,keyasint"`
+	ReservationMS int64      `cbor:"2,keyasint,omitempty"`
+	Error         *api.Error `cbor:"3,keyasint,omitempty"`
 	// Incarnation of the granting gateway; the body must reach the same one.
 	Incarnation string `cbor:"4,keyasint,omitempty"`
 }
@@ -271,13 +271,13 @@
 	NeverRan bool `cbor:"1,keyasint"`
 }
 
-// RegionLoad is a gateway's digest of its own region, sent to gateways of other
+// RegionUtilization is a gateway's digest of its own region, sent to gateways of other
 // regions. A lost or stale one makes spill less even, nothing else.
-type RegionLoad struct {
-	Region   string             `cbor:"1,keyasint"`
-	Gateway  string             `cbor:"2,keyasint"`
-	Sequence uint64             `cbor:"3,keyasint"`
-	Services map[string]float64 `cbor:"4,keyasint"` // utilization by service, 1 is full
+type RegionUtilization struct {
+	Region               string             `cbor:"1,keyasint"`
+	Gateway              string             `cbor:"2,keyasint"`
+	Sequence             uint64             `cbor:"3,keyasint"`
+	UtilizationByService map[string]float64 `cbor:"4,keyasint"` // utilization by service, 1 is full
 }
 
 // Run starts the work of a granted offer, once. It is not repeated: a break
@@ -296,7 +296,7 @@
 // End and Error are the last of their stream.
 type RunEvent struct {
 	Answer *api.GenerateAnswer `cbor:"1,keyasint,omitempty"`
-	Piece  *api.StreamPiece    `cbor:"2,keyasint,omitempty"`
+	Chunk  *api.StreamPiece    `cbor:"2,keyasint,omitempty"`
 	End    *api.StreamEnd      `cbor:"3,keyasint,omitempty"`
 	Error  *api.Error          `cbor:"4,keyasint,omitempty"`
 	// Attempts is the number of attempts that may have reached a replica, told
@@ -309,17 +309,17 @@
 // placement less even, nothing else.
 type ReplicaKey uint32
 
-// KeyOf is the key of a replica, or of a gateway.
-func KeyOf(id string) ReplicaKey { return ReplicaKey(xxhash.Sum64String(id)) }
+// NewReplicaKey is the key of a replica, or of a gateway.
+func NewReplicaKey(id string) ReplicaKey { return ReplicaKey(xxhash.Sum64String(id)) }
 
 // ReplicaLoads tells a group's aggregator what a gateway has under way at replicas,
 // and which prompts it has placed and measured since its last message. A lost or
 // late one makes placement less even, nothing else.
 type ReplicaLoads struct {
-	Gateway string              `cbor:"1,keyasint"`
-	Loads   map[ReplicaKey]Load `cbor:"2,keyasint,omitempty"`
-	Placed  []PlacedPrompt      `cbor:"3,keyasint,omitempty"`
-	Read    []ReadPrompt        `cbor:"4,keyasint,omitempty"`
+	Gateway        string              `cbor:"1,keyasint"`
+	Loads          map[ReplicaKey]Load `cbor:"2,keyasint,omitempty"`
+	PlacedPrompts  []PlacedPrompt      `cbor:"3,keyasint,omitempty"`
+	PrefillSamples []PrefillSample     `cbor:"4,keyasint,omitempty"`
 }
 
 // LoadDigest is what an aggregator has heard: of its own group's gateways, and, to
@@ -336,46 +336,46 @@
 	Region string `cbor:"1,keyasint"`
 	// Aggregator is the gateway that added the loads up.
 	Aggregator string `cbor:"2,keyasint"`
-	// Whole says that Loads has the sums of all loads; else it has none.
-	Whole bool                `cbor:"3,keyasint,omitempty"`
-	Loads map[ReplicaKey]Load `cbor:"4,keyasint,omitempty"`
-	// Added are readings of short prompts, added up.
-	Added []AddedReading `cbor:"5,keyasint,omitempty"`
-	// Placed are the prompts that are told one by one.
-	Placed []PlacedPrompt `cbor:"6,keyasint,omitempty"`
-	// Read is the newest measured prompt of each replica that has one.
-	Read []ReadPrompt `cbor:"7,keyasint,omitempty"`
+	// Complete says that Loads has the sums of all loads; else it has none.
+	Complete bool                `cbor:"3,keyasint,omitempty"`
+	Loads    map[ReplicaKey]Load `cbor:"4,keyasint,omitempty"`
+	// PrefillTotals are readings of short prompts, added up.
+	PrefillTotals []PrefillTotal `cbor:"5,keyasint,omitempty"`
+	// PlacedPrompts are the prompts that are told one by one.
+	PlacedPrompts []PlacedPrompt `cbor:"6,keyasint,omitempty"`
+	// PrefillSamples is the newest measured prompt of each replica that has one.
+	PrefillSamples []PrefillSample `cbor:"7,keyasint,omitempty"`
 }
 
 // Load is what one gateway or several have under way at one replica.
 type Load struct {
 	_        struct{} `cbor:",toarray"`
 	Requests int
-	// Held are the tokens of all its requests.
-	Held int
+	// Tokens are the tokens of all its requests.
+	Tokens int
 }
 
 // Add adds another load up.
 func (l Load) Add(other Load) Load {
 	l.Requests += other.Requests
-	l.Held += other.Held
+	l.Tokens += other.Tokens
 	return l
 }
 
-// AddedReading is what replicas were given to read by short prompts.
-type AddedReading struct {
+// PrefillTotal is what replicas were given to read by short prompts.
+type PrefillTotal struct {
 	_         struct{} `cbor:",toarray"`
 	Replica   ReplicaKey
-	ReadingMS int // below zero for prompts that were taken back
+	PrefillMS int // below zero for prompts that were taken back
 }
 
 // PlacedPrompt is a prompt that a replica has been given to read.
 type PlacedPrompt struct {
 	_       struct{} `cbor:",toarray"`
 	Replica ReplicaKey
-	// ReadingMS is the expected time to read it, in milliseconds; below zero for one
+	// PrefillMS is the expected time to read it, in milliseconds; below zero for one
 	// that was taken back.
-	ReadingMS int
+	PrefillMS int
 	// Gateway is the key of the gateway that placed it.
 	Gateway ReplicaKey
 	// Prefixes are the hashes of the shared parts that the replica will hold, the
@@ -383,12 +383,12 @@
 	Prefixes []uint64
 }
 
-// ReadPrompt is what one prompt that a replica read alone told of its speed.
-type ReadPrompt struct {
+// PrefillSample is what one prompt that a replica read alone told of its speed.
+type PrefillSample struct {
 	_       struct{} `cbor:",toarray"`
 	Replica ReplicaKey
-	// WorkUS is what there was to read, in microseconds of a reference replica, and
+	// ReferenceUS is what there was to read, in microseconds of a reference replica, and
 	// TookUS the microseconds that passed until the first event.
-	WorkUS uint32
-	TookUS uint32
+	ReferenceUS uint32
+	MeasuredUS  uint32
 }
--- a/registry/build.go
+++ b/registry/build.go
@@ -60,12 +60,12 @@
 	}
 }
 
-// HeadRecord returns the SOA record of the table at apex.
-func HeadRecord(apex Name, head Head) Record {
+// SOARecord returns the SOA record of the table at apex.
+func SOARecord(apex Name, head SOA) Record {
 	return Record{Name: apex, Type: TypeSOA, Class: ClassTable, Data: encodeHead(head)}
 }
 
-// MemberRecord returns the NS record that names server a server of the table.
-func MemberRecord(apex Name, server string) Record {
+// NSRecord returns the NS record that names server a server of the table.
+func NSRecord(apex Name, server string) Record {
 	return Record{Name: apex, Type: TypeNS, Class: ClassTable, Data: []byte(server)}
 }
--- a/registry/check.go
+++ b/registry/check.go
@@ -21,7 +21,7 @@
 			code = checkPrerequisite(now, record)
 		}
 		if code != NoError {
-			return Result{Code: code, Failed: i, Section: SectionPrerequisite, Reason: reason}
+			return Result{Code: code, FailedIndex: i, Section: SectionPrerequisite, Reason: reason}
 		}
 		if record.Class != ClassTable {
 			continue
@@ -35,10 +35,10 @@
 	}
 	for _, key := range order {
 		if !setEquals(findSet(now.tree, key.name.key(), key.kind).records, required[key]) {
-			return Result{Code: NXRRSet, Failed: firstOf[key], Section: SectionPrerequisite}
+			return Result{Code: NXRRSet, FailedIndex: firstOf[key], Section: SectionPrerequisite}
 		}
 	}
-	return Result{Failed: -1}
+	return Result{FailedIndex: -1}
 }
 
 // checkName canonicalizes a record's name and requires it to be in the table.
@@ -111,10 +111,10 @@
 func prescan(apex Name, schema *Schema, section []Record) Result {
 	for i, record := range section {
 		if code, reason := prescanRecord(apex, schema, record); code != NoError {
-			return Result{Code: code, Failed: i, Section: SectionChange, Reason: reason}
+			return Result{Code: code, FailedIndex: i, Section: SectionChange, Reason: reason}
 		}
 	}
-	return Result{Failed: -1}
+	return Result{FailedIndex: -1}
 }
 
 // prescanRecord checks class, then name, then type, lifetime and data, in the
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -68,10 +68,10 @@
 	return nil
 }
 
-func encodeHead(head Head) []byte { return encode(head) }
+func encodeHead(head SOA) []byte { return encode(head) }
 
-func decodeHead(data []byte) (Head, error) {
-	var head Head
+func decodeHead(data []byte) (SOA, error) {
+	var head SOA
 	err := decode(data, MaxDataBytes, "head record", &head)
 	return head, err
 }
--- a/registry/edit.go
+++ b/registry/edit.go
@@ -10,7 +10,7 @@
 // so dropping it undoes everything (section 3.4.2.1).
 type edit struct {
 	apex    Name
-	head    Head
+	head    SOA
 	schema  *Schema
 	tree    *btree.BTreeG[recordSet]
 	count   int
--- a/registry/example_test.go
+++ b/registry/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-const typeAddress = registry.FirstOwnType
+const typeAddress = registry.FirstPrivateType
 
 func Example() {
 	schema, err := registry.NewSchema(registry.Kind{Type: typeAddress, Name: "ADDRESS", Singleton: true})
@@ -14,7 +14,7 @@
 		fmt.Println(err)
 		return
 	}
-	head := registry.Head{Primary: "control-1", Serial: 1}
+	head := registry.SOA{Primary: "control-1", Serial: 1}
 	table, err := registry.New("example.", schema, head, []string{"control-1"})
 	if err != nil {
 		fmt.Println(err)
@@ -31,7 +31,7 @@
 		fmt.Println(record.Name, string(record.Data))
 	}
 	secondary := registry.NewSecondary("example.", schema)
-	if err := secondary.ApplyTransfer(table.Difference(secondary.Serial())); err != nil {
+	if err := secondary.ApplyTransfer(table.TransferSince(secondary.Serial())); err != nil {
 		fmt.Println(err)
 	}
 	fmt.Println(secondary.Serial(), secondary.View().Len())
--- a/registry/forwarder.go
+++ b/registry/forwarder.go
@@ -32,7 +32,7 @@
 	if limit <= 0 {
 		limit = DefaultMaxHops
 	}
-	unanswered := Result{Code: ServFail, Failed: -1}
+	unanswered := Result{Code: ServFail, FailedIndex: -1}
 	if hops < 0 || hops >= limit {
 		return unanswered, ErrHopLimit
 	}
--- a/registry/golden_encoding_test.go
+++ b/registry/golden_encoding_test.go
@@ -40,17 +40,17 @@
 // goldenApex is the apex of the tables in the golden files.
 const goldenApex Name = "deckpulley."
 
-func goldenHead(serial uint32) Head {
-	return Head{Primary: "control-1", Serial: serial, Refresh: 900, Expire: 3600}
+func goldenHead(serial uint32) SOA {
+	return SOA{Primary: "control-1", Serial: serial, Refresh: 900, Expire: 3600}
 }
 
 // goldenRecords has a record of each type that this package gives rules for, and
 // two of the embedder's types, with names and data that need escapes or are empty.
 func goldenRecords() map[string]Record {
 	return map[string]Record{
-		"ns":           MemberRecord(goldenApex, "control-1"),
+		"ns":           NSRecord(goldenApex, "control-1"),
 		"cname":        rr("alias.deckpulley.", TypeCNAME, "route-a.deckpulley."),
-		"soa":          HeadRecord(goldenApex, goldenHead(1<<32-1)),
+		"soa":          SOARecord(goldenApex, goldenHead(1<<32-1)),
 		"wks":          rr("w.deckpulley.", TypeWKS, "1234\x06mask"),
 		"private":      withTTL(rr("route-a.deckpulley.", typeOne, "\x00\xffdata"), 300),
 		"private-last": rr("last.deckpulley.", 1<<16-1, "last type"),
@@ -78,7 +78,7 @@
 }
 
 func TestGoldenSOAData(t *testing.T) {
-	cases := map[string]Head{
+	cases := map[string]SOA{
 		"soa-data":      goldenHead(7),
 		"soa-data-zero": {},
 	}
@@ -110,7 +110,7 @@
 		"prerequisite-name-in-use":         prerequisite(InUse(route.Name)),
 		"prerequisite-name-not-in-use":     prerequisite(NotInUse(route.Name)),
 		"change-add":                       change(Add(route)),
-		"change-add-soa":                   change(Add(HeadRecord(goldenApex, goldenHead(8)))),
+		"change-add-soa":                   change(Add(SOARecord(goldenApex, goldenHead(8)))),
 		"change-delete-rrset":              change(DeleteSet(route.Name, route.Type)),
 		"change-delete-name":               change(DeleteName(route.Name)),
 		"change-delete-record":             change(DeleteRecord(route)),
@@ -173,8 +173,8 @@
 	if again, err := restored.Snapshot(); err != nil || !bytes.Equal(again, golden) {
 		t.Errorf("restored table encodes as %x, %v, want %x", again, err, golden)
 	}
-	if restored.Head() != goldenHead(12) {
-		t.Errorf("restored table has %+v, want %+v", restored.Head(), goldenHead(12))
+	if restored.SOA() != goldenHead(12) {
+		t.Errorf("restored table has %+v, want %+v", restored.SOA(), goldenHead(12))
 	}
 	if difference := cmp.Diff(dump(table.View()), dump(restored.View())); difference != "" {
 		t.Errorf("restored table differs (-want +got):\n%s", difference)
@@ -190,24 +190,24 @@
 		want Transfer
 	}{
 		"full": {0, Transfer{Full: true, To: 12, Added: []Record{
-			MemberRecord(goldenApex, "control-1"), MemberRecord(goldenApex, "control-2"),
-			HeadRecord(goldenApex, goldenHead(12)), newRoute, alias,
+			NSRecord(goldenApex, "control-1"), NSRecord(goldenApex, "control-2"),
+			SOARecord(goldenApex, goldenHead(12)), newRoute, alias,
 		}}},
 		"incremental": {11, Transfer{
 			From: 11, To: 12,
-			Removed: []Record{oldRoute, withTTL(rr("route-b.deckpulley.", typeMany, "2"), 60), HeadRecord(goldenApex, goldenHead(11))},
-			Added:   []Record{newRoute, alias, HeadRecord(goldenApex, goldenHead(12))},
+			Removed: []Record{oldRoute, withTTL(rr("route-b.deckpulley.", typeMany, "2"), 60), SOARecord(goldenApex, goldenHead(11))},
+			Added:   []Record{newRoute, alias, SOARecord(goldenApex, goldenHead(12))},
 		}},
 		"incremental-of-two-updates": {10, Transfer{
 			From: 10, To: 12,
-			Removed: []Record{HeadRecord(goldenApex, goldenHead(10))},
-			Added:   []Record{newRoute, alias, HeadRecord(goldenApex, goldenHead(12))},
+			Removed: []Record{SOARecord(goldenApex, goldenHead(10))},
+			Added:   []Record{newRoute, alias, SOARecord(goldenApex, goldenHead(12))},
 		}},
 		"of-nothing": {12, Transfer{From: 12, To: 12}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			encoded, err := EncodeTransfer(table.Difference(c.from))
+			encoded, err := EncodeTransfer(table.TransferSince(c.from))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -226,7 +226,7 @@
 func TestGoldenNumbers(t *testing.T) {
 	types := map[Type]uint16{
 		TypeNS: 2, TypeCNAME: 5, TypeSOA: 6, TypeWKS: 11, TypeAXFR: 252,
-		TypeMAILB: 253, TypeMAILA: 254, TypeANY: 255, FirstOwnType: 1024,
+		TypeMAILB: 253, TypeMAILA: 254, TypeANY: 255, FirstPrivateType: 1024,
 	}
 	for got, want := range types {
 		if uint16(got) != want {
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -11,10 +11,10 @@
 
 // Kinds and names of the tests' table.
 const (
-	typeMany   = FirstOwnType + iota // holds any number of records
-	typeOne                          // a singleton
-	typeKeyed                        // replaces by its first octet
-	typeDigits                       // checks its data
+	typeMany   = FirstPrivateType + iota // holds any number of records
+	typeOne                              // a singleton
+	typeKeyed                            // replaces by its first octet
+	typeDigits                           // checks its data
 
 	testApex Name = "t."
 )
@@ -44,7 +44,7 @@
 // testTable returns a table with members a and b and the records given.
 func testTable(t testing.TB, records ...Record) *Table {
 	t.Helper()
-	table, err := New(testApex, testSchema(), Head{Primary: "a", Serial: testSerial, Refresh: 900, Expire: 3600}, []string{"a", "b"})
+	table, err := New(testApex, testSchema(), SOA{Primary: "a", Serial: testSerial, Refresh: 900, Expire: 3600}, []string{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	}
 	update := NewUpdate(testApex, nil, records)
 	if result := table.Apply(&update, nil); result.Code != NoError {
-		t.Fatalf("preparing the table: %s at %d", result.Code, result.Failed)
+		t.Fatalf("preparing the table: %s at %d", result.Code, result.FailedIndex)
 	}
 	return table
 }
@@ -205,8 +205,8 @@
 			table := testTable(t, held...)
 			update := NewUpdate(testApex, c.rrs, []Record{Add(rr("x.t.", typeMany, "1"))})
 			result := table.Apply(&update, nil)
-			if result.Code != c.want || result.Failed != c.failed {
-				t.Errorf("code %s at %d, want %s at %d", result.Code, result.Failed, c.want, c.failed)
+			if result.Code != c.want || result.FailedIndex != c.failed {
+				t.Errorf("code %s at %d, want %s at %d", result.Code, result.FailedIndex, c.want, c.failed)
 			}
 			if applied := table.View().InUse("x.t."); applied != (c.want == NoError) {
 				t.Errorf("applied: %v", applied)
@@ -251,7 +251,7 @@
 func TestSection341Prescan(t *testing.T) {
 	add := Add(rr("x.t.", typeMany, "1"))
 	drop := DeleteRecord(rr("x.t.", typeMany, "1"))
-	const unrecognized = FirstOwnType + 500
+	const unrecognized = FirstPrivateType + 500
 	ofType := func(record Record, recordType Type) Record {
 		record.Type = recordType
 		return record
@@ -297,8 +297,8 @@
 			if c.want == NoError {
 				return
 			}
-			if result.Failed != 1 || result.Section != SectionChange || table.View().InUse("first.t.") || table.Serial() != testSerial {
-				t.Errorf("failed %d in %q, serial %d, or the first change was applied", result.Failed, result.Section, table.Serial())
+			if result.FailedIndex != 1 || result.Section != SectionChange || table.View().InUse("first.t.") || table.Serial() != testSerial {
+				t.Errorf("failed %d in %q, serial %d, or the first change was applied", result.FailedIndex, result.Section, table.Serial())
 			}
 		})
 	}
@@ -400,7 +400,7 @@
 
 func TestSection36Serial(t *testing.T) {
 	head := func(serial uint32) Record {
-		return Add(HeadRecord(testApex, Head{Primary: "b", Serial: serial}))
+		return Add(SOARecord(testApex, SOA{Primary: "b", Serial: serial}))
 	}
 	change := Add(rr("x.t.", typeMany, "1"))
 	cases := []struct {
@@ -422,23 +422,23 @@
 		{"RFC 1982 higher past the wrap", 1<<32 - 5, []Record{head(3)}, 3, "b"},
 		{"7.11 the increment skips zero", 1<<32 - 1, []Record{change}, 1, "a"},
 		{"4.2 a head with serial zero is ignored", 1<<32 - 5, []Record{head(0)}, 1<<32 - 5, "a"},
-		{"7.6 a head below the apex is ignored", 10, []Record{Add(HeadRecord("x.t.", Head{Primary: "b", Serial: 99}))}, 10, "a"},
-		{"3.4.2.4 the head cannot be deleted", 10, []Record{DeleteRecord(HeadRecord(testApex, Head{Primary: "a", Serial: 10}))}, 10, "a"},
+		{"7.6 a head below the apex is ignored", 10, []Record{Add(SOARecord("x.t.", SOA{Primary: "b", Serial: 99}))}, 10, "a"},
+		{"3.4.2.4 the head cannot be deleted", 10, []Record{DeleteRecord(SOARecord(testApex, SOA{Primary: "a", Serial: 10}))}, 10, "a"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			table, err := New(testApex, testSchema(), Head{Primary: "a", Serial: c.start}, []string{"a"})
+			table, err := New(testApex, testSchema(), SOA{Primary: "a", Serial: c.start}, []string{"a"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			update := NewUpdate(testApex, nil, c.changes)
 			result := table.Apply(&update, nil)
-			if result.Code != NoError || result.Serial != c.want || table.Head() != (Head{Primary: c.primary, Serial: c.want}) {
-				t.Errorf("%s, serial %d, head %+v, want %d by %s", result.Code, result.Serial, table.Head(), c.want, c.primary)
+			if result.Code != NoError || result.Serial != c.want || table.SOA() != (SOA{Primary: c.primary, Serial: c.want}) {
+				t.Errorf("%s, serial %d, head %+v, want %d by %s", result.Code, result.Serial, table.SOA(), c.want, c.primary)
 			}
 			records := table.View().Lookup(testApex, TypeSOA)
-			if len(records) != 1 || string(records[0].Data) != string(encodeHead(table.Head())) {
-				t.Errorf("head records %v do not say %+v", records, table.Head())
+			if len(records) != 1 || string(records[0].Data) != string(encodeHead(table.SOA())) {
+				t.Errorf("head records %v do not say %+v", records, table.SOA())
 			}
 		})
 	}
@@ -451,7 +451,7 @@
 	before := dump(table.View())
 	update := NewUpdate(testApex, nil, []Record{DeleteName("m.t."), Add(rr("x.t.", typeMany, "1"))})
 	var offered Transfer
-	result := table.ApplyStored(&update, nil, func(_ Result, transfer Transfer) error {
+	result := table.ApplyAndPersist(&update, nil, func(_ Result, transfer Transfer) error {
 		offered = transfer
 		checkTable(t, table, before) // 3.5: not visible before it is stable
 		return errDisk
@@ -463,7 +463,7 @@
 	if offered.From != testSerial+1 || offered.To != testSerial+2 || len(offered.Added) != 2 || len(offered.Removed) != 2 {
 		t.Errorf("the store was offered %+v", offered)
 	}
-	if difference := table.Difference(testSerial + 1); len(difference.Added)+len(difference.Removed) != 0 {
+	if difference := table.TransferSince(testSerial + 1); len(difference.Added)+len(difference.Removed) != 0 {
 		t.Errorf("the journal kept %+v", difference)
 	}
 	table.maxRecords = table.View().Len()
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -14,7 +14,7 @@
 // model is the slow, obvious table: a list of records, judged by walking it.
 type model struct {
 	records []Record // without the head
-	head    Head
+	head    SOA
 }
 
 func (m *model) count(match func(Record) bool) int {
@@ -28,7 +28,7 @@
 }
 
 func (m *model) all() []Record {
-	return append(slices.Clone(m.records), HeadRecord(testApex, m.head))
+	return append(slices.Clone(m.records), SOARecord(testApex, m.head))
 }
 
 func sameName(a, b Record) bool { return strings.EqualFold(string(a.Name), string(b.Name)) }
@@ -206,7 +206,7 @@
 	}
 	if record.Type == TypeSOA && record.Class == ClassTable {
 		offset := rapid.SampledFrom([]uint32{0, 1, 5, 1 << 31, 1<<31 - 1, 1<<32 - 3}).Draw(t, "offset")
-		record.Data = encodeHead(Head{Primary: "a", Serial: serial + offset})
+		record.Data = encodeHead(SOA{Primary: "a", Serial: serial + offset})
 		return record
 	}
 	if record.Class != ClassAny || rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
@@ -255,7 +255,7 @@
 func TestTableEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.SampledFrom([]uint32{1, 10, 1<<31 - 2, 1<<32 - 3}).Draw(t, "start")
-		head := Head{Primary: "a", Serial: start}
+		head := SOA{Primary: "a", Serial: start}
 		table, err := New(testApex, testSchema(), head, []string{"a", "b"})
 		if err != nil {
 			t.Fatal(err)
@@ -267,8 +267,8 @@
 			update := drawUpdate(t, reference)
 			want := reference.apply(update)
 			result := table.Apply(&update, nil)
-			if result.Code != want || table.Head() != reference.head {
-				t.Fatalf("code %s, head %+v, want %s, %+v", result.Code, table.Head(), want, reference.head)
+			if result.Code != want || table.SOA() != reference.head {
+				t.Fatalf("code %s, head %+v, want %s, %+v", result.Code, table.SOA(), want, reference.head)
 			}
 			if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
 				t.Fatalf("records differ (-model +table):\n%s", difference)
@@ -302,7 +302,7 @@
 // One that the serial has left half the circle behind must refuse (RFC 1982 does
 // not order the two) and is replaced by an empty one. It returns the secondary.
 func follow(t *rapid.T, table, secondary *Table) *Table {
-	data, err := EncodeTransfer(table.Difference(secondary.Serial()))
+	data, err := EncodeTransfer(table.TransferSince(secondary.Serial()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -35,8 +35,8 @@
 	TypeMAILB Type = 253
 	TypeMAILA Type = 254
 	TypeANY   Type = 255
-	// FirstOwnType is the first type that a Schema may declare.
-	FirstOwnType Type = 1024
+	// FirstPrivateType is the first type that a Schema may declare.
+	FirstPrivateType Type = 1024
 )
 
 // Record is one resource record (section 1). Data must be in the kind's
@@ -83,8 +83,8 @@
 	NotZone  ResponseCode = 10
 )
 
-// Head is the typed data of the SOA record.
-type Head struct {
+// SOA is the typed data of the SOA record.
+type SOA struct {
 	Primary string `cbor:"1,keyasint"` // name of the primary
 	Serial  uint32 `cbor:"2,keyasint"` // never zero (section 7.11)
 	Refresh uint32 `cbor:"3,keyasint"` // seconds between a secondary's checks
@@ -115,9 +115,9 @@
 	Serial uint32
 	// Changed is false when nothing in the table differs.
 	Changed bool
-	// Failed is the index of the record that decided an error, with its section; -1 if none.
-	Failed  int
-	Section string // "table", "prerequisite", "permission", "change" or ""
+	// FailedIndex is the index of the record that decided an error, with its section; -1 if none.
+	FailedIndex int
+	Section     string // "table", "prerequisite", "permission", "change" or ""
 	// Reason is the error behind Refused, ServFail or a FormErr about data; nil else.
 	Reason error
 }
--- a/registry/requestor.go
+++ b/registry/requestor.go
@@ -54,7 +54,7 @@
 	for _, record := range view.Lookup(view.Apex(), TypeNS) {
 		servers = append(servers, string(record.Data))
 	}
-	primary := slices.Index(servers, view.Head().Primary)
+	primary := slices.Index(servers, view.SOA().Primary)
 	if primary > 0 {
 		servers = slices.Concat(servers[primary:primary+1], servers[:primary], servers[primary+1:])
 	}
@@ -78,7 +78,7 @@
 			break
 		}
 	}
-	return Result{Code: ServFail, Failed: -1}, errors.Join(failures...)
+	return Result{Code: ServFail, FailedIndex: -1}, errors.Join(failures...)
 }
 
 // exchange asks one server within the time-out.
--- a/registry/requestor_test.go
+++ b/registry/requestor_test.go
@@ -29,7 +29,7 @@
 	case code == unreachable:
 		return Result{}, errUnreachable
 	}
-	return Result{Code: code, Failed: -1}, nil
+	return Result{Code: code, FailedIndex: -1}, nil
 }
 
 // unreachable is a scripted refusal of the connection.
@@ -137,7 +137,7 @@
 		"a":       {"a", "b", "c"},
 		"outside": {"a", "b", "c"},
 	} {
-		table, err := New("t.", schema, Head{Primary: primary, Serial: 1}, []string{"c", "a", "b"})
+		table, err := New("t.", schema, SOA{Primary: primary, Serial: 1}, []string{"c", "a", "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/registry/schema.go
+++ b/registry/schema.go
@@ -22,8 +22,8 @@
 		names[kind.Name] = true
 	}
 	for _, kind := range kinds {
-		if kind.Type < FirstOwnType {
-			return nil, fmt.Errorf("%w: type %d of %q is below %d", ErrSchema, kind.Type, kind.Name, FirstOwnType)
+		if kind.Type < FirstPrivateType {
+			return nil, fmt.Errorf("%w: type %d of %q is below %d", ErrSchema, kind.Type, kind.Name, FirstPrivateType)
 		}
 		if _, taken := schema.kinds[kind.Type]; taken {
 			return nil, fmt.Errorf("%w: type %d is declared twice", ErrSchema, kind.Type)
--- a/registry/table.go
+++ b/registry/table.go
@@ -9,7 +9,7 @@
 
 // Errors of making and keeping a table.
 var (
-	ErrHead      = errors.New("registry: invalid head")
+	ErrSOA       = errors.New("registry: invalid head")
 	ErrTableFull = errors.New("registry: table is full")
 	// ErrSecondary is the reason why Apply refuses on a secondary copy: the
 	// update must be forwarded (section 6).
@@ -28,9 +28,9 @@
 // error refuses it. It must decide the same on every copy.
 type Policy func(*Update) error
 
-// Store makes a change stable before it becomes visible (section 3.5). An error
+// PersistFunc makes a change stable before it becomes visible (section 3.5). An error
 // undoes the update, which then answers ServFail.
-type Store func(Result, Transfer) error
+type PersistFunc func(Result, Transfer) error
 
 // Table is one registry: the source's zone. One update is applied at a time;
 // views may be taken and read by any goroutine.
@@ -47,23 +47,23 @@
 
 // New returns a primary copy of an empty table at apex, with its head and its
 // member records. There must be a member, and head.Serial must not be zero.
-func New(apex Name, schema *Schema, head Head, members []string) (*Table, error) {
+func New(apex Name, schema *Schema, head SOA, members []string) (*Table, error) {
 	apex, err := canonicalName(apex)
 	if err != nil {
 		return nil, err
 	}
 	if head.Serial == 0 {
-		return nil, fmt.Errorf("%w: serial is zero", ErrHead)
+		return nil, fmt.Errorf("%w: serial is zero", ErrSOA)
 	}
 	if len(members) == 0 {
-		return nil, fmt.Errorf("%w: no member", ErrHead)
+		return nil, fmt.Errorf("%w: no member", ErrSOA)
 	}
 	table := newTable(apex, schema)
 	work := &edit{apex: apex, schema: schema, tree: newTree()}
 	work.head = head
-	work.put(apex.key(), HeadRecord(apex, head))
+	work.put(apex.key(), SOARecord(apex, head))
 	for _, member := range members {
-		work.add(MemberRecord(apex, member))
+		work.add(NSRecord(apex, member))
 	}
 	table.current.Store(work.content())
 	return table, nil
@@ -87,8 +87,8 @@
 // Serial returns the serial of the newest applied change, zero for an empty secondary.
 func (t *Table) Serial() uint32 { return t.View().Serial() }
 
-// Head returns the data of the head record.
-func (t *Table) Head() Head { return t.View().Head() }
+// SOA returns the data of the head record.
+func (t *Table) SOA() SOA { return t.View().SOA() }
 
 // View returns the table as it is now.
 func (t *Table) View() View { return View{content: t.current.Load()} }
@@ -96,12 +96,12 @@
 // Apply processes one update through all the steps of section 3: all of it takes
 // effect or none, and the result is the same on every copy with the same content.
 func (t *Table) Apply(update *Update, policy Policy) Result {
-	return t.ApplyStored(update, policy, nil)
+	return t.ApplyAndPersist(update, policy, nil)
 }
 
-// ApplyStored is Apply with a step that makes the change stable before it
+// ApplyAndPersist is Apply with a step that makes the change stable before it
 // becomes visible. The store is not called for an update that changes nothing.
-func (t *Table) ApplyStored(update *Update, policy Policy, store Store) Result {
+func (t *Table) ApplyAndPersist(update *Update, policy Policy, store PersistFunc) Result {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.current.Load()
@@ -116,7 +116,7 @@
 // evaluate does everything that may answer an error before the first change.
 func (t *Table) evaluate(now *content, update *Update, policy Policy) Result {
 	if err := update.checkLimits(); err != nil {
-		return Result{Code: FormErr, Failed: -1, Reason: err}
+		return Result{Code: FormErr, FailedIndex: -1, Reason: err}
 	}
 	if result := t.checkTableSection(update.Tables); result.Code != NoError {
 		return result
@@ -126,7 +126,7 @@
 	}
 	if policy != nil {
 		if err := policy(update); err != nil {
-			return Result{Code: Refused, Failed: -1, Section: SectionPermission, Reason: err}
+			return Result{Code: Refused, FailedIndex: -1, Section: SectionPermission, Reason: err}
 		}
 	}
 	return prescan(t.apex, t.schema, update.Changes)
@@ -135,9 +135,9 @@
 // checkTableSection is section 3.1.
 func (t *Table) checkTableSection(entries []TableEntry) Result {
 	if len(entries) != 1 {
-		return Result{Code: FormErr, Failed: -1, Section: SectionTable}
+		return Result{Code: FormErr, FailedIndex: -1, Section: SectionTable}
 	}
-	failed := Result{Failed: 0, Section: SectionTable}
+	failed := Result{FailedIndex: 0, Section: SectionTable}
 	name, err := canonicalName(entries[0].Name)
 	switch {
 	case entries[0].Type != TypeSOA:
@@ -149,13 +149,13 @@
 	case t.secondary:
 		failed.Code, failed.Reason = Refused, ErrSecondary
 	default:
-		return Result{Failed: -1}
+		return Result{FailedIndex: -1}
 	}
 	return failed
 }
 
 // commit applies the changes in order to a clone and publishes it (3.4.2 to 3.7).
-func (t *Table) commit(now *content, update *Update, store Store) Result {
+func (t *Table) commit(now *content, update *Update, store PersistFunc) Result {
 	work := &edit{apex: t.apex, head: now.head, schema: t.schema, tree: now.tree.Clone(), count: now.count}
 	for _, change := range update.Changes {
 		change.Name, _ = canonicalName(change.Name) // the prescan has checked it
@@ -163,18 +163,18 @@
 	}
 	removed, added := work.changed.net()
 	if len(removed) == 0 && len(added) == 0 {
-		return Result{Serial: now.head.Serial, Failed: -1}
+		return Result{Serial: now.head.Serial, FailedIndex: -1}
 	}
 	if work.count > t.maxRecords {
-		return Result{Code: ServFail, Serial: now.head.Serial, Failed: -1, Section: SectionChange, Reason: ErrTableFull}
+		return Result{Code: ServFail, Serial: now.head.Serial, FailedIndex: -1, Section: SectionChange, Reason: ErrTableFull}
 	}
 	work.raiseSerial(now.head.Serial)
 	removed, added = work.changed.net()
 	transfer := Transfer{From: now.head.Serial, To: work.head.Serial, Removed: removed, Added: added}
-	result := Result{Serial: work.head.Serial, Changed: true, Failed: -1}
+	result := Result{Serial: work.head.Serial, Changed: true, FailedIndex: -1}
 	if store != nil {
 		if err := store(result, transfer); err != nil {
-			return Result{Code: ServFail, Serial: now.head.Serial, Failed: -1, Section: SectionChange, Reason: err}
+			return Result{Code: ServFail, Serial: now.head.Serial, FailedIndex: -1, Section: SectionChange, Reason: err}
 		}
 	}
 	t.journal.append(transfer)
--- a/registry/transfer.go
+++ b/registry/transfer.go
@@ -65,9 +65,9 @@
 	return nil, false
 }
 
-// Difference returns what a secondary that holds the serial from needs to reach
+// TransferSince returns what a secondary that holds the serial from needs to reach
 // this table: an incremental transfer while the journal reaches back, else a full one.
-func (t *Table) Difference(from uint32) Transfer {
+func (t *Table) TransferSince(from uint32) Transfer {
 	t.mutex.Lock()
 	now := t.current.Load()
 	entries, reached := t.journal.since(from)
--- a/registry/transfer_test.go
+++ b/registry/transfer_test.go
@@ -22,13 +22,13 @@
 func TestJournalIsBounded(t *testing.T) {
 	table := testTable(t)
 	grow(t, table, 0, MaxJournalUpdates+1)
-	if transfer := table.Difference(testSerial + 1); transfer.Full || len(transfer.Added) != MaxJournalUpdates+1 {
+	if transfer := table.TransferSince(testSerial + 1); transfer.Full || len(transfer.Added) != MaxJournalUpdates+1 {
 		t.Errorf("from the oldest kept: full %v, %d added", transfer.Full, len(transfer.Added))
 	}
-	if transfer := table.Difference(testSerial); !transfer.Full {
+	if transfer := table.TransferSince(testSerial); !transfer.Full {
 		t.Error("from before the oldest kept: incremental")
 	}
-	if transfer := table.Difference(table.Serial() + 1); !transfer.Full {
+	if transfer := table.TransferSince(table.Serial() + 1); !transfer.Full {
 		t.Error("from a serial of the future: incremental")
 	}
 	large := make([]byte, MaxDataBytes)
@@ -58,7 +58,7 @@
 	held := table.Serial()
 	update := NewUpdate(testApex, nil, []Record{Add(rr("n7.t.", typeOne, "2")), Add(rr("new.t.", typeOne, "1"))})
 	table.Apply(&update, nil)
-	transfer := table.Difference(held)
+	transfer := table.TransferSince(held)
 	if transfer.Full || len(transfer.Removed) != 2 || len(transfer.Added) != 3 {
 		t.Errorf("transfer %+v, want old record and head out, two records and head in", transfer)
 	}
@@ -66,10 +66,10 @@
 
 func TestTransfersThatDoNotFit(t *testing.T) {
 	primary := testTable(t)
-	full := primary.Difference(0)
+	full := primary.TransferSince(0)
 	held := primary.Serial()
 	grow(t, primary, 0, 1)
-	next := primary.Difference(held)
+	next := primary.TransferSince(held)
 	alter := func(change func(*Transfer)) Transfer {
 		altered := next
 		altered.Added = slices.Clone(next.Added)
--- a/registry/view.go
+++ b/registry/view.go
@@ -22,7 +22,7 @@
 // content is the whole of a table at one serial. It is never changed once published.
 type content struct {
 	apex  Name
-	head  Head
+	head  SOA
 	tree  *btree.BTreeG[recordSet]
 	count int
 }
@@ -46,12 +46,12 @@
 }
 
 // Serial returns the serial that the view shows, zero for an empty view.
-func (v View) Serial() uint32 { return v.Head().Serial }
+func (v View) Serial() uint32 { return v.SOA().Serial }
 
-// Head returns the data of the head record.
-func (v View) Head() Head {
+// SOA returns the data of the head record.
+func (v View) SOA() SOA {
 	if v.content == nil {
-		return Head{}
+		return SOA{}
 	}
 	return v.content.head
 }
--- a/routemap/example_test.go
+++ b/routemap/example_test.go
@@ -12,7 +12,7 @@
 		Version:  1,
 		Services: []routemap.Service{{Name: "pages"}, {Name: "model", MaxConnections: 100}},
 		Routes: []routemap.Route{
-			{Name: "site", Host: "example.test", PathPrefix: "/", Kind: routemap.Repeatable, Timeout: time.Second, Targets: []routemap.Target{{Service: "pages", Weight: 1}}},
+			{Name: "site", Host: "example.test", PathPrefix: "/", Kind: routemap.Idempotent, Timeout: time.Second, Targets: []routemap.Target{{Service: "pages", Weight: 1}}},
 			{Name: "chat", Host: "example.test", PathPrefix: "/chat/", Kind: routemap.Stream, Timeout: 15 * time.Second, Targets: []routemap.Target{{Service: "model", Weight: 1}}},
 		},
 	}
--- a/routemap/golden_test.go
+++ b/routemap/golden_test.go
@@ -60,32 +60,32 @@
 // goldenRoute has another value in each field.
 func goldenRoute() Route {
 	return Route{
-		Name:        "chat",
-		Host:        "Example.test",
-		PathPrefix:  "/chat/",
-		Kind:        Stream,
-		Targets:     []Target{{Service: "model", Weight: 3}, {Service: "spare", Weight: 1}},
-		Timeout:     15 * time.Second,
-		FirstEvent:  920 * time.Millisecond,
-		EventGap:    33 * time.Millisecond,
-		MaxAttempts: 4,
-		Priority:    5,
-		Sticky:      true,
-		Resumable:   true,
-		Homes:       []string{"north", "south"},
+		Name:             "chat",
+		Host:             "Example.test",
+		PathPrefix:       "/chat/",
+		Kind:             Stream,
+		Targets:          []Target{{Service: "model", Weight: 3}, {Service: "spare", Weight: 1}},
+		Timeout:          15 * time.Second,
+		FirstEventTarget: 920 * time.Millisecond,
+		EventGapTarget:   33 * time.Millisecond,
+		MaxAttempts:      4,
+		Priority:         5,
+		CacheAffinity:    true,
+		Resumable:        true,
+		HomeRegions:      []string{"north", "south"},
 	}
 }
 
 // goldenService has another value in each field.
 func goldenService() Service {
 	return Service{
-		Name:           "model",
-		MaxConnections: 100,
-		ColdPerSecond:  2.5,
-		ColdStart:      30 * time.Second,
-		Slots:          8,
-		CacheTokens:    200_000,
-		HealthPath:     "/health",
+		Name:              "model",
+		MaxConnections:    100,
+		SlowStartRate:     2.5,
+		SlowStartDuration: 30 * time.Second,
+		Slots:             8,
+		CacheTokens:       200_000,
+		HealthPath:        "/health",
 	}
 }
 
@@ -95,8 +95,8 @@
 		Version: 7,
 		Routes: []Route{
 			goldenRoute(),
-			{Name: "pages", Host: "example.test", PathPrefix: "/", Kind: Repeatable, Targets: []Target{{Service: "spare", Weight: 1}}, Timeout: time.Second},
-			{Name: "pay", Host: "example.test", PathPrefix: "/pay/", Kind: Once, Targets: []Target{{Service: "spare", Weight: 1}}, Timeout: time.Second},
+			{Name: "pages", Host: "example.test", PathPrefix: "/", Kind: Idempotent, Targets: []Target{{Service: "spare", Weight: 1}}, Timeout: time.Second},
+			{Name: "pay", Host: "example.test", PathPrefix: "/pay/", Kind: AtMostOnce, Targets: []Target{{Service: "spare", Weight: 1}}, Timeout: time.Second},
 		},
 		Services: []Service{goldenService(), {Name: "spare"}},
 		Limits:   Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 33, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute},
@@ -136,7 +136,7 @@
 
 // TestGoldenKinds holds the texts that are stored and sent.
 func TestGoldenKinds(t *testing.T) {
-	for got, want := range map[Kind]string{Repeatable: "repeatable", Once: "once", Stream: "stream"} {
+	for got, want := range map[Kind]string{Idempotent: "repeatable", AtMostOnce: "once", Stream: "stream"} {
 		if string(got) != want {
 			t.Errorf("kind %q, want %q", got, want)
 		}
--- a/routemap/routemap.go
+++ b/routemap/routemap.go
@@ -12,10 +12,10 @@
 
 // Kinds of routes.
 const (
-	// Repeatable requests may run more than once.
-	Repeatable Kind = "repeatable"
-	// Once is for requests of which at most one attempt may run.
-	Once Kind = "once"
+	// Idempotent requests may run more than once.
+	Idempotent Kind = "repeatable"
+	// AtMostOnce is for requests of which at most one attempt may run.
+	AtMostOnce Kind = "once"
 	// Stream is for answers in events. Its requests run at most once unless the
 	// route is resumable.
 	Stream Kind = "stream"
@@ -39,25 +39,25 @@
 	Targets    []Target `cbor:"5,keyasint"`
 	// Timeout is the longest that a request is held.
 	Timeout time.Duration `cbor:"6,keyasint"`
-	// FirstEvent is the aim for the first byte of an answer, 0 for none.
-	FirstEvent time.Duration `cbor:"7,keyasint"`
-	// EventGap is the aim for the pause between two events of a stream.
-	EventGap time.Duration `cbor:"8,keyasint"`
+	// FirstEventTarget is the aim for the first byte of an answer, 0 for none.
+	FirstEventTarget time.Duration `cbor:"7,keyasint"`
+	// EventGapTarget is the aim for the pause between two events of a stream.
+	EventGapTarget time.Duration `cbor:"8,keyasint"`
 	// MaxAttempts bounds the replicas that one request is sent to, at least 1.
 	MaxAttempts int `cbor:"9,keyasint"`
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int `cbor:"10,keyasint"`
-	// Sticky requests belong where the parts of their prompt are cached.
-	Sticky bool `cbor:"11,keyasint"`
+	// CacheAffinity requests belong where the parts of their prompt are cached.
+	CacheAffinity bool `cbor:"11,keyasint"`
 	// Resumable streams may go on at another replica after an event.
 	Resumable bool `cbor:"12,keyasint"`
-	// Homes are the only regions that may serve the route; empty is all.
-	Homes []string `cbor:"13,keyasint"`
+	// HomeRegions are the only regions that may serve the route; empty is all.
+	HomeRegions []string `cbor:"13,keyasint"`
 }
 
-// MayRepeat says whether a request may run more than once.
-func (r *Route) MayRepeat() bool {
-	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
+// Retryable says whether a request may run more than once.
+func (r *Route) Retryable() bool {
+	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Service is a set of interchangeable replicas.
@@ -65,10 +65,10 @@
 	Name string `cbor:"1,keyasint"`
 	// MaxConnections bounds the connections to one replica from all gateways.
 	MaxConnections int `cbor:"2,keyasint"`
-	// ColdPerSecond is the requests a second that a cold replica bears; 0 is no bound.
-	ColdPerSecond float64 `cbor:"3,keyasint"`
-	// ColdStart is how long a replica stays cold.
-	ColdStart time.Duration `cbor:"4,keyasint"`
+	// SlowStartRate is the requests a second that a cold replica bears; 0 is no bound.
+	SlowStartRate float64 `cbor:"3,keyasint"`
+	// SlowStartDuration is how long a replica stays cold.
+	SlowStartDuration time.Duration `cbor:"4,keyasint"`
 	// Slots is the number of requests that a replica runs side by side; 0 leaves
 	// it to the list of replicas.
 	Slots int `cbor:"5,keyasint"`
--- a/routemap/routemap_test.go
+++ b/routemap/routemap_test.go
@@ -14,7 +14,7 @@
 			{Name: "web"},
 		},
 		Routes: []Route{
-			{Name: "a", Host: "Example.test", PathPrefix: "/a/", Kind: Once, Targets: []Target{{"pool", 3}, {"web", 1}}, Timeout: time.Second},
+			{Name: "a", Host: "Example.test", PathPrefix: "/a/", Kind: AtMostOnce, Targets: []Target{{"pool", 3}, {"web", 1}}, Timeout: time.Second},
 			{Name: "ab", Host: "example.test", PathPrefix: "/a/b/", Kind: Stream, Targets: []Target{{"web", 1}}, Timeout: time.Second},
 		},
 	}
@@ -29,7 +29,7 @@
 		"service twice":        {func(m *Map) { m.Services[1].Name = "pool" }, "services[1].name"},
 		"nameless service":     {func(m *Map) { m.Services[0].Name = "" }, "services[0].name"},
 		"negative connections": {func(m *Map) { m.Services[0].MaxConnections = -1 }, "services[0]"},
-		"negative cold rate":   {func(m *Map) { m.Services[0].ColdPerSecond = -1 }, "services[0]"},
+		"negative cold rate":   {func(m *Map) { m.Services[0].SlowStartRate = -1 }, "services[0]"},
 		"route twice":          {func(m *Map) { m.Routes[1].Name = "a" }, "routes[1].name"},
 		"same place":           {func(m *Map) { m.Routes[1].PathPrefix = "/a/" }, "routes[1].path_prefix"},
 		"no slash at the end":  {func(m *Map) { m.Routes[0].PathPrefix = "/a" }, "routes[0].path_prefix"},
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := validMap()
 			test.change(&m)
-			var problem *Problem
+			var problem *FieldError
 			if err := m.Validate(); !errors.As(err, &problem) || problem.Field != test.field || problem.Reason == "" {
 				t.Fatalf("got %v, want a problem at %s", err, test.field)
 			}
@@ -96,13 +96,13 @@
 		route Route
 		want  bool
 	}{
-		{Route{Kind: Once}, false},
-		{Route{Kind: Repeatable}, true},
+		{Route{Kind: AtMostOnce}, false},
+		{Route{Kind: Idempotent}, true},
 		{Route{Kind: Stream}, false},
 		{Route{Kind: Stream, Resumable: true}, true},
 	}
 	for _, test := range tests {
-		if got := test.route.MayRepeat(); got != test.want {
+		if got := test.route.Retryable(); got != test.want {
 			t.Errorf("%+v: got %v", test.route, got)
 		}
 	}
--- a/routemap/validate.go
+++ b/routemap/validate.go
@@ -8,18 +8,18 @@
 // maxNameBytes bounds the names of routes, hosts, prefixes and services.
 const maxNameBytes = 128
 
-// Problem is why a map is not taken. Field names the place in the map.
-type Problem struct {
+// FieldError is why a map is not taken. Field names the place in the map.
+type FieldError struct {
 	Field  string
 	Reason string
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("routemap: %s: %s", p.Field, p.Reason) }
+func (p *FieldError) Error() string { return fmt.Sprintf("routemap: %s: %s", p.Field, p.Reason) }
 
 // Validate returns a *Problem for the first thing wrong with the map.
 func (m *Map) Validate() error {
 	if m.Version == 0 {
-		return &Problem{Field: "version", Reason: "must be above 0"}
+		return &FieldError{Field: "version", Reason: "must be above 0"}
 	}
 	services, err := m.validateServices()
 	if err != nil {
@@ -36,7 +36,7 @@
 			return nil, err
 		}
 		if services[service.Name] {
-			return nil, &Problem{Field: field + ".name", Reason: fmt.Sprintf("%q stands twice", service.Name)}
+			return nil, &FieldError{Field: field + ".name", Reason: fmt.Sprintf("%q stands twice", service.Name)}
 		}
 		services[service.Name] = true
 	}
@@ -48,42 +48,42 @@
 func (s *Service) Validate(field string) error {
 	switch {
 	case !validName(s.Name):
-		return &Problem{Field: field + ".name", Reason: nameReason}
+		return &FieldError{Field: field + ".name", Reason: nameReason}
 	case s.MaxConnections < 0 || s.Slots < 0 || s.CacheTokens < 0:
-		return &Problem{Field: field, Reason: "numbers must not be negative"}
-	case s.ColdPerSecond < 0 || s.ColdStart < 0:
-		return &Problem{Field: field, Reason: "cold bounds must not be negative"}
+		return &FieldError{Field: field, Reason: "numbers must not be negative"}
+	case s.SlowStartRate < 0 || s.SlowStartDuration < 0:
+		return &FieldError{Field: field, Reason: "cold bounds must not be negative"}
 	default:
 		return nil
 	}
 }
 
-// Place is what only one route of a map may have.
-type Place struct {
+// RouteKey is what only one route of a map may have.
+type RouteKey struct {
 	Host       string // in small letters
 	PathPrefix string
 }
 
-// Place returns the route's place.
-func (r *Route) Place() Place {
-	return Place{Host: strings.ToLower(r.Host), PathPrefix: r.PathPrefix}
+// Key returns the route's place.
+func (r *Route) Key() RouteKey {
+	return RouteKey{Host: strings.ToLower(r.Host), PathPrefix: r.PathPrefix}
 }
 
 func (m *Map) validateRoutes(services map[string]bool) error {
 	names := make(map[string]bool, len(m.Routes))
-	placed := make(map[Place]bool, len(m.Routes))
+	placed := make(map[RouteKey]bool, len(m.Routes))
 	for i := range m.Routes {
 		route := &m.Routes[i]
 		field := fmt.Sprintf("routes[%d]", i)
 		if err := route.Validate(field, services); err != nil {
 			return err
 		}
-		where := route.Place()
+		where := route.Key()
 		if names[route.Name] {
-			return &Problem{Field: field + ".name", Reason: fmt.Sprintf("%q stands twice", route.Name)}
+			return &FieldError{Field: field + ".name", Reason: fmt.Sprintf("%q stands twice", route.Name)}
 		}
 		if placed[where] {
-			return &Problem{Field: field + ".path_prefix", Reason: "another route has the same host and prefix"}
+			return &FieldError{Field: field + ".path_prefix", Reason: "another route has the same host and prefix"}
 		}
 		names[route.Name] = true
 		placed[where] = true
@@ -100,17 +100,17 @@
 func (r *Route) Validate(field string, services map[string]bool) error {
 	switch {
 	case !validName(r.Name):
-		return &Problem{Field: field + ".name", Reason: nameReason}
+		return &FieldError{Field: field + ".name", Reason: nameReason}
 	case !validName(r.Host):
-		return &Problem{Field: field + ".host", Reason: nameReason}
+		return &FieldError{Field: field + ".host", Reason: nameReason}
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
-		return &Problem{Field: field + ".path_prefix", Reason: "must begin and end with a slash"}
-	case r.Kind != Repeatable && r.Kind != Once && r.Kind != Stream:
-		return &Problem{Field: field + ".kind", Reason: fmt.Sprintf("%q is not known", r.Kind)}
+		return &FieldError{Field: field + ".path_prefix", Reason: "must begin and end with a slash"}
+	case r.Kind != Idempotent && r.Kind != AtMostOnce && r.Kind != Stream:
+		return &FieldError{Field: field + ".kind", Reason: fmt.Sprintf("%q is not known", r.Kind)}
 	case r.Timeout <= 0:
-		return &Problem{Field: field + ".timeout_ms", Reason: "must be above 0"}
-	case r.FirstEvent < 0 || r.EventGap < 0 || r.MaxAttempts < 0:
-		return &Problem{Field: field, Reason: "numbers must not be negative"}
+		return &FieldError{Field: field + ".timeout_ms", Reason: "must be above 0"}
+	case r.FirstEventTarget < 0 || r.EventGapTarget < 0 || r.MaxAttempts < 0:
+		return &FieldError{Field: field, Reason: "numbers must not be negative"}
 	}
 	return r.validateTargets(field, services)
 }
@@ -120,15 +120,15 @@
 	for i, target := range r.Targets {
 		at := fmt.Sprintf("%s.targets[%d]", field, i)
 		if !services[target.Service] {
-			return &Problem{Field: at + ".service", Reason: fmt.Sprintf("unknown service %q", target.Service)}
+			return &FieldError{Field: at + ".service", Reason: fmt.Sprintf("unknown service %q", target.Service)}
 		}
 		if target.Weight < 0 {
-			return &Problem{Field: at + ".weight", Reason: "must not be negative"}
+			return &FieldError{Field: at + ".weight", Reason: "must not be negative"}
 		}
 		total += target.Weight
 	}
 	if total == 0 {
-		return &Problem{Field: field + ".targets", Reason: "the weights add up to 0"}
+		return &FieldError{Field: field + ".targets", Reason: "the weights add up to 0"}
 	}
 	return nil
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // BenchmarkReserve places requests on 240 replicas with prefixes: one call is
 // one request from Acquire's fast path to Finish.
 func BenchmarkReserve(b *testing.B) {
 	f := newFleet(b)
-	f.set(places.ServiceRecord("large", places.Service{Kind: "model", MaxConcurrency: 64}))
+	f.set(catalog.ServiceRecord("large", catalog.Service{Kind: "model", MaxConcurrency: 64}))
 	for index := range 240 {
 		f.replica(fmt.Sprint("r", index), "east-a", "east")
 	}
@@ -62,11 +62,11 @@
 	f := newFleet(b)
 	for region := range 50 {
 		name := fmt.Sprint("region", region)
-		f.records = append(f.records, places.RegionRecord(name, places.Region{Capacity: 1}))
-		f.records = append(f.records, places.GatewayRecord(name, places.Gateway{Incarnation: "1", Region: name, Zone: name, Up: true}))
+		f.records = append(f.records, catalog.RegionRecord(name, catalog.Region{Capacity: 1}))
+		f.records = append(f.records, catalog.GatewayRecord(name, catalog.Gateway{Incarnation: "1", Region: name, Zone: name, Up: true}))
 		for index := range 240 {
 			id := fmt.Sprint(name, "-", index)
-			f.records = append(f.records, places.ReplicaRecord(id, places.Replica{
+			f.records = append(f.records, catalog.ReplicaRecord(id, catalog.Replica{
 				Service: "large", Zone: name, Region: name, Address: id,
 			}))
 		}
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/detector"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 const (
@@ -31,13 +31,13 @@
 // requires Old (nil for absent) and sets New.
 type ConditionChange struct {
 	Replica string
-	Old     *places.Condition
-	New     places.Condition
+	Old     *catalog.Condition
+	New     catalog.Condition
 }
 
 // emission is the last change offered for a replica.
 type emission struct {
-	condition places.Condition
+	condition catalog.Condition
 	at        time.Time
 }
 
@@ -113,55 +113,55 @@
 
 // seen is the condition as this gateway sees it, with hysteresis; false while
 // nothing can be said.
-func (t *replica) seen(now time.Time) (places.Condition, bool) {
+func (t *replica) seen(now time.Time) (catalog.Condition, bool) {
 	state, ok := t.stateSeen(now)
 	if !ok {
-		return places.Condition{}, false
+		return catalog.Condition{}, false
 	}
 	state = t.fact.Offer(now, state, holdOf(state))
-	if state == places.ConditionDown {
+	if state == catalog.ConditionDown {
 		return t.seenDown(now)
 	}
-	condition := places.Condition{State: state, Incarnation: t.report.Incarnation}
-	if state == places.ConditionCold {
-		condition.Feeder = t.feeder()
-		return condition, condition.Feeder != ""
+	condition := catalog.Condition{State: state, Incarnation: t.report.Incarnation}
+	if state == catalog.ConditionWarmingUp {
+		condition.WarmupGateway = t.feeder()
+		return condition, condition.WarmupGateway != ""
 	}
 	return condition, true
 }
 
 // seenDown keeps a condition that says down already as it is.
-func (t *replica) seenDown(now time.Time) (places.Condition, bool) {
-	if t.conditioned && t.condition.State == places.ConditionDown {
+func (t *replica) seenDown(now time.Time) (catalog.Condition, bool) {
+	if t.conditioned && t.condition.State == catalog.ConditionDown {
 		return t.condition, true
 	}
-	down := places.Condition{State: places.ConditionDown, Incarnation: t.report.Incarnation}
+	down := catalog.Condition{State: catalog.ConditionDown, Incarnation: t.report.Incarnation}
 	return down, t.service.router.hearsAny(now)
 }
 
-func (t *replica) stateSeen(now time.Time) (places.ConditionState, bool) {
+func (t *replica) stateSeen(now time.Time) (catalog.ConditionState, bool) {
 	dead := t.watch.State(now) == detector.Dead
 	switch {
 	case dead && (t.reported || now.Sub(t.created) >= startGrace):
-		return places.ConditionDown, true
+		return catalog.ConditionDown, true
 	case !t.reported || t.unknown || dead:
 		return "", false
-	case t.report.Draining || t.service.router.plan.Drained(t.name):
-		return places.ConditionDraining, true
+	case t.report.Draining || t.service.router.plan.IsDraining(t.name):
+		return catalog.ConditionDraining, true
 	case t.report.Cold:
-		return places.ConditionCold, true
+		return catalog.ConditionWarmingUp, true
 	default:
-		return places.ConditionUp, true
+		return catalog.ConditionUp, true
 	}
 }
 
 // holdOf is the time that a state must be seen before it replaces another.
 // States that take work away at once do no harm; those that give it back wait.
-func holdOf(state places.ConditionState) time.Duration {
+func holdOf(state catalog.ConditionState) time.Duration {
 	switch state {
-	case places.ConditionUp:
+	case catalog.ConditionUp:
 		return upHold
-	case places.ConditionDown:
+	case catalog.ConditionDown:
 		return downHold
 	default:
 		return 0
@@ -172,8 +172,8 @@
 // It stays as long as it may feed; else rendezvous names the next.
 func (t *replica) feeder() string {
 	feeders := t.service.router.feeders
-	if t.conditioned && t.condition.Feeder != "" && slices.Contains(feeders, t.condition.Feeder) {
-		return t.condition.Feeder
+	if t.conditioned && t.condition.WarmupGateway != "" && slices.Contains(feeders, t.condition.WarmupGateway) {
+		return t.condition.WarmupGateway
 	}
 	return placement.Owner(feederKey+t.name, feeders)
 }
@@ -193,8 +193,8 @@
 	}
 	var feeders []string
 	for _, replica := range target.replicas {
-		feeder := replica.condition.Feeder
-		cold := replica.allowed && replica.conditioned && replica.condition.State == places.ConditionCold
+		feeder := replica.condition.WarmupGateway
+		cold := replica.allowed && replica.conditioned && replica.condition.State == catalog.ConditionWarmingUp
 		if !cold || feeder == r.config.Gateway || slices.Contains(feeders, feeder) {
 			continue
 		}
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -18,18 +18,18 @@
 func newFleet(t testing.TB) *fleet {
 	f := &fleet{t: t}
 	f.set(
-		places.ConfigurationRecord(places.Configuration{Version: 1}),
-		places.LimitsRecord(places.Limits{QueueLength: 8}),
-		places.ServiceRecord("large", places.Service{Kind: "model", MaxConcurrency: 4}),
-		places.RouteRecord("large-1", places.Route{Service: "large"}),
-		places.RegionRecord("east", places.Region{Spill: []string{"west"}, Capacity: 5}),
-		places.RegionRecord("west", places.Region{Spill: []string{"east"}, Capacity: 4}),
-		places.ZoneRecord("east-a", places.Zone{Region: "east"}),
-		places.ZoneRecord("west-a", places.Zone{Region: "west"}),
-		places.HomeRecord("east-only", places.Home{Regions: []string{"east"}}),
-		places.HomeRecord("west-only", places.Home{Regions: []string{"west"}}),
-		places.TenantRecord("bound", places.Tenant{Home: "east-only"}),
-		places.ClientRecord("westerners", places.Client{Region: "west"}),
+		catalog.ConfigurationRecord(catalog.Configuration{Version: 1}),
+		catalog.LimitsRecord(catalog.Limits{QueueLength: 8}),
+		catalog.ServiceRecord("large", catalog.Service{Kind: "model", MaxConcurrency: 4}),
+		catalog.RouteRecord("large-1", catalog.Route{Service: "large"}),
+		catalog.RegionRecord("east", catalog.Region{Spill: []string{"west"}, Capacity: 5}),
+		catalog.RegionRecord("west", catalog.Region{Spill: []string{"east"}, Capacity: 4}),
+		catalog.ZoneRecord("east-a", catalog.Zone{Region: "east"}),
+		catalog.ZoneRecord("west-a", catalog.Zone{Region: "west"}),
+		catalog.HomeRecord("east-only", catalog.Home{Regions: []string{"east"}}),
+		catalog.HomeRecord("west-only", catalog.Home{Regions: []string{"west"}}),
+		catalog.TenantRecord("bound", catalog.Tenant{Home: "east-only"}),
+		catalog.ClientRecord("westerners", catalog.Client{Region: "west"}),
 	)
 	f.gateway("g1", "east-a", "east", true)
 	f.gateway("g2", "west-a", "west", true)
@@ -54,17 +54,17 @@
 }
 
 func (f *fleet) gateway(name, zone, region string, up bool) {
-	f.set(places.GatewayRecord(name, places.Gateway{Incarnation: "1", Zone: zone, Region: region, Up: up}))
+	f.set(catalog.GatewayRecord(name, catalog.Gateway{Incarnation: "1", Zone: zone, Region: region, Up: up}))
 }
 
 func (f *fleet) replica(name, zone, region string) {
-	f.set(places.ReplicaRecord(name, places.Replica{
+	f.set(catalog.ReplicaRecord(name, catalog.Replica{
 		Service: "large", Zone: zone, Region: region, Address: name + ":80",
 	}))
 }
 
-func (f *fleet) condition(name string, state places.ConditionState, feeder string) {
-	f.set(places.ConditionRecord(name, places.Condition{State: state, Incarnation: name + "-1", Feeder: feeder}))
+func (f *fleet) condition(name string, state catalog.ConditionState, feeder string) {
+	f.set(catalog.ConditionRecord(name, catalog.Condition{State: state, Incarnation: name + "-1", WarmupGateway: feeder}))
 }
 
 func (f *fleet) plan() *Plan {
@@ -75,7 +75,7 @@
 // planAfter is plan with the serial that follows the given one.
 func (f *fleet) planAfter(serial uint32) *Plan {
 	f.t.Helper()
-	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "c1", Serial: serial}, []string{"c1"})
+	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "c1", Serial: serial}, []string{"c1"})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 	for _, record := range f.records {
 		changes = append(changes, registry.Add(record))
 	}
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
 		f.t.Fatalf("table: %v", result)
 	}
-	contents, err := places.Read(table.View())
+	contents, err := catalog.Read(table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // simulated is a replica in virtual time: cold until it has completed some
@@ -72,7 +72,7 @@
 		names:    []string{"g1", "g3", "g4"},
 		gateways: map[string]*Router{}, down: map[string]bool{}, granted: map[string]int{},
 	}
-	s.fleet.set(places.ServiceRecord("large", places.Service{Kind: "model", MaxConcurrency: 8}))
+	s.fleet.set(catalog.ServiceRecord("large", catalog.Service{Kind: "model", MaxConcurrency: 8}))
 	for _, name := range s.names {
 		s.fleet.gateway(name, "east-a", "east", true)
 		s.gateways[name] = newRouter("east", name)
@@ -140,7 +140,7 @@
 				s.t.Errorf("%s and %s both watch %s", other, name, change.Replica)
 			}
 			changed[change.Replica] = name
-			s.fleet.set(places.ConditionRecord(change.Replica, change.New))
+			s.fleet.set(catalog.ConditionRecord(change.Replica, change.New))
 		}
 	}
 	if len(changed) > 0 {
@@ -149,7 +149,7 @@
 }
 
 // holds is the prerequisite of a conditional update.
-func (s *simulation) holds(replica string, old *places.Condition) bool {
+func (s *simulation) holds(replica string, old *catalog.Condition) bool {
 	present, ok := s.fleet.plan().Condition(replica)
 	if old == nil {
 		return !ok
@@ -240,7 +240,7 @@
 			s.run(2, 4)
 			for _, replica := range s.replicas {
 				condition, _ := s.fleet.plan().Condition(replica.name)
-				if replica.cold() || condition.State != places.ConditionUp {
+				if replica.cold() || condition.State != catalog.ConditionUp {
 					t.Errorf("seed %d: %s ends %+v after %d completions", seed, replica.name, condition, replica.completed)
 				}
 			}
@@ -266,17 +266,17 @@
 		s.watch()
 		s.replicas[0].silent = false
 		s.run(2, 1)
-		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != places.ConditionUp {
+		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionUp {
 			t.Fatalf("one lost poll: %+v", condition)
 		}
 		s.replicas[0].silent = true
 		s.run(6, 1)
-		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != places.ConditionDown {
+		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionDown {
 			t.Fatalf("6 s of silence: %+v", condition)
 		}
 		s.replicas[0].silent = false
 		s.run(3, 1)
-		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != places.ConditionUp {
+		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionUp {
 			t.Fatalf("heard again: %+v", condition)
 		}
 		time.Sleep(25 * time.Second) // all gateways frozen
@@ -288,7 +288,7 @@
 		}
 		s.run(8, 1)
 		for _, replica := range s.replicas {
-			if condition, _ := s.fleet.plan().Condition(replica.name); condition.State != places.ConditionUp {
+			if condition, _ := s.fleet.plan().Condition(replica.name); condition.State != catalog.ConditionUp {
 				t.Fatalf("a gateway that hears nobody wrote %+v", condition)
 			}
 		}
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // overload is one gateway with four replicas of four slots, in virtual time.
@@ -27,8 +27,8 @@
 
 func newOverload(t *testing.T) *overload {
 	f := newFleet(t)
-	f.set(places.LimitsRecord(places.Limits{QueueLength: 64}))
-	f.set(places.TenantRecord("double", places.Tenant{Weight: 2}))
+	f.set(catalog.LimitsRecord(catalog.Limits{QueueLength: 64}))
+	f.set(catalog.TenantRecord("double", catalog.Tenant{Weight: 2}))
 	for index := range 4 {
 		f.replica(fmt.Sprint("r", index), "east-a", "east")
 	}
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 const (
@@ -201,18 +201,18 @@
 }
 
 // planAdmits reports whether the plan alone lets a replica have new work.
-func planAdmits(plan *Plan, name string, replica places.Replica) bool {
-	if plan.Drained(name) || plan.Evacuated(replica.Zone) {
+func planAdmits(plan *Plan, name string, replica catalog.Replica) bool {
+	if plan.IsDraining(name) || plan.IsEvacuated(replica.Zone) {
 		return false
 	}
 	condition, ok := plan.Condition(name)
 	if !ok {
 		return true
 	}
-	return condition.State == places.ConditionUp || condition.State == places.ConditionCold
+	return condition.State == catalog.ConditionUp || condition.State == catalog.ConditionWarmingUp
 }
 
-func (s *service) setRegions(listed map[string]places.Region, usable map[string]bool) {
+func (s *service) setRegions(listed map[string]catalog.Region, usable map[string]bool) {
 	for name := range s.regions {
 		if _, ok := listed[name]; !ok {
 			delete(s.regions, name)
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -5,10 +5,10 @@
 
 	"github.com/deckpulley/deckpulley/admission"
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/detector"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/ramp"
 )
 
@@ -42,13 +42,13 @@
 	name    string
 	hash    uint64
 	number  int // in its service
-	listed  places.Replica
+	listed  catalog.Replica
 	service *service
 	watched bool // this gateway is its watcher
 	gone    bool // no longer listed
 
 	allowed     bool // by list, drain record and zone
-	condition   places.Condition
+	condition   catalog.Condition
 	conditioned bool
 
 	report   api.ReplicaReport
@@ -57,7 +57,7 @@
 	former   string
 	created  time.Time
 	watch    *detector.Detector
-	fact     detector.Hysteresis[places.ConditionState]
+	fact     detector.Hysteresis[catalog.ConditionState]
 	emitted  emission
 
 	open        bool // everything but time admits new work
@@ -80,7 +80,7 @@
 	fedAt        time.Time
 }
 
-func newReplica(service *service, name string, number int, listed places.Replica, now time.Time) *replica {
+func newReplica(service *service, name string, number int, listed catalog.Replica, now time.Time) *replica {
 	target := &replica{
 		name:    name,
 		hash:    placement.Hash(name),
@@ -99,12 +99,12 @@
 func (t *replica) plan(now time.Time, plan *Plan) {
 	router := t.service.router
 	t.watched = placement.Owner(t.name, router.gateways) == router.config.Gateway
-	t.allowed = !plan.Drained(t.name) && !plan.Evacuated(t.listed.Zone)
+	t.allowed = !plan.IsDraining(t.name) && !plan.IsEvacuated(t.listed.Zone)
 	before, had := t.condition, t.conditioned
 	t.condition, t.conditioned = plan.Condition(t.name)
 	self := router.config.Gateway
-	tookOver := had && t.conditioned && t.condition.Feeder == self &&
-		before.Feeder != self && before.Feeder != "" && before.Incarnation == t.condition.Incarnation
+	tookOver := had && t.conditioned && t.condition.WarmupGateway == self &&
+		before.WarmupGateway != self && before.WarmupGateway != "" && before.Incarnation == t.condition.Incarnation
 	if tookOver {
 		t.closedUntil = later(t.closedUntil, now.Add(feederChange))
 	}
@@ -188,10 +188,10 @@
 		return !t.report.Cold
 	}
 	switch t.condition.State {
-	case places.ConditionUp:
+	case catalog.ConditionUp:
 		return !t.report.Cold
-	case places.ConditionCold:
-		feeds := t.condition.Feeder == t.service.router.config.Gateway || planted.Active(planted.RampPerGateway)
+	case catalog.ConditionWarmingUp:
+		feeds := t.condition.WarmupGateway == t.service.router.config.Gateway || planted.Active(planted.RampPerGateway)
 		return feeds && t.condition.Incarnation == t.report.Incarnation
 	default:
 		return false
@@ -201,7 +201,7 @@
 // cold reports whether the replica counts as cold: until both its own report
 // and the plan say otherwise.
 func (t *replica) cold() bool {
-	return !planted.Active(planted.RampPerGateway) && (t.report.Cold || t.conditioned && t.condition.State == places.ConditionCold)
+	return !planted.Active(planted.RampPerGateway) && (t.report.Cold || t.conditioned && t.condition.State == catalog.ConditionWarmingUp)
 }
 
 // startRamp begins a ramp for a new incarnation, after a long closure, and when
--- a/routing/resolve.go
+++ b/routing/resolve.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/internal/planted"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // kindWeb is the kind of services without prefill and decode.
@@ -101,7 +101,7 @@
 // homeUnder intersects the homes that bind a request: its own rule, its route's
 // and its tenant's. A rule that the plan does not know admits no region, so
 // that a rule removed in error binds rather than frees.
-func homeUnder(plan *Plan, request *Request, route places.Route) (regions []string, bound bool) {
+func homeUnder(plan *Plan, request *Request, route catalog.Route) (regions []string, bound bool) {
 	rules := make([]string, 0, 3)
 	rules = append(rules, request.HomeRule, route.Home)
 	if request.Tenant != "" {
--- a/routing/router.go
+++ b/routing/router.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/detector"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/retry"
 )
 
@@ -188,7 +188,7 @@
 			continue
 		}
 		r.gateways = append(r.gateways, name)
-		if !plan.Evacuated(gateway.Zone) {
+		if !plan.IsEvacuated(gateway.Zone) {
 			r.feeders = append(r.feeders, name)
 		}
 	}
@@ -248,7 +248,7 @@
 
 // ownReplicas names the listed replicas of the own region that belong to a
 // known service, sorted, so that equal plans are taken in alike.
-func (r *Router) ownReplicas(listed map[string]places.Replica) []string {
+func (r *Router) ownReplicas(listed map[string]catalog.Replica) []string {
 	var names []string
 	for name, entry := range listed {
 		if entry.Region == r.config.Region && r.services[entry.Service] != nil {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // nothingNew lists the reasons why a replica gets nothing new, and their ends.
@@ -32,30 +32,30 @@
 	},
 	{
 		name:  "platform drains",
-		begin: func(f *fleet, _ *Router) { f.set(places.DrainRecord("r1", places.Drain{})) },
-		end:   func(f *fleet, _ *Router) { f.remove(places.ReplicaName("r1"), places.TypeDrain) },
+		begin: func(f *fleet, _ *Router) { f.set(catalog.DrainRecord("r1", catalog.Drain{})) },
+		end:   func(f *fleet, _ *Router) { f.remove(catalog.ReplicaName("r1"), catalog.TypeDrain) },
 	},
 	{
 		name:  "condition draining",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", places.ConditionDraining, "") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", places.ConditionUp, "") },
+		begin: func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionDraining, "") },
+		end:   func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionUp, "") },
 	},
 	{
 		name:  "condition down",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", places.ConditionDown, "") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", places.ConditionUp, "") },
+		begin: func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionDown, "") },
+		end:   func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionUp, "") },
 	},
 	{
 		name: "zone evacuated",
 		begin: func(f *fleet, _ *Router) {
-			f.set(places.EvacuationRecord("east-a", places.Evacuation{Order: "o"}))
+			f.set(catalog.EvacuationRecord("east-a", catalog.Evacuation{OperationID: "o"}))
 		},
-		end: func(f *fleet, _ *Router) { f.remove(places.ZoneName("east-a"), places.TypeEvacuation) },
+		end: func(f *fleet, _ *Router) { f.remove(catalog.ZoneName("east-a"), catalog.TypeEvacuation) },
 	},
 	{
 		name:  "cold with another feeder",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", places.ConditionCold, "g9") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", places.ConditionCold, "g1") },
+		begin: func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionWarmingUp, "g9") },
+		end:   func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionWarmingUp, "g1") },
 	},
 	{
 		name:  "poll failed",
@@ -75,7 +75,7 @@
 			r.Observe("r1", told, time.Now())
 		},
 		end: func(f *fleet, _ *Router) {
-			f.set(places.ConfigurationRecord(places.Configuration{Version: 2}))
+			f.set(catalog.ConfigurationRecord(catalog.Configuration{Version: 2}))
 		},
 	},
 	{
@@ -86,8 +86,8 @@
 			r.Observe("r1", told, time.Now())
 		},
 		end: func(f *fleet, _ *Router) {
-			f.set(places.ConditionRecord("r1", places.Condition{
-				State: places.ConditionCold, Incarnation: "r1-2", Feeder: "g1",
+			f.set(catalog.ConditionRecord("r1", catalog.Condition{
+				State: catalog.ConditionWarmingUp, Incarnation: "r1-2", WarmupGateway: "g1",
 			}))
 		},
 	},
@@ -155,7 +155,7 @@
 		}
 		synctest.Wait()
 		start := time.Now()
-		f.set(places.EvacuationRecord("east-a", places.Evacuation{Order: "o"}))
+		f.set(catalog.EvacuationRecord("east-a", catalog.Evacuation{OperationID: "o"}))
 		router.SetPlan(f.plan())
 		for range 2 {
 			failure := <-answers
@@ -249,13 +249,13 @@
 			t.Fatalf("homes without a common region: %v", failure)
 		}
 		// A new plan binds the route: the free request from before is bound too.
-		f.set(places.RouteRecord("large-1", places.Route{Service: "large", Home: "west-only"}))
+		f.set(catalog.RouteRecord("large-1", catalog.Route{Service: "large", Home: "west-only"}))
 		router.SetPlan(f.plan())
 		if got := router.Regions(free); len(got) != 1 || got[0] != "west" {
 			t.Fatalf("bound by the new plan: %v", got)
 		}
 		wantRefused(t, router, free, api.CodeHomeUnavailable)
-		f.set(places.EvacuationRecord("west-a", places.Evacuation{Order: "o"}))
+		f.set(catalog.EvacuationRecord("west-a", catalog.Evacuation{OperationID: "o"}))
 		router.SetPlan(f.plan())
 		if got := router.Regions(free); len(got) != 0 {
 			t.Fatalf("home evacuated: %v", got)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // Plan is everything routing needs from the registry's active table. It is
 // immutable: a new activation brings a new Plan.
-type Plan = places.Contents
+type Plan = catalog.State
 
 // Request is what routing must know of one request.
 type Request struct {
--- a/routing/service.go
+++ b/routing/service.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/admission"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/outlier"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/setpoint"
 )
 
@@ -32,7 +32,7 @@
 type service struct {
 	router   *Router
 	name     string
-	settings places.Service
+	settings catalog.Service
 	replicas []*replica
 	numbers  []*replica // by number, nil if free
 	cached   []float64  // by number, scratch of place
@@ -64,7 +64,7 @@
 	candidates []placement.Candidate
 }
 
-func newService(router *Router, name string, limits places.Limits) *service {
+func newService(router *Router, name string, limits catalog.Limits) *service {
 	return &service{
 		router:  router,
 		name:    name,
@@ -85,16 +85,16 @@
 	}
 }
 
-func (s *service) set(settings places.Service, limits places.Limits) {
+func (s *service) set(settings catalog.Service, limits catalog.Limits) {
 	s.settings = settings
 	s.firstToken = time.Duration(limits.FirstTokenMS) * time.Millisecond
-	s.coldConcurrency = limits.ColdConcurrency
+	s.coldConcurrency = limits.WarmupConcurrency
 	s.queueLength = limits.QueueLength
 	s.queue.SetLength(limits.QueueLength)
 	s.target = limits.TargetUtilization
 }
 
-func (s *service) add(name string, listed places.Replica, now time.Time) *replica {
+func (s *service) add(name string, listed catalog.Replica, now time.Time) *replica {
 	number := 0
 	for number < len(s.numbers) && s.numbers[number] != nil {
 		number++
@@ -133,7 +133,7 @@
 func (s *service) possible() bool {
 	for _, target := range s.replicas {
 		state := target.condition.State
-		shut := target.conditioned && (state == places.ConditionDown || state == places.ConditionDraining)
+		shut := target.conditioned && (state == catalog.ConditionDown || state == catalog.ConditionDraining)
 		if target.allowed && !shut {
 			return true
 		}
@@ -201,7 +201,7 @@
 		return s.utilization
 	}
 	for _, target := range s.replicas {
-		if target.allowed && target.reported && !target.unknown && target.condition.State == places.ConditionCold {
+		if target.allowed && target.reported && !target.unknown && target.condition.State == catalog.ConditionWarmingUp {
 			return fedElsewhere
 		}
 	}
--- a/routing/slot_test.go
+++ b/routing/slot_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // TestSlotStaysUnusable asks twice whether a slot may be used whose request a
@@ -19,7 +19,7 @@
 		router.SetPlan(f.plan())
 		router.Observe("r1", report("r1"), time.Now())
 		slot := mustReserve(t, router, request("free"))
-		f.set(places.RouteRecord("large-1", places.Route{Service: "large", Home: "west-only"}))
+		f.set(catalog.RouteRecord("large-1", catalog.Route{Service: "large", Home: "west-only"}))
 		router.SetPlan(f.planAfter(slot.Serial))
 		for asked := range 2 {
 			if slot.Usable(time.Now()) {
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 )
 
 // spillRegion is one region with one gateway in the spill simulation.
@@ -37,15 +37,15 @@
 	names := []string{"east", "south", "west"}
 	for _, name := range names {
 		others := slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
-		f.set(places.RegionRecord(name, places.Region{Spill: others, Capacity: sizes[name]}))
-		f.set(places.ZoneRecord(name+"-a", places.Zone{Region: name}))
+		f.set(catalog.RegionRecord(name, catalog.Region{Spill: others, Capacity: sizes[name]}))
+		f.set(catalog.ZoneRecord(name+"-a", catalog.Zone{Region: name}))
 		f.gateway("g-"+name, name+"-a", name, true)
 		for index := range sizes[name] {
 			f.replica(fmt.Sprint(name, index), name+"-a", name)
 		}
 	}
-	f.remove(places.GatewayName("g1"), places.TypeGateway)
-	f.remove(places.GatewayName("g2"), places.TypeGateway)
+	f.remove(catalog.GatewayName("g1"), catalog.TypeGateway)
+	f.remove(catalog.GatewayName("g2"), catalog.TypeGateway)
 	plan := f.plan()
 	regions := map[string]*spillRegion{}
 	for _, name := range names {
--- a/routing/status.go
+++ b/routing/status.go
@@ -134,7 +134,7 @@
 		Incarnation: t.report.Incarnation,
 		Usable:      t.usable(now),
 		Cold:        t.reported && t.cold(),
-		Draining:    t.report.Draining || t.service.router.plan.Drained(t.name),
+		Draining:    t.report.Draining || t.service.router.plan.IsDraining(t.name),
 		Ejected:     t.service.group.EjectedUntil(t.name).After(now),
 		Unknown:     !t.reported || t.unknown,
 		InFlight:    t.inFlight,
--- a/settings/derived.go
+++ b/settings/derived.go
@@ -42,13 +42,13 @@
 }
 
 // LeaseTerms returns the terms of leases, defaults filled in.
-func (s *Settings) LeaseTerms() lease.Terms {
-	defaults := lease.DefaultTerms()
-	return lease.Terms{
-		Length:    cmp.Or(time.Duration(s.Lease.Length), defaults.Length),
-		Margin:    cmp.Or(time.Duration(s.Lease.Margin), defaults.Margin),
-		QuorumAge: cmp.Or(time.Duration(s.Lease.QuorumAge), defaults.QuorumAge),
-		Renewal:   cmp.Or(time.Duration(s.Lease.Renewal), defaults.Renewal),
+func (s *Settings) LeaseTerms() lease.Config {
+	defaults := lease.DefaultConfig()
+	return lease.Config{
+		Duration:            cmp.Or(time.Duration(s.Lease.Length), defaults.Duration),
+		ClockDriftMargin:    cmp.Or(time.Duration(s.Lease.Margin), defaults.ClockDriftMargin),
+		MaxQuorumContactAge: cmp.Or(time.Duration(s.Lease.QuorumAge), defaults.MaxQuorumContactAge),
+		RenewalInterval:     cmp.Or(time.Duration(s.Lease.Renewal), defaults.RenewalInterval),
 	}
 }
 
@@ -59,12 +59,12 @@
 func (s *Settings) Logger() *slog.Logger {
 	level := new(slog.LevelVar)
 	level.Set(s.LogLevel())
-	return s.LoggerTo(os.Stderr, level)
+	return s.NewLogger(os.Stderr, level)
 }
 
-// LoggerTo is Logger with another destination and with a level that the caller
+// NewLogger is Logger with another destination and with a level that the caller
 // may change later, as on a reload.
-func (s *Settings) LoggerTo(destination io.Writer, level *slog.LevelVar) *slog.Logger {
+func (s *Settings) NewLogger(destination io.Writer, level *slog.LevelVar) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewTextHandler(destination, options)
 	if s.Log.Format == logFormatJSON {
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -35,7 +35,7 @@
 		"gateway.yaml": {
 			Name: "gateway-1", Role: RoleGateway, Zone: "zone-a", Region: "north",
 			PeerAddress: "10.0.0.9:7400", CallerAddress: "10.0.0.9:7401", HTTPAddress: "10.0.0.9:7403",
-			HTTPBounds: HTTPBounds{RetryRatio: 0.1, ColdOvershoot: 2}, LinkMbps: 25_000,
+			HTTPBounds: HTTPBounds{RetryRatio: 0.1, WarmupOvershoot: 2}, LinkMbps: 25_000,
 			OperatorAddress: "10.0.0.9:7402", Seeds: seeds,
 			KeyFile: "/etc/deckpulley/keys", TokenFile: "/etc/deckpulley/tokens",
 			Log: Log{Level: "debug", Format: "text"},
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -65,9 +65,9 @@
 	// RetryRatio bounds attempts beyond the first of each request, over the requests.
 	// Default 0.2.
 	RetryRatio float64 `yaml:"retry_ratio,omitempty"`
-	// ColdOvershoot is the factor by which a cold replica may get more than it bears.
+	// WarmupOvershoot is the factor by which a cold replica may get more than it bears.
 	// Default 1.5.
-	ColdOvershoot float64 `yaml:"cold_overshoot,omitempty"`
+	WarmupOvershoot float64 `yaml:"cold_overshoot,omitempty"`
 }
 
 // Log says how to log.
@@ -76,7 +76,7 @@
 	Format string `yaml:"format,omitempty"` // text or json; default text
 }
 
-// Lease overrules lease.DefaultTerms; the same on every node.
+// Lease overrules lease.DefaultConfig; the same on every node.
 type Lease struct {
 	Length    Duration `yaml:"length,omitempty"`
 	Margin    Duration `yaml:"margin,omitempty"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -90,15 +90,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if control.LeaseTerms() != lease.DefaultTerms() || control.LogLevel() != slog.LevelInfo || len(control.Warnings()) != 0 {
+	if control.LeaseTerms() != lease.DefaultConfig() || control.LogLevel() != slog.LevelInfo || len(control.Warnings()) != 0 {
 		t.Errorf("defaults differ: %+v", control)
 	}
 	gateway, err := load(t, f, RoleGateway, gatewayFile, Overrides{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := lease.DefaultTerms()
-	terms.Length = 2 * time.Second
+	terms := lease.DefaultConfig()
+	terms.Duration = 2 * time.Second
 	if diff := cmp.Diff(terms, gateway.LeaseTerms()); diff != "" {
 		t.Error(diff)
 	}
@@ -110,7 +110,7 @@
 	}
 	var output bytes.Buffer
 	level := new(slog.LevelVar)
-	logger := gateway.LoggerTo(&output, level)
+	logger := gateway.NewLogger(&output, level)
 	logger.Debug("hidden")
 	level.Set(gateway.LogLevel())
 	logger.Debug("shown")
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gateway.LinkMbps != 100 || gateway.HTTPBounds != (HTTPBounds{RetryRatio: 0.1, ColdOvershoot: 2}) {
+	if gateway.LinkMbps != 100 || gateway.HTTPBounds != (HTTPBounds{RetryRatio: 0.1, WarmupOvershoot: 2}) {
 		t.Errorf("got %d, %+v", gateway.LinkMbps, gateway.HTTPBounds)
 	}
 }
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -106,8 +106,8 @@
 	if bounds.RetryRatio < 0 || bounds.RetryRatio > 1 {
 		v.fail("http_bounds.retry_ratio", "%v must be from 0 to 1", bounds.RetryRatio)
 	}
-	if bounds.ColdOvershoot != 0 && bounds.ColdOvershoot < 1 {
-		v.fail("http_bounds.cold_overshoot", "%v must be 1 or more", bounds.ColdOvershoot)
+	if bounds.WarmupOvershoot != 0 && bounds.WarmupOvershoot < 1 {
+		v.fail("http_bounds.cold_overshoot", "%v must be 1 or more", bounds.WarmupOvershoot)
 	}
 }
 
--- a/storage/golden_data_folder_test.go
+++ b/storage/golden_data_folder_test.go
@@ -39,13 +39,13 @@
 }
 
 // goldenLoaded is the content of the golden data folder.
-func goldenLoaded(t *testing.T) Loaded {
+func goldenLoaded(t *testing.T) State {
 	t.Helper()
 	membership, err := cbor.Marshal(goldenMembership())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Loaded{
+	return State{
 		Identity:  goldenIdentity,
 		Cluster:   "ffeeddccbbaa99887766554433221100",
 		HardState: consensus.HardState{Term: 3, Vote: goldenIdentity, Commit: 7},
@@ -160,7 +160,7 @@
 
 // writeLoaded fills an empty disk. The first entries are written first and go with
 // the snapshot, as in a node.
-func writeLoaded(t *testing.T, disk *Disk, content Loaded) {
+func writeLoaded(t *testing.T, disk *Disk, content State) {
 	t.Helper()
 	var compacted []consensus.Entry
 	for index := uint64(1); index < content.Entries[0].Index; index++ {
@@ -216,7 +216,7 @@
 	return string(content)
 }
 
-func writeGoldenDataFolder(t *testing.T, content Loaded) {
+func writeGoldenDataFolder(t *testing.T, content State) {
 	t.Helper()
 	if err := os.RemoveAll(goldenDataFolder); err != nil {
 		t.Fatal(err)
--- a/storage/load.go
+++ b/storage/load.go
@@ -10,8 +10,8 @@
 )
 
 // Load implements Store.
-func (d *Disk) Load() (Loaded, error) {
-	var loaded Loaded
+func (d *Disk) Load() (State, error) {
+	var loaded State
 	if d.failed != nil {
 		return loaded, d.failed
 	}
@@ -19,12 +19,12 @@
 		return readAll(tx, &loaded)
 	})
 	if err != nil {
-		return Loaded{}, err
+		return State{}, err
 	}
 	return loaded, verify(loaded)
 }
 
-func readAll(tx *bolt.Tx, loaded *Loaded) error {
+func readAll(tx *bolt.Tx, loaded *State) error {
 	var format int
 	if err := get(tx, metaBucket, formatKey, &format, true); err != nil {
 		return err
@@ -63,7 +63,7 @@
 }
 
 // readSnapshot takes the index from the payload and checks it by the checksum.
-func readSnapshot(tx *bolt.Tx, loaded *Loaded) error {
+func readSnapshot(tx *bolt.Tx, loaded *State) error {
 	record := tx.Bucket(snapshotBucket).Get(currentKey)
 	if record == nil {
 		return nil
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func readLog(tx *bolt.Tx, loaded *Loaded) error {
+func readLog(tx *bolt.Tx, loaded *State) error {
 	var held bounds
 	if err := get(tx, stateBucket, boundsKey, &held, false); err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // verify checks what the records say together.
-func verify(loaded Loaded) error {
+func verify(loaded State) error {
 	previousTerm := uint64(0)
 	last := loaded.Snapshot.Index
 	for _, entry := range loaded.Entries {
--- a/storage/memory.go
+++ b/storage/memory.go
@@ -8,14 +8,14 @@
 
 // Memory is a Store for tests that can lose power around any write.
 type Memory struct {
-	durable Loaded
+	durable State
 	// writes counts the writes since the last Reopen.
 	writes int
 	plan   CrashPlan
 	down   bool
 	// unsynced is the number of newest writes that a crash takes back.
 	unsynced int
-	history  []Loaded
+	history  []State
 }
 
 var _ Store = (*Memory)(nil)
@@ -24,8 +24,8 @@
 type CrashPlan struct {
 	// Write counts from 1; zero plans nothing.
 	Write int
-	// After lets that write reach the disk before the power goes.
-	After bool
+	// AfterWrite lets that write reach the disk before the power goes.
+	AfterWrite bool
 }
 
 // NewMemory makes an empty disk with the identity given.
@@ -37,18 +37,18 @@
 
 // Wipe takes everything away, as a replaced disk does.
 func (m *Memory) Wipe(identity consensus.ID) {
-	*m = Memory{durable: Loaded{Identity: identity}}
+	*m = Memory{durable: State{Identity: identity}}
 }
 
-// Plan arms a power cut, counted from the next write.
-func (m *Memory) Plan(plan CrashPlan) {
+// ScheduleCrash arms a power cut, counted from the next write.
+func (m *Memory) ScheduleCrash(plan CrashPlan) {
 	m.plan = plan
 	m.writes = 0
 }
 
-// LoseSync makes the disk lie: a crash takes the newest writes back although
+// DropSyncedWrites makes the disk lie: a crash takes the newest writes back although
 // they were reported as synced. It exists to show that the checks notice.
-func (m *Memory) LoseSync(writes int) {
+func (m *Memory) DropSyncedWrites(writes int) {
 	m.unsynced = writes
 }
 
@@ -74,21 +74,21 @@
 }
 
 // Load implements Store.
-func (m *Memory) Load() (Loaded, error) {
+func (m *Memory) Load() (State, error) {
 	if m.down {
-		return Loaded{}, ErrCrash
+		return State{}, ErrCrash
 	}
 	return copyOf(m.durable), verify(m.durable)
 }
 
 // SetCluster implements Store.
 func (m *Memory) SetCluster(cluster string) error {
-	return m.write(func(held *Loaded) { held.Cluster = cluster })
+	return m.write(func(held *State) { held.Cluster = cluster })
 }
 
 // Save implements Store.
 func (m *Memory) Save(state *consensus.HardState, entries []consensus.Entry) error {
-	return m.write(func(held *Loaded) {
+	return m.write(func(held *State) {
 		if state != nil {
 			held.HardState = *state
 		}
@@ -104,7 +104,7 @@
 
 // SaveSnapshot implements Store.
 func (m *Memory) SaveSnapshot(snapshot consensus.Snapshot, keepFrom uint64) error {
-	return m.write(func(held *Loaded) {
+	return m.write(func(held *State) {
 		held.Snapshot = snapshot
 		reaches := slices.ContainsFunc(held.Entries, func(entry consensus.Entry) bool {
 			return entry.Index == snapshot.Index && entry.Term == snapshot.Term
@@ -125,13 +125,13 @@
 
 // write applies one change as a synced transaction, around which the planned
 // power cut may strike.
-func (m *Memory) write(change func(*Loaded)) error {
+func (m *Memory) write(change func(*State)) error {
 	if m.down {
 		return &FinalError{Operation: "write", Err: ErrCrash}
 	}
 	m.writes++
 	strikes := m.plan.Write != 0 && m.writes == m.plan.Write
-	if strikes && !m.plan.After {
+	if strikes && !m.plan.AfterWrite {
 		m.Crash()
 		return &FinalError{Operation: "write", Err: ErrCrash}
 	}
@@ -157,7 +157,7 @@
 
 // copyOf copies the slice header with its capacity clipped: entries themselves
 // are never written to.
-func copyOf(held Loaded) Loaded {
+func copyOf(held State) State {
 	held.Entries = slices.Clip(held.Entries)
 	return held
 }
--- a/storage/powerloss_test.go
+++ b/storage/powerloss_test.go
@@ -27,7 +27,7 @@
 // image is a file as it was at a sync, and what was stored then.
 type image struct {
 	content []byte
-	loaded  Loaded
+	loaded  State
 }
 
 // torn returns what may be left of the writes from one image to the next.
@@ -125,7 +125,7 @@
 }
 
 // reopen puts a file into a new folder and reads the store from it.
-func reopen(t *testing.T, content []byte) Loaded {
+func reopen(t *testing.T, content []byte) State {
 	t.Helper()
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, fileName), content, fileMode); err != nil {
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -6,8 +6,8 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// Loaded is what a disk holds at start.
-type Loaded struct {
+// State is what a disk holds at start.
+type State struct {
 	Identity consensus.ID
 	// Cluster is the random id of the group; empty until formed or joined.
 	Cluster   string
@@ -22,7 +22,7 @@
 type Store interface {
 	// Load reads everything back and verifies each record's checksum. A corrupt
 	// record is a *CorruptError, never skipped.
-	Load() (Loaded, error)
+	Load() (State, error)
 	// SetCluster records that this disk belongs to a group.
 	SetCluster(cluster string) error
 	// Save appends entries (truncating what conflicts) and the hard state in one
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -35,7 +35,7 @@
 	return disk
 }
 
-func mustLoad(t testing.TB, store Store) Loaded {
+func mustLoad(t testing.TB, store Store) State {
 	t.Helper()
 	loaded, err := store.Load()
 	if err != nil {
@@ -118,7 +118,7 @@
 }
 
 // drawSnapshot draws either a member's own snapshot or one that a leader sent.
-func drawSnapshot(r *rapid.T, held Loaded, last, term uint64) (consensus.Snapshot, uint64) {
+func drawSnapshot(r *rapid.T, held State, last, term uint64) (consensus.Snapshot, uint64) {
 	index := rapid.Uint64Range(held.Snapshot.Index+1, max(last, held.Snapshot.Index)+3).Draw(r, "index")
 	made := consensus.Snapshot{Index: index, Term: term, Data: []byte("table")}
 	for _, entry := range held.Entries {
@@ -323,7 +323,7 @@
 func TestMemoryCrashesAroundAWrite(t *testing.T) {
 	for _, after := range []bool{false, true} {
 		memory := NewMemory("disk")
-		memory.Plan(CrashPlan{Write: 2, After: after})
+		memory.ScheduleCrash(CrashPlan{Write: 2, AfterWrite: after})
 		if err := memory.Save(nil, entries(1, 1, 1)); err != nil {
 			t.Fatal(err)
 		}
--- a/stream/example_test.go
+++ b/stream/example_test.go
@@ -17,7 +17,7 @@
 	defer reader.Close()
 	for {
 		event, err := reader.Next()
-		var fault *stream.Fault
+		var fault *stream.ReadError
 		if errors.As(err, &fault) {
 			fmt.Println(fault.Code)
 			return
--- a/stream/fuzz_test.go
+++ b/stream/fuzz_test.go
@@ -28,7 +28,7 @@
 		for pieces := 1; ; pieces++ {
 			event, err := reader.Next()
 			if err != nil {
-				var known *Fault
+				var known *ReadError
 				if !errors.As(err, &known) || known.Code == "" {
 					t.Fatalf("not a fault: %v", err)
 				}
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -19,8 +19,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Fault says why a stream is not whole.
-type Fault struct {
+// ReadError says why a stream is not whole.
+type ReadError struct {
 	// Code is one of api.CodeReplicaBroken, CodeReplicaMismatch,
 	// CodeReplicaIncomplete and CodeReplicaStalled.
 	Code   api.Code
@@ -30,7 +30,7 @@
 }
 
 // Error implements the error interface.
-func (f *Fault) Error() string {
+func (f *ReadError) Error() string {
 	if f.Cause != nil {
 		return fmt.Sprintf("stream: %s: %s: %v", f.Code, f.Reason, f.Cause)
 	}
@@ -38,10 +38,10 @@
 }
 
 // Unwrap returns the read error.
-func (f *Fault) Unwrap() error { return f.Cause }
+func (f *ReadError) Unwrap() error { return f.Cause }
 
-func fault(code api.Code, format string, arguments ...any) *Fault {
-	return &Fault{Code: code, Reason: fmt.Sprintf(format, arguments...)}
+func fault(code api.Code, format string, arguments ...any) *ReadError {
+	return &ReadError{Code: code, Reason: fmt.Sprintf(format, arguments...)}
 }
 
 // Order checks that the events of one stream belong together: one request, one
@@ -225,17 +225,17 @@
 }
 
 func (r *Reader) readFault(err error) error {
-	var known *Fault
+	var known *ReadError
 	if errors.As(err, &known) {
 		return known
 	}
 	if r.stalled.Load() {
-		return &Fault{Code: api.CodeReplicaStalled, Reason: "no event within the allowed gap"}
+		return &ReadError{Code: api.CodeReplicaStalled, Reason: "no event within the allowed gap"}
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return &Fault{Code: api.CodeReplicaIncomplete, Reason: "the stream stopped before its end marker", Cause: err}
+		return &ReadError{Code: api.CodeReplicaIncomplete, Reason: "the stream stopped before its end marker", Cause: err}
 	}
-	return &Fault{Code: api.CodeReplicaBroken, Reason: "the stream cannot be read", Cause: err}
+	return &ReadError{Code: api.CodeReplicaBroken, Reason: "the stream cannot be read", Cause: err}
 }
 
 // line reads one line; done means that it closed an event.
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -74,7 +74,7 @@
 				event, err = reader.Next()
 				ended = err == nil && event.End != nil
 			}
-			var found *Fault
+			var found *ReadError
 			if test.code == "" && err != nil {
 				t.Fatalf("got %v", err)
 			}
@@ -113,7 +113,7 @@
 		}
 		start := time.Now()
 		_, err := reader.Next()
-		var broken *Fault
+		var broken *ReadError
 		if !errors.As(err, &broken) || broken.Code != api.CodeReplicaStalled || time.Since(start) != gap {
 			t.Fatalf("a silent source: %v after %v", err, time.Since(start))
 		}
@@ -128,7 +128,7 @@
 	}})
 	defer reader.Close()
 	_, err := reader.Next()
-	var found *Fault
+	var found *ReadError
 	if !errors.As(err, &found) || found.Code != api.CodeReplicaStalled {
 		t.Fatalf("got %v", err)
 	}
--- a/transport/accept.go
+++ b/transport/accept.go
@@ -192,12 +192,12 @@
 	head := envelope{Type: frameReply, ID: request.ID, Kind: request.Kind}
 	frame, err := []byte(nil), failure
 	if failure == nil {
-		frame, err = encodeMessage(head, reply, a.node.config.MaxFrame)
+		frame, err = encodeMessage(head, reply, a.node.config.MaxFrameBytes)
 	}
 	if err != nil {
 		head.Type = frameFailure
 		head.Problem = boundedProblem(err)
-		frame, err = encodeFrame(head, a.node.config.MaxFrame)
+		frame, err = encodeFrame(head, a.node.config.MaxFrameBytes)
 	}
 	if err == nil {
 		err = a.connection.write(request.Kind, frame, replyStall)
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -28,7 +28,7 @@
 }
 
 func newConn(raw net.Conn, peer string, node *Node) *conn {
-	c := &conn{raw: raw, peer: peer, counters: &node.counters, maxFrame: node.config.MaxFrame, epoch: node.epoch}
+	c := &conn{raw: raw, peer: peer, counters: &node.counters, maxFrame: node.config.MaxFrameBytes, epoch: node.epoch}
 	c.writing = make(chan struct{}, 1)
 	c.reader = bufio.NewReaderSize(hearing{c}, readBufferBytes)
 	c.heard.Store(c.now())
--- a/transport/link.go
+++ b/transport/link.go
@@ -204,7 +204,7 @@
 	cause := l.writeLoop(connection, first, broken)
 	l.node.release(connection.raw)
 	<-broken
-	l.failWritten(fmt.Errorf("%w to %s: %w", ErrBroken, l.address, cause))
+	l.failWritten(fmt.Errorf("%w to %s: %w", ErrConnectionLost, l.address, cause))
 	l.node.logger.Debug("connection ended", "address", l.address, "cause", cause)
 	return connection.heard.Load() > opened
 }
--- a/transport/memory.go
+++ b/transport/memory.go
@@ -33,11 +33,11 @@
 
 // Node adds a node. It panics if the address is taken.
 func (m *Memory) Node(name, address string) Network {
-	return m.NodeWith(Config{Name: name, Listen: address})
+	return m.NodeWithConfig(Config{Name: name, Listen: address})
 }
 
-// NodeWith is Node with a whole configuration; the keys default to the network's own.
-func (m *Memory) NodeWith(config Config) *Node {
+// NodeWithConfig is Node with a whole configuration; the keys default to the network's own.
+func (m *Memory) NodeWithConfig(config Config) *Node {
 	if len(config.Keys) == 0 {
 		config.Keys = [][]byte{memoryKey}
 	}
@@ -55,9 +55,9 @@
 	return node
 }
 
-// Cut silently swallows everything sent from one address to another until Heal.
+// Partition silently swallows everything sent from one address to another until Heal.
 // Connections that lost something stay broken; new ones work after Heal.
-func (m *Memory) Cut(from, to string) { m.setCut(from, to, true) }
+func (m *Memory) Partition(from, to string) { m.setCut(from, to, true) }
 
 // Heal ends a Cut.
 func (m *Memory) Heal(from, to string) { m.setCut(from, to, false) }
--- a/transport/memory_test.go
+++ b/transport/memory_test.go
@@ -18,7 +18,7 @@
 	var nodes []*Node
 	for _, name := range []string{"a", "b"} {
 		config.Name, config.Listen = name, name
-		node := network.NodeWith(config)
+		node := network.NodeWithConfig(config)
 		serveTestKinds(node, notes)
 		if err := node.Start(); err != nil {
 			t.Fatal(err)
@@ -41,13 +41,13 @@
 		if err := echo(a, "b", time.Second); err != nil {
 			t.Fatal(err)
 		}
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		began := time.Now()
 		if err := echo(a, "b", 200*time.Millisecond); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 200*time.Millisecond {
 			t.Fatalf("%v after %v: a call must end with its context", err, time.Since(began))
 		}
 		err := echo(a, "b", time.Hour)
-		if took := time.Since(began); !errors.Is(err, ErrBroken) || took > 1300*time.Millisecond {
+		if took := time.Since(began); !errors.Is(err, ErrConnectionLost) || took > 1300*time.Millisecond {
 			t.Fatalf("%v after %v: the silence must be noticed", err, took)
 		}
 		time.Sleep(10 * time.Second) // attempts to connect fail meanwhile
@@ -70,7 +70,7 @@
 func TestFirstDiallingIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, a, _, _ := memoryPair(t, Config{DialTimeout: time.Second})
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		began := time.Now()
 		var took []time.Duration
 		for range 4 {
@@ -119,7 +119,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, a, _, notes := memoryPair(t, Config{QueueLength: 8})
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		for i := range 100 {
 			a.Send("b", kindNote, text{Text: fmt.Sprint(i)})
 		}
@@ -152,10 +152,10 @@
 			}
 			time.Sleep(time.Minute) // a slow reader is no silent one
 		}
-		network.Cut("b", "a")
+		network.Partition("b", "a")
 		began := time.Now()
 		_, err = collect(t, stream)
-		if took := time.Since(began); !errors.Is(err, ErrBroken) || took > 2*streamSilence {
+		if took := time.Since(began); !errors.Is(err, ErrConnectionLost) || took > 2*streamSilence {
 			t.Fatalf("%v after %v", err, took)
 		}
 		if got := <-notes; got != "stream stopped" {
@@ -177,7 +177,7 @@
 		if err := stream.Next(&number{}); err != nil {
 			t.Fatal(err)
 		}
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		began := time.Now()
 		if got := <-notes; got != "stream stopped" || time.Since(began) > 2*streamSilence {
 			t.Fatalf("%q after %v", got, time.Since(began))
--- a/transport/node.go
+++ b/transport/node.go
@@ -13,9 +13,9 @@
 
 // Defaults of Config.
 const (
-	DefaultQueueLength = 1024
-	DefaultMaxFrame    = 64 << 20
-	DefaultDialTimeout = time.Second
+	DefaultQueueLength   = 1024
+	DefaultMaxFrameBytes = 64 << 20
+	DefaultDialTimeout   = time.Second
 	// DefaultHandshakeTimeout leaves room for two round trips between far regions
 	// and a busy peer.
 	DefaultHandshakeTimeout = time.Second
@@ -31,8 +31,8 @@
 	// ErrNotSent is wrapped by errors after which the peer has certainly not seen
 	// the request.
 	ErrNotSent = errors.New("transport: not sent")
-	// ErrBroken is wrapped by errors after which the peer may have seen the request.
-	ErrBroken = errors.New("transport: connection broke")
+	// ErrConnectionLost is wrapped by errors after which the peer may have seen the request.
+	ErrConnectionLost = errors.New("transport: connection broke")
 )
 
 // RemoteError is the error that the peer's handler returned.
@@ -107,8 +107,8 @@
 	if config.QueueLength == 0 {
 		config.QueueLength = DefaultQueueLength
 	}
-	if config.MaxFrame == 0 {
-		config.MaxFrame = DefaultMaxFrame
+	if config.MaxFrameBytes == 0 {
+		config.MaxFrameBytes = DefaultMaxFrameBytes
 	}
 	if config.DialTimeout == 0 {
 		config.DialTimeout = DefaultDialTimeout
@@ -217,7 +217,7 @@
 // HandshakeTimeout. The connection must be released. Its errors wrap ErrNotSent.
 func (n *Node) connect(ctx context.Context, address string, what purpose, dialTimeout time.Duration) (*conn, error) {
 	target := address
-	if override, found := n.config.Overrides[address]; found {
+	if override, found := n.config.AddressOverrides[address]; found {
 		target = override
 	}
 	dialing, stopDialing := context.WithTimeout(ctx, dialTimeout)
@@ -286,7 +286,7 @@
 		n.counters.dropped(kind)
 		return
 	}
-	frame, err := encodeMessage(envelope{Type: frameOneWay, Kind: kind}, message, n.config.MaxFrame)
+	frame, err := encodeMessage(envelope{Type: frameOneWay, Kind: kind}, message, n.config.MaxFrameBytes)
 	if err != nil {
 		n.logger.Error("message cannot be sent", "kind", kind, "error", err)
 		n.counters.dropped(kind)
@@ -326,7 +326,7 @@
 		return ctx.Err()
 	}
 	head := envelope{Type: frameRequest, ID: n.callID.Add(1), Kind: kind, LeftMS: leftMillis(ctx)}
-	frame, err := encodeMessage(head, request, n.config.MaxFrame)
+	frame, err := encodeMessage(head, request, n.config.MaxFrameBytes)
 	if err != nil {
 		return fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
 	}
--- a/transport/stream.go
+++ b/transport/stream.go
@@ -75,7 +75,7 @@
 		<-ctx.Done()
 		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, ctx.Err())
 	}
-	frame, err := encodeMessage(envelope{Type: frameOpen, Kind: kind, LeftMS: leftMillis(ctx)}, request, n.config.MaxFrame)
+	frame, err := encodeMessage(envelope{Type: frameOpen, Kind: kind, LeftMS: leftMillis(ctx)}, request, n.config.MaxFrameBytes)
 	if err != nil {
 		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
 	}
@@ -165,7 +165,7 @@
 	} else if errors.Is(cause, io.EOF) {
 		cause = errPeerClosed // never to be taken for the clean end
 	}
-	s.result = fmt.Errorf("%w: stream from %s: %w", ErrBroken, s.address, cause)
+	s.result = fmt.Errorf("%w: stream from %s: %w", ErrConnectionLost, s.address, cause)
 	s.finish(false)
 	return s.result
 }
@@ -268,7 +268,7 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			frame, err := encodeMessage(envelope{Type: frameItem, Kind: request.Kind}, message, n.config.MaxFrame)
+			frame, err := encodeMessage(envelope{Type: frameItem, Kind: request.Kind}, message, n.config.MaxFrameBytes)
 			if err != nil {
 				return err
 			}
@@ -281,7 +281,7 @@
 		last.Type = frameFailure
 		last.Problem = boundedProblem(failure)
 	}
-	frame, err := encodeFrame(last, n.config.MaxFrame)
+	frame, err := encodeFrame(last, n.config.MaxFrameBytes)
 	if err != nil {
 		return err
 	}
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -60,12 +60,12 @@
 	Listen string
 	// Keys are the fleet's keys, newest first; a peer must hold one of them.
 	Keys [][]byte
-	// Overrides maps a peer's address to another one to dial in its place.
-	Overrides map[string]string
+	// AddressOverrides maps a peer's address to another one to dial in its place.
+	AddressOverrides map[string]string
 	// QueueLength bounds the one-way messages waiting per address. Default 1024.
 	QueueLength int
-	// MaxFrame bounds a frame in bytes. Default 64 MiB.
-	MaxFrame int
+	// MaxFrameBytes bounds a frame in bytes. Default 64 MiB.
+	MaxFrameBytes int
 	// DialTimeout bounds connecting. Default 1 s.
 	DialTimeout time.Duration
 	// HandshakeTimeout bounds the handshake after it, on both sides. Default 1 s.
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -363,7 +363,7 @@
 	if err != nil {
 		t.Fatalf("the written request is called unsent: %v", err)
 	}
-	if _, err := collect(t, stream); !errors.Is(err, ErrBroken) {
+	if _, err := collect(t, stream); !errors.Is(err, ErrConnectionLost) {
 		t.Fatalf("ended with %v", err)
 	}
 }
@@ -408,17 +408,17 @@
 		raw.Close()
 	}
 	b.mutex.Unlock()
-	if _, err := collect(t, stream); !errors.Is(err, ErrBroken) || errors.Is(err, io.EOF) {
+	if _, err := collect(t, stream); !errors.Is(err, ErrConnectionLost) || errors.Is(err, io.EOF) {
 		t.Fatalf("ended with %v", err)
 	}
 }
 
 func TestOversizedFrames(t *testing.T) {
 	notes := make(chan string, 1)
-	a := listenTCP(t, Config{Name: "a", Keys: [][]byte{keyNew}, MaxFrame: 1 << 20}, notes)
-	b := listenTCP(t, Config{Name: "b", Keys: [][]byte{keyNew}, MaxFrame: 1 << 10}, notes)
+	a := listenTCP(t, Config{Name: "a", Keys: [][]byte{keyNew}, MaxFrameBytes: 1 << 20}, notes)
+	b := listenTCP(t, Config{Name: "b", Keys: [][]byte{keyNew}, MaxFrameBytes: 1 << 10}, notes)
 	large := text{Text: strings.Repeat("x", 2<<10)}
-	if err := a.Call(within(t, patience), b.Address(), kindEcho, large, nil); !errors.Is(err, ErrBroken) {
+	if err := a.Call(within(t, patience), b.Address(), kindEcho, large, nil); !errors.Is(err, ErrConnectionLost) {
 		t.Fatalf("above the receiver's limit: %v", err)
 	}
 	if err := b.Call(within(t, patience), a.Address(), kindEcho, large, nil); !errors.Is(err, ErrNotSent) {
@@ -434,7 +434,7 @@
 	notes := make(chan string, 1)
 	b := listenTCP(t, Config{Name: "b", Keys: [][]byte{keyNew}}, notes)
 	const known = "192.0.2.1:7400"
-	a := listenTCP(t, Config{Name: "a", Keys: [][]byte{keyNew}, Overrides: map[string]string{known: b.Address()}}, notes)
+	a := listenTCP(t, Config{Name: "a", Keys: [][]byte{keyNew}, AddressOverrides: map[string]string{known: b.Address()}}, notes)
 	if err := a.Call(within(t, patience), known, kindEcho, text{}, nil); err != nil {
 		t.Fatal(err)
 	}
