--- a/control/bootstrap/bootstrap.go
+++ b/control/bootstrap/bootstrap.go
@@ -132,12 +132,12 @@
 	}
 	observed := b.engine.Observe()
 	return &peer.HelloReply{
-		Name:     b.config.Name,
-		Identity: observed.Identity,
-		Cluster:  observed.Cluster,
-		Forming:  b.promise(observed, hello),
-		Leader:   observed.Status.Leader,
-		Members:  observed.Status.Membership.Members,
+		Name:                 b.config.Name,
+		Identity:             observed.Identity,
+		Cluster:              observed.Cluster,
+		BootstrapCoordinator: b.promise(observed, hello),
+		Leader:               observed.Status.Leader,
+		Members:              observed.Status.Membership.Members,
 	}, nil
 }
 
@@ -153,9 +153,9 @@
 	return b.promised
 }
 
-// ServeForm handles peer.KindForm: it makes a fresh node a voter of a new group, once.
+// ServeForm handles peer.KindBootstrap: it makes a fresh node a voter of a new group, once.
 func (b *Bootstrapper) ServeForm(ctx context.Context, from string, decode func(any) error) (any, error) {
-	var form peer.Form
+	var form peer.Bootstrap
 	if err := decode(&form); err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 		return nil, err
 	}
 	b.log.Info("bootstrap state received", "from", from, "cluster", form.Cluster, "accepted", accepted)
-	return &peer.FormReply{Accepted: accepted}, nil
+	return &peer.BootstrapReply{Accepted: accepted}, nil
 }
 
 // mayBootstrap is true if every other initial control node has just said that it
@@ -184,7 +184,7 @@
 			return false
 		}
 		reply, answered := discovery.ReplyFrom(greetings, address)
-		if !answered || reply.Name != name || reply.Cluster != "" || reply.Forming != observed.Identity {
+		if !answered || reply.Name != name || reply.Cluster != "" || reply.BootstrapCoordinator != observed.Identity {
 			return false
 		}
 	}
@@ -216,7 +216,7 @@
 	}
 	b.log.Info("group bootstrapped", "cluster", cluster, "members", len(members))
 	for _, member := range members[1:] {
-		b.sendForm(ctx, member.Address, peer.Form{Cluster: cluster, Snapshot: snapshot})
+		b.sendForm(ctx, member.Address, peer.Bootstrap{Cluster: cluster, Snapshot: snapshot})
 	}
 }
 
@@ -256,11 +256,11 @@
 	return members, nil
 }
 
-func (b *Bootstrapper) sendForm(ctx context.Context, address string, form peer.Form) {
+func (b *Bootstrapper) sendForm(ctx context.Context, address string, form peer.Bootstrap) {
 	ctx, cancel := context.WithTimeout(ctx, b.config.CallTimeout)
 	defer cancel()
-	var reply peer.FormReply
-	if err := b.config.Network.Call(ctx, address, peer.KindForm, &form, &reply); err != nil {
+	var reply peer.BootstrapReply
+	if err := b.config.Network.Call(ctx, address, peer.KindBootstrap, &form, &reply); err != nil {
 		b.log.Warn("bootstrap state not delivered", "address", address, "error", err)
 	}
 }
--- a/control/engine/config.go
+++ b/control/engine/config.go
@@ -34,8 +34,8 @@
 	Store   storage.Store
 	Logger  *slog.Logger
 
-	// Lease are the terms that gateways use too. Default lease.DefaultTerms.
-	Lease lease.Terms
+	// Lease are the terms that gateways use too. Default lease.DefaultConfig.
+	Lease lease.Config
 	// GatewayGrace is how long after the end of its lease a gateway is marked
 	// down, and how long a lease must last before it is marked up again.
 	GatewayGrace time.Duration
@@ -60,8 +60,8 @@
 }
 
 func (c Config) withDefaults() Config {
-	if c.Lease == (lease.Terms{}) {
-		c.Lease = lease.DefaultTerms()
+	if c.Lease == (lease.Config{}) {
+		c.Lease = lease.DefaultConfig()
 	}
 	setDefault(&c.TickInterval, DefaultTickInterval)
 	setDefault(&c.StartupTimeout, DefaultStartupTimeout)
--- a/control/engine/gateways_test.go
+++ b/control/engine/gateways_test.go
@@ -68,7 +68,7 @@
 	}
 	crowd.renew(t, m, now)
 	for i := range crowd {
-		if crowd[i].Active == 0 {
+		if crowd[i].ActiveSerial == 0 {
 			t.Fatalf("%s may not serve yet", crowd[i].Gateway.Name)
 		}
 	}
@@ -146,12 +146,12 @@
 			if grant.LeaseMS == 0 {
 				t.Fatalf("%s lost its lease", crowd[i].Gateway.Name)
 			}
-			if transfer, err := grant.Difference(); err != nil {
+			if transfer, err := grant.UnpackTransfer(); err != nil {
 				t.Fatal(err)
 			} else if transfer != nil {
-				crowd[i].Held = transfer.To
+				crowd[i].ReceivedSerial = transfer.To
 			}
-			if crowd[i].Held != m.state.Table.Serial() {
+			if crowd[i].ReceivedSerial != m.state.Table.Serial() {
 				behind++
 			}
 		}
@@ -184,13 +184,13 @@
 	for i := range c {
 		m.tick(now)
 		grant := m.renew(now, c[i])
-		c[i].Term, c[i].Active = grant.Term, grant.Activate
-		transfer, err := grant.Difference()
+		c[i].Term, c[i].ActiveSerial = grant.Term, grant.ActivationSerial
+		transfer, err := grant.UnpackTransfer()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if transfer != nil {
-			c[i].Held = transfer.To
+			c[i].ReceivedSerial = transfer.To
 		}
 		if grant.LeaseMS > 0 {
 			leased++
--- a/control/engine/group.go
+++ b/control/engine/group.go
@@ -24,13 +24,13 @@
 // AcceptBootstrap makes this node a voter of a new group, if it has none and is in
 // the first membership. If this node has promised its vote to an identity, that must
 // be in the membership too.
-func (e *Engine) AcceptBootstrap(ctx context.Context, form peer.Form, promised consensus.ID) (bool, error) {
+func (e *Engine) AcceptBootstrap(ctx context.Context, form peer.Bootstrap, promised consensus.ID) (bool, error) {
 	return eventqueue.Ask(ctx, e.queue, func(now time.Duration) bool {
 		return e.machine.acceptBootstrap(now, form, promised)
 	})
 }
 
-func (m *machine) acceptBootstrap(now time.Duration, form peer.Form, promised consensus.ID) bool {
+func (m *machine) acceptBootstrap(now time.Duration, form peer.Bootstrap, promised consensus.ID) bool {
 	if m.cluster != "" {
 		return m.cluster == form.Cluster
 	}
@@ -61,7 +61,7 @@
 		return false
 	}
 	m.cluster = cluster
-	if err := m.open(storage.Loaded{Identity: m.identity, Cluster: cluster, Snapshot: snapshot}, now); err != nil {
+	if err := m.open(storage.State{Identity: m.identity, Cluster: cluster, Snapshot: snapshot}, now); err != nil {
 		m.failure = err
 		return false
 	}
@@ -89,20 +89,20 @@
 // BootstrapState returns the state of the group at its bootstrap. After the first
 // change there is none, and the snapshot's index is 0: the group had a majority by
 // then, and its leader brings a member up to date.
-func (e *Engine) BootstrapState(ctx context.Context) (peer.Form, error) {
-	return eventqueue.Ask(ctx, e.queue, func(time.Duration) peer.Form { return e.machine.bootstrapState() })
+func (e *Engine) BootstrapState(ctx context.Context) (peer.Bootstrap, error) {
+	return eventqueue.Ask(ctx, e.queue, func(time.Duration) peer.Bootstrap { return e.machine.bootstrapState() })
 }
 
-func (m *machine) bootstrapState() peer.Form {
+func (m *machine) bootstrapState() peer.Bootstrap {
 	if m.state == nil || m.applied != 1 {
-		return peer.Form{}
+		return peer.Bootstrap{}
 	}
 	data, err := m.state.Encode(m.cluster)
 	if err != nil {
-		return peer.Form{}
+		return peer.Bootstrap{}
 	}
 	current := m.group.Status().Membership
-	return peer.Form{
+	return peer.Bootstrap{
 		Cluster:  m.cluster,
 		Snapshot: consensus.Snapshot{Index: 1, Term: 1, Membership: current, Data: data},
 	}
--- a/control/engine/leadership.go
+++ b/control/engine/leadership.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/leases"
 	"github.com/deckpulley/deckpulley/control/membership"
 	"github.com/deckpulley/deckpulley/control/permission"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -55,7 +55,7 @@
 	if leadership == nil || leadership.leases != nil || entry.Term != leadership.term || m.state == nil {
 		return
 	}
-	config := leases.Config{Terms: m.config.Lease, GatewayGrace: m.config.GatewayGrace}
+	config := leases.Config{Lease: m.config.Lease, GatewayGrace: m.config.GatewayGrace}
 	serial := m.state.Table.Serial()
 	leadership.leases = leases.NewManager(config, leadership.term, leadership.elected, now, serial)
 	m.log.Info("serving as primary", "term", leadership.term, "serial", serial)
@@ -93,7 +93,7 @@
 
 // ownUpdate is an update that this node makes for the fleet's own records.
 func (m *machine) ownUpdate(prerequisites, changes []registry.Record) registry.Update {
-	update := registry.NewUpdate(places.Apex, prerequisites, changes)
+	update := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 	update.Requestor = permission.Control(m.config.Name)
 	return update
 }
--- a/control/engine/machine.go
+++ b/control/engine/machine.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/membership"
 	"github.com/deckpulley/deckpulley/control/metrics"
@@ -13,7 +14,6 @@
 	"github.com/deckpulley/deckpulley/control/transfer"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
@@ -35,7 +35,7 @@
 	// state is nil until the first snapshot of the group is here.
 	state *statemachine.State
 	// catalog is the typed reading of the state's table.
-	catalog *places.Contents
+	catalog *catalog.State
 	// applied is the index of the newest entry in the state, and snapshotIndex that
 	// of the newest snapshot on disk.
 	applied       uint64
@@ -81,7 +81,7 @@
 }
 
 // open starts the replicated log from what the disk contains.
-func (m *machine) open(loaded storage.Loaded, now time.Duration) error {
+func (m *machine) open(loaded storage.State, now time.Duration) error {
 	group, err := consensus.New(consensus.Config{
 		ID:                m.identity,
 		ElectionTimeout:   m.config.ElectionTimeout,
@@ -156,7 +156,7 @@
 			return err
 		}
 	}
-	for _, entry := range ready.Committed {
+	for _, entry := range ready.CommittedEntries {
 		if err := m.apply(now, entry); err != nil {
 			return err
 		}
@@ -217,7 +217,7 @@
 			return fmt.Errorf("control: committed entry %d: %w", entry.Index, err)
 		}
 		if planted.Active(planted.ForgetEvacuations) && m.leadership == nil {
-			update.Changes = slices.DeleteFunc(update.Changes, func(change registry.Record) bool { return change.Type == places.TypeEvacuation })
+			update.Changes = slices.DeleteFunc(update.Changes, func(change registry.Record) bool { return change.Type == catalog.TypeEvacuation })
 		}
 		result = m.state.Apply(&update)
 		m.metrics.Updates.WithLabelValues(result.Code.String()).Inc()
@@ -249,12 +249,12 @@
 	return nil
 }
 
-func (m *machine) nextCatalog() (*places.Contents, error) {
+func (m *machine) nextCatalog() (*catalog.State, error) {
 	view := m.state.Table.View()
 	if m.catalog == nil {
-		return places.Read(view)
+		return catalog.Read(view)
 	}
-	return m.catalog.Next(view, m.state.Table.Difference(m.catalog.Serial()))
+	return m.catalog.Next(view, m.state.Table.TransferSince(m.catalog.Serial()))
 }
 
 // observe makes the reading that the event loop publishes.
--- a/control/engine/members.go
+++ b/control/engine/members.go
@@ -5,11 +5,11 @@
 	"errors"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/eventqueue"
 	"github.com/deckpulley/deckpulley/control/membership"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -80,14 +80,14 @@
 
 // recordHead puts this node into the head record as the primary.
 func (m *machine) recordHead(now time.Duration, leadership *leadership) {
-	head := m.state.Table.Head()
+	head := m.state.Table.SOA()
 	if leadership.headPending || head.Primary == m.config.Name {
 		return
 	}
 	head.Primary = m.config.Name
 	head.Serial = registry.NextSerial(head.Serial)
 	leadership.headPending = true
-	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.HeadRecord(places.Apex, head))})
+	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.SOARecord(catalog.Apex, head))})
 	m.propose(now, update, func(registry.Result, error) { leadership.headPending = false })
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	var deleted []registry.Record
-	for _, record := range m.state.Table.View().Lookup(places.Apex, registry.TypeNS) {
+	for _, record := range m.state.Table.View().Lookup(catalog.Apex, registry.TypeNS) {
 		name := string(record.Data)
 		if !missing[name] {
 			deleted = append(deleted, registry.DeleteRecord(record))
@@ -122,7 +122,7 @@
 	}
 	var changes []registry.Record
 	for name := range missing {
-		changes = append(changes, registry.Add(registry.MemberRecord(places.Apex, name)))
+		changes = append(changes, registry.Add(registry.NSRecord(catalog.Apex, name)))
 	}
 	return append(changes, deleted...)
 }
--- a/control/engine/observation.go
+++ b/control/engine/observation.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/apierror"
 	"github.com/deckpulley/deckpulley/control/membership"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // Observation is what the event loop shows to everybody else: one immutable
@@ -22,7 +22,7 @@
 	// Status is that of the replicated log.
 	Status consensus.Status
 	// Catalog is the state of the registry; nil before there is one.
-	Catalog *places.Contents
+	Catalog *catalog.State
 	Serial  uint32
 	// Applied is the index of the newest entry that is in the catalog.
 	Applied uint64
--- a/control/engine/proposal.go
+++ b/control/engine/proposal.go
@@ -67,7 +67,7 @@
 	}
 	data, err := registry.EncodeUpdate(&update)
 	if err != nil {
-		done(registry.Result{Code: registry.FormErr, Serial: m.state.Table.Serial(), Failed: -1}, nil)
+		done(registry.Result{Code: registry.FormErr, Serial: m.state.Table.Serial(), FailedIndex: -1}, nil)
 		return
 	}
 	index, term, err := m.group.Propose(now, data)
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -40,7 +40,7 @@
 	}
 	status := m.group.Status()
 	grant.Term = status.Term
-	grant.Control = membership.Addresses(status.Membership)
+	grant.ControlAddresses = membership.Addresses(status.Membership)
 	leadership, serving := m.serving()
 	if !serving {
 		grant.Primary = m.addressOf(status.Membership, status.Leader)
@@ -56,17 +56,17 @@
 	if change, needed := leadership.leases.RecordRenewal(now, m.catalog, &renew); needed {
 		m.changeGatewayRecord(now, change)
 	}
-	grant.Activate = decision.Activate
-	if !decision.Granted {
+	grant.ActivationSerial = decision.ActivationSerial
+	if !decision.Authoritative {
 		m.metrics.Renewals.WithLabelValues(renewalRefused).Inc()
 		return grant
 	}
 	m.metrics.Renewals.WithLabelValues(renewalGranted).Inc()
 	grant.Granted = true
 	if leadership.leases.MayLease(m.catalog, renew.Gateway) {
-		grant.LeaseMS = decision.Length.Milliseconds()
+		grant.LeaseMS = decision.LeaseDuration.Milliseconds()
 	}
-	m.transfers.Add(now, &grant, m.state.Table, renew.Held)
+	m.transfers.Add(now, &grant, m.state.Table, renew.ReceivedSerial)
 	return grant
 }
 
@@ -76,8 +76,8 @@
 // to all gateways at once.
 func (m *machine) addFirstTable(now time.Duration, grant *peer.Grant, renew peer.Renew) {
 	sameGroup := renew.Cluster == "" || renew.Cluster == m.cluster
-	if renew.Held == 0 && sameGroup && grant.Primary != "" && m.state != nil {
-		m.transfers.Add(now, grant, m.state.Table, renew.Held)
+	if renew.ReceivedSerial == 0 && sameGroup && grant.Primary != "" && m.state != nil {
+		m.transfers.Add(now, grant, m.state.Table, renew.ReceivedSerial)
 	}
 }
 
@@ -91,9 +91,9 @@
 		return true
 	}
 	serial := m.state.Table.Serial()
-	ahead := renew.Held != 0 && registry.SerialLess(serial, renew.Held)
+	ahead := renew.ReceivedSerial != 0 && registry.SerialLess(serial, renew.ReceivedSerial)
 	if ahead {
-		m.log.Error("gateway ahead of primary", "gateway", renew.Gateway.Name, "received_serial", renew.Held, "serial", serial, "term", term)
+		m.log.Error("gateway ahead of primary", "gateway", renew.Gateway.Name, "received_serial", renew.ReceivedSerial, "serial", serial, "term", term)
 	}
 	return ahead
 }
@@ -127,7 +127,7 @@
 	}
 	leadership.leases.ExpectHolders(now, m.catalog)
 	if leadership.leases.NeedsConfirmation() {
-		m.group.Confirm(now)
+		m.group.ConfirmLeadership(now)
 	}
 	contact, known := m.group.QuorumContact()
 	if leadership.leases.Review(contact, known, m.state.Table.Serial()) && leadership.leases.TakeNotification() {
@@ -140,11 +140,11 @@
 func (m *machine) notifyGateways(leadership *leadership) {
 	review := leadership.leases.LastReview()
 	notify := peer.Notify{
-		Cluster:  m.cluster,
-		Term:     leadership.term,
-		Primary:  m.config.PeerAddress,
-		Serial:   review.Serial,
-		Activate: review.Activate,
+		Cluster:          m.cluster,
+		Term:             leadership.term,
+		Primary:          m.config.PeerAddress,
+		Serial:           review.Serial,
+		ActivationSerial: review.Activate,
 	}
 	for _, address := range leadership.leases.Addresses(m.catalog) {
 		m.network.Send(address, peer.KindNotify, &notify)
--- a/control/engine/report.go
+++ b/control/engine/report.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/eventqueue"
 	"github.com/deckpulley/deckpulley/control/statemachine"
 	"github.com/deckpulley/deckpulley/lease"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -24,7 +24,7 @@
 	// then zero.
 	Primary bool
 	Status  consensus.Status
-	Catalog *places.Contents
+	Catalog *catalog.State
 	// RepairDone is true if the group is complete, and Reachable has the members
 	// that have responded lately.
 	RepairDone bool
@@ -96,13 +96,13 @@
 	// Decided is true if the operation was decided: Answer is the stored answer,
 	// visible since Serial.
 	Decided bool
-	Answer  places.Order
+	Answer  catalog.OperationResult
 	Serial  uint32
-	// Catalog and Number are what a new decision builds on; Surplus are the answers
+	// Catalog and Sequence are what a new decision builds on; Surplus are the answers
 	// that make room for a new one.
-	Catalog *places.Contents
-	Number  uint64
-	Surplus []registry.Name
+	Catalog  *catalog.State
+	Sequence uint64
+	Surplus  []registry.Name
 }
 
 // OperationState asks the event loop about the operation with an id.
@@ -116,14 +116,14 @@
 	if _, serving := m.serving(); !serving {
 		return OperationState{}
 	}
-	answer, decided := m.catalog.Order(id)
+	answer, decided := m.catalog.OperationResult(id)
 	return OperationState{
-		Primary: true,
-		Decided: decided,
-		Answer:  answer,
-		Serial:  m.state.Operations.Serial(places.OrderName(id)),
-		Catalog: m.catalog,
-		Number:  m.applied,
-		Surplus: m.state.Operations.Surplus(statemachine.OperationLimit),
+		Primary:  true,
+		Decided:  decided,
+		Answer:   answer,
+		Serial:   m.state.Operations.Serial(catalog.OperationName(id)),
+		Catalog:  m.catalog,
+		Sequence: m.applied,
+		Surplus:  m.state.Operations.Surplus(statemachine.OperationLimit),
 	}
 }
--- a/control/engine/snapshot.go
+++ b/control/engine/snapshot.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return fmt.Errorf("control: compacting the log: %w", err)
 	}
-	if err := m.store.SaveSnapshot(snapshot, consensus.KeepFrom(snapshot, retainedEntries)); err != nil {
+	if err := m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, retainedEntries)); err != nil {
 		return fmt.Errorf("control: writing a snapshot: %w", err)
 	}
 	m.snapshotIndex = snapshot.Index
--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -4,11 +4,11 @@
 	"context"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/control/apierror"
 	"github.com/deckpulley/deckpulley/control/engine"
 	"github.com/deckpulley/deckpulley/control/operation"
 	"github.com/deckpulley/deckpulley/internal/planted"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -26,7 +26,7 @@
 			return attempt
 		}
 	}
-	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Number: state.Number, Surplus: state.Surplus})
+	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Sequence: state.Sequence, Surplus: state.Surplus})
 	if err != nil {
 		return rejected(apierror.Internal(err))
 	}
@@ -73,7 +73,7 @@
 // reviewRouteMap refuses an operation on the route map that the newest state does not
 // admit. That is final only if the state is proven to be the newest and has no answer
 // yet.
-func (e *Executor) reviewRouteMap(ctx context.Context, execution *execution, current *places.Contents) (_ attempt, refused bool) {
+func (e *Executor) reviewRouteMap(ctx context.Context, execution *execution, current *catalog.State) (_ attempt, refused bool) {
 	if execution.RefuseRouteMap(current) == nil {
 		return attempt{}, false
 	}
@@ -81,7 +81,7 @@
 	if problem != nil || !observed.Primary {
 		return tryAgain, true
 	}
-	if _, decided := observed.Catalog.Order(execution.ID()); decided {
+	if _, decided := observed.Catalog.OperationResult(execution.ID()); decided {
 		return tryAgain, true
 	}
 	if reason := execution.RefuseRouteMap(observed.Catalog); reason != nil {
@@ -92,7 +92,7 @@
 
 // acknowledge answers with a stored decision: a refusal at once, an acceptance
 // once its serial is in force at every gateway that may place requests.
-func (e *Executor) acknowledge(ctx context.Context, execution *execution, decided places.Order, serial uint32) attempt {
+func (e *Executor) acknowledge(ctx context.Context, execution *execution, decided catalog.OperationResult, serial uint32) attempt {
 	answer := operation.Answer(execution.ID(), decided, serial)
 	if !decided.Accepted {
 		return answered(answer)
--- a/control/executor/executor.go
+++ b/control/executor/executor.go
@@ -72,29 +72,29 @@
 // attempt is what became of one attempt. It is not final when another attempt may
 // succeed.
 type attempt struct {
-	reply peer.OrderReply
+	reply peer.OperationReply
 	final bool
 }
 
 var tryAgain = attempt{}
 
 func rejected(problem *api.Error) attempt {
-	return attempt{reply: peer.OrderReply{Error: problem}, final: true}
+	return attempt{reply: peer.OperationReply{Error: problem}, final: true}
 }
 
-func answered(answer *api.OrderAnswer) attempt {
-	return attempt{reply: peer.OrderReply{Answer: answer}, final: true}
+func answered(answer *api.OperationResult) attempt {
+	return attempt{reply: peer.OperationReply{Answer: answer}, final: true}
 }
 
 // Submit executes an operation that came from outside of the group, and counts its
 // answer.
-func (e *Executor) Submit(ctx context.Context, request peer.OrderRequest) peer.OrderReply {
+func (e *Executor) Submit(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	reply := e.Execute(ctx, request)
 	e.config.Metrics.Operations.WithLabelValues(label(reply)).Inc()
 	return reply
 }
 
-func label(reply peer.OrderReply) string {
+func label(reply peer.OperationReply) string {
 	switch {
 	case reply.Error != nil:
 		return string(reply.Error.Code)
@@ -107,10 +107,10 @@
 
 // Execute executes an operation, here or at the primary, and answers when it is in
 // force everywhere, when it is refused, or when ctx ends.
-func (e *Executor) Execute(ctx context.Context, request peer.OrderRequest) peer.OrderReply {
+func (e *Executor) Execute(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	checked, problem := operation.New(request)
 	if problem != nil {
-		return peer.OrderReply{Error: problem}
+		return peer.OperationReply{Error: problem}
 	}
 	execution := &execution{Operation: checked}
 	for {
@@ -119,7 +119,7 @@
 			return attempt.reply
 		}
 		if !e.pause(ctx, observed) {
-			return peer.OrderReply{Error: operation.Unfinished(execution.sent)}
+			return peer.OperationReply{Error: operation.Unfinished(execution.sent)}
 		}
 	}
 }
--- a/control/executor/forward.go
+++ b/control/executor/forward.go
@@ -18,9 +18,9 @@
 // errEmptyReply is a reply that has neither an answer nor an error.
 var errEmptyReply = errors.New("control: empty reply to an order")
 
-// Serve handles peer.KindOrder, an operation that another control node forwards.
+// Serve handles peer.KindOperation, an operation that another control node forwards.
 func (e *Executor) Serve(ctx context.Context, _ string, decode func(any) error) (any, error) {
-	var request peer.OrderRequest
+	var request peer.OperationRequest
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 
 // callPrimary gives up when another node becomes the primary: the first may be frozen.
 // After an error the operation may have been executed, or may be later.
-func (e *Executor) callPrimary(ctx context.Context, primary string, request peer.OrderRequest) (peer.OrderReply, error) {
+func (e *Executor) callPrimary(ctx context.Context, primary string, request peer.OperationRequest) (peer.OperationReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -65,12 +65,12 @@
 	if deadline, bounded := ctx.Deadline(); bounded {
 		request.WaitMS = (time.Until(deadline) - answerReserve).Milliseconds()
 	}
-	var reply peer.OrderReply
-	if err := e.config.Network.Call(ctx, primary, peer.KindOrder, &request, &reply); err != nil {
-		return peer.OrderReply{}, err
+	var reply peer.OperationReply
+	if err := e.config.Network.Call(ctx, primary, peer.KindOperation, &request, &reply); err != nil {
+		return peer.OperationReply{}, err
 	}
 	if reply.Answer == nil && reply.Error == nil {
-		return peer.OrderReply{}, errEmptyReply
+		return peer.OperationReply{}, errEmptyReply
 	}
 	return reply, nil
 }
--- a/control/executor/forward_test.go
+++ b/control/executor/forward_test.go
@@ -21,13 +21,13 @@
 // scriptedNetwork answers calls one after the other.
 type scriptedNetwork struct {
 	transport.Network
-	calls []func(reply *peer.OrderReply) error
+	calls []func(reply *peer.OperationReply) error
 }
 
 func (s *scriptedNetwork) Call(_ context.Context, _ string, _ transport.Kind, _, reply any) error {
 	call := s.calls[0]
 	s.calls = s.calls[1:]
-	return call(reply.(*peer.OrderReply))
+	return call(reply.(*peer.OperationReply))
 }
 
 // newForwardingExecutor returns the executor of a node that sends every operation to
@@ -51,16 +51,16 @@
 func TestForwardedOperationIsNotRefusedOnceItsOutcomeIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		network := &scriptedNetwork{calls: []func(*peer.OrderReply) error{
-			func(*peer.OrderReply) error { return errors.New("the answer was lost") },
-			func(reply *peer.OrderReply) error {
+		network := &scriptedNetwork{calls: []func(*peer.OperationReply) error{
+			func(*peer.OperationReply) error { return errors.New("the answer was lost") },
+			func(reply *peer.OperationReply) error {
 				cancel()
 				reply.Error = apierror.NoPrimary("no primary was reached in time; the order was not carried out", api.OutcomeRefused)
 				return nil
 			},
 		}}
 		executor := newForwardingExecutor(t, network)
-		request := peer.OrderRequest{Evacuation: &api.EvacuationOrder{OrderID: "o1", Zone: "z"}}
+		request := peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "o1", Zone: "z"}}
 		reply := executor.Execute(ctx, request)
 		if reply.Error == nil || reply.Error.Outcome != api.OutcomeUnknown || len(network.calls) != 0 {
 			t.Fatalf("answered %+v, %d calls left", reply.Error, len(network.calls))
--- a/control/executor/replicas.go
+++ b/control/executor/replicas.go
@@ -21,7 +21,7 @@
 	if problem != nil {
 		return rejected(problem)
 	}
-	answer := &api.OrderAnswer{Accepted: true, Version: observed.Catalog.Version(), Serial: observed.Serial}
+	answer := &api.OperationResult{Accepted: true, Version: observed.Catalog.Version(), Serial: observed.Serial}
 	if len(update.Changes) == 0 {
 		return answered(answer)
 	}
--- a/control/httpapi/answers.go
+++ b/control/httpapi/answers.go
@@ -9,10 +9,10 @@
 	"strings"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/control/apierror"
 	"github.com/deckpulley/deckpulley/control/engine"
 	"github.com/deckpulley/deckpulley/control/statemachine"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // defaultOperationList is the number of operations that are listed if none is given.
@@ -24,7 +24,7 @@
 	if observed.Catalog == nil {
 		return answer
 	}
-	if current, known := observed.Catalog.ConfigurationRecord(); known {
+	if current, known := observed.Catalog.Configuration(); known {
 		answer.Version = current.Version
 		answer.Author = current.Author
 		answer.Document = current.Document
@@ -42,7 +42,7 @@
 		answer.Zones = append(answer.Zones, api.ZoneStatus{
 			Zone:      zone,
 			Region:    record.Region,
-			Evacuated: observed.Catalog.Evacuated(zone),
+			Evacuated: observed.Catalog.IsEvacuated(zone),
 		})
 	}
 	slices.SortFunc(answer.Zones, func(a, b api.ZoneStatus) int { return strings.Compare(a.Zone, b.Zone) })
@@ -62,47 +62,47 @@
 	return answer
 }
 
-func replicaStatus(current *places.Contents, id string, replica places.Replica) api.ReplicaStatus {
+func replicaStatus(current *catalog.State, id string, replica catalog.Replica) api.ReplicaStatus {
 	status := api.ReplicaStatus{
 		ReplicaEntry: api.ReplicaEntry{
 			ID:       id,
 			Service:  replica.Service,
 			Zone:     replica.Zone,
 			Address:  replica.Address,
-			Draining: current.Drained(id),
+			Draining: current.IsDraining(id),
 		},
 		Region:    current.Zones()[replica.Zone].Region,
-		Condition: string(places.ConditionDown),
+		Condition: string(catalog.ConditionDown),
 	}
 	if condition, known := current.Condition(id); known {
 		status.Condition = string(condition.State)
-		status.Feeder = condition.Feeder
+		status.Feeder = condition.WarmupGateway
 	}
 	return status
 }
 
 // operationsAnswer lists up to limit kept operations, newest first.
-func operationsAnswer(observed *engine.Observation, limit int) (api.OrdersAnswer, *api.Error) {
-	answer := api.OrdersAnswer{Serial: observed.Serial, Orders: []api.OrderStatus{}}
+func operationsAnswer(observed *engine.Observation, limit int) (api.OperationsAnswer, *api.Error) {
+	answer := api.OperationsAnswer{Serial: observed.Serial, Orders: []api.OperationStatus{}}
 	if observed.Catalog == nil {
 		return answer, nil
 	}
-	err := observed.Catalog.WalkOrders(func(id string, order places.Order) bool {
-		answer.Orders = append(answer.Orders, api.OrderStatus{
-			Number:   order.Number,
-			OrderID:  id,
-			Accepted: order.Accepted,
-			Version:  order.Version,
-			Code:     api.Code(order.Code),
-			Field:    order.Field,
-			Reason:   order.Reason,
+	err := observed.Catalog.WalkOperationResults(func(id string, order catalog.OperationResult) bool {
+		answer.Orders = append(answer.Orders, api.OperationStatus{
+			Number:      order.Sequence,
+			OperationID: id,
+			Accepted:    order.Accepted,
+			Version:     order.Version,
+			Code:        api.Code(order.Code),
+			Field:       order.Field,
+			Reason:      order.Reason,
 		})
 		return true
 	})
 	if err != nil {
-		return api.OrdersAnswer{}, apierror.Internal(err)
+		return api.OperationsAnswer{}, apierror.Internal(err)
 	}
-	slices.SortFunc(answer.Orders, func(a, b api.OrderStatus) int { return cmp.Compare(b.Number, a.Number) })
+	slices.SortFunc(answer.Orders, func(a, b api.OperationStatus) int { return cmp.Compare(b.Number, a.Number) })
 	answer.Orders = answer.Orders[:min(limit, len(answer.Orders))]
 	return answer, nil
 }
--- a/control/httpapi/httpapi.go
+++ b/control/httpapi/httpapi.go
@@ -92,7 +92,7 @@
 	mux.HandleFunc("GET "+api.PathMembers, h.getMembers)
 	mux.HandleFunc("GET "+api.PathReplicas, h.getReplicas)
 	mux.HandleFunc("PUT "+api.PathReplicas, h.authorized(h.putReplicas))
-	mux.HandleFunc("GET "+api.PathOrders, h.getOperations)
+	mux.HandleFunc("GET "+api.PathOperations, h.getOperations)
 	mux.HandleFunc("GET "+api.PathLive, h.getLive)
 	mux.HandleFunc("GET "+api.PathReady, h.getReady)
 	mux.Handle("GET "+api.PathMetrics, promhttp.HandlerFor(config.Metrics, promhttp.HandlerOpts{}))
--- a/control/httpapi/operations.go
+++ b/control/httpapi/operations.go
@@ -17,33 +17,33 @@
 // An operation's handler reads the body and names the author; submit does the rest.
 
 func (h *handlers) putConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
-	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationOrder) (peer.OrderRequest, *api.Error) {
+	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationOperation) (peer.OperationRequest, *api.Error) {
 		if len(body.Document) > configuration.MaxDocumentBytes {
 			message := fmt.Sprintf("must have at most %d bytes", configuration.MaxDocumentBytes)
-			return peer.OrderRequest{}, apierror.TooLarge("document", message)
+			return peer.OperationRequest{}, apierror.TooLarge("document", message)
 		}
 		body.Author = authorOf(body.Author, operator)
-		return peer.OrderRequest{Configuration: body}, nil
+		return peer.OperationRequest{Configuration: body}, nil
 	})
 }
 
 func (h *handlers) patchConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
-	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationChangeOrder) (peer.OrderRequest, *api.Error) {
+	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationPatchOperation) (peer.OperationRequest, *api.Error) {
 		body.Author = authorOf(body.Author, operator)
-		return peer.OrderRequest{ConfigurationChange: body}, nil
+		return peer.OperationRequest{ConfigurationChange: body}, nil
 	})
 }
 
 func (h *handlers) postEvacuation(w http.ResponseWriter, r *http.Request, operator string) {
-	submitBody(h, w, r, MaxSmallBody, func(body *api.EvacuationOrder) (peer.OrderRequest, *api.Error) {
+	submitBody(h, w, r, MaxSmallBody, func(body *api.EvacuationOperation) (peer.OperationRequest, *api.Error) {
 		body.Author = authorOf(body.Author, operator)
-		return peer.OrderRequest{Evacuation: body}, nil
+		return peer.OperationRequest{Evacuation: body}, nil
 	})
 }
 
 func (h *handlers) putReplicas(w http.ResponseWriter, r *http.Request, _ string) {
-	submitBody(h, w, r, maxOperationBody, func(body *api.ReplicaList) (peer.OrderRequest, *api.Error) {
-		return peer.OrderRequest{Replicas: body}, nil
+	submitBody(h, w, r, maxOperationBody, func(body *api.ReplicaList) (peer.OperationRequest, *api.Error) {
+		return peer.OperationRequest{Replicas: body}, nil
 	})
 }
 
@@ -55,7 +55,7 @@
 }
 
 // submitBody submits the operation that a request's body describes.
-func submitBody[Body any](h *handlers, w http.ResponseWriter, r *http.Request, limit int64, request func(*Body) (peer.OrderRequest, *api.Error)) {
+func submitBody[Body any](h *handlers, w http.ResponseWriter, r *http.Request, limit int64, request func(*Body) (peer.OperationRequest, *api.Error)) {
 	var body Body
 	if problem := readJSON(w, r, limit, &body); problem != nil {
 		writeError(w, problem)
@@ -70,7 +70,7 @@
 }
 
 // submit executes an operation within the time that its sender gives.
-func (h *handlers) submit(w http.ResponseWriter, r *http.Request, request peer.OrderRequest) {
+func (h *handlers) submit(w http.ResponseWriter, r *http.Request, request peer.OperationRequest) {
 	wait, problem := h.waitOf(r)
 	if problem != nil {
 		writeError(w, problem)
--- a/control/inventory/inventory.go
+++ b/control/inventory/inventory.go
@@ -65,7 +65,7 @@
 		r.log.Warn("replica list fetch failed", "error", err)
 		return
 	}
-	reply := r.executor.Execute(ctx, peer.OrderRequest{Replicas: list})
+	reply := r.executor.Execute(ctx, peer.OperationRequest{Replicas: list})
 	if reply.Error != nil {
 		r.log.Warn("replica list rejected", "error", reply.Error)
 	}
--- a/control/leases/gateways.go
+++ b/control/leases/gateways.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // MissedRenewals is the number of renewals that a gateway must miss before clients
@@ -14,7 +14,7 @@
 
 // RecordRenewal keeps who renewed. It returns the change of the gateway's member
 // record that follows, if any; the caller passes that to QueueRecord.
-func (m *Manager) RecordRenewal(now time.Duration, current *places.Contents, renew *peer.Renew) (RecordChange, bool) {
+func (m *Manager) RecordRenewal(now time.Duration, current *catalog.State, renew *peer.Renew) (RecordChange, bool) {
 	if m.isLate(current, renew) {
 		return RecordChange{}, false
 	}
@@ -24,16 +24,16 @@
 		m.gateways[renew.Gateway.Name] = observed
 	}
 	restarted := observed.info.Incarnation != renew.Gateway.Incarnation
-	lapsed := now-observed.renewed > m.config.Terms.Length
+	lapsed := now-observed.renewed > m.config.Lease.Duration
 	if restarted || lapsed {
 		observed.since = now
 	}
-	if restarted || lapsed || observed.received != renew.Held || observed.active != renew.Active {
+	if restarted || lapsed || observed.received != renew.ReceivedSerial || observed.active != renew.ActiveSerial {
 		m.reportsChanged = true
 	}
 	observed.info = renew.Gateway
-	observed.received = renew.Held
-	observed.active = renew.Active
+	observed.received = renew.ReceivedSerial
+	observed.active = renew.ActiveSerial
 	observed.renewed = now
 	observed.contacted = now
 	observed.activeVersion = renew.ActiveVersion
@@ -44,7 +44,7 @@
 // incarnation that was replaced, or of another one than the registry names that
 // does not know this term. A gateway that has just started knows the term from its
 // second renewal on.
-func (m *Manager) isLate(current *places.Contents, renew *peer.Renew) bool {
+func (m *Manager) isLate(current *catalog.State, renew *peer.Renew) bool {
 	record, known := current.Gateways()[renew.Gateway.Name]
 	if !known || record.Incarnation == renew.Gateway.Incarnation {
 		return false
@@ -59,20 +59,20 @@
 }
 
 // recordChange brings the member record of a gateway in line with its lease.
-func (m *Manager) recordChange(now time.Duration, current *places.Contents, name string, observed *gateway) (RecordChange, bool) {
+func (m *Manager) recordChange(now time.Duration, current *catalog.State, name string, observed *gateway) (RecordChange, bool) {
 	if observed.recordPending {
 		return RecordChange{}, false
 	}
 	old, known := current.Gateways()[name]
-	desired := places.Gateway{
-		Incarnation: observed.info.Incarnation,
-		Zone:        observed.info.Zone,
-		Region:      observed.info.Region,
-		PeerAddress: observed.info.PeerAddress,
-		HTTPAddress: observed.info.HTTPAddress,
-		Up:          !observed.info.Leaving,
-		MayHold:     !observed.info.Leaving,
-		LinkMbps:    observed.info.LinkMbps,
+	desired := catalog.Gateway{
+		Incarnation:  observed.info.Incarnation,
+		Zone:         observed.info.Zone,
+		Region:       observed.info.Region,
+		PeerAddress:  observed.info.PeerAddress,
+		HTTPAddress:  observed.info.HTTPAddress,
+		Up:           !observed.info.Draining,
+		MayHoldLease: !observed.info.Draining,
+		LinkMbps:     observed.info.LinkMbps,
 	}
 	returned := known && !old.Up && old.Incarnation == desired.Incarnation
 	if returned && now-observed.since < m.config.GatewayGrace {
@@ -95,7 +95,7 @@
 // renewals, so that nobody is sent to them, and those that record whose lease has
 // expired, after a grace. Gateways that never renewed with this primary are included.
 // The caller passes each change to QueueRecord.
-func (m *Manager) Lapsed(now time.Duration, current *places.Contents) []RecordChange {
+func (m *Manager) Lapsed(now time.Duration, current *catalog.State) []RecordChange {
 	var changes []RecordChange
 	for name, record := range current.Gateways() {
 		observed, known := m.gateways[name]
@@ -110,16 +110,16 @@
 	return changes
 }
 
-func (m *Manager) lapse(now time.Duration, name string, record places.Gateway, observed *gateway) (RecordChange, bool) {
-	expiry := m.config.Terms.Length + m.config.Terms.Margin + m.config.GatewayGrace
-	expired := record.MayHold && now-observed.renewed > expiry
-	idle := record.Up && now-observed.contacted > MissedRenewals*m.config.Terms.Renewal
+func (m *Manager) lapse(now time.Duration, name string, record catalog.Gateway, observed *gateway) (RecordChange, bool) {
+	expiry := m.config.Lease.Duration + m.config.Lease.ClockDriftMargin + m.config.GatewayGrace
+	expired := record.MayHoldLease && now-observed.renewed > expiry
+	idle := record.Up && now-observed.contacted > MissedRenewals*m.config.Lease.RenewalInterval
 	if observed.recordPending || !expired && !idle {
 		return RecordChange{}, false
 	}
 	down := record
 	down.Up = false
-	down.MayHold = record.MayHold && !expired
+	down.MayHoldLease = record.MayHoldLease && !expired
 	observed.recordPending = true
 	observed.revoking = expired
 	return RecordChange{
@@ -135,6 +135,6 @@
 // this primary may have renewed with the one before: its lease ends at the end of
 // the window that a new primary waits for older leases.
 func (m *Manager) latestEarlierRenewal() time.Duration {
-	terms := m.config.Terms
-	return m.elected + terms.Window() - terms.Length - terms.Margin
+	config := m.config.Lease
+	return m.elected + config.GracePeriod() - config.Duration - config.ClockDriftMargin
 }
--- a/control/leases/leases.go
+++ b/control/leases/leases.go
@@ -7,15 +7,15 @@
 import (
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // Config sets up a Manager. All are required.
 type Config struct {
-	// Terms are the terms that gateways use too.
-	Terms lease.Terms
+	// Lease is the configuration that gateways use too.
+	Lease lease.Config
 	// GatewayGrace is how long after the end of its lease a gateway is marked down,
 	// and how long a lease must last before it is marked up again.
 	GatewayGrace time.Duration
@@ -74,7 +74,7 @@
 		term:       term,
 		elected:    elected,
 		servingAt:  now,
-		grantor:    lease.NewGrantor(config.Terms, term, elected, serial),
+		grantor:    lease.NewGrantor(config.Lease, term, elected, serial),
 		gateways:   make(map[string]*gateway),
 		superseded: make(map[lease.HolderID]bool),
 	}
@@ -87,45 +87,45 @@
 // of the newest heartbeat round that a quorum acknowledged, if known.
 func (m *Manager) Renew(now, contact time.Duration, contactKnown bool, renew *peer.Renew) lease.Decision {
 	return m.grantor.Renew(now, contact, contactKnown, lease.Request{
-		Holder:      renew.Gateway.Name,
-		Incarnation: renew.Gateway.Incarnation,
-		Held:        renew.Held,
-		Active:      renew.Active,
-		Leaving:     renew.Gateway.Leaving,
-		Valid:       renew.Valid,
-		Term:        renew.Term,
+		Holder:         renew.Gateway.Name,
+		Incarnation:    renew.Gateway.Incarnation,
+		ReceivedSerial: renew.ReceivedSerial,
+		ActiveSerial:   renew.ActiveSerial,
+		Release:        renew.Gateway.Draining,
+		LeaseValid:     renew.LeaseValid,
+		Term:           renew.Term,
 	})
 }
 
 // MayLease says whether the registry records that a gateway may have a lease. A
 // lease is granted only then, so that the records that a new primary finds name
 // everyone who may have one.
-func (m *Manager) MayLease(current *places.Contents, info peer.GatewayInfo) bool {
+func (m *Manager) MayLease(current *catalog.State, info peer.GatewayInfo) bool {
 	record, known := current.Gateways()[info.Name]
 	observed := m.gateways[info.Name]
 	revoking := observed != nil && observed.revoking
-	return known && record.MayHold && record.Incarnation == info.Incarnation && !revoking
+	return known && record.MayHoldLease && record.Incarnation == info.Incarnation && !revoking
 }
 
 // ExpectHolders tells the grantor, once, who may have a lease of an earlier primary.
-func (m *Manager) ExpectHolders(now time.Duration, current *places.Contents) {
+func (m *Manager) ExpectHolders(now time.Duration, current *catalog.State) {
 	if m.expectsHolders || current == nil {
 		return
 	}
 	m.expectsHolders = true
 	var holders []lease.HolderID
 	for name, record := range current.Gateways() {
-		if record.MayHold || record.Up { // older records only have the latter
+		if record.MayHoldLease || record.Up { // older records only have the latter
 			holders = append(holders, lease.HolderID{Holder: name, Incarnation: record.Incarnation})
 		}
 	}
-	m.grantor.Expect(now, holders)
+	m.grantor.ExpectReclaims(now, holders)
 }
 
 // NeedsConfirmation is true once, when a proof of leadership would end the wait for
 // earlier leases.
 func (m *Manager) NeedsConfirmation() bool {
-	if m.confirming || !m.grantor.AwaitsProof() {
+	if m.confirming || !m.grantor.AwaitsQuorumContact() {
 		return false
 	}
 	m.confirming = true
@@ -149,17 +149,17 @@
 }
 
 // ActivatableSerial is the newest serial that gateways may activate now; 0 if none.
-func (m *Manager) ActivatableSerial() uint32 { return m.grantor.Activate() }
+func (m *Manager) ActivatableSerial() uint32 { return m.grantor.ActivationSerial() }
 
 // InForceSerial is the newest serial known to be active at every lease holder.
 func (m *Manager) InForceSerial() uint32 {
-	serial, _ := m.grantor.InForce()
+	serial, _ := m.grantor.SerialInForce()
 	return serial
 }
 
 // Addresses returns the peer addresses of the gateways that renewed, and of those
 // whose records say that they are up.
-func (m *Manager) Addresses(current *places.Contents) []string {
+func (m *Manager) Addresses(current *catalog.State) []string {
 	seen := make(map[string]bool)
 	var addresses []string
 	include := func(address string) {
--- a/control/leases/records.go
+++ b/control/leases/records.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -18,9 +18,9 @@
 type RecordChange struct {
 	Gateway string
 	// Old is the record that is replaced, if one Existed.
-	Old     places.Gateway
+	Old     catalog.Gateway
 	Existed bool
-	New     places.Gateway
+	New     catalog.Gateway
 
 	finished func() // runs when the change's update has been answered
 }
@@ -69,7 +69,7 @@
 	}
 	for i := range taken {
 		update.Prerequisites = append(update.Prerequisites, taken[i].prerequisite())
-		update.Changes = append(update.Changes, registry.Add(places.GatewayRecord(taken[i].Gateway, taken[i].New)))
+		update.Changes = append(update.Changes, registry.Add(catalog.GatewayRecord(taken[i].Gateway, taken[i].New)))
 	}
 	return update, true
 }
@@ -78,13 +78,13 @@
 // of earlier ones. Every change of the registry goes to every gateway, and after a
 // loss of power what they need first is the existing table, to serve by it.
 func (m *Manager) delaysRecords(now time.Duration) bool {
-	return !m.grantor.Settled() && now-m.servingAt < TakeoverDelay
+	return !m.grantor.GracePeriodOver() && now-m.servingAt < TakeoverDelay
 }
 
 // prerequisite is the record that is replaced, or that there is none.
 func (c *RecordChange) prerequisite() registry.Record {
 	if c.Existed {
-		return registry.Equals(places.GatewayRecord(c.Gateway, c.Old))
+		return registry.Equals(catalog.GatewayRecord(c.Gateway, c.Old))
 	}
-	return registry.Absent(places.GatewayName(c.Gateway), places.TypeGateway)
+	return registry.Absent(catalog.GatewayName(c.Gateway), catalog.TypeGateway)
 }
--- a/control/leases/review.go
+++ b/control/leases/review.go
@@ -30,10 +30,10 @@
 	m.review.Contact, m.review.ContactKnown = contact, contactKnown
 	m.review.Serial = serial
 	if contactKnown {
-		m.grantor.SetContact(contact)
+		m.grantor.SetQuorumContact(contact)
 	}
-	m.review.Activate = m.grantor.Activate()
-	m.review.InForce, m.review.InForceKnown = m.grantor.InForce()
+	m.review.Activate = m.grantor.ActivationSerial()
+	m.review.InForce, m.review.InForceKnown = m.grantor.SerialInForce()
 	return true
 }
 
--- a/control/membership/repair.go
+++ b/control/membership/repair.go
@@ -40,7 +40,7 @@
 // everything committed, no learner, and no membership change in progress. A new
 // voter whose entry is not committed could lose its vote with one more disk.
 func (r *Repair) Done() bool {
-	if !r.Status.Settled {
+	if !r.Status.MembershipCommitted {
 		return false
 	}
 	voters := 0
@@ -61,7 +61,7 @@
 	if id == r.Status.ID {
 		return true
 	}
-	contact, responded := r.Status.Contact[id]
+	contact, responded := r.Status.LastContact[id]
 	return responded && r.Now-contact <= ReachableTimeout
 }
 
@@ -131,7 +131,7 @@
 	if id == r.Status.ID {
 		return 0
 	}
-	return r.Now - max(r.Status.Contact[id], r.FirstSeen[id], r.Elected)
+	return r.Now - max(r.Status.LastContact[id], r.FirstSeen[id], r.Elected)
 }
 
 // replacesNobody is true if every voter that the learner could replace responds:
@@ -176,7 +176,7 @@
 	complete := r.countVoters() >= r.Voters
 	matches := []func(voter consensus.Member) bool{
 		func(voter consensus.Member) bool {
-			return voter.Address == member.Address && r.Status.Contact[voter.ID] < request.ReceivedAt
+			return voter.Address == member.Address && r.Status.LastContact[voter.ID] < request.ReceivedAt
 		},
 		func(voter consensus.Member) bool {
 			return complete && voter.Name == member.Name && r.unreachable(voter)
--- a/control/message/golden_test.go
+++ b/control/message/golden_test.go
@@ -54,7 +54,7 @@
 	learner := api.MemberStatus{Name: "control-4", Role: "control", Zone: "zone-2", PeerAddress: "10.0.0.4:7141", Identity: "disk-4", Learner: true}
 	gateway := api.MemberStatus{
 		Name: "gateway-1", Role: "gateway", Zone: "zone-3", Region: "region-2", Incarnation: "89abcdef0123456789abcdef",
-		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, LeaseMS: 2500, HeldSerial: 41, ActiveSerial: 40, ActiveVersion: 7,
+		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, LeaseMS: 2500, ReceivedSerial: 41, ActiveSerial: 40, ActiveVersion: 7,
 	}
 	cases := []struct {
 		name    string
--- a/control/node.go
+++ b/control/node.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/bootstrap"
 	"github.com/deckpulley/deckpulley/control/discovery"
@@ -31,7 +32,6 @@
 	"github.com/deckpulley/deckpulley/control/status"
 	"github.com/deckpulley/deckpulley/control/updates"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/transport"
 )
 
@@ -138,7 +138,7 @@
 	})
 	n.executor = executor.New(executor.Config{
 		PeerAddress: options.PeerAddress,
-		LeaseLength: options.Lease.Length,
+		LeaseLength: options.Lease.Duration,
 		Queue:       n.queue,
 		Engine:      n.engine,
 		Network:     n.network,
@@ -186,11 +186,11 @@
 func (n *Node) handleMessages() {
 	n.network.Handle(peer.KindConsensus, n.engine.ServeConsensus)
 	n.network.Handle(peer.KindHello, n.bootstrapper.ServeHello)
-	n.network.Handle(peer.KindForm, n.bootstrapper.ServeForm)
+	n.network.Handle(peer.KindBootstrap, n.bootstrapper.ServeForm)
 	n.network.Handle(peer.KindJoin, n.bootstrapper.ServeJoin)
 	n.network.Handle(peer.KindRenew, n.engine.ServeRenew)
 	n.network.Handle(peer.KindUpdate, n.updates.Serve)
-	n.network.Handle(peer.KindOrder, n.executor.Serve)
+	n.network.Handle(peer.KindOperation, n.executor.Serve)
 	n.network.Handle(message.KindDescribe, n.describer.Serve)
 	n.network.Handle(message.KindReadIndex, n.reader.Serve)
 	n.network.Handle(message.KindOverview, n.reporter.Serve)
@@ -290,21 +290,21 @@
 
 // Submit executes an operation, here or at the primary. It answers when the operation
 // is in force everywhere, when it is refused, or when ctx ends.
-func (n *Node) Submit(ctx context.Context, request peer.OrderRequest) peer.OrderReply {
+func (n *Node) Submit(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	return n.executor.Submit(ctx, request)
 }
 
 // CurrentConfiguration returns the newest configuration: its version and text as they
 // were submitted, and false before the first one. It waits for proof that nothing
 // newer was acknowledged.
-func (n *Node) CurrentConfiguration(ctx context.Context) (places.Configuration, bool, *api.Error) {
+func (n *Node) CurrentConfiguration(ctx context.Context) (catalog.Configuration, bool, *api.Error) {
 	observed, problem := n.reader.Linearizable(ctx)
 	if problem != nil {
-		return places.Configuration{}, false, problem
+		return catalog.Configuration{}, false, problem
 	}
 	if observed.Catalog == nil {
-		return places.Configuration{}, false, nil
+		return catalog.Configuration{}, false, nil
 	}
-	current, configured := observed.Catalog.ConfigurationRecord()
+	current, configured := observed.Catalog.Configuration()
 	return current, configured, nil
 }
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -4,21 +4,21 @@
 	"fmt"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/control/apierror"
 	"github.com/deckpulley/deckpulley/control/permission"
-	"github.com/deckpulley/deckpulley/documentchange"
 	"github.com/deckpulley/deckpulley/internal/planted"
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
 // Facts are the state at the primary that a decision follows from. The
 // prerequisites of the decision's update make it void if they have changed meanwhile.
 type Facts struct {
-	Catalog *places.Contents
-	// Number orders the answers by age.
-	Number uint64
+	Catalog *catalog.State
+	// Sequence orders the answers by age.
+	Sequence uint64
 	// Surplus are the oldest answers, which make room for this one.
 	Surplus []registry.Name
 }
@@ -26,7 +26,7 @@
 // Decision is the answer to an operation, and the update that makes it so.
 type Decision struct {
 	Update registry.Update
-	Answer places.Order
+	Answer catalog.OperationResult
 }
 
 // Decide decides an operation that has an id. A refusal is a decision too. An error
@@ -70,9 +70,9 @@
 }
 
 // changedDocument is the current document with a change made to it.
-func changedDocument(current *places.Contents, change *documentchange.Change) (string, *configuration.Document, *api.Error) {
-	record, _ := current.ConfigurationRecord()
-	text, err := documentchange.ApplyToMappings(record.Document, change)
+func changedDocument(current *catalog.State, change *patch.Change) (string, *configuration.Document, *api.Error) {
+	record, _ := current.Configuration()
+	text, err := patch.ApplyYAML(record.Document, change)
 	if err != nil {
 		return "", nil, invalidChange(err)
 	}
@@ -102,7 +102,7 @@
 
 // basePrerequisite is that the current version is still the current one.
 func basePrerequisite(facts Facts) registry.Record {
-	return configuration.BasePrerequisite(facts.Catalog.View())
+	return configuration.UnchangedPrerequisite(facts.Catalog.View())
 }
 
 // acceptDocument makes a document the next version.
@@ -118,61 +118,61 @@
 // decideEvacuation evacuates a zone of the current configuration, or withdraws that.
 func (o *Operation) decideEvacuation(facts Facts) Decision {
 	request := o.request.Evacuation
-	name := places.ZoneName(request.Zone)
+	name := catalog.ZoneName(request.Zone)
 	if _, known := facts.Catalog.Zones()[request.Zone]; !known {
-		return o.refuse(facts, registry.Absent(name, places.TypeZone), &api.Error{
+		return o.refuse(facts, registry.Absent(name, catalog.TypeZone), &api.Error{
 			Code:    api.CodeNotFound,
 			Message: fmt.Sprintf("the configuration has no zone %q", request.Zone),
 			Field:   "zone",
 		})
 	}
-	change := registry.DeleteSet(name, places.TypeEvacuation)
+	change := registry.DeleteSet(name, catalog.TypeEvacuation)
 	if !request.Withdraw {
-		change = registry.Add(places.EvacuationRecord(request.Zone, places.Evacuation{Author: request.Author, Order: request.OrderID}))
+		change = registry.Add(catalog.EvacuationRecord(request.Zone, catalog.Evacuation{Author: request.Author, OperationID: request.OperationID}))
 	}
-	exists := registry.Exists(name, places.TypeZone)
+	exists := registry.Exists(name, catalog.TypeZone)
 	return o.accept(facts, facts.Catalog.Version(), request.Author, exists, []registry.Record{change})
 }
 
 // accept is a decision with changes, valid under a prerequisite. The version is that
 // after the changes.
 func (o *Operation) accept(facts Facts, version uint64, author string, prerequisite registry.Record, changes []registry.Record) Decision {
-	answer := places.Order{Digest: o.digest, Accepted: true, Version: version, Number: facts.Number}
+	answer := catalog.OperationResult{Digest: o.digest, Accepted: true, Version: version, Sequence: facts.Sequence}
 	return o.decision(facts, answer, author, prerequisite, changes)
 }
 
 // refuse is a decision without changes, valid under a prerequisite.
 func (o *Operation) refuse(facts Facts, prerequisite registry.Record, reason *api.Error) Decision {
-	answer := places.Order{
-		Digest:  o.digest,
-		Version: facts.Catalog.Version(),
-		Number:  facts.Number,
-		Code:    string(reason.Code),
-		Field:   reason.Field,
-		Reason:  reason.Message,
+	answer := catalog.OperationResult{
+		Digest:   o.digest,
+		Version:  facts.Catalog.Version(),
+		Sequence: facts.Sequence,
+		Code:     string(reason.Code),
+		Field:    reason.Field,
+		Reason:   reason.Message,
 	}
 	return o.decision(facts, answer, "", prerequisite, nil)
 }
 
 // decision adds the answer's record to the changes, once: no answer may exist.
-func (o *Operation) decision(facts Facts, answer places.Order, author string, prerequisite registry.Record, changes []registry.Record) Decision {
-	unanswered := registry.Absent(places.OrderName(o.ID()), places.TypeOrder)
-	changes = append(changes, registry.Add(places.OrderRecord(o.ID(), answer)))
+func (o *Operation) decision(facts Facts, answer catalog.OperationResult, author string, prerequisite registry.Record, changes []registry.Record) Decision {
+	unanswered := registry.Absent(catalog.OperationName(o.ID()), catalog.TypeOperation)
+	changes = append(changes, registry.Add(catalog.OperationResultRecord(o.ID(), answer)))
 	for _, oldest := range facts.Surplus {
-		changes = append(changes, registry.DeleteSet(oldest, places.TypeOrder))
+		changes = append(changes, registry.DeleteSet(oldest, catalog.TypeOperation))
 	}
-	update := registry.NewUpdate(places.Apex, []registry.Record{prerequisite, unanswered}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite, unanswered}, changes)
 	update.Requestor = permission.Operator(author)
 	return Decision{Update: update, Answer: answer}
 }
 
 // Answer is the answer to an operation whose decision was stored, visible since a serial.
-func Answer(id string, decided places.Order, serial uint32) *api.OrderAnswer {
-	answer := &api.OrderAnswer{
-		OrderID:  id,
-		Accepted: decided.Accepted,
-		Version:  decided.Version,
-		Serial:   serial,
+func Answer(id string, decided catalog.OperationResult, serial uint32) *api.OperationResult {
+	answer := &api.OperationResult{
+		OperationID: id,
+		Accepted:    decided.Accepted,
+		Version:     decided.Version,
+		Serial:      serial,
 	}
 	if !decided.Accepted {
 		answer.Error = &api.Error{
@@ -188,7 +188,7 @@
 // Conflict rejects an operation whose id was used for another one.
 func Conflict() *api.Error {
 	return &api.Error{
-		Code:    api.CodeOrderConflict,
+		Code:    api.CodeOperationConflict,
 		Outcome: api.OutcomeRefused,
 		Message: "this order id was used for another order",
 		Field:   "order_id",
--- a/control/operation/golden_test.go
+++ b/control/operation/golden_test.go
@@ -32,7 +32,7 @@
 
 // TestGoldenEvacuationDigest goes the whole way from a request to its digest.
 func TestGoldenEvacuationDigest(t *testing.T) {
-	checked, problem := New(peer.OrderRequest{Evacuation: &api.EvacuationOrder{OrderID: "operation-1", Zone: "zone-1", Author: "operator-1"}})
+	checked, problem := New(peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "operation-1", Zone: "zone-1", Author: "operator-1"}})
 	if problem != nil {
 		t.Fatal(problem)
 	}
@@ -49,6 +49,6 @@
 }
 
 func TestGoldenRouteMapIdentity(t *testing.T) {
-	identity := routeMapID(&peer.RouteMapOrder{BaseVersion: 7, Text: "text"})
+	identity := routeMapID(&peer.RouteMapOperation{BaseVersion: 7, Text: "text"})
 	golden.Compare(t, "identity-route-map", []byte(identity))
 }
--- a/control/operation/operation.go
+++ b/control/operation/operation.go
@@ -18,26 +18,26 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/control/apierror"
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 )
 
 // Operation is one operation whose form is valid.
 type Operation struct {
-	request  peer.OrderRequest
+	request  peer.OperationRequest
 	document *configuration.Document
 	// change is that of an operation which changes the document.
-	change *documentchange.Change
+	change *patch.Change
 	digest uint64
 	// routeMapID identifies an operation on the route map.
 	routeMapID string
 }
 
 // New checks the form of an operation.
-func New(request peer.OrderRequest) (*Operation, *api.Error) {
+func New(request peer.OperationRequest) (*Operation, *api.Error) {
 	o := &Operation{request: request}
 	if problem := o.check(); problem != nil {
 		return nil, problem
@@ -63,7 +63,7 @@
 }
 
 // Request is the request as it was received.
-func (o *Operation) Request() peer.OrderRequest { return o.request }
+func (o *Operation) Request() peer.OperationRequest { return o.request }
 
 // Replicas is the platform's list of replicas; nil for any other operation. It has
 // no id and no record of its answer, and is decided by ReplicaUpdate.
@@ -76,13 +76,13 @@
 func (o *Operation) ID() string {
 	switch {
 	case o.request.Configuration != nil:
-		return o.request.Configuration.OrderID
+		return o.request.Configuration.OperationID
 	case o.request.Evacuation != nil:
-		return o.request.Evacuation.OrderID
+		return o.request.Evacuation.OperationID
 	case o.request.RouteMap != nil:
 		return o.routeMapID
 	case o.request.ConfigurationChange != nil:
-		return o.request.ConfigurationChange.OrderID
+		return o.request.ConfigurationChange.OperationID
 	default:
 		return ""
 	}
@@ -92,8 +92,8 @@
 // with another digest is a conflict.
 func (o *Operation) Digest() uint64 { return o.digest }
 
-func (o *Operation) checkConfiguration(request *api.ConfigurationOrder) *api.Error {
-	if problem := checkID(request.OrderID, request.Author); problem != nil {
+func (o *Operation) checkConfiguration(request *api.ConfigurationOperation) *api.Error {
+	if problem := checkID(request.OperationID, request.Author); problem != nil {
 		return problem
 	}
 	document, err := configuration.Load(request.Document)
@@ -105,8 +105,8 @@
 	return nil
 }
 
-func (o *Operation) checkConfigurationChange(request *api.ConfigurationChangeOrder) *api.Error {
-	if problem := checkID(request.OrderID, request.Author); problem != nil {
+func (o *Operation) checkConfigurationChange(request *api.ConfigurationPatchOperation) *api.Error {
+	if problem := checkID(request.OperationID, request.Author); problem != nil {
 		return problem
 	}
 	change, err := configuration.ParseChange(request.Change)
@@ -118,11 +118,11 @@
 	return nil
 }
 
-func (o *Operation) checkEvacuation(request *api.EvacuationOrder) *api.Error {
-	if problem := checkID(request.OrderID, request.Author); problem != nil {
+func (o *Operation) checkEvacuation(request *api.EvacuationOperation) *api.Error {
+	if problem := checkID(request.OperationID, request.Author); problem != nil {
 		return problem
 	}
-	if places.CheckObjectName(request.Zone) != nil {
+	if catalog.CheckObjectName(request.Zone) != nil {
 		return apierror.Invalid("zone", objectNameLength())
 	}
 	o.digest = digestOf("evacuation", request.Zone, request.Withdraw)
@@ -131,7 +131,7 @@
 
 // invalidChange names the field of a change that cannot be made.
 func invalidChange(err error) *api.Error {
-	var problem *documentchange.Problem
+	var problem *patch.FieldError
 	if errors.As(err, &problem) {
 		return apierror.Invalid("change."+problem.Field, problem.Reason)
 	}
@@ -141,15 +141,15 @@
 // invalidDocument names the first problem's field; the message has all of them.
 func invalidDocument(err error) *api.Error {
 	answer := apierror.Invalid("document", err.Error())
-	var problems *configuration.Problems
-	if errors.As(err, &problems) && len(problems.List) > 0 && problems.List[0].Field != "" {
-		answer.Field = "document." + problems.List[0].Field
+	var problems *configuration.DocumentError
+	if errors.As(err, &problems) && len(problems.Problems) > 0 && problems.Problems[0].Field != "" {
+		answer.Field = "document." + problems.Problems[0].Field
 	}
 	return answer
 }
 
 func checkID(id, author string) *api.Error {
-	if places.CheckObjectName(id) != nil {
+	if catalog.CheckObjectName(id) != nil {
 		return apierror.Invalid("order_id", objectNameLength())
 	}
 	if len(author) > api.MaxNameBytes {
@@ -159,7 +159,7 @@
 }
 
 func objectNameLength() string {
-	return fmt.Sprintf("must have 1 to %d bytes", places.MaxObjectNameBytes)
+	return fmt.Sprintf("must have 1 to %d bytes", catalog.MaxObjectNameBytes)
 }
 
 // digestOf hashes what an operation asks for. The hash is stored with its answer.
--- a/control/operation/replicas.go
+++ b/control/operation/replicas.go
@@ -5,9 +5,9 @@
 	"strings"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/control/apierror"
 	"github.com/deckpulley/deckpulley/control/permission"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -31,13 +31,13 @@
 
 func checkReplica(entry api.ReplicaEntry, seen map[string]bool) (field, reason string) {
 	switch {
-	case places.CheckObjectName(entry.ID) != nil:
+	case catalog.CheckObjectName(entry.ID) != nil:
 		return "id", objectNameLength()
 	case seen[entry.ID]:
 		return "id", fmt.Sprintf("%q is listed twice", entry.ID)
-	case places.CheckObjectName(entry.Service) != nil:
+	case catalog.CheckObjectName(entry.Service) != nil:
 		return "service", objectNameLength()
-	case places.CheckObjectName(entry.Zone) != nil:
+	case catalog.CheckObjectName(entry.Zone) != nil:
 		return "zone", objectNameLength()
 	case !strings.Contains(entry.Address, ":") || len(entry.Address) > api.MaxNameBytes:
 		return "address", "must be host:port"
@@ -48,18 +48,18 @@
 
 // ReplicaUpdate is the update that makes the registry's list of replicas that of the
 // platform. It has no changes if the lists are the same.
-func ReplicaUpdate(current *places.Contents, list *api.ReplicaList) (registry.Update, *api.Error) {
+func ReplicaUpdate(current *catalog.State, list *api.ReplicaList) (registry.Update, *api.Error) {
 	changes, problem := replicaChanges(current, list)
 	if problem != nil {
 		return registry.Update{}, problem
 	}
-	update := registry.NewUpdate(places.Apex, nil, changes)
+	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	update.Requestor = permission.Platform
 	return update, nil
 }
 
 // replicaChanges lists what differs between the registry and the platform's list.
-func replicaChanges(current *places.Contents, list *api.ReplicaList) ([]registry.Record, *api.Error) {
+func replicaChanges(current *catalog.State, list *api.ReplicaList) ([]registry.Record, *api.Error) {
 	var changes []registry.Record
 	listed := make(map[string]bool, len(list.Replicas))
 	known := current.Replicas()
@@ -69,42 +69,42 @@
 			return nil, apierror.Invalid(fmt.Sprintf("replicas[%d].zone", i), fmt.Sprintf("the configuration has no zone %q", entry.Zone))
 		}
 		listed[entry.ID] = true
-		replica := places.Replica{Service: entry.Service, Zone: entry.Zone, Region: zone.Region, Address: entry.Address, Slots: entry.Slots}
+		replica := catalog.Replica{Service: entry.Service, Zone: entry.Zone, Region: zone.Region, Address: entry.Address, Slots: entry.Slots}
 		if old, present := known[entry.ID]; !present || old != replica {
-			changes = append(changes, registry.Add(places.ReplicaRecord(entry.ID, replica)))
+			changes = append(changes, registry.Add(catalog.ReplicaRecord(entry.ID, replica)))
 		}
 		changes = append(changes, drainChange(current, entry)...)
 		changes = append(changes, conditionChange(current, entry)...)
 	}
 	for id := range known {
 		if !listed[id] {
-			changes = append(changes, registry.DeleteName(places.ReplicaName(id)))
+			changes = append(changes, registry.DeleteName(catalog.ReplicaName(id)))
 		}
 	}
 	return changes, nil
 }
 
-func drainChange(current *places.Contents, entry api.ReplicaEntry) []registry.Record {
-	if current.Drained(entry.ID) == entry.Draining {
+func drainChange(current *catalog.State, entry api.ReplicaEntry) []registry.Record {
+	if current.IsDraining(entry.ID) == entry.Draining {
 		return nil
 	}
 	if entry.Draining {
-		return []registry.Record{registry.Add(places.DrainRecord(entry.ID, places.Drain{Reason: "listed as draining"}))}
+		return []registry.Record{registry.Add(catalog.DrainRecord(entry.ID, catalog.Drain{Reason: "listed as draining"}))}
 	}
-	return []registry.Record{registry.DeleteSet(places.ReplicaName(entry.ID), places.TypeDrain)}
+	return []registry.Record{registry.DeleteSet(catalog.ReplicaName(entry.ID), catalog.TypeDrain)}
 }
 
 // conditionChange follows a list that says which replicas are warming up.
-func conditionChange(current *places.Contents, entry api.ReplicaEntry) []registry.Record {
+func conditionChange(current *catalog.State, entry api.ReplicaEntry) []registry.Record {
 	if entry.ColdMS == nil {
 		return nil
 	}
-	desired := places.Condition{State: places.ConditionUp}
+	desired := catalog.Condition{State: catalog.ConditionUp}
 	if *entry.ColdMS > 0 {
-		desired.State = places.ConditionCold
+		desired.State = catalog.ConditionWarmingUp
 	}
 	if recorded, known := current.Condition(entry.ID); known && recorded == desired {
 		return nil
 	}
-	return []registry.Record{registry.Add(places.ConditionRecord(entry.ID, desired))}
+	return []registry.Record{registry.Add(catalog.ConditionRecord(entry.ID, desired))}
 }
--- a/control/operation/routemap.go
+++ b/control/operation/routemap.go
@@ -9,11 +9,11 @@
 	"strconv"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/control/apierror"
-	"github.com/deckpulley/deckpulley/documentchange"
+	"github.com/deckpulley/deckpulley/patch"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
@@ -31,7 +31,7 @@
 	versionMember = "version"
 )
 
-func (o *Operation) checkRouteMap(request *peer.RouteMapOrder) *api.Error {
+func (o *Operation) checkRouteMap(request *peer.RouteMapOperation) *api.Error {
 	if len(request.Text) > configuration.MaxDocumentBytes {
 		return apierror.Invalid("text", fmt.Sprintf("must have at most %d bytes", configuration.MaxDocumentBytes))
 	}
@@ -52,14 +52,14 @@
 }
 
 func invalidMap(err error) *api.Error {
-	var problem *routemap.Problem
+	var problem *routemap.FieldError
 	if errors.As(err, &problem) {
 		return apierror.Invalid(problem.Field, problem.Reason)
 	}
 	return apierror.Invalid("", err.Error())
 }
 
-func routeMapID(request *peer.RouteMapOrder) string {
+func routeMapID(request *peer.RouteMapOperation) string {
 	prefix := routeMapIDPrefix
 	if request.Change != nil {
 		prefix = routeMapChangeIDPrefix
@@ -70,7 +70,7 @@
 
 // RefuseRouteMap returns why an operation on the route map may not be executed on
 // the newest state, nil if it may.
-func (o *Operation) RefuseRouteMap(newest *places.Contents) *api.Error {
+func (o *Operation) RefuseRouteMap(newest *catalog.State) *api.Error {
 	request := o.request.RouteMap
 	current := newest.Version()
 	switch {
@@ -92,7 +92,7 @@
 	if problem != nil {
 		return Decision{}, problem
 	}
-	changes, err := configuration.MapChanges(facts.Catalog.View(), after.routes, request.Zones, after.text)
+	changes, err := configuration.RouteMapChanges(facts.Catalog.View(), after.routes, request.Zones, after.text)
 	if err != nil {
 		return Decision{}, err
 	}
@@ -107,13 +107,13 @@
 
 // routeMapAfter is what an operation makes of the current configuration. A change is
 // made to it by the primary, in the operation's place in the log.
-func routeMapAfter(request *peer.RouteMapOrder, current *places.Contents) (routeMapWithText, *api.Error) {
+func routeMapAfter(request *peer.RouteMapOperation, current *catalog.State) (routeMapWithText, *api.Error) {
 	if request.Change == nil {
 		return routeMapWithText{routes: &request.Map, text: request.Text}, nil
 	}
-	record, _ := current.ConfigurationRecord()
+	record, _ := current.Configuration()
 	version := json.RawMessage(strconv.FormatUint(request.Change.Map.Version, 10))
-	text, err := documentchange.ApplyToLists(record.Document, &request.Change.Text, map[string]json.RawMessage{versionMember: version})
+	text, err := patch.ApplyJSON(record.Document, &request.Change.Text, map[string]json.RawMessage{versionMember: version})
 	if err != nil {
 		return routeMapWithText{}, invalidChange(err)
 	}
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -39,7 +39,7 @@
 
 func TestOperatorsPortRejectsWhatIsMalformed(t *testing.T) {
 	configurationOrder := func(document string) string {
-		encoded, _ := json.Marshal(api.ConfigurationOrder{OrderID: "order", Document: document})
+		encoded, _ := json.Marshal(api.ConfigurationOperation{OperationID: "order", Document: document})
 		return string(encoded)
 	}
 	cases := []struct {
@@ -77,7 +77,7 @@
 		f.await("the head to name the primary", func() bool {
 			primary := f.primary()
 			contents := primary.engine.Observe().Catalog
-			return contents != nil && contents.View().Head().Primary == primary.options.Name
+			return contents != nil && contents.View().SOA().Primary == primary.options.Name
 		})
 		serial := f.primary().engine.Observe().Serial
 		for _, c := range cases {
@@ -114,7 +114,7 @@
 		}
 		f.await("the survivor to miss its primary", func() bool { return survivor.engine.Observe().LeaderAddress() == "" })
 		var answer api.ErrorBody
-		order := api.ConfigurationOrder{OrderID: "order-2", BaseVersion: 1, Document: document(t)}
+		order := api.ConfigurationOperation{OperationID: "order-2", BaseVersion: 1, Document: document(t)}
 		status := f.request(survivor, http.MethodPut, api.PathConfiguration+"?wait_ms=500", order, &answer)
 		if status != http.StatusServiceUnavailable || answer.Error.Code != api.CodeNoPrimary || answer.Error.Outcome != api.OutcomeRefused || !answer.Error.Retry {
 			t.Errorf("without a majority an order was answered %d %+v", status, answer.Error)
@@ -131,7 +131,7 @@
 		f.mustSend(f.primary(), "order-1", 0)
 		failing := f.primary()
 		name := failing.options.Name
-		f.disks[name].Plan(storage.CrashPlan{Write: 1})
+		f.disks[name].ScheduleCrash(storage.CrashPlan{Write: 1})
 		_, answer := f.send(f.follower(), "order-2", 1, document(t))
 		if !answer.Accepted {
 			t.Errorf("the order was answered %+v", answer)
@@ -199,13 +199,13 @@
 		f.mustSend(f.primary(), "order-2", 1)
 		f.send(f.primary(), "order-3", 1, document(t)) // outraced
 		f.send(f.primary(), "order-2", 1, document(t)) // resent
-		var answer api.OrdersAnswer
-		if status := f.request(f.primary(), http.MethodGet, api.PathOrders+"?limit=2", nil, &answer); status != http.StatusOK {
+		var answer api.OperationsAnswer
+		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=2", nil, &answer); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
-		want := []api.OrderStatus{
-			{OrderID: "order-3", Version: 2, Code: api.CodeVersionConflict},
-			{OrderID: "order-2", Version: 2, Accepted: true},
+		want := []api.OperationStatus{
+			{OperationID: "order-3", Version: 2, Code: api.CodeVersionConflict},
+			{OperationID: "order-2", Version: 2, Accepted: true},
 		}
 		got := slices.Clone(answer.Orders)
 		for i := range got {
@@ -221,7 +221,7 @@
 			t.Error(difference)
 		}
 		var problem api.ErrorBody
-		if status := f.request(f.primary(), http.MethodGet, api.PathOrders+"?limit=none", nil, &problem); status != http.StatusBadRequest || problem.Error.Field != "limit" {
+		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=none", nil, &problem); status != http.StatusBadRequest || problem.Error.Field != "limit" {
 			t.Errorf("limit not a number: %d %+v", status, problem.Error)
 		}
 	})
--- a/control/options.go
+++ b/control/options.go
@@ -49,8 +49,8 @@
 	// without one.
 	Tokens func() settings.Tokens
 
-	// Lease are the terms that gateways use too. Default lease.DefaultTerms.
-	Lease lease.Terms
+	// Lease are the terms that gateways use too. Default lease.DefaultConfig.
+	Lease lease.Config
 	// ElectionTimeout and HeartbeatInterval are passed to the replicated log, which
 	// has their defaults.
 	ElectionTimeout   time.Duration
@@ -111,8 +111,8 @@
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
-	if o.Lease == (lease.Terms{}) {
-		o.Lease = lease.DefaultTerms()
+	if o.Lease == (lease.Config{}) {
+		o.Lease = lease.DefaultConfig()
 	}
 	setDefault(&o.DiscoveryInterval, defaultDiscoveryInterval)
 	setDefault(&o.CallTimeout, defaultCallTimeout)
--- a/control/permission/permission.go
+++ b/control/permission/permission.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"github.com/deckpulley/deckpulley/places"
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -60,7 +60,7 @@
 
 func controlMayChange(record registry.Record) bool {
 	switch record.Type {
-	case registry.TypeSOA, registry.TypeNS, places.TypeGateway:
+	case registry.TypeSOA, registry.TypeNS, catalog.TypeGateway:
 		return true
 	default:
 		return false
@@ -69,12 +69,12 @@
 
 // gatewayMayChange restricts gateways to the condition of replicas.
 func gatewayMayChange(record registry.Record) bool {
-	return record.Type == places.TypeCondition
+	return record.Type == catalog.TypeCondition
 }
 
 func operatorMayChange(record registry.Record) bool {
 	switch record.Type {
-	case registry.TypeSOA, registry.TypeNS, places.TypeGateway, places.TypeCondition:
+	case registry.TypeSOA, registry.TypeNS, catalog.TypeGateway, catalog.TypeCondition:
 		return false
 	default:
 		return true
@@ -85,7 +85,7 @@
 // which replicas are warming up, and deleting a replica's name with all its records.
 func platformMayChange(record registry.Record) bool {
 	switch record.Type {
-	case places.TypeReplica, places.TypeDrain, places.TypeCondition:
+	case catalog.TypeReplica, catalog.TypeDrain, catalog.TypeCondition:
 		return true
 	case registry.TypeANY:
 		return isReplicaName(record.Name)
@@ -95,6 +95,6 @@
 }
 
 func isReplicaName(name registry.Name) bool {
-	object, err := places.ObjectName(name)
-	return err == nil && places.ReplicaName(object) == name
+	object, err := catalog.ObjectName(name)
+	return err == nil && catalog.ReplicaName(object) == name
 }
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -7,11 +7,11 @@
 	"fmt"
 	"log/slog"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/identity"
 	"github.com/deckpulley/deckpulley/control/permission"
 	"github.com/deckpulley/deckpulley/control/statemachine"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -88,7 +88,7 @@
 
 // replay applies every entry of the log, committed or not: what this disk has may
 // have been acknowledged.
-func replay(loaded storage.Loaded) (*replayedLog, error) {
+func replay(loaded storage.State) (*replayedLog, error) {
 	snapshot, err := statemachine.Decode(loaded.Snapshot.Data)
 	if err != nil {
 		return nil, err
@@ -131,16 +131,16 @@
 
 // stepVersion raises the configuration version past what replicas may have seen.
 func (r *replayedLog) stepVersion(name string, result *Result) error {
-	contents, err := places.Read(r.state.Table.View())
+	contents, err := catalog.Read(r.state.Table.View())
 	if err != nil {
 		return fmt.Errorf("control: reading the table: %w", err)
 	}
-	marker, configured := contents.Marker()
+	marker, configured := contents.ConfigurationHeader()
 	result.Version = marker.Version
 	if configured {
 		marker.Version += VersionStep
-		record := registry.Add(places.ConfigurationRecord(marker))
-		update := registry.NewUpdate(places.Apex, nil, []registry.Record{record})
+		record := registry.Add(catalog.ConfigurationRecord(marker))
+		update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{record})
 		update.Requestor = permission.Operator("recover:" + name)
 		if applied := r.state.Apply(&update); applied.Code != registry.NoError {
 			return fmt.Errorf("control: raising the version answered %s: %w", applied.Code, errors.Join(applied.Reason))
@@ -153,7 +153,7 @@
 
 // store writes the state as the first of a group of one. Each write alone leaves
 // a disk on which the recovery can be run again.
-func (r *replayedLog) store(options Options, loaded storage.Loaded, result Result) error {
+func (r *replayedLog) store(options Options, loaded storage.State, result Result) error {
 	data, err := r.state.Encode(result.Cluster)
 	if err != nil {
 		return err
--- a/control/statemachine/golden_test.go
+++ b/control/statemachine/golden_test.go
@@ -5,10 +5,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/internal/golden"
 	"github.com/deckpulley/deckpulley/control/permission"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -38,54 +38,54 @@
 	update registry.Update
 } {
 	update := func(requestor string, prerequisites, changes []registry.Record) registry.Update {
-		made := registry.NewUpdate(places.Apex, prerequisites, changes)
+		made := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 		made.Requestor = requestor
 		return made
 	}
-	gateway := places.Gateway{
+	gateway := catalog.Gateway{
 		Incarnation: "89abcdef0123456789abcdef", Zone: "zone-3", Region: "region-2",
-		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, MayHold: true, LinkMbps: 100,
+		PeerAddress: "10.0.1.1:7141", HTTPAddress: "10.0.1.1:8080", Up: true, MayHoldLease: true, LinkMbps: 100,
 	}
 	down := gateway
 	down.Up = false
-	accepted := places.Order{Digest: 0x0123456789abcdef, Accepted: true, Version: 0, Number: 2}
-	refused := places.Order{Digest: 0xfedcba9876543210, Version: 0, Number: 3, Code: "version_conflict", Field: "base_version", Reason: "built on version 1, the current version is 0"}
+	accepted := catalog.OperationResult{Digest: 0x0123456789abcdef, Accepted: true, Version: 0, Sequence: 2}
+	refused := catalog.OperationResult{Digest: 0xfedcba9876543210, Version: 0, Sequence: 3, Code: "version_conflict", Field: "base_version", Reason: "built on version 1, the current version is 0"}
 	return []struct {
 		name   string
 		update registry.Update
 	}{
 		{name: "update-head", update: update(permission.Control("control-1"), nil, []registry.Record{
-			registry.Add(registry.HeadRecord(places.Apex, registry.Head{Primary: "control-1", Serial: 2, Refresh: headRefresh, Expire: headExpire})),
+			registry.Add(registry.SOARecord(catalog.Apex, registry.SOA{Primary: "control-1", Serial: 2, Refresh: headRefresh, Expire: headExpire})),
 		})},
 		{name: "update-members", update: update(permission.Control("control-1"), nil, []registry.Record{
-			registry.Add(registry.MemberRecord(places.Apex, "control-4")),
-			registry.DeleteRecord(registry.MemberRecord(places.Apex, "control-3")),
+			registry.Add(registry.NSRecord(catalog.Apex, "control-4")),
+			registry.DeleteRecord(registry.NSRecord(catalog.Apex, "control-3")),
 		})},
 		{name: "update-gateway-added", update: update(permission.Control("control-1"),
-			[]registry.Record{registry.Absent(places.GatewayName("gateway-1"), places.TypeGateway)},
-			[]registry.Record{registry.Add(places.GatewayRecord("gateway-1", gateway))},
+			[]registry.Record{registry.Absent(catalog.GatewayName("gateway-1"), catalog.TypeGateway)},
+			[]registry.Record{registry.Add(catalog.GatewayRecord("gateway-1", gateway))},
 		)},
 		{name: "update-gateway-down", update: update(permission.Control("control-1"),
-			[]registry.Record{registry.Equals(places.GatewayRecord("gateway-1", gateway))},
-			[]registry.Record{registry.Add(places.GatewayRecord("gateway-1", down))},
+			[]registry.Record{registry.Equals(catalog.GatewayRecord("gateway-1", gateway))},
+			[]registry.Record{registry.Add(catalog.GatewayRecord("gateway-1", down))},
 		)},
 		{name: "update-evacuation", update: update(permission.Operator("operator-1"),
-			[]registry.Record{registry.Absent(places.OrderName("operation-1"), places.TypeOrder)},
+			[]registry.Record{registry.Absent(catalog.OperationName("operation-1"), catalog.TypeOperation)},
 			[]registry.Record{
-				registry.Add(places.EvacuationRecord("zone-1", places.Evacuation{Author: "operator-1", Order: "operation-1"})),
-				registry.Add(places.OrderRecord("operation-1", accepted)),
+				registry.Add(catalog.EvacuationRecord("zone-1", catalog.Evacuation{Author: "operator-1", OperationID: "operation-1"})),
+				registry.Add(catalog.OperationResultRecord("operation-1", accepted)),
 			},
 		)},
 		{name: "update-refusal", update: update(permission.Operator(""),
-			[]registry.Record{registry.Absent(places.OrderName("operation-2"), places.TypeOrder)},
-			[]registry.Record{registry.Add(places.OrderRecord("operation-2", refused))},
+			[]registry.Record{registry.Absent(catalog.OperationName("operation-2"), catalog.TypeOperation)},
+			[]registry.Record{registry.Add(catalog.OperationResultRecord("operation-2", refused))},
 		)},
 		{name: "update-replicas", update: update(permission.Platform, nil, []registry.Record{
-			registry.Add(places.ReplicaRecord("replica-1", places.Replica{Service: "service-1", Zone: "zone-1", Region: "region-1", Address: "10.0.2.1:9000", Slots: 4})),
-			registry.Add(places.DrainRecord("replica-1", places.Drain{Reason: "listed as draining"})),
+			registry.Add(catalog.ReplicaRecord("replica-1", catalog.Replica{Service: "service-1", Zone: "zone-1", Region: "region-1", Address: "10.0.2.1:9000", Slots: 4})),
+			registry.Add(catalog.DrainRecord("replica-1", catalog.Drain{Reason: "listed as draining"})),
 		})},
 		{name: "update-condition", update: update(permission.Gateway("10.0.1.1:7141"), nil, []registry.Record{
-			registry.Add(places.ConditionRecord("replica-1", places.Condition{State: places.ConditionUp})),
+			registry.Add(catalog.ConditionRecord("replica-1", catalog.Condition{State: catalog.ConditionUp})),
 		})},
 	}
 }
@@ -141,8 +141,8 @@
 		Cluster: goldenCluster,
 		Table:   encodedTable,
 		Operations: []OperationEntry{
-			{Name: places.OrderName("operation-1"), Serial: 6},
-			{Name: places.OrderName("operation-2"), Serial: 7},
+			{Name: catalog.OperationName("operation-1"), Serial: 6},
+			{Name: catalog.OperationName("operation-2"), Serial: 7},
 		},
 		Voters: 3,
 	}
--- a/control/statemachine/statemachine.go
+++ b/control/statemachine/statemachine.go
@@ -6,9 +6,9 @@
 import (
 	"fmt"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/permission"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -32,7 +32,7 @@
 
 // Restore returns the state that a snapshot contains.
 func Restore(snapshot Snapshot) (*State, error) {
-	table, err := registry.Restore(places.Schema(), snapshot.Table)
+	table, err := registry.Restore(catalog.Schema(), snapshot.Table)
 	if err != nil {
 		return nil, err
 	}
@@ -63,8 +63,8 @@
 	for _, member := range members {
 		names = append(names, member.Name)
 	}
-	head := registry.Head{Primary: primary, Serial: firstSerial, Refresh: headRefresh, Expire: headExpire}
-	table, err := registry.New(places.Apex, places.Schema(), head, names)
+	head := registry.SOA{Primary: primary, Serial: firstSerial, Refresh: headRefresh, Expire: headExpire}
+	table, err := registry.New(catalog.Apex, catalog.Schema(), head, names)
 	if err != nil {
 		return consensus.Snapshot{}, fmt.Errorf("control: making the first table: %w", err)
 	}
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -150,8 +150,8 @@
 			continue
 		}
 		member.LeaseMS = holder.Remaining.Milliseconds()
-		member.HeldSerial = holder.Held
-		member.ActiveSerial = holder.Active
+		member.ReceivedSerial = holder.ReceivedSerial
+		member.ActiveSerial = holder.ActiveSerial
 		member.ActiveVersion = report.ActiveVersions[holder.Holder]
 		byName[holder.Holder] = member
 	}
--- a/control/transfer/transfer.go
+++ b/control/transfer/transfer.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
+	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/peer"
-	"github.com/deckpulley/deckpulley/places"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
@@ -73,7 +73,7 @@
 	}
 	known, found := s.cache.byReceived[received]
 	if !found {
-		known = s.pack(forGateways(table.Difference(received)))
+		known = s.pack(forGateways(table.TransferSince(received)))
 		s.cache.byReceived[received] = known
 	}
 	return known
@@ -122,7 +122,7 @@
 func gatewayRecords(records []registry.Record) []registry.Record {
 	var kept []registry.Record
 	for _, record := range records {
-		if record.Type != places.TypeDocument && record.Type != places.TypeOrder {
+		if record.Type != catalog.TypeDocumentChunk && record.Type != catalog.TypeOperation {
 			kept = append(kept, record)
 		}
 	}
