--- a/Makefile
+++ b/Makefile
@@ -26,6 +26,8 @@
 FUZZTIME ?= 30s
 LEAST_SUCCESS ?=
 NODES ?= 402
+# The revision that the working tree is compared with.
+BASE ?= HEAD
 REPLICAS ?= 12000
 
 .PHONY: help
@@ -78,6 +80,14 @@
 walk-operations: build ## run every command of docs/OPERATIONS.md against a small fleet
 	scripts/walk-operations.sh
 
+.PHONY: mixed-versions
+mixed-versions: ## nodes of a revision beside nodes of the working tree: BASE=REV
+	scripts/mixed-versions.sh $(BASE)
+
+.PHONY: test-counts
+test-counts: ## tests and assertions of a revision beside those of the working tree: BASE=REV
+	scripts/test-counts.sh $(BASE)
+
 .PHONY: man
 man: build ## write the command line's man pages to out/man
 	mkdir -p out/man
