--- a/cmd/deckpulley-control/serve.go
+++ b/cmd/deckpulley-control/daemon.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -19,34 +20,32 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// leaveTimeout bounds handing leadership over and ending the running answers.
-const leaveTimeout = 4 * time.Second
+// shutdownTimeout bounds the transfer of leadership and the end of the answers in
+// flight together.
+const shutdownTimeout = 4 * time.Second
 
-// daemon is a running control node with its two ports.
+// daemon is a control node with its two ports.
 type daemon struct {
-	path      string
-	overrides settings.Overrides
-	logger    *slog.Logger
-	level     *slog.LevelVar
-	tokens    atomic.Pointer[settings.Tokens]
-	network   *transport.Node
-	node      *control.Node
-	server    *http.Server
+	source   *settingsSource
+	logger   *slog.Logger
+	level    *slog.LevelVar
+	tokens   atomic.Pointer[settings.Tokens]
+	network  *transport.Node
+	node     *control.Node
+	listener net.Listener
+	server   *http.Server
+	// serving waits for the goroutine of server.Serve, and serveResult has its error.
+	serving     sync.WaitGroup
+	serveResult chan error
 }
 
-// serve runs until SIGTERM or SIGINT, or until the node fails.
-func serve(ctx context.Context, path string, overrides settings.Overrides) error {
-	loaded, err := load(path, overrides)
+// runDaemon runs a control node until SIGTERM or SIGINT, or until the node fails.
+func runDaemon(ctx context.Context, source *settingsSource) error {
+	loaded, err := source.load()
 	if err != nil {
 		return err
 	}
-	d := &daemon{path: path, overrides: overrides, level: new(slog.LevelVar)}
-	d.level.Set(loaded.LogLevel())
-	d.logger = loaded.NewLogger(os.Stderr, d.level)
-	for _, warning := range loaded.Warnings() {
-		d.logger.Warn(warning)
-	}
-	listener, err := d.open(loaded)
+	d, err := newDaemon(source, loaded)
 	if err != nil {
 		return err
 	}
@@ -56,23 +55,29 @@
 	if err := d.node.Start(); err != nil {
 		return err
 	}
-	serverFailed := make(chan error, 1)
-	go func() { serverFailed <- d.server.Serve(listener) }()
-	return d.supervise(ctx, signals, serverFailed)
+	d.serving.Go(func() { d.serveResult <- d.server.Serve(d.listener) })
+	return d.supervise(ctx, signals)
 }
 
-// open binds both ports and reads the disk.
-func (d *daemon) open(loaded *settings.Settings) (net.Listener, error) {
+// newDaemon binds both ports, opens the data folder and prepares the node. After
+// an error the program ends, which closes what was opened.
+func newDaemon(source *settingsSource, loaded *settings.Settings) (*daemon, error) {
+	d := &daemon{source: source, level: new(slog.LevelVar), serveResult: make(chan error, 1)}
+	d.level.Set(loaded.LogLevel())
+	d.logger = loaded.NewLogger(os.Stderr, d.level)
+	for _, warning := range loaded.Warnings() {
+		d.logger.Warn(warning)
+	}
 	keys, err := loaded.Keys()
 	if err != nil {
-		return nil, &usageError{cause: err}
+		return nil, &usageError{err}
 	}
 	tokens, err := loaded.Tokens()
 	if err != nil {
-		return nil, &usageError{cause: err}
+		return nil, &usageError{err}
 	}
 	d.tokens.Store(&tokens)
-	listener, err := net.Listen("tcp", loaded.OperatorAddress)
+	d.listener, err = net.Listen("tcp", loaded.OperatorAddress)
 	if err != nil {
 		return nil, fmt.Errorf("binding the operators' port: %w", err)
 	}
@@ -89,7 +94,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("binding the peers' port: %w", err)
 	}
-	d.node, err = control.New(control.Options{
+	d.node, err = d.newNode(loaded, store)
+	if err != nil {
+		return nil, err
+	}
+	d.server = d.node.Server()
+	return d, nil
+}
+
+func (d *daemon) newNode(loaded *settings.Settings, store storage.Store) (*control.Node, error) {
+	return control.New(control.Options{
 		Name:            loaded.Name,
 		Zone:            loaded.Zone,
 		Region:          loaded.Region,
@@ -103,15 +117,10 @@
 		Tokens:          func() settings.Tokens { return *d.tokens.Load() },
 		Lease:           loaded.LeaseTerms(),
 	})
-	if err != nil {
-		return nil, err
-	}
-	d.server = d.node.Server()
-	return listener, nil
 }
 
-// supervise waits for a reason to end, and reloads on SIGHUP.
-func (d *daemon) supervise(ctx context.Context, signals <-chan os.Signal, serverFailed <-chan error) error {
+// supervise waits for a reason to end, and reloads the settings on SIGHUP.
+func (d *daemon) supervise(ctx context.Context, signals <-chan os.Signal) error {
 	for {
 		select {
 		case received := <-signals:
@@ -119,34 +128,38 @@
 				d.reload()
 				continue
 			}
-			d.logger.Info("leaving", "signal", received.String())
-			return d.leave(ctx)
-		case err := <-serverFailed:
+			d.logger.Info("shutting down", "signal", received.String())
+			return d.shutDown(ctx)
+		case err := <-d.serveResult:
 			return errors.Join(fmt.Errorf("operators' port: %w", err), d.node.Stop())
 		case <-d.node.Done():
-			// A failed write leaves the disk in doubt: end at once.
+			// A failed write leaves the state of the disk unknown: end at once, with
+			// the answers in flight aborted.
 			_ = d.server.Close()
+			d.serving.Wait()
 			return d.node.Err()
 		}
 	}
 }
 
-// leave hands leadership over, ends the answers on their way, and stops.
-func (d *daemon) leave(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
+// shutDown transfers leadership, lets the answers in flight end, and stops the
+// node. Leadership goes first, so that the group has a primary while answers end.
+func (d *daemon) shutDown(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	d.node.HandOver(ctx)
 	if err := d.server.Shutdown(ctx); err != nil {
-		d.logger.Warn("answers cut short", "error", err)
+		d.logger.Warn("answers aborted by the shutdown", "error", err)
 		_ = d.server.Close()
 	}
+	d.serving.Wait()
 	return d.node.Stop()
 }
 
-// reload takes over the log level, the keys and the tokens. Anything wrong
-// leaves all of them as they were.
+// reload takes over the log level, the keys and the tokens. After an error all of
+// them are as they were.
 func (d *daemon) reload() {
-	loaded, err := settings.LoadFor(settings.RoleControl, d.path, d.overrides)
+	loaded, err := d.source.load()
 	if err != nil {
 		d.logger.Error("settings not reloaded", "error", err)
 		return
--- a/cmd/deckpulley-control/recover.go
+++ b/cmd/deckpulley-control/recover.go
@@ -15,8 +15,8 @@
 // confirmFlag must be given in full: the recovery can't be undone.
 const confirmFlag = "yes-i-lose-unreplicated-data"
 
-func newRecoverCommand(path *string, overrides *settings.Overrides) *cobra.Command {
-	confirmed := false
+func newRecoverCommand(source *settingsSource) *cobra.Command {
+	var confirmed bool
 	command := &cobra.Command{
 		Use:   "recover --settings FILE --" + confirmFlag,
 		Short: "Make a group of one from this node's surviving copy",
@@ -28,20 +28,22 @@
 		Args: noArguments,
 		RunE: func(*cobra.Command, []string) error {
 			if !confirmed {
-				return &usageError{cause: errors.New("nothing done: this loses what was not replicated to this disk; confirm with --" + confirmFlag)}
+				return &usageError{errors.New("nothing done: this loses what was not replicated to this disk; confirm with --" + confirmFlag)}
 			}
-			return runRecover(*path, *overrides)
+			loaded, err := source.load()
+			if err != nil {
+				return err
+			}
+			return recoverGroup(loaded)
 		},
 	}
 	command.Flags().BoolVar(&confirmed, confirmFlag, false, "confirm the loss of what is not in this copy")
 	return command
 }
 
-func runRecover(path string, overrides settings.Overrides) (err error) {
-	loaded, err := load(path, overrides)
-	if err != nil {
-		return err
-	}
+// recoverGroup makes the node of the data folder the only member of a new group,
+// and prints what the group starts with.
+func recoverGroup(loaded *settings.Settings) (err error) {
 	store, err := storage.Open(loaded.DataFolder)
 	if err != nil {
 		return fmt.Errorf("opening the data folder: %w", err)
