--- /dev/null
+++ b/cmd/deckpulleyctl/command/completion.go
@@ -0,0 +1,48 @@
+package command
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"github.com/deckpulley/deckpulley/client"
+)
+
+// completionTimeout bounds the request to a control node: a person waits at the
+// shell for it.
+const completionTimeout = time.Second
+
+// completeNames completes up to limit arguments by names that a control node
+// lists. Without an answer there are no completions.
+func (g *globalFlags) completeNames(limit int, list func(context.Context, *client.Client) ([]string, error)) cobra.CompletionFunc {
+	return func(command *cobra.Command, arguments []string, prefix string) ([]cobra.Completion, cobra.ShellCompDirective) {
+		if len(arguments) >= limit {
+			return nil, cobra.ShellCompDirectiveNoFileComp
+		}
+		control, err := g.newControlClient()
+		if err != nil {
+			return nil, cobra.ShellCompDirectiveNoFileComp
+		}
+		ctx, cancel := context.WithTimeout(command.Context(), completionTimeout)
+		defer cancel()
+		names, err := list(ctx, control)
+		if err != nil {
+			return nil, cobra.ShellCompDirectiveNoFileComp
+		}
+		return filterNames(names, arguments, prefix), cobra.ShellCompDirectiveNoFileComp
+	}
+}
+
+// filterNames returns the names with the prefix that are no arguments yet.
+func filterNames(names, arguments []string, prefix string) []cobra.Completion {
+	var completions []cobra.Completion
+	for _, name := range names {
+		if strings.HasPrefix(name, prefix) && !slices.Contains(arguments, name) {
+			completions = append(completions, name)
+		}
+	}
+	return completions
+}
--- /dev/null
+++ b/cmd/deckpulleyctl/command/man_test.go
@@ -0,0 +1,21 @@
+package command
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// TestManPages finds a man page for every command that is shown.
+func TestManPages(t *testing.T) {
+	line := newCommandLine(t)
+	if status, _, errorOutput := line.run("man", line.folder); status != exitDone {
+		t.Fatal(errorOutput)
+	}
+	for _, page := range []string{"deckpulleyctl.1", "deckpulleyctl-config-history.1", "deckpulleyctl-route-explain.1", "deckpulleyctl-top.1", "deckpulleyctl-recover.1"} {
+		if text, err := os.ReadFile(filepath.Join(line.folder, page)); err != nil || !bytes.Contains(text, []byte("deckpulleyctl")) {
+			t.Errorf("%s: %v", page, err)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/deckpulleyctl/command/route.go
@@ -0,0 +1,139 @@
+package command
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/cmd/deckpulleyctl/printer"
+)
+
+func newRouteCommand(flags *globalFlags) *cobra.Command {
+	command := &cobra.Command{Use: "route", Short: "Ask where requests go"}
+	command.AddCommand(newRouteExplainCommand(flags))
+	return command
+}
+
+func newRouteExplainCommand(flags *globalFlags) *cobra.Command {
+	var request api.GenerateRequest
+	var class string
+	var prefixes []string
+	command := &cobra.Command{
+		Use:   "explain MODEL",
+		Short: "Say where a request would go now, and why",
+		Long: `Say where a request would go now, and why: each step of the decision of the
+gateway that answers, its view of the regions, and the replicas of its own region.
+Nothing is sent to a replica and nothing is decided.
+
+Ask the gateway that would get the request: give it first in --gateways. The id of
+a request decides whether it is one of those that spill, so two ids may differ.`,
+		Args: cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, arguments []string) error {
+			request.Model, request.Class = arguments[0], api.Class(class)
+			parsed, err := parsePrefixes(prefixes)
+			if err != nil {
+				return err
+			}
+			request.Prefixes = parsed
+			return explainRoute(command, flags, &request)
+		},
+	}
+	local := command.Flags()
+	local.StringVar(&request.RequestID, "request-id", "", "id of the request")
+	local.StringVar(&request.Tenant, "tenant", "", "tenant")
+	local.StringVar(&request.Home, "home", "", "home rule that the request names")
+	local.StringVar(&request.Client, "client", "", "client group")
+	local.StringVar(&class, "class", "", "quick, long or fetch; default by route")
+	local.StringSliceVar(&prefixes, "prefix", nil, "shared prefix as id=tokens, outermost first")
+	local.IntVar(&request.PromptTokens, "prompt-tokens", 0, "tokens of the prompt after its prefixes")
+	local.IntVar(&request.MaxTokens, "max-tokens", 1, "tokens to generate at the most")
+	local.BoolVar(&request.Stream, "stream", false, "streamed answer")
+	local.BoolVar(&request.Repeatable, "repeatable", true, "the request may run twice")
+	return command
+}
+
+// parsePrefixes parses the values of --prefix.
+func parsePrefixes(texts []string) ([]api.Prefix, error) {
+	var prefixes []api.Prefix
+	for _, text := range texts {
+		id, count, _ := strings.Cut(text, "=")
+		tokens, err := strconv.Atoi(count)
+		if err != nil || id == "" {
+			return nil, &usageError{fmt.Errorf("--prefix %q must be id=tokens", text)}
+		}
+		prefixes = append(prefixes, api.Prefix{ID: id, Tokens: tokens})
+	}
+	return prefixes, nil
+}
+
+func explainRoute(command *cobra.Command, flags *globalFlags, request *api.GenerateRequest) error {
+	gateway, err := flags.newGatewayClient()
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(command.Context(), flags.timeout)
+	defer cancel()
+	answer, err := gateway.Explain(ctx, request)
+	if err != nil {
+		return err
+	}
+	output := command.OutOrStdout()
+	if flags.outputFormat() != printer.FormatTable {
+		return flags.print(output, answer, nil)
+	}
+	return printExplanation(output, answer)
+}
+
+// printExplanation leaves out the tables without rows.
+func printExplanation(output io.Writer, answer *api.ExplainAnswer) error {
+	fmt.Fprintf(output, "gateway %s in region %s, configuration version %d, serial %d\n\n", answer.Gateway, answer.Region, answer.ConfigurationVersion, answer.Serial)
+	tables := []*printer.Table{stepsTable(answer), regionsTable(answer.Regions), candidatesTable(answer.Replicas)}
+	for i, table := range tables {
+		if table.Len() == 0 {
+			continue
+		}
+		if i > 0 {
+			fmt.Fprintln(output)
+		}
+		if err := table.Print(output); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func stepsTable(answer *api.ExplainAnswer) *printer.Table {
+	table := printer.NewTable("STEP", "RESULT", "REASON")
+	for _, step := range answer.Steps {
+		table.AddRow(step.Step, step.Result, step.Reason)
+	}
+	if answer.Error != nil {
+		table.AddRow("answer", "refused", answer.Error.Error())
+	}
+	return table
+}
+
+func regionsTable(regions []api.ExplainRegion) *printer.Table {
+	table := printer.NewTable("REGION", "RANK", "LOAD", "KNOWLEDGE", "USABLE", "TAKES SPILL")
+	for _, region := range regions {
+		rank := "not a candidate"
+		if region.Rank > 0 {
+			rank = strconv.Itoa(region.Rank)
+		}
+		table.AddRow(region.Region, rank, printer.Percent(region.Load), region.Knowledge, printer.YesNo(region.Usable), printer.YesNo(region.TakesSpill))
+	}
+	return table
+}
+
+func candidatesTable(replicas []api.ExplainReplica) *printer.Table {
+	table := printer.NewTable("REPLICA", "STATE", "IN FLIGHT", "OTHERS", "LIMIT", "FIRST TOKEN MS")
+	for _, replica := range replicas {
+		table.AddRow(replica.Replica, replica.State, replica.InFlight, replica.Others, replica.Limit, replica.FirstTokenMS)
+	}
+	return table
+}
