--- a/cmd/deckpulleyctl/command/operation.go
+++ b/cmd/deckpulleyctl/command/operation.go
@@ -105,11 +105,11 @@
 	return command
 }
 
-// resolveBaseVersion returns the given version, or the current one for
+// resolveBaseVersion returns the requested version, or the current one for
 // currentVersion.
-func resolveBaseVersion(ctx context.Context, control *client.Client, given int64) (uint64, error) {
-	if given > currentVersion {
-		return uint64(given), nil
+func resolveBaseVersion(ctx context.Context, control *client.Client, requested int64) (uint64, error) {
+	if requested > currentVersion {
+		return uint64(requested), nil
 	}
 	current, err := control.Configuration(ctx, true)
 	if err != nil {
--- a/cmd/deckpulleyctl/command/route.go
+++ b/cmd/deckpulleyctl/command/route.go
@@ -43,17 +43,17 @@
 			return explainRoute(command, flags, &request)
 		},
 	}
-	local := command.Flags()
-	local.StringVar(&request.RequestID, "request-id", "", "id of the request")
-	local.StringVar(&request.Tenant, "tenant", "", "tenant")
-	local.StringVar(&request.Home, "home", "", "home rule that the request names")
-	local.StringVar(&request.Client, "client", "", "client group")
-	local.StringVar(&class, "class", "", "quick, long or fetch; default by route")
-	local.StringSliceVar(&prefixes, "prefix", nil, "shared prefix as id=tokens, outermost first")
-	local.IntVar(&request.PromptTokens, "prompt-tokens", 0, "tokens of the prompt after its prefixes")
-	local.IntVar(&request.MaxTokens, "max-tokens", 1, "tokens to generate at the most")
-	local.BoolVar(&request.Stream, "stream", false, "streamed answer")
-	local.BoolVar(&request.Repeatable, "repeatable", true, "the request may run twice")
+	commandFlags := command.Flags()
+	commandFlags.StringVar(&request.RequestID, "request-id", "", "id of the request")
+	commandFlags.StringVar(&request.Tenant, "tenant", "", "tenant")
+	commandFlags.StringVar(&request.Home, "home", "", "home rule that the request names")
+	commandFlags.StringVar(&request.Client, "client", "", "client group")
+	commandFlags.StringVar(&class, "class", "", "quick, long or fetch; default by route")
+	commandFlags.StringSliceVar(&prefixes, "prefix", nil, "shared prefix as id=tokens, outermost first")
+	commandFlags.IntVar(&request.PromptTokens, "prompt-tokens", 0, "tokens of the prompt after its prefixes")
+	commandFlags.IntVar(&request.MaxTokens, "max-tokens", 1, "tokens to generate at the most")
+	commandFlags.BoolVar(&request.Stream, "stream", false, "streamed answer")
+	commandFlags.BoolVar(&request.Repeatable, "repeatable", true, "the request may run twice")
 	return command
 }
 
--- a/cmd/deckpulleyctl/command/top.go
+++ b/cmd/deckpulleyctl/command/top.go
@@ -41,8 +41,8 @@
 			if err != nil {
 				return err
 			}
-			monitor := &monitor{flags: flags, control: control, output: command.OutOrStdout()}
-			return monitor.run(command.Context(), interval, count)
+			m := &monitor{flags: flags, control: control, output: command.OutOrStdout()}
+			return m.run(command.Context(), interval, count)
 		},
 	}
 	command.Flags().DurationVar(&interval, "interval", defaultInterval, "time between two tables")
