--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -187,28 +187,31 @@
 // the same bytes again.
 func TestGoldenDocuments(t *testing.T) {
 	for _, golden := range goldenDocuments() {
-		t.Run(golden.file, func(t *testing.T) {
-			if !golden.minimal {
-				requireEveryField(t, golden.file, reflect.ValueOf(golden.document).Elem())
-			}
-			encoded, err := json.Marshal(golden.document)
-			if err != nil {
-				t.Fatalf("encoding: %v", err)
-			}
-			want := readGolden(t, golden.file+".json", append(encoded, '\n'))
-			if got := string(encoded) + "\n"; got != string(want) {
-				t.Errorf("encoded as\n%swant\n%s", got, want)
-			}
-			decoded := reflect.New(reflect.TypeOf(golden.document).Elem()).Interface()
-			decoder := json.NewDecoder(bytes.NewReader(want))
-			decoder.DisallowUnknownFields()
-			if err := decoder.Decode(decoded); err != nil {
-				t.Fatalf("decoding: %v", err)
-			}
-			if !reflect.DeepEqual(decoded, golden.document) {
-				t.Errorf("decoded as\n%+v\nwant\n%+v", decoded, golden.document)
-			}
-		})
+		t.Run(golden.file, func(t *testing.T) { testGoldenDocument(t, golden) })
+	}
+}
+
+func testGoldenDocument(t *testing.T, golden goldenDocument) {
+	t.Helper()
+	if !golden.minimal {
+		requireEveryField(t, golden.file, reflect.ValueOf(golden.document).Elem())
+	}
+	encoded, err := json.Marshal(golden.document)
+	if err != nil {
+		t.Fatalf("encoding: %v", err)
+	}
+	want := readGolden(t, golden.file+".json", append(encoded, '\n'))
+	if got := string(encoded) + "\n"; got != string(want) {
+		t.Errorf("encoded as\n%swant\n%s", got, want)
+	}
+	decoded := reflect.New(reflect.TypeOf(golden.document).Elem()).Interface()
+	decoder := json.NewDecoder(bytes.NewReader(want))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(decoded); err != nil {
+		t.Fatalf("decoding: %v", err)
+	}
+	if !reflect.DeepEqual(decoded, golden.document) {
+		t.Errorf("decoded as\n%+v\nwant\n%+v", decoded, golden.document)
 	}
 }
 
@@ -228,23 +231,35 @@
 		if strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			t.Fatal(err)
-		}
-		ast.Inspect(file, func(node ast.Node) bool {
-			declared, isType := node.(*ast.TypeSpec)
-			if !isType {
-				return true
-			}
-			if _, isStruct := declared.Type.(*ast.StructType); isStruct && !covered[declared.Name.Name] {
-				t.Errorf("%s: %s has no golden document", path, declared.Name.Name)
+		for _, name := range structNames(t, path) {
+			if !covered[name] {
+				t.Errorf("%s: %s has no golden document", path, name)
 			}
-			return false
-		})
+		}
 	}
 }
 
+// structNames returns the names of the structures that a file declares.
+func structNames(t *testing.T, path string) []string {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	ast.Inspect(file, func(node ast.Node) bool {
+		declared, isType := node.(*ast.TypeSpec)
+		if !isType {
+			return true
+		}
+		if _, isStruct := declared.Type.(*ast.StructType); isStruct {
+			names = append(names, declared.Name.Name)
+		}
+		return false
+	})
+	return names
+}
+
 // goldenStrings are the values of the API's string types and paths by their
 // meaning; programs on the other side compare them.
 type goldenStrings struct {
--- a/ticket/golden_test.go
+++ b/ticket/golden_test.go
@@ -49,20 +49,25 @@
 			if !ok {
 				t.Fatalf("%s has no ticket %q", goldenFile, name)
 			}
-			opened, err := sealer.Open(golden.Text)
-			if err != nil {
-				t.Fatalf("opening: %v", err)
-			}
-			if opened != want {
-				t.Errorf("opened %+v, want %+v", opened, want)
-			}
-			if got := encodeGoldenTicket(t, sealer, want); got != golden {
-				t.Errorf("encoded as %+v, want %+v", got, golden)
-			}
+			testGoldenTicket(t, sealer, golden, want)
 		})
 	}
 }
 
+func testGoldenTicket(t *testing.T, sealer *Sealer, golden goldenTicket, want Ticket) {
+	t.Helper()
+	opened, err := sealer.Open(golden.Text)
+	if err != nil {
+		t.Fatalf("opening: %v", err)
+	}
+	if opened != want {
+		t.Errorf("opened %+v, want %+v", opened, want)
+	}
+	if got := encodeGoldenTicket(t, sealer, want); got != golden {
+		t.Errorf("encoded as %+v, want %+v", got, golden)
+	}
+}
+
 func encodeGoldenTicket(t *testing.T, sealer *Sealer, ticket Ticket) goldenTicket {
 	t.Helper()
 	body, err := encoding.Marshal(&ticket)
