--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -33,12 +33,13 @@
 	return d.Store.Save(state, entries)
 }
 
-// TestAStalledDiskDoesNotKeepTheLeadership: a primary whose disk answers nothing is
+// TestStalledDiskLosesLeadership: a primary whose disk answers nothing is
 // replaced as soon as it has to write, an order that it holds is carried out once by
 // its successor, and it follows when its disk answers again.
-func TestAStalledDiskDoesNotKeepTheLeadership(t *testing.T) {
+func TestStalledDiskLosesLeadership(t *testing.T) {
 	const stall = 8 * time.Second
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.stores = make(map[string]*stallingDisk)
 		for _, name := range controlNames {
 			f.stores[name] = &stallingDisk{Store: f.disks[name]}
--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -16,14 +16,14 @@
 
 // loneMachine is the loop's state of a group of one that is a primary, driven by
 // hand: no goroutine and no network takes part.
-func loneMachine(b testing.TB) *machine {
-	b.Helper()
-	return loneMachineOn(b, storage.NewMemory("disk-1"))
+func loneMachine(tb testing.TB) *machine {
+	tb.Helper()
+	return loneMachineOn(tb, storage.NewMemory("disk-1"))
 }
 
 // loneMachineOn starts a group's only node on a disk, which is empty at first.
-func loneMachineOn(b testing.TB, store *storage.Memory) *machine {
-	b.Helper()
+func loneMachineOn(tb testing.TB, store *storage.Memory) *machine {
+	tb.Helper()
 	config := Config{
 		Name:        "control-1",
 		PeerAddress: "control-1:1",
@@ -33,25 +33,25 @@
 	}.withDefaults()
 	m, err := newMachine(config, metrics.New(), 0)
 	if err != nil {
-		b.Fatal(err)
+		tb.Fatal(err)
 	}
 	if m.group != nil {
 		return m
 	}
 	snapshot, err := statemachine.First("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
 	if err != nil || !m.enterGroup(0, "cluster", snapshot) {
-		b.Fatal("no group was formed: ", err)
+		tb.Fatal("no group was formed: ", err)
 	}
 	return m
 }
 
 // advance lets the time pass in ticks.
-func (m *machine) advance(b testing.TB, now *time.Duration, length time.Duration) {
-	b.Helper()
+func (m *machine) advance(tb testing.TB, now *time.Duration, length time.Duration) {
+	tb.Helper()
 	for end := *now + length; *now < end; *now += DefaultTickInterval {
 		m.tick(*now)
 		if err := m.process(*now); err != nil {
-			b.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 }
@@ -69,34 +69,44 @@
 				name := fmt.Sprintf("gateway-%d", i)
 				renewals[i].Gateway = peer.GatewayInfo{Name: name, Incarnation: "1", PeerAddress: name + ":1"}
 			}
-			renew := func(i int) {
-				m.tick(now)
-				grant := m.renew(now, renewals[i])
-				renewals[i].Term = grant.Term
-				if transfer, err := grant.UnpackTransfer(); err != nil {
-					b.Fatal(err)
-				} else if transfer != nil {
-					renewals[i].ReceivedSerial = transfer.To
-				}
-				renewals[i].ActiveSerial = grant.ActivationSerial
-				if err := m.process(now); err != nil {
-					b.Fatal(err)
-				}
-				m.observe(now)
-			}
 			for round := range 4 {
 				for i := range renewals {
-					renew(i)
+					if err := m.renewAndProcess(now, &renewals[i]); err != nil {
+						b.Fatal(err)
+					}
 				}
 				m.advance(b, &now, time.Duration(round+1)*100*time.Millisecond)
 			}
 			interval := 300 * time.Millisecond / time.Duration(gateways)
 			for i := 0; b.Loop(); i++ {
 				now += interval
-				renew(i % gateways)
+				if err := m.renewAndProcess(now, &renewals[i%gateways]); err != nil {
+					b.Fatal(err)
+				}
 			}
 			leases := m.leadership.leases.Holders(now)
 			b.ReportMetric(float64(len(leases)), "leases")
 		})
 	}
 }
+
+// renewAndProcess handles one renewal as the event loop does, and prepares the next
+// one of the same gateway.
+func (m *machine) renewAndProcess(now time.Duration, renewal *peer.Renew) error {
+	m.tick(now)
+	grant := m.renew(now, *renewal)
+	renewal.Term = grant.Term
+	transfer, err := grant.UnpackTransfer()
+	if err != nil {
+		return err
+	}
+	if transfer != nil {
+		renewal.ReceivedSerial = transfer.To
+	}
+	renewal.ActiveSerial = grant.ActivationSerial
+	if err := m.process(now); err != nil {
+		return err
+	}
+	m.observe(now)
+	return nil
+}
--- a/control/engine/gateways_test.go
+++ b/control/engine/gateways_test.go
@@ -89,9 +89,9 @@
 	return count
 }
 
-// TestAQuietGatewayHoldsRecordsBackForAMoment: one that is never heard again does not
+// TestSilentGatewayDelaysRecordsBriefly: one that is never heard again does not
 // keep the others from being recorded.
-func TestAQuietGatewayHoldsRecordsBackForAMoment(t *testing.T) {
+func TestSilentGatewayDelaysRecordsBriefly(t *testing.T) {
 	store := storage.NewMemory("disk-1")
 	m := loneMachineOn(t, store)
 	now := time.Duration(0)
@@ -138,23 +138,7 @@
 	m.advance(t, &now, interval)
 	bound := transfer.LinkShare * DefaultLinkMbps * 1e6 / 8 * (interval + transfer.Burst).Seconds()
 	for range mostIntervals {
-		sent, behind := 0, 0
-		for i := range crowd {
-			m.tick(now)
-			grant := m.renew(now, crowd[i])
-			sent += len(grant.Packed)
-			if grant.LeaseMS == 0 {
-				t.Fatalf("%s lost its lease", crowd[i].Gateway.Name)
-			}
-			if transfer, err := grant.UnpackTransfer(); err != nil {
-				t.Fatal(err)
-			} else if transfer != nil {
-				crowd[i].ReceivedSerial = transfer.To
-			}
-			if crowd[i].ReceivedSerial != m.state.Table.Serial() {
-				behind++
-			}
-		}
+		sent, behind := crowd.follow(t, m, now)
 		if float64(sent) > bound+64<<10 { // and one transfer that was begun
 			t.Fatalf("%d octets at once, want at most %.0f", sent, bound)
 		}
@@ -166,6 +150,29 @@
 	t.Errorf("some gateways are behind after %v", mostIntervals*interval)
 }
 
+// follow renews each lease, which none may lose. It returns the octets of the packed
+// transfers that were sent, and the number of gateways that are still behind.
+func (c crowd) follow(t *testing.T, m *machine, now time.Duration) (sent, behind int) {
+	t.Helper()
+	for i := range c {
+		m.tick(now)
+		grant := m.renew(now, c[i])
+		sent += len(grant.Packed)
+		if grant.LeaseMS == 0 {
+			t.Fatalf("%s lost its lease", c[i].Gateway.Name)
+		}
+		if transfer, err := grant.UnpackTransfer(); err != nil {
+			t.Fatal(err)
+		} else if transfer != nil {
+			c[i].ReceivedSerial = transfer.To
+		}
+		if c[i].ReceivedSerial != m.state.Table.Serial() {
+			behind++
+		}
+	}
+	return sent, behind
+}
+
 // crowd is the renewals of many gateways.
 type crowd []peer.Renew
 
--- a/control/executor/forward_test.go
+++ b/control/executor/forward_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"testing"
 	"testing/synctest"
@@ -25,9 +26,13 @@
 }
 
 func (s *scriptedNetwork) Call(_ context.Context, _ string, _ transport.Kind, _, reply any) error {
+	into, known := reply.(*peer.OperationReply)
+	if !known {
+		return fmt.Errorf("unexpected reply type %T", reply)
+	}
 	call := s.calls[0]
 	s.calls = s.calls[1:]
-	return call(reply.(*peer.OperationReply))
+	return call(into)
 }
 
 // newForwardingExecutor returns the executor of a node that sends every operation to
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -43,19 +43,20 @@
 // testSnapshotInterval makes snapshots frequent.
 const testSnapshotInterval = 256
 
-// patience bounds every wait of these tests, in virtual time.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait of these tests, in virtual time.
+const waitTimeout = 30 * time.Second
 
-func inFleet(t *testing.T, test func(*testing.T, *fleet)) {
+func inFleet(t *testing.T, test func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
-		test(t, f)
+		test(f)
 	})
 }
 
 func newFleet(t *testing.T) *fleet {
+	t.Helper()
 	f := &fleet{
 		t:        t,
 		network:  transport.NewMemory(),
@@ -134,10 +135,10 @@
 // await waits for a condition, in virtual time.
 func (f *fleet) await(what string, condition func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited %v in vain: %s", patience, what)
+			f.t.Fatalf("waited %v in vain: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -252,7 +253,7 @@
 	held     uint32
 	active   uint32
 	granted  map[uint64]int // leases granted, by term
-	unkind   error
+	failure  error
 	activeAt []uint32 // every serial that became active, in order
 }
 
@@ -296,8 +297,8 @@
 	delete(f.gateways, name)
 	g.cancel()
 	<-g.done
-	if g.unkind != nil {
-		f.t.Errorf("%s: %v", name, g.unkind)
+	if g.failure != nil {
+		f.t.Errorf("%s: %v", name, g.failure)
 	}
 }
 
@@ -367,7 +368,7 @@
 	before := [2]uint32{g.held, g.active}
 	if grant.Transfer != nil {
 		if err := g.copy.ApplyTransfer(*grant.Transfer); err != nil {
-			g.unkind = err
+			g.failure = err
 			return false
 		}
 		g.held = g.copy.Serial()
@@ -411,12 +412,16 @@
 	return g.granted[term]
 }
 
-// cut separates one address from others, both ways.
-func (f *fleet) cut(address string, others ...string) { f.setCut(f.network.Partition, address, others) }
+// partition separates one address from others, both ways.
+func (f *fleet) partition(address string, others ...string) {
+	f.setPartition(f.network.Partition, address, others)
+}
 
-func (f *fleet) heal(address string, others ...string) { f.setCut(f.network.Heal, address, others) }
+func (f *fleet) heal(address string, others ...string) {
+	f.setPartition(f.network.Heal, address, others)
+}
 
-func (f *fleet) setCut(change func(from, to string), address string, others []string) {
+func (f *fleet) setPartition(change func(from, to string), address string, others []string) {
 	for _, other := range others {
 		change(address, other)
 		change(other, address)
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -16,8 +16,9 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-func TestThreeNodesFormElectAndApply(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestThreeNodesBootstrapElectAndApply(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
@@ -28,30 +29,44 @@
 		if answer.Version != 1 {
 			t.Errorf("version is %d, want 1", answer.Version)
 		}
-		for name, gateway := range f.gateways {
-			if active := gateway.activeSerial(); gateway.valid() && registry.SerialLess(active, answer.Serial) {
-				t.Errorf("%s has serial %d active at the acknowledgement of %d", name, active, answer.Serial)
-			}
-			if surplus := gateway.surplusRecords(); surplus != 0 {
-				t.Errorf("%s holds %d records of documents and orders", name, surplus)
-			}
-		}
-		for _, node := range f.nodes {
-			var read api.ConfigurationAnswer
-			status := f.request(node, http.MethodGet, api.PathConfiguration+"?linearizable=true", nil, &read)
-			if status != http.StatusOK || read.Version != 1 || read.Document != document(t) {
-				t.Errorf("%s reads version %d with status %d", node.options.Name, read.Version, status)
-			}
-		}
-		f.await("a whole group", func() bool { return f.members(f.follower()).RepairDone })
+		f.checkActive(answer.Serial)
+		f.checkLinearizableReads()
+		f.await("a complete group", func() bool { return f.members(f.follower()).RepairDone })
 		if members := f.members(f.primary()).Members; len(members) != 5 {
 			t.Errorf("%d members, want 3 control nodes and 2 gateways: %+v", len(members), members)
 		}
 	})
 }
 
+// checkActive verifies that every gateway with a lease has a serial active, and that
+// gateways have no records which they have no use for.
+func (f *fleet) checkActive(serial uint32) {
+	f.t.Helper()
+	for name, gateway := range f.gateways {
+		if active := gateway.activeSerial(); gateway.valid() && registry.SerialLess(active, serial) {
+			f.t.Errorf("%s has serial %d active at the acknowledgement of %d", name, active, serial)
+		}
+		if surplus := gateway.surplusRecords(); surplus != 0 {
+			f.t.Errorf("%s has %d records of documents and operations", name, surplus)
+		}
+	}
+}
+
+// checkLinearizableReads verifies that every node reads the first version.
+func (f *fleet) checkLinearizableReads() {
+	f.t.Helper()
+	for _, node := range f.nodes {
+		var read api.ConfigurationAnswer
+		status := f.request(node, http.MethodGet, api.PathConfiguration+"?linearizable=true", nil, &read)
+		if status != http.StatusOK || read.Version != 1 || read.Document != document(f.t) {
+			f.t.Errorf("%s reads version %d with status %d", node.options.Name, read.Version, status)
+		}
+	}
+}
+
 func TestReplicasAndEvacuations(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -93,37 +108,22 @@
 	}
 }
 
-func TestResentOrderGetsTheFirstAnswer(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestResentOperationGetsTheFirstAnswer(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		first := f.mustSend(f.follower(), "order-1", 0)
 		_, refused := f.send(f.primary(), "order-2", 7, document(t))
 		if refused.Accepted || refused.Error.Code != api.CodeVersionConflict {
-			t.Fatalf("an order on version 7 answered %+v", refused)
+			t.Fatalf("an operation on version 7 answered %+v", refused)
 		}
 		f.mustSend(f.primary(), "order-3", 1)
-		check := func(when string) {
-			for name, node := range f.nodes {
-				_, again := f.send(node, "order-1", 0, document(t))
-				if difference := cmp.Diff(first, again); difference != "" {
-					t.Errorf("%s, %s repeats the acceptance otherwise:\n%s", when, name, difference)
-				}
-				_, again = f.send(node, "order-2", 7, document(t))
-				if difference := cmp.Diff(refused, again); difference != "" {
-					t.Errorf("%s, %s repeats the refusal otherwise:\n%s", when, name, difference)
-				}
-				status, _ := f.send(node, "order-1", 1, document(t))
-				if status != http.StatusConflict {
-					t.Errorf("%s, the id with another order answered %d", when, status)
-				}
-			}
-		}
-		check("at first")
+		f.checkRepeatedAnswers("at first", first, refused)
 		old := f.primary().options.Name
 		f.stop(old)
 		f.primary()
-		check("after the loss of the primary")
+		f.checkRepeatedAnswers("after the loss of the primary", first, refused)
 		f.start(old)
 		f.fillLog(testSnapshotInterval + 16)
 		for _, name := range controlNames {
@@ -131,29 +131,44 @@
 		}
 		f.start(controlNames...)
 		f.primary()
-		check("after a snapshot and a restart of all")
+		f.checkRepeatedAnswers("after a snapshot and a restart of all", first, refused)
 	})
 }
 
-// TestAChangeLeavesTheRestOfTheDocument: items come and go by name, under the terms
+// checkRepeatedAnswers sends the accepted order-1 and the refused order-2 again to
+// every node.
+func (f *fleet) checkRepeatedAnswers(when string, accepted, refused api.OperationResult) {
+	f.t.Helper()
+	for name, node := range f.nodes {
+		_, again := f.send(node, "order-1", 0, document(f.t))
+		if difference := cmp.Diff(accepted, again); difference != "" {
+			f.t.Errorf("%s, %s repeats the acceptance otherwise:\n%s", when, name, difference)
+		}
+		_, again = f.send(node, "order-2", 7, document(f.t))
+		if difference := cmp.Diff(refused, again); difference != "" {
+			f.t.Errorf("%s, %s repeats the refusal otherwise:\n%s", when, name, difference)
+		}
+		status, _ := f.send(node, "order-1", 1, document(f.t))
+		if status != http.StatusConflict {
+			f.t.Errorf("%s, the id with another operation answered %d", when, status)
+		}
+	}
+}
+
+// TestPatchKeepsTheRestOfTheDocument: items come and go by name, under the terms
 // of whole documents, and what is refused leaves everything as it was.
-func TestAChangeLeavesTheRestOfTheDocument(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestPatchKeepsTheRestOfTheDocument(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
-		change := func(node *Node, id string, base uint64, text string) (int, api.OperationResult) {
-			var answer api.OperationResult
-			order := api.ConfigurationPatchOperation{OperationID: id, BaseVersion: base, Change: text}
-			status := f.request(node, http.MethodPatch, api.PathConfiguration, order, &answer)
-			return status, answer
-		}
 		const added = "upsert: {tenants: {added: {weight: 7}}}\nremove: {tenants: [unknown]}"
-		if status, answer := change(f.follower(), "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
+		if status, answer := f.patch(f.follower(), "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
 			t.Fatalf("answered %d %+v", status, answer)
 		}
 		for name, node := range f.nodes {
-			if status, answer := change(node, "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
+			if status, answer := f.patch(node, "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
 				t.Errorf("sent again to %s: %d %+v", name, status, answer)
 			}
 		}
@@ -167,29 +182,44 @@
 			"unreadable":  {2, "upsert: {tenants: {added: {unknown: 1}}}", api.CodeInvalid},
 		}
 		for id, test := range refused {
-			if _, answer := change(f.primary(), id, test.base, test.text); answer.Accepted || answer.Error == nil || answer.Error.Code != test.code {
+			if _, answer := f.patch(f.primary(), id, test.base, test.text); answer.Accepted || answer.Error == nil || answer.Error.Code != test.code {
 				t.Errorf("%s answered %+v", id, answer)
 			}
 		}
-		contents := f.primary().engine.Observe().Catalog
-		if tenant, known := contents.Tenant("added"); !known || tenant.Weight != 7 || contents.Version() != 2 {
-			t.Errorf("version %d, tenant %+v", contents.Version(), tenant)
-		}
-		current, _ := contents.Configuration()
-		read, err := configuration.Load(current.Document)
-		if err != nil {
-			t.Fatal(err)
-		}
-		before, err := configuration.Load(document(t))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(read.Tenants) != len(before.Tenants)+1 || len(read.Routes) != len(before.Routes) {
-			t.Errorf("the document is now %s", current.Document)
-		}
+		f.checkOneTenantAdded()
 	})
 }
 
+// patch changes the configuration and returns the status and the answer.
+func (f *fleet) patch(node *Node, id string, base uint64, text string) (int, api.OperationResult) {
+	f.t.Helper()
+	var answer api.OperationResult
+	request := api.ConfigurationPatchOperation{OperationID: id, BaseVersion: base, Change: text}
+	status := f.request(node, http.MethodPatch, api.PathConfiguration, request, &answer)
+	return status, answer
+}
+
+// checkOneTenantAdded compares the second version with the first document.
+func (f *fleet) checkOneTenantAdded() {
+	f.t.Helper()
+	state := f.primary().engine.Observe().Catalog
+	if tenant, known := state.Tenant("added"); !known || tenant.Weight != 7 || state.Version() != 2 {
+		f.t.Errorf("version %d, tenant %+v", state.Version(), tenant)
+	}
+	current, _ := state.Configuration()
+	read, err := configuration.Load(current.Document)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	before, err := configuration.Load(document(f.t))
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	if len(read.Tenants) != len(before.Tenants)+1 || len(read.Routes) != len(before.Routes) {
+		f.t.Errorf("the document is now %s", current.Document)
+	}
+}
+
 // fillLog puts so many updates through the log.
 func (f *fleet) fillLog(count int) {
 	f.t.Helper()
@@ -210,8 +240,9 @@
 	proposals.Wait()
 }
 
-func TestOfTwoWritersOnOneBaseOneWins(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestOneOfConcurrentWritersOnOneBaseWins(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-0", 0)
@@ -240,7 +271,8 @@
 }
 
 func TestWipedDisksAreReplacedOneByOne(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		base := uint64(0)
@@ -290,8 +322,9 @@
 	}
 }
 
-func TestFreshNodeNeverFormsBesideAGroup(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestNodeWithoutGroupNeverBootstrapsBesideAGroup(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		cluster := f.primary().engine.Observe().Cluster
 		// The node with the lowest name comes back wiped and meets one survivor
@@ -302,7 +335,7 @@
 		f.wipe(controlNames[0])
 		f.wipe(controlNames[2])
 		f.start(controlNames...)
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		for _, name := range []string{controlNames[0], controlNames[2]} {
 			if got := f.nodes[name].engine.Observe().Cluster; got != "" {
 				t.Errorf("%s formed or joined %s beside a group that has no majority", name, got)
@@ -314,10 +347,11 @@
 	})
 }
 
-func TestFormationWaitsForEveryNode(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestBootstrapWaitsForEveryNode(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames[0], controlNames[1])
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		for name, node := range f.nodes {
 			if node.engine.Observe().Cluster != "" {
 				t.Errorf("%s formed a group without %s", name, controlNames[2])
@@ -338,8 +372,9 @@
 	return primary.engine.Observe().At - elected
 }
 
-func TestLeaveHandsLeadershipOver(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestLeaveTransfersLeadership(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		old := f.primary()
 		started := time.Now()
@@ -356,7 +391,8 @@
 }
 
 func TestReplacedDiskComesBackAsAStranger(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
 		replaced := f.follower().options.Name
@@ -368,7 +404,7 @@
 		f.mustSend(f.primary(), "order-1", 0)
 		before := f.primary().engine.Observe().Status
 		f.start(replaced)
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		after := f.primary().engine.Observe().Status
 		if after.Term != before.Term || !cmp.Equal(after.Membership, before.Membership) {
 			t.Errorf("the replaced disk's return changed term %d to %d, or members %v to %v", before.Term, after.Term, before.Membership, after.Membership)
@@ -392,40 +428,41 @@
 	return options
 }
 
-func TestMembersAreToldWithOneCutOff(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestMembersAreListedWithOnePartitioned(t *testing.T) {
+	inFleet(t, func(f *fleet) {
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		f.await("a lease", gateway.valid)
-		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
-		primary, cutOff := f.primary(), f.follower()
-		for _, name := range controlNames {
-			if name != cutOff.options.Name {
-				f.cut(cutOff.options.PeerAddress, f.options[name].PeerAddress)
-			}
-		}
+		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
+		primary, partitioned := f.primary(), f.follower()
+		f.partition(partitioned.options.PeerAddress, controlAddressesBut(f, partitioned)...)
 		time.Sleep(2 * membership.ReachableTimeout)
-		for _, name := range controlNames {
-			if name == cutOff.options.Name {
-				continue
-			}
-			answer := f.members(f.nodes[name])
-			if answer.RepairDone {
-				t.Errorf("%s says that the group is whole", name)
-			}
-			up := make(map[string]bool)
-			for _, member := range answer.Members {
-				up[member.Name] = member.Up
-			}
-			if len(up) != 4 || up[cutOff.options.Name] || !up[primary.options.Name] || !up["gateway-1"] {
-				t.Errorf("%s lists as up: %v", name, up)
+		for name, node := range f.nodes {
+			if node != partitioned {
+				f.checkOneDown(name, f.members(node), primary, partitioned)
 			}
 		}
 	})
 }
 
-func TestOrderLeavesAFrozenPrimary(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// checkOneDown verifies what a node lists while another one is partitioned.
+func (f *fleet) checkOneDown(name string, answer api.MembersAnswer, primary, partitioned *Node) {
+	f.t.Helper()
+	if answer.RepairDone {
+		f.t.Errorf("%s says that the group is complete", name)
+	}
+	up := make(map[string]bool)
+	for _, member := range answer.Members {
+		up[member.Name] = member.Up
+	}
+	if len(up) != 4 || up[partitioned.options.Name] || !up[primary.options.Name] || !up["gateway-1"] {
+		f.t.Errorf("%s lists as up: %v", name, up)
+	}
+}
+
+func TestOperationLeavesAFrozenPrimary(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.mustSend(f.primary(), "order-1", 0)
 		old, through := f.primary(), f.follower()
@@ -436,7 +473,7 @@
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
 			t.Errorf("the order took %v", took)
 		}
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
 			t.Errorf("the thawed node repeats %+v", again)
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -10,19 +10,21 @@
 	"github.com/deckpulley/deckpulley/control/leases"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/transport"
 )
 
 // A gateway that the new primary does not hear of may go on under its lease: the
 // primary waits that out.
 func TestNewPrimaryWaitsOutOlderLeases(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		lost := f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", gateway.valid)
 		f.await("the other lease", lost.valid)
-		f.cut(lost.address, lost.control...)
+		f.partition(lost.address, lost.control...)
 		waited := f.timeToInForce()
 		// The time of the election is read up to one poll after it.
 		if window := lease.DefaultConfig().GracePeriod(); waited < window-50*time.Millisecond {
@@ -36,8 +38,9 @@
 
 // Once every gateway that may have a lease has told a new primary what it has
 // active, there is nothing to wait out.
-func TestNewPrimaryWaitsForNobodyWhoIsAccountedFor(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestNewPrimaryWaitsForNoGatewayThatReported(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		first, second := f.startGateway("gateway-1"), f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -51,7 +54,8 @@
 
 // A gateway that ends without leaving and starts again has no lease any more.
 func TestNewPrimaryKnowsThatARestartEndsALease(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -67,61 +71,70 @@
 // A control node that is not the primary gives its table to a gateway that holds none,
 // and never a lease or the right to make it active.
 func TestOtherControlNodesGiveTheTable(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.mustSend(f.primary(), "order-1", 0)
 		primary := f.primary()
-		asking := f.network.Node("gateway-9", "gateway-9:1")
-		if err := asking.Start(); err != nil {
+		network := f.network.Node("gateway-9", "gateway-9:1")
+		if err := network.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer asking.Close()
-		given := func(node *Node, renew peer.Renew) bool {
-			var grant peer.Grant
-			renew.Gateway = peer.GatewayInfo{Name: "gateway-9", Incarnation: "1", Region: "region-1", PeerAddress: "gateway-9:1"}
-			if err := asking.Call(t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
-				t.Fatal(err)
-			}
-			if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
-				t.Errorf("%s answers %+v", node.options.Name, grant)
-			}
-			transfer, err := grant.UnpackTransfer()
-			if err != nil {
-				t.Fatal(err)
-			}
-			return transfer != nil
-		}
-		f.await("the other nodes to have the order", func() bool {
-			for _, name := range controlNames {
-				if f.nodes[name].engine.Observe().Catalog.Version() == 0 {
-					return false
-				}
-			}
-			return true
+		defer network.Close()
+		f.await("the other nodes to apply the operation", func() bool {
+			return f.everyNode(func(node *Node) bool { return node.engine.Observe().Catalog.Version() != 0 })
 		})
-		for _, name := range controlNames {
-			node := f.nodes[name]
+		for name, node := range f.nodes {
 			if node == primary {
 				continue
 			}
-			if !given(node, peer.Renew{}) {
+			if !f.givesTable(network, node, peer.Renew{}) {
 				t.Errorf("%s gives no table", name)
 			}
-			if given(node, peer.Renew{ReceivedSerial: 1}) || given(node, peer.Renew{Cluster: "another"}) {
-				t.Errorf("%s gives a table to one that holds one, or of another group", name)
+			if f.givesTable(network, node, peer.Renew{ReceivedSerial: 1}) || f.givesTable(network, node, peer.Renew{Cluster: "another"}) {
+				t.Errorf("%s gives a table to one that has one, or of another group", name)
 			}
 		}
 	})
 }
 
-func TestCutOffGatewayDelaysAnAcknowledgementOnce(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func (f *fleet) everyNode(condition func(*Node) bool) bool {
+	for _, node := range f.nodes {
+		if !condition(node) {
+			return false
+		}
+	}
+	return true
+}
+
+// givesTable renews at a node that is not the primary, and says whether it answers
+// with the table. It must give no lease.
+func (f *fleet) givesTable(network transport.Network, node *Node, renew peer.Renew) bool {
+	f.t.Helper()
+	var grant peer.Grant
+	renew.Gateway = peer.GatewayInfo{Name: "gateway-9", Incarnation: "1", Region: "region-1", PeerAddress: "gateway-9:1"}
+	if err := network.Call(f.t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
+		f.t.Fatal(err)
+	}
+	if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != f.primary().options.PeerAddress {
+		f.t.Errorf("%s answers %+v", node.options.Name, grant)
+	}
+	transfer, err := grant.UnpackTransfer()
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return transfer != nil
+}
+
+func TestPartitionedGatewayDelaysAnAcknowledgementOnce(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", gateway.valid)
-		f.cut(gateway.address, gateway.control...)
+		f.partition(gateway.address, gateway.control...)
 		f.mustSend(f.primary(), "order-2", 1)
 		if gateway.valid() {
 			t.Error("acknowledged while a gateway with the older version may place requests")
@@ -137,7 +150,8 @@
 }
 
 func TestThawedPrimaryGrantsNothing(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -164,7 +178,8 @@
 // TestAQuietGatewayIsNotNamed: whoever misses several renewals is marked down long
 // before its lease has run out, which is waited for all the same.
 func TestAQuietGatewayIsNotNamed(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		quiet := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
@@ -172,7 +187,7 @@
 		f.await("a lease", quiet.valid)
 		record := func() catalog.Gateway { return f.primary().engine.Observe().Catalog.Gateways()["gateway-1"] }
 
-		f.cut(quiet.address, quiet.control...)
+		f.partition(quiet.address, quiet.control...)
 		cut := time.Now()
 		f.await("the record to say down", func() bool { return !record().Up })
 		renewal := lease.DefaultConfig().RenewalInterval
@@ -195,7 +210,8 @@
 // TestANewPrimaryForgetsGatewaysThatWentWithTheOld: their leases have ended with
 // the window that it waits for; a second lease's length is not waited for.
 func TestANewPrimaryForgetsGatewaysThatWentWithTheOld(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		lost := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
@@ -203,7 +219,7 @@
 		f.await("a lease", lost.valid)
 		old := f.primary()
 		f.stopGateway("gateway-1")
-		f.cut(old.options.PeerAddress, controlAddressesBut(f, old)...)
+		f.partition(old.options.PeerAddress, controlAddressesBut(f, old)...)
 		successor := f.primary(old.options.Name)
 		elected := time.Now()
 		record := func() catalog.Gateway { return successor.engine.Observe().Catalog.Gateways()["gateway-1"] }
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -37,7 +37,7 @@
 	return func() settings.Tokens { return read }
 }
 
-func TestOperatorsPortRejectsWhatIsMalformed(t *testing.T) {
+func TestOperatorsPortRejectsMalformedRequests(t *testing.T) {
 	configurationOrder := func(document string) string {
 		encoded, _ := json.Marshal(api.ConfigurationOperation{OperationID: "order", Document: document})
 		return string(encoded)
@@ -66,7 +66,8 @@
 		{"replica of an unknown zone", "PUT", "/v1/replicas", `{"replicas":[{"id":"a","service":"s","zone":"z","address":"h:1"}]}`, testToken, 400, api.CodeInvalid, "replicas[0].zone"},
 	}
 	permitted := tokens(t)
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		for _, name := range controlNames {
 			options := f.options[name]
 			options.Tokens = permitted
@@ -101,8 +102,9 @@
 	})
 }
 
-func TestOrdersWithoutPrimaryAreRefusedOrUnknown(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestOperationsWithoutPrimaryAreRefusedOrUnknown(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.mustSend(f.primary(), "order-1", 0)
 		old := f.primary().options.Name
@@ -125,7 +127,8 @@
 }
 
 func TestFailedWriteEndsTheNode(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -150,8 +153,9 @@
 	})
 }
 
-func TestForcedRecoveryKeepsTheSurvivingCopy(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestForcedRecoveryKeepsTheSurvivingDisk(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		first := f.mustSend(f.primary(), "order-1", 0)
 		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
@@ -191,38 +195,45 @@
 	})
 }
 
-func TestHistoryListsTheNewestOrders(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestHistoryListsTheNewestOperations(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.mustSend(f.primary(), "order-2", 1)
-		f.send(f.primary(), "order-3", 1, document(t)) // outraced
-		f.send(f.primary(), "order-2", 1, document(t)) // resent
+		f.send(f.primary(), "order-3", 1, document(t)) // on an old version
+		f.send(f.primary(), "order-2", 1, document(t)) // sent again
 		var answer api.OperationsAnswer
 		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=2", nil, &answer); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
-		want := []api.OperationStatus{
+		f.checkHistory(answer.Orders, []api.OperationStatus{
 			{OperationID: "order-3", Version: 2, Code: api.CodeVersionConflict},
 			{OperationID: "order-2", Version: 2, Accepted: true},
-		}
-		got := slices.Clone(answer.Orders)
-		for i := range got {
-			if got[i].Number == 0 || i > 0 && got[i].Number >= answer.Orders[i-1].Number {
-				t.Errorf("numbers out of order: %+v", answer.Orders)
-			}
-			if got[i].Accepted == (got[i].Reason != "") {
-				t.Errorf("accepted and a reason: %+v", got[i])
-			}
-			got[i].Number, got[i].Reason, got[i].Field = 0, "", ""
-		}
-		if difference := cmp.Diff(want, got); difference != "" {
-			t.Error(difference)
-		}
+		})
 		var problem api.ErrorBody
 		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=none", nil, &problem); status != http.StatusBadRequest || problem.Error.Field != "limit" {
 			t.Errorf("limit not a number: %d %+v", status, problem.Error)
 		}
 	})
 }
+
+// checkHistory compares a list of operations, newest first, with what is wanted but
+// for numbers, fields and reasons.
+func (f *fleet) checkHistory(listed, want []api.OperationStatus) {
+	f.t.Helper()
+	got := slices.Clone(listed)
+	for i := range got {
+		if got[i].Number == 0 || i > 0 && got[i].Number >= listed[i-1].Number {
+			f.t.Errorf("numbers out of order: %+v", listed)
+		}
+		if got[i].Accepted == (got[i].Reason != "") {
+			f.t.Errorf("accepted and a reason: %+v", got[i])
+		}
+		got[i].Number, got[i].Reason, got[i].Field = 0, "", ""
+	}
+	if difference := cmp.Diff(want, got); difference != "" {
+		f.t.Error(difference)
+	}
+}
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -18,8 +18,8 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// routeMapOrder is an order for a map with one route.
-func routeMapOrder(base, version uint64) peer.OperationRequest {
+// routeMapOperation is an order for a map with one route.
+func routeMapOperation(base, version uint64) peer.OperationRequest {
 	return peer.OperationRequest{RouteMap: &peer.RouteMapOperation{
 		BaseVersion: base,
 		Text:        fmt.Sprintf("a map of version %d", version),
@@ -35,9 +35,9 @@
 	}}
 }
 
-// carryOut sends an order to a node and waits for its answer.
-func carryOut(node *Node, request peer.OperationRequest) peer.OperationReply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// submit sends an order to a node and waits for its answer.
+func submit(node *Node, request peer.OperationRequest) peer.OperationReply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return node.Submit(ctx, request)
 }
@@ -46,25 +46,22 @@
 	return reply.Error == nil && reply.Answer.Error == nil && reply.Answer.Accepted
 }
 
-func TestARouteMapIsTakenOnceAndAnsweredAlike(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestRouteMapIsAppliedOnceAndAnsweredAlike(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		first, second := routeMapOrder(0, 3), routeMapOrder(3, 7)
-		if reply := carryOut(f.primary(), first); !accepted(reply) {
+		first, second := routeMapOperation(0, 3), routeMapOperation(3, 7)
+		if reply := submit(f.primary(), first); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
-		for name, node := range f.nodes {
-			if reply := carryOut(node, first); !accepted(reply) || reply.Answer.Version != 3 {
-				t.Errorf("sent again to %s: %+v", name, reply)
-			}
-		}
-		if reply := carryOut(f.follower(), second); !accepted(reply) {
+		f.checkAcceptedAgain(first, 3)
+		if reply := submit(f.follower(), second); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		// Sent again after a later one, and to the successor of the primary.
 		f.stop(f.primary().options.Name)
-		if reply := carryOut(f.primary(), first); !accepted(reply) || reply.Answer.Version != 3 {
+		if reply := submit(f.primary(), first); !accepted(reply) || reply.Answer.Version != 3 {
 			t.Errorf("the first again: %+v", reply)
 		}
 		current, configured, problem := f.primary().CurrentConfiguration(t.Context())
@@ -74,62 +71,82 @@
 	})
 }
 
-func TestARefusedRouteMapChangesNothing(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// checkAcceptedAgain sends an operation again to every node.
+func (f *fleet) checkAcceptedAgain(request peer.OperationRequest, version uint64) {
+	f.t.Helper()
+	for name, node := range f.nodes {
+		if reply := submit(node, request); !accepted(reply) || reply.Answer.Version != version {
+			f.t.Errorf("sent again to %s: %+v", name, reply)
+		}
+	}
+}
+
+// refusal is an operation that every node refuses.
+type refusal struct {
+	request peer.OperationRequest
+	code    api.Code
+	field   string
+}
+
+// checkRefusals sends operations to the primary and to a follower.
+func (f *fleet) checkRefusals(refusals map[string]refusal) {
+	f.t.Helper()
+	for name, test := range refusals {
+		for _, node := range []*Node{f.primary(), f.follower()} {
+			reply := submit(node, test.request)
+			if reply.Error == nil || reply.Error.Code != test.code || reply.Error.Field != test.field {
+				f.t.Errorf("%s at %s: got %+v, %+v", name, node.options.Name, reply, reply.Error)
+			}
+		}
+	}
+}
+
+func TestRefusedRouteMapChangesNothing(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := carryOut(f.primary(), routeMapOrder(0, 3)); !accepted(reply) {
+		if reply := submit(f.primary(), routeMapOperation(0, 3)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
-		invalidRoute := routeMapOrder(3, 9)
+		invalidRoute := routeMapOperation(3, 9)
 		invalidRoute.RouteMap.Map.Routes[0].Timeout = 0
-		tests := map[string]struct {
-			request peer.OperationRequest
-			code    api.Code
-			field   string
-		}{
-			"race lost":    {routeMapOrder(0, 4), api.CodeVersionConflict, "base_version"},
-			"unknown base": {routeMapOrder(5, 9), api.CodeVersionConflict, "base_version"},
-			"old version":  {routeMapOrder(3, 2), api.CodeInvalid, "version"},
-			"same version": {routeMapOrder(3, 3), api.CodeInvalid, "version"},
+		f.checkRefusals(map[string]refusal{
+			"race lost":    {routeMapOperation(0, 4), api.CodeVersionConflict, "base_version"},
+			"unknown base": {routeMapOperation(5, 9), api.CodeVersionConflict, "base_version"},
+			"old version":  {routeMapOperation(3, 2), api.CodeInvalid, "version"},
+			"same version": {routeMapOperation(3, 3), api.CodeInvalid, "version"},
 			"invalid":      {invalidRoute, api.CodeInvalid, "routes[0].timeout_ms"},
-		}
-		for name, test := range tests {
-			for _, node := range []*Node{f.primary(), f.follower()} {
-				reply := carryOut(node, test.request)
-				if reply.Error == nil || reply.Error.Code != test.code || reply.Error.Field != test.field {
-					t.Errorf("%s at %s: got %+v", name, node.options.Name, reply)
-				}
-			}
-		}
+		})
 		if version := f.primary().engine.Observe().Catalog.Version(); version != 3 {
 			t.Errorf("version %d", version)
 		}
-		// What was refused for its base is taken once that base is the current one.
-		if reply := carryOut(f.primary(), routeMapOrder(3, 5)); !accepted(reply) {
+		// What was refused for its base is accepted once that base is the current one.
+		if reply := submit(f.primary(), routeMapOperation(3, 5)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
-		if reply := carryOut(f.primary(), routeMapOrder(5, 9)); !accepted(reply) {
+		if reply := submit(f.primary(), routeMapOperation(5, 9)); !accepted(reply) {
 			t.Errorf("refused on its own base: %+v", reply)
 		}
 	})
 }
 
-// TestOfTwoRouteMapsOnOneBaseOneWins sends pairs at once through different nodes.
-func TestOfTwoRouteMapsOnOneBaseOneWins(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// TestOneOfTwoRouteMapsOnOneBaseWins sends pairs at once through different nodes.
+func TestOneOfTwoRouteMapsOnOneBaseWins(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		base := uint64(0)
 		for round := range uint64(6) {
 			version := base + 2
-			orders := [2]peer.OperationRequest{routeMapOrder(base, version), routeMapOrder(base, version)}
+			orders := [2]peer.OperationRequest{routeMapOperation(base, version), routeMapOperation(base, version)}
 			orders[1].RouteMap.Text += ", another one" // the same number
 			var replies [2]peer.OperationReply
 			var both sync.WaitGroup
 			nodes := [2]*Node{f.primary(), f.follower()}
 			for i := range orders {
-				both.Go(func() { replies[i] = carryOut(nodes[i], orders[i]) })
+				both.Go(func() { replies[i] = submit(nodes[i], orders[i]) })
 			}
 			both.Wait()
 			if accepted(replies[0]) == accepted(replies[1]) {
@@ -144,7 +161,7 @@
 
 // routeMapChange is an order that adds a route and removes others.
 func routeMapChange(base, version uint64, added string, removed ...string) peer.OperationRequest {
-	order := routeMapOrder(base, version)
+	order := routeMapOperation(base, version)
 	route := order.RouteMap.Map.Routes[0]
 	route.Name, route.PathPrefix = added, "/"+added+"/"
 	order.RouteMap.Text = fmt.Sprintf("%d: add %s, remove %v", version, added, removed)
@@ -160,35 +177,32 @@
 	return order
 }
 
-// readableMapOrder is an order for a map whose text can be changed.
-func readableMapOrder(base, version uint64) peer.OperationRequest {
-	order := routeMapOrder(base, version)
+// readableMapOperation is an order for a map whose text can be changed.
+func readableMapOperation(base, version uint64) peer.OperationRequest {
+	order := routeMapOperation(base, version)
 	order.RouteMap.Text = fmt.Sprintf(mapText, version)
 	return order
 }
 
-// TestAChangeIsMadeToTheVersionThatItWasBuiltOn holds what a change leaves: the map,
+// TestRouteMapChangeAppliesToItsBaseVersion holds what a change leaves: the map,
 // its text, and the same answer for the same change from any node, also later.
-func TestAChangeIsMadeToTheVersionThatItWasBuiltOn(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestRouteMapChangeAppliesToItsBaseVersion(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := carryOut(f.primary(), readableMapOrder(0, 3)); !accepted(reply) {
+		if reply := submit(f.primary(), readableMapOperation(0, 3)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		first := routeMapChange(3, 5, "added", "unknown")
-		if reply := carryOut(f.follower(), first); !accepted(reply) || reply.Answer.Version != 5 {
+		if reply := submit(f.follower(), first); !accepted(reply) || reply.Answer.Version != 5 {
 			t.Fatalf("got %+v", reply)
 		}
 		second := routeMapChange(5, 8, "again", "r")
-		if reply := carryOut(f.primary(), second); !accepted(reply) {
+		if reply := submit(f.primary(), second); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
-		for name, node := range f.nodes {
-			if reply := carryOut(node, first); !accepted(reply) || reply.Answer.Version != 5 {
-				t.Errorf("sent again to %s: %+v", name, reply)
-			}
-		}
+		f.checkAcceptedAgain(first, 5)
 		current, _, problem := f.primary().CurrentConfiguration(t.Context())
 		want := `{"version":8,"routes":[{"name":"added"},{"name":"again"}],"services":[{"name":"s"}],"kept":true}`
 		if problem != nil || current.Document != want {
@@ -201,39 +215,28 @@
 	})
 }
 
-func TestARefusedChangeChangesNothing(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestRefusedRouteMapChangeChangesNothing(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := carryOut(f.primary(), readableMapOrder(0, 3)); !accepted(reply) {
+		if reply := submit(f.primary(), readableMapOperation(0, 3)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
-		samePlace := routeMapChange(3, 9, "added")
-		samePlace.RouteMap.Change.Map.Routes[0].PathPrefix = "/"
+		samePath := routeMapChange(3, 9, "added")
+		samePath.RouteMap.Change.Map.Routes[0].PathPrefix = "/"
 		noService := routeMapChange(3, 9, "added")
 		noService.RouteMap.Change.Map.RemovedServices = []string{"s"}
 		both := routeMapChange(3, 9, "added", "added")
-		tests := map[string]struct {
-			request peer.OperationRequest
-			code    api.Code
-			field   string
-		}{
+		f.checkRefusals(map[string]refusal{
 			"race lost":     {routeMapChange(0, 9, "added"), api.CodeVersionConflict, "base_version"},
 			"unknown base":  {routeMapChange(4, 9, "added"), api.CodeVersionConflict, "base_version"},
 			"old version":   {routeMapChange(3, 2, "added"), api.CodeInvalid, "version"},
 			"same version":  {routeMapChange(3, 3, "added"), api.CodeInvalid, "version"},
-			"same place":    {samePlace, api.CodeInvalid, "routes[1].path_prefix"},
+			"same path":     {samePath, api.CodeInvalid, "routes[1].path_prefix"},
 			"service gone":  {noService, api.CodeInvalid, "routes[0].targets[0].service"},
 			"in both lists": {both, api.CodeInvalid, "change.remove.routes[0]"},
-		}
-		for name, test := range tests {
-			for _, node := range []*Node{f.primary(), f.follower()} {
-				reply := carryOut(node, test.request)
-				if reply.Error == nil || reply.Error.Code != test.code || reply.Error.Field != test.field {
-					t.Errorf("%s at %s: got %+v, %+v", name, node.options.Name, reply, reply.Error)
-				}
-			}
-		}
+		})
 		current, _, _ := f.primary().CurrentConfiguration(t.Context())
 		if current.Document != fmt.Sprintf(mapText, 3) || current.Version != 3 {
 			t.Errorf("got %+v", current)
@@ -241,23 +244,24 @@
 	})
 }
 
-// TestOfAMapAndAChangeOnOneBaseOneWins sends pairs at once through different nodes.
-func TestOfAMapAndAChangeOnOneBaseOneWins(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// TestOneOfAMapAndAChangeOnOneBaseWins sends pairs at once through different nodes.
+func TestOneOfAMapAndAChangeOnOneBaseWins(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := carryOut(f.primary(), readableMapOrder(0, 1)); !accepted(reply) {
+		if reply := submit(f.primary(), readableMapOperation(0, 1)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		base := uint64(1)
 		for round := range uint64(6) {
 			version := base + 2
-			orders := [2]peer.OperationRequest{readableMapOrder(base, version), routeMapChange(base, version, "added")}
+			orders := [2]peer.OperationRequest{readableMapOperation(base, version), routeMapChange(base, version, "added")}
 			var replies [2]peer.OperationReply
 			var both sync.WaitGroup
 			nodes := [2]*Node{f.primary(), f.follower()}
 			for i := range orders {
-				both.Go(func() { replies[i] = carryOut(nodes[(i+int(round))%2], orders[i]) })
+				both.Go(func() { replies[i] = submit(nodes[(i+int(round))%2], orders[i]) })
 			}
 			both.Wait()
 			if accepted(replies[0]) == accepted(replies[1]) {
@@ -307,13 +311,14 @@
 	}
 	f.start(controlNames...)
 	f.startGateway("gateway-1")
-	if reply := carryOut(f.primary(), routeMapOrder(0, 1)); !accepted(reply) {
+	if reply := submit(f.primary(), routeMapOperation(0, 1)); !accepted(reply) {
 		f.t.Fatalf("got %+v", reply)
 	}
 }
 
-func TestTheInventoryDecidesTheReplicas(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestInventoryDeterminesTheReplicas(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		inventory := &listInventory{}
 		warm, cold := int64(0), int64(2000)
 		entry := api.ReplicaEntry{ID: "a", Service: "s", Zone: "zone-1", Address: "a:1", Slots: 4, ColdMS: &cold}
@@ -344,10 +349,11 @@
 	})
 }
 
-// TestTheGroupGrowsToItsVoters: nodes beyond those that form the group become
+// TestGroupGrowsToItsVoters: nodes beyond those that form the group become
 // voters until there are as many as asked for.
-func TestTheGroupGrowsToItsVoters(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestGroupGrowsToItsVoters(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		const voters = 5
 		for _, name := range controlNames {
 			options := f.options[name]
@@ -374,7 +380,7 @@
 				stopped++
 			}
 		}
-		if reply := carryOut(f.primary(), routeMapOrder(1, 2)); !accepted(reply) {
+		if reply := submit(f.primary(), routeMapOperation(1, 2)); !accepted(reply) {
 			t.Errorf("with two of five voters lost: %+v", reply)
 		}
 	})
@@ -395,7 +401,7 @@
 		f.t.Fatal("every node belongs to the group")
 	}
 	f.await("an answer to clients", func() bool { return len(outside.Where("north", 8)) == 1 })
-	if reply := carryOut(outside, routeMapOrder(0, 1)); !accepted(reply) {
+	if reply := submit(outside, routeMapOperation(0, 1)); !accepted(reply) {
 		f.t.Errorf("an order to a node without a group: %+v", reply)
 	}
 	if _, _, problem := outside.CurrentConfiguration(f.t.Context()); problem == nil {
@@ -431,10 +437,11 @@
 	return l.listInventory.Replicas(ctx)
 }
 
-// TestReadingsOfTheInventoryKeepTheirDistance: the list bounds the calls a second,
+// TestInventoryReadsKeepTheInterval: the list bounds the calls a second,
 // so a slow reading is not made up for.
-func TestReadingsOfTheInventoryKeepTheirDistance(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestInventoryReadsKeepTheInterval(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		inventory := &slowInventory{}
 		f.startWithInventory(inventory)
 		time.Sleep(20 * defaultInventoryInterval)
