--- /dev/null
+++ b/catalog/chunks.go
@@ -0,0 +1,96 @@
+package catalog
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/deckpulley/deckpulley/registry"
+)
+
+// The text of a configuration is stored in chunks. A chunk ends after a line that
+// is chosen by the line's content (content-defined chunking), so that a small
+// change of a large text changes few records. The rule stays as it is: a version that
+// cut elsewhere would replace the chunks of every stored text.
+const (
+	chunkLineModulus = 32      // one line in so many ends a chunk
+	maxChunkBytes    = 8 << 10 // octets
+	digestBytes      = 16      // octets of a chunk's SHA-256 that are its name
+)
+
+// SplitChunks returns the chunks of a text in order. Concatenated they are the
+// text.
+func SplitChunks(text string) []string {
+	var chunks []string
+	start := 0 // of the chunk
+	for offset := 0; offset < len(text); {
+		end := lineEnd(text, offset, start+maxChunkBytes)
+		if endsChunk(text[offset:end]) || end-start >= maxChunkBytes {
+			chunks = append(chunks, text[start:end])
+			start = end
+		}
+		offset = end
+	}
+	if start < len(text) {
+		chunks = append(chunks, text[start:])
+	}
+	return chunks
+}
+
+// endsChunk reports whether a chunk ends after a line.
+func endsChunk(line string) bool { return xxhash.Sum64String(line)%chunkLineModulus == 0 }
+
+// lineEnd returns the offset after the line that starts at an offset, or the limit
+// if that is less.
+func lineEnd(text string, offset, limit int) int {
+	end := len(text)
+	if newline := strings.IndexByte(text[offset:], '\n'); newline >= 0 {
+		end = offset + newline + 1
+	}
+	return min(end, limit)
+}
+
+// ChunkRecords returns the records that store a text, each chunk once, and the
+// digests of all chunks in order, for Configuration.Chunks.
+func ChunkRecords(text string) (records []registry.Record, digests [][]byte) {
+	seen := map[registry.Name]bool{}
+	for _, chunk := range SplitChunks(text) {
+		digest := sha256.Sum256([]byte(chunk))
+		digests = append(digests, digest[:digestBytes])
+		name := chunkName(digest[:digestBytes])
+		if seen[name] {
+			continue
+		}
+		seen[name] = true
+		records = append(records, registry.Record{Name: name, Type: TypeDocumentChunk, Class: registry.ClassTable, Data: []byte(chunk)})
+	}
+	return records, digests
+}
+
+// ChunkNames returns the registry names of the chunks with these digests.
+func ChunkNames(digests [][]byte) []registry.Name {
+	names := make([]registry.Name, 0, len(digests))
+	for _, digest := range digests {
+		names = append(names, chunkName(digest))
+	}
+	return names
+}
+
+func chunkName(digest []byte) registry.Name {
+	return documentsName.Child(hex.EncodeToString(digest))
+}
+
+// joinChunks returns the text whose chunks have these digests.
+func joinChunks(view registry.View, digests [][]byte) (string, error) {
+	var text strings.Builder
+	for _, digest := range digests {
+		records := view.Lookup(chunkName(digest), TypeDocumentChunk)
+		if len(records) != 1 {
+			return "", fmt.Errorf("catalog: chunk %x of the document is missing", digest)
+		}
+		text.Write(records[0].Data)
+	}
+	return text.String(), nil
+}
--- a/catalog/example_test.go
+++ b/catalog/example_test.go
@@ -16,15 +16,15 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{
 		registry.Add(catalog.ZoneRecord("north-1", catalog.Zone{Region: "north"})),
-		registry.Add(catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "order-1"})),
+		registry.Add(catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "operation-1"})),
 	})
 	fmt.Println(table.Apply(&update, nil).Code)
-	contents, err := catalog.Read(table.View())
+	state, err := catalog.Read(table.View())
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(contents.Zones()["north-1"].Region, contents.IsEvacuated("north-1"))
+	fmt.Println(state.Zones()["north-1"].Region, state.IsEvacuated("north-1"))
 	// Output:
 	// NOERROR
 	// north true
--- a/catalog/limits.go
+++ b/catalog/limits.go
@@ -1,6 +1,6 @@
 package catalog
 
-// Defaults of the set points.
+// Defaults of the set points in Limits, in their units.
 const (
 	DefaultRetryRatio        = 0.1
 	DefaultQueueLength       = 64
@@ -10,18 +10,18 @@
 	DefaultStreamGapMS       = 10_000
 )
 
-// withDefaults fills in the fields that are zero.
+// withDefaults returns the limits with the defaults in place of zero fields.
 func (l Limits) withDefaults() Limits {
-	fill(&l.RetryRatio, DefaultRetryRatio)
-	fill(&l.QueueLength, DefaultQueueLength)
-	fill(&l.TargetUtilization, DefaultTargetUtilization)
-	fill(&l.FirstTokenMS, DefaultFirstTokenMS)
-	fill(&l.WarmupConcurrency, DefaultWarmupConcurrency)
-	fill(&l.StreamGapMS, DefaultStreamGapMS)
+	setDefault(&l.RetryRatio, DefaultRetryRatio)
+	setDefault(&l.QueueLength, DefaultQueueLength)
+	setDefault(&l.TargetUtilization, DefaultTargetUtilization)
+	setDefault(&l.FirstTokenMS, DefaultFirstTokenMS)
+	setDefault(&l.WarmupConcurrency, DefaultWarmupConcurrency)
+	setDefault(&l.StreamGapMS, DefaultStreamGapMS)
 	return l
 }
 
-func fill[T int | float64](field *T, value T) {
+func setDefault[T int | float64](field *T, value T) {
 	if *field == 0 {
 		*field = value
 	}
--- a/catalog/places_test.go
+++ b/catalog/state_test.go
@@ -1,73 +1,13 @@
 package catalog
 
 import (
-	"strings"
 	"testing"
 
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
-	"pgregory.net/rapid"
 )
 
-func TestObjectNamesAreReversible(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		object := string(rapid.SliceOfN(rapid.Byte(), 1, MaxObjectNameBytes).Draw(t, "object"))
-		name := RouteName(object)
-		if canonical, err := registry.ParseName(string(name)); err != nil || canonical != name {
-			t.Fatalf("place of %q: canonical %q, error %v", object, canonical, err)
-		}
-		back, err := ObjectName(name)
-		if err != nil || back != object {
-			t.Fatalf("object of %q: %q, error %v", name, back, err)
-		}
-	})
-}
-
-func TestObjectNames(t *testing.T) {
-	cases := []struct {
-		object string
-		want   registry.Name
-	}{
-		{"explain-long", "explain-long.routes.places."},
-		{"Explain", "_45xplain.routes.places."},
-		{"v1.2_x", "v1_2e2_5fx.routes.places."},
-		{"", ""},
-		{strings.Repeat("a", MaxObjectNameBytes+1), ""},
-	}
-	for _, c := range cases {
-		if got := RouteName(c.object); got != c.want {
-			t.Errorf("RouteName(%q) = %q, want %q", c.object, got, c.want)
-		}
-	}
-	foreign := []registry.Name{
-		"places.", "routes.places.", "a.b.routes.places.", "_.routes.places.",
-		"_6.routes.places.", "_61.routes.places.", "__!.routes.places.", "a.routes.elsewhere.",
-	}
-	for _, name := range foreign {
-		if object, err := ObjectName(name); err == nil {
-			t.Errorf("ObjectName(%q) = %q, want an error", name, object)
-		}
-	}
-}
-
-func TestDocumentsAreJoinedFromChunks(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		line := rapid.StringMatching(`[a-z]{0,20}\n?`)
-		text := strings.Join(rapid.SliceOfN(line, 0, 400).Draw(t, "lines"), "")
-		text += strings.Repeat("x", rapid.IntRange(0, 3*maxChunkBytes).Draw(t, "long"))
-		chunks := SplitChunks(text)
-		if strings.Join(chunks, "") != text {
-			t.Fatalf("chunks do not join to the text")
-		}
-		for _, chunk := range chunks {
-			if len(chunk) == 0 || len(chunk) > maxChunkBytes {
-				t.Fatalf("chunk of %d octets", len(chunk))
-			}
-		}
-	})
-}
-
 // newTable returns a table with one object of each kind.
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
@@ -83,7 +23,7 @@
 		RouteRecord("Explain.Long", Route{Service: "explain", Class: "long"}),
 		RegionRecord("north", Region{Spill: []string{"south"}, Capacity: 5}),
 		ZoneRecord("north-1", Zone{Region: "north"}),
-		EvacuationRecord("north-1", Evacuation{OperationID: "order-1"}),
+		EvacuationRecord("north-1", Evacuation{OperationID: "operation-1"}),
 		ClientRecord("branch", Client{Region: "north"}),
 		HomeRecord("bank-home", Home{Regions: []string{"north"}}),
 		TenantRecord("bank", Tenant{Home: "bank-home", Weight: 2}),
@@ -91,45 +31,44 @@
 		DrainRecord("replica-1", Drain{}),
 		ConditionRecord("replica-1", Condition{State: ConditionWarmingUp, WarmupGateway: "gateway-1"}),
 		GatewayRecord("gateway-1", Gateway{Incarnation: "i", Up: true}),
-		OperationResultRecord("order-1", OperationResult{Digest: 7, Accepted: true, Version: 1, Sequence: 1}),
+		OperationResultRecord("operation-1", OperationResult{Digest: 7, Accepted: true, Version: 1, Sequence: 1}),
 	)...)
 	return table
 }
 
-func apply(t *testing.T, table *registry.Table, changes ...registry.Record) registry.Result {
+// apply updates the table and fails the test if the table rejects the update.
+func apply(t *testing.T, table *registry.Table, changes ...registry.Record) {
 	t.Helper()
 	update := registry.NewUpdate(Apex, nil, changes)
-	result := table.Apply(&update, nil)
-	if result.Code != registry.NoError {
+	if result := table.Apply(&update, nil); result.Code != registry.NoError {
 		t.Fatalf("apply: %s, record %d: %v", result.Code, result.FailedIndex, result.Reason)
 	}
-	return result
 }
 
 func read(t *testing.T, table *registry.Table) *State {
 	t.Helper()
-	contents, err := Read(table.View())
+	state, err := Read(table.View())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return contents
+	return state
 }
 
 func TestReadEveryKind(t *testing.T) {
-	contents := read(t, newTable(t))
-	route, hasRoute := contents.Route("Explain.Long")
-	client, _ := contents.Client("branch")
-	home, _ := contents.Home("bank-home")
-	tenant, _ := contents.Tenant("bank")
-	order, _ := contents.OperationResult("order-1")
-	condition, _ := contents.Condition("replica-1")
-	configuration, _ := contents.Configuration()
+	state := read(t, newTable(t))
+	route, hasRoute := state.Route("Explain.Long")
+	client, _ := state.Client("branch")
+	home, _ := state.Home("bank-home")
+	tenant, _ := state.Tenant("bank")
+	order, _ := state.OperationResult("operation-1")
+	condition, _ := state.Condition("replica-1")
+	configuration, _ := state.Configuration()
 	got := []any{
-		contents.Version(), contents.Serial(), contents.Limits().QueueLength, contents.Limits().RetryRatio,
-		contents.Services()["explain"].Kind, route.Service, hasRoute, contents.Regions()["north"].Capacity,
-		contents.Zones()["north-1"].Region, contents.IsEvacuated("north-1"), contents.IsEvacuated("south-1"),
-		client.Region, home.Regions[0], tenant.Weight, contents.Replicas()["replica-1"].Address,
-		contents.IsDraining("replica-1"), condition.WarmupGateway, contents.Gateways()["gateway-1"].Up, order.Digest,
+		state.Version(), state.Serial(), state.Limits().QueueLength, state.Limits().RetryRatio,
+		state.Services()["explain"].Kind, route.Service, hasRoute, state.Regions()["north"].Capacity,
+		state.Zones()["north-1"].Region, state.IsEvacuated("north-1"), state.IsEvacuated("south-1"),
+		client.Region, home.Regions[0], tenant.Weight, state.Replicas()["replica-1"].Address,
+		state.IsDraining("replica-1"), condition.WarmupGateway, state.Gateways()["gateway-1"].Up, order.Digest,
 		configuration.Document,
 	}
 	want := []any{
@@ -141,9 +80,9 @@
 		"regions: {}\n",
 	}
 	if difference := cmp.Diff(want, got); difference != "" {
-		t.Errorf("contents differ (-want +got):\n%s", difference)
+		t.Errorf("state differs (-want +got):\n%s", difference)
 	}
-	if _, found := contents.Route("explain.long"); found {
+	if _, found := state.Route("explain.long"); found {
 		t.Error("a route is found under another case of its name")
 	}
 }
@@ -164,9 +103,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := read(t, table)
+	complete := read(t, table)
 	options := []cmp.Option{cmp.AllowUnexported(State{}), cmpopts.IgnoreFields(State{}, "view")}
-	if difference := cmp.Diff(whole, next, options...); difference != "" {
+	if difference := cmp.Diff(complete, next, options...); difference != "" {
 		t.Errorf("Next differs from Read (-read +next):\n%s", difference)
 	}
 	apply(t, table, DrainRecord("replica-2", Drain{}))
@@ -175,7 +114,7 @@
 		t.Errorf("a transfer that starts elsewhere: %v", err)
 	}
 	if !before.IsEvacuated("north-1") || before.Limits().QueueLength != 9 || len(before.Replicas()) != 1 {
-		t.Error("Next has changed the contents it started from")
+		t.Error("Next has changed the state it started from")
 	}
 	services["probe"] = Service{}
 	if _, shared := next.Service("probe"); !shared {
@@ -185,7 +124,7 @@
 
 func TestReplicasFollowTheirZone(t *testing.T) {
 	table := newTable(t)
-	contents := read(t, table)
+	state := read(t, table)
 	moves := []struct {
 		change registry.Record
 		want   string
@@ -197,25 +136,15 @@
 	}
 	for _, move := range moves {
 		apply(t, table, move.change)
-		next, err := contents.Next(table.View(), table.TransferSince(contents.Serial()))
+		next, err := state.Next(table.View(), table.TransferSince(state.Serial()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		contents = next
-		for _, reading := range []*State{contents, read(t, table)} {
-			if got := reading.Replicas()["replica-1"].Region; got != move.want {
+		state = next
+		for _, each := range []*State{state, read(t, table)} {
+			if got := each.Replicas()["replica-1"].Region; got != move.want {
 				t.Errorf("region %q, want %q", got, move.want)
 			}
 		}
 	}
 }
-
-func TestSchemaRejectsForeignData(t *testing.T) {
-	table := newTable(t)
-	update := registry.NewUpdate(Apex, nil, []registry.Record{
-		{Name: RouteName("x"), Type: TypeRoute, Class: registry.ClassTable, Data: []byte("not CBOR")},
-	})
-	if result := table.Apply(&update, nil); result.Code != registry.FormErr {
-		t.Errorf("code %s, want FORMERR", result.Code)
-	}
-}
