--- a/configuration/change.go
+++ b/configuration/change.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 
 	"go.yaml.in/yaml/v3"
@@ -17,28 +16,28 @@
 
 // changeText is a change as operators write it.
 type changeText struct {
-	// Upsert has the items to add or replace by section and name.
+	// Upsert has the items to add or replace, by section and name.
 	Upsert map[string]map[string]yaml.Node `yaml:"upsert"`
-	// Remove has the names to remove by section.
+	// Remove has the names of the items to remove, by section.
 	Remove map[string][]string `yaml:"remove"`
 }
 
 // ParseChange reads a change of a document from YAML or JSON and checks its form.
-// Whether the changed document is valid is judged when the change is made. The
+// Whether the changed document is valid is checked when the change is applied. The
 // error is a *patch.FieldError.
 func ParseChange(text string) (*patch.Change, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, &patch.FieldError{Reason: fmt.Sprintf("has %d bytes, at most %d", len(text), MaxDocumentBytes)}
 	}
-	var found report
-	root := parseNode(text, &found)
-	if err := found.err(); err != nil {
+	var problems problemList
+	root := parseNode(text, &problems)
+	if err := problems.err(); err != nil {
 		return nil, &patch.FieldError{Reason: err.Error()}
 	}
-	var written changeText
 	if err := checkChangeFields(root); err != nil {
 		return nil, err
 	}
+	var written changeText
 	if err := root.Decode(&written); err != nil {
 		return nil, &patch.FieldError{Reason: err.Error()}
 	}
@@ -49,7 +48,8 @@
 	return change, change.Validate()
 }
 
-// checkChangeFields refuses what a change does not have.
+// checkChangeFields rejects fields and sections that a change does not have, which
+// Decode would ignore.
 func checkChangeFields(root *yaml.Node) error {
 	if root.Kind != yaml.MappingNode {
 		return &patch.FieldError{Reason: "must be a mapping, is " + kindOf(root)}
@@ -59,23 +59,29 @@
 		if field != "upsert" && field != "remove" {
 			return &patch.FieldError{Field: field, Reason: "unknown field"}
 		}
-		sections := root.Content[i+1]
-		for j := 0; j+1 < len(sections.Content); j += 2 {
-			if name := sections.Content[j].Value; !slices.Contains(changeSections, name) {
-				return &patch.FieldError{Field: field + "." + name, Reason: "unknown section"}
-			}
+		if err := checkChangeSections(field, root.Content[i+1]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func checkChangeSections(field string, sections *yaml.Node) error {
+	for i := 0; i+1 < len(sections.Content); i += 2 {
+		name := sections.Content[i].Value
+		if !slices.Contains(changeSections, name) {
+			return &patch.FieldError{Field: field + "." + name, Reason: "unknown section"}
 		}
 	}
 	return nil
 }
 
+// translate returns the change with its sections and items in a fixed order.
 func (t *changeText) translate() (*patch.Change, error) {
 	change := &patch.Change{}
 	for _, name := range changeSections {
 		section := patch.Section{Name: name, Remove: t.Remove[name]}
-		items := t.Upsert[name]
-		for _, item := range slices.Sorted(maps.Keys(items)) {
-			node := items[item]
+		for item, node := range sorted(t.Upsert[name]) {
 			value, err := yaml.Marshal(&node)
 			if err != nil {
 				return nil, &patch.FieldError{Field: join("upsert."+name, item), Reason: err.Error()}
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -1,8 +1,14 @@
-// Package configuration is the operators' whole document: its types, strict
-// parsing, validation, and its translation into registry changes.
+// Package configuration is the operators' document: its types, strict parsing,
+// validation, and its translation into changes of the registry.
 package configuration
 
-// Document is one whole configuration. It is applied entirely or not at all.
+import (
+	"iter"
+	"maps"
+	"slices"
+)
+
+// Document is a complete configuration. It is applied entirely or not at all.
 type Document struct {
 	// Regions by name.
 	Regions map[string]Region `yaml:"regions" json:"regions"`
@@ -14,45 +20,55 @@
 	Clients map[string]string `yaml:"clients,omitempty" json:"clients,omitempty"`
 	// Homes by name: the only regions that may run what is bound to them.
 	Homes map[string][]string `yaml:"homes,omitempty" json:"homes,omitempty"`
-	// Tenants by name; tenants not listed have no home and weight 1.
+	// Tenants by name; tenants that are not listed have no home and weight 1.
 	Tenants map[string]Tenant `yaml:"tenants,omitempty" json:"tenants,omitempty"`
 	// Limits are the set points of the controllers.
 	Limits Limits `yaml:"limits,omitempty" json:"limits,omitempty"`
 	// HTTP is for services that are reached by host and path.
 	HTTP HTTP `yaml:"http,omitempty" json:"http,omitempty"`
 
-	// lines holds the line of each path of a parsed document.
+	// lines has the line of each path of a parsed document.
 	lines map[string]int
 }
 
-// Region is one region of the document.
+// Region is the zones of a region and its placement rule.
 type Region struct {
-	Zones    []string `yaml:"zones" json:"zones" jsonschema:"minItems=1"`
-	Spill    []string `yaml:"spill,omitempty" json:"spill,omitempty"`
-	Capacity int      `yaml:"capacity" json:"capacity" jsonschema:"minimum=1,maximum=1000000"`
+	Zones []string `yaml:"zones" json:"zones" jsonschema:"minItems=1"`
+	// Spill lists the regions that serve its overflow, the first choice first.
+	Spill []string `yaml:"spill,omitempty" json:"spill,omitempty"`
+	// Capacity is its weight relative to other regions.
+	Capacity int `yaml:"capacity" json:"capacity" jsonschema:"minimum=1,maximum=1000000"`
 }
 
-// Service is one set of interchangeable replicas.
+// Service is a set of interchangeable replicas.
 type Service struct {
-	Kind           string `yaml:"kind" json:"kind" jsonschema:"enum=model,enum=web"` // "model" or "web"
-	MaxConcurrency int    `yaml:"max_concurrency" json:"max_concurrency" jsonschema:"minimum=1,maximum=10000"`
+	// Kind is KindModel or KindWeb.
+	Kind string `yaml:"kind" json:"kind" jsonschema:"enum=model,enum=web"`
+	// MaxConcurrency bounds the requests in flight per replica.
+	MaxConcurrency int `yaml:"max_concurrency" json:"max_concurrency" jsonschema:"minimum=1,maximum=10000"`
 }
 
-// Route points a model name to a service.
+// Route maps a model name to a service.
 type Route struct {
 	Service string `yaml:"service" json:"service"`
-	Class   string `yaml:"class,omitempty" json:"class,omitempty" jsonschema:"enum=quick,enum=long,enum=fetch"` // "quick", "long" or "fetch"
-	Home    string `yaml:"home,omitempty" json:"home,omitempty"`
-	Weight  int    `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema:"minimum=0,maximum=1000"`
+	// Class is the latency class of requests that name none: "quick", "long" or "fetch".
+	Class string `yaml:"class,omitempty" json:"class,omitempty" jsonschema:"enum=quick,enum=long,enum=fetch"`
+	// Home, if set, is the home rule of every request of the route.
+	Home string `yaml:"home,omitempty" json:"home,omitempty"`
+	// Weight is the route's share among routes while capacity is short; 0 stands for 1.
+	Weight int `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema:"minimum=0,maximum=1000"`
 }
 
-// Tenant binds a tenant to a home and a share.
+// Tenant is the home rule and the share of a tenant.
 type Tenant struct {
-	Home   string `yaml:"home,omitempty" json:"home,omitempty"`
-	Weight int    `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema:"minimum=0,maximum=1000"`
+	// Home, if set, is the home rule of every request of the tenant.
+	Home string `yaml:"home,omitempty" json:"home,omitempty"`
+	// Weight is the tenant's share among tenants while capacity is short; 0 stands for 1.
+	Weight int `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema:"minimum=0,maximum=1000"`
 }
 
-// Limits are the set points; a zero field means the default of catalog.Limits.
+// Limits are the set points. Their fields, units and defaults are those of
+// catalog.Limits; 0 stands for the default.
 type Limits struct {
 	RetryRatio        float64 `yaml:"retry_ratio,omitempty" json:"retry_ratio,omitempty" jsonschema:"minimum=0,maximum=0.2"`
 	QueueLength       int     `yaml:"queue_length,omitempty" json:"queue_length,omitempty" jsonschema:"minimum=0,maximum=10000"`
@@ -61,3 +77,25 @@
 	WarmupConcurrency int     `yaml:"cold_concurrency,omitempty" json:"cold_concurrency,omitempty" jsonschema:"minimum=0,maximum=64"`
 	StreamGapMS       int     `yaml:"stream_gap_ms,omitempty" json:"stream_gap_ms,omitempty" jsonschema:"minimum=0,maximum=600000"`
 }
+
+// defaultWeight is the share of a route or tenant that names none.
+const defaultWeight = 1
+
+func weightOrDefault(weight int) int {
+	if weight == 0 {
+		return defaultWeight
+	}
+	return weight
+}
+
+// sorted iterates over a map in the order of its keys, so that equal documents give
+// equal changes and problems.
+func sorted[V any](items map[string]V) iter.Seq2[string, V] {
+	return func(yield func(string, V) bool) {
+		for _, name := range slices.Sorted(maps.Keys(items)) {
+			if !yield(name, items[name]) {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/configuration/diff.go
@@ -0,0 +1,207 @@
+package configuration
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/registry"
+	"github.com/deckpulley/deckpulley/routemap"
+)
+
+// ErrVersion means that the version of a configuration is not above that of the
+// configuration in the registry.
+var ErrVersion = errors.New("configuration: version is not newer")
+
+// UnchangedPrerequisite returns the prerequisite that the configuration is still that of
+// the view. Of two updates built on one view, the second then fails.
+func UnchangedPrerequisite(current registry.View) registry.Record {
+	for _, record := range current.Lookup(catalog.ConfigurationName, catalog.TypeConfiguration) {
+		return registry.Equals(record)
+	}
+	return registry.Absent(catalog.ConfigurationName, catalog.TypeConfiguration)
+}
+
+// Changes returns the update section that turns the configuration in the view into
+// the document. It leaves records alone that are as the document needs them, so
+// that its size grows with the difference. Evacuations stay with the zones that
+// stay. The error is a *DocumentError, wraps ErrVersion, or is about a record that
+// cannot be decoded.
+func Changes(current registry.View, document *Document, version uint64, author, text string) ([]registry.Record, error) {
+	if err := document.Validate(); err != nil {
+		return nil, err
+	}
+	header := catalog.Configuration{Version: version, Author: author}
+	return diff(current, header, text, func(changes *changeSet) { changes.requireDocument(document) })
+}
+
+// RouteMapChanges is Changes for a map of routes by host and path. zones has the region
+// of each of the fleet's zones. The error is that of the map's Validate, wraps
+// ErrVersion, or is about a record that cannot be decoded.
+func RouteMapChanges(current registry.View, routes *routemap.Map, zones map[string]string, text string) ([]registry.Record, error) {
+	if err := routes.Validate(); err != nil {
+		return nil, err
+	}
+	header := catalog.Configuration{Version: routes.Version}
+	return diff(current, header, text, func(changes *changeSet) { changes.requireRouteMap(routes, zones) })
+}
+
+// diff returns the changes from the view to a configuration with the header, the
+// text and the objects that requireObjects requires. Whatever else the view has of
+// a configuration is removed.
+func diff(current registry.View, header catalog.Configuration, text string, requireObjects func(*changeSet)) ([]registry.Record, error) {
+	former, err := catalog.ReadConfigurationHeader(current)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: reading the current version: %w", err)
+	}
+	if header.Version <= former.Version {
+		return nil, fmt.Errorf("%w: %d, the table has %d", ErrVersion, header.Version, former.Version)
+	}
+	changes := newChangeSet(current)
+	requireObjects(changes)
+	header.Chunks = changes.requireText(text)
+	changes.require(catalog.ConfigurationRecord(header))
+	changes.removeObjects()
+	changes.removeText(former.Chunks)
+	return changes.records, nil
+}
+
+// recordSet identifies the records of one type at one name (an RRset in RFC 2136).
+type recordSet struct {
+	name       registry.Name
+	recordType registry.Type
+}
+
+// changeSet collects the changes from a view to the required records. All of these
+// are required first: what is removed afterwards is what none of them is.
+type changeSet struct {
+	view     registry.View
+	required map[recordSet]bool
+	removed  map[recordSet]bool
+	records  []registry.Record // of the update section, in order
+}
+
+func newChangeSet(view registry.View) *changeSet {
+	return &changeSet{view: view, required: map[recordSet]bool{}, removed: map[recordSet]bool{}}
+}
+
+// require requires a record to be the only one of its set. If it is required twice,
+// the first counts.
+func (c *changeSet) require(record registry.Record) {
+	set := recordSet{record.Name, record.Type}
+	if c.required[set] {
+		return
+	}
+	c.required[set] = true
+	current := c.view.Lookup(record.Name, record.Type)
+	if len(current) == 1 && bytes.Equal(current[0].Data, record.Data) {
+		return
+	}
+	c.records = append(c.records, registry.Add(record))
+}
+
+// remove removes a set, once, unless it is required.
+func (c *changeSet) remove(name registry.Name, recordType registry.Type) {
+	set := recordSet{name, recordType}
+	if c.required[set] || c.removed[set] {
+		return
+	}
+	c.removed[set] = true
+	c.records = append(c.records, registry.DeleteSet(name, recordType))
+}
+
+// requireDocument requires the records of every object, in a fixed order.
+func (c *changeSet) requireDocument(document *Document) {
+	for name, region := range sorted(document.Regions) {
+		c.require(catalog.RegionRecord(name, catalog.Region{Spill: region.Spill, Capacity: region.Capacity}))
+		for _, zone := range region.Zones {
+			c.require(catalog.ZoneRecord(zone, catalog.Zone{Region: name}))
+		}
+	}
+	for name, service := range sorted(document.Services) {
+		c.require(catalog.ServiceRecord(name, catalog.Service{Kind: service.Kind, MaxConcurrency: service.MaxConcurrency}))
+	}
+	for name, route := range sorted(document.Routes) {
+		c.require(catalog.RouteRecord(name, catalog.Route{
+			Service: route.Service, Class: route.Class, Home: route.Home, Weight: weightOrDefault(route.Weight),
+		}))
+	}
+	for name, region := range sorted(document.Clients) {
+		c.require(catalog.ClientRecord(name, catalog.Client{Region: region}))
+	}
+	for name, regions := range sorted(document.Homes) {
+		c.require(catalog.HomeRecord(name, catalog.Home{Regions: regions}))
+	}
+	for name, tenant := range sorted(document.Tenants) {
+		c.require(catalog.TenantRecord(name, catalog.Tenant{Home: tenant.Home, Weight: weightOrDefault(tenant.Weight)}))
+	}
+	c.require(catalog.LimitsRecord(catalog.Limits(document.Limits)))
+	if !document.HTTP.empty() {
+		c.requireRoutes(document.routeMap())
+	}
+}
+
+// requireRouteMap requires the records of a map of routes and of the fleet's zones,
+// in a fixed order.
+func (c *changeSet) requireRouteMap(routes *routemap.Map, zones map[string]string) {
+	for zone, region := range sorted(zones) {
+		c.require(catalog.RegionRecord(region, catalog.Region{Capacity: 1}))
+		c.require(catalog.ZoneRecord(zone, catalog.Zone{Region: region}))
+	}
+	c.requireRoutes(routes)
+}
+
+// requireRoutes requires the records of services and routes by host and path.
+func (c *changeSet) requireRoutes(routes *routemap.Map) {
+	for _, service := range routes.Services {
+		c.require(catalog.PoolRecord(service))
+	}
+	for _, route := range routes.Routes {
+		c.require(catalog.PathRouteRecord(route))
+	}
+	c.require(catalog.RequestLimitsRecord(routes.Limits))
+}
+
+// requireText requires the chunks of a text and returns their digests.
+func (c *changeSet) requireText(text string) [][]byte {
+	records, digests := catalog.ChunkRecords(text)
+	for _, record := range records {
+		c.require(record)
+	}
+	return digests
+}
+
+// configuredTypes are the types of records that only a configuration has.
+var configuredTypes = []registry.Type{
+	catalog.TypeRegion, catalog.TypeZone, catalog.TypeService, catalog.TypeRoute,
+	catalog.TypeClient, catalog.TypeHome, catalog.TypeTenant,
+	catalog.TypePathRoute, catalog.TypePool,
+}
+
+// removeObjects removes the objects that are not required, and the evacuations of
+// the zones among them.
+func (c *changeSet) removeObjects() {
+	for _, recordType := range configuredTypes {
+		c.view.Walk(catalog.ParentName(recordType), recordType, func(record registry.Record) bool {
+			c.remove(record.Name, recordType)
+			return true
+		})
+	}
+	if len(c.view.Lookup(catalog.ConfigurationName, catalog.TypeRequestLimits)) > 0 {
+		c.remove(catalog.ConfigurationName, catalog.TypeRequestLimits)
+	}
+	c.view.Walk(catalog.ParentName(catalog.TypeZone), catalog.TypeEvacuation, func(record registry.Record) bool {
+		if !c.required[recordSet{record.Name, catalog.TypeZone}] {
+			c.remove(record.Name, catalog.TypeEvacuation)
+		}
+		return true
+	})
+}
+
+// removeText removes the chunks of the former text that are not required.
+func (c *changeSet) removeText(former [][]byte) {
+	for _, name := range catalog.ChunkNames(former) {
+		c.remove(name, catalog.TypeDocumentChunk)
+	}
+}
--- a/configuration/http.go
+++ b/configuration/http.go
@@ -1,9 +1,6 @@
 package configuration
 
 import (
-	"errors"
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/deckpulley/deckpulley/routemap"
@@ -20,16 +17,24 @@
 	Limits HTTPLimits `yaml:"limits,omitempty" json:"limits,omitempty"`
 }
 
-// HTTPService is one set of interchangeable replicas.
+// HTTPService is a set of interchangeable replicas. See routemap.Service.
 type HTTPService struct {
-	MaxConnections int     `yaml:"max_connections,omitempty" json:"max_connections,omitempty" jsonschema:"minimum=0"`
-	ColdPerSecond  float64 `yaml:"cold_per_second,omitempty" json:"cold_per_second,omitempty" jsonschema:"minimum=0"`
-	ColdStartMS    int     `yaml:"cold_start_ms,omitempty" json:"cold_start_ms,omitempty" jsonschema:"minimum=0"`
-	Slots          int     `yaml:"slots,omitempty" json:"slots,omitempty" jsonschema:"minimum=0"`
-	CacheTokens    int     `yaml:"cache_tokens,omitempty" json:"cache_tokens,omitempty" jsonschema:"minimum=0"`
+	// MaxConnections bounds the connections to one replica from all gateways.
+	MaxConnections int `yaml:"max_connections,omitempty" json:"max_connections,omitempty" jsonschema:"minimum=0"`
+	// ColdPerSecond is the rate that a replica sustains while it warms up, in requests
+	// a second; 0 is no bound.
+	ColdPerSecond float64 `yaml:"cold_per_second,omitempty" json:"cold_per_second,omitempty" jsonschema:"minimum=0"`
+	// ColdStartMS is how long a replica warms up, in ms.
+	ColdStartMS int `yaml:"cold_start_ms,omitempty" json:"cold_start_ms,omitempty" jsonschema:"minimum=0"`
+	// Slots is the number of requests that a replica runs concurrently; 0 leaves it to
+	// the list of replicas.
+	Slots int `yaml:"slots,omitempty" json:"slots,omitempty" jsonschema:"minimum=0"`
+	// CacheTokens is the size of a replica's prefix cache; 0 is a service without one.
+	CacheTokens int `yaml:"cache_tokens,omitempty" json:"cache_tokens,omitempty" jsonschema:"minimum=0"`
 }
 
-// HTTPRoute says where requests go that match its host and path prefix.
+// HTTPRoute says where requests go that match its host and path prefix. See
+// routemap.Route.
 type HTTPRoute struct {
 	Host         string       `yaml:"host" json:"host"`
 	PathPrefix   string       `yaml:"path_prefix" json:"path_prefix"`
@@ -37,10 +42,11 @@
 	Targets      []HTTPTarget `yaml:"targets" json:"targets" jsonschema:"minItems=1"`
 	TimeoutMS    int          `yaml:"timeout_ms" json:"timeout_ms" jsonschema:"minimum=1"`
 	FirstEventMS int          `yaml:"first_event_ms,omitempty" json:"first_event_ms,omitempty" jsonschema:"minimum=0"`
-	MaxAttempts  int          `yaml:"max_attempts,omitempty" json:"max_attempts,omitempty" jsonschema:"minimum=0"`
-	Priority     int          `yaml:"priority,omitempty" json:"priority,omitempty" jsonschema:"minimum=0"`
-	Resumable    bool         `yaml:"resumable,omitempty" json:"resumable,omitempty"`
-	Home         string       `yaml:"home,omitempty" json:"home,omitempty"`
+	// MaxAttempts bounds the replicas that one request is sent to; 0 stands for 1.
+	MaxAttempts int    `yaml:"max_attempts,omitempty" json:"max_attempts,omitempty" jsonschema:"minimum=0"`
+	Priority    int    `yaml:"priority,omitempty" json:"priority,omitempty" jsonschema:"minimum=0"`
+	Resumable   bool   `yaml:"resumable,omitempty" json:"resumable,omitempty"`
+	Home        string `yaml:"home,omitempty" json:"home,omitempty"`
 }
 
 // HTTPTarget is one of the services that a route's requests are split over.
@@ -49,7 +55,7 @@
 	Weight  int    `yaml:"weight" json:"weight" jsonschema:"minimum=0"`
 }
 
-// HTTPLimits bound what a client may send.
+// HTTPLimits bound the requests of a client, in bytes.
 type HTTPLimits struct {
 	MaxHeaderBytes int `yaml:"max_header_bytes,omitempty" json:"max_header_bytes,omitempty" jsonschema:"minimum=0"`
 	MaxBodyBytes   int `yaml:"max_body_bytes,omitempty" json:"max_body_bytes,omitempty" jsonschema:"minimum=0"`
@@ -61,7 +67,7 @@
 	MaxHTTPRoutes   = 20_000
 )
 
-// empty says that a document has no part for HTTP.
+// empty reports whether a document has no part for HTTP.
 func (h *HTTP) empty() bool {
 	return len(h.Services) == 0 && len(h.Routes) == 0 && h.Limits == HTTPLimits{}
 }
@@ -73,12 +79,10 @@
 		MaxHeaderBytes: d.HTTP.Limits.MaxHeaderBytes,
 		MaxBodyBytes:   int64(d.HTTP.Limits.MaxBodyBytes),
 	}}
-	for _, name := range slices.Sorted(maps.Keys(d.HTTP.Services)) {
-		service := d.HTTP.Services[name]
+	for name, service := range sorted(d.HTTP.Services) {
 		translated.Services = append(translated.Services, service.translate(name))
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.HTTP.Routes)) {
-		route := d.HTTP.Routes[name]
+	for name, route := range sorted(d.HTTP.Routes) {
 		translated.Routes = append(translated.Routes, route.translate(name, d.Homes[route.Home]))
 	}
 	return translated
@@ -115,74 +119,3 @@
 }
 
 func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
-
-// http checks the part for HTTP.
-func (v *validation) http() {
-	part := &v.document.HTTP
-	v.atMost("http.services", len(part.Services), MaxHTTPServices)
-	v.atMost("http.routes", len(part.Routes), MaxHTTPRoutes)
-	translated := v.document.routeMap()
-	for _, service := range translated.Services {
-		path := join("http.services", service.Name)
-		v.name(path, service.Name)
-		if _, taken := v.document.Services[service.Name]; taken {
-			v.problem(path, "%q is a service of the other kind already", service.Name)
-		}
-		v.routemapProblem(service.Validate(path))
-	}
-	for i := range translated.Routes {
-		v.httpRoute(&translated.Routes[i])
-	}
-	v.httpPlaces(translated.Routes)
-	v.notNegative("http.limits.max_header_bytes", part.Limits.MaxHeaderBytes)
-	v.notNegative("http.limits.max_body_bytes", part.Limits.MaxBodyBytes)
-}
-
-func (v *validation) httpRoute(route *routemap.Route) {
-	path := join("http.routes", route.Name)
-	written := v.document.HTTP.Routes[route.Name]
-	v.name(path, route.Name)
-	if written.Home != "" {
-		reference(v, path+".home", "home", written.Home, v.document.Homes)
-	}
-	v.notNegative(path+".max_attempts", written.MaxAttempts)
-	v.notNegative(path+".priority", written.Priority)
-	known := make(map[string]bool, len(v.document.HTTP.Services))
-	for name := range v.document.HTTP.Services {
-		known[name] = true
-	}
-	v.routemapProblem(route.Validate(path, known))
-}
-
-// httpPlaces requires that no two routes have the same host and prefix.
-func (v *validation) httpPlaces(routes []routemap.Route) {
-	taken := make(map[routemap.RouteKey]string, len(routes))
-	for i := range routes {
-		place := routes[i].Key()
-		if other, found := taken[place]; found {
-			v.problem(join("http.routes", routes[i].Name)+".path_prefix", "route %q has the same host and prefix", other)
-			continue
-		}
-		taken[place] = routes[i].Name
-	}
-}
-
-// routemapProblem reports what package routemap found wrong, nil for nothing.
-func (v *validation) routemapProblem(err error) {
-	var found *routemap.FieldError
-	if errors.As(err, &found) {
-		v.problem(found.Field, "%s", found.Reason)
-	}
-}
-
-func (v *validation) notNegative(path string, value int) {
-	if value < 0 {
-		v.problem(path, "%d is below 0", value)
-	}
-}
-
-func (v *validation) atMost(path string, count, limit int) {
-	if count > limit {
-		v.problem(path, "%d entries, at most %d", count, limit)
-	}
-}
--- a/configuration/problems.go
+++ b/configuration/problems.go
@@ -11,14 +11,14 @@
 
 // Problem is one thing that is wrong with a document.
 type Problem struct {
-	// Line is where, from 1; zero if the document was not parsed from a text.
+	// Line is the line of the text, from 1; 0 if the document was not parsed from one.
 	Line int `json:"line"`
 	// Field is the path of the field, such as "routes.explain-long.service";
 	// empty for the whole document.
 	Field string `json:"field"`
 	// Reason says what is wrong.
 	Reason string `json:"reason"`
-	// Nearest is the valid name nearest to the one written, if any is near.
+	// Nearest is the valid name most like the one written, empty if none is.
 	Nearest string `json:"nearest,omitempty"`
 }
 
@@ -40,108 +40,54 @@
 
 // DocumentError is the error of a document that is not valid.
 type DocumentError struct {
-	// Problems holds the problems in the order of their lines, at most MaxProblems.
+	// Problems are in the order of their lines, at most MaxProblems.
 	Problems []Problem
 	// Omitted counts the problems beyond those.
 	Omitted int
 }
 
 // Error writes every problem on a line of its own.
-func (p *DocumentError) Error() string {
+func (e *DocumentError) Error() string {
 	var text strings.Builder
 	text.WriteString("invalid configuration")
-	for _, problem := range p.Problems {
+	for _, problem := range e.Problems {
 		text.WriteString("\n\t")
 		text.WriteString(problem.String())
 	}
-	if p.Omitted > 0 {
-		fmt.Fprintf(&text, "\n\tand %d more", p.Omitted)
+	if e.Omitted > 0 {
+		fmt.Fprintf(&text, "\n\tand %d more", e.Omitted)
 	}
 	return text.String()
 }
 
-// report collects problems.
-type report struct {
-	list    []Problem
-	omitted int
+// problemList collects the problems of one document. Its zero value is empty.
+type problemList struct {
+	problems []Problem
+	omitted  int
 }
 
-func (r *report) add(problem Problem) {
-	if len(r.list) >= MaxProblems {
-		r.omitted++
+// add appends a problem, or counts it once there are MaxProblems.
+func (l *problemList) add(problem Problem) {
+	if len(l.problems) >= MaxProblems {
+		l.omitted++
 		return
 	}
-	r.list = append(r.list, problem)
+	l.problems = append(l.problems, problem)
 }
 
-// addUnknown reports a name that is not among the valid ones.
-func (r *report) addUnknown(problem Problem, name string, valid []string) {
-	if len(r.list) < maxNearestSearches {
+// addUnknown is add for a name that is not among the valid ones.
+func (l *problemList) addUnknown(problem Problem, name string, valid []string) {
+	if len(l.problems) < maxNearestSearches {
 		problem.Nearest = nearest(name, valid)
 	}
-	r.add(problem)
+	l.add(problem)
 }
 
-// err returns the problems as an error, nil if there are none.
-func (r *report) err() error {
-	if len(r.list) == 0 {
+// err returns the problems as a *DocumentError, nil if there are none.
+func (l *problemList) err() error {
+	if len(l.problems) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.list, func(a, b Problem) int { return a.Line - b.Line })
-	return &DocumentError{Problems: r.list, Omitted: r.omitted}
-}
-
-// Bounds of the search for the nearest name, whose cost grows with the number of
-// names and the square of their length.
-const (
-	maxNearestNames    = 1024
-	maxNearestBytes    = 64
-	maxNearestSearches = 20 // problems of one document that get a search
-)
-
-// nearest returns the valid name with the fewest edits, the first in order among
-// equals. It returns "" if more than a third of the name would have to change, or
-// if the search would pass its bounds.
-func nearest(name string, valid []string) string {
-	if len(valid) > maxNearestNames || len(name) > maxNearestBytes {
-		return ""
-	}
-	best, bestDistance := "", max(1, len(name)/3)+1
-	for _, candidate := range slices.Sorted(slices.Values(valid)) {
-		if abs(len(candidate)-len(name)) >= bestDistance {
-			continue
-		}
-		if distance := editDistance(name, candidate); distance < bestDistance {
-			best, bestDistance = candidate, distance
-		}
-	}
-	return best
-}
-
-func abs(value int) int { return max(value, -value) }
-
-// editDistance counts the insertions, deletions, substitutions and swaps of
-// neighbours that turn one text into the other.
-func editDistance(from, to string) int {
-	beforeLast := make([]int, len(to)+1)
-	last := make([]int, len(to)+1)
-	row := make([]int, len(to)+1)
-	for j := range last {
-		last[j] = j
-	}
-	for i := 1; i <= len(from); i++ {
-		row[0] = i
-		for j := 1; j <= len(to); j++ {
-			substitution := last[j-1]
-			if from[i-1] != to[j-1] {
-				substitution++
-			}
-			row[j] = min(last[j]+1, row[j-1]+1, substitution)
-			if i > 1 && j > 1 && from[i-1] == to[j-2] && from[i-2] == to[j-1] {
-				row[j] = min(row[j], beforeLast[j-2]+1)
-			}
-		}
-		beforeLast, last, row = last, row, beforeLast
-	}
-	return last[len(to)]
+	slices.SortStableFunc(l.problems, func(a, b Problem) int { return a.Line - b.Line })
+	return &DocumentError{Problems: l.problems, Omitted: l.omitted}
 }
--- a/configuration/schema.go
+++ b/configuration/schema.go
@@ -8,7 +8,7 @@
 )
 
 // JSONSchema returns the JSON schema of documents, for editors. It covers fields,
-// kinds and ranges; references between names are judged by Validate alone.
+// types and ranges; references between names are checked by Validate alone.
 func JSONSchema() ([]byte, error) {
 	reflector := &jsonschema.Reflector{Anonymous: true}
 	schema := reflector.Reflect(&Document{})
--- a/configuration/validate.go
+++ b/configuration/validate.go
@@ -10,7 +10,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Bounds of a document. Together they keep its changes within one update.
+// Bounds of a document. Together they keep its changes within one update of the
+// registry.
 const (
 	MaxRegions     = 256
 	MaxZones       = 1024 // over all regions
@@ -24,7 +25,7 @@
 	MaxWeight      = 1000
 )
 
-// Ranges of the set points.
+// Ranges of the set points, in their units.
 const (
 	MaxRetryRatio        = 0.2
 	MaxQueueLength       = 10_000
@@ -38,8 +39,10 @@
 
 // Kinds of services.
 const (
+	// KindModel is a service of a model, with prefill and decode.
 	KindModel = "model"
-	KindWeb   = "web"
+	// KindWeb is a service without prefill and decode.
+	KindWeb = "web"
 )
 
 var (
@@ -48,10 +51,10 @@
 	validName    = regexp.MustCompile(`^[A-Za-z0-9._:/@+-]+$`)
 )
 
-// Validate judges the document's meaning. The error is a *Problems with all of
-// what is wrong.
+// Validate checks what the document says: names, ranges, and that whatever is
+// referred to is in it. The error is a *DocumentError with all problems.
 func (d *Document) Validate() error {
-	check := &validation{document: d}
+	check := &validator{document: d}
 	check.counts()
 	check.regions()
 	check.services()
@@ -61,94 +64,94 @@
 	check.tenants()
 	check.limits()
 	check.http()
-	return check.found.err()
+	return check.problems.err()
 }
 
-// validation is one run of Validate.
-type validation struct {
+// validator is one run of Validate.
+type validator struct {
 	document *Document
-	found    report
+	problems problemList
 }
 
-// problem reports what is wrong with the field at a path.
-func (v *validation) problem(path, reason string, values ...any) {
-	v.found.add(Problem{Line: v.document.lines[path], Field: path, Reason: fmt.Sprintf(reason, values...)})
+// fail adds a problem with the field at a path.
+func (v *validator) fail(path, reason string, values ...any) {
+	v.problems.add(v.problemAt(path, reason, values...))
 }
 
-// reference requires that a name is the key of something.
-func reference[T any](v *validation, path, what, name string, defined map[string]T) {
+func (v *validator) problemAt(path, reason string, values ...any) Problem {
+	return Problem{Line: v.document.lines[path], Field: path, Reason: fmt.Sprintf(reason, values...)}
+}
+
+// reference requires that a name is among the defined ones; what says of what.
+func reference[T any](v *validator, path, what, name string, defined map[string]T) {
 	if _, known := defined[name]; known {
 		return
 	}
-	problem := Problem{Line: v.document.lines[path], Field: path, Reason: fmt.Sprintf("no %s %q", what, name)}
-	v.found.addUnknown(problem, name, slices.Collect(maps.Keys(defined)))
+	v.problems.addUnknown(v.problemAt(path, "no %s %q", what, name), name, slices.Collect(maps.Keys(defined)))
 }
 
 // oneOf requires one of a few values.
-func (v *validation) oneOf(path, value string, valid []string) {
+func (v *validator) oneOf(path, value string, valid []string) {
 	if slices.Contains(valid, value) {
 		return
 	}
-	problem := Problem{Line: v.document.lines[path], Field: path, Reason: fmt.Sprintf("%q is not one of %q", value, valid)}
-	v.found.addUnknown(problem, value, valid)
+	v.problems.addUnknown(v.problemAt(path, "%q is not one of %q", value, valid), value, valid)
 }
 
-func (v *validation) name(path, name string) {
+func (v *validator) name(path, name string) {
 	switch {
 	case name == "":
-		v.problem(path, "name is empty")
+		v.fail(path, "name is empty")
 	case len(name) > api.MaxNameBytes:
-		v.problem(path, "name of %d bytes, at most %d", len(name), api.MaxNameBytes)
+		v.fail(path, "name of %d bytes, at most %d", len(name), api.MaxNameBytes)
 	case !validName.MatchString(name):
-		v.problem(path, `name %q has other characters than letters, digits and "-._:/@+"`, name)
+		v.fail(path, `name %q has other characters than letters, digits and "-._:/@+"`, name)
 	}
 }
 
-func (v *validation) between(path string, value, low, high int) {
+// between requires a value from low to high.
+func (v *validator) between(path string, value, low, high int) {
 	if value < low || value > high {
-		v.problem(path, "%d is not between %d and %d", value, low, high)
+		v.fail(path, "%d is not between %d and %d", value, low, high)
 	}
 }
 
-func (v *validation) counts() {
+// counts checks the numbers of objects against the bounds of a document.
+func (v *validator) counts() {
 	zones := 0
 	for _, region := range v.document.Regions {
 		zones += len(region.Zones)
 	}
 	bounds := []struct {
-		path         string
+		path, what   string
 		count, limit int
 	}{
-		{"regions", len(v.document.Regions), MaxRegions},
-		{"regions", zones, MaxZones},
-		{"services", len(v.document.Services), MaxServices},
-		{"routes", len(v.document.Routes), MaxRoutes},
-		{"clients", len(v.document.Clients), MaxClients},
-		{"homes", len(v.document.Homes), MaxHomes},
-		{"tenants", len(v.document.Tenants), MaxTenants},
+		{"regions", "regions", len(v.document.Regions), MaxRegions},
+		{"regions", "zones", zones, MaxZones},
+		{"services", "services", len(v.document.Services), MaxServices},
+		{"routes", "routes", len(v.document.Routes), MaxRoutes},
+		{"clients", "clients", len(v.document.Clients), MaxClients},
+		{"homes", "homes", len(v.document.Homes), MaxHomes},
+		{"tenants", "tenants", len(v.document.Tenants), MaxTenants},
 	}
-	for i, bound := range bounds {
-		what := bound.path
-		if i == 1 {
-			what = "zones"
-		}
+	for _, bound := range bounds {
 		if bound.count > bound.limit {
-			v.problem(bound.path, "%d %s, at most %d", bound.count, what, bound.limit)
+			v.fail(bound.path, "%d %s, at most %d", bound.count, bound.what, bound.limit)
 		}
 	}
 }
 
-func (v *validation) regions() {
+func (v *validator) regions() {
 	regions := v.document.Regions
 	if len(regions) == 0 {
-		v.problem("regions", "there must be at least one region")
+		v.fail("regions", "there must be at least one region")
 	}
 	owner := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(regions)) {
-		region, path := regions[name], join("regions", name)
+	for name, region := range sorted(regions) {
+		path := join("regions", name)
 		v.name(path, name)
 		if len(region.Zones) == 0 {
-			v.problem(path+".zones", "region %q has no zone", name)
+			v.fail(path+".zones", "region %q has no zone", name)
 		}
 		v.zones(path+".zones", name, region.Zones, owner)
 		v.spill(path+".spill", name, region.Spill)
@@ -157,27 +160,28 @@
 }
 
 // zones requires that each zone is in one region, once.
-func (v *validation) zones(path, region string, zones []string, owner map[string]string) {
+func (v *validator) zones(path, region string, zones []string, owner map[string]string) {
 	for i, zone := range zones {
 		entry := fmt.Sprintf("%s[%d]", path, i)
 		v.name(entry, zone)
 		if other, taken := owner[zone]; taken {
-			v.problem(entry, "zone %q is already in region %q", zone, other)
+			v.fail(entry, "zone %q is already in region %q", zone, other)
 			continue
 		}
 		owner[zone] = region
 	}
 }
 
-func (v *validation) spill(path, region string, targets []string) {
+// spill requires other regions, each once.
+func (v *validator) spill(path, region string, targets []string) {
 	seen := map[string]bool{}
 	for i, target := range targets {
 		entry := fmt.Sprintf("%s[%d]", path, i)
 		switch {
 		case target == region:
-			v.problem(entry, "region %q spills to itself", region)
+			v.fail(entry, "region %q spills to itself", region)
 		case seen[target]:
-			v.problem(entry, "region %q is listed twice", target)
+			v.fail(entry, "region %q is listed twice", target)
 		default:
 			reference(v, entry, "region", target, v.document.Regions)
 		}
@@ -185,18 +189,18 @@
 	}
 }
 
-func (v *validation) services() {
-	for _, name := range slices.Sorted(maps.Keys(v.document.Services)) {
-		service, path := v.document.Services[name], join("services", name)
+func (v *validator) services() {
+	for name, service := range sorted(v.document.Services) {
+		path := join("services", name)
 		v.name(path, name)
 		v.oneOf(path+".kind", service.Kind, serviceKinds)
 		v.between(path+".max_concurrency", service.MaxConcurrency, 1, MaxConcurrency)
 	}
 }
 
-func (v *validation) routes() {
-	for _, name := range slices.Sorted(maps.Keys(v.document.Routes)) {
-		route, path := v.document.Routes[name], join("routes", name)
+func (v *validator) routes() {
+	for name, route := range sorted(v.document.Routes) {
+		path := join("routes", name)
 		v.name(path, name)
 		reference(v, path+".service", "service", route.Service, v.document.Services)
 		if route.Class != "" {
@@ -209,40 +213,45 @@
 	}
 }
 
-func (v *validation) clients() {
-	for _, name := range slices.Sorted(maps.Keys(v.document.Clients)) {
+func (v *validator) clients() {
+	for name, region := range sorted(v.document.Clients) {
 		path := join("clients", name)
 		v.name(path, name)
-		reference(v, path, "region", v.document.Clients[name], v.document.Regions)
+		reference(v, path, "region", region, v.document.Regions)
 	}
 }
 
-func (v *validation) homes() {
-	for _, name := range slices.Sorted(maps.Keys(v.document.Homes)) {
+func (v *validator) homes() {
+	for name, regions := range sorted(v.document.Homes) {
 		path := join("homes", name)
 		v.name(path, name)
-		seen := map[string]bool{}
-		served := false
-		for i, region := range v.document.Homes[name] {
-			entry := fmt.Sprintf("%s[%d]", path, i)
-			if seen[region] {
-				v.problem(entry, "region %q is listed twice", region)
-				continue
-			}
-			seen[region] = true
-			_, known := v.document.Regions[region]
-			served = served || known
-			reference(v, entry, "region", region, v.document.Regions)
+		if !v.homeRegions(path, regions) {
+			v.fail(path, "no region serves home %q", name)
 		}
-		if !served {
-			v.problem(path, "no region serves home %q", name)
+	}
+}
+
+// homeRegions checks the regions of a home, and reports whether any of them exists.
+func (v *validator) homeRegions(path string, regions []string) bool {
+	seen := map[string]bool{}
+	served := false
+	for i, region := range regions {
+		entry := fmt.Sprintf("%s[%d]", path, i)
+		if seen[region] {
+			v.fail(entry, "region %q is listed twice", region)
+			continue
 		}
+		seen[region] = true
+		_, known := v.document.Regions[region]
+		served = served || known
+		reference(v, entry, "region", region, v.document.Regions)
 	}
+	return served
 }
 
-func (v *validation) tenants() {
-	for _, name := range slices.Sorted(maps.Keys(v.document.Tenants)) {
-		tenant, path := v.document.Tenants[name], join("tenants", name)
+func (v *validator) tenants() {
+	for name, tenant := range sorted(v.document.Tenants) {
+		path := join("tenants", name)
 		v.name(path, name)
 		if tenant.Home != "" {
 			reference(v, path+".home", "home", tenant.Home, v.document.Homes)
@@ -251,8 +260,8 @@
 	}
 }
 
-// limits checks the set points; zero stands for the default of each.
-func (v *validation) limits() {
+// limits checks the set points that are not 0, which stands for the default.
+func (v *validator) limits() {
 	limits := v.document.Limits
 	ratios := []struct {
 		path             string
@@ -264,7 +273,7 @@
 	for _, ratio := range ratios {
 		outside := math.IsNaN(ratio.value) || ratio.value < ratio.low || ratio.value > ratio.high
 		if ratio.value != 0 && outside {
-			v.problem(ratio.path, "%v is not between %v and %v", ratio.value, ratio.low, ratio.high)
+			v.fail(ratio.path, "%v is not between %v and %v", ratio.value, ratio.low, ratio.high)
 		}
 	}
 	counts := []struct {
