--- a/configuration/change_test.go
+++ b/configuration/change_test.go
@@ -26,21 +26,25 @@
 }
 
 func TestParseChangeNamesTheField(t *testing.T) {
-	tests := map[string]string{ // text: field
-		"":                                    "",
-		"[]":                                  "",
-		"upsert: {tenants: {a: {}}}\nmore: 1": "more",
-		"upsert: {limits: {a: 1}}":            "upsert.limits",
-		"remove: {tenants: a}":                "",
-		"remove: {tenants: [a, a]}":           "remove.tenants[1]",
-		"upsert: {tenants: {a: {}}}\nremove: {tenants: [a]}": "remove.tenants[0]",
-		"upsert: {}\nupsert: {}":                             "",
-		strings.Repeat("x", MaxDocumentBytes+1):              "",
+	cases := []struct {
+		name, text, field string
+	}{
+		{"empty", "", ""},
+		{"a list", "[]", ""},
+		{"unknown field", "upsert: {tenants: {a: {}}}\nmore: 1", "more"},
+		{"section that no change has", "upsert: {limits: {a: 1}}", "upsert.limits"},
+		{"removal that is no list", "remove: {tenants: a}", ""},
+		{"removed twice", "remove: {tenants: [a, a]}", "remove.tenants[1]"},
+		{"upserted and removed", "upsert: {tenants: {a: {}}}\nremove: {tenants: [a]}", "remove.tenants[0]"},
+		{"field twice", "upsert: {}\nupsert: {}", ""},
+		{"too large", strings.Repeat("x", MaxDocumentBytes+1), ""},
 	}
-	for text, field := range tests {
-		var problem *patch.FieldError
-		if _, err := ParseChange(text); !errors.As(err, &problem) || problem.Field != field {
-			t.Errorf("%.60q: got %v, want a problem at %q", text, err, field)
-		}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			var problem *patch.FieldError
+			if _, err := ParseChange(c.text); !errors.As(err, &problem) || problem.Field != c.field {
+				t.Errorf("%.60q: got %v, want a problem at %q", c.text, err, c.field)
+			}
+		})
 	}
 }
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -50,11 +50,11 @@
 
 func read(t *testing.T, table *registry.Table) *catalog.State {
 	t.Helper()
-	contents, err := catalog.Read(table.View())
+	state, err := catalog.Read(table.View())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return contents
+	return state
 }
 
 func TestExamplesAreValidAndReadBack(t *testing.T) {
@@ -69,16 +69,16 @@
 		}
 		table := newTable(t)
 		configure(t, table, text)
-		contents := read(t, table)
+		state := read(t, table)
 		for region, capacity := range capacities[deployment] {
-			if got := contents.Regions()[region].Capacity; got != capacity {
+			if got := state.Regions()[region].Capacity; got != capacity {
 				t.Errorf("%s: capacity of %s is %d, want %d", deployment, region, got, capacity)
 			}
-			if got := contents.Zones()[region+"-1"].Region; got != region {
+			if got := state.Zones()[region+"-1"].Region; got != region {
 				t.Errorf("%s: zone %s-1 is in region %q", deployment, region, got)
 			}
 		}
-		configuration, found := contents.Configuration()
+		configuration, found := state.Configuration()
 		if !found || configuration.Document != text || configuration.Author != "anna" || configuration.Version != 1 {
 			t.Errorf("%s: configuration reads back differently", deployment)
 		}
@@ -139,8 +139,8 @@
 	if want := len(catalog.SplitChunks(edited)); chunks != want {
 		t.Errorf("%d chunks in the table, the document has %d", chunks, want)
 	}
-	contents := read(t, table)
-	if _, found := contents.Route("snippet"); found || contents.Regions()["north"].Capacity != 6 {
+	state := read(t, table)
+	if _, found := state.Route("snippet"); found || state.Regions()["north"].Capacity != 6 {
 		t.Error("the edit is not in the table")
 	}
 }
@@ -156,25 +156,25 @@
 		fmt.Fprintf(&many, "  grown-%d:\n    service: explain\n    class: quick\n", i)
 	}
 	table := newTable(t)
-	whole := grown[0] + many.String() + grown[1]
-	first := configure(t, table, whole)
+	complete := grown[0] + many.String() + grown[1]
+	first := configure(t, table, complete)
 	if len(first) < routes {
 		t.Fatalf("%d changes for %d routes", len(first), routes)
 	}
-	held := table.Serial()
+	before := table.Serial()
 	configure(t, table, grown[0]+many.String()+"  one-more:\n    service: explain\n"+grown[1])
-	difference := table.TransferSince(held)
+	difference := table.TransferSince(before)
 	data, err := registry.EncodeTransfer(difference)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const bound = 40 << 10
 	if difference.Full || len(data) > bound {
-		t.Errorf("one route more of %d (document of %d octets) transfers %d octets, want at most %d", routes, len(whole), len(data), bound)
+		t.Errorf("one route more of %d (document of %d octets) transfers %d octets, want at most %d", routes, len(complete), len(data), bound)
 	}
-	t.Logf("document of %d octets; one more route: %d records, %d octets", len(whole), len(difference.Added)+len(difference.Removed), len(data))
+	t.Logf("document of %d octets; one more route: %d records, %d octets", len(complete), len(difference.Added)+len(difference.Removed), len(data))
 	configuration, _ := read(t, table).Configuration()
-	if !strings.Contains(configuration.Document, "one-more") || len(configuration.Document) <= len(whole) {
+	if !strings.Contains(configuration.Document, "one-more") || len(configuration.Document) <= len(complete) {
 		t.Error("the grown document does not read back")
 	}
 }
@@ -190,26 +190,26 @@
 		t.Fatal(result.Code)
 	}
 	configure(t, table, strings.Replace(baseDocument, "[south-1]", "[south-2]", 1))
-	contents := read(t, table)
-	if !contents.IsEvacuated("north-1") {
+	state := read(t, table)
+	if !state.IsEvacuated("north-1") {
 		t.Error("the evacuation of a zone that stays is gone")
 	}
-	if contents.IsEvacuated("south-1") {
+	if state.IsEvacuated("south-1") {
 		t.Error("the evacuation of a removed zone stays")
 	}
-	if _, found := contents.Zones()["south-1"]; found {
+	if _, found := state.Zones()["south-1"]; found {
 		t.Error("a removed zone stays")
 	}
 }
 
-func TestOfTwoOnOneBaseTheSecondFails(t *testing.T) {
+func TestSecondOfTwoChangesOnOneBaseFails(t *testing.T) {
 	table := newTable(t)
 	view := table.View()
 	document, err := Load(baseDocument)
 	if err != nil {
 		t.Fatal(err)
 	}
-	codes := []registry.ResponseCode{}
+	var codes []registry.ResponseCode
 	for _, author := range []string{"anna", "boris"} {
 		changes, err := Changes(view, document, 1, author, baseDocument)
 		if err != nil {
--- a/configuration/example_test.go
+++ b/configuration/example_test.go
@@ -40,13 +40,13 @@
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{configuration.UnchangedPrerequisite(table.View())}, changes)
 	fmt.Println(table.Apply(&update, nil).Code)
 
-	contents, err := catalog.Read(table.View())
+	state, err := catalog.Read(table.View())
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	route, _ := contents.Route("explain-long")
-	fmt.Println(contents.Version(), route.Service, route.Class)
+	route, _ := state.Route("explain-long")
+	fmt.Println(state.Version(), route.Service, route.Class)
 	// Output:
 	// invalid configuration
 	// 	line 7: routes.explain-long.service: no service "explian" (nearest: "explain")
--- a/configuration/http_test.go
+++ b/configuration/http_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestHTTPPartComesAndGoesWithTheDocument(t *testing.T) {
+func TestHTTPPartIsAddedAndRemovedWithTheDocument(t *testing.T) {
 	table := newTable(t)
 	configure(t, table, baseDocument+httpPart)
 	with := read(t, table)
--- a/configuration/invalid_test.go
+++ b/configuration/invalid_test.go
@@ -88,7 +88,7 @@
 	{"too large", baseDocument, strings.Repeat(" ", MaxDocumentBytes+1), []string{"document of 2097153 bytes, at most 2097152"}},
 }
 
-var meaninglessDocuments = []invalidDocument{
+var invalidDocuments = []invalidDocument{
 	{"no region", baseDocument, "regions: {}\nservices: {}\nroutes: {}\n", []string{"line 1: regions: there must be at least one region"}},
 	{"region without zones", "[south-1]", "[]", []string{`line 7: regions.south.zones: region "south" has no zone`}},
 	{"zone in two regions", "[south-1]", "[south-1, north-1]", []string{`line 7: regions.south.zones[1]: zone "north-1" is already in region "north"`}},
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestMeaninglessDocuments(t *testing.T) {
-	for _, document := range meaninglessDocuments {
+func TestInvalidDocuments(t *testing.T) {
+	for _, document := range invalidDocuments {
 		t.Run(document.name, func(t *testing.T) {
 			parsed, err := Parse(document.text(t))
 			if err != nil {
