--- a/settings/overrides.go
+++ b/settings/overrides.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/pflag"
 
-// Overrides are the daemons' flags; what is empty leaves the file's value.
+// Overrides are the daemons' flags; an empty one leaves the value of the file.
 type Overrides struct {
 	Name            string
 	Zone            string
@@ -19,40 +19,52 @@
 	InitialControl  map[string]string
 }
 
+// textFlag is a flag that replaces a text of the settings.
+type textFlag struct {
+	name, usage string
+	value       *string // of the flag, in Overrides
+	target      *string // in Settings
+	role        Role    // that has the flag, empty for every role
+}
+
+// textFlags are the flags for texts, with the fields of the overrides and of the
+// settings that they are for.
+func (o *Overrides) textFlags(settings *Settings) []textFlag {
+	return []textFlag{
+		{name: "name", usage: "node name, unique in the fleet", value: &o.Name, target: &settings.Name},
+		{name: "zone", usage: "availability zone", value: &o.Zone, target: &settings.Zone},
+		{name: "region", usage: "region of the zone", value: &o.Region, target: &settings.Region},
+		{name: "peer-address", usage: "IP:port for the fleet's own processes", value: &o.PeerAddress, target: &settings.PeerAddress},
+		{name: "operator-address", usage: "IP:port for operators, the platform and metrics", value: &o.OperatorAddress, target: &settings.OperatorAddress},
+		{name: "key-file", usage: "file of the fleet's keys, one hexadecimal key a line, newest first", value: &o.KeyFile, target: &settings.KeyFile},
+		{name: "token-file", usage: "file of the operators' tokens, one \"name token\" a line", value: &o.TokenFile, target: &settings.TokenFile},
+		{name: "log-level", usage: "debug, info, warn or error", value: &o.LogLevel, target: &settings.Log.Level},
+		{name: "data-folder", usage: "existing folder on this node's own disk", value: &o.DataFolder, target: &settings.DataFolder, role: RoleControl},
+		{name: "caller-address", usage: "IP:port for callers", value: &o.CallerAddress, target: &settings.CallerAddress, role: RoleGateway},
+		{name: "http-address", usage: "IP:port for requests that are routed by host and path", value: &o.HTTPAddress, target: &settings.HTTPAddress, role: RoleGateway},
+	}
+}
+
 // AddFlags registers the flags of a daemon of the role.
 func (o *Overrides) AddFlags(flags *pflag.FlagSet, role Role) {
-	flags.StringVar(&o.Name, "name", "", "node name, unique in the fleet")
-	flags.StringVar(&o.Zone, "zone", "", "availability zone")
-	flags.StringVar(&o.Region, "region", "", "region of the zone")
-	flags.StringVar(&o.PeerAddress, "peer-address", "", "IP:port for the fleet's own processes")
-	flags.StringVar(&o.OperatorAddress, "operator-address", "", "IP:port for operators, the platform and metrics")
-	flags.StringVar(&o.KeyFile, "key-file", "", "file of the fleet's keys, one hexadecimal key a line, newest first")
-	flags.StringVar(&o.TokenFile, "token-file", "", "file of the operators' tokens, one \"name token\" a line")
-	flags.StringVar(&o.LogLevel, "log-level", "", "debug, info, warn or error")
+	for _, flag := range o.textFlags(&Settings{}) {
+		if flag.role == "" || flag.role == role {
+			flags.StringVar(flag.value, flag.name, "", flag.usage)
+		}
+	}
 	flags.StringSliceVar(&o.Seeds, "seeds", nil, "peers' addresses of three other processes")
-	switch role {
-	case RoleControl:
-		flags.StringVar(&o.DataFolder, "data-folder", "", "existing folder on this node's own disk")
+	if role == RoleControl {
 		flags.StringToStringVar(&o.InitialControl, "initial-control", nil, "name=IP:port of each control node of a new group")
-	case RoleGateway:
-		flags.StringVar(&o.CallerAddress, "caller-address", "", "IP:port for callers")
-		flags.StringVar(&o.HTTPAddress, "http-address", "", "IP:port for requests that are routed by host and path")
 	}
 }
 
-// Apply puts the set values over those of the file.
+// Apply replaces the values of the file by those of the flags that are set.
 func (o Overrides) Apply(settings *Settings) {
-	replace(&settings.Name, o.Name)
-	replace(&settings.Zone, o.Zone)
-	replace(&settings.Region, o.Region)
-	replace(&settings.PeerAddress, o.PeerAddress)
-	replace(&settings.CallerAddress, o.CallerAddress)
-	replace(&settings.HTTPAddress, o.HTTPAddress)
-	replace(&settings.OperatorAddress, o.OperatorAddress)
-	replace(&settings.DataFolder, o.DataFolder)
-	replace(&settings.KeyFile, o.KeyFile)
-	replace(&settings.TokenFile, o.TokenFile)
-	replace(&settings.Log.Level, o.LogLevel)
+	for _, flag := range o.textFlags(settings) {
+		if *flag.value != "" {
+			*flag.target = *flag.value
+		}
+	}
 	if len(o.Seeds) > 0 {
 		settings.Seeds = o.Seeds
 	}
@@ -60,9 +72,3 @@
 		settings.InitialControl = o.InitialControl
 	}
 }
-
-func replace(value *string, override string) {
-	if override != "" {
-		*value = override
-	}
-}
