--- a/settings/derived.go
+++ b/settings/derived.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/lease"
 )
 
-// Defaults and bounds of Watch.
+// Defaults and upper bounds of Watch.
 const (
 	DefaultPollInterval = 500 * time.Millisecond
 	DefaultPollTimeout  = time.Second
@@ -41,7 +41,8 @@
 	return cmp.Or(time.Duration(w.Timeout), DefaultPollTimeout)
 }
 
-// LeaseTerms returns the terms of leases, defaults filled in.
+// LeaseTerms returns the configuration of leases, with the defaults of what the file
+// leaves out.
 func (s *Settings) LeaseTerms() lease.Config {
 	defaults := lease.DefaultConfig()
 	return lease.Config{
@@ -55,15 +56,16 @@
 // LogLevel returns the level of the log.
 func (s *Settings) LogLevel() slog.Level { return logLevels[s.Log.Level] }
 
-// Logger returns a logger to standard error with the node's name on every line.
+// Logger returns a logger to standard error at LogLevel, with the node's name in
+// every line.
 func (s *Settings) Logger() *slog.Logger {
 	level := new(slog.LevelVar)
 	level.Set(s.LogLevel())
 	return s.NewLogger(os.Stderr, level)
 }
 
-// NewLogger is Logger with another destination and with a level that the caller
-// may change later, as on a reload.
+// NewLogger returns a logger like that of Logger, but to a destination and with a
+// level that the caller may change later, as on a reload.
 func (s *Settings) NewLogger(destination io.Writer, level *slog.LevelVar) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewTextHandler(destination, options)
--- a/settings/secrets.go
+++ b/settings/secrets.go
@@ -12,58 +12,69 @@
 
 // Bounds of secrets.
 const (
-	minKeyBytes     = 16
-	maxKeys         = 8
-	minTokenLength  = 16
-	othersMayAccess = 0o077
+	minKeyBytes   = 16
+	maxKeys       = 8
+	minTokenBytes = 16
 )
 
-// Keys reads the fleet's keys, newest first. The file must be its owner's alone
-// (mode 0600 or 0400); a line beginning with # is a comment. Errors are of type
-// *FieldError and never repeat a key.
+// othersPermissions are the permission bits of all but a file's owner.
+const othersPermissions = 0o077
+
+// Keys reads the fleet's keys from KeyFile, newest first. Only the file's owner may
+// have access to it (mode 0600 or 0400); a line that begins with # is a comment. The
+// error is a *FieldError and never contains a key.
 func (s *Settings) Keys() ([][]byte, error) {
 	lines, err := s.secretLines("key_file", s.KeyFile)
 	if err != nil {
 		return nil, err
 	}
 	keys := make([][]byte, 0, len(lines))
-	seen := make(map[string]int)
+	firstLine := make(map[string]int) // of each key
 	for _, line := range lines {
-		key, err := hex.DecodeString(line.text)
+		key, err := s.parseKey(line)
 		if err != nil {
-			return nil, s.secretProblem("key_file", s.KeyFile, line.number, "is not hexadecimal")
-		}
-		if len(key) < minKeyBytes {
-			return nil, s.secretProblem("key_file", s.KeyFile, line.number, fmt.Sprintf("has %d bytes, %d at least", len(key), minKeyBytes))
+			return nil, err
 		}
-		if first, doubled := seen[string(key)]; doubled {
-			return nil, s.secretProblem("key_file", s.KeyFile, line.number, fmt.Sprintf("repeats line %d", first))
+		if first, repeated := firstLine[string(key)]; repeated {
+			return nil, s.lineError("key_file", s.KeyFile, line.number, fmt.Sprintf("repeats line %d", first))
 		}
-		seen[string(key)] = line.number
+		firstLine[string(key)] = line.number
 		keys = append(keys, key)
 	}
 	switch {
 	case len(keys) == 0:
-		return nil, s.problem("key_file", s.KeyFile+" holds no key")
+		return nil, s.fieldError("key_file", s.KeyFile+" holds no key")
 	case len(keys) > maxKeys:
-		return nil, s.problem("key_file", fmt.Sprintf("%s holds %d keys, %d at the most", s.KeyFile, len(keys), maxKeys))
+		return nil, s.fieldError("key_file", fmt.Sprintf("%s holds %d keys, %d at the most", s.KeyFile, len(keys), maxKeys))
 	}
 	return keys, nil
 }
 
+func (s *Settings) parseKey(line secretLine) ([]byte, error) {
+	key, err := hex.DecodeString(line.text)
+	if err != nil {
+		return nil, s.lineError("key_file", s.KeyFile, line.number, "is not hexadecimal")
+	}
+	if len(key) < minKeyBytes {
+		return nil, s.lineError("key_file", s.KeyFile, line.number, fmt.Sprintf("has %d bytes, %d at least", len(key), minKeyBytes))
+	}
+	return key, nil
+}
+
 // Tokens are the operators' tokens.
 type Tokens struct {
 	entries []tokenEntry
 }
 
+// tokenEntry is one operator's token. Only its digest stays in memory.
 type tokenEntry struct {
 	name   string
 	digest [sha256.Size]byte
 }
 
-// Tokens reads the token file: one "name token" a line, the token of 16
-// characters or more. It must be its owner's alone. Without a token file the
-// result is empty. Errors are of type *FieldError and never repeat a token.
+// Tokens reads TokenFile: one "name token" a line, the token of at least 16 bytes.
+// Only the file's owner may have access to it. Without a token file the result is
+// empty. The error is a *FieldError and never contains a token.
 func (s *Settings) Tokens() (Tokens, error) {
 	if s.TokenFile == "" {
 		return Tokens{}, nil
@@ -74,30 +85,40 @@
 	}
 	var tokens Tokens
 	for _, line := range lines {
-		fields := strings.Fields(line.text)
-		if len(fields) != 2 {
-			return Tokens{}, s.secretProblem("token_file", s.TokenFile, line.number, "must be a name and a token")
-		}
-		if len(fields[1]) < minTokenLength {
-			return Tokens{}, s.secretProblem("token_file", s.TokenFile, line.number, fmt.Sprintf("has a token of %d characters, %d at least", len(fields[1]), minTokenLength))
+		entry, err := s.parseToken(line)
+		if err != nil {
+			return Tokens{}, err
 		}
-		tokens.entries = append(tokens.entries, tokenEntry{name: fields[0], digest: sha256.Sum256([]byte(fields[1]))})
+		tokens.entries = append(tokens.entries, entry)
 	}
 	if len(tokens.entries) == 0 {
-		return Tokens{}, s.problem("token_file", s.TokenFile+" holds no token")
+		return Tokens{}, s.fieldError("token_file", s.TokenFile+" holds no token")
 	}
 	return tokens, nil
 }
 
-// Empty says that no token is asked for.
+func (s *Settings) parseToken(line secretLine) (tokenEntry, error) {
+	fields := strings.Fields(line.text)
+	if len(fields) != 2 {
+		return tokenEntry{}, s.lineError("token_file", s.TokenFile, line.number, "must be a name and a token")
+	}
+	name, token := fields[0], fields[1]
+	if len(token) < minTokenBytes {
+		return tokenEntry{}, s.lineError("token_file", s.TokenFile, line.number, fmt.Sprintf("has a token of %d characters, %d at least", len(token), minTokenBytes))
+	}
+	return tokenEntry{name: name, digest: sha256.Sum256([]byte(token))}, nil
+}
+
+// Empty reports whether there are no tokens, so that operators need none.
 func (t Tokens) Empty() bool { return len(t.entries) == 0 }
 
 // bearer precedes the token in the Authorization header.
 const bearer = "Bearer "
 
-// Authenticate judges the value of an Authorization header ("Bearer TOKEN") in
-// constant time and returns the operator's name. With no tokens everyone may
-// pass, with an empty name.
+// Authenticate returns the name of the operator whose token is in an Authorization
+// header ("Bearer TOKEN"). It compares digests with all tokens in constant time, so
+// that its duration tells nothing about them. Without tokens it accepts any header,
+// with an empty name.
 func (t Tokens) Authenticate(header string) (name string, ok bool) {
 	if t.Empty() {
 		return "", true
@@ -112,25 +133,28 @@
 	return name, ok
 }
 
+// secretLine is a line of a file of secrets.
 type secretLine struct {
-	number int
+	number int // from 1
 	text   string
 }
 
+// secretLines returns the lines of a file of secrets that are neither empty nor
+// comments. It rejects a file that others than its owner may use.
 func (s *Settings) secretLines(field, path string) ([]secretLine, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, s.problem(field, fmt.Sprintf("%s: %v", path, plainError(err)))
+		return nil, s.fieldError(field, fmt.Sprintf("%s: %v", path, withoutPath(err)))
 	}
 	if !info.Mode().IsRegular() {
-		return nil, s.problem(field, path+" is not a file")
+		return nil, s.fieldError(field, path+" is not a file")
 	}
-	if mode := info.Mode().Perm(); mode&othersMayAccess != 0 {
-		return nil, s.problem(field, fmt.Sprintf("%s may be used by others (mode %04o): set mode 0600 or 0400", path, mode))
+	if mode := info.Mode().Perm(); mode&othersPermissions != 0 {
+		return nil, s.fieldError(field, fmt.Sprintf("%s may be used by others (mode %04o): set mode 0600 or 0400", path, mode))
 	}
 	text, err := readBounded(path)
 	if err != nil {
-		return nil, s.problem(field, fmt.Sprintf("%s: %v", path, err))
+		return nil, s.fieldError(field, fmt.Sprintf("%s: %v", path, err))
 	}
 	var lines []secretLine
 	for i, line := range strings.Split(string(text), "\n") {
@@ -142,11 +166,12 @@
 	return lines, nil
 }
 
-func (s *Settings) secretProblem(field, path string, line int, reason string) *FieldError {
-	return s.problem(field, fmt.Sprintf("%s line %d %s", path, line, reason))
+// lineError is fieldError for a line of a file of secrets.
+func (s *Settings) lineError(field, path string, line int, reason string) *FieldError {
+	return s.fieldError(field, fmt.Sprintf("%s line %d %s", path, line, reason))
 }
 
-// asFieldError unwraps what Keys and Tokens return.
+// asFieldError returns the *FieldError that Keys or Tokens has returned.
 func asFieldError(err error) *FieldError {
 	var problem *FieldError
 	if errors.As(err, &problem) {
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -2,24 +2,25 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/netip"
 	"os"
 	"regexp"
-	"sort"
+	"slices"
 )
 
-// Bounds of names and lists.
+// Bounds of lists.
 const (
 	// RecommendedSeeds is how many seeds a fleet of three zones should name.
 	RecommendedSeeds = 3
 	maxSeeds         = 16
-	maxControl       = 9
+	maxControlNodes  = 9
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Validate checks the whole, the files that it names included. The error is of
-// type Errors and names every problem.
+// Validate checks the settings and the files that they name. The error is of type
+// Errors and has every problem.
 func (s *Settings) Validate() error {
 	v := &validator{settings: s}
 	v.names()
@@ -38,13 +39,15 @@
 	return nil
 }
 
+// validator is one run of Validate.
 type validator struct {
 	settings *Settings
 	problems Errors
 }
 
+// fail adds a problem with a field.
 func (v *validator) fail(field, format string, arguments ...any) {
-	v.problems = append(v.problems, v.settings.problem(field, fmt.Sprintf(format, arguments...)))
+	v.problems = append(v.problems, v.settings.fieldError(field, fmt.Sprintf(format, arguments...)))
 }
 
 func (v *validator) names() {
@@ -63,41 +66,50 @@
 }
 
 func (v *validator) role() {
-	s := v.settings
-	switch s.Role {
+	switch v.settings.Role {
 	case RoleControl:
-		v.dataFolder()
-		if s.CallerAddress != "" {
-			v.fail("caller_address", "is for gateways only")
-		}
-		if s.HTTPAddress != "" {
-			v.fail("http_address", "is for gateways only")
-		}
-		if s.LinkMbps != 0 {
-			v.fail("link_mbps", "is for gateways only")
-		}
-		if s.HTTPBounds != (HTTPBounds{}) {
-			v.fail("http_bounds", "are for gateways only")
-		}
+		v.controlNode()
 	case RoleGateway:
-		if s.DataFolder != "" {
-			v.fail("data_folder", "is for control nodes only: a gateway keeps nothing on disk")
-		}
-		if len(s.InitialControl) > 0 {
-			v.fail("initial_control", "is for control nodes only")
-		}
-		if s.LinkMbps < 0 {
-			v.fail("link_mbps", "%d must be 0 or more", s.LinkMbps)
-		}
-		v.httpBounds()
+		v.gateway()
 	case "":
 		v.fail("role", "is required: %q or %q", RoleControl, RoleGateway)
 	default:
-		v.fail("role", "%q must be %q or %q", s.Role, RoleControl, RoleGateway)
+		v.fail("role", "%q must be %q or %q", v.settings.Role, RoleControl, RoleGateway)
 	}
 }
 
-// httpBounds must leave something to send.
+func (v *validator) controlNode() {
+	s := v.settings
+	v.dataFolder()
+	if s.CallerAddress != "" {
+		v.fail("caller_address", "is for gateways only")
+	}
+	if s.HTTPAddress != "" {
+		v.fail("http_address", "is for gateways only")
+	}
+	if s.LinkMbps != 0 {
+		v.fail("link_mbps", "is for gateways only")
+	}
+	if s.HTTPBounds != (HTTPBounds{}) {
+		v.fail("http_bounds", "are for gateways only")
+	}
+}
+
+func (v *validator) gateway() {
+	s := v.settings
+	if s.DataFolder != "" {
+		v.fail("data_folder", "is for control nodes only: a gateway keeps nothing on disk")
+	}
+	if len(s.InitialControl) > 0 {
+		v.fail("initial_control", "is for control nodes only")
+	}
+	if s.LinkMbps < 0 {
+		v.fail("link_mbps", "%d must be 0 or more", s.LinkMbps)
+	}
+	v.httpBounds()
+}
+
+// httpBounds checks that the bounds leave something to send.
 func (v *validator) httpBounds() {
 	bounds := v.settings.HTTPBounds
 	if bounds != (HTTPBounds{}) && v.settings.HTTPAddress == "" {
@@ -111,8 +123,8 @@
 	}
 }
 
-// dataFolder must exist: a missing one is more often a disk that is not mounted
-// than a new node.
+// dataFolder requires an existing folder. It is never created: a missing one is more
+// often a disk that is not mounted than a new node.
 func (v *validator) dataFolder() {
 	folder := v.settings.DataFolder
 	if folder == "" {
@@ -124,7 +136,7 @@
 	case os.IsNotExist(err):
 		v.fail("data_folder", "%s does not exist: make it, or mount its disk", folder)
 	case err != nil:
-		v.fail("data_folder", "%s: %v", folder, plainError(err))
+		v.fail("data_folder", "%s: %v", folder, withoutPath(err))
 	case !info.IsDir():
 		v.fail("data_folder", "%s is not a folder", folder)
 	}
@@ -143,8 +155,8 @@
 	}
 }
 
-// ownAddress checks one listening address. It is told to others, so that it must
-// name one interface.
+// ownAddress checks one listening address. It is advertised to other processes, so
+// that it must name one interface.
 func (v *validator) ownAddress(field, value string, taken map[netip.AddrPort]string) {
 	if value == "" {
 		v.fail(field, "is required")
@@ -161,6 +173,8 @@
 	taken[address] = field
 }
 
+// address parses an address that other processes connect to. It is false after a
+// problem.
 func (v *validator) address(field, value string) (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(value)
 	switch {
@@ -204,11 +218,11 @@
 
 func (v *validator) initialControl() {
 	s := v.settings
-	if len(s.InitialControl) > maxControl {
-		v.fail("initial_control", "names %d nodes, %d at the most", len(s.InitialControl), maxControl)
+	if len(s.InitialControl) > maxControlNodes {
+		v.fail("initial_control", "names %d nodes, %d at the most", len(s.InitialControl), maxControlNodes)
 	}
 	taken := make(map[netip.AddrPort]string)
-	for _, name := range sortedKeys(s.InitialControl) {
+	for _, name := range slices.Sorted(maps.Keys(s.InitialControl)) {
 		field := "initial_control." + name
 		v.name(field, name)
 		address, ok := v.address(field, s.InitialControl[name])
@@ -228,7 +242,7 @@
 
 func (v *validator) dialOverrides() {
 	overrides := v.settings.DialOverrides
-	for _, from := range sortedKeys(overrides) {
+	for _, from := range slices.Sorted(maps.Keys(overrides)) {
 		v.address("dial_overrides."+from, from)
 		v.address("dial_overrides."+from, overrides[from])
 	}
@@ -272,16 +286,7 @@
 	}
 }
 
-func sortedKeys(values map[string]string) []string {
-	keys := make([]string, 0, len(values))
-	for key := range values {
-		keys = append(keys, key)
-	}
-	sort.Strings(keys)
-	return keys
-}
-
-// Warnings names what is allowed but better changed.
+// Warnings returns what is valid but not recommended, one line each.
 func (s *Settings) Warnings() []string {
 	var warnings []string
 	if len(s.Seeds) < RecommendedSeeds {
