--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// expand puts the folder's path for DIR.
+// expand replaces DIR by the folder's path.
 func (f folder) expand(text string) string { return strings.ReplaceAll(text, "DIR", string(f)) }
 
 const controlFile = `name: control-a
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestNumbersAreRead: a wide link and the bounds of HTTP requests are numbers.
+// TestNumbersAreRead reads the keys whose values are numbers.
 func TestNumbersAreRead(t *testing.T) {
 	text := gatewayFile + "link_mbps: 100\nhttp_address: 127.0.0.1:7009\nhttp_bounds: {retry_ratio: 0.1, cold_overshoot: 2}\n"
 	gateway, err := load(t, newFolder(t), RoleGateway, text, Overrides{})
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestFlagsOverruleTheFile(t *testing.T) {
+func TestFlagsOverrideTheFile(t *testing.T) {
 	f := newFolder(t)
 	parse := func(role Role, arguments ...string) Overrides {
 		var overrides Overrides
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	if settings.Name != "gateway-2" || settings.PeerAddress != "127.0.0.9:7001" || settings.Zone != "zone-a" || settings.LogLevel() != slog.LevelWarn {
-		t.Errorf("flags were not put over the file: %+v", settings)
+		t.Errorf("flags do not override the file: %+v", settings)
 	}
 	if diff := cmp.Diff([]string{"127.0.0.7:1", "127.0.0.8:1"}, settings.Seeds); diff != "" {
 		t.Error(diff)
@@ -167,17 +167,18 @@
 	}
 }
 
-// replaced is the text with one part changed.
-func replaced(text, old, new string) string {
+// replaced returns the text with one part replaced, which it must contain.
+func replaced(t *testing.T, text, old, replacement string) string {
+	t.Helper()
 	if !strings.Contains(text, old) {
-		panic("the test's file does not contain " + old)
+		t.Fatalf("the test's file does not contain %q", old)
 	}
-	return strings.Replace(text, old, new, 1)
+	return strings.Replace(text, old, replacement, 1)
 }
 
 func TestInvalidFiles(t *testing.T) {
-	control := func(old, new string) string { return replaced(controlFile, old, new) }
-	gateway := func(old, new string) string { return replaced(gatewayFile, old, new) }
+	control := func(old, replacement string) string { return replaced(t, controlFile, old, replacement) }
+	gateway := func(old, replacement string) string { return replaced(t, gatewayFile, old, replacement) }
 	cases := []struct {
 		name string
 		role Role
@@ -322,6 +323,6 @@
 		}
 	}
 	if _, ok := (Tokens{}).Authenticate(""); !ok {
-		t.Error("without tokens somebody was refused")
+		t.Error("without tokens an operator is rejected")
 	}
 }
