--- a/catalog/kinds.go
+++ b/catalog/kinds.go
@@ -53,8 +53,8 @@
 // record of its type at a registry name.
 type kind[T any] struct {
 	recordType registry.Type
-	// label is the printed name of the record type. It appears in dumps of the
-	// registry and stays, whatever T is called.
+	// label is the name of the record type in the schema. It stays, whatever T is
+	// called.
 	label string
 	// parent is the registry name below which the objects' names are, Apex for an
 	// object at a fixed name.
@@ -82,7 +82,7 @@
 	requestLimitsKind = kind[routemap.Limits]{TypeRequestLimits, "REQUESTLIMITS", Apex}
 )
 
-// declaration says how one type of record is stored, whatever its objects' type.
+// declaration is a kind without its type parameter, for lists of all kinds.
 type declaration struct {
 	registry.Kind
 
@@ -130,8 +130,8 @@
 	return schema
 }
 
-// ParentName returns the registry name below which the records of a type are, Apex for
-// a type at a fixed name and for one that is not of this package.
+// ParentName returns the registry name below which the records of a type are, Apex
+// for a type at a fixed name and for one that is not of this package.
 func ParentName(recordType registry.Type) registry.Name {
 	for i := range declarations {
 		if declarations[i].Type == recordType {
--- a/catalog/objects.go
+++ b/catalog/objects.go
@@ -134,7 +134,8 @@
 	State ConditionState `cbor:"1,keyasint"`
 	// Incarnation identifies the run of the replica's process.
 	Incarnation string `cbor:"2,keyasint,omitempty"`
-	// WarmupGateway is the one gateway that may place requests while the replica warms up.
+	// WarmupGateway is the only gateway that may send requests while the replica warms
+	// up.
 	WarmupGateway string `cbor:"3,keyasint,omitempty"`
 }
 
@@ -150,15 +151,15 @@
 	HTTPAddress string `cbor:"5,keyasint"`
 	// Up is false once its lease has expired.
 	Up bool `cbor:"6,keyasint"`
-	// MayHoldLease is true from before its first lease is granted until its last one has
-	// expired: a new primary waits only for the leases of such gateways.
+	// MayHoldLease is true from before its first lease is granted until its last one
+	// has expired: a new primary waits only for the leases of such gateways.
 	MayHoldLease bool `cbor:"7,keyasint,omitempty"`
 	// LinkMbps is the bandwidth of its network link, in Mbit/s; 0 if unknown.
 	LinkMbps int `cbor:"8,keyasint,omitempty"`
 }
 
-// OperationResult is the result of an operator's operation. It makes operations idempotent:
-// one that is sent again with the same id gets the stored result.
+// OperationResult is the result of an operator's operation. It makes operations
+// idempotent: one that is sent again with the same id gets the stored result.
 type OperationResult struct {
 	// Digest is a hash of the operation's content: the same id with other content is
 	// a conflict.
@@ -171,8 +172,10 @@
 	// Sequence grows with each result. The results with the lowest numbers are removed
 	// when there are too many.
 	Sequence uint64 `cbor:"4,keyasint"`
-	Code     string `cbor:"5,keyasint,omitempty"`
-	Reason   string `cbor:"6,keyasint,omitempty"`
+	// Code is one of the API's error codes, empty if accepted.
+	Code string `cbor:"5,keyasint,omitempty"`
+	// Reason is why it was rejected, for people.
+	Reason string `cbor:"6,keyasint,omitempty"`
 	// Field is the path of the field that was rejected, if it was one.
 	Field string `cbor:"7,keyasint,omitempty"`
 }
--- a/catalog/records.go
+++ b/catalog/records.go
@@ -86,12 +86,13 @@
 	return pathRouteKind.record(PathRouteName(value.Name), value)
 }
 
-// PoolRecord returns the record of a service that routes by path lead to.
+// PoolRecord returns the record of a target service of routes by host and path.
 func PoolRecord(value routemap.Service) registry.Record {
 	return poolKind.record(ServiceName(value.Name), value)
 }
 
-// RequestLimitsRecord returns the record of what clients may send.
+// RequestLimitsRecord returns the record of the bounds on requests of routes by host
+// and path.
 func RequestLimitsRecord(value routemap.Limits) registry.Record {
 	return requestLimitsKind.record(ConfigurationName, value)
 }
--- a/catalog/state_test.go
+++ b/catalog/state_test.go
@@ -60,7 +60,7 @@
 	client, _ := state.Client("branch")
 	home, _ := state.Home("bank-home")
 	tenant, _ := state.Tenant("bank")
-	order, _ := state.OperationResult("operation-1")
+	result, _ := state.OperationResult("operation-1")
 	condition, _ := state.Condition("replica-1")
 	configuration, _ := state.Configuration()
 	got := []any{
@@ -68,7 +68,7 @@
 		state.Services()["explain"].Kind, route.Service, hasRoute, state.Regions()["north"].Capacity,
 		state.Zones()["north-1"].Region, state.IsEvacuated("north-1"), state.IsEvacuated("south-1"),
 		client.Region, home.Regions[0], tenant.Weight, state.Replicas()["replica-1"].Address,
-		state.IsDraining("replica-1"), condition.WarmupGateway, state.Gateways()["gateway-1"].Up, order.Digest,
+		state.IsDraining("replica-1"), condition.WarmupGateway, state.Gateways()["gateway-1"].Up, result.Digest,
 		configuration.Document,
 	}
 	want := []any{
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -33,11 +33,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	marker, err := catalog.ReadConfigurationHeader(table.View())
+	header, err := catalog.ReadConfigurationHeader(table.View())
 	if err != nil {
 		t.Fatal(err)
 	}
-	changes, err := Changes(table.View(), document, marker.Version+1, "anna", text)
+	changes, err := Changes(table.View(), document, header.Version+1, "anna", text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	configure(t, table, baseDocument)
 	again := configure(t, table, baseDocument)
 	if len(again) != 1 || again[0].Type != catalog.TypeConfiguration {
-		t.Errorf("the same document again changes %d records, want the version marker alone", len(again))
+		t.Errorf("the same document again changes %d records, want its header alone", len(again))
 	}
 	edited := strings.Replace(baseDocument, "capacity: 5", "capacity: 6", 1)
 	edited = strings.Replace(edited, "  snippet:\n    service: snippets\n", "", 1)
--- a/configuration/diff.go
+++ b/configuration/diff.go
@@ -14,8 +14,8 @@
 // configuration in the registry.
 var ErrVersion = errors.New("configuration: version is not newer")
 
-// UnchangedPrerequisite returns the prerequisite that the configuration is still that of
-// the view. Of two updates built on one view, the second then fails.
+// UnchangedPrerequisite returns the prerequisite that the configuration is still
+// that of the view. Of two updates built on one view, the second then fails.
 func UnchangedPrerequisite(current registry.View) registry.Record {
 	for _, record := range current.Lookup(catalog.ConfigurationName, catalog.TypeConfiguration) {
 		return registry.Equals(record)
@@ -24,9 +24,8 @@
 }
 
 // Changes returns the update section that turns the configuration in the view into
-// the document. It leaves records alone that are as the document needs them, so
-// that its size grows with the difference. Evacuations stay with the zones that
-// stay. The error is a *DocumentError, wraps ErrVersion, or is about a record that
+// the document. It omits records that the view already has, so that its size grows
+// with the difference. Evacuations stay with the zones that stay. The error is a *DocumentError, wraps ErrVersion, or is about a record that
 // cannot be decoded.
 func Changes(current registry.View, document *Document, version uint64, author, text string) ([]registry.Record, error) {
 	if err := document.Validate(); err != nil {
@@ -36,9 +35,9 @@
 	return diff(current, header, text, func(changes *changeSet) { changes.requireDocument(document) })
 }
 
-// RouteMapChanges is Changes for a map of routes by host and path. zones has the region
-// of each of the fleet's zones. The error is that of the map's Validate, wraps
-// ErrVersion, or is about a record that cannot be decoded.
+// RouteMapChanges is Changes for a map of routes by host and path. zones has the
+// region of each of the fleet's zones. The error is that of the map's Validate,
+// wraps ErrVersion, or is about a record that cannot be decoded.
 func RouteMapChanges(current registry.View, routes *routemap.Map, zones map[string]string, text string) ([]registry.Record, error) {
 	if err := routes.Validate(); err != nil {
 		return nil, err
@@ -73,8 +72,8 @@
 	recordType registry.Type
 }
 
-// changeSet collects the changes from a view to the required records. All of these
-// are required first: what is removed afterwards is what none of them is.
+// changeSet collects the changes from a view to the required records. Removal comes
+// last, since only then all required records are known.
 type changeSet struct {
 	view     registry.View
 	required map[recordSet]bool
--- a/configuration/http_test.go
+++ b/configuration/http_test.go
@@ -63,7 +63,7 @@
 		"unknown kind":           {"kind: stream", "kind: river", "http.routes.review.kind"},
 		"no time-out":            {"timeout_ms: 500", "timeout_ms: 0", "http.routes.page.timeout_ms"},
 		"no slash":               {"path_prefix: /review/", "path_prefix: /review", "http.routes.review.path_prefix"},
-		"same place":             {"path_prefix: /review/", "path_prefix: /", "http.routes.review.path_prefix"},
+		"same host and prefix":   {"path_prefix: /review/", "path_prefix: /", "http.routes.review.path_prefix"},
 		"unknown service":        {"targets: [{service: web, weight: 1}]", "targets: [{service: wbe, weight: 1}]", "http.routes.page.targets[0].service"},
 		"weights of 0":           {"targets: [{service: web, weight: 1}]", "targets: [{service: web, weight: 0}]", "http.routes.page.targets"},
 		"no weight":              {"targets: [{service: web, weight: 1}]", "targets: [{service: web}]", "http.routes.page.targets[0].weight"},
--- a/configuration/validate_http.go
+++ b/configuration/validate_http.go
@@ -6,7 +6,8 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// http checks the part for HTTP, whose services and routes package routemap judges.
+// http checks the part for HTTP. What a service or route allows by itself is checked
+// by package routemap.
 func (v *validator) http() {
 	part := &v.document.HTTP
 	v.atMost("http.services", len(part.Services), MaxHTTPServices)
@@ -48,12 +49,12 @@
 func (v *validator) httpPrefixes(routes []routemap.Route) {
 	owner := make(map[routemap.RouteKey]string, len(routes))
 	for i := range routes {
-		place := routes[i].Key()
-		if other, taken := owner[place]; taken {
+		key := routes[i].Key()
+		if other, taken := owner[key]; taken {
 			v.fail(join("http.routes", routes[i].Name)+".path_prefix", "route %q has the same host and prefix", other)
 			continue
 		}
-		owner[place] = routes[i].Name
+		owner[key] = routes[i].Name
 	}
 }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/spf13/pflag"
 
 	"github.com/deckpulley/deckpulley/lease"
@@ -167,6 +168,52 @@
 	}
 }
 
+// TestEachFlagOverridesItsField sets every flag of a role, over a file that sets
+// every field.
+func TestEachFlagOverridesItsField(t *testing.T) {
+	control := func(settings *Settings) {
+		settings.DataFolder = "data-folder"
+		settings.InitialControl = map[string]string{"initial": "control"}
+	}
+	gateway := func(settings *Settings) {
+		settings.CallerAddress = "caller-address"
+		settings.HTTPAddress = "http-address"
+	}
+	cases := []struct {
+		role Role
+		own  func(*Settings) // sets the fields of the role's own flags
+	}{
+		{RoleControl, control},
+		{RoleGateway, gateway},
+	}
+	for _, c := range cases {
+		t.Run(string(c.role), func(t *testing.T) {
+			var overrides Overrides
+			flags := pflag.NewFlagSet("test", pflag.ContinueOnError)
+			overrides.AddFlags(flags, c.role)
+			flags.VisitAll(func(flag *pflag.Flag) {
+				value := flag.Name
+				if flag.Name == "initial-control" {
+					value = "initial=control"
+				}
+				if err := flags.Set(flag.Name, value); err != nil {
+					t.Error(err)
+				}
+			})
+			got, want := *goldenSettings()[string(c.role)+".yaml"], *goldenSettings()[string(c.role)+".yaml"]
+			overrides.Apply(&got)
+			want.Name, want.Zone, want.Region = "name", "zone", "region"
+			want.PeerAddress, want.OperatorAddress = "peer-address", "operator-address"
+			want.KeyFile, want.TokenFile = "key-file", "token-file"
+			want.Log.Level, want.Seeds = "log-level", []string{"seeds"}
+			c.own(&want)
+			if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Settings{})); diff != "" {
+				t.Error(diff)
+			}
+		})
+	}
+}
+
 // replaced returns the text with one part replaced, which it must contain.
 func replaced(t *testing.T, text, old, replacement string) string {
 	t.Helper()
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -290,10 +290,10 @@
 func (s *Settings) Warnings() []string {
 	var warnings []string
 	if len(s.Seeds) < RecommendedSeeds {
-		warnings = append(warnings, fmt.Sprintf("%s: seeds: %d given, %d recommended: with fewer a node may find nobody at its start", s.File(), len(s.Seeds), RecommendedSeeds))
+		warnings = append(warnings, fmt.Sprintf("%s: seeds: %d given, %d recommended: with fewer a node may find no peer at startup", s.File(), len(s.Seeds), RecommendedSeeds))
 	}
 	if s.TokenFile == "" {
-		warnings = append(warnings, fmt.Sprintf("%s: token_file: not set: the operators' port asks nobody for a token", s.File()))
+		warnings = append(warnings, fmt.Sprintf("%s: token_file: not set: the operators' port accepts requests without a token", s.File()))
 	}
 	return warnings
 }
