--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -64,19 +64,7 @@
 			m := loneMachine(b)
 			now := time.Duration(0)
 			m.advance(b, &now, 5*time.Second)
-			renewals := make([]peer.Renew, gateways)
-			for i := range renewals {
-				name := fmt.Sprintf("gateway-%d", i)
-				renewals[i].Gateway = peer.GatewayInfo{Name: name, Incarnation: "1", PeerAddress: name + ":1"}
-			}
-			for round := range 4 {
-				for i := range renewals {
-					if err := m.renewAndProcess(now, &renewals[i]); err != nil {
-						b.Fatal(err)
-					}
-				}
-				m.advance(b, &now, time.Duration(round+1)*100*time.Millisecond)
-			}
+			renewals := m.renewedGateways(b, &now, gateways)
 			interval := 300 * time.Millisecond / time.Duration(gateways)
 			for i := 0; b.Loop(); i++ {
 				now += interval
@@ -110,3 +98,22 @@
 	m.observe(now)
 	return nil
 }
+
+// renewedGateways returns the next renewals of gateways that have leases.
+func (m *machine) renewedGateways(tb testing.TB, now *time.Duration, count int) []peer.Renew {
+	tb.Helper()
+	renewals := make([]peer.Renew, count)
+	for i := range renewals {
+		name := fmt.Sprintf("gateway-%d", i)
+		renewals[i].Gateway = peer.GatewayInfo{Name: name, Incarnation: "1", PeerAddress: name + ":1"}
+	}
+	for round := range 4 {
+		for i := range renewals {
+			if err := m.renewAndProcess(*now, &renewals[i]); err != nil {
+				tb.Fatal(err)
+			}
+		}
+		m.advance(tb, now, time.Duration(round+1)*100*time.Millisecond)
+	}
+	return renewals
+}
