--- a/gateway/feed_test.go
+++ b/gateway/feed_test.go
@@ -27,8 +27,8 @@
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	asked := f.gateway("g1", "north", "a", func(options *Options) {
-		real := routing.New(routing.Config{Region: "north", Gateway: "g1", Seed: 1})
-		options.Router = &fedElsewhere{Router: real, feeder: "g2"}
+		router := routing.New(routing.Config{Region: "north", Gateway: "g1", Seed: 1})
+		options.Router = &fedElsewhere{Router: router, feeder: "g2"}
 	})
 	feeder := f.gateway("g2", "north", "b", nil)
 	f.ready(asked, feeder)
