--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -73,7 +73,7 @@
 	sent, denied := guard.settle()
 	if denied != nil {
 		slot.Finish(routing.ResultNotStarted, nil, time.Now())
-		failure := refusedLater(api.CodeNoLease, comeBack, "%v", denied)
+		failure := refusedLater(api.CodeNoLease, "%v", denied)
 		return verdict{standing: stoodNotStarted, failure: failure, local: true, unsent: true}
 	}
 	if sent {
@@ -87,7 +87,7 @@
 		r.gateway.suspect(slot)
 	}
 	slot.Finish(verdictResult, nil, time.Now())
-	failure := refusedLater(api.CodeNoCapacity, comeBack, "no replica could be reached")
+	failure := refusedLater(api.CodeNoCapacity, "no replica could be reached")
 	return verdict{standing: stoodNotStarted, failure: failure, unsent: true}
 }
 
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -169,7 +169,7 @@
 // outwaited answers a caller whose time is over before the run that it joined,
 // which may have been given more.
 func outwaited(request *api.GenerateRequest) *api.Error {
-	failure := refusedLater(api.CodeDeadline, comeBack, "the request has no result yet in the caller's time")
+	failure := refusedLater(api.CodeDeadline, "the request has no result yet in the caller's time")
 	failure.Outcome = api.OutcomeUnknown
 	failure.RequestID = request.RequestID
 	return failure
@@ -234,7 +234,7 @@
 		}
 	}
 	if errors.Is(err, errBudget) {
-		return refusedLater(api.CodeOverloaded, comeBack, "too many request bodies at once")
+		return refusedLater(api.CodeOverloaded, "too many request bodies at once")
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -42,7 +42,7 @@
 	}
 	active := g.agent.Active()
 	if active == nil {
-		writeError(w, refusedLater(api.CodeNotReady, comeBack, "the gateway has no copy of the registry yet"))
+		writeError(w, refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet"))
 		return
 	}
 	writeJSON(w, http.StatusOK, g.explain(active, &request))
--- a/gateway/feed_test.go
+++ b/gateway/feed_test.go
@@ -18,7 +18,7 @@
 func (f *fedElsewhere) Feeders(string) []string { return []string{f.feeder} }
 
 func (f *fedElsewhere) Reserve(routing.Request) (*routing.Slot, *api.Error) {
-	return nil, refusedLater(api.CodeNoCapacity, comeBack, "fed elsewhere")
+	return nil, refusedLater(api.CodeNoCapacity, "fed elsewhere")
 }
 
 // TestRefusedFeedingCountsAsAttempt has the feeder's replica refuse: without
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -331,7 +331,7 @@
 // mayAccept is why the gateway may not take anything new; nil if it may.
 func (g *Gateway) mayAccept() *api.Error {
 	if g.draining.Load() {
-		return refusedLater(api.CodeNotReady, comeBack, "the gateway is leaving")
+		return refusedLater(api.CodeNotReady, "the gateway is leaving")
 	}
 	return g.mayPlace()
 }
@@ -339,10 +339,10 @@
 // mayPlace is why the gateway may not place a request now; nil if it may.
 func (g *Gateway) mayPlace() *api.Error {
 	if !g.agent.Valid() {
-		return refusedLater(api.CodeNoLease, comeBack, "the gateway has no lease from the primary")
+		return refusedLater(api.CodeNoLease, "the gateway has no lease from the primary")
 	}
 	if g.agent.Active() == nil {
-		return refusedLater(api.CodeNotReady, comeBack, "the gateway has no copy of the registry yet")
+		return refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet")
 	}
 	return nil
 }
--- a/gateway/hop.go
+++ b/gateway/hop.go
@@ -118,7 +118,7 @@
 func (r *runner) spill(ctx context.Context, region string, wait time.Duration) verdict {
 	last := verdict{
 		standing: stoodNotStarted,
-		failure:  refusedLater(api.CodeNoCapacity, comeBack, "no gateway of region %s can be reached", region),
+		failure:  refusedLater(api.CodeNoCapacity, "no gateway of region %s can be reached", region),
 	}
 	for _, member := range r.gateway.peersIn(region, maxPeersTried) {
 		outcome := r.offer(ctx, member, wait)
@@ -151,7 +151,7 @@
 		}
 		return verdict{
 			standing: stoodNotStarted,
-			failure:  refusedLater(api.CodeNoCapacity, comeBack, "the other region does not answer"),
+			failure:  refusedLater(api.CodeNoCapacity, "the other region does not answer"),
 			unsent:   true,
 		}
 	}
@@ -168,7 +168,7 @@
 
 func declined(failure *api.Error) *api.Error {
 	if failure == nil {
-		return refusedLater(api.CodeNoCapacity, comeBack, "the other region takes nothing")
+		return refusedLater(api.CodeNoCapacity, "the other region takes nothing")
 	}
 	copied := *failure
 	copied.Outcome = api.OutcomeRefused // an offer runs nothing
@@ -227,7 +227,7 @@
 		g.metrics.spills.WithLabelValues("unanswered").Inc()
 		return verdict{
 			standing: stoodNotStarted,
-			failure:  refusedLater(api.CodeNoCapacity, comeBack, "the other region cannot be reached"),
+			failure:  refusedLater(api.CodeNoCapacity, "the other region cannot be reached"),
 			unsent:   true,
 		}
 	}
@@ -278,7 +278,7 @@
 	if ctx.Err() == nil && g.withdraw(ctx, address, offerID, incarnation) {
 		return verdict{
 			standing: stoodNotStarted,
-			failure:  refusedLater(api.CodeNoCapacity, comeBack, "the connection to the other region broke before the run"),
+			failure:  refusedLater(api.CodeNoCapacity, "the connection to the other region broke before the run"),
 		}
 	}
 	r.hops++
--- a/gateway/mint.go
+++ b/gateway/mint.go
@@ -153,7 +153,7 @@
 		return &peer.MintTicketReply{Error: failure}, nil
 	}
 	if !g.mayOwn() {
-		return &peer.MintTicketReply{Error: refusedLater(api.CodeNotReady, comeBack, "the zone is evacuated")}, nil
+		return &peer.MintTicketReply{Error: refusedLater(api.CodeNotReady, "the zone is evacuated")}, nil
 	}
 	answer, failure := g.mint(&request.Request)
 	return &peer.MintTicketReply{Answer: answer, Error: failure}, nil
@@ -201,7 +201,7 @@
 	var failure *api.Error
 	switch {
 	case errors.Is(err, ticket.ErrFull):
-		failure = refusedLater(api.CodeOverloaded, comeBack, "the gateway remembers as many requests as it can")
+		failure = refusedLater(api.CodeOverloaded, "the gateway remembers as many requests as it can")
 	case errors.Is(err, ticket.ErrClosed):
 		failure = failed(api.CodeDuplicate, api.OutcomeRefused, "the request was refused for good: ask again with a new request id")
 	default:
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -115,12 +115,12 @@
 	o, ok := b.offers[id]
 	switch {
 	case !ok:
-		return nil, refusedLater(api.CodeNoCapacity, comeBack, "the reservation is gone")
+		return nil, refusedLater(api.CodeNoCapacity, "the reservation is gone")
 	case o.state == offerRun:
 		return nil, failed(api.CodeDuplicate, api.OutcomeUnknown, "the offer was run before")
 	case o.state == offerDead || now >= o.expires:
 		b.kill(o)
-		return nil, refusedLater(api.CodeNoCapacity, comeBack, "the reservation ran out")
+		return nil, refusedLater(api.CodeNoCapacity, "the reservation ran out")
 	}
 	o.state = offerRun
 	return o, nil
@@ -206,7 +206,7 @@
 	}
 	active := g.agent.Active()
 	if active.Version() < asked.Version && !g.agent.Proven(asked.Version) {
-		return nil, refusedLater(api.CodeNoLease, comeBack, "configuration %d is not active here yet", asked.Version)
+		return nil, refusedLater(api.CodeNoLease, "configuration %d is not active here yet", asked.Version)
 	}
 	route, failure := g.router.Resolve(asked.Request, time.Now())
 	if failure != nil {
@@ -237,7 +237,7 @@
 		return nil, failed(api.CodeCanceled, api.OutcomeRefused, "the offer was withdrawn")
 	}
 	if failure != nil && failure.Code == api.CodeCanceled {
-		return nil, refusedLater(api.CodeOverloaded, comeBack, "region %s had no room in time", g.region())
+		return nil, refusedLater(api.CodeOverloaded, "region %s had no room in time", g.region())
 	}
 	return slot, failure
 }
@@ -260,7 +260,7 @@
 	}
 	if !g.offers.add(asked.OfferID, reserved) {
 		slot.Finish(routing.ResultCanceled, nil, time.Now())
-		return nil, refusedLater(api.CodeOverloaded, comeBack, "the gateway remembers as many offers as it can")
+		return nil, refusedLater(api.CodeOverloaded, "the gateway remembers as many offers as it can")
 	}
 	return &reply, nil
 }
@@ -283,7 +283,7 @@
 		return err
 	}
 	if asked.Incarnation != g.options.Info.Incarnation {
-		return send(&peer.RunEvent{Error: refusedLater(api.CodeNoCapacity, comeBack, "the gateway that granted was restarted")})
+		return send(&peer.RunEvent{Error: refusedLater(api.CodeNoCapacity, "the gateway that granted was restarted")})
 	}
 	granted, failure := g.offers.take(asked.OfferID, g.options.Clock())
 	if failure != nil {
--- a/gateway/operator.go
+++ b/gateway/operator.go
@@ -134,7 +134,7 @@
 func (g *Gateway) listReplicas(w http.ResponseWriter) {
 	active := g.agent.Active()
 	if active == nil {
-		writeError(w, refusedLater(api.CodeNotReady, comeBack, "the gateway has no copy of the registry yet"))
+		writeError(w, refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet"))
 		return
 	}
 	answer := api.ReplicasAnswer{Serial: active.Serial(), Replicas: []api.ReplicaStatus{}}
@@ -178,7 +178,7 @@
 	defer cancel()
 	reply, err := g.agent.Order(ctx, peer.OrderRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
 	if err != nil {
-		failure := refusedLater(api.CodeNoPrimary, comeBack, "no primary can be reached")
+		failure := refusedLater(api.CodeNoPrimary, "no primary can be reached")
 		failure.Outcome = api.OutcomeUnknown
 		writeError(w, failure)
 		return
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -134,9 +134,9 @@
 	case errors.Is(cause, errAbandoned):
 		return failed(api.CodeCanceled, api.OutcomeRefused, "the caller went away")
 	case errors.Is(cause, errStopping):
-		return refusedLater(api.CodeNotReady, comeBack, "the gateway is stopping")
+		return refusedLater(api.CodeNotReady, "the gateway is stopping")
 	default:
-		return refusedLater(api.CodeDeadline, comeBack, "the request could not be done in the caller's time")
+		return refusedLater(api.CodeDeadline, "the request could not be done in the caller's time")
 	}
 }
 
@@ -394,7 +394,7 @@
 	waiting, cancel := context.WithTimeout(ctx, staleWait)
 	defer cancel()
 	if err := r.gateway.agent.AwaitVersion(waiting, version); err != nil {
-		return refusedLater(api.CodeNoLease, comeBack, "a replica has seen configuration %d, which is not active here yet", version)
+		return refusedLater(api.CodeNoLease, "a replica has seen configuration %d, which is not active here yet", version)
 	}
 	return nil
 }
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -28,7 +28,7 @@
 	for _, test := range tests {
 		run := newExecution("q", false, 1, func(error) {})
 		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, ran: test.ran}
-		r.fail(ctx, refusedLater(api.CodeDeadline, comeBack, "no time is left"))
+		r.fail(ctx, refusedLater(api.CodeDeadline, "no time is left"))
 		got := run.result.failure
 		if got.Outcome != test.outcome || got.Retry != test.retry || (got.RetryAfterMS > 0) != test.retry {
 			t.Errorf("%s: %s, retry %t after %d ms", test.name, got.Outcome, got.Retry, got.RetryAfterMS)
--- a/gateway/verdict.go
+++ b/gateway/verdict.go
@@ -8,7 +8,6 @@
 	"io"
 	"mime"
 	"net/http"
-	"time"
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/internal/planted"
@@ -55,11 +54,11 @@
 	return &api.Error{Code: code, Outcome: outcome, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// refusedLater is a refusal that tells the caller when to come back.
-func refusedLater(code api.Code, after time.Duration, format string, arguments ...any) *api.Error {
+// refusedLater is a refusal that may be retried after comeBack.
+func refusedLater(code api.Code, format string, arguments ...any) *api.Error {
 	failure := failed(code, api.OutcomeRefused, format, arguments...)
 	failure.Retry = true
-	failure.RetryAfterMS = after.Milliseconds()
+	failure.RetryAfterMS = comeBack.Milliseconds()
 	return failure
 }
 
--- a/internal/benchmark/latency.go
+++ b/internal/benchmark/latency.go
@@ -81,7 +81,7 @@
 		return table, err
 	}
 	defer direct.stop()
-	through := newGatewayPath(s.caller, watch, stream)
+	through := newGatewayPath(s.caller, watch)
 	late := newLateness()
 	arrive(pick(o, 20*time.Second, 1500*time.Millisecond), stream, through, &direct.path)
 	table.Note += fmt.Sprintf(" Meanwhile a timer of the measuring process fired up to %s ms late in 99 of 100 cases, for want of a core.", milliseconds(late.stop().at(99)))
@@ -127,7 +127,7 @@
 	d.replica.stop()
 }
 
-func newGatewayPath(through *caller, watch *observer, stream bool) *path {
+func newGatewayPath(through *caller, watch *observer) *path {
 	p := &path{label: "gateway", caller: through, watch: watch, notes: make(map[string]callerNotes)}
 	p.send = func(ctx context.Context, id string, stream bool) ([]time.Time, error) {
 		if stream {
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -34,16 +34,13 @@
 	r.events = append(r.events, event)
 }
 
-// change rewrites the events that match and returns their number.
-func (r *run) change(match func(eventlog.Event) bool, rewrite func(*eventlog.Event)) int {
-	count := 0
+// change rewrites the events that match.
+func (r *run) change(match func(eventlog.Event) bool, rewrite func(*eventlog.Event)) {
 	for i := range r.events {
 		if match(r.events[i]) {
 			rewrite(&r.events[i])
-			count++
 		}
 	}
-	return count
 }
 
 func (r *run) remove(match func(eventlog.Event) bool) {
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -268,7 +268,7 @@
 }
 
 // reportedInForce checks every gateway against what a primary has just reported.
-func (c *checks) reportedInForce(m *machine, serial uint32) {
+func (c *checks) reportedInForce(serial uint32) {
 	if serial <= c.inForce {
 		return
 	}
--- a/internal/simulation/primary.go
+++ b/internal/simulation/primary.go
@@ -170,7 +170,7 @@
 	}
 	serial, known := m.leadership.grantor.InForce()
 	if known {
-		m.world.checks.reportedInForce(m, serial)
+		m.world.checks.reportedInForce(serial)
 	}
 	return serial, known
 }
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
-		f.condition("r1", places.ConditionCold, "g9")
+		f.condition(places.ConditionCold, "g9")
 		router := newRouter("east", "g1")
 		cold := report("r1")
 		cold.Cold = true
@@ -25,7 +25,7 @@
 		if feeders := router.Feeders("large"); len(feeders) != 1 || feeders[0] != "g9" {
 			t.Fatalf("feeders %v", feeders)
 		}
-		f.condition("r1", places.ConditionCold, "g1")
+		f.condition(places.ConditionCold, "g1")
 		router.SetPlan(f.plan())
 		wantRefused(t, router, request("too early"), api.CodeNoCapacity)
 		time.Sleep(feederChange)
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
-		f.condition("r1", places.ConditionUp, "")
+		f.condition(places.ConditionUp, "")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
 		told := report("r1")
@@ -57,7 +57,7 @@
 		told.Cold, told.Running = true, 2
 		router.Observe("r1", told, time.Now())
 		wantRefused(t, router, request("no feeder yet"), api.CodeNoCapacity)
-		f.condition("r1", places.ConditionCold, "g1")
+		f.condition(places.ConditionCold, "g1")
 		router.SetPlan(f.plan())
 		wantRefused(t, router, request("earlier work is under way"), api.CodeOverloaded)
 		for _, slot := range early {
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
-		f.condition("r1", places.ConditionCold, "g1")
+		f.condition(places.ConditionCold, "g1")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
 		told := report("r1")
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -63,8 +63,9 @@
 	}))
 }
 
-func (f *fleet) condition(name string, state places.ConditionState, feeder string) {
-	f.set(places.ConditionRecord(name, places.Condition{State: state, Incarnation: name + "-1", Feeder: feeder}))
+// condition sets the condition of replica r1.
+func (f *fleet) condition(state places.ConditionState, feeder string) {
+	f.set(places.ConditionRecord("r1", places.Condition{State: state, Incarnation: "r1-1", Feeder: feeder}))
 }
 
 func (f *fleet) plan() *Plan {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -37,13 +37,13 @@
 	},
 	{
 		name:  "condition draining",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", places.ConditionDraining, "") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", places.ConditionUp, "") },
+		begin: func(f *fleet, _ *Router) { f.condition(places.ConditionDraining, "") },
+		end:   func(f *fleet, _ *Router) { f.condition(places.ConditionUp, "") },
 	},
 	{
 		name:  "condition down",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", places.ConditionDown, "") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", places.ConditionUp, "") },
+		begin: func(f *fleet, _ *Router) { f.condition(places.ConditionDown, "") },
+		end:   func(f *fleet, _ *Router) { f.condition(places.ConditionUp, "") },
 	},
 	{
 		name: "zone evacuated",
@@ -54,8 +54,8 @@
 	},
 	{
 		name:  "cold with another feeder",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", places.ConditionCold, "g9") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", places.ConditionCold, "g1") },
+		begin: func(f *fleet, _ *Router) { f.condition(places.ConditionCold, "g9") },
+		end:   func(f *fleet, _ *Router) { f.condition(places.ConditionCold, "g1") },
 	},
 	{
 		name:  "poll failed",
--- a/setpoint/setpoint_test.go
+++ b/setpoint/setpoint_test.go
@@ -34,22 +34,22 @@
 		controller := New(spillConfig())
 		region := &plant{load: 0.5}
 		now := time.Unix(0, 0)
-		run := func(offered float64, seconds int) (largest, smallest, last float64) {
+		run := func(offered float64, seconds int) (largest, smallest float64) {
 			largest, smallest = 0, math.Inf(1)
 			for range seconds * 10 {
 				now = now.Add(step)
-				last = region.step(offered, controller.Output(), step, lag)
-				controller.Update(now, last)
-				largest, smallest = max(largest, last), min(smallest, last)
+				load := region.step(offered, controller.Output(), step, lag)
+				controller.Update(now, load)
+				largest, smallest = max(largest, load), min(smallest, load)
 			}
-			return largest, smallest, last
+			return largest, smallest
 		}
 		run(0.5, 5)
 		if controller.Output() != 0 {
 			t.Fatalf("lag %v: spills %v below the set point", lag, controller.Output())
 		}
-		largest, _, _ := run(1.5, 8)
-		settledHigh, settledLow, _ := run(1.5, 20)
+		largest, _ := run(1.5, 8)
+		settledHigh, settledLow := run(1.5, 20)
 		t.Logf("lag %v: peak %.2f, after 8 s between %.3f and %.3f", lag, largest, settledLow, settledHigh)
 		if settledHigh > 0.8*1.1 || settledLow < 0.8*0.9 {
 			t.Errorf("lag %v: load between %.2f and %.2f 8 s after the step, want 0.8 within a tenth", lag, settledLow, settledHigh)
