--- a/gateway/replica.go
+++ b/gateway/replica.go
@@ -137,13 +137,17 @@
 // Close implements io.Closer.
 func (onceBody) Close() error { return nil }
 
+// withGuard returns a context that arms the connection of its request with a guard.
+func withGuard(ctx context.Context, guard *sendGuard) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
+		info.Conn.(*guardedConn).arm(guard) //nolint:forcetypeassert // newReplicaClient's transports dial no other kind; sending without a guard must not happen
+	}})
+}
+
 // generate sends one request. fresh asks for a connection of its own, so that a
 // kept one that is being closed cannot make the outcome ambiguous.
 func (c *replicaClient) generate(ctx context.Context, address string, body []byte, fresh bool, guard *sendGuard) (*http.Response, error) {
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		info.Conn.(*guardedConn).arm(guard)
-	}}
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, "http://"+address+api.PathReplicaGenerate, nil)
+	request, err := http.NewRequestWithContext(withGuard(ctx, guard), http.MethodPost, "http://"+address+api.PathReplicaGenerate, nil)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: replica request: %w", err)
 	}
@@ -159,10 +163,7 @@
 // report asks a replica for its report.
 func (c *replicaClient) report(ctx context.Context, address string) (*api.ReplicaReport, error) {
 	open := &sendGuard{gate: func() error { return nil }}
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		info.Conn.(*guardedConn).arm(open)
-	}}
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, "http://"+address+api.PathReplicaReport, nil)
+	request, err := http.NewRequestWithContext(withGuard(ctx, open), http.MethodGet, "http://"+address+api.PathReplicaReport, nil)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: report request: %w", err)
 	}
--- a/gateway/suspect_test.go
+++ b/gateway/suspect_test.go
@@ -89,7 +89,9 @@
 		"within a stream": func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.Write(pieceFrame(request, 1))
-			w.(http.Flusher).Flush()
+			if err := http.NewResponseController(w).Flush(); err != nil {
+				panic(err)
+			}
 			panic(http.ErrAbortHandler)
 		},
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -100,7 +100,10 @@
 func TestEvictionTakesTheLeastRecentlyUsedLeaf(t *testing.T) {
 	parameters := exact()
 	parameters.CacheTokens = 4500
-	replica := New(parameters, 1, false).(*modelReplica)
+	replica, ok := New(parameters, 1, false).(*modelReplica)
+	if !ok {
+		t.Fatal("not a replica of a model")
+	}
 	run := func(prefixes ...string) int {
 		if err := replica.Submit(replica.stepEnd, Job{ID: "job", Prefixes: chain(prefixes...), AnswerTokens: 1}); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -82,7 +82,9 @@
 	send := func(name string, data any) {
 		text, _ := json.Marshal(data)
 		fmt.Fprintf(w, "event: %s\ndata: %s\n\n", name, text)
-		w.(http.Flusher).Flush()
+		if err := http.NewResponseController(w).Flush(); err != nil {
+			panic(err)
+		}
 	}
 	for sequence := 1; sequence <= request.MaxTokens; sequence++ {
 		piece := api.StreamPiece{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -65,6 +65,17 @@
 	}
 }
 
+func (c *client) closeWrite() {
+	c.t.Helper()
+	connection, ok := c.conn.(*net.TCPConn)
+	if !ok {
+		c.t.Fatalf("not a TCP connection: %T", c.conn)
+	}
+	if err := connection.CloseWrite(); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
 func (c *client) expect(line string) {
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(patience))
@@ -134,7 +145,7 @@
 	}
 	c := dial(t, address)
 	c.send("last")
-	c.conn.(*net.TCPConn).CloseWrite()
+	c.closeWrite()
 	c.expect("last")
 	c.conn.SetReadDeadline(time.Now().Add(patience))
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -357,7 +357,7 @@
 var orderModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		held, asked, given := state.(registerState), input.(order), output.(answer)
+		held, asked, given := state.(registerState), input.(order), output.(answer) //nolint:forcetypeassert // porcupine hands back what record and Init gave it
 		if first, known := held.answers[asked.ID]; known {
 			return first == given, held
 		}
@@ -375,7 +375,7 @@
 		return given.Accepted == accepted && given.Version == next.version && whole, next
 	},
 	Equal: func(one, other any) bool {
-		a, b := one.(registerState), other.(registerState)
+		a, b := one.(registerState), other.(registerState) //nolint:forcetypeassert // porcupine hands back what Init and Step gave it
 		if a.version != b.version || a.content != b.content || len(a.answers) != len(b.answers) {
 			return false
 		}
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -26,7 +26,9 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *eventHeap) Push(value any) { *h = append(*h, value.(event)) }
+func (h *eventHeap) Push(value any) {
+	*h = append(*h, value.(event)) //nolint:forcetypeassert // heap.Push is called with events only
+}
 
 func (h *eventHeap) Pop() any {
 	old := *h
@@ -73,7 +75,7 @@
 const recoveryPoll = 100 * time.Millisecond
 
 func (w *world) step() {
-	next := heap.Pop(&w.queue.events).(event)
+	next := heap.Pop(&w.queue.events).(event) //nolint:forcetypeassert // the heap holds events only
 	w.now = next.at
 	w.result.Steps++
 	next.run()
--- a/loadexchange/world_test.go
+++ b/loadexchange/world_test.go
@@ -67,7 +67,7 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(value any) {
-	*q = append(*q, value.(event))
+	*q = append(*q, value.(event)) //nolint:forcetypeassert // heap.Push is called with events only
 }
 
 func (q *eventQueue) Pop() any {
@@ -130,7 +130,7 @@
 func (w *world) run(length time.Duration) {
 	end := w.now.Add(length)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		next := heap.Pop(&w.events).(event)
+		next := heap.Pop(&w.events).(event) //nolint:forcetypeassert // the heap holds events only
 		w.now = next.at
 		next.run()
 	}
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -163,7 +163,7 @@
 // NewReader reads from source. Close gives its buffers back.
 func NewReader(source io.Reader, options Options) *Reader {
 	r := &Reader{order: Order{RequestID: options.RequestID}, gap: options.Gap}
-	r.lines = lineReaders.Get().(*bufio.Reader)
+	r.lines = lineReaders.Get().(*bufio.Reader) //nolint:forcetypeassert // New of the pool makes nothing else
 	r.lines.Reset(source)
 	if options.Gap > 0 {
 		r.timer = time.AfterFunc(options.Gap, func() {
--- a/ticket/ledger.go
+++ b/ticket/ledger.go
@@ -198,7 +198,7 @@
 		if first == nil {
 			return
 		}
-		l.release(first.Value.(*entry[R]))
+		l.release(first.Value.(*entry[R])) //nolint:forcetypeassert // only Finish pushes to the list, and only entries
 	}
 }
 
@@ -275,7 +275,7 @@
 }
 
 func (h *expiryHeap[R]) Push(value any) {
-	e := value.(*entry[R])
+	e := value.(*entry[R]) //nolint:forcetypeassert // heap.Push is called with entries only
 	e.index = len(*h)
 	*h = append(*h, e)
 }
