--- a/internal/hollow/replica_test.go
+++ b/internal/hollow/replica_test.go
@@ -1,6 +1,7 @@
 package hollow
 
 import (
+	"context"
 	"encoding/json"
 	"io"
 	"net/http"
@@ -26,12 +27,20 @@
 	if err := json.NewDecoder(response.Body).Decode(&report); err != nil || report.Replica != "r" || report.Slots != 4 || report.Sequence != 1 {
 		t.Errorf("report %+v, %v", report, err)
 	}
-	answer, err := http.Post(server.URL+api.PathReplicaGenerate, "application/json", strings.NewReader(`{"request_id":"q","max_tokens":3,"stream":true}`))
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	question := strings.NewReader(`{"request_id":"q","max_tokens":3,"stream":true}`)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+api.PathReplicaGenerate, question)
+	if err != nil {
+		t.Fatal(err)
+	}
+	request.Header.Set("Content-Type", "application/json")
+	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer answer.Body.Close()
-	events := stream.NewReader(answer.Body, stream.Options{RequestID: "q", Gap: 10 * time.Second, Interrupt: func() { answer.Body.Close() }})
+	events := stream.NewReader(answer.Body, stream.Options{RequestID: "q", Gap: 10 * time.Second, Interrupt: cancel})
 	defer events.Close()
 	for {
 		event, err := events.Next()
--- a/upstream/example_test.go
+++ b/upstream/example_test.go
@@ -31,7 +31,9 @@
 
 	replica.Close()
 	pool.Forget(address)
-	_, err = pool.Do(ctx, address, request, nil)
+	if response, err = pool.Do(ctx, address, request, nil); err == nil {
+		response.Body.Close()
+	}
 	var unanswered *upstream.Error
 	fmt.Println("may have run:", errors.As(err, &unanswered) && unanswered.Sent)
 	// Output:
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -43,6 +43,15 @@
 	return listener.Addr().String(), connections
 }
 
+// exchange sends a request without a body and closes the answer, if there is one.
+func exchange(ctx context.Context, pool *Pool, address string, request *http.Request) error {
+	response, err := pool.Do(ctx, address, request, nil)
+	if err == nil {
+		response.Body.Close()
+	}
+	return err
+}
+
 // answerAll answers every request of a connection with the text.
 func answerAll(text string) script {
 	return func(conn net.Conn, reader *bufio.Reader) {
@@ -179,7 +188,7 @@
 		t.Fatal(err)
 	}
 	for _, method := range []string{http.MethodGet} {
-		_, err := pool.Do(context.Background(), address, newRequest(t, method), nil)
+		err := exchange(context.Background(), pool, address, newRequest(t, method))
 		var failure *Error
 		if !errors.As(err, &failure) || !failure.Sent {
 			t.Errorf("got %v", err)
@@ -218,7 +227,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := NewPool(Config{}).Do(ctx, address, newRequest(t, http.MethodPost), nil)
+	err := exchange(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
