--- a/gateway/hop.go
+++ b/gateway/hop.go
@@ -62,7 +62,7 @@
 		case event.Answer != nil && event.Answer.RequestID == run.requestID && order.Pieces() == 0:
 			return &result{answer: event.Answer, attempts: event.Attempts}, nil
 		case event.Error != nil:
-			return &result{failure: event.Error, attempts: event.Attempts}, nil
+			return &result{failure: event.Error, attempts: event.Attempts}, nil //nolint:nilerr // the failure is the result of the run, not of reading it
 		default:
 			return nil, errNotAnswer
 		}
--- a/gateway/mint.go
+++ b/gateway/mint.go
@@ -146,17 +146,23 @@
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
-	if failure := checkWhere(&request.Request); failure != nil {
-		return &peer.MintTicketReply{Error: failure}, nil
+	answer, failure := g.mintForPeer(&request.Request)
+	return &peer.MintTicketReply{Answer: answer, Error: failure}, nil
+}
+
+// mintForPeer makes a ticket that this process owns for a caller of another
+// gateway, if this one accepts the request.
+func (g *Gateway) mintForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+	if failure := checkWhere(request); failure != nil {
+		return nil, failure
 	}
 	if failure := g.mayAccept(); failure != nil {
-		return &peer.MintTicketReply{Error: failure}, nil
+		return nil, failure
 	}
 	if !g.mayOwn() {
-		return &peer.MintTicketReply{Error: refusedLater(api.CodeNotReady, "the zone is evacuated")}, nil
+		return nil, refusedLater(api.CodeNotReady, "the zone is evacuated")
 	}
-	answer, failure := g.mint(&request.Request)
-	return &peer.MintTicketReply{Answer: answer, Error: failure}, nil
+	return g.mint(request)
 }
 
 // mint makes a ticket that this process owns.
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -188,7 +188,7 @@
 	}
 	reply, failure := g.grant(ctx, &asked)
 	if failure != nil {
-		return &peer.OfferReply{Error: failure, Incarnation: g.options.Info.Incarnation}, nil
+		reply = &peer.OfferReply{Error: failure, Incarnation: g.options.Info.Incarnation}
 	}
 	return reply, nil
 }
--- a/internal/fleet/caller/answer.go
+++ b/internal/fleet/caller/answer.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"mime"
@@ -79,9 +78,6 @@
 	return ""
 }
 
-// errAbandoned ends the reading of a stream that the caller hangs up on.
-var errAbandoned = errors.New("abandoned")
-
 // readStream logs every event and verifies identity, order and end.
 func (r *answerReader) readStream(body io.Reader) result {
 	r.last = r.session.start
@@ -98,18 +94,18 @@
 		if !ok {
 			continue
 		}
-		if err := r.streamEvent(name, []byte(data)); err != nil {
+		if hangUp := r.streamEvent(name, []byte(data)); hangUp {
 			return r.abandon()
 		}
 	}
 	return r.streamResult(scanner.Err())
 }
 
-// streamEvent returns an error only to hang up.
-func (r *answerReader) streamEvent(name string, data []byte) error {
+// streamEvent takes one event and reports whether this caller hangs up after it.
+func (r *answerReader) streamEvent(name string, data []byte) (hangUp bool) {
 	if r.ended || r.failure != nil {
 		r.problem("an event after the last one")
-		return nil
+		return false
 	}
 	switch name {
 	case api.EventPiece:
@@ -121,7 +117,7 @@
 	default:
 		r.problem("an event named " + name)
 	}
-	return nil
+	return false
 }
 
 // problem keeps the first problem found.
@@ -131,11 +127,11 @@
 	}
 }
 
-func (r *answerReader) piece(data []byte) error {
+func (r *answerReader) piece(data []byte) (hangUp bool) {
 	var piece api.StreamPiece
 	if err := json.Unmarshal(data, &piece); err != nil {
 		r.problem("an event that does not decode")
-		return nil
+		return false
 	}
 	now := time.Now()
 	if r.pieces == 0 {
@@ -153,10 +149,7 @@
 	line := r.session.event(eventlog.CallerPiece)
 	line.Attempt, line.Gateway, line.Run, line.Sequence = r.attempt, r.gateway, piece.RunID, piece.Sequence
 	r.session.pool.config.Log.Write(line)
-	if r.session.plan.abandon && r.pieces >= abandonAfter {
-		return errAbandoned
-	}
-	return nil
+	return r.session.plan.abandon && r.pieces >= abandonAfter
 }
 
 func (r *answerReader) end(data []byte) {
