--- a/client/client_test.go
+++ b/client/client_test.go
@@ -69,6 +69,7 @@
 
 // nobody is an address that refuses connections.
 func nobody(t *testing.T) string {
+	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	return strings.TrimPrefix(server.URL, "http://")
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -45,6 +45,7 @@
 }
 
 func newControlNode(t *testing.T, memory *transport.Memory, name string) *controlNode {
+	t.Helper()
 	c := &controlNode{network: memory.Node(name, name)}
 	c.network.Handle(peer.KindRenew, func(ctx context.Context, _ string, decode func(any) error) (any, error) {
 		if c.silent.Load() {
@@ -87,6 +88,7 @@
 }
 
 func newTable(t *testing.T) *registry.Table {
+	t.Helper()
 	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "c1", Serial: 10}, []string{"c1"})
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -93,37 +93,43 @@
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	send := func(b *testing.B, url string, body any) {
+	send := func(url string, body any) error {
 		encoded, _ := json.Marshal(body)
 		response, err := client.Post(url, "application/json", bytes.NewReader(encoded))
 		if err != nil {
-			b.Error(err)
-			return
+			return err
 		}
 		defer response.Body.Close()
 		if answer, _ := io.ReadAll(response.Body); response.StatusCode != http.StatusOK {
-			b.Errorf("status %d: %s", response.StatusCode, answer)
+			return fmt.Errorf("status %d: %s", response.StatusCode, answer)
 		}
+		return nil
 	}
 	request := question("bench")
 	request.Repeatable = true
 	b.Run("direct", func(b *testing.B) {
 		url := replica.server.URL + api.PathReplicaGenerate
 		for b.Loop() {
-			send(b, url, api.ReplicaRequest{RequestID: "bench", Model: "m", MaxTokens: 1, TimeLeftMS: 1000})
+			if err := send(url, api.ReplicaRequest{RequestID: "bench", Model: "m", MaxTokens: 1, TimeLeftMS: 1000}); err != nil {
+				b.Error(err)
+			}
 		}
 	})
 	b.Run("gateway", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			send(b, g.url+api.PathRequests, request)
+			if err := send(g.url+api.PathRequests, request); err != nil {
+				b.Error(err)
+			}
 		}
 	})
 	b.Run("gateway-parallel", func(b *testing.B) {
 		b.SetParallelism(2)
 		b.RunParallel(func(loop *testing.PB) {
 			for loop.Next() {
-				send(b, g.url+api.PathRequests, request)
+				if err := send(g.url+api.PathRequests, request); err != nil {
+					b.Error(err)
+				}
 			}
 		})
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
@@ -133,7 +139,9 @@
 		for b.Loop() {
 			count++
 			ticketed, _ := g.where(b, question(fmt.Sprintf("bench-%d", count)))
-			send(b, g.url+api.PathRequests, ticketed)
+			if err := send(g.url+api.PathRequests, ticketed); err != nil {
+				b.Error(err)
+			}
 		}
 	})
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -31,14 +31,14 @@
 // testTerms renew often and last long, so that a busy machine takes no lease away.
 var testTerms = lease.Terms{Length: 30 * time.Second, Margin: time.Second, QuorumAge: time.Second, Renewal: 50 * time.Millisecond}
 
-func waitFor(t testing.TB, what string, condition func() bool) {
-	t.Helper()
+func waitFor(tb testing.TB, what string, condition func() bool) {
+	tb.Helper()
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	t.Fatalf("waited in vain for %s", what)
+	tb.Fatalf("waited in vain for %s", what)
 }
 
 // primary grants leases to everyone and holds the table.
@@ -50,19 +50,20 @@
 	orders   []peer.OrderRequest
 }
 
-func newPrimary(t testing.TB, network transport.Network) *primary {
+func newPrimary(tb testing.TB, network transport.Network) *primary {
+	tb.Helper()
 	table, err := registry.New(places.Apex, places.Schema(), registry.Head{Primary: "control", Serial: 1}, []string{"control"})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	p := &primary{table: table}
 	network.Handle(peer.KindRenew, p.renew)
 	network.Handle(peer.KindUpdate, p.update)
 	network.Handle(peer.KindOrder, p.order)
 	if err := network.Start(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { network.Close() })
+	tb.Cleanup(func() { network.Close() })
 	return p
 }
 
@@ -148,11 +149,12 @@
 	reports     chan struct{} // reports wait until it is closed, if it is set
 }
 
-func newFakeReplica(t testing.TB, name string) *fakeReplica {
+func newFakeReplica(tb testing.TB, name string) *fakeReplica {
+	tb.Helper()
 	f := &fakeReplica{name: name, incarnation: "1"}
 	f.behave(answerWhole)
 	f.server = httptest.NewServer(f)
-	t.Cleanup(f.server.Close)
+	tb.Cleanup(f.server.Close)
 	return f
 }
 
@@ -226,9 +228,10 @@
 	stop    func()
 }
 
-func newFleet(t testing.TB) *fleet {
+func newFleet(tb testing.TB) *fleet {
+	tb.Helper()
 	memory := transport.NewMemory()
-	f := &fleet{t: t, memory: memory, primary: newPrimary(t, memory.Node("control", "control"))}
+	f := &fleet{t: tb, memory: memory, primary: newPrimary(tb, memory.Node("control", "control"))}
 	f.primary.set(func(p *primary) {
 		p.apply(
 			registry.Add(places.ConfigurationRecord(places.Configuration{Version: 1})),
@@ -355,8 +358,8 @@
 }
 
 // send sends one request to a gateway and reads all of its answer.
-func (n *node) send(t testing.TB, request api.GenerateRequest) *reply {
-	t.Helper()
+func (n *node) send(tb testing.TB, request api.GenerateRequest) *reply {
+	tb.Helper()
 	response, err := post(context.Background(), n.url+api.PathRequests, request)
 	if err != nil {
 		return &reply{broken: err}
@@ -370,7 +373,7 @@
 			Error *api.Error `json:"error"`
 		}
 		if err := json.Unmarshal(body, &wrapped); err != nil {
-			t.Fatalf("answer %q: %v", body, err)
+			tb.Fatalf("answer %q: %v", body, err)
 		}
 		got.answer, got.failure = wrapped.GenerateAnswer, wrapped.Error
 		return got
@@ -389,24 +392,24 @@
 		}
 	}
 	if err != nil && got.broken == nil {
-		t.Fatalf("event: %v", err)
+		tb.Fatalf("event: %v", err)
 	}
 	return got
 }
 
 // where asks a gateway where to go and returns the request with its ticket.
-func (n *node) where(t testing.TB, request api.GenerateRequest) (api.GenerateRequest, *api.WhereAnswer) {
-	t.Helper()
+func (n *node) where(tb testing.TB, request api.GenerateRequest) (api.GenerateRequest, *api.WhereAnswer) {
+	tb.Helper()
 	question := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
 	response, err := post(context.Background(), n.url+api.PathWhere, question)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer response.Body.Close()
 	var answer api.WhereAnswer
 	body, _ := io.ReadAll(response.Body)
 	if err := json.Unmarshal(body, &answer); err != nil || response.StatusCode != http.StatusOK {
-		t.Fatalf("where: status %d: %s", response.StatusCode, body)
+		tb.Fatalf("where: status %d: %s", response.StatusCode, body)
 	}
 	request.Ticket = answer.Ticket
 	return request, &answer
@@ -414,17 +417,17 @@
 
 // owned asks until an id is found that this gateway owns, and returns the
 // request with its ticket.
-func (n *node) owned(t testing.TB, request api.GenerateRequest) api.GenerateRequest {
-	t.Helper()
+func (n *node) owned(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
+	tb.Helper()
 	for try := range 64 {
 		candidate := request
 		candidate.RequestID = fmt.Sprintf("%s-%d", request.RequestID, try)
-		candidate, answer := n.where(t, candidate)
+		candidate, answer := n.where(tb, candidate)
 		if "http://"+answer.Gateway == n.url {
 			return candidate
 		}
 	}
-	t.Fatalf("%s owns none of 64 requests", n.options.Info.Name)
+	tb.Fatalf("%s owns none of 64 requests", n.options.Info.Name)
 	return request
 }
 
--- a/gateway/hop_test.go
+++ b/gateway/hop_test.go
@@ -149,6 +149,7 @@
 
 // fill keeps the one slot of a replica taken until the returned function is called.
 func (n *node) fill(t *testing.T, replica *fakeReplica) func() {
+	t.Helper()
 	room := make(chan struct{})
 	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		<-room
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -131,6 +131,7 @@
 
 // playLosses plays one history with such losses.
 func playLosses(t *testing.T, seed uint64, planted defect.Set) *Violation {
+	t.Helper()
 	w := newWorld(seed, Options{Duration: 12 * time.Second, Defects: planted})
 	w.faults.lost = make(map[consensus.ID]bool)
 	w.populate(lossMembers)
--- a/loadexchange/world_test.go
+++ b/loadexchange/world_test.go
@@ -84,6 +84,7 @@
 
 // newWorld makes so many gateways in each region.
 func newWorld(t *testing.T, seed uint64, regions map[string]int) *world {
+	t.Helper()
 	w := &world{
 		t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 7)),
 		up: make(map[string]Gateway), gateways: make(map[string]*worldGateway), replicas: make(map[peer.ReplicaKey]string),
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -15,8 +15,9 @@
 	records []registry.Record
 }
 
-func newFleet(t testing.TB) *fleet {
-	f := &fleet{t: t}
+func newFleet(tb testing.TB) *fleet {
+	tb.Helper()
+	f := &fleet{t: tb}
 	f.set(
 		places.ConfigurationRecord(places.Configuration{Version: 1}),
 		places.LimitsRecord(places.Limits{QueueLength: 8}),
@@ -114,8 +115,9 @@
 }
 
 // oneReplica returns a fleet with one replica and a router that has heard of it.
-func oneReplica(t testing.TB) (*fleet, *Router) {
-	f := newFleet(t)
+func oneReplica(tb testing.TB) (*fleet, *Router) {
+	tb.Helper()
+	f := newFleet(tb)
 	f.replica("r1", "east-a", "east")
 	router := newRouter("east", "g1")
 	router.SetPlan(f.plan())
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -67,6 +67,7 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, replicas int) *simulation {
+	t.Helper()
 	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), fleet: newFleet(t),
 		names:    []string{"g1", "g3", "g4"},
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -26,6 +26,7 @@
 }
 
 func newOverload(t *testing.T) *overload {
+	t.Helper()
 	f := newFleet(t)
 	f.set(places.LimitsRecord(places.Limits{QueueLength: 64}))
 	f.set(places.TenantRecord("double", places.Tenant{Weight: 2}))
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -32,6 +32,7 @@
 // spillFleet makes three regions of five, four and three replicas of four slots
 // each, which carry 50, 40 and 30 requests a second at the most.
 func spillFleet(t *testing.T) (map[string]*spillRegion, []string) {
+	t.Helper()
 	f := newFleet(t)
 	sizes := map[string]int{"east": 5, "west": 4, "south": 3}
 	names := []string{"east", "south", "west"}
@@ -226,6 +227,7 @@
 
 // play lets arrivals come for some seconds in rounds of 20 ms.
 func (q *queueingRegions) play(t *testing.T, seconds int) {
+	t.Helper()
 	for round := range seconds * 50 {
 		for _, name := range q.names {
 			region := q.regions[name]
