--- a/cmd/deckpulley-experiment/main.go
+++ b/cmd/deckpulley-experiment/main.go
@@ -29,8 +29,9 @@
 		command.AddCommand(responseCommand(&out, disturbance))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-	defer stop()
-	if err := command.ExecuteContext(ctx); err != nil {
+	err := command.ExecuteContext(ctx)
+	stop()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "deckpulley-experiment:", err)
 		os.Exit(1)
 	}
--- a/cmd/deckpulley-fleet/main.go
+++ b/cmd/deckpulley-fleet/main.go
@@ -75,8 +75,9 @@
 	}
 	command.AddCommand(newRunCommand(), newFaultsCommand(), newCheckCommand(), newListCommand(), newPlantedCommand(), newResultsCommand())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	defer stop()
-	if err := command.ExecuteContext(ctx); err != nil {
+	err := command.ExecuteContext(ctx)
+	stop()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "deckpulley-fleet:", err)
 		os.Exit(exitStatus(err))
 	}
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -46,7 +46,8 @@
 			kept = append(kept, known)
 		}
 	}
-	r.claims = append(kept, claim{at: now, gateway: gateway, reading: reading})
+	kept = append(kept, claim{at: now, gateway: gateway, reading: reading})
+	r.claims = kept
 }
 
 // claim waits for claims that crossed the attempt's own. It returns the attempt,
--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -44,8 +44,9 @@
 
 func main() {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	defer cancel()
-	if err := run(ctx, os.Stdout); err != nil {
+	err := run(ctx, os.Stdout)
+	cancel()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "embedding:", err)
 		os.Exit(1)
 	}
--- a/gateway/mint.go
+++ b/gateway/mint.go
@@ -224,20 +224,20 @@
 	if active == nil {
 		return nil
 	}
-	var near, far []string
+	var addresses, otherRegions []string
 	for name, member := range active.Gateways() {
 		switch {
 		case name == g.options.Info.Name || !usable(active, member):
 		case member.Region == g.region():
-			near = append(near, member.HTTPAddress)
+			addresses = append(addresses, member.HTTPAddress)
 		default:
-			far = append(far, member.HTTPAddress)
+			otherRegions = append(otherRegions, member.HTTPAddress)
 		}
 	}
-	g.shuffle(near)
-	g.shuffle(far)
-	all := append(near, far...)
-	return all[:min(len(all), maxAlternates)]
+	g.shuffle(addresses)
+	g.shuffle(otherRegions)
+	addresses = append(addresses, otherRegions...)
+	return addresses[:min(len(addresses), maxAlternates)]
 }
 
 func usable(active *places.Contents, member places.Gateway) bool {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -269,19 +269,19 @@
 		return nil
 	}
 	regions := active.Regions()
-	var first, rest []string
+	var addresses, rest []string
 	for _, member := range active.Gateways() {
 		switch {
 		case member.Region == g.region() || !member.Up:
 		case slices.Contains(regions[member.Region].Spill, g.region()):
-			first = append(first, member.PeerAddress)
+			addresses = append(addresses, member.PeerAddress)
 		default:
 			rest = append(rest, member.PeerAddress)
 		}
 	}
-	g.shuffle(first)
+	g.shuffle(addresses)
 	g.shuffle(rest)
-	addresses := append(first, rest...)
+	addresses = append(addresses, rest...)
 	return addresses[:min(len(addresses), limit)]
 }
 
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -59,8 +59,9 @@
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	if err := command.ExecuteContext(ctx); err != nil {
+	err := command.ExecuteContext(ctx)
+	stop()
+	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", command.Name(), err)
 		os.Exit(exitStatus(err))
 	}
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -104,15 +104,15 @@
 	if err := t.Check(); err != nil {
 		return "", err
 	}
-	body, err := encoding.Marshal(&t)
+	token, err := encoding.Marshal(&t)
 	if err != nil {
 		return "", fmt.Errorf("ticket: encoding: %w", err)
 	}
-	sealed := append(body, code(s.keys[0], body)...)
-	if base64.RawURLEncoding.EncodedLen(len(sealed)) > MaxEncodedBytes {
+	token = append(token, code(s.keys[0], token)...)
+	if base64.RawURLEncoding.EncodedLen(len(token)) > MaxEncodedBytes {
 		return "", ErrMalformed
 	}
-	return base64.RawURLEncoding.EncodeToString(sealed), nil
+	return base64.RawURLEncoding.EncodeToString(token), nil
 }
 
 // Open checks the text and returns the ticket in it. The error is ErrMalformed
