--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -181,7 +181,7 @@
 	drainedAt atomic.Int64
 	failures  *rate.Limiter // of log lines about requests
 	// work ends when the process stops waiting for requests.
-	work     context.Context
+	work     context.Context //nolint:containedctx // the life of the gateway: runs and loops outlast the call that began them
 	stopWork context.CancelCauseFunc
 	running  *activity
 	polling  *inProgress
--- a/internal/fleet/relay/relay.go
+++ b/internal/fleet/relay/relay.go
@@ -17,7 +17,7 @@
 
 // Network holds the relays of one fleet.
 type Network struct {
-	context context.Context
+	context context.Context //nolint:containedctx // the life of the network: its connections outlast every call
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -23,7 +23,6 @@
 
 // group is three control processes with a configuration and replicas.
 type group struct {
-	ctx       context.Context
 	folder    string
 	key       []byte
 	peers     []string
@@ -41,16 +40,16 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &group{ctx: ctx, folder: folder, key: make([]byte, keyBytes)}
+	g := &group{folder: folder, key: make([]byte, keyBytes)}
 	rand.Read(g.key) // never fails, see the package
-	if err := g.start(replicas); err != nil {
+	if err := g.start(ctx, replicas); err != nil {
 		g.stop()
 		return nil, err
 	}
 	return g, nil
 }
 
-func (g *group) start(replicas api.ReplicaList) error {
+func (g *group) start(ctx context.Context, replicas api.ReplicaList) error {
 	addresses, err := freeport.Addresses(host, 2*controlCount)
 	if err != nil {
 		return err
@@ -65,7 +64,7 @@
 		if err := os.Mkdir(data, 0o700); err != nil {
 			return err
 		}
-		started, err := startProcess(g.ctx, setup{
+		started, err := startProcess(ctx, setup{
 			Role: roleControl, Name: controlName(i), Zone: zoneName(i), Region: regionName(i),
 			Peer: g.peers[i], HTTP: g.operators[i], Folder: data, Initial: initial, Seeds: g.peers, Key: g.key,
 		})
@@ -77,10 +76,10 @@
 	if g.client, err = client.New(client.Config{Addresses: g.operators}); err != nil {
 		return err
 	}
-	if _, err := g.change(); err != nil {
+	if _, err := g.change(ctx); err != nil {
 		return fmt.Errorf("first configuration: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	if _, err := g.client.ReplaceReplicas(ctx, replicas); err != nil {
 		return fmt.Errorf("replicas: %w", err)
@@ -92,13 +91,13 @@
 
 // change hands over the next configuration and returns how long it took to be
 // acknowledged as in force everywhere.
-func (g *group) change() (time.Duration, error) {
+func (g *group) change(ctx context.Context) (time.Duration, error) {
 	g.step++
 	text, err := documentText(g.step)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	sent := time.Now()
 	answer, err := g.client.Apply(ctx, &api.ConfigurationOrder{BaseVersion: g.version, Author: "scale", Document: text})
@@ -110,8 +109,8 @@
 }
 
 // primary returns the index of the primary.
-func (g *group) primary() (int, error) {
-	ctx, cancel := context.WithTimeout(g.ctx, readyWait)
+func (g *group) primary(ctx context.Context) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	for ctx.Err() == nil {
 		status, err := g.client.Status(ctx)
@@ -130,11 +129,11 @@
 
 // killPrimary ends the primary as a lost machine would and returns how long it
 // took until the next configuration was acknowledged.
-func (g *group) killPrimary(index int) (time.Duration, error) {
+func (g *group) killPrimary(ctx context.Context, index int) (time.Duration, error) {
 	killed := time.Now()
 	g.processes[index].kill()
 	g.processes[index] = nil
-	if _, err := g.change(); err != nil {
+	if _, err := g.change(ctx); err != nil {
 		return 0, err
 	}
 	return time.Since(killed), nil
@@ -150,12 +149,12 @@
 }
 
 // startHollow starts a process of hollow gateways and waits for their leases.
-func (g *group) startHollow(count int) (*process, error) {
-	child, err := startProcess(g.ctx, setup{Role: roleGateways, Name: "gateway", Seeds: g.peers, Key: g.key, Gateways: count})
+func (g *group) startHollow(ctx context.Context, count int) (*process, error) {
+	child, err := startProcess(ctx, setup{Role: roleGateways, Name: "gateway", Seeds: g.peers, Key: g.key, Gateways: count})
 	if err != nil {
 		return nil, err
 	}
-	if err := awaitLeases(g.ctx, child, count); err != nil {
+	if err := awaitLeases(ctx, child, count); err != nil {
 		child.stop()
 		return nil, err
 	}
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -177,7 +177,7 @@
 // answerBody gives the connection back at the end of the answer.
 type answerBody struct {
 	conn  *connection
-	ctx   context.Context
+	ctx   context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
 	inner io.ReadCloser
 	limit time.Duration
 	keep  bool
