--- a/internal/fleet/process/process.go
+++ b/internal/fleet/process/process.go
@@ -83,9 +83,6 @@
 // PID is the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Exited is closed once the process has ended.
-func (p *Process) Exited() <-chan struct{} { return p.exited }
-
 // Running reports whether the process has not ended.
 func (p *Process) Running() bool {
 	select {
--- a/stream/writer.go
+++ b/stream/writer.go
@@ -27,11 +27,6 @@
 	return append(buffer, frameEnd...)
 }
 
-// FrameOverhead is the number of bytes that AppendFrame adds to data.
-func FrameOverhead(kind string) int {
-	return len(frameKind) + len(kind) + len(frameData) + len(frameEnd)
-}
-
 // FrameData returns the data of one frame made by AppendFrame.
 func FrameData(frame []byte, kind string) []byte {
 	return frame[len(frameKind)+len(kind)+len(frameData) : len(frame)-len(frameEnd)]
