--- a/client/client_test.go
+++ b/client/client_test.go
@@ -218,6 +218,34 @@
 	}
 }
 
+// TestWhereAsksTheNextGateway breaks the first gateway's answer off: the same
+// question goes to the second one.
+func TestWhereAsksTheNextGateway(t *testing.T) {
+	want := api.WhereAnswer{RequestID: "q", Ticket: "t", Gateway: "owner:80", Alternates: []string{"other:80"}, Region: "north", ExpiresInMS: 900, ConfigurationVersion: 3}
+	first := &script{answers: []func(http.ResponseWriter){breakOff}}
+	second := &script{answers: []func(http.ResponseWriter){status(http.StatusOK, want)}}
+	question := api.WhereRequest{RequestID: "q", Model: "m", WaitMS: 1000, Repeatable: true}
+	answer, err := newClient(t, serve(t, first, second)...).Where(patient(t), question)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(&want, answer); diff != "" {
+		t.Errorf("answer (-want +got):\n%s", diff)
+	}
+	for name, asked := range map[string]*script{"first": first, "second": second} {
+		var got api.WhereRequest
+		if len(asked.bodies) != 1 || asked.queries[0] != "POST "+api.PathWhere+"?" {
+			t.Fatalf("the %s gateway was asked %q", name, asked.queries)
+		}
+		if err := json.Unmarshal([]byte(asked.bodies[0]), &got); err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(question, got); diff != "" {
+			t.Errorf("question to the %s gateway (-want +got):\n%s", name, diff)
+		}
+	}
+}
+
 func TestStream(t *testing.T) {
 	const (
 		one   = "event: piece\ndata: {\"run_id\":\"r\",\"sequence\":1,\"text\":\"a\"}\n\n"
