--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	sent := time.Now()
-	answer, err := g.client.Apply(ctx, &api.ConfigurationOrder{BaseVersion: g.version, Author: "scale", Document: text})
+	answer, err := g.client.Apply(ctx, &api.ConfigurationOperation{BaseVersion: g.version, Author: "scale", Document: text})
 	if err != nil {
 		return 0, err
 	}
