--- a/client/client_test.go
+++ b/client/client_test.go
@@ -86,7 +86,7 @@
 
 func patient(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -143,13 +143,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			addresses := serve(t, &script{answers: []func(http.ResponseWriter){c.answer}})
-			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			_, err := newClient(t, addresses...).Evacuate(ctx, &api.EvacuationOperation{Zone: "z"})
 			wantProblem(t, err, c.want, c.run)
 		})
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := newClient(t, nobody(t)).Status(ctx)
 	wantProblem(t, err, api.CodeNoPrimary, api.OutcomeRefused)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -504,7 +504,7 @@
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	f.answer = func(sending context.Context, _ *Attempt) (*Answer, error) {
 		cancel()
 		<-sending.Done()
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	defer network.Close()
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	var loop sync.WaitGroup
 	loop.Go(func() { a.Run(ctx) })
 	defer loop.Wait()
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -40,7 +40,7 @@
 	}
 	data, _ := json.Marshal(api.StreamEnd{RequestID: "request-1", RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
 	source.Write(stream.AppendFrame(nil, api.EventEnd, data))
-	ctx := context.Background()
+	ctx := context.Background() //nolint:usetesting // a context that can end would be a part of what is measured
 	b.ReportAllocs()
 	b.SetBytes(int64(source.Len()))
 	for b.Loop() {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -360,7 +360,7 @@
 // send sends one request to a gateway and reads all of its answer.
 func (n *node) send(tb testing.TB, request api.GenerateRequest) *reply {
 	tb.Helper()
-	response, err := post(context.Background(), n.url+api.PathRequests, request)
+	response, err := post(tb.Context(), n.url+api.PathRequests, request)
 	if err != nil {
 		return &reply{broken: err}
 	}
@@ -401,7 +401,7 @@
 func (n *node) where(tb testing.TB, request api.GenerateRequest) (api.GenerateRequest, *api.WhereAnswer) {
 	tb.Helper()
 	question := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
-	response, err := post(context.Background(), n.url+api.PathWhere, question)
+	response, err := post(tb.Context(), n.url+api.PathWhere, question)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -204,7 +204,7 @@
 	if now := len(replica.requests()); now != reached {
 		t.Fatalf("reached the replica %d times after the refusal", now-reached)
 	}
-	response, err := post(context.Background(), g.url+api.PathWhere, api.WhereRequest{RequestID: "refused", Model: "m"})
+	response, err := post(t.Context(), g.url+api.PathWhere, api.WhereRequest{RequestID: "refused", Model: "m"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -70,7 +70,7 @@
 	<-started
 	stopped := make(chan struct{})
 	go func() {
-		g.Stop(context.Background())
+		g.Stop(t.Context())
 		close(stopped)
 	}()
 	waitFor(t, "the gateway to leave", g.draining.Load)
@@ -190,7 +190,7 @@
 	request := question("hang-up")
 	request.Stream, request.WaitMS = true, 60_000
 	request, _ = g.where(t, request)
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, hangUp := context.WithCancel(t.Context())
 	response, err := post(ctx, g.url+api.PathRequests, request)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -188,7 +188,7 @@
 	pool := New(Config{
 		Gateways: map[string][]string{"north": {goneAddress}, "south": {gateway.self}}, Regions: []string{"north", "south"}, Log: log, Seed: 1,
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	pool.Generate(ctx, workload.New(workload.Kodovka().Scale(2), nil, 1, "test"))
 	pool.Wait(20 * time.Second)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -103,7 +103,7 @@
 // acknowledged must be active at every hollow gateway, also after the primary was
 // lost.
 func TestSmallFleet(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	g, err := startGroup(ctx, replicaList(20))
 	if err != nil {
@@ -166,7 +166,7 @@
 }
 
 func TestPollIsMeasured(t *testing.T) {
-	poll, err := measurePoll(context.Background())
+	poll, err := measurePoll(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -149,7 +149,7 @@
 		for index := range 2 {
 			waiting := request(fmt.Sprint("waits", index))
 			go func() {
-				_, failure := router.Acquire(context.Background(), waiting)
+				_, failure := router.Acquire(t.Context(), waiting)
 				answers <- failure
 			}()
 		}
@@ -175,7 +175,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, router := oneReplica(t)
 		held := mustReserve(t, router, request("holder"))
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan *api.Error, 1)
 		go func() {
 			_, failure := router.Acquire(ctx, request("goes away"))
@@ -188,7 +188,7 @@
 		}
 		granted := make(chan *Slot, 1)
 		go func() {
-			slot, failure := router.Acquire(context.Background(), request("waits"))
+			slot, failure := router.Acquire(t.Context(), request("waits"))
 			if failure != nil {
 				t.Errorf("waits: %v", failure)
 			}
@@ -204,7 +204,7 @@
 		slot.Finish(ResultSuccess, nil, time.Now())
 		time.Sleep(1400 * time.Millisecond) // the replica falls silent
 		start := time.Now()
-		_, failure := router.Acquire(context.Background(), request("late"))
+		_, failure := router.Acquire(t.Context(), request("late"))
 		if failure == nil || failure.Code != api.CodeNoCapacity {
 			t.Fatalf("no usable replica: %v", failure)
 		}
@@ -356,7 +356,7 @@
 		router.Observe(other, told, time.Now())
 		granted := make(chan *Slot, 1)
 		go func() {
-			slot, _ := router.Acquire(context.Background(), shared)
+			slot, _ := router.Acquire(t.Context(), shared)
 			granted <- slot
 		}()
 		synctest.Wait()
--- a/stream/fuzz_test.go
+++ b/stream/fuzz_test.go
@@ -10,7 +10,7 @@
 )
 
 // FuzzReader feeds bytes to a Reader. Pieces come in sequence from one run, the
-// end comes once and last, and everything else is a *Fault with a code.
+// end comes once and last, and everything else is a *ReadError with a code.
 func FuzzReader(f *testing.F) {
 	whole := "event: piece\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":1,\"text\":\"x\",\"tokens\":1}\n\n" +
 		"event: end\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":2,\"tokens\":1,\"cached_tokens\":0}\n\n"
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -1,6 +1,6 @@
 // Package stream reads the server-sent events of a replica with strict checks
 // and writes events toward callers. A stream that is not whole never looks
-// whole: its reader returns a Fault and its writer ends with an error event and
+// whole: its reader returns a ReadError and its writer ends with an error event and
 // an aborted connection.
 package stream
 
@@ -193,7 +193,7 @@
 func (r *Reader) RunID() string { return r.order.RunID() }
 
 // Next returns the next event. After an End or an Error there are no more. Its
-// error is always a *Fault.
+// error is always a *ReadError.
 func (r *Reader) Next() (Event, error) {
 	r.resumeTimer()
 	for {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -79,7 +79,7 @@
 
 func fetch(t *testing.T, pool *Pool, address string) (string, error) {
 	t.Helper()
-	response, err := pool.Do(context.Background(), address, newRequest(t, http.MethodPost), []byte("body"))
+	response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), []byte("body"))
 	if err != nil {
 		return "", err
 	}
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	for _, method := range []string{http.MethodGet} {
-		err := exchange(context.Background(), pool, address, newRequest(t, method))
+		err := exchange(t.Context(), pool, address, newRequest(t, method))
 		var failure *Error
 		if !errors.As(err, &failure) || !failure.Sent {
 			t.Errorf("got %v", err)
@@ -225,7 +225,7 @@
 		_, _ = reader.ReadByte() // returns when the connection is closed
 		close(gone)
 	})
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	err := exchange(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
 	if !errors.Is(err, context.Canceled) {
@@ -247,7 +247,7 @@
 	pool := NewPool(Config{})
 	body := []byte(strings.Repeat("x", 32<<20)) // more than the buffers on the way take
 	for range 2 {
-		response, err := pool.Do(context.Background(), address, newRequest(t, http.MethodPost), body)
+		response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), body)
 		if err != nil {
 			t.Fatal(err)
 		}
