--- a/internal/checker/orders.go
+++ b/internal/checker/orders.go
@@ -91,24 +91,37 @@
 	if silence.start.Detail != FaultCut {
 		return
 	}
+	silent := l.silentControls(silence)
+	for _, of := range l.orders {
+		verdict.Examined += sentInSilence(of, silence, silent)
+		for _, answer := range of.answers {
+			if answer.Outcome == OrderAccepted && silent[answer.Gateway] && firstSent(of, answer.Gateway) > silence.start.At && answer.At < silence.end.At {
+				verdict.violate(fmt.Sprintf("order %s was accepted by %s while it was cut off", of.id, silence.start.Target), silence.start, answer)
+			}
+		}
+	}
+}
+
+// silentControls are the addresses of the control nodes that a silence is about.
+func (l *log) silentControls(silence silence) map[string]bool {
 	silent := map[string]bool{}
 	for _, node := range l.controls {
 		if node.Target == silence.start.Target || (silence.start.Region != "" && node.Region == silence.start.Region) {
 			silent[node.Gateway] = true
 		}
 	}
-	for _, of := range l.orders {
-		for _, sent := range of.sends {
-			if silent[sent.Gateway] && sent.At > silence.start.At && sent.At < silence.end.At {
-				verdict.Examined++
-			}
-		}
-		for _, answer := range of.answers {
-			if answer.Outcome == OrderAccepted && silent[answer.Gateway] && firstSent(of, answer.Gateway) > silence.start.At && answer.At < silence.end.At {
-				verdict.violate(fmt.Sprintf("order %s was accepted by %s while it was cut off", of.id, silence.start.Target), silence.start, answer)
-			}
+	return silent
+}
+
+// sentInSilence counts the sends of an order to silent nodes during their silence.
+func sentInSilence(of *order, silence silence, silent map[string]bool) int {
+	count := 0
+	for _, sent := range of.sends {
+		if silent[sent.Gateway] && sent.At > silence.start.At && sent.At < silence.end.At {
+			count++
 		}
 	}
+	return count
 }
 
 // firstSent is the stamp of the first send of an order to a node.
@@ -144,31 +157,44 @@
 }
 
 func checkAcceptedSerials(l *log, from, to int64, verdict *Verdict) {
-	var accepted []acknowledgement
-	for _, of := range l.orders {
-		if answer, ok := of.accepted(); ok && answer.Serial != 0 {
-			accepted = append(accepted, acknowledgement{order: of, answer: answer})
-		}
-	}
+	accepted := l.acceptedSerials()
 	for _, later := range accepted {
 		if later.answer.At < from || later.answer.At > to {
 			continue
 		}
 		verdict.Examined++
 		for _, earlier := range accepted {
-			if earlier.order == later.order || earlier.answer.At >= later.order.sends[0].At {
+			if !earlier.contradicts(later) {
 				continue
 			}
-			if !serialLess(earlier.answer.Serial, later.answer.Serial) {
-				summary := fmt.Sprintf("order %s was written at serial %d after order %s had been acknowledged at %d",
-					later.order.id, later.answer.Serial, earlier.order.id, earlier.answer.Serial)
-				verdict.violate(summary, earlier.answer, later.answer)
-				return
-			}
+			summary := fmt.Sprintf("order %s was written at serial %d after order %s had been acknowledged at %d",
+				later.order.id, later.answer.Serial, earlier.order.id, earlier.answer.Serial)
+			verdict.violate(summary, earlier.answer, later.answer)
+			return
 		}
 	}
 }
 
+// acceptedSerials are the acknowledgements that carry a serial.
+func (l *log) acceptedSerials() []acknowledgement {
+	var accepted []acknowledgement
+	for _, of := range l.orders {
+		if answer, ok := of.accepted(); ok && answer.Serial != 0 {
+			accepted = append(accepted, acknowledgement{order: of, answer: answer})
+		}
+	}
+	return accepted
+}
+
+// contradicts reports whether another order was sent after this one's
+// acknowledgement and got a serial that is no newer.
+func (earlier acknowledgement) contradicts(later acknowledgement) bool {
+	if earlier.order == later.order || earlier.answer.At >= later.order.sends[0].At {
+		return false
+	}
+	return !serialLess(earlier.answer.Serial, later.answer.Serial)
+}
+
 // serialLess compares serials by RFC 1982.
 func serialLess(a, b uint32) bool {
 	return a != b && b-a < 1<<31
--- a/internal/checker/recovery.go
+++ b/internal/checker/recovery.go
@@ -60,16 +60,21 @@
 		case FaultStart:
 			endLosses(list, fault, FaultKill)
 		case FaultRepaired:
-			for _, lost := range list {
-				if lost.end == never && (lost.fault.Detail == FaultWipe || lost.fault.Detail == FaultKill) {
-					lost.end = fault.At
-				}
-			}
+			endRepaired(list, fault)
 		}
 	}
 	return list
 }
 
+// endRepaired ends the losses that nothing but the repair of the group ends.
+func endRepaired(list []*loss, by eventlog.Event) {
+	for _, lost := range list {
+		if lost.end == never && (lost.fault.Detail == FaultWipe || lost.fault.Detail == FaultKill) {
+			lost.end = by.At
+		}
+	}
+}
+
 func endLosses(list []*loss, by eventlog.Event, detail string) {
 	for _, lost := range list {
 		if lost.end == never && lost.fault.Detail == detail && lost.fault.Target == by.Target {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -78,73 +78,108 @@
 // an expiry is never followed by a run, and that all bounds hold.
 func TestLedgerRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := LedgerConfig{MaxTickets: 6, MaxRetainedBytes: 100, Slack: 5 * time.Second}
-		ledger := NewLedger[*testRun](config)
-		runs := map[string]int{}
-		final := map[string]State{}
-		dead := map[string]bool{}
-		issued := map[string]Ticket{}
-		now := time.Duration(1)
+		h := newLedgerHistory(t)
 		for step := range 60 {
-			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond
+			h.step = step
+			h.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond
 			id := fmt.Sprintf("r%d", rapid.IntRange(0, 9).Draw(t, "request"))
-			switch rapid.IntRange(0, 2).Draw(t, "action") {
-			case 0:
-				fresh := Ticket{RequestID: id, Owner: "g", Incarnation: "i", IssuedAt: now, Expires: now + 10*time.Second}
-				if _, was := issued[id]; was {
-					continue // a caller keeps its first ticket
-				}
-				got, err := ledger.Issue(now, fresh)
-				if err == nil {
-					issued[id] = got
-				} else if !errors.Is(err, ErrFull) || ledger.Len() < config.MaxTickets {
-					t.Fatalf("step %d: issue: %v with %d remembered", step, err, ledger.Len())
-				}
-			case 1:
-				presented, was := issued[id]
-				if !was {
-					continue
-				}
-				standing, _ := ledger.Use(now, presented, 1, func() *testRun { return &testRun{bytes: 40} })
-				switch standing {
-				case StandingRun:
-					runs[id]++
-					if dead[id] || now >= presented.Expires {
-						t.Fatalf("step %d: %s runs after it was refused or expired", step, id)
-					}
-				case StandingExpired:
-					dead[id] = true
-					if runs[id] > 0 {
-						t.Fatalf("step %d: %s said never to have run", step, id)
-					}
-				case StandingForgotten:
-					if now < presented.Expires+config.Slack {
-						t.Fatalf("step %d: %s forgotten early", step, id)
-					}
-				}
-			case 2:
-				state := State(rapid.IntRange(int(StateAnswered), int(StateUnknown)).Draw(t, "state"))
-				if ledger.Finish(id, state) {
-					if _, was := final[id]; was {
-						t.Fatalf("step %d: %s finished twice", step, id)
-					}
-					final[id] = state
-					dead[id] = state == StateRefused
-				}
-			}
-			if state, ok := ledger.State(id); ok && final[id] != 0 && state != final[id] {
-				t.Fatalf("step %d: %s changed from %v to %v", step, id, final[id], state)
-			}
-			if runs[id] > 1 {
-				t.Fatalf("step %d: %s ran %d times", step, id, runs[id])
-			}
-			if ledger.Len() > config.MaxTickets || ledger.Retained() > config.MaxRetainedBytes {
-				t.Fatalf("step %d: %d tickets, %d bytes", step, ledger.Len(), ledger.Retained())
+			_, issued := h.issued[id]
+			switch action := rapid.IntRange(0, 2).Draw(t, "action"); {
+			case action == 0 && issued, action == 1 && !issued:
+				continue // a caller keeps its first ticket, and uses none before it
+			case action == 0:
+				h.issue(id)
+			case action == 1:
+				h.use(id)
+			default:
+				h.finish(id, State(rapid.IntRange(int(StateAnswered), int(StateUnknown)).Draw(t, "state")))
 			}
+			h.check(id)
 		}
 	})
 }
 
+// ledgerHistory is a ledger and the record of everything that happened to it, by
+// request.
+type ledgerHistory struct {
+	t      *rapid.T
+	config LedgerConfig
+	ledger *Ledger[*testRun]
+	step   int
+	now    time.Duration
+	issued map[string]Ticket
+	runs   map[string]int
+	final  map[string]State
+	// dead requests were refused or expired: they must not run.
+	dead map[string]bool
+}
+
+func newLedgerHistory(t *rapid.T) *ledgerHistory {
+	config := LedgerConfig{MaxTickets: 6, MaxRetainedBytes: 100, Slack: 5 * time.Second}
+	return &ledgerHistory{
+		t: t, config: config, ledger: NewLedger[*testRun](config), now: 1,
+		issued: map[string]Ticket{}, runs: map[string]int{}, final: map[string]State{}, dead: map[string]bool{},
+	}
+}
+
+// issue asks for the first ticket of a request.
+func (h *ledgerHistory) issue(id string) {
+	fresh := Ticket{RequestID: id, Owner: "g", Incarnation: "i", IssuedAt: h.now, Expires: h.now + 10*time.Second}
+	got, err := h.ledger.Issue(h.now, fresh)
+	if err == nil {
+		h.issued[id] = got
+	} else if !errors.Is(err, ErrFull) || h.ledger.Len() < h.config.MaxTickets {
+		h.t.Fatalf("step %d: issue: %v with %d remembered", h.step, err, h.ledger.Len())
+	}
+}
+
+// use presents the ticket of a request.
+func (h *ledgerHistory) use(id string) {
+	presented := h.issued[id]
+	standing, _ := h.ledger.Use(h.now, presented, 1, func() *testRun { return &testRun{bytes: 40} })
+	switch standing {
+	case StandingRun:
+		h.runs[id]++
+		if h.dead[id] || h.now >= presented.Expires {
+			h.t.Fatalf("step %d: %s runs after it was refused or expired", h.step, id)
+		}
+	case StandingExpired:
+		h.dead[id] = true
+		if h.runs[id] > 0 {
+			h.t.Fatalf("step %d: %s said never to have run", h.step, id)
+		}
+	case StandingForgotten:
+		if h.now < presented.Expires+h.config.Slack {
+			h.t.Fatalf("step %d: %s forgotten early", h.step, id)
+		}
+	}
+}
+
+// finish ends the run of a request, if there is one.
+func (h *ledgerHistory) finish(id string, state State) {
+	if !h.ledger.Finish(id, state) {
+		return
+	}
+	if _, was := h.final[id]; was {
+		h.t.Fatalf("step %d: %s finished twice", h.step, id)
+	}
+	h.final[id] = state
+	h.dead[id] = state == StateRefused
+}
+
+// check compares what the ledger remembers of a request, and its bounds.
+func (h *ledgerHistory) check(id string) {
+	if state, ok := h.ledger.State(id); ok && h.final[id] != 0 && state != h.final[id] {
+		h.t.Fatalf("step %d: %s changed from %v to %v", h.step, id, h.final[id], state)
+	}
+	if h.runs[id] > 1 {
+		h.t.Fatalf("step %d: %s ran %d times", h.step, id, h.runs[id])
+	}
+	if h.ledger.Len() > h.config.MaxTickets || h.ledger.Retained() > h.config.MaxRetainedBytes {
+		h.t.Fatalf("step %d: %d tickets, %d bytes", h.step, h.ledger.Len(), h.ledger.Retained())
+	}
+}
+
 func TestLedgerIssueAgain(t *testing.T) {
 	ledger := NewLedger[*testRun](LedgerConfig{MaxTickets: 2, MaxRetainedBytes: 10, Slack: time.Second})
 	first := testTicket()
