--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -181,7 +181,7 @@
 	drainedAt atomic.Int64
 	failures  *rate.Limiter // of log lines about requests
 	// work ends when the process stops waiting for requests.
-	work     context.Context
+	work     context.Context //nolint:containedctx // the life of the gateway: runs and loops outlast the call that began them
 	stopWork context.CancelCauseFunc
 	running  *activity
 	polling  *inProgress
@@ -331,7 +331,7 @@
 // mayAccept is why the gateway may not take anything new; nil if it may.
 func (g *Gateway) mayAccept() *api.Error {
 	if g.draining.Load() {
-		return refusedLater(api.CodeNotReady, comeBack, "the gateway is leaving")
+		return refusedLater(api.CodeNotReady, "the gateway is leaving")
 	}
 	return g.mayPlace()
 }
@@ -339,10 +339,10 @@
 // mayPlace is why the gateway may not place a request now; nil if it may.
 func (g *Gateway) mayPlace() *api.Error {
 	if !g.agent.Valid() {
-		return refusedLater(api.CodeNoLease, comeBack, "the gateway has no lease from the primary")
+		return refusedLater(api.CodeNoLease, "the gateway has no lease from the primary")
 	}
 	if g.agent.Active() == nil {
-		return refusedLater(api.CodeNotReady, comeBack, "the gateway has no copy of the registry yet")
+		return refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet")
 	}
 	return nil
 }
