--- a/loadexchange/world_test.go
+++ b/loadexchange/world_test.go
@@ -67,7 +67,7 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(value any) {
-	*q = append(*q, value.(event))
+	*q = append(*q, value.(event)) //nolint:forcetypeassert // heap.Push is called with events only
 }
 
 func (q *eventQueue) Pop() any {
@@ -84,6 +84,7 @@
 
 // newWorld makes so many gateways in each region.
 func newWorld(t *testing.T, seed uint64, regions map[string]int) *world {
+	t.Helper()
 	w := &world{
 		t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 7)),
 		up: make(map[string]Gateway), gateways: make(map[string]*worldGateway), replicas: make(map[peer.ReplicaKey]string),
@@ -130,7 +131,7 @@
 func (w *world) run(length time.Duration) {
 	end := w.now.Add(length)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		next := heap.Pop(&w.events).(event)
+		next := heap.Pop(&w.events).(event) //nolint:forcetypeassert // the heap holds events only
 		w.now = next.at
 		next.run()
 	}
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -26,6 +26,7 @@
 }
 
 func newOverload(t *testing.T) *overload {
+	t.Helper()
 	f := newFleet(t)
 	f.set(catalog.LimitsRecord(catalog.Limits{QueueLength: 64}))
 	f.set(catalog.TenantRecord("double", catalog.Tenant{Weight: 2}))
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -1,6 +1,6 @@
 // Package stream reads the server-sent events of a replica with strict checks
 // and writes events toward callers. A stream that is not whole never looks
-// whole: its reader returns a Fault and its writer ends with an error event and
+// whole: its reader returns a ReadError and its writer ends with an error event and
 // an aborted connection.
 package stream
 
@@ -163,7 +163,7 @@
 // NewReader reads from source. Close gives its buffers back.
 func NewReader(source io.Reader, options Options) *Reader {
 	r := &Reader{order: Order{RequestID: options.RequestID}, gap: options.Gap}
-	r.lines = lineReaders.Get().(*bufio.Reader)
+	r.lines = lineReaders.Get().(*bufio.Reader) //nolint:forcetypeassert // New of the pool makes nothing else
 	r.lines.Reset(source)
 	if options.Gap > 0 {
 		r.timer = time.AfterFunc(options.Gap, func() {
@@ -193,7 +193,7 @@
 func (r *Reader) RunID() string { return r.order.RunID() }
 
 // Next returns the next event. After an End or an Error there are no more. Its
-// error is always a *Fault.
+// error is always a *ReadError.
 func (r *Reader) Next() (Event, error) {
 	r.resumeTimer()
 	for {
