--- /dev/null
+++ b/control/driver/driver.go
@@ -0,0 +1,283 @@
+// Package driver drives one node's part of the replicated log: it persists, sends and
+// applies what package consensus asks for, and keeps the state that results.
+//
+// It knows nothing of what a leader does with its leadership: package engine does.
+package driver
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/membership"
+	"github.com/deckpulley/deckpulley/control/metrics"
+	"github.com/deckpulley/deckpulley/control/statemachine"
+	"github.com/deckpulley/deckpulley/internal/planted"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/registry"
+	"github.com/deckpulley/deckpulley/storage"
+	"github.com/deckpulley/deckpulley/transport"
+)
+
+// Config sets up a Driver. All but ElectionTimeout, HeartbeatInterval and Voters are
+// required.
+type Config struct {
+	Network transport.Network
+	Store   storage.Store
+	Logger  *slog.Logger
+	Metrics *metrics.Metrics
+
+	// ElectionTimeout, HeartbeatInterval, StartupTimeout and Seed are passed to the
+	// replicated log.
+	ElectionTimeout   time.Duration
+	HeartbeatInterval time.Duration
+	StartupTimeout    time.Duration
+	Seed              uint64
+	// SnapshotInterval is the number of entries applied between two snapshots.
+	SnapshotInterval uint64
+	// Voters is the number of voters of a complete group, if above that of its
+	// bootstrap.
+	Voters int
+}
+
+// Driver is one node's part of the replicated log. Its methods run on the event loop
+// alone; now is the monotonic time of the event queue.
+type Driver struct {
+	config   Config
+	log      *slog.Logger
+	identity consensus.ID
+
+	// cluster is empty and group nil until this node has a group.
+	cluster string
+	group   *consensus.Node
+	// state is nil until the first snapshot of the group is here.
+	state *statemachine.State
+	// catalog is the typed reading of the state's table.
+	catalog *catalog.State
+	// applied is the index of the newest entry in the state, and snapshotIndex that
+	// of the newest snapshot on disk.
+	applied       uint64
+	snapshotIndex uint64
+
+	waiters map[uint64]waiter // by log index
+	// addresses are those of members that other nodes named.
+	addresses map[consensus.ID]string
+	failure   error // a failed write outside of ProcessReady; ends the node
+}
+
+// New reads the disk.
+func New(config Config, now time.Duration) (*Driver, error) {
+	loaded, err := config.Store.Load()
+	if err != nil {
+		return nil, fmt.Errorf("control: reading the disk: %w", err)
+	}
+	d := &Driver{
+		config:    config,
+		log:       config.Logger,
+		identity:  loaded.Identity,
+		cluster:   loaded.Cluster,
+		waiters:   make(map[uint64]waiter),
+		addresses: make(map[consensus.ID]string),
+	}
+	if err := d.completeGroupEntry(loaded.Snapshot); err != nil {
+		return nil, err
+	}
+	if d.cluster == "" {
+		return d, nil
+	}
+	if err := d.open(loaded, now); err != nil {
+		return nil, err
+	}
+	return d, nil
+}
+
+// open starts the replicated log from what the disk contains.
+func (d *Driver) open(loaded storage.State, now time.Duration) error {
+	group, err := consensus.New(consensus.Config{
+		ID:                d.identity,
+		ElectionTimeout:   d.config.ElectionTimeout,
+		StartupTimeout:    d.config.StartupTimeout,
+		HeartbeatInterval: d.config.HeartbeatInterval,
+		Seed:              d.config.Seed,
+		HardState:         loaded.HardState,
+		Snapshot:          loaded.Snapshot,
+		Entries:           loaded.Entries,
+		Applied:           loaded.Snapshot.Index,
+	})
+	if err != nil {
+		return fmt.Errorf("control: opening the replicated log: %w", err)
+	}
+	d.group = group
+	d.group.Tick(now)
+	if loaded.Snapshot.Index == 0 {
+		return nil
+	}
+	return d.restore(loaded.Snapshot)
+}
+
+// Identity is that of this node's disk.
+func (d *Driver) Identity() consensus.ID { return d.identity }
+
+// Cluster is the id of the group; empty until this node has one.
+func (d *Driver) Cluster() string { return d.cluster }
+
+// Group is the replicated log; nil until this node has a group.
+func (d *Driver) Group() *consensus.Node { return d.group }
+
+// State is the replicated state; nil until the first snapshot of the group is here.
+// Only the driver changes it.
+func (d *Driver) State() *statemachine.State { return d.state }
+
+// Catalog is the typed reading of the state's table, as of the last ProcessReady; nil
+// until there is a state.
+func (d *Driver) Catalog() *catalog.State { return d.catalog }
+
+// Applied is the index of the newest entry in the state.
+func (d *Driver) Applied() uint64 { return d.applied }
+
+// Failure is a failed write that must end the node; nil if there was none.
+func (d *Driver) Failure() error { return d.failure }
+
+// Tick passes the time on. It comes before every other input.
+func (d *Driver) Tick(now time.Duration) {
+	if d.group != nil {
+		d.group.Tick(now)
+	}
+}
+
+// Step hands one message to the replicated log. It returns false if the message is of
+// another group.
+func (d *Driver) Step(now time.Duration, wrapped peer.ConsensusMessage) bool {
+	if d.group == nil || wrapped.Cluster != d.cluster {
+		d.config.Metrics.ForeignMessages.Inc()
+		return false
+	}
+	if err := d.group.Step(now, wrapped.Message); err != nil {
+		d.log.Debug("consensus message rejected", "from", string(wrapped.Message.From), "error", err)
+	}
+	return true
+}
+
+// ProcessReady does one batch of the replicated log's work in the order that safety
+// needs: the disk first, then the messages, then the state. It calls applied after
+// each entry.
+func (d *Driver) ProcessReady(applied func(consensus.Entry)) error {
+	ready := d.group.Ready()
+	if err := d.persist(ready); err != nil {
+		return err
+	}
+	d.send(ready.Messages)
+	if ready.Snapshot != nil {
+		if err := d.install(*ready.Snapshot); err != nil {
+			return err
+		}
+	}
+	for _, entry := range ready.CommittedEntries {
+		if err := d.apply(entry); err != nil {
+			return err
+		}
+		applied(entry)
+	}
+	if err := d.updateCatalog(); err != nil {
+		return err
+	}
+	d.group.Advance(ready)
+	return d.compact()
+}
+
+// persist syncs what the batch's messages depend on.
+func (d *Driver) persist(ready consensus.Ready) error {
+	if ready.Snapshot == nil && ready.HardState == nil && len(ready.Entries) == 0 {
+		return nil
+	}
+	start := time.Now()
+	if err := storage.Persist(d.config.Store, ready); err != nil {
+		return fmt.Errorf("control: writing the log: %w", err)
+	}
+	d.config.Metrics.SyncSeconds.Observe(time.Since(start).Seconds())
+	return nil
+}
+
+// send hands messages to the network. A member without a known address gets
+// nothing: discovery looks for it.
+func (d *Driver) send(messages []consensus.Message) {
+	if len(messages) == 0 {
+		return
+	}
+	current := d.group.Status().Membership
+	for _, message := range messages {
+		address := d.AddressOf(current, message.To)
+		if address == "" {
+			d.config.Metrics.UnknownAddresses.Inc()
+			continue
+		}
+		d.config.Network.Send(address, peer.KindConsensus, peer.ConsensusMessage{Cluster: d.cluster, Message: message})
+	}
+}
+
+// AddressOf returns a member's peer address from the membership, or from what other
+// nodes named; empty if unknown.
+func (d *Driver) AddressOf(current consensus.Membership, id consensus.ID) string {
+	if member, found := membership.Find(current, id); found {
+		return member.Address
+	}
+	return d.addresses[id]
+}
+
+// LearnAddresses keeps where members are that the membership may not have yet.
+func (d *Driver) LearnAddresses(members []consensus.Member) {
+	for _, member := range members {
+		if member.ID != consensus.None {
+			d.addresses[member.ID] = member.Address
+		}
+	}
+}
+
+// apply applies one committed entry and answers who waits for it.
+func (d *Driver) apply(entry consensus.Entry) error {
+	var result registry.Result
+	switch entry.Kind {
+	case consensus.EntryNormal:
+		update, err := registry.DecodeUpdate(entry.Data)
+		if err != nil {
+			return fmt.Errorf("control: committed entry %d: %w", entry.Index, err)
+		}
+		if planted.Active(planted.ForgetEvacuations) && d.group.Status().Role != consensus.Leader {
+			update.Changes = slices.DeleteFunc(update.Changes, func(change registry.Record) bool { return change.Type == catalog.TypeEvacuation })
+		}
+		result = d.state.Apply(&update)
+		d.config.Metrics.Updates.WithLabelValues(result.Code.String()).Inc()
+	case consensus.EntryMembership:
+		d.log.Info("membership change committed", "index", entry.Index, "term", entry.Term)
+	}
+	d.applied = entry.Index
+	d.answerWaiter(entry, result)
+	return nil
+}
+
+// updateCatalog brings the typed reading of the table up to date.
+func (d *Driver) updateCatalog() error {
+	if d.state == nil {
+		return nil
+	}
+	if d.catalog != nil && d.catalog.Serial() == d.state.Table.Serial() {
+		return nil
+	}
+	next, err := d.nextCatalog()
+	if err != nil {
+		return fmt.Errorf("control: reading the table: %w", err)
+	}
+	d.catalog = next
+	return nil
+}
+
+func (d *Driver) nextCatalog() (*catalog.State, error) {
+	view := d.state.Table.View()
+	if d.catalog == nil {
+		return catalog.Read(view)
+	}
+	return d.catalog.Next(view, d.state.Table.TransferSince(d.catalog.Serial()))
+}
--- a/control/engine/snapshot.go
+++ b/control/driver/snapshot.go
@@ -1,4 +1,4 @@
-package engine
+package driver
 
 import (
 	"fmt"
@@ -12,52 +12,51 @@
 const retainedEntries = 1024
 
 // restore replaces the state by a snapshot's.
-func (m *machine) restore(snapshot consensus.Snapshot) error {
+func (d *Driver) restore(snapshot consensus.Snapshot) error {
 	content, err := statemachine.Decode(snapshot.Data)
 	if err != nil {
 		return err
 	}
-	if content.Cluster != m.cluster {
-		return fmt.Errorf("control: snapshot %d belongs to group %s, this node to %s", snapshot.Index, content.Cluster, m.cluster)
+	if content.Cluster != d.cluster {
+		return fmt.Errorf("control: snapshot %d belongs to group %s, this node to %s", snapshot.Index, content.Cluster, d.cluster)
 	}
 	state, err := statemachine.Restore(content)
 	if err != nil {
 		return fmt.Errorf("control: restoring snapshot %d: %w", snapshot.Index, err)
 	}
-	state.Voters = max(state.Voters, m.config.Voters)
-	m.state = state
-	m.catalog = nil
-	m.transfers.Reset()
-	m.applied = snapshot.Index
-	m.snapshotIndex = snapshot.Index
-	return m.updateCatalog()
+	state.Voters = max(state.Voters, d.config.Voters)
+	d.state = state
+	d.catalog = nil
+	d.applied = snapshot.Index
+	d.snapshotIndex = snapshot.Index
+	return d.updateCatalog()
 }
 
 // install takes a snapshot that the leader sent; persist has stored it.
-func (m *machine) install(snapshot consensus.Snapshot) error {
-	m.log.Info("snapshot installed", "index", snapshot.Index, "term", snapshot.Term)
-	m.failWaiters(ErrLeadershipLost)
-	return m.restore(snapshot)
+func (d *Driver) install(snapshot consensus.Snapshot) error {
+	d.log.Info("snapshot installed", "index", snapshot.Index, "term", snapshot.Term)
+	d.FailWaiters(ErrLeadershipLost)
+	return d.restore(snapshot)
 }
 
 // compact stores a snapshot when enough was applied since the last one.
-func (m *machine) compact() error {
-	if m.state == nil || m.applied < m.snapshotIndex+m.config.SnapshotInterval {
+func (d *Driver) compact() error {
+	if d.state == nil || d.applied < d.snapshotIndex+d.config.SnapshotInterval {
 		return nil
 	}
-	data, err := m.state.Encode(m.cluster)
+	data, err := d.state.Encode(d.cluster)
 	if err != nil {
 		return err
 	}
-	snapshot, err := m.group.Compact(m.applied, data, retainedEntries)
+	snapshot, err := d.group.Compact(d.applied, data, retainedEntries)
 	if err != nil {
 		return fmt.Errorf("control: compacting the log: %w", err)
 	}
-	if err := m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, retainedEntries)); err != nil {
+	if err := d.config.Store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, retainedEntries)); err != nil {
 		return fmt.Errorf("control: writing a snapshot: %w", err)
 	}
-	m.snapshotIndex = snapshot.Index
-	m.metrics.Snapshots.Inc()
-	m.log.Info("snapshot written", "index", snapshot.Index, "term", snapshot.Term, "bytes", len(data))
+	d.snapshotIndex = snapshot.Index
+	d.config.Metrics.Snapshots.Inc()
+	d.log.Info("snapshot written", "index", snapshot.Index, "term", snapshot.Term, "bytes", len(data))
 	return nil
 }
--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if m.group != nil {
+	if m.driver.Group() != nil {
 		return m
 	}
 	snapshot, err := statemachine.First("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
-	if err != nil || !m.enterGroup(0, "cluster", snapshot) {
+	if err != nil || !m.driver.EnterGroup(0, "cluster", snapshot) {
 		tb.Fatal("no group was formed: ", err)
 	}
 	return m
--- a/control/engine/engine.go
+++ b/control/engine/engine.go
@@ -45,7 +45,7 @@
 // for an update is answered before it returns.
 func (e *Engine) Run(stop <-chan struct{}) error {
 	err := e.loop(stop)
-	e.machine.failWaiters(eventqueue.ErrStopped)
+	e.machine.driver.FailWaiters(eventqueue.ErrStopped)
 	return err
 }
 
--- a/control/engine/gateways_test.go
+++ b/control/engine/gateways_test.go
@@ -21,10 +21,10 @@
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
 	crowd := newCrowd(gateways, "1")
-	before := m.state.Table.Serial()
+	before := m.table().Serial()
 	crowd.renew(t, m, now)
 	m.advance(t, &now, 50*time.Millisecond)
-	if changes := m.state.Table.Serial() - before; changes > mostChanges {
+	if changes := m.table().Serial() - before; changes > mostChanges {
 		t.Errorf("%d gateways that came at once are %d changes of the registry, want at most %d", gateways, changes, mostChanges)
 	}
 	crowd.renew(t, m, now)
@@ -81,7 +81,7 @@
 // recorded counts the member records with an incarnation.
 func (m *machine) recorded(incarnation string) int {
 	count := 0
-	for _, record := range m.catalog.Gateways() {
+	for _, record := range m.driver.Catalog().Gateways() {
 		if record.Incarnation == incarnation {
 			count++
 		}
@@ -107,7 +107,7 @@
 	}
 	crowd := newCrowd(2, "2")
 	ready := now
-	for m.catalog.Gateways()["gateway-1"].Incarnation != "2" {
+	for m.driver.Catalog().Gateways()["gateway-1"].Incarnation != "2" {
 		crowd.renew(t, m, now)
 		m.advance(t, &now, DefaultTickInterval)
 		if now-ready > leases.TakeoverDelay+200*time.Millisecond {
@@ -166,7 +166,7 @@
 		} else if transfer != nil {
 			c[i].ReceivedSerial = transfer.To
 		}
-		if c[i].ReceivedSerial != m.state.Table.Serial() {
+		if c[i].ReceivedSerial != m.table().Serial() {
 			behind++
 		}
 	}
--- a/control/engine/leadership.go
+++ b/control/engine/leadership.go
@@ -6,6 +6,7 @@
 
 	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/driver"
 	"github.com/deckpulley/deckpulley/control/leases"
 	"github.com/deckpulley/deckpulley/control/membership"
 	"github.com/deckpulley/deckpulley/control/permission"
@@ -31,11 +32,11 @@
 
 // followLeadership begins and ends the leadership as the replicated log says.
 func (m *machine) followLeadership(now time.Duration) {
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	if m.leadership != nil && (status.Role != consensus.Leader || status.Term != m.leadership.term) {
 		m.log.Warn("leadership lost", "term", m.leadership.term, "newest_term", status.Term)
 		m.leadership = nil
-		m.failWaiters(ErrLeadershipLost)
+		m.driver.FailWaiters(driver.ErrLeadershipLost)
 	}
 	if m.leadership == nil && status.Role == consensus.Leader {
 		m.log.Info("elected leader", "term", status.Term)
@@ -52,11 +53,11 @@
 // it everything that was committed before.
 func (m *machine) startServing(now time.Duration, entry consensus.Entry) {
 	leadership := m.leadership
-	if leadership == nil || leadership.leases != nil || entry.Term != leadership.term || m.state == nil {
+	if leadership == nil || leadership.leases != nil || entry.Term != leadership.term || m.driver.State() == nil {
 		return
 	}
 	config := leases.Config{Lease: m.config.Lease, GatewayGrace: m.config.GatewayGrace}
-	serial := m.state.Table.Serial()
+	serial := m.table().Serial()
 	leadership.leases = leases.NewManager(config, leadership.term, leadership.elected, now, serial)
 	m.log.Info("serving as primary", "term", leadership.term, "serial", serial)
 }
@@ -76,15 +77,15 @@
 }
 
 func (m *machine) transferLeadership(now time.Duration) {
-	if m.group == nil {
+	if m.driver.Group() == nil {
 		return
 	}
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	target := membership.Successor(status)
 	if status.Role != consensus.Leader || target == consensus.None {
 		return
 	}
-	if err := m.group.TransferLeadership(now, target); err != nil {
+	if err := m.driver.Group().TransferLeadership(now, target); err != nil {
 		m.log.Warn("leadership transfer failed", "term", status.Term, "error", err)
 		return
 	}
--- a/control/engine/members.go
+++ b/control/engine/members.go
@@ -27,13 +27,13 @@
 // join records the request of a node. It is accepted if the node is a member
 // already or may be admitted.
 func (m *machine) join(now time.Duration, member consensus.Member) peer.JoinReply {
-	reply := peer.JoinReply{Cluster: m.cluster}
-	if m.group == nil {
+	reply := peer.JoinReply{Cluster: m.driver.Cluster()}
+	if m.driver.Group() == nil {
 		return reply
 	}
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	reply.Members = status.Membership.Members
-	reply.Primary = m.addressOf(status.Membership, status.Leader)
+	reply.Primary = m.driver.AddressOf(status.Membership, status.Leader)
 	leadership, serving := m.serving()
 	if !serving {
 		return reply
@@ -73,14 +73,14 @@
 	for _, holder := range leadership.leases.Expired(now) {
 		m.log.Warn("lease expired", "gateway", holder.Holder, "incarnation", holder.Incarnation, "term", leadership.term)
 	}
-	for _, change := range leadership.leases.Lapsed(now, m.catalog) {
+	for _, change := range leadership.leases.Lapsed(now, m.driver.Catalog()) {
 		m.changeGatewayRecord(now, change)
 	}
 }
 
 // recordHead puts this node into the head record as the primary.
 func (m *machine) recordHead(now time.Duration, leadership *leadership) {
-	head := m.state.Table.SOA()
+	head := m.table().SOA()
 	if leadership.headPending || head.Primary == m.config.Name {
 		return
 	}
@@ -107,13 +107,13 @@
 // memberChanges adds records before it deletes any, since the last one must stay.
 func (m *machine) memberChanges() []registry.Record {
 	missing := make(map[string]bool)
-	for _, member := range m.group.Status().Membership.Members {
+	for _, member := range m.driver.Group().Status().Membership.Members {
 		if !member.Learner {
 			missing[member.Name] = true
 		}
 	}
 	var deleted []registry.Record
-	for _, record := range m.state.Table.View().Lookup(catalog.Apex, registry.TypeNS) {
+	for _, record := range m.table().View().Lookup(catalog.Apex, registry.TypeNS) {
 		name := string(record.Data)
 		if !missing[name] {
 			deleted = append(deleted, registry.DeleteRecord(record))
@@ -131,10 +131,10 @@
 func (m *machine) repairGroup(now time.Duration) {
 	leadership := m.leadership
 	leadership.members.ExpireJoins(now)
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	leadership.members.Observe(now, status.Membership)
 	self := m.self()
-	if known, found := membership.Find(status.Membership, m.identity); found && known != self {
+	if known, found := membership.Find(status.Membership, m.driver.Identity()); found && known != self {
 		leadership.members.RecordMove(membership.JoinRequest{Member: self, ReceivedAt: now})
 	}
 	repair := m.repair(now, status)
@@ -142,7 +142,7 @@
 	if !needed {
 		return
 	}
-	index, _, err := m.group.ProposeMembership(now, next.Membership)
+	index, _, err := m.driver.Group().ProposeMembership(now, next.Membership)
 	switch {
 	case errors.Is(err, consensus.ErrMembershipPending):
 	case err != nil:
@@ -154,7 +154,7 @@
 
 // self is this node as a member of the group.
 func (m *machine) self() consensus.Member {
-	return consensus.Member{ID: m.identity, Name: m.config.Name, Address: m.config.PeerAddress, Zone: m.config.Zone}
+	return consensus.Member{ID: m.driver.Identity(), Name: m.config.Name, Address: m.config.PeerAddress, Zone: m.config.Zone}
 }
 
 func (m *machine) repair(now time.Duration, status consensus.Status) membership.Repair {
@@ -164,7 +164,7 @@
 		Status:       status,
 		Joins:        m.leadership.members.Joins(),
 		FirstSeen:    m.leadership.members.FirstSeen(),
-		Voters:       m.state.Voters,
+		Voters:       m.driver.State().Voters,
 		ReplaceAfter: m.config.ReplaceAfter,
 	}
 }
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -34,26 +34,26 @@
 
 // renew decides one renewal.
 func (m *machine) renew(now time.Duration, renew peer.Renew) peer.Grant {
-	grant := peer.Grant{Cluster: m.cluster}
-	if m.group == nil {
+	grant := peer.Grant{Cluster: m.driver.Cluster()}
+	if m.driver.Group() == nil {
 		return grant
 	}
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	grant.Term = status.Term
 	grant.ControlAddresses = membership.Addresses(status.Membership)
 	leadership, serving := m.serving()
 	if !serving {
-		grant.Primary = m.addressOf(status.Membership, status.Leader)
+		grant.Primary = m.driver.AddressOf(status.Membership, status.Leader)
 		m.addFirstTable(now, &grant, renew)
 		return grant
 	}
 	if m.foreign(renew, status.Term) {
-		grant.Primary = m.addressOf(status.Membership, status.Leader)
+		grant.Primary = m.driver.AddressOf(status.Membership, status.Leader)
 		return grant
 	}
-	contact, known := m.group.QuorumContact()
+	contact, known := m.driver.Group().QuorumContact()
 	decision := leadership.leases.Renew(now, contact, known, &renew)
-	if change, needed := leadership.leases.RecordRenewal(now, m.catalog, &renew); needed {
+	if change, needed := leadership.leases.RecordRenewal(now, m.driver.Catalog(), &renew); needed {
 		m.changeGatewayRecord(now, change)
 	}
 	grant.ActivationSerial = decision.ActivationSerial
@@ -63,10 +63,10 @@
 	}
 	m.metrics.Renewals.WithLabelValues(renewalGranted).Inc()
 	grant.Granted = true
-	if leadership.leases.MayLease(m.catalog, renew.Gateway) {
+	if leadership.leases.MayLease(m.driver.Catalog(), renew.Gateway) {
 		grant.LeaseMS = decision.LeaseDuration.Milliseconds()
 	}
-	m.transfers.Add(now, &grant, m.state.Table, renew.ReceivedSerial)
+	m.transfers.Add(now, &grant, m.table(), renew.ReceivedSerial)
 	return grant
 }
 
@@ -75,22 +75,22 @@
 // says so. After a loss of power the primary alone could not send the complete table
 // to all gateways at once.
 func (m *machine) addFirstTable(now time.Duration, grant *peer.Grant, renew peer.Renew) {
-	sameGroup := renew.Cluster == "" || renew.Cluster == m.cluster
-	if renew.ReceivedSerial == 0 && sameGroup && grant.Primary != "" && m.state != nil {
-		m.transfers.Add(now, grant, m.state.Table, renew.ReceivedSerial)
+	sameGroup := renew.Cluster == "" || renew.Cluster == m.driver.Cluster()
+	if renew.ReceivedSerial == 0 && sameGroup && grant.Primary != "" && m.driver.State() != nil {
+		m.transfers.Add(now, grant, m.table(), renew.ReceivedSerial)
 	}
 }
 
 // foreign is true for a renewal that this primary must not answer with a grant:
 // from another group, or from a gateway that knows a newer term or serial.
 func (m *machine) foreign(renew peer.Renew, term uint64) bool {
-	if renew.Cluster != "" && renew.Cluster != m.cluster {
+	if renew.Cluster != "" && renew.Cluster != m.driver.Cluster() {
 		return true
 	}
 	if renew.Term > term {
 		return true
 	}
-	serial := m.state.Table.Serial()
+	serial := m.table().Serial()
 	ahead := renew.ReceivedSerial != 0 && registry.SerialLess(serial, renew.ReceivedSerial)
 	if ahead {
 		m.log.Error("gateway ahead of primary", "gateway", renew.Gateway.Name, "received_serial", renew.ReceivedSerial, "serial", serial, "term", term)
@@ -125,12 +125,12 @@
 	if !serving {
 		return
 	}
-	leadership.leases.ExpectHolders(now, m.catalog)
+	leadership.leases.ExpectHolders(now, m.driver.Catalog())
 	if leadership.leases.NeedsConfirmation() {
-		m.group.ConfirmLeadership(now)
+		m.driver.Group().ConfirmLeadership(now)
 	}
-	contact, known := m.group.QuorumContact()
-	if leadership.leases.Review(contact, known, m.state.Table.Serial()) && leadership.leases.TakeNotification() {
+	contact, known := m.driver.Group().QuorumContact()
+	if leadership.leases.Review(contact, known, m.table().Serial()) && leadership.leases.TakeNotification() {
 		m.notifyGateways(leadership)
 	}
 }
@@ -140,13 +140,13 @@
 func (m *machine) notifyGateways(leadership *leadership) {
 	review := leadership.leases.LastReview()
 	notify := peer.Notify{
-		Cluster:          m.cluster,
+		Cluster:          m.driver.Cluster(),
 		Term:             leadership.term,
 		Primary:          m.config.PeerAddress,
 		Serial:           review.Serial,
 		ActivationSerial: review.Activate,
 	}
-	for _, address := range leadership.leases.Addresses(m.catalog) {
-		m.network.Send(address, peer.KindNotify, &notify)
+	for _, address := range leadership.leases.Addresses(m.driver.Catalog()) {
+		m.config.Network.Send(address, peer.KindNotify, &notify)
 	}
 }
--- a/control/engine/report.go
+++ b/control/engine/report.go
@@ -48,12 +48,12 @@
 	if !serving {
 		return PrimaryReport{}
 	}
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	repair := m.repair(now, status)
 	report := PrimaryReport{
 		Primary:        true,
 		Status:         status,
-		Catalog:        m.catalog,
+		Catalog:        m.driver.Catalog(),
 		RepairDone:     repair.Done(),
 		Reachable:      make(map[consensus.ID]bool, len(status.Membership.Members)),
 		Leases:         leadership.leases.Holders(now),
@@ -84,7 +84,7 @@
 	if _, serving := m.serving(); !serving {
 		return ReadBarrier{}
 	}
-	status := m.group.Status()
+	status := m.driver.Group().Status()
 	return ReadBarrier{Primary: true, Term: status.Term, Commit: status.Commit, AskedAt: now}
 }
 
@@ -116,14 +116,14 @@
 	if _, serving := m.serving(); !serving {
 		return OperationState{}
 	}
-	answer, decided := m.catalog.OperationResult(id)
+	answer, decided := m.driver.Catalog().OperationResult(id)
 	return OperationState{
 		Primary:  true,
 		Decided:  decided,
 		Answer:   answer,
-		Serial:   m.state.Operations.Serial(catalog.OperationName(id)),
-		Catalog:  m.catalog,
-		Sequence: m.applied,
-		Surplus:  m.state.Operations.Surplus(statemachine.OperationLimit),
+		Serial:   m.driver.State().Operations.Serial(catalog.OperationName(id)),
+		Catalog:  m.driver.Catalog(),
+		Sequence: m.driver.Applied(),
+		Surplus:  m.driver.State().Operations.Surplus(statemachine.OperationLimit),
 	}
 }
--- a/control/executor/executor.go
+++ b/control/executor/executor.go
@@ -14,6 +14,7 @@
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/control/apierror"
 	"github.com/deckpulley/deckpulley/control/discovery"
+	"github.com/deckpulley/deckpulley/control/driver"
 	"github.com/deckpulley/deckpulley/control/engine"
 	"github.com/deckpulley/deckpulley/control/eventqueue"
 	"github.com/deckpulley/deckpulley/control/metrics"
@@ -157,4 +158,4 @@
 
 // mayBeProposed says whether an update may have been proposed, by the error of its
 // proposal.
-func mayBeProposed(err error) bool { return !errors.Is(err, engine.ErrNotPrimary) }
+func mayBeProposed(err error) bool { return !errors.Is(err, driver.ErrNotPrimary) }
--- a/control/readindex/readindex.go
+++ b/control/readindex/readindex.go
@@ -9,6 +9,7 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/control/apierror"
+	"github.com/deckpulley/deckpulley/control/driver"
 	"github.com/deckpulley/deckpulley/control/engine"
 	"github.com/deckpulley/deckpulley/control/message"
 	"github.com/deckpulley/deckpulley/transport"
@@ -60,7 +61,7 @@
 	}
 	primary := observed.LeaderAddress()
 	if primary == "" || primary == r.peerAddress {
-		return 0, engine.ErrNotPrimary
+		return 0, driver.ErrNotPrimary
 	}
 	var reply message.ReadIndexReply
 	if err := r.network.Call(ctx, primary, message.KindReadIndex, &message.ReadIndexRequest{}, &reply); err != nil {
@@ -74,7 +75,7 @@
 func (r *Reader) ownReadIndex(ctx context.Context) (uint64, error) {
 	barrier, err := r.engine.ReadBarrier(ctx)
 	if err != nil || !barrier.Primary {
-		return 0, engine.ErrNotPrimary
+		return 0, driver.ErrNotPrimary
 	}
 	confirmed := false
 	r.engine.WaitUntil(ctx, func(o *engine.Observation) bool {
@@ -85,7 +86,7 @@
 		return confirmed
 	})
 	if !confirmed {
-		return 0, engine.ErrNotPrimary
+		return 0, driver.ErrNotPrimary
 	}
 	return barrier.Commit, nil
 }
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -11,6 +11,7 @@
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/consensus"
 	"github.com/deckpulley/deckpulley/control/discovery"
+	"github.com/deckpulley/deckpulley/control/driver"
 	"github.com/deckpulley/deckpulley/control/engine"
 	"github.com/deckpulley/deckpulley/control/message"
 	"github.com/deckpulley/deckpulley/settings"
@@ -90,7 +91,7 @@
 		return message.Overview{}, err
 	}
 	if !report.Primary {
-		return message.Overview{}, engine.ErrNotPrimary
+		return message.Overview{}, driver.ErrNotPrimary
 	}
 	view := r.overviewOf(report, alive)
 	r.fillMembers(view.Status.Members)
--- a/control/transfer/transfer.go
+++ b/control/transfer/transfer.go
@@ -38,9 +38,6 @@
 	}
 }
 
-// Reset forgets the prepared transfers, when the table was replaced.
-func (s *Sender) Reset() { s.cache.byReceived = nil }
-
 // Add puts into a grant what brings a replica with the received serial up to date
 // with the table; 0 is no replica. A gateway that has one may have to wait for a
 // large transfer until a later renewal.
@@ -55,8 +52,10 @@
 	grant.Transfer, grant.Packed = prepared.transfer, prepared.packed
 }
 
-// cache keeps the transfers from one serial, since many gateways have the same.
+// cache keeps the transfers to one serial of one table, since many gateways need the
+// same. A snapshot of the group replaces the table.
 type cache struct {
+	table      *registry.Table
 	serial     uint32
 	byReceived map[uint32]prepared
 }
@@ -68,8 +67,8 @@
 }
 
 func (s *Sender) prepare(table *registry.Table, received uint32) prepared {
-	if serial := table.Serial(); s.cache.byReceived == nil || s.cache.serial != serial {
-		s.cache = cache{serial: serial, byReceived: make(map[uint32]prepared)}
+	if serial := table.Serial(); s.cache.table != table || s.cache.serial != serial {
+		s.cache = cache{table: table, serial: serial, byReceived: make(map[uint32]prepared)}
 	}
 	known, found := s.cache.byReceived[received]
 	if !found {
