--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -53,7 +53,7 @@
 	}
 	contact, known := m.driver.Group().QuorumContact()
 	decision := leadership.leases.Renew(now, contact, known, &renew)
-	if change, needed := leadership.leases.RecordRenewal(now, m.driver.Catalog(), &renew); needed {
+	if change := leadership.leases.RecordRenewal(now, m.driver.Catalog(), &renew); change != nil {
 		m.changeGatewayRecord(now, change)
 	}
 	grant.ActivationSerial = decision.ActivationSerial
@@ -99,7 +99,7 @@
 }
 
 // changeGatewayRecord changes a gateway's member record with the next update.
-func (m *machine) changeGatewayRecord(now time.Duration, change leases.RecordChange) {
+func (m *machine) changeGatewayRecord(now time.Duration, change *leases.RecordChange) {
 	m.log.Info("gateway record change queued", "gateway", change.Gateway, "up", change.New.Up, "incarnation", change.New.Incarnation, "term", m.leadership.term)
 	m.leadership.leases.QueueRecord(change)
 	m.proposeGatewayRecords(now)
--- a/control/leases/gateways.go
+++ b/control/leases/gateways.go
@@ -13,10 +13,10 @@
 const MissedRenewals = 4
 
 // RecordRenewal keeps who renewed. It returns the change of the gateway's member
-// record that follows, if any; the caller passes that to QueueRecord.
-func (m *Manager) RecordRenewal(now time.Duration, current *catalog.State, renew *peer.Renew) (RecordChange, bool) {
+// record that follows, nil if none; the caller passes that to QueueRecord.
+func (m *Manager) RecordRenewal(now time.Duration, current *catalog.State, renew *peer.Renew) *RecordChange {
 	if m.isLate(current, renew) {
-		return RecordChange{}, false
+		return nil
 	}
 	observed, known := m.gateways[renew.Gateway.Name]
 	if !known {
@@ -59,9 +59,9 @@
 }
 
 // recordChange brings the member record of a gateway in line with its lease.
-func (m *Manager) recordChange(now time.Duration, current *catalog.State, name string, observed *gateway) (RecordChange, bool) {
+func (m *Manager) recordChange(now time.Duration, current *catalog.State, name string, observed *gateway) *RecordChange {
 	if observed.recordPending {
-		return RecordChange{}, false
+		return nil
 	}
 	old, known := current.Gateways()[name]
 	desired := catalog.Gateway{
@@ -79,56 +79,56 @@
 		desired.Up = false
 	}
 	if known && old == desired {
-		return RecordChange{}, false
+		return nil
 	}
 	observed.recordPending = true
-	return RecordChange{
+	return &RecordChange{
 		Gateway:  name,
 		Old:      old,
 		Existed:  known,
 		New:      desired,
 		finished: func() { observed.recordPending = false },
-	}, true
+	}
 }
 
 // Lapsed returns the changes that mark gateways down which have missed several
 // renewals, so that nobody is sent to them, and those that record whose lease has
 // expired, after a grace. Gateways that never renewed with this primary are included.
 // The caller passes each change to QueueRecord.
-func (m *Manager) Lapsed(now time.Duration, current *catalog.State) []RecordChange {
-	var changes []RecordChange
+func (m *Manager) Lapsed(now time.Duration, current *catalog.State) []*RecordChange {
+	var changes []*RecordChange
 	for name, record := range current.Gateways() {
 		observed, known := m.gateways[name]
 		if !known {
 			observed = &gateway{renewed: m.latestEarlierRenewal(), contacted: m.elected}
 			m.gateways[name] = observed
 		}
-		if change, needed := m.lapse(now, name, record, observed); needed {
+		if change := m.lapse(now, name, record, observed); change != nil {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (m *Manager) lapse(now time.Duration, name string, record catalog.Gateway, observed *gateway) (RecordChange, bool) {
+func (m *Manager) lapse(now time.Duration, name string, record catalog.Gateway, observed *gateway) *RecordChange {
 	expiry := m.config.Lease.Duration + m.config.Lease.ClockDriftMargin + m.config.GatewayGrace
 	expired := record.MayHoldLease && now-observed.renewed > expiry
 	idle := record.Up && now-observed.contacted > MissedRenewals*m.config.Lease.RenewalInterval
 	if observed.recordPending || !expired && !idle {
-		return RecordChange{}, false
+		return nil
 	}
 	down := record
 	down.Up = false
 	down.MayHoldLease = record.MayHoldLease && !expired
 	observed.recordPending = true
 	observed.revoking = expired
-	return RecordChange{
+	return &RecordChange{
 		Gateway:  name,
 		Old:      record,
 		Existed:  true,
 		New:      down,
 		finished: func() { observed.recordPending, observed.revoking = false, false },
-	}, true
+	}
 }
 
 // latestEarlierRenewal is the latest time at which a gateway that never renewed with
--- a/control/leases/leases_test.go
+++ b/control/leases/leases_test.go
@@ -47,11 +47,12 @@
 func (p *primary) renew(now time.Duration, gateway, incarnation string) bool {
 	p.t.Helper()
 	renew := peer.Renew{Gateway: peer.GatewayInfo{Name: gateway, Incarnation: incarnation}, Term: testTerm}
-	change, needed := p.manager.RecordRenewal(now, p.current(), &renew)
-	if needed {
-		p.manager.QueueRecord(change)
+	change := p.manager.RecordRenewal(now, p.current(), &renew)
+	if change == nil {
+		return false
 	}
-	return needed
+	p.manager.QueueRecord(change)
+	return true
 }
 
 // commit applies the next update of member records, and returns how many it changes.
--- a/control/leases/records.go
+++ b/control/leases/records.go
@@ -27,12 +27,12 @@
 
 // recordQueue is the changes that wait for the update in progress, if inProgress.
 type recordQueue struct {
-	pending    []RecordChange
+	pending    []*RecordChange
 	inProgress bool
 }
 
 // QueueRecord makes a change a part of the next update.
-func (m *Manager) QueueRecord(change RecordChange) {
+func (m *Manager) QueueRecord(change *RecordChange) {
 	m.records.pending = append(m.records.pending, change)
 }
 
