--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestStalledDiskLosesLeadership: a primary whose disk answers nothing is
-// replaced as soon as it has to write, an order that it holds is carried out once by
+// replaced as soon as it has to write, an operation that it has received is executed once by
 // its successor, and it follows when its disk answers again.
 func TestStalledDiskLosesLeadership(t *testing.T) {
 	const stall = 8 * time.Second
@@ -51,7 +51,7 @@
 		started := time.Now()
 		f.mustSend(through, "order-2", 1)
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
-			t.Errorf("with a primary whose disk stalls an order took %v", took)
+			t.Errorf("with a primary whose disk stalls an operation took %v", took)
 		}
 		if successor := f.primary(old.options.Name); successor == old {
 			t.Error("the node with the stalled disk still leads")
@@ -63,7 +63,7 @@
 		})
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
-			t.Errorf("the order repeated at the stalled node: %+v", again)
+			t.Errorf("the operation repeated at the stalled node: %+v", again)
 		}
 	})
 }
--- a/control/driver/group.go
+++ b/control/driver/group.go
@@ -59,7 +59,7 @@
 	return true
 }
 
-// completeGroupEntry completes an EnterGroup that a crash cut between its two writes:
+// completeGroupEntry completes an EnterGroup that a crash interrupted between its two writes:
 // the snapshot is on disk and names the group, the group's own mark is not.
 func (d *Driver) completeGroupEntry(snapshot consensus.Snapshot) error {
 	if d.cluster != "" || snapshot.Index == 0 {
--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -14,15 +14,15 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// loneMachine is the loop's state of a group of one that is a primary, driven by
+// newSingleNode is the loop's state of a group of one that is a primary, driven by
 // hand: no goroutine and no network takes part.
-func loneMachine(tb testing.TB) *machine {
+func newSingleNode(tb testing.TB) *machine {
 	tb.Helper()
-	return loneMachineOn(tb, storage.NewMemory("disk-1"))
+	return newSingleNodeOn(tb, storage.NewMemory("disk-1"))
 }
 
-// loneMachineOn starts a group's only node on a disk, which is empty at first.
-func loneMachineOn(tb testing.TB, store *storage.Memory) *machine {
+// newSingleNodeOn starts a group's only node on a disk, which is empty at first.
+func newSingleNodeOn(tb testing.TB, store *storage.Memory) *machine {
 	tb.Helper()
 	config := Config{
 		Name:        "control-1",
@@ -56,12 +56,12 @@
 	}
 }
 
-// BenchmarkRenewal is the loop's whole work for one lease renewal, the other
-// gateways holding leases meanwhile.
+// BenchmarkRenewal is all work of the event loop for one lease renewal, the other
+// gateways having leases meanwhile.
 func BenchmarkRenewal(b *testing.B) {
 	for _, gateways := range []int{8, 50, 200, 400} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
-			m := loneMachine(b)
+			m := newSingleNode(b)
 			now := time.Duration(0)
 			m.advance(b, &now, 5*time.Second)
 			renewals := m.renewedGateways(b, &now, gateways)
--- a/control/engine/gateways_test.go
+++ b/control/engine/gateways_test.go
@@ -17,18 +17,18 @@
 // records must not be a change each.
 func TestGatewaysThatComeAtOnceAreFewChanges(t *testing.T) {
 	const gateways, mostChanges = 300, 4
-	m := loneMachine(t)
+	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
-	crowd := newCrowd(gateways, "1")
+	fleet := newGateways(gateways, "1")
 	before := m.table().Serial()
-	crowd.renew(t, m, now)
+	fleet.renew(t, m, now)
 	m.advance(t, &now, 50*time.Millisecond)
 	if changes := m.table().Serial() - before; changes > mostChanges {
 		t.Errorf("%d gateways that came at once are %d changes of the registry, want at most %d", gateways, changes, mostChanges)
 	}
-	crowd.renew(t, m, now)
-	if leased := crowd.renew(t, m, now); leased != gateways {
+	fleet.renew(t, m, now)
+	if leased := fleet.renew(t, m, now); leased != gateways {
 		t.Errorf("%d of %d gateways have a lease", leased, gateways)
 	}
 }
@@ -39,37 +39,37 @@
 func TestGatewaysThatReturnServeBeforeTheyAreRecorded(t *testing.T) {
 	const gateways = 300
 	store := storage.NewMemory("disk-1")
-	m := loneMachineOn(t, store)
+	m := newSingleNodeOn(t, store)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
-	crowd := newCrowd(gateways, "1")
+	fleet := newGateways(gateways, "1")
 	for range 4 {
-		crowd.renew(t, m, now)
+		fleet.renew(t, m, now)
 		m.advance(t, &now, 50*time.Millisecond)
 	}
 
-	m = loneMachineOn(t, store)
+	m = newSingleNodeOn(t, store)
 	now = 0
 	for m.leadership == nil || m.leadership.leases == nil {
 		m.advance(t, &now, DefaultTickInterval)
 	}
-	crowd = newCrowd(gateways, "2")
+	fleet = newGateways(gateways, "2")
 	term := m.leadership.term
-	for i := range crowd {
-		crowd[i].Term = term // as another control node told it
+	for i := range fleet {
+		fleet[i].Term = term // as another control node reported it
 	}
-	crowd.renew(t, m, now)
+	fleet.renew(t, m, now)
 	if written := m.recorded("2"); written > 0 {
 		t.Errorf("%d new records were written before anybody may serve", written)
 	}
 	m.advance(t, &now, 2*DefaultTickInterval)
 	if m.leadership.leases.ActivatableSerial() == 0 {
-		t.Error("nothing may become active although every gateway was heard")
+		t.Error("nothing may become active although every gateway renewed")
 	}
-	crowd.renew(t, m, now)
-	for i := range crowd {
-		if crowd[i].ActiveSerial == 0 {
-			t.Fatalf("%s may not serve yet", crowd[i].Gateway.Name)
+	fleet.renew(t, m, now)
+	for i := range fleet {
+		if fleet[i].ActiveSerial == 0 {
+			t.Fatalf("%s may not serve yet", fleet[i].Gateway.Name)
 		}
 	}
 	m.advance(t, &now, 4*DefaultTickInterval)
@@ -89,26 +89,26 @@
 	return count
 }
 
-// TestSilentGatewayDelaysRecordsBriefly: one that is never heard again does not
+// TestSilentGatewayDelaysRecordsBriefly: one that never renews again does not
 // keep the others from being recorded.
 func TestSilentGatewayDelaysRecordsBriefly(t *testing.T) {
 	store := storage.NewMemory("disk-1")
-	m := loneMachineOn(t, store)
+	m := newSingleNodeOn(t, store)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
 	for range 4 {
-		newCrowd(3, "1").renew(t, m, now)
+		newGateways(3, "1").renew(t, m, now)
 		m.advance(t, &now, 50*time.Millisecond)
 	}
-	m = loneMachineOn(t, store)
+	m = newSingleNodeOn(t, store)
 	now = 0
 	for m.leadership == nil || m.leadership.leases == nil {
 		m.advance(t, &now, DefaultTickInterval)
 	}
-	crowd := newCrowd(2, "2")
+	fleet := newGateways(2, "2")
 	ready := now
 	for m.driver.Catalog().Gateways()["gateway-1"].Incarnation != "2" {
-		crowd.renew(t, m, now)
+		fleet.renew(t, m, now)
 		m.advance(t, &now, DefaultTickInterval)
 		if now-ready > leases.TakeoverDelay+200*time.Millisecond {
 			t.Fatal("a gateway that returned is not recorded")
@@ -121,15 +121,15 @@
 // Everybody keeps the lease meanwhile, and has the difference in the end.
 func TestLargeTransfersLeaveRoomOnTheLink(t *testing.T) {
 	const gateways, interval, mostIntervals = 300, 50 * time.Millisecond, 60
-	m := loneMachine(t)
+	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
-	crowd := newCrowd(gateways, "1")
+	fleet := newGateways(gateways, "1")
 	for range 4 {
-		crowd.renew(t, m, now)
+		fleet.renew(t, m, now)
 		m.advance(t, &now, interval)
 	}
-	others := newCrowd(gateways, "1")
+	others := newGateways(gateways, "1")
 	for i := range others {
 		others[i].Gateway.Name += "-other"
 		others[i].Gateway.Incarnation = rand.Text()
@@ -138,7 +138,7 @@
 	m.advance(t, &now, interval)
 	bound := transfer.LinkShare * DefaultLinkMbps * 1e6 / 8 * (interval + transfer.Burst).Seconds()
 	for range mostIntervals {
-		sent, behind := crowd.follow(t, m, now)
+		sent, behind := fleet.follow(t, m, now)
 		if float64(sent) > bound+64<<10 { // and one transfer that was begun
 			t.Fatalf("%d octets at once, want at most %.0f", sent, bound)
 		}
@@ -152,52 +152,52 @@
 
 // follow renews each lease, which none may lose. It returns the octets of the packed
 // transfers that were sent, and the number of gateways that are still behind.
-func (c crowd) follow(t *testing.T, m *machine, now time.Duration) (sent, behind int) {
+func (r renewals) follow(t *testing.T, m *machine, now time.Duration) (sent, behind int) {
 	t.Helper()
-	for i := range c {
+	for i := range r {
 		m.tick(now)
-		grant := m.renew(now, c[i])
+		grant := m.renew(now, r[i])
 		sent += len(grant.Packed)
 		if grant.LeaseMS == 0 {
-			t.Fatalf("%s lost its lease", c[i].Gateway.Name)
+			t.Fatalf("%s lost its lease", r[i].Gateway.Name)
 		}
 		if transfer, err := grant.UnpackTransfer(); err != nil {
 			t.Fatal(err)
 		} else if transfer != nil {
-			c[i].ReceivedSerial = transfer.To
+			r[i].ReceivedSerial = transfer.To
 		}
-		if c[i].ReceivedSerial != m.table().Serial() {
+		if r[i].ReceivedSerial != m.table().Serial() {
 			behind++
 		}
 	}
 	return sent, behind
 }
 
-// crowd is the renewals of many gateways.
-type crowd []peer.Renew
+// renewals are the next renewals of many gateways.
+type renewals []peer.Renew
 
-func newCrowd(count int, incarnation string) crowd {
-	renewals := make(crowd, count)
-	for i := range renewals {
+func newGateways(count int, incarnation string) renewals {
+	made := make(renewals, count)
+	for i := range made {
 		name := fmt.Sprintf("gateway-%d", i)
-		renewals[i].Gateway = peer.GatewayInfo{Name: name, Incarnation: incarnation, Zone: "north-1", Region: "north", PeerAddress: name + ":1"}
+		made[i].Gateway = peer.GatewayInfo{Name: name, Incarnation: incarnation, Zone: "north-1", Region: "north", PeerAddress: name + ":1"}
 	}
-	return renewals
+	return made
 }
 
 // renew renews each lease, and says how many were granted.
-func (c crowd) renew(t *testing.T, m *machine, now time.Duration) (leased int) {
+func (r renewals) renew(t *testing.T, m *machine, now time.Duration) (leased int) {
 	t.Helper()
-	for i := range c {
+	for i := range r {
 		m.tick(now)
-		grant := m.renew(now, c[i])
-		c[i].Term, c[i].ActiveSerial = grant.Term, grant.ActivationSerial
+		grant := m.renew(now, r[i])
+		r[i].Term, r[i].ActiveSerial = grant.Term, grant.ActivationSerial
 		transfer, err := grant.UnpackTransfer()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if transfer != nil {
-			c[i].ReceivedSerial = transfer.To
+			r[i].ReceivedSerial = transfer.To
 		}
 		if grant.LeaseMS > 0 {
 			leased++
--- a/control/engine/report.go
+++ b/control/engine/report.go
@@ -99,7 +99,7 @@
 	Answer  catalog.OperationResult
 	Serial  uint32
 	// Catalog and Sequence are what a new decision builds on; Surplus are the answers
-	// that make room for a new one.
+	// that are deleted with a new one.
 	Catalog  *catalog.State
 	Sequence uint64
 	Surplus  []registry.Name
--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -49,7 +49,7 @@
 	return e.acknowledge(ctx, execution, decision.Answer, result.Serial)
 }
 
-// updateFailed tells a decision whose facts have changed meanwhile, which is made
+// updateFailed distinguishes a decision whose facts have changed meanwhile, which is made
 // anew, from an update that can never be applied.
 func (e *Executor) updateFailed(execution *execution, result registry.Result) attempt {
 	if result.Section == registry.SectionPrerequisite {
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -202,17 +202,17 @@
 func (f *fleet) send(node *Node, id string, base uint64, document string) (int, api.OperationResult) {
 	f.t.Helper()
 	var answer api.OperationResult
-	order := api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: "test", Document: document}
-	status := f.request(node, http.MethodPut, api.PathConfiguration, order, &answer)
+	operation := api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: "test", Document: document}
+	status := f.request(node, http.MethodPut, api.PathConfiguration, operation, &answer)
 	return status, answer
 }
 
-// mustSend is send for an order that must be accepted.
+// mustSend is send for an operation that must be accepted.
 func (f *fleet) mustSend(node *Node, id string, base uint64) api.OperationResult {
 	f.t.Helper()
 	status, answer := f.send(node, id, base, document(f.t))
 	if status != http.StatusOK || !answer.Accepted {
-		f.t.Fatalf("order %s answered %d %+v", id, status, answer)
+		f.t.Fatalf("operation %s answered %d %+v", id, status, answer)
 	}
 	return answer
 }
@@ -250,7 +250,7 @@
 	mutex    sync.Mutex
 	holder   *lease.Holder
 	copy     *registry.Table
-	held     uint32
+	received uint32
 	active   uint32
 	granted  map[uint64]int // leases granted, by term
 	failure  error
@@ -343,7 +343,7 @@
 		Cluster:        g.holder.Cluster(),
 		Gateway:        peer.GatewayInfo{Name: g.name, Incarnation: "1", Zone: "zone-1", Region: "region-1", PeerAddress: g.address, HTTPAddress: g.name + ":2"},
 		Term:           g.holder.Term(),
-		ReceivedSerial: g.held,
+		ReceivedSerial: g.received,
 		ActiveSerial:   g.active,
 		LeaseValid:     g.holder.Valid(sent),
 	}
@@ -365,19 +365,19 @@
 	if length > 0 {
 		g.granted[grant.Term]++
 	}
-	before := [2]uint32{g.held, g.active}
+	before := [2]uint32{g.received, g.active}
 	if grant.Transfer != nil {
 		if err := g.copy.ApplyTransfer(*grant.Transfer); err != nil {
 			g.failure = err
 			return false
 		}
-		g.held = g.copy.Serial()
+		g.received = g.copy.Serial()
 	}
-	if grant.ActivationSerial != 0 && !registry.SerialLess(grant.ActivationSerial, g.held) && g.active != g.held {
-		g.active = g.held
+	if grant.ActivationSerial != 0 && !registry.SerialLess(grant.ActivationSerial, g.received) && g.active != g.received {
+		g.active = g.received
 		g.activeAt = append(g.activeAt, g.active)
 	}
-	return length == 0 || before != [2]uint32{g.held, g.active}
+	return length == 0 || before != [2]uint32{g.received, g.active}
 }
 
 func (g *testGateway) valid() bool {
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -261,7 +261,7 @@
 				continue
 			}
 			if answer.Error == nil || answer.Error.Code != api.CodeVersionConflict || answer.Error.Outcome != api.OutcomeRefused {
-				t.Errorf("the loser was told %+v", answer)
+				t.Errorf("the loser was answered %+v", answer)
 			}
 		}
 		if version := f.primary().engine.Observe().Catalog.Version(); accepted != 1 || version != 2 {
@@ -278,7 +278,7 @@
 		base := uint64(0)
 		cluster := f.primary().engine.Observe().Cluster
 		for round, name := range append(controlNames, controlNames[0]) {
-			f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
+			f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
 			time.Sleep(2 * membership.LearnerTimeout) // a primary long leading counts a newcomer's time from its coming
 			f.mustSend(f.primary(), "order-"+string(rune('a'+round)), base)
 			base++
@@ -297,14 +297,14 @@
 				t.Fatalf("round %d: repair is reported done before %s can be a voter", round, name)
 			}
 			f.await("the repair", func() bool { return f.members(f.primary()).RepairDone })
-			f.checkWhole(cluster, base)
+			f.checkComplete(cluster, base)
 		}
 	})
 }
 
-// checkWhole verifies that three voters, each with the disk that it has now, hold
+// checkComplete verifies that three voters, each with the disk that it has now, hold
 // the version.
-func (f *fleet) checkWhole(cluster string, version uint64) {
+func (f *fleet) checkComplete(cluster string, version uint64) {
 	f.t.Helper()
 	current := f.primary().engine.Observe().Status.Membership
 	if len(current.Members) != len(controlNames) {
@@ -394,7 +394,7 @@
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
-		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
+		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
 		replaced := f.follower().options.Name
 		f.stop(replaced)
 		f.options["control-4"] = f.replacement(replaced, "control-4")
@@ -413,7 +413,7 @@
 			t.Error("a node that the group does not count says that it is ready")
 		}
 		f.stop("control-4")
-		f.await("the old disk to be taken in", func() bool {
+		f.await("the old disk to be admitted", func() bool {
 			o := f.nodes[replaced].engine.Observe()
 			return f.members(f.primary()).RepairDone && o.Catalog.Version() == 1
 		})
@@ -471,7 +471,7 @@
 		f.mustSend(through, "order-2", 1)
 		// An election takes up to two time-outs of 600 ms, then older leases run out.
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
-			t.Errorf("the order took %v", took)
+			t.Errorf("the operation took %v", took)
 		}
 		time.Sleep(waitTimeout)
 		_, again := f.send(old, "order-2", 1, document(t))
--- a/control/httpapi/httpapi.go
+++ b/control/httpapi/httpapi.go
@@ -49,9 +49,9 @@
 	Tokens func() settings.Tokens
 	// CallTimeout bounds a linearizable read.
 	CallTimeout time.Duration
-	// OperationWait is how long an operation may wait to be in force when its sender
+	// OperationTimeout is how long an operation may wait to be in force when its sender
 	// does not say.
-	OperationWait time.Duration
+	OperationTimeout time.Duration
 
 	Engine   *engine.Engine
 	Executor *executor.Executor
--- a/control/httpapi/operations.go
+++ b/control/httpapi/operations.go
@@ -92,7 +92,7 @@
 func (h *handlers) waitOf(r *http.Request) (time.Duration, *api.Error) {
 	text := r.URL.Query().Get(parameterWait)
 	if text == "" {
-		return h.config.OperationWait, nil
+		return h.config.OperationTimeout, nil
 	}
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || millis < 0 || millis > executor.MaxWait.Milliseconds() {
--- a/control/leases/leases.go
+++ b/control/leases/leases.go
@@ -107,7 +107,7 @@
 	return known && record.MayHoldLease && record.Incarnation == info.Incarnation && !revoking
 }
 
-// ExpectHolders tells the grantor, once, who may have a lease of an earlier primary.
+// ExpectHolders passes on, once, who may have a lease of an earlier primary.
 func (m *Manager) ExpectHolders(now time.Duration, current *catalog.State) {
 	if m.expectsHolders || current == nil {
 		return
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// Once every gateway that may have a lease has told a new primary what it has
+// Once every gateway that may have a lease has reported to a new primary what it has
 // active, there is nothing to wait out.
 func TestNewPrimaryWaitsForNoGatewayThatReported(t *testing.T) {
 	inFleet(t, func(f *fleet) {
@@ -142,7 +142,7 @@
 		started := time.Now()
 		f.mustSend(f.primary(), "order-3", 2)
 		if took := time.Since(started); took > time.Second {
-			t.Errorf("the second order waited %v for a gateway without a lease", took)
+			t.Errorf("the second operation waited %v for a gateway without a lease", took)
 		}
 		f.heal(gateway.address, gateway.control...)
 		f.await("the gateway to catch up", gateway.valid)
@@ -158,14 +158,14 @@
 		old := f.primary()
 		term := old.engine.Observe().Status.Term
 		// A gateway that knows the old primary alone, and waits for its answer.
-		lonely := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
-		f.await("a lease", lonely.valid)
+		isolated := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
+		f.await("a lease", isolated.valid)
 		f.freeze(old, 25*time.Second)
 		time.Sleep(10 * time.Second)
-		before := lonely.leases(term)
+		before := isolated.leases(term)
 		f.mustSend(f.primary(old.options.Name), "order-2", 1)
 		time.Sleep(20 * time.Second) // past the thaw
-		if after := lonely.leases(term); after != before {
+		if after := isolated.leases(term); after != before {
 			t.Errorf("the thawed primary granted %d leases", after-before)
 		}
 		f.await("the thawed node to follow", func() bool {
@@ -181,29 +181,29 @@
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
-		quiet := f.startGateway("gateway-1")
+		silent := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
-		f.await("a lease", quiet.valid)
+		f.await("a lease", silent.valid)
 		record := func() catalog.Gateway { return f.primary().engine.Observe().Catalog.Gateways()["gateway-1"] }
 
-		f.partition(quiet.address, quiet.control...)
-		cut := time.Now()
+		f.partition(silent.address, silent.control...)
+		partitionedAt := time.Now()
 		f.await("the record to say down", func() bool { return !record().Up })
 		renewal := lease.DefaultConfig().RenewalInterval
-		if took := time.Since(cut); took < (leases.MissedRenewals-1)*renewal || took > (leases.MissedRenewals+2)*renewal {
+		if took := time.Since(partitionedAt); took < (leases.MissedRenewals-1)*renewal || took > (leases.MissedRenewals+2)*renewal {
 			t.Errorf("marked down after %v, want about %v", took, leases.MissedRenewals*renewal)
 		}
 		if !record().MayHoldLease {
-			t.Error("the record says that it holds no lease while it may")
+			t.Error("the record says that it has no lease while it may")
 		}
 		f.mustSend(f.primary(), "order-2", 1)
-		if quiet.valid() {
+		if silent.valid() {
 			t.Error("acknowledged while a gateway with the older version may place requests")
 		}
 		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
-		f.heal(quiet.address, quiet.control...)
-		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHoldLease && quiet.valid() })
+		f.heal(silent.address, silent.control...)
+		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHoldLease && silent.valid() })
 	})
 }
 
--- a/control/metrics/metrics.go
+++ b/control/metrics/metrics.go
@@ -7,7 +7,7 @@
 )
 
 // Metrics are the metrics of one node. Each node has a registry of its own, so that many
-// nodes can run in one process.
+// nodes can run in one process. What each metric measures is its help text in New.
 type Metrics struct {
 	Registry *prometheus.Registry
 
--- a/control/node.go
+++ b/control/node.go
@@ -156,14 +156,14 @@
 		Describer:   n.describer,
 	})
 	n.handler = httpapi.NewHandler(httpapi.Config{
-		Tokens:        options.Tokens,
-		CallTimeout:   options.CallTimeout,
-		OperationWait: options.OrderWait,
-		Engine:        n.engine,
-		Executor:      n.executor,
-		Reader:        n.reader,
-		Reporter:      n.reporter,
-		Metrics:       metrics.Registry,
+		Tokens:           options.Tokens,
+		CallTimeout:      options.CallTimeout,
+		OperationTimeout: options.OperationTimeout,
+		Engine:           n.engine,
+		Executor:         n.executor,
+		Reader:           n.reader,
+		Reporter:         n.reporter,
+		Metrics:          metrics.Registry,
 	})
 	if options.Inventory != nil {
 		n.inventory = inventory.NewReader(options.Inventory, options.InventoryInterval, n.engine, n.executor, n.log)
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -19,7 +19,7 @@
 	Catalog *catalog.State
 	// Sequence orders the answers by age.
 	Sequence uint64
-	// Surplus are the oldest answers, which make room for this one.
+	// Surplus are the oldest answers, which are deleted with this one.
 	Surplus []registry.Name
 }
 
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -158,7 +158,7 @@
 		t := f.t
 		f.start(controlNames...)
 		first := f.mustSend(f.primary(), "order-1", 0)
-		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
+		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
 		cluster := f.primary().engine.Observe().Cluster
 		for _, name := range controlNames {
 			f.stop(name)
--- a/control/options.go
+++ b/control/options.go
@@ -16,7 +16,7 @@
 const (
 	defaultDiscoveryInterval = 250 * time.Millisecond
 	defaultCallTimeout       = time.Second
-	defaultOrderWait         = 10 * time.Second
+	defaultOperationTimeout  = 10 * time.Second
 	defaultInventoryInterval = 500 * time.Millisecond
 )
 
@@ -75,9 +75,9 @@
 	// GatewayGrace is how long after the end of its lease a gateway is marked
 	// down, and how long a lease must last before it is marked up again. Default 1 s.
 	GatewayGrace time.Duration
-	// OrderWait is how long an operation may wait to be in force when its sender
+	// OperationTimeout is how long an operation may wait to be in force when its sender
 	// does not say. Default 10 s.
-	OrderWait time.Duration
+	OperationTimeout time.Duration
 	// Voters is the number of voters of a complete group, if above that of its
 	// bootstrap: nodes that ask to join are admitted until there are so many.
 	Voters int
@@ -116,7 +116,7 @@
 	}
 	setDefault(&o.DiscoveryInterval, defaultDiscoveryInterval)
 	setDefault(&o.CallTimeout, defaultCallTimeout)
-	setDefault(&o.OrderWait, defaultOrderWait)
+	setDefault(&o.OperationTimeout, defaultOperationTimeout)
 	setDefault(&o.InventoryInterval, defaultInventoryInterval)
 	return o
 }
--- a/control/readindex/readindex.go
+++ b/control/readindex/readindex.go
@@ -1,5 +1,5 @@
 // Package readindex makes reads linearizable: a read sees everything that was
-// acknowledged before it began. The primary proves that it still leads and tells its
+// acknowledged before it began. The primary proves that it still leads and returns its
 // commit index, and the reader waits until it has applied that.
 package readindex
 
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -371,7 +371,7 @@
 		if got := len(f.voters()); got != voters {
 			t.Errorf("%d voters, want %d", got, voters)
 		}
-		f.checkOutsider()
+		f.checkNodeWithoutGroup()
 		// Two of five may go.
 		stopped := 0
 		for _, name := range controlNames {
@@ -386,9 +386,9 @@
 	})
 }
 
-// checkOutsider holds that the node which the group did not take in answers clients
+// checkNodeWithoutGroup holds that the node which the group did not take in answers clients
 // and operators all the same.
-func (f *fleet) checkOutsider() {
+func (f *fleet) checkNodeWithoutGroup() {
 	f.t.Helper()
 	f.startGateway("gateway-1")
 	var outside *Node
