--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -156,10 +156,10 @@
 	for range 4000 {
 		for _, tenant := range []string{"greedy", "heavy", "modest"} {
 			for range asks[tenant] {
-				queue.Offer(now, item(tenant, api.ClassQuick, weights[tenant], deadline), 0)
+				queue.Enqueue(now, item(tenant, api.ClassQuick, weights[tenant], deadline), 0)
 			}
 		}
-		taken := queue.Take(func(*Item[string]) bool { return true })
+		taken := queue.Dequeue(func(*Item[string]) bool { return true })
 		starts[taken.Tenant]++
 	}
 	want := map[string]int{"greedy": 1000, "modest": 1000, "heavy": 2000}
@@ -179,17 +179,17 @@
 	starts := map[api.Class]int{}
 	for range 400 {
 		for range 3 {
-			queue.Offer(now, item("a", api.ClassLong, 1, deadline), 0)
+			queue.Enqueue(now, item("a", api.ClassLong, 1, deadline), 0)
 		}
-		if _, refused := queue.Offer(now, item("a", api.ClassQuick, 1, deadline), 0); refused == RefusedFull && queue.ClassLen(api.ClassQuick) < 4 {
+		if _, refused := queue.Enqueue(now, item("a", api.ClassQuick, 1, deadline), 0); refused == RejectedFull && queue.ClassLen(api.ClassQuick) < 4 {
 			t.Fatal("long requests took the places of quick ones")
 		}
-		starts[queue.Take(func(*Item[string]) bool { return true }).Class]++
+		starts[queue.Dequeue(func(*Item[string]) bool { return true }).Class]++
 	}
 	if starts[api.ClassQuick] < 290 || starts[api.ClassLong] < 90 {
 		t.Fatalf("starts %v, want three to one", starts)
 	}
-	taken := queue.Take(func(i *Item[string]) bool { return i.Class == api.ClassLong })
+	taken := queue.Dequeue(func(i *Item[string]) bool { return i.Class == api.ClassLong })
 	if taken == nil || taken.Class != api.ClassLong {
 		t.Fatal("an item that cannot start blocks the others")
 	}
@@ -203,19 +203,19 @@
 	const rate = 10.0
 	admitted := 0
 	for range 40 {
-		if _, refused := queue.Offer(now, item("a", api.ClassQuick, 1, now.Add(2*time.Second)), rate); refused == Admitted {
+		if _, refused := queue.Enqueue(now, item("a", api.ClassQuick, 1, now.Add(2*time.Second)), rate); refused == Admitted {
 			admitted++
 		}
 	}
 	if admitted < 20 || admitted > 21 {
 		t.Fatalf("admitted %d, want what two seconds at ten a second allow", admitted)
 	}
-	if hopeless := queue.Sweep(now, rate/2); len(hopeless) < 9 || len(hopeless) > 11 {
+	if hopeless := queue.RemoveExpired(now, rate/2); len(hopeless) < 9 || len(hopeless) > 11 {
 		t.Fatalf("%d given up at half the rate, want about half", len(hopeless))
 	}
 	slow := item("b", api.ClassQuick, 1, now.Add(time.Second))
-	slow.Needs = 2 * time.Second
-	if _, refused := queue.Offer(now, slow, 0); refused != RefusedDeadline {
+	slow.ExpectedFirstToken = 2 * time.Second
+	if _, refused := queue.Enqueue(now, slow, 0); refused != RejectedDeadline {
 		t.Fatal("took a request that needs longer than it has")
 	}
 	if estimate := queue.RetryAfter(rate); estimate < time.Second || estimate > 1500*time.Millisecond {
@@ -246,7 +246,7 @@
 				class := rapid.SampledFrom([]api.Class{api.ClassQuick, api.ClassLong, api.ClassFetch}).Draw(t, "class")
 				left := time.Duration(rapid.IntRange(-100, 3000).Draw(t, "left")) * time.Millisecond
 				i := item(tenant, class, rapid.Float64Range(0, 4).Draw(t, "weight"), now.Add(left))
-				pushedOut, refused := queue.Offer(now, i, rate)
+				pushedOut, refused := queue.Enqueue(now, i, rate)
 				if pushedOut != nil {
 					leave(pushedOut, "offer")
 				}
@@ -254,11 +254,11 @@
 					waiting[i] = true
 				}
 			case 2:
-				if i := queue.Take(func(*Item[string]) bool { return rapid.Bool().Draw(t, "accepts") }); i != nil {
+				if i := queue.Dequeue(func(*Item[string]) bool { return rapid.Bool().Draw(t, "accepts") }); i != nil {
 					leave(i, "take")
 				}
 			case 3:
-				for _, i := range queue.Sweep(now, rate) {
+				for _, i := range queue.RemoveExpired(now, rate) {
 					leave(i, "sweep")
 				}
 			case 4:
@@ -282,7 +282,7 @@
 	now := time.Unix(0, 0)
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
-		rate.Note(now)
+		rate.Record(now)
 	}
 	if got := rate.PerSecond(now); got < 18 || got > 22 {
 		t.Fatalf("rate %v, want 20", got)
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -12,16 +12,16 @@
 func Example() {
 	now := time.Unix(0, 0)
 	queue := admission.NewQueue[string](2)
-	offer := func(name string, patience time.Duration) admission.Refusal {
-		item := &admission.Item[string]{Tenant: "t", Class: api.ClassQuick, Weight: 1, Cost: 1, Deadline: now.Add(patience), Needs: 500 * time.Millisecond, Payload: name}
-		_, refusal := queue.Offer(now, item, 1)
+	offer := func(name string, patience time.Duration) admission.Rejection {
+		item := &admission.Item[string]{Tenant: "t", Class: api.ClassQuick, Weight: 1, Cost: 1, Deadline: now.Add(patience), ExpectedFirstToken: 500 * time.Millisecond, Payload: name}
+		_, refusal := queue.Enqueue(now, item, 1)
 		return refusal
 	}
 	fmt.Println(offer("a", time.Minute) == admission.Admitted)
-	fmt.Println(offer("b", 100*time.Millisecond) == admission.RefusedDeadline)
+	fmt.Println(offer("b", 100*time.Millisecond) == admission.RejectedDeadline)
 	fmt.Println(offer("c", time.Minute) == admission.Admitted)
-	fmt.Println(offer("d", time.Minute) == admission.RefusedFull)
-	fmt.Println(queue.Take(func(*admission.Item[string]) bool { return true }).Payload)
+	fmt.Println(offer("d", time.Minute) == admission.RejectedFull)
+	fmt.Println(queue.Dequeue(func(*admission.Item[string]) bool { return true }).Payload)
 	// Output:
 	// true
 	// true
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -84,8 +84,8 @@
 	l.decrease(now, min(strongestDecrease, strongestDecrease*(ratio-1)))
 }
 
-// Failure records an attempt that the replica failed or refused for load.
-func (l *Limit) Failure(now time.Time) {
+// RecordFailure records an attempt that the replica failed or refused for load.
+func (l *Limit) RecordFailure(now time.Time) {
 	l.decrease(now, failureDecrease)
 }
 
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,24 +7,24 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Refusal says why the queue does not take, or no longer keeps, an item.
-type Refusal uint8
+// Rejection says why the queue does not take, or no longer keeps, an item.
+type Rejection uint8
 
 const (
 	// Admitted is no refusal.
-	Admitted Refusal = iota
-	// RefusedFull means that the queue is full and the tenant has its share of it.
-	RefusedFull
-	// RefusedDeadline means that the item cannot make its time.
-	RefusedDeadline
+	Admitted Rejection = iota
+	// RejectedFull means that the queue is full and the tenant has its share of it.
+	RejectedFull
+	// RejectedDeadline means that the item cannot make its time.
+	RejectedDeadline
 )
 
 const (
 	// longPart of the queue's length is open to long requests.
 	longPart = 0.75
-	// ShortestRetryAfter and LongestRetryAfter bound the estimate given to callers.
-	ShortestRetryAfter = 100 * time.Millisecond
-	LongestRetryAfter  = 10 * time.Second
+	// MinRetryAfter and LongestRetryAfter bound the estimate given to callers.
+	MinRetryAfter = 100 * time.Millisecond
+	MaxRetryAfter = 10 * time.Second
 	// passLag bounds how far a class falls behind in virtual time.
 	passLag = 2
 	// unknownRetryAfter is given while no rate is known.
@@ -43,8 +43,8 @@
 	Cost float64
 	// Deadline is when the answer must have begun.
 	Deadline time.Time
-	// Needs is the expected time from the start to the first token.
-	Needs time.Duration
+	// ExpectedFirstToken is the expected time from the start to the first token.
+	ExpectedFirstToken time.Duration
 	// Payload is the caller's.
 	Payload T
 
@@ -88,16 +88,16 @@
 	q.length = max(1, length)
 }
 
-// SetStanding bounds what may wait in each class but the long one, below the
+// SetStandingQueueLimit bounds what may wait in each class but the long one, below the
 // whole length; 0 lifts the bound. It is meant for a queue that does not drain:
 // a longer one then makes everybody wait and nobody be served sooner. Items
 // beyond it stay until they leave.
-func (q *Queue[T]) SetStanding(length int) {
+func (q *Queue[T]) SetStandingQueueLimit(length int) {
 	q.standing = max(0, length)
 }
 
-// Standing is the bound of SetStanding.
-func (q *Queue[T]) Standing() int {
+// StandingQueueLimit is the bound of SetStanding.
+func (q *Queue[T]) StandingQueueLimit() int {
 	return q.standing
 }
 
@@ -115,21 +115,21 @@
 	return len(q.classes[classIndex(class)].items)
 }
 
-// Offer asks for a place. The rate is the service's completions per second, 0
+// Enqueue asks for a place. The rate is the service's completions per second, 0
 // for unknown. If the queue is full and another tenant holds more than its
 // share, that tenant's newest item is returned as pushed out, to be refused.
-func (q *Queue[T]) Offer(now time.Time, item *Item[T], rate float64) (pushedOut *Item[T], refusal Refusal) {
+func (q *Queue[T]) Enqueue(now time.Time, item *Item[T], rate float64) (pushedOut *Item[T], refusal Rejection) {
 	class := &q.classes[classIndex(item.Class)]
 	item.Weight = max(item.Weight, 0.001)
 	class.tag(item)
 	wait := q.wait(class.position(item), item.Class, rate)
-	if now.Add(wait + item.Needs).After(item.Deadline) {
-		return nil, RefusedDeadline
+	if now.Add(wait + item.ExpectedFirstToken).After(item.Deadline) {
+		return nil, RejectedDeadline
 	}
 	if q.full(item.Class) {
 		pushedOut = class.overdrawn(item)
 		if pushedOut == nil {
-			return nil, RefusedFull
+			return nil, RejectedFull
 		}
 		q.Remove(pushedOut)
 		class.tag(item)
@@ -138,9 +138,9 @@
 	return pushedOut, Admitted
 }
 
-// Take offers the waiting items in fair order to accept, and removes and
+// Dequeue offers the waiting items in fair order to accept, and removes and
 // returns the first that it accepts; nil if there is none.
-func (q *Queue[T]) Take(accept func(*Item[T]) bool) *Item[T] {
+func (q *Queue[T]) Dequeue(accept func(*Item[T]) bool) *Item[T] {
 	for _, index := range q.order() {
 		class := &q.classes[index]
 		for _, item := range class.items {
@@ -166,15 +166,15 @@
 	return true
 }
 
-// Sweep removes and returns the items that can no longer make their time.
-func (q *Queue[T]) Sweep(now time.Time, rate float64) []*Item[T] {
+// RemoveExpired removes and returns the items that can no longer make their time.
+func (q *Queue[T]) RemoveExpired(now time.Time, rate float64) []*Item[T] {
 	var hopeless []*Item[T]
 	for index := range q.classes {
 		class := &q.classes[index]
 		position := 0
 		for _, item := range slices.Clone(class.items) {
 			wait := q.wait(position, item.Class, rate)
-			if now.Add(wait + item.Needs).After(item.Deadline) {
+			if now.Add(wait + item.ExpectedFirstToken).After(item.Deadline) {
 				q.Remove(item)
 				hopeless = append(hopeless, item)
 				continue
@@ -209,8 +209,8 @@
 		return unknownRetryAfter
 	}
 	seconds := float64(q.Len()+1) / rate
-	estimate := time.Duration(min(seconds, LongestRetryAfter.Seconds()) * float64(time.Second))
-	return max(estimate, ShortestRetryAfter)
+	estimate := time.Duration(min(seconds, MaxRetryAfter.Seconds()) * float64(time.Second))
+	return max(estimate, MinRetryAfter)
 }
 
 // wait estimates the time until the item at a position of its class starts.
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -15,8 +15,8 @@
 	first time.Time
 }
 
-// Note records one event.
-func (r *Rate) Note(now time.Time) {
+// Record records one event.
+func (r *Rate) Record(now time.Time) {
 	r.decay(now)
 	r.value += 1 / rateMemory.Seconds()
 }
--- a/api/caller.go
+++ b/api/caller.go
@@ -129,8 +129,8 @@
 	EventError = "error" // Error; the connection is then aborted, never ended cleanly
 )
 
-// StreamPiece is one event of a stream. Sequence starts at 1 and rises by 1.
-type StreamPiece struct {
+// StreamChunk is one event of a stream. Sequence starts at 1 and rises by 1.
+type StreamChunk struct {
 	RequestID string `json:"request_id"`
 	RunID     string `json:"run_id"`
 	Sequence  int    `json:"sequence"`
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -114,7 +114,7 @@
 			Region: "north", ConfigurationVersion: 12, Report: &goldenReport,
 		}},
 		{file: "generate_answer_minimal", minimal: true, document: &api.GenerateAnswer{RequestID: "request-1", RunID: "run-1"}},
-		{file: "stream_piece", document: &api.StreamPiece{RequestID: "request-1", RunID: "run-1", Sequence: 2, Text: "two", Tokens: 1}},
+		{file: "stream_piece", document: &api.StreamChunk{RequestID: "request-1", RunID: "run-1", Sequence: 2, Text: "two", Tokens: 1}},
 		{file: "stream_end", document: &api.StreamEnd{
 			RequestID: "request-1", RunID: "run-1", Sequence: 6, Tokens: 5, CachedTokens: 1200, Replica: "replica-1",
 			Region: "north", ConfigurationVersion: 12, Report: &goldenReport,
--- a/client/caller.go
+++ b/client/caller.go
@@ -110,7 +110,7 @@
 
 // Next returns the next piece, io.EOF after a whole stream, and an *api.Error for
 // everything else: a stream that breaks off never looks finished.
-func (s *Stream) Next() (*api.StreamPiece, error) {
+func (s *Stream) Next() (*api.StreamChunk, error) {
 	if s.end != nil {
 		return nil, io.EOF
 	}
@@ -158,8 +158,8 @@
 	return "", nil, errors.New("the stream ended without its end marker")
 }
 
-func (s *Stream) piece(data []byte) (*api.StreamPiece, error) {
-	var piece api.StreamPiece
+func (s *Stream) piece(data []byte) (*api.StreamChunk, error) {
+	var piece api.StreamChunk
 	if err := json.Unmarshal(data, &piece); err != nil {
 		return nil, streamProblem(fmt.Sprintf("malformed piece: %v", err))
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -26,12 +26,12 @@
 
 // Defaults and bounds.
 const (
-	DefaultAttemptTimeout = 12 * time.Second
-	DefaultAnswerTimeout  = 3 * time.Second
-	DefaultPause          = 200 * time.Millisecond
-	maxAnswerBytes        = 64 << 20
-	maxOrderWait          = 3 * time.Second // then the order is asked about again
-	orderIDBytes          = 12
+	DefaultAttemptTimeout  = 12 * time.Second
+	DefaultResponseTimeout = 3 * time.Second
+	DefaultRetryInterval   = 200 * time.Millisecond
+	maxAnswerBytes         = 64 << 20
+	maxOrderWait           = 3 * time.Second // then the order is asked about again
+	orderIDBytes           = 12
 )
 
 // Config sets up a Client.
@@ -45,12 +45,12 @@
 	HTTP *http.Client
 	// AttemptTimeout bounds one attempt at one address. Default 12 s.
 	AttemptTimeout time.Duration
-	// AnswerTimeout bounds the wait for a node to begin its answer to a read, or to
+	// ResponseTimeout bounds the wait for a node to begin its answer to a read, or to
 	// an order beyond the time that it may hold the answer: a frozen node takes
 	// connections and says nothing. Default 3 s.
-	AnswerTimeout time.Duration
-	// Pause is the time between two rounds over all addresses. Default 200 ms.
-	Pause time.Duration
+	ResponseTimeout time.Duration
+	// RetryInterval is the time between two rounds over all addresses. Default 200 ms.
+	RetryInterval time.Duration
 }
 
 // Client is safe for concurrent use.
@@ -71,17 +71,17 @@
 	if config.AttemptTimeout == 0 {
 		config.AttemptTimeout = DefaultAttemptTimeout
 	}
-	if config.AnswerTimeout == 0 {
-		config.AnswerTimeout = DefaultAnswerTimeout
+	if config.ResponseTimeout == 0 {
+		config.ResponseTimeout = DefaultResponseTimeout
 	}
-	if config.Pause == 0 {
-		config.Pause = DefaultPause
+	if config.RetryInterval == 0 {
+		config.RetryInterval = DefaultRetryInterval
 	}
 	return &Client{config: config}, nil
 }
 
-// NewOrderID returns a fresh random order id.
-func NewOrderID() string {
+// NewOperationID returns a fresh random order id.
+func NewOperationID() string {
 	random := make([]byte, orderIDBytes)
 	rand.Read(random) // never fails, see the package
 	return hex.EncodeToString(random)
@@ -141,7 +141,7 @@
 	if after := time.Duration(failure.problem.RetryAfterMS) * time.Millisecond; after > 0 {
 		return after
 	}
-	return c.config.Pause
+	return c.config.RetryInterval
 }
 
 func pause(ctx context.Context, duration time.Duration) error {
@@ -194,9 +194,9 @@
 func (c *Client) answerTimeout(request call) time.Duration {
 	switch {
 	case request.waits:
-		return c.config.AnswerTimeout + maxOrderWait
+		return c.config.ResponseTimeout + maxOrderWait
 	case request.method == http.MethodGet:
-		return c.config.AnswerTimeout
+		return c.config.ResponseTimeout
 	default:
 		return c.config.AttemptTimeout
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -77,7 +77,7 @@
 
 func newClient(t *testing.T, addresses ...string) *Client {
 	t.Helper()
-	c, err := New(Config{Addresses: addresses, Token: "secret", Pause: time.Millisecond})
+	c, err := New(Config{Addresses: addresses, Token: "secret", RetryInterval: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,8 +326,8 @@
 	defer answering.Close()
 	connect := func() *Client {
 		connection, err := New(Config{
-			Addresses:     []string{silent.Listener.Addr().String(), answering.Listener.Addr().String()},
-			AnswerTimeout: 50 * time.Millisecond,
+			Addresses:       []string{silent.Listener.Addr().String(), answering.Listener.Addr().String()},
+			ResponseTimeout: 50 * time.Millisecond,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/client/operator.go
+++ b/client/operator.go
@@ -19,9 +19,9 @@
 	return c.order(ctx, http.MethodPut, api.PathConfiguration, order)
 }
 
-// Change changes named items of the configuration and waits until that is in
+// Patch changes named items of the configuration and waits until that is in
 // force. Order ids are kept as in Apply.
-func (c *Client) Change(ctx context.Context, order *api.ConfigurationPatchOperation) (*api.OperationResult, error) {
+func (c *Client) Patch(ctx context.Context, order *api.ConfigurationPatchOperation) (*api.OperationResult, error) {
 	fillOrderID(&order.OperationID)
 	return c.order(ctx, http.MethodPatch, api.PathConfiguration, order)
 }
@@ -40,7 +40,7 @@
 
 func fillOrderID(id *string) {
 	if *id == "" {
-		*id = NewOrderID()
+		*id = NewOperationID()
 	}
 }
 
@@ -92,9 +92,9 @@
 	return read[api.HTTPReplicasAnswer](ctx, c, api.PathHTTPReplicas, nil)
 }
 
-// Orders lists the newest kept answers to orders, limit of them at the most; 0 is
+// Operations lists the newest kept answers to orders, limit of them at the most; 0 is
 // the server's own limit.
-func (c *Client) Orders(ctx context.Context, limit int) (*api.OperationsAnswer, error) {
+func (c *Client) Operations(ctx context.Context, limit int) (*api.OperationsAnswer, error) {
 	query := url.Values{}
 	if limit > 0 {
 		query.Set("limit", strconv.Itoa(limit))
--- a/cmd/deckpulley-control/daemon.go
+++ b/cmd/deckpulley-control/daemon.go
@@ -115,7 +115,7 @@
 		Store:           store,
 		Logger:          d.logger,
 		Tokens:          func() settings.Tokens { return *d.tokens.Load() },
-		Lease:           loaded.LeaseTerms(),
+		Lease:           loaded.LeaseConfig(),
 	})
 }
 
--- a/cmd/deckpulley-gateway/daemon.go
+++ b/cmd/deckpulley-gateway/daemon.go
@@ -104,10 +104,10 @@
 	}
 	d.gateway, err = gateway.New(gateway.Options{
 		Info:          info,
-		HTTP:          d.newProxy(info, loaded.HTTPBounds),
+		HTTPProxy:     d.newProxy(info, loaded.HTTPBounds),
 		Seeds:         loaded.Seeds,
-		Keys:          keys,
-		Terms:         loaded.LeaseTerms(),
+		TicketKeys:    keys,
+		LeaseConfig:   loaded.LeaseConfig(),
 		Network:       d.network,
 		DialOverrides: loaded.DialOverrides,
 		Tokens:        func() gateway.Authenticator { return d.tokens.Load() },
@@ -132,7 +132,7 @@
 	proxy := httpgateway.NewProxy(httpgateway.ProxyOptions{
 		Info:    info,
 		Network: d.network,
-		Bounds:  dispatch.Bounds{RetryRatio: granted.RetryRatio, ColdOvershoot: granted.WarmupOvershoot},
+		Bounds:  dispatch.Bounds{RetryRatio: granted.RetryRatio, WarmupOvershoot: granted.WarmupOvershoot},
 		Logger:  d.log,
 	})
 	d.proxied = proxy.Server()
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.gateway.SetKeys(keys); err != nil {
+	if err := d.gateway.SetTicketKeys(keys); err != nil {
 		return err
 	}
 	d.network.SetKeys(keys)
--- a/cmd/deckpulleyctl/command/config_change.go
+++ b/cmd/deckpulleyctl/command/config_change.go
@@ -33,7 +33,7 @@
 		baseVersionHelp: "version that the change is made to; default the current one",
 		readFile:        readPatch,
 		send: func(ctx context.Context, control *client.Client, request configurationRequest) (*api.OperationResult, error) {
-			return control.Change(ctx, &api.ConfigurationPatchOperation{
+			return control.Patch(ctx, &api.ConfigurationPatchOperation{
 				OperationID: request.operationID,
 				BaseVersion: request.baseVersion,
 				Author:      request.author,
--- a/cmd/deckpulleyctl/command/config_history.go
+++ b/cmd/deckpulleyctl/command/config_history.go
@@ -15,7 +15,7 @@
 func newConfigHistoryCommand(flags *globalFlags) *cobra.Command {
 	var limit int
 	fetch := func(control *client.Client, ctx context.Context) (*api.OperationsAnswer, error) {
-		return control.Orders(ctx, limit)
+		return control.Operations(ctx, limit)
 	}
 	command := newReadCommand(flags, "history", "List the newest orders and their answers, evacuations included", fetch, operationsTable)
 	command.Flags().IntVar(&limit, "limit", defaultHistoryLimit, "number of orders, newest first")
--- a/cmd/deckpulleyctl/command/operation.go
+++ b/cmd/deckpulleyctl/command/operation.go
@@ -27,7 +27,7 @@
 // call returns the same id.
 func (f *operationFlags) operationID() string {
 	if f.id == "" {
-		f.id = client.NewOrderID()
+		f.id = client.NewOperationID()
 	}
 	return f.id
 }
--- a/control/secondary.go
+++ b/control/secondary.go
@@ -89,8 +89,8 @@
 	if observed.contents == nil {
 		return nil
 	}
-	question := directory.Question{Region: asked.Region, Limit: asked.Limit, Asked: n.options.Name}
-	question.CutOff = observed.status.Leader == consensus.None
+	question := directory.Query{Region: asked.Region, Limit: asked.Limit, Node: n.options.Name}
+	question.Partitioned = observed.status.Leader == consensus.None
 	return question.Answer(observed.contents.Gateways())
 }
 
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -9,29 +9,29 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Question is a client's question, and what the answer depends on beside the
+// Query is a client's question, and what the answer depends on beside the
 // gateways.
-type Question struct {
+type Query struct {
 	// Region is the client's.
 	Region string
 	// Limit bounds the addresses of an answer.
 	Limit int
-	// Asked is the name of the node that is asked. Gateways are listed in an order
+	// Node is the name of the node that is asked. Gateways are listed in an order
 	// that differs from one asked node to another.
-	Asked string
-	// Leaving says that the asked node is a gateway that ends.
-	Leaving bool
-	// CutOff says that the asked node has lost touch with the primary. It may be cut
+	Node string
+	// Draining says that the asked node is a gateway that ends.
+	Draining bool
+	// Partitioned says that the asked node has lost touch with the primary. It may be cut
 	// off together with its region, while clients reach the others.
-	CutOff bool
+	Partitioned bool
 }
 
 // Answer returns the addresses of the gateways to use: those of the client's
 // region, or of all regions if none is up there or the asked node is cut off, so
 // that what the region cannot serve is served elsewhere.
-func (q *Question) Answer(gateways map[string]catalog.Gateway) []string {
+func (q *Query) Answer(gateways map[string]catalog.Gateway) []string {
 	names := q.usable(gateways, func(other catalog.Gateway) bool { return other.Region == q.Region })
-	if len(names) == 0 || q.CutOff {
+	if len(names) == 0 || q.Partitioned {
 		names = q.usable(gateways, func(catalog.Gateway) bool { return true })
 	}
 	names = names[:min(q.Limit, len(names))]
@@ -43,15 +43,15 @@
 }
 
 // usable lists the gateways that are up.
-func (q *Question) usable(gateways map[string]catalog.Gateway, wanted func(catalog.Gateway) bool) []string {
+func (q *Query) usable(gateways map[string]catalog.Gateway, wanted func(catalog.Gateway) bool) []string {
 	var names []string
 	for name, other := range gateways {
-		leaving := name == q.Asked && q.Leaving
+		leaving := name == q.Node && q.Draining
 		if other.Up && wanted(other) && !leaving {
 			names = append(names, name)
 		}
 	}
-	asked := placement.Hash(q.Asked)
+	asked := placement.Hash(q.Node)
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Compare(placement.Score(asked, placement.Hash(a)), placement.Score(asked, placement.Hash(b)))
 	})
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -17,15 +17,15 @@
 		"c1": {Region: "c", HTTPAddress: "c1:1"},
 	}
 	tests := map[string]struct {
-		question Question
+		question Query
 		want     string
 	}{
-		"own region":                     {Question{Region: "a", Limit: 9, Asked: "b1"}, "a1:1 a2:1"},
-		"nobody up there":                {Question{Region: "c", Limit: 9, Asked: "a1"}, "a1:1 a2:1 b1:1"},
-		"unknown region":                 {Question{Region: "x", Limit: 9, Asked: "a1"}, "a1:1 a2:1 b1:1"},
-		"asked while leaving":            {Question{Region: "a", Limit: 9, Asked: "a1", Leaving: true}, "a2:1"},
-		"the last one of its region":     {Question{Region: "b", Limit: 9, Asked: "b1", Leaving: true}, "a1:1 a2:1"},
-		"cut off, the others may not be": {Question{Region: "b", Limit: 9, Asked: "b1", CutOff: true}, "a1:1 a2:1 b1:1"},
+		"own region":                     {Query{Region: "a", Limit: 9, Node: "b1"}, "a1:1 a2:1"},
+		"nobody up there":                {Query{Region: "c", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
+		"unknown region":                 {Query{Region: "x", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
+		"asked while leaving":            {Query{Region: "a", Limit: 9, Node: "a1", Draining: true}, "a2:1"},
+		"the last one of its region":     {Query{Region: "b", Limit: 9, Node: "b1", Draining: true}, "a1:1 a2:1"},
+		"cut off, the others may not be": {Query{Region: "b", Limit: 9, Node: "b1", Partitioned: true}, "a1:1 a2:1 b1:1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			}
 		})
 	}
-	limited := Question{Region: "a", Limit: 1, Asked: "b1"}
+	limited := Query{Region: "a", Limit: 1, Node: "b1"}
 	if got := limited.Answer(gateways); len(got) != 1 {
 		t.Errorf("got %v, want one", got)
 	}
--- a/dispatch/bounds.go
+++ b/dispatch/bounds.go
@@ -6,14 +6,14 @@
 	// RetryRatio bounds the attempts that arrive at replicas beyond the first of each
 	// request, over the requests.
 	RetryRatio float64
-	// ColdOvershoot is the factor by which a cold replica may get more than it bears.
-	ColdOvershoot float64
+	// WarmupOvershoot is the factor by which a cold replica may get more than it bears.
+	WarmupOvershoot float64
 }
 
 // Defaults of Bounds.
 const (
-	DefaultRetryRatio    = 0.2
-	DefaultColdOvershoot = 1.5
+	DefaultRetryRatio      = 0.2
+	DefaultWarmupOvershoot = 1.5
 )
 
 const (
@@ -32,8 +32,8 @@
 	if b.RetryRatio == 0 {
 		b.RetryRatio = DefaultRetryRatio
 	}
-	if b.ColdOvershoot == 0 {
-		b.ColdOvershoot = DefaultColdOvershoot
+	if b.WarmupOvershoot == 0 {
+		b.WarmupOvershoot = DefaultWarmupOvershoot
 	}
 	return b
 }
@@ -42,4 +42,4 @@
 func (b Bounds) retryRatio() float64 { return retryPart * b.RetryRatio }
 
 // coldShare is the part of what a cold replica bears that its feeder sends.
-func (b Bounds) coldShare() float64 { return min(1, coldPart*b.ColdOvershoot/coldFeeders) }
+func (b Bounds) coldShare() float64 { return min(1, coldPart*b.WarmupOvershoot/coldFeeders) }
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -88,9 +88,9 @@
 		}
 	}
 	if full {
-		return nil, &RequestError{Code: Overloaded, RetryAfter: busyRetryAfter}
+		return nil, &RequestError{Code: CodeOverloaded, RetryAfter: busyRetryAfter}
 	}
-	return nil, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter}
+	return nil, &RequestError{Code: CodeNoReplica, RetryAfter: absentRetryAfter}
 }
 
 // allowed says whether the operators and the list permit the replica.
@@ -116,7 +116,7 @@
 	if s.ramped(r) && (s.now.Before(r.nextCold) || s.plan.feeder(r) != d.options.Gateway) {
 		return excluded
 	}
-	if s.now.Before(r.avoidedUntil) || r.silent(s.now, d.options.Backend.Heard(r.address)) {
+	if s.now.Before(r.avoidedUntil) || r.silent(s.now, d.options.Backend.LastReceived(r.address)) {
 		return avoided
 	}
 	if s.now.Before(s.service.outliers.EjectedUntil(r.id)) || s.now.Before(d.zone(r.zone).avoidedUntil) {
@@ -137,7 +137,7 @@
 	candidates := s.candidates(list, cached)
 	position, expected := placement.Choose(candidates, work)
 	if s.refusable() && expected > s.longest(&candidates[position], work) {
-		return nil, &RequestError{Code: Overloaded, RetryAfter: busyRetryAfter}
+		return nil, &RequestError{Code: CodeOverloaded, RetryAfter: busyRetryAfter}
 	}
 	chosen := list[position]
 	if s.ramped(chosen) {
@@ -161,8 +161,8 @@
 func (s *search) longest(chosen *placement.Candidate, work placement.Work) float64 {
 	aim := s.route.FirstEventTarget.Seconds()
 	own := 0.0
-	if chosen.Speed > 0 {
-		own = max(0, work.Tokens-chosen.Cached) / chosen.Speed
+	if chosen.PrefillRate > 0 {
+		own = max(0, work.Tokens-chosen.CachedTokens) / chosen.PrefillRate
 	}
 	return max(aim, own+waitPart*aim)
 }
@@ -170,18 +170,18 @@
 // work is what placement must know of the request. Reading times stand for
 // tokens, so that long prompts count as the long time that they take.
 func (s *search) work() placement.Work {
-	tokens := readingWork(s.request.Tokens, 0) * readingSpeed
-	link, found := placement.Affinity(s.request.Chain)
+	tokens := readingWork(s.request.PromptTokens, 0) * readingSpeed
+	link, found := placement.Affinity(s.request.PrefixChain)
 	if !found || s.service.spec.CacheTokens == 0 {
-		return placement.Work{Tokens: tokens, Key: placement.Hash(s.request.ID)}
+		return placement.Work{Tokens: tokens, AffinityHash: placement.Hash(s.request.ID)}
 	}
-	return placement.Work{Tokens: tokens, Key: link.Hash, Bulk: float64(link.Tokens), Reread: rereading}
+	return placement.Work{Tokens: tokens, AffinityHash: link.Hash, AffinityTokens: float64(link.Tokens), UncachedPrefillWeight: rereading}
 }
 
 // cached is what replicas are known to hold of the prompt, in tokens by number.
 func (s *search) cached() map[int]int {
 	cached := make(map[int]int)
-	s.service.index.Cached(s.request.Chain, func(number, tokens int) { cached[number] = tokens })
+	s.service.index.Cached(s.request.PrefixChain, func(number, tokens int) { cached[number] = tokens })
 	return cached
 }
 
@@ -197,15 +197,15 @@
 	others := s.dispatcher.loads.others(r.key, s.now)
 	trip := s.dispatcher.trip(r).Seconds()
 	c := placement.Candidate{
-		Number:  position,
-		Hash:    r.hash,
-		Busy:    float64(r.inFlight + others.Requests),
-		Slots:   float64(s.slots(r)),
-		Hold:    s.service.hold,
-		Wait:    trip,
-		Penalty: crossing * trip,
-	}
-	if !s.dispatcher.options.Backend.Idle(r.address) {
+		Number:         position,
+		Hash:           r.hash,
+		ActiveRequests: float64(r.inFlight + others.Requests),
+		Slots:          float64(s.slots(r)),
+		ServiceTime:    s.service.hold,
+		Wait:           trip,
+		Penalty:        crossing * trip,
+	}
+	if !s.dispatcher.options.Backend.HasIdleConnection(r.address) {
 		c.Wait += trip
 		c.Penalty += connectingPrice
 	}
@@ -214,11 +214,11 @@
 	}
 	if s.service.spec.CacheTokens > 0 {
 		line := s.service.pace.now
-		c.Speed = readingSpeed / (line.factor * r.slowness)
+		c.PrefillRate = readingSpeed / (line.factor * r.slowness)
 		c.Wait += line.start + r.backlog.left(s.now).Seconds()
-		c.Cached = float64(cached)
+		c.CachedTokens = float64(cached)
 		room := memoryShare*float64(s.service.spec.CacheTokens) - r.held - float64(others.Tokens)
-		if room < s.request.Tokens {
+		if room < s.request.PromptTokens {
 			c.Wait += s.service.hold
 		}
 	}
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -91,7 +91,7 @@
 func (d *Dispatcher) withdraw(at *placed) {
 	at.work.end()
 	at.replica.backlog.add(time.Now(), -at.work.reading)
-	if d.options.Placed != nil {
-		d.options.Placed(peer.PlacedPrompt{Replica: at.replica.key, PrefillMS: -int(at.work.reading.Milliseconds())})
+	if d.options.OnPlaced != nil {
+		d.options.OnPlaced(peer.PlacedPrompt{Replica: at.replica.key, PrefillMS: -int(at.work.reading.Milliseconds())})
 	}
 }
--- a/dispatch/claim_test.go
+++ b/dispatch/claim_test.go
@@ -39,7 +39,7 @@
 		for _, name := range replicas {
 			f.addReplica(name, "east-1")
 		}
-		f.answer = func(context.Context, *Attempt) (*Answer, error) {
+		f.answer = func(context.Context, *Attempt) (*Response, error) {
 			return events("id: 1\ndata: x\n\n", nil), nil
 		}
 	}
@@ -60,11 +60,11 @@
 	report := func(news peer.RegionLoads) {
 		time.AfterFunc(newsDelay, func() { to.dispatcher.Observe(&news) })
 	}
-	from.dispatcher.options.Placed = func(prompt peer.PlacedPrompt) {
+	from.dispatcher.options.OnPlaced = func(prompt peer.PlacedPrompt) {
 		prompt.Gateway = peer.NewReplicaKey(name)
 		report(peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{prompt}})
 	}
-	from.dispatcher.options.Read = func(prompt peer.PrefillSample) {
+	from.dispatcher.options.OnPrefill = func(prompt peer.PrefillSample) {
 		report(peer.RegionLoads{PrefillSamples: []peer.PrefillSample{prompt}})
 	}
 }
@@ -75,8 +75,8 @@
 }
 
 func longRequest(r *Request) {
-	r.Tokens = longPrompt
-	r.Chain = chainOf("shared", 500)
+	r.PromptTokens = longPrompt
+	r.PrefixChain = chainOf("shared", 500)
 }
 
 // TestPromptsThatComeAtOnceGoApart: two gateways that decide at the same moment
@@ -173,8 +173,8 @@
 				{Replica: peer.NewReplicaKey(holder), Prefixes: placement.Hashes(chainOf("shared", 9000))},
 			}})
 			pair.second.serve(func(r *Request) {
-				r.Tokens = 9500
-				r.Chain = chainOf("shared", 9000)
+				r.PromptTokens = 9500
+				r.PrefixChain = chainOf("shared", 9000)
 			})
 			if asked := pair.second.replicasAsked(); len(asked) != 1 || asked[0] != holder {
 				t.Errorf("asked %v, want %s, which holds the prefix", asked, holder)
@@ -187,11 +187,11 @@
 func TestSpeedsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pair := newGatewayPair(t, "a")
-		pair.first.answer = func(context.Context, *Attempt) (*Answer, error) {
+		pair.first.answer = func(context.Context, *Attempt) (*Response, error) {
 			time.Sleep(120 * time.Millisecond)
 			return events("id: 1\ndata: x\n\n", nil), nil
 		}
-		pair.first.serve(func(r *Request) { r.Tokens = 3000 })
+		pair.first.serve(func(r *Request) { r.PromptTokens = 3000 })
 		time.Sleep(10 * newsDelay)
 		for _, f := range []*fixture{pair.first, pair.second} {
 			if status := f.dispatcher.Replicas()[0]; status.Slowness < 1.2 {
@@ -305,12 +305,12 @@
 	for _, name := range []string{"a", "b"} {
 		f.addReplica(name, "east-1")
 	}
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return events("id: 1\ndata: x\n\n", nil), nil }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return events("id: 1\ndata: x\n\n", nil), nil }
 	f.fillRetryBudget()
 	busy := func(name string) peer.PlacedPrompt {
 		return peer.PlacedPrompt{Replica: peer.NewReplicaKey(name), PrefillMS: 1500}
 	}
-	f.answer = func(context.Context, *Attempt) (*Answer, error) {
+	f.answer = func(context.Context, *Attempt) (*Response, error) {
 		f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{busy("a"), busy("b")}})
 		switch {
 		case len(f.replicasAsked()) > 1:
@@ -318,7 +318,7 @@
 		case begun:
 			return events("id: 1\ndata: x\n\n", errReset), nil
 		default:
-			return nil, attemptError(Broken)
+			return nil, attemptError(FailureIndeterminate)
 		}
 	}
 	client, refusal := f.serve(nil)
@@ -339,13 +339,13 @@
 	f := newFixture(t)
 	f.configure(withPrompts)
 	f.addReplica("a", "east-1")
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return events("id: 1\ndata: x\n\n", nil), nil }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return events("id: 1\ndata: x\n\n", nil), nil }
 	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("a"), PrefillMS: int(test.backlog.Milliseconds())}}})
-	_, refusal := f.serve(func(r *Request) { r.Tokens = test.tokens })
+	_, refusal := f.serve(func(r *Request) { r.PromptTokens = test.tokens })
 	if refused := refusal != nil; refused != test.refused {
 		t.Errorf("refused: %v, %v", refused, refusal)
 	}
-	if refusal != nil && (refusal.Code != Overloaded || refusal.RetryAfter == 0 || len(f.replicasAsked()) > 0) {
+	if refusal != nil && (refusal.Code != CodeOverloaded || refusal.RetryAfter == 0 || len(f.replicasAsked()) > 0) {
 		t.Errorf("got %+v, asked %v", refusal, f.replicasAsked())
 	}
 }
--- a/dispatch/deadline_test.go
+++ b/dispatch/deadline_test.go
@@ -33,19 +33,19 @@
 // of an answer is broken off, and its replica with it.
 func TestEveryAnswerEndsAtTheRoutesTime(t *testing.T) {
 	const timeout = 2 * time.Second
-	answers := map[string]func(ctx context.Context) (*Answer, error){
-		"no answer": func(ctx context.Context) (*Answer, error) {
+	answers := map[string]func(ctx context.Context) (*Response, error){
+		"no answer": func(ctx context.Context) (*Response, error) {
 			<-ctx.Done()
-			return nil, &AttemptError{Failure: Broken, Err: ctx.Err()}
+			return nil, &AttemptError{Reason: FailureIndeterminate, Err: ctx.Err()}
 		},
-		"a head and nothing more": func(ctx context.Context) (*Answer, error) {
-			return &Answer{Status: 200, Header: http.Header{}, Events: true, Body: io.NopCloser(&stalledStream{ctx, strings.NewReader("")})}, nil
+		"a head and nothing more": func(ctx context.Context) (*Response, error) {
+			return &Response{Status: 200, Header: http.Header{}, EventStream: true, Body: io.NopCloser(&stalledStream{ctx, strings.NewReader("")})}, nil
 		},
-		"a stream that stalls": func(ctx context.Context) (*Answer, error) {
-			return &Answer{Status: 200, Header: http.Header{}, Events: true, Body: io.NopCloser(&stalledStream{ctx, strings.NewReader("id: 1\ndata: a\n\n")})}, nil
+		"a stream that stalls": func(ctx context.Context) (*Response, error) {
+			return &Response{Status: 200, Header: http.Header{}, EventStream: true, Body: io.NopCloser(&stalledStream{ctx, strings.NewReader("id: 1\ndata: a\n\n")})}, nil
 		},
-		"within an event": func(ctx context.Context) (*Answer, error) {
-			return &Answer{Status: 200, Header: http.Header{}, Events: true, Body: io.NopCloser(&stalledStream{ctx, strings.NewReader("id: 1\nda")})}, nil
+		"within an event": func(ctx context.Context) (*Response, error) {
+			return &Response{Status: 200, Header: http.Header{}, EventStream: true, Body: io.NopCloser(&stalledStream{ctx, strings.NewReader("id: 1\nda")})}, nil
 		},
 	}
 	for name, answer := range answers {
@@ -56,17 +56,17 @@
 					route.Kind, route.Resumable, route.MaxAttempts, route.Timeout = routemap.Stream, false, 1, timeout
 				})
 				f.addReplica("a", "east-1")
-				f.answer = func(ctx context.Context, _ *Attempt) (*Answer, error) { return answer(ctx) }
+				f.answer = func(ctx context.Context, _ *Attempt) (*Response, error) { return answer(ctx) }
 				began := time.Now()
-				client, refusal := f.serve(func(r *Request) { r.Wait = time.Minute })
+				client, refusal := f.serve(func(r *Request) { r.ClientTimeout = time.Minute })
 				if took := time.Since(began); took != timeout {
 					t.Errorf("ended after %v, want %v", took, timeout)
 				}
-				if refusal == nil || refusal.Code != TimedOut {
+				if refusal == nil || refusal.Code != CodeTimedOut {
 					t.Fatalf("got %+v", refusal)
 				}
-				if begun := client.status != 0; begun != refusal.Begun {
-					t.Errorf("begun %v, told %v", begun, refusal.Begun)
+				if begun := client.status != 0; begun != refusal.ResponseStarted {
+					t.Errorf("begun %v, told %v", begun, refusal.ResponseStarted)
 				}
 			})
 		})
@@ -84,7 +84,7 @@
 	f.addReplica("a", "east-1")
 	f.addReplica("b", "east-1")
 	f.fillRetryBudget()
-	f.answer = func(context.Context, *Attempt) (*Answer, error) {
+	f.answer = func(context.Context, *Attempt) (*Response, error) {
 		if len(f.sent) == 1 {
 			return events(first+second[:10], errors.New("connection reset")), nil
 		}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -30,12 +30,12 @@
 	// Header is passed to the replica. The dispatcher does not read it.
 	Header http.Header
 	Body   []byte
-	// Wait is how long the client waits, counted from Arrived; 0 is not told.
-	Wait    time.Duration
-	Arrived time.Time
-	// Chain are the shared parts of the prompt, Tokens the whole prompt.
-	Chain  []placement.Link
-	Tokens float64
+	// ClientTimeout is how long the client waits, counted from Arrived; 0 is not told.
+	ClientTimeout time.Duration
+	Arrived       time.Time
+	// PrefixChain are the shared parts of the prompt, Tokens the whole prompt.
+	PrefixChain  []placement.Link
+	PromptTokens float64
 }
 
 // Endpoint names one incarnation of one replica.
@@ -51,45 +51,45 @@
 	Deadline time.Time
 	// Priority ranks the request at the replica; 0 is the most urgent.
 	Priority int
-	// After is the id of the last event that the client has; empty to begin.
-	After string
+	// LastEventID is the id of the last event that the client has; empty to begin.
+	LastEventID string
 }
 
-// Answer is the head of a replica's answer and its body to be read.
-type Answer struct {
+// Response is the head of a replica's answer and its body to be read.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Events says that the body is a series of events.
-	Events bool
+	// EventStream says that the body is a series of events.
+	EventStream bool
 }
 
-// Failure is why an attempt brought no answer.
-type Failure string
+// FailureReason is why an attempt brought no answer.
+type FailureReason string
 
 // Failures of attempts.
 const (
-	// Unsent: the replica has seen nothing of the request.
-	Unsent Failure = "unsent"
-	// Full: the replica refused, and the request did not run.
-	Full Failure = "full"
-	// Replaced: another replica has the address; the request did not run.
-	Replaced Failure = "replaced"
-	// Broken: the request may have run.
-	Broken Failure = "broken"
+	// FailureUnsent: the replica has seen nothing of the request.
+	FailureUnsent FailureReason = "unsent"
+	// FailureRejected: the replica refused, and the request did not run.
+	FailureRejected FailureReason = "full"
+	// FailureReplaced: another replica has the address; the request did not run.
+	FailureReplaced FailureReason = "replaced"
+	// FailureIndeterminate: the request may have run.
+	FailureIndeterminate FailureReason = "broken"
 )
 
 // AttemptError is the error of an attempt without an answer.
 type AttemptError struct {
-	Failure Failure
+	Reason FailureReason
 	// RetryAfter is when a full replica wants to be asked again, 0 if not told.
 	RetryAfter time.Duration
-	// Silent says of an unsent attempt that nothing at all came back.
-	Silent bool
-	Err    error
+	// NoResponse says of an unsent attempt that nothing at all came back.
+	NoResponse bool
+	Err        error
 }
 
-func (e *AttemptError) Error() string { return "dispatch: " + string(e.Failure) + ": " + e.Err.Error() }
+func (e *AttemptError) Error() string { return "dispatch: " + string(e.Reason) + ": " + e.Err.Error() }
 
 func (e *AttemptError) Unwrap() error { return e.Err }
 
@@ -97,19 +97,19 @@
 type Backend interface {
 	// Send returns when the head of the answer is here. The error is an
 	// *AttemptError. The end of ctx breaks the attempt off.
-	Send(ctx context.Context, attempt *Attempt) (*Answer, error)
-	// Heard returns when bytes last came from an address.
-	Heard(address string) time.Time
-	// Idle says whether a connection to an address is open and free.
-	Idle(address string) bool
-	// Forget drops what is kept of an address.
-	Forget(address string)
+	Send(ctx context.Context, attempt *Attempt) (*Response, error)
+	// LastReceived returns when bytes last came from an address.
+	LastReceived(address string) time.Time
+	// HasIdleConnection says whether a connection to an address is open and free.
+	HasIdleConnection(address string) bool
+	// CloseIdleConnections drops what is kept of an address.
+	CloseIdleConnections(address string)
 }
 
-// Client takes the answer to a request.
-type Client interface {
-	// Begin sends the head of an answer. It is called at most once.
-	Begin(status int, header http.Header)
+// ResponseWriter takes the answer to a request.
+type ResponseWriter interface {
+	// WriteHead sends the head of an answer. It is called at most once.
+	WriteHead(status int, header http.Header)
 	// Write sends a part of the body, and Flush what was written.
 	Write(part []byte) (int, error)
 	Flush()
@@ -118,24 +118,24 @@
 // Code says why a request was not served.
 type Code string
 
-// Codes of refusals. Those up to NoTime say that the request has not run.
+// Codes of refusals. Those up to CodeExpiredUnsent say that the request has not run.
 const (
-	NotReady   Code = "not_ready"   // no configuration is known here yet
-	NoRoute    Code = "no_route"    // the configuration has no route for it
-	NoReplica  Code = "no_replica"  // no replica may take it now
-	Overloaded Code = "overloaded"  // it would wait too long
-	NoTime     Code = "no_time"     // its time ended before it was sent
-	Unknown    Code = "unknown"     // it may have run; its answer is lost
-	TimedOut   Code = "timed_out"   // it may have run; its time is over
-	ClientGone Code = "client_gone" // nobody waits for the answer
+	CodeNotReady       Code = "not_ready"   // no configuration is known here yet
+	CodeNoRoute        Code = "no_route"    // the configuration has no route for it
+	CodeNoReplica      Code = "no_replica"  // no replica may take it now
+	CodeOverloaded     Code = "overloaded"  // it would wait too long
+	CodeExpiredUnsent  Code = "no_time"     // its time ended before it was sent
+	CodeOutcomeUnknown Code = "unknown"     // it may have run; its answer is lost
+	CodeTimedOut       Code = "timed_out"   // it may have run; its time is over
+	CodeClientClosed   Code = "client_gone" // nobody waits for the answer
 )
 
 // RequestError is why a request was not served. Begun says that a part of an answer
 // was sent, so that only breaking it off remains.
 type RequestError struct {
-	Code       Code
-	RetryAfter time.Duration
-	Begun      bool
+	Code            Code
+	RetryAfter      time.Duration
+	ResponseStarted bool
 }
 
 func (r *RequestError) Error() string { return "dispatch: " + string(r.Code) }
@@ -149,12 +149,12 @@
 	Backend Backend
 	// Bounds are what all gateways together are granted.
 	Bounds Bounds
-	// Placed, if set, is told of each prompt that a replica was given to read. It
+	// OnPlaced, if set, is told of each prompt that a replica was given to read. It
 	// must not block.
-	Placed func(prompt peer.PlacedPrompt)
-	// Read, if set, is told of each prompt that a replica of the own region read
+	OnPlaced func(prompt peer.PlacedPrompt)
+	// OnPrefill, if set, is told of each prompt that a replica of the own region read
 	// alone. It must not block.
-	Read func(prompt peer.PrefillSample)
+	OnPrefill func(prompt peer.PrefillSample)
 	// Random draws from [0, 1). Default math/rand/v2.
 	Random func() float64
 	Logger *slog.Logger
@@ -181,13 +181,13 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Requests uint64
-	Served   uint64
-	Attempts uint64
-	Retries  uint64
-	Resumed  uint64
-	Refused  map[Code]uint64
-	Failed   map[Failure]uint64
+	Requests       uint64
+	Served         uint64
+	Attempts       uint64
+	Retries        uint64
+	Resumed        uint64
+	Rejected       map[Code]uint64
+	FailedAttempts map[FailureReason]uint64
 }
 
 // New returns a dispatcher without a plan: it refuses everything as not ready.
@@ -211,7 +211,7 @@
 		zones:    make(map[string]*zoneWatch),
 
 		distances: newDistances(),
-		counts:    Counts{Refused: make(map[Code]uint64), Failed: make(map[Failure]uint64)},
+		counts:    Counts{Rejected: make(map[Code]uint64), FailedAttempts: make(map[FailureReason]uint64)},
 	}
 }
 
@@ -220,13 +220,13 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	counts := d.counts
-	counts.Refused = make(map[Code]uint64, len(d.counts.Refused))
-	for code, count := range d.counts.Refused {
-		counts.Refused[code] = count
+	counts.Rejected = make(map[Code]uint64, len(d.counts.Rejected))
+	for code, count := range d.counts.Rejected {
+		counts.Rejected[code] = count
 	}
-	counts.Failed = make(map[Failure]uint64, len(d.counts.Failed))
-	for failure, count := range d.counts.Failed {
-		counts.Failed[failure] = count
+	counts.FailedAttempts = make(map[FailureReason]uint64, len(d.counts.FailedAttempts))
+	for failure, count := range d.counts.FailedAttempts {
+		counts.FailedAttempts[failure] = count
 	}
 	return counts
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -34,7 +34,7 @@
 
 	mutex   sync.Mutex
 	sent    []Attempt
-	answer  func(ctx context.Context, attempt *Attempt) (*Answer, error)
+	answer  func(ctx context.Context, attempt *Attempt) (*Response, error)
 	heardAt time.Time
 	// connected are the addresses with an idle connection; nil is all.
 	connected map[string]bool
@@ -59,7 +59,7 @@
 func newFixtureOf(t *testing.T, gateway string) *fixture {
 	t.Helper()
 	f := &fixture{t: t, table: newTable(t)}
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return whole(200, "ok"), nil }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return whole(200, "ok"), nil }
 	f.dispatcher = New(Options{
 		Gateway: gateway, Zone: "east-1", Region: ownRegion, Backend: f,
 		Random: func() float64 { return 0 }, Logger: slog.New(slog.DiscardHandler),
@@ -68,26 +68,26 @@
 	return f
 }
 
-func (f *fixture) Send(ctx context.Context, attempt *Attempt) (*Answer, error) {
+func (f *fixture) Send(ctx context.Context, attempt *Attempt) (*Response, error) {
 	f.mutex.Lock()
 	f.sent = append(f.sent, *attempt)
 	f.mutex.Unlock()
 	return f.answer(ctx, attempt)
 }
 
-func (f *fixture) Heard(string) time.Time {
+func (f *fixture) LastReceived(string) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.heardAt
 }
 
-func (f *fixture) Idle(address string) bool {
+func (f *fixture) HasIdleConnection(address string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.connected == nil || f.connected[address]
 }
 
-func (f *fixture) Forget(string) {}
+func (f *fixture) CloseIdleConnections(string) {}
 
 // apply changes the registry and makes it decide.
 func (f *fixture) apply(changes ...registry.Record) {
@@ -173,49 +173,49 @@
 	body   bytes.Buffer
 }
 
-func (r *recorder) Begin(status int, header http.Header) { r.status, r.header = status, header }
+func (r *recorder) WriteHead(status int, header http.Header) { r.status, r.header = status, header }
 
 func (r *recorder) Write(part []byte) (int, error) { return r.body.Write(part) }
 
 func (r *recorder) Flush() {}
 
-func whole(status int, text string) *Answer {
-	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
+func whole(status int, text string) *Response {
+	return &Response{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
 
 // events is a stream that ends with an error, nil for a whole one.
-func events(text string, err error) *Answer {
+func events(text string, err error) *Response {
 	var reader io.Reader = strings.NewReader(text)
 	if err != nil {
 		reader = io.MultiReader(reader, failing{err})
 	}
-	return &Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(reader), Events: true}
+	return &Response{Status: 200, Header: http.Header{}, Body: io.NopCloser(reader), EventStream: true}
 }
 
 type failing struct{ err error }
 
 func (f failing) Read([]byte) (int, error) { return 0, f.err }
 
-func attemptError(failure Failure) error {
-	return &AttemptError{Failure: failure, Err: errors.New("as the test wants")}
+func attemptError(failure FailureReason) error {
+	return &AttemptError{Reason: failure, Err: errors.New("as the test wants")}
 }
 
 var errReset = errors.New("connection reset")
 
 func TestRefusalsBeforeAnythingIsSent(t *testing.T) {
 	f := newFixture(t)
-	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != NotReady || refusal.RetryAfter == 0 {
+	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeNotReady || refusal.RetryAfter == 0 {
 		t.Errorf("without a configuration: %v", refusal)
 	}
 	f.configure(nil)
-	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != NoReplica || refusal.RetryAfter == 0 {
+	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeNoReplica || refusal.RetryAfter == 0 {
 		t.Errorf("without replicas: %v", refusal)
 	}
-	if _, refusal := f.serve(func(r *Request) { r.Host = "other" }); refusal == nil || refusal.Code != NoRoute {
+	if _, refusal := f.serve(func(r *Request) { r.Host = "other" }); refusal == nil || refusal.Code != CodeNoRoute {
 		t.Errorf("without a route: %v", refusal)
 	}
 	f.addReplica("a", "east-1")
-	if _, refusal := f.serve(func(r *Request) { r.Arrived = time.Now().Add(-time.Minute) }); refusal == nil || refusal.Code != NoTime {
+	if _, refusal := f.serve(func(r *Request) { r.Arrived = time.Now().Add(-time.Minute) }); refusal == nil || refusal.Code != CodeExpiredUnsent {
 		t.Errorf("without time: %v", refusal)
 	}
 	if asked := f.replicasAsked(); len(asked) != 0 {
@@ -266,19 +266,19 @@
 	tests := map[string]struct {
 		kind      routemap.Kind
 		resumable bool
-		failure   Failure
+		failure   FailureReason
 		attempts  int
 		code      Code // of the refusal, empty if it is served
 	}{
-		"once, unsent":          {routemap.AtMostOnce, false, Unsent, 2, ""},
-		"once, full":            {routemap.AtMostOnce, false, Full, 2, ""},
-		"once, replaced":        {routemap.AtMostOnce, false, Replaced, 2, ""},
-		"once, broken":          {routemap.AtMostOnce, false, Broken, 1, Unknown},
-		"stream, broken":        {routemap.Stream, false, Broken, 1, Unknown},
-		"resumable, broken":     {routemap.Stream, true, Broken, 2, ""},
-		"repeatable, broken":    {routemap.Idempotent, false, Broken, 2, ""},
-		"repeatable, refused":   {routemap.Idempotent, false, Full, 2, ""},
-		"stream, nothing there": {routemap.Stream, false, Unsent, 2, ""},
+		"once, unsent":          {routemap.AtMostOnce, false, FailureUnsent, 2, ""},
+		"once, full":            {routemap.AtMostOnce, false, FailureRejected, 2, ""},
+		"once, replaced":        {routemap.AtMostOnce, false, FailureReplaced, 2, ""},
+		"once, broken":          {routemap.AtMostOnce, false, FailureIndeterminate, 1, CodeOutcomeUnknown},
+		"stream, broken":        {routemap.Stream, false, FailureIndeterminate, 1, CodeOutcomeUnknown},
+		"resumable, broken":     {routemap.Stream, true, FailureIndeterminate, 2, ""},
+		"repeatable, broken":    {routemap.Idempotent, false, FailureIndeterminate, 2, ""},
+		"repeatable, refused":   {routemap.Idempotent, false, FailureRejected, 2, ""},
+		"stream, nothing there": {routemap.Stream, false, FailureUnsent, 2, ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -289,7 +289,7 @@
 			f.addReplica("a", "east-1")
 			f.addReplica("b", "east-1")
 			f.fillRetryBudget()
-			f.answer = func(_ context.Context, attempt *Attempt) (*Answer, error) {
+			f.answer = func(_ context.Context, attempt *Attempt) (*Response, error) {
 				if len(f.replicasAsked()) == 1 {
 					return nil, attemptError(test.failure)
 				}
@@ -322,12 +322,12 @@
 	for i := range 12 {
 		f.addReplica(fmt.Sprint("r", i), "east-1")
 	}
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return events("id: 1\ndata: x\n\n", nil), nil }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return events("id: 1\ndata: x\n\n", nil), nil }
 	f.connected = map[string]bool{"r3:1": true}
 	ask := func(i int) {
 		f.serve(func(r *Request) {
 			r.ID = fmt.Sprint("id-", i)
-			r.Chain, r.Tokens = chainOf(fmt.Sprint("part-", i), 10), 20
+			r.PrefixChain, r.PromptTokens = chainOf(fmt.Sprint("part-", i), 10), 20
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -364,11 +364,11 @@
 	const hanging = 300 * time.Millisecond
 	hung := 0
 	cut := true
-	f.answer = func(_ context.Context, attempt *Attempt) (*Answer, error) {
+	f.answer = func(_ context.Context, attempt *Attempt) (*Response, error) {
 		if cut && strings.HasPrefix(attempt.Replica.ID, "cut") {
 			hung++
 			time.Sleep(hanging)
-			return nil, &AttemptError{Failure: Unsent, Silent: true, Err: errors.New("i/o timeout")}
+			return nil, &AttemptError{Reason: FailureUnsent, NoResponse: true, Err: errors.New("i/o timeout")}
 		}
 		return whole(200, "served"), nil
 	}
@@ -412,9 +412,9 @@
 		f.serve(nil)
 	}
 	f.sent = nil
-	f.answer = func(context.Context, *Attempt) (*Answer, error) {
+	f.answer = func(context.Context, *Attempt) (*Response, error) {
 		if len(f.replicasAsked()) < 4 {
-			return nil, attemptError(Replaced)
+			return nil, attemptError(FailureReplaced)
 		}
 		return whole(200, "served"), nil
 	}
@@ -423,7 +423,7 @@
 		t.Errorf("got %v, %q after %v", refusal, client.body.String(), f.replicasAsked())
 	}
 	f.sent = nil
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return nil, attemptError(Full) }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureRejected) }
 	if _, refusal := f.serve(nil); refusal == nil || len(f.replicasAsked()) > mostRefused {
 		t.Errorf("full replicas: %v after %v", refusal, f.replicasAsked())
 	}
@@ -438,8 +438,8 @@
 	for range 20 {
 		f.serve(nil)
 	}
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return nil, attemptError(Broken) }
-	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != Unknown || refusal.RetryAfter != 0 {
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
+	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeOutcomeUnknown || refusal.RetryAfter != 0 {
 		t.Errorf("got %v", refusal)
 	}
 }
@@ -450,7 +450,7 @@
 	for i := range 6 {
 		f.addReplica(fmt.Sprint("r", i), "east-1")
 	}
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return nil, attemptError(Broken) }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
 	const requests = 200
 	for range requests {
 		f.serve(nil)
@@ -464,7 +464,7 @@
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
-	f.answer = func(context.Context, *Attempt) (*Answer, error) { return whole(500, "failed"), nil }
+	f.answer = func(context.Context, *Attempt) (*Response, error) { return whole(500, "failed"), nil }
 	if client, refusal := f.serve(nil); refusal != nil || client.status != 500 || client.body.String() != "failed" {
 		t.Errorf("got %v, %d", refusal, client.status)
 	}
@@ -474,10 +474,10 @@
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
-	f.answer = func(context.Context, *Attempt) (*Answer, error) {
-		return &Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(strings.NewReader("part"), failing{errReset}))}, nil
+	f.answer = func(context.Context, *Attempt) (*Response, error) {
+		return &Response{Status: 200, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(strings.NewReader("part"), failing{errReset}))}, nil
 	}
-	if client, refusal := f.serve(nil); refusal == nil || refusal.Code != Unknown || refusal.Begun || client.status != 0 {
+	if client, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeOutcomeUnknown || refusal.ResponseStarted || client.status != 0 {
 		t.Errorf("got %v, status %d", refusal, client.status)
 	}
 }
@@ -486,13 +486,13 @@
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Timeout = 50 * time.Millisecond })
 	f.addReplica("a", "east-1")
-	f.answer = func(ctx context.Context, _ *Attempt) (*Answer, error) {
+	f.answer = func(ctx context.Context, _ *Attempt) (*Response, error) {
 		<-ctx.Done()
-		return nil, attemptError(Broken)
+		return nil, attemptError(FailureIndeterminate)
 	}
 	started := time.Now()
-	_, refusal := f.serve(func(r *Request) { r.Wait = time.Minute })
-	if took := time.Since(started); refusal == nil || refusal.Code != TimedOut || took > time.Second {
+	_, refusal := f.serve(func(r *Request) { r.ClientTimeout = time.Minute })
+	if took := time.Since(started); refusal == nil || refusal.Code != CodeTimedOut || took > time.Second {
 		t.Errorf("got %v after %v", refusal, took)
 	}
 	if deadline := f.sent[0].Deadline; time.Until(deadline) > 50*time.Millisecond {
@@ -505,13 +505,13 @@
 	f.configure(nil)
 	f.addReplica("a", "east-1")
 	ctx, cancel := context.WithCancel(t.Context())
-	f.answer = func(sending context.Context, _ *Attempt) (*Answer, error) {
+	f.answer = func(sending context.Context, _ *Attempt) (*Response, error) {
 		cancel()
 		<-sending.Done()
-		return nil, attemptError(Broken)
+		return nil, attemptError(FailureIndeterminate)
 	}
 	request := &Request{ID: "id", Method: http.MethodPost, Host: "h", Path: "/", Arrived: time.Now()}
-	if refusal := f.dispatcher.Serve(ctx, request, &recorder{}); refusal == nil || refusal.Code != ClientGone {
+	if refusal := f.dispatcher.Serve(ctx, request, &recorder{}); refusal == nil || refusal.Code != CodeClientClosed {
 		t.Errorf("got %v", refusal)
 	}
 }
--- a/dispatch/distance.go
+++ b/dispatch/distance.go
@@ -61,8 +61,8 @@
 	return d.distances.to(r.zone, d.firstTrip(r))
 }
 
-// Connected notes how long it took to connect to an address.
-func (d *Dispatcher) Connected(address string, took time.Duration) {
+// RecordConnect notes how long it took to connect to an address.
+func (d *Dispatcher) RecordConnect(address string, took time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, r := range d.replicas {
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -19,24 +19,24 @@
 // exampleBackend is two replicas as functions: the first cannot be reached.
 type exampleBackend struct{}
 
-func (exampleBackend) Send(_ context.Context, attempt *dispatch.Attempt) (*dispatch.Answer, error) {
+func (exampleBackend) Send(_ context.Context, attempt *dispatch.Attempt) (*dispatch.Response, error) {
 	if attempt.Replica.ID == "r1" {
-		return nil, &dispatch.AttemptError{Failure: dispatch.Unsent, Err: errors.New("connection refused")}
+		return nil, &dispatch.AttemptError{Reason: dispatch.FailureUnsent, Err: errors.New("connection refused")}
 	}
 	body := io.NopCloser(strings.NewReader("served by " + attempt.Replica.ID))
-	return &dispatch.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, nil
+	return &dispatch.Response{Status: http.StatusOK, Header: http.Header{}, Body: body}, nil
 }
 
-func (exampleBackend) Heard(string) time.Time { return time.Now() }
+func (exampleBackend) LastReceived(string) time.Time { return time.Now() }
 
-func (exampleBackend) Idle(string) bool { return true }
+func (exampleBackend) HasIdleConnection(string) bool { return true }
 
-func (exampleBackend) Forget(string) {}
+func (exampleBackend) CloseIdleConnections(string) {}
 
 // exampleClient prints the answer.
 type exampleClient struct{}
 
-func (exampleClient) Begin(status int, _ http.Header) { fmt.Print(status, " ") }
+func (exampleClient) WriteHead(status int, _ http.Header) { fmt.Print(status, " ") }
 
 func (exampleClient) Write(part []byte) (int, error) { return fmt.Print(string(part)) }
 
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -93,7 +93,7 @@
 // holds notes the shared parts that a replica will hold.
 func (d *Dispatcher) holds(r *replica, prefixes []uint64) {
 	if known, found := d.services[r.service]; found && len(prefixes) > 0 {
-		known.index.NoteHashes(r.number, prefixes)
+		known.index.RecordHashes(r.number, prefixes)
 	}
 }
 
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -153,7 +153,7 @@
 			return
 		}
 	}
-	d.options.Backend.Forget(address)
+	d.options.Backend.CloseIdleConnections(address)
 }
 
 // describe takes over what the registry says of a replica.
@@ -201,7 +201,7 @@
 			used[r.number] = true
 		}
 	}
-	s.outliers.Keep(names)
+	s.outliers.SetMembers(names)
 	for _, r := range s.replicas {
 		if r.number < 0 {
 			r.number = lowestFree(used)
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -16,7 +16,7 @@
 const wholeLimit = 256 << 10
 
 // relayWhole passes on an answer that is no series of events.
-func (r *run) relayWhole(ctx context.Context, at *placed, answer *Answer) (again bool, refusal *RequestError) {
+func (r *run) relayWhole(ctx context.Context, at *placed, answer *Response) (again bool, refusal *RequestError) {
 	first, err := io.ReadAll(io.LimitReader(answer.Body, wholeLimit+1))
 	if err != nil {
 		return r.broken(ctx, at, err)
@@ -32,7 +32,7 @@
 	}
 	r.begin(answer)
 	if _, err := r.client.Write(first); err != nil {
-		return false, &RequestError{Code: ClientGone, Begun: true}
+		return false, &RequestError{Code: CodeClientClosed, ResponseStarted: true}
 	}
 	if _, err := io.Copy(r.client, answer.Body); err != nil {
 		return r.broken(ctx, at, err)
@@ -42,18 +42,18 @@
 }
 
 // begin sends the head of the first answer; a resumed one keeps it.
-func (r *run) begin(answer *Answer) {
+func (r *run) begin(answer *Response) {
 	if r.begun {
 		return
 	}
 	r.begun = true
-	r.client.Begin(answer.Status, answer.Header)
+	r.client.WriteHead(answer.Status, answer.Header)
 }
 
 // relayEvents passes events on one by one, whole events only. The head of the
 // answer waits for the first event, so that an attempt which breaks off before
 // it has begun nothing.
-func (r *run) relayEvents(ctx context.Context, at *placed, answer *Answer, watch *silenceWatch) (again bool, refusal *RequestError) {
+func (r *run) relayEvents(ctx context.Context, at *placed, answer *Response, watch *silenceWatch) (again bool, refusal *RequestError) {
 	events := newEventReader(answer.Body)
 	for {
 		event, err := events.next()
@@ -73,7 +73,7 @@
 		}
 		r.begin(answer)
 		if _, err := r.client.Write(event.text); err != nil {
-			return false, &RequestError{Code: ClientGone}
+			return false, &RequestError{Code: CodeClientClosed}
 		}
 		r.client.Flush()
 		if event.id != "" {
@@ -101,7 +101,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.counts.Failed[Broken]++
+	d.counts.FailedAttempts[FailureIndeterminate]++
 	d.log.Debug("answer broke off", "request", r.request.ID, "replica", at.endpoint.ID, "error", err)
 	return r.afterBreak(at, now)
 }
@@ -116,8 +116,8 @@
 	now := time.Now()
 	if took, measured := at.work.open(now); measured && at.replica.region == d.options.Region {
 		d.learn(at.replica, at.work.own.work, took)
-		if d.options.Read != nil {
-			d.options.Read(peer.PrefillSample{Replica: at.replica.key, ReferenceUS: uint32(1e6 * at.work.own.work), MeasuredUS: uint32(1e6 * took)})
+		if d.options.OnPrefill != nil {
+			d.options.OnPrefill(peer.PrefillSample{Replica: at.replica.key, ReferenceUS: uint32(1e6 * at.work.own.work), MeasuredUS: uint32(1e6 * took)})
 		}
 	}
 	at.replica.reached()
@@ -145,10 +145,10 @@
 	at.replica.reached()
 	d.zone(at.replica.zone).noteHeard()
 	if status >= http.StatusInternalServerError {
-		at.service.outliers.Failure(now, at.replica.id)
+		at.service.outliers.RecordFailure(now, at.replica.id)
 		return
 	}
-	at.service.outliers.Success(now, at.replica.id)
+	at.service.outliers.RecordSuccess(now, at.replica.id)
 	took := now.Sub(at.work.began).Seconds()
 	at.service.hold += holdSmoothing * (took - at.service.hold)
 }
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -27,7 +27,7 @@
 	plan       *plan
 	route      *routemap.Route
 	request    *Request
-	client     Client
+	client     ResponseWriter
 	service    string
 	deadline   time.Time
 
@@ -43,7 +43,7 @@
 // Serve carries one request. It returns nil if a whole answer was relayed, also
 // if that is a replica's own error, and else why not. It returns at the latest
 // at the end of the route's time-out or of the client's wait.
-func (d *Dispatcher) Serve(ctx context.Context, request *Request, client Client) *RequestError {
+func (d *Dispatcher) Serve(ctx context.Context, request *Request, client ResponseWriter) *RequestError {
 	refusal := d.serve(ctx, request, client)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -51,23 +51,23 @@
 	if refusal == nil {
 		d.counts.Served++
 	} else {
-		d.counts.Refused[refusal.Code]++
+		d.counts.Rejected[refusal.Code]++
 	}
 	return refusal
 }
 
-func (d *Dispatcher) serve(ctx context.Context, request *Request, client Client) *RequestError {
+func (d *Dispatcher) serve(ctx context.Context, request *Request, client ResponseWriter) *RequestError {
 	decided := d.awaitPlan(ctx)
 	if decided == nil {
-		return &RequestError{Code: NotReady, RetryAfter: startRetryAfter}
+		return &RequestError{Code: CodeNotReady, RetryAfter: startRetryAfter}
 	}
 	route := decided.routes.Lookup(request.Host, request.Path)
 	if route == nil {
-		return &RequestError{Code: NoRoute}
+		return &RequestError{Code: CodeNoRoute}
 	}
 	wait := route.Timeout
-	if request.Wait > 0 {
-		wait = min(wait, request.Wait)
+	if request.ClientTimeout > 0 {
+		wait = min(wait, request.ClientTimeout)
 	}
 	r := &run{
 		dispatcher: d,
@@ -114,23 +114,23 @@
 	case err == nil:
 		return nil
 	case !errors.Is(err, context.DeadlineExceeded):
-		return &RequestError{Code: ClientGone, Begun: r.begun}
+		return &RequestError{Code: CodeClientClosed, ResponseStarted: r.begun}
 	case r.attempts > 0:
-		return &RequestError{Code: TimedOut, Begun: r.begun}
+		return &RequestError{Code: CodeTimedOut, ResponseStarted: r.begun}
 	default:
-		return &RequestError{Code: NoTime, Begun: r.begun}
+		return &RequestError{Code: CodeExpiredUnsent, ResponseStarted: r.begun}
 	}
 }
 
 // final keeps a refusal honest: what may have run is not refused as not run.
 func (r *run) final(refusal *RequestError) *RequestError {
-	refusal.Begun = r.begun
+	refusal.ResponseStarted = r.begun
 	if r.attempts == 0 {
 		return refusal
 	}
 	switch refusal.Code {
-	case NotReady, NoRoute, NoReplica, Overloaded, NoTime:
-		refusal.Code = Unknown
+	case CodeNotReady, CodeNoRoute, CodeNoReplica, CodeOverloaded, CodeExpiredUnsent:
+		refusal.Code = CodeOutcomeUnknown
 		refusal.RetryAfter = 0
 	}
 	return refusal
@@ -144,12 +144,12 @@
 	defer d.mutex.Unlock()
 	known, found := d.services[r.service]
 	if !found {
-		return nil, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter}
+		return nil, &RequestError{Code: CodeNoReplica, RetryAfter: absentRetryAfter}
 	}
 	now := time.Now()
 	if !r.noted {
 		r.noted = true
-		d.budget.NoteFirst(now)
+		d.budget.RecordFirstAttempt(now)
 	}
 	looking := &search{
 		dispatcher: d,
@@ -167,7 +167,7 @@
 	}
 	chosen := choice.replica
 	r.tried[chosen.id] = true
-	taken := chosen.take(now, r.reading(known, choice.cached), r.request.Tokens)
+	taken := chosen.take(now, r.reading(known, choice.cached), r.request.PromptTokens)
 	if known.spec.CacheTokens > 0 {
 		r.tellPlaced(known, taken)
 	}
@@ -184,15 +184,15 @@
 // other gateways.
 func (r *run) tellPlaced(known *service, taken *work) {
 	d := r.dispatcher
-	prefixes := placement.Hashes(r.request.Chain)
-	known.index.NoteHashes(taken.replica.number, prefixes)
-	if d.options.Placed == nil || taken.reading == 0 {
+	prefixes := placement.Hashes(r.request.PrefixChain)
+	known.index.RecordHashes(taken.replica.number, prefixes)
+	if d.options.OnPlaced == nil || taken.reading == 0 {
 		return
 	}
 	if r.sharedReading(known) < toldShared {
 		prefixes = nil
 	}
-	d.options.Placed(peer.PlacedPrompt{
+	d.options.OnPlaced(peer.PlacedPrompt{
 		Replica:   taken.replica.key,
 		PrefillMS: int(taken.reading.Milliseconds()),
 		Prefixes:  prefixes,
@@ -205,7 +205,7 @@
 
 // sharedReading is the time that the shared parts take to read, in seconds.
 func (r *run) sharedReading(known *service) float64 {
-	link, found := placement.Affinity(r.request.Chain)
+	link, found := placement.Affinity(r.request.PrefixChain)
 	if !found {
 		return 0
 	}
@@ -218,12 +218,12 @@
 		return reading{}
 	}
 	shared := 0
-	if links := len(r.request.Chain); links > 0 {
-		shared = r.request.Chain[links-1].Tokens
+	if links := len(r.request.PrefixChain); links > 0 {
+		shared = r.request.PrefixChain[links-1].Tokens
 	}
-	unread := r.request.Tokens - float64(cached)
+	unread := r.request.PromptTokens - float64(cached)
 	return reading{
-		work:    readingWork(r.request.Tokens, float64(cached)),
+		work:    readingWork(r.request.PromptTokens, float64(cached)),
 		pace:    known.pace.now,
 		certain: float64(shared-cached) <= uncertainPart*unread,
 	}
@@ -248,22 +248,22 @@
 	watch := r.watchSilence(at, cancel)
 	defer watch.stop()
 	answer, err := r.dispatcher.options.Backend.Send(sending, &Attempt{
-		Request:  r.request,
-		Replica:  at.endpoint,
-		Deadline: r.deadline,
-		Priority: r.route.Priority,
-		After:    r.after,
+		Request:     r.request,
+		Replica:     at.endpoint,
+		Deadline:    r.deadline,
+		Priority:    r.route.Priority,
+		LastEventID: r.after,
 	})
 	if err != nil {
 		return r.failed(ctx, at, err)
 	}
 	defer answer.Body.Close()
 	r.attempts++
-	if answer.Events && answer.Status < http.StatusMultipleChoices {
+	if answer.EventStream && answer.Status < http.StatusMultipleChoices {
 		return r.relayEvents(ctx, at, answer, watch)
 	}
 	if r.begun {
-		return false, &RequestError{Code: Unknown} // nothing that could go on with the events sent
+		return false, &RequestError{Code: CodeOutcomeUnknown} // nothing that could go on with the events sent
 	}
 	return r.relayWhole(ctx, at, answer)
 }
@@ -284,9 +284,9 @@
 
 // failed decides what follows an attempt without an answer.
 func (r *run) failed(ctx context.Context, at *placed, err error) (again bool, refusal *RequestError) {
-	failure := &AttemptError{Failure: Broken, Err: err}
+	failure := &AttemptError{Reason: FailureIndeterminate, Err: err}
 	errors.As(err, &failure)
-	if failure.Failure == Broken {
+	if failure.Reason == FailureIndeterminate {
 		r.attempts++
 	}
 	if refusal := r.timeLeft(ctx); refusal != nil {
@@ -296,18 +296,18 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	d.counts.Failed[failure.Failure]++
-	d.log.Debug("attempt failed", "request", r.request.ID, "replica", at.endpoint.ID, "failure", string(failure.Failure), "error", failure.Err)
-	switch failure.Failure {
-	case Unsent:
-		return r.afterUnsent(at, now, failure.Silent)
-	case Replaced:
+	d.counts.FailedAttempts[failure.Reason]++
+	d.log.Debug("attempt failed", "request", r.request.ID, "replica", at.endpoint.ID, "failure", string(failure.Reason), "error", failure.Err)
+	switch failure.Reason {
+	case FailureUnsent:
+		return r.afterUnsent(at, now, failure.NoResponse)
+	case FailureReplaced:
 		at.replica.replaced = true
-		return r.afterRefusal(now, mostReplaced, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter})
-	case Full:
+		return r.afterRefusal(now, mostReplaced, &RequestError{Code: CodeNoReplica, RetryAfter: absentRetryAfter})
+	case FailureRejected:
 		at.replica.fullUntil = now.Add(max(fullAvoidance, failure.RetryAfter))
-		at.service.outliers.Refusal(now, at.replica.id)
-		return r.afterRefusal(now, mostRefused, &RequestError{Code: Overloaded, RetryAfter: busyRetryAfter})
+		at.service.outliers.RecordRejection(now, at.replica.id)
+		return r.afterRefusal(now, mostRefused, &RequestError{Code: CodeOverloaded, RetryAfter: busyRetryAfter})
 	default:
 		return r.afterBreak(at, now)
 	}
@@ -320,7 +320,7 @@
 	}
 	r.unsent++
 	if r.unsent >= mostUnsent {
-		return false, &RequestError{Code: NoReplica, RetryAfter: absentRetryAfter}
+		return false, &RequestError{Code: CodeNoReplica, RetryAfter: absentRetryAfter}
 	}
 	return true, nil
 }
@@ -340,14 +340,14 @@
 // the route's attempts and the budget.
 func (r *run) afterBreak(at *placed, now time.Time) (bool, *RequestError) {
 	at.replica.unreachable(now)
-	at.service.outliers.Failure(now, at.replica.id)
+	at.service.outliers.RecordFailure(now, at.replica.id)
 	resumable := r.route.Resumable && r.after != ""
 	if r.begun && !resumable || !r.route.Retryable() || r.attempts >= r.route.MaxAttempts {
-		return false, &RequestError{Code: Unknown}
+		return false, &RequestError{Code: CodeOutcomeUnknown}
 	}
 	counts := &r.dispatcher.counts
 	if !r.dispatcher.budget.Allow(now) {
-		return false, &RequestError{Code: Unknown}
+		return false, &RequestError{Code: CodeOutcomeUnknown}
 	}
 	counts.Retries++
 	if r.begun {
--- a/dispatch/simulation_bound_test.go
+++ b/dispatch/simulation_bound_test.go
@@ -40,9 +40,9 @@
 	began time.Time
 }
 
-func (c *firstEventClient) Begin(status int, header http.Header) {
+func (c *firstEventClient) WriteHead(status int, header http.Header) {
 	c.began = time.Now()
-	c.recorder.Begin(status, header)
+	c.recorder.WriteHead(status, header)
 }
 
 // boundOutcome is how the requests of one kind went.
@@ -114,7 +114,7 @@
 	part := fmt.Sprint(kind, random.IntN(sharedParts))
 	return &Request{
 		ID: id, Method: http.MethodPost, Host: "h", Path: "/" + kind + "/x", Target: "/" + kind + "/x", Header: http.Header{},
-		Tokens: float64(shared) + own, Chain: []placement.Link{{Hash: placement.Hash(part), Tokens: shared}},
+		PromptTokens: float64(shared) + own, PrefixChain: []placement.Link{{Hash: placement.Hash(part), Tokens: shared}},
 	}
 }
 
@@ -162,7 +162,7 @@
 }
 
 // carryKnowing sends a request where it will begin to be answered first.
-func (b *boundFleet) carryKnowing(g *simulatedGateway, request *Request, client Client) bool {
+func (b *boundFleet) carryKnowing(g *simulatedGateway, request *Request, client ResponseWriter) bool {
 	attempt := &Attempt{Request: request}
 	least := time.Duration(math.MaxInt64)
 	for _, r := range b.replicasOf("model", "") {
@@ -179,7 +179,7 @@
 	if _, err := answer.Body.Read(buffer); err != nil {
 		return false
 	}
-	client.Begin(answer.Status, answer.Header)
+	client.WriteHead(answer.Status, answer.Header)
 	return true
 }
 
@@ -188,12 +188,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	cached := 0.0
-	for _, link := range request.Chain {
+	for _, link := range request.PrefixChain {
 		if r.known[link.Hash] {
 			cached = float64(link.Tokens)
 		}
 	}
-	reading := r.slowness * (firstStart + r.enginePace*readingWork(request.Tokens, cached))
+	reading := r.slowness * (firstStart + r.enginePace*readingWork(request.PromptTokens, cached))
 	return max(0, time.Until(r.readUntil)) + time.Duration(reading*float64(time.Second))
 }
 
--- a/dispatch/simulation_days_test.go
+++ b/dispatch/simulation_days_test.go
@@ -188,8 +188,8 @@
 	// distort changes every map of routes on its way.
 	distort func(*routemap.Map)
 }{
-	"a break is called unsent": {rule: "TWICE", day: "replicas", plant: lying(Unsent)},
-	"a break is called full":   {rule: "REFUSED", day: "replicas", plant: lying(Full)},
+	"a break is called unsent": {rule: "TWICE", day: "replicas", plant: lying(FailureUnsent)},
+	"a break is called full":   {rule: "REFUSED", day: "replicas", plant: lying(FailureRejected)},
 	"homes are lost":           {rule: "HOME", day: "control machines", distort: forRoutes(func(r *routemap.Route) { r.HomeRegions = nil })},
 	"attempts are not bounded": {
 		rule: "ATTEMPTS", day: "own machines",
@@ -221,14 +221,14 @@
 
 // lying makes every gateway call a break something else, and sends a crowd that a
 // crash will break.
-func lying(failure Failure) func(*simulatedFleet) {
+func lying(failure FailureReason) func(*simulatedFleet) {
 	return func(f *simulatedFleet) {
 		f.later(troubleAt-20*time.Millisecond, func() { f.crowd("east-1", 150) })
 		for _, g := range f.gateways {
 			g.lie(func(err error) error {
 				var attempt *AttemptError
-				if errors.As(err, &attempt) && attempt.Failure == Broken {
-					return &AttemptError{Failure: failure, Err: attempt.Err}
+				if errors.As(err, &attempt) && attempt.Reason == FailureIndeterminate {
+					return &AttemptError{Reason: failure, Err: attempt.Err}
 				}
 				return err
 			})
--- a/dispatch/simulation_replica_test.go
+++ b/dispatch/simulation_replica_test.go
@@ -126,13 +126,13 @@
 		return now.Add(pageTime), true
 	}
 	cached := 0.0
-	for _, link := range attempt.Request.Chain {
+	for _, link := range attempt.Request.PrefixChain {
 		if r.known[link.Hash] {
 			cached = float64(link.Tokens)
 		}
 		r.known[link.Hash] = true
 	}
-	reading := r.slowness * (firstStart + r.enginePace*readingWork(attempt.Request.Tokens, cached))
+	reading := r.slowness * (firstStart + r.enginePace*readingWork(attempt.Request.PromptTokens, cached))
 	r.readUntil = r.readUntil.Add(time.Duration(reading * float64(time.Second)))
 	return r.readUntil, true
 }
@@ -167,48 +167,48 @@
 }
 
 // Send implements Backend.
-func (g *simulatedGateway) Send(ctx context.Context, attempt *Attempt) (*Answer, error) {
+func (g *simulatedGateway) Send(ctx context.Context, attempt *Attempt) (*Response, error) {
 	answer, err := g.send(ctx, attempt)
 	return answer, g.told(err)
 }
 
-func (g *simulatedGateway) send(ctx context.Context, attempt *Attempt) (*Answer, error) {
-	fail := func(failure Failure, err error) (*Answer, error) {
-		return nil, &AttemptError{Failure: failure, Err: err}
+func (g *simulatedGateway) send(ctx context.Context, attempt *Attempt) (*Response, error) {
+	fail := func(failure FailureReason, err error) (*Response, error) {
+		return nil, &AttemptError{Reason: failure, Err: err}
 	}
 	r := g.fleet.replicaAt(attempt.Replica.Address)
 	if r == nil {
 		time.Sleep(dialRefused)
-		return fail(Unsent, errSimulatedReset)
+		return fail(FailureUnsent, errSimulatedReset)
 	}
 	time.Sleep(delayBetween(g.zone, r.zone))
 	if ctx.Err() != nil {
-		return fail(Broken, ctx.Err())
+		return fail(FailureIndeterminate, ctx.Err())
 	}
 	if r.id != attempt.Replica.ID {
-		return fail(Replaced, errors.New("another replica"))
+		return fail(FailureReplaced, errors.New("another replica"))
 	}
 	try := attempt.Request.Header.Get(headerTry)
 	g.fleet.record.arrived(try, r, g)
 	read, room := r.accept(attempt)
 	if !room {
-		return fail(Full, errors.New("full"))
+		return fail(FailureRejected, errors.New("full"))
 	}
 	g.fleet.record.ran(try, r)
 	if err := r.wait(ctx, read); err != nil {
-		return fail(Broken, err)
+		return fail(FailureIndeterminate, err)
 	}
 	return r.answer(ctx, attempt), nil
 }
 
-func (r *simulatedReplica) answer(ctx context.Context, attempt *Attempt) *Answer {
-	answer := &Answer{Status: http.StatusOK, Header: http.Header{}}
+func (r *simulatedReplica) answer(ctx context.Context, attempt *Attempt) *Response {
+	answer := &Response{Status: http.StatusOK, Header: http.Header{}}
 	if r.service != "model" {
 		answer.Body = io.NopCloser(strings.NewReader(pageText(attempt.Request.ID)))
 		return answer
 	}
-	after, _ := strconv.Atoi(attempt.After) // 0 to begin
-	answer.Events = true
+	after, _ := strconv.Atoi(attempt.LastEventID) // 0 to begin
+	answer.EventStream = true
 	answer.Body = &simulatedStream{ctx: ctx, replica: r, request: attempt.Request.ID, next: after + 1}
 	return answer
 }
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -177,16 +177,16 @@
 	g.alive, g.kill = context.WithCancel(context.Background())
 	g.dispatcher = New(Options{
 		Gateway: g.name, Zone: g.zone, Region: g.region(), Backend: g, Random: f.draw, Logger: slog.New(slog.DiscardHandler),
-		Placed: func(prompt peer.PlacedPrompt) { g.exchange.Placed(prompt) },
-		Read:   func(prompt peer.PrefillSample) { g.exchange.Measured(prompt) },
+		OnPlaced:  func(prompt peer.PlacedPrompt) { g.exchange.RecordPlacement(prompt) },
+		OnPrefill: func(prompt peer.PrefillSample) { g.exchange.RecordPrefill(prompt) },
 	})
 	g.exchange = loadexchange.NewNode(loadexchange.Config{
-		Name: g.name, Region: g.region(), Loads: g.dispatcher, Observe: g.dispatcher.Observe,
+		Name: g.name, Region: g.region(), LoadSource: g.dispatcher, Observe: g.dispatcher.Observe,
 		SendReport: func(address string, report *peer.ReplicaLoads) {
-			g.tell(address, func(other *loadexchange.Node) { other.TakeReport(report) })
+			g.tell(address, func(other *loadexchange.Node) { other.HandleReport(report) })
 		},
 		SendDigest: func(address string, digest *peer.LoadDigest) {
-			g.tell(address, func(other *loadexchange.Node) { other.TakeDigest(digest) })
+			g.tell(address, func(other *loadexchange.Node) { other.HandleDigest(digest) })
 		},
 	})
 	go g.exchange.Run(g.alive)
@@ -319,9 +319,9 @@
 }
 
 // Heard implements Backend.
-func (g *simulatedGateway) Idle(string) bool { return true }
+func (g *simulatedGateway) HasIdleConnection(string) bool { return true }
 
-func (g *simulatedGateway) Heard(address string) time.Time {
+func (g *simulatedGateway) LastReceived(address string) time.Time {
 	r := g.fleet.replicaAt(address)
 	if r == nil {
 		return time.Time{}
@@ -329,8 +329,8 @@
 	return r.heardAt()
 }
 
-// Forget implements Backend.
-func (g *simulatedGateway) Forget(string) {}
+// CloseIdleConnections implements Backend.
+func (g *simulatedGateway) CloseIdleConnections(string) {}
 
 // sendFrom is the clients of one zone.
 func (f *simulatedFleet) sendFrom(ctx context.Context, zone string, clients *sync.WaitGroup) {
@@ -361,9 +361,9 @@
 	request := &Request{ID: kind + "-" + id, Method: http.MethodPost, Host: "h", Path: "/" + kind + "/x", Target: "/" + kind + "/x", Header: http.Header{}}
 	if size, prompted := simulatedSizes[kind]; prompted {
 		spread := f.random.Float64()
-		request.Tokens = float64(size[0]) + spread*spread*spread*float64(size[1]-size[0])
+		request.PromptTokens = float64(size[0]) + spread*spread*spread*float64(size[1]-size[0])
 		name := fmt.Sprint(kind, f.random.IntN(20))
-		request.Chain = []placement.Link{{Hash: placement.Hash(name), Tokens: int(request.Tokens / 2)}}
+		request.PrefixChain = []placement.Link{{Hash: placement.Hash(name), Tokens: int(request.PromptTokens / 2)}}
 	}
 	return request
 }
@@ -380,7 +380,7 @@
 		}
 		outcome := f.try(g, request, try, end)
 		promised := outcome.refusal != nil && outcome.refusal.RetryAfter > 0
-		lost := outcome.refusal != nil && outcome.refusal.Code == ClientGone
+		lost := outcome.refusal != nil && outcome.refusal.Code == CodeClientClosed
 		if !promised && (!lost || !route.Retryable()) {
 			return
 		}
@@ -393,13 +393,13 @@
 	dispatcher, alive := g.current()
 	sent := *request
 	sent.Arrived = time.Now()
-	sent.Wait = time.Until(end)
+	sent.ClientTimeout = time.Until(end)
 	sent.Header = http.Header{headerTry: []string{fmt.Sprint(request.ID, "/", try)}}
 	client := &recorder{}
 	outcome := f.record.begin(sent.Header.Get(headerTry), request, f.began)
-	wait := sent.Wait
+	wait := sent.ClientTimeout
 	if f.untold.Load() {
-		sent.Wait = 0
+		sent.ClientTimeout = 0
 	}
 	refusal := dispatcher.Serve(alive, &sent, client)
 	f.record.took(outcome, time.Since(sent.Arrived))
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -50,7 +50,7 @@
 		return api.HTTPReplicaDraining
 	case served && now.Before(known.outliers.EjectedUntil(r.id)):
 		return api.HTTPReplicaEjected
-	case now.Before(r.avoidedUntil) || r.silent(now, d.options.Backend.Heard(r.address)):
+	case now.Before(r.avoidedUntil) || r.silent(now, d.options.Backend.LastReceived(r.address)):
 		return api.HTTPReplicaAvoided
 	case now.Before(r.fullUntil):
 		return api.HTTPReplicaFull
--- a/dispatch/stream_test.go
+++ b/dispatch/stream_test.go
@@ -26,20 +26,20 @@
 	rest := "id: 2\ndata: b\n\nid: 3\ndata: c\n\n"
 	tests := map[string]struct {
 		resumable bool
-		answers   []*Answer
+		answers   []*Response
 		want      string
 		code      Code
 		begun     bool
 	}{
-		"whole":                          {false, []*Answer{events(threeEvents, nil)}, threeEvents, "", false},
-		"breaks before an event":         {false, []*Answer{events("", errReset)}, "", Unknown, false},
-		"breaks within an event":         {false, []*Answer{events(cut, errReset)}, "id: 1\ndata: a\n\n", Unknown, true},
-		"ends within an event":           {false, []*Answer{events(cut, nil)}, "id: 1\ndata: a\n\n", Unknown, true},
-		"goes on elsewhere":              {true, []*Answer{events(cut, errReset), events(rest, nil)}, threeEvents, "", false},
-		"the other begins anew":          {true, []*Answer{events(cut, errReset), events(threeEvents, nil)}, threeEvents, "", false},
-		"the other fails":                {true, []*Answer{events(cut, errReset), whole(500, "failed")}, "id: 1\ndata: a\n\n", Unknown, true},
-		"the other breaks off too":       {true, []*Answer{events(cut, errReset), events("id: 2\ndata: b\n\n", errReset)}, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", Unknown, true},
-		"nothing yet, begun by the next": {true, []*Answer{events("", errReset), events(threeEvents, nil)}, threeEvents, "", false},
+		"whole":                          {false, []*Response{events(threeEvents, nil)}, threeEvents, "", false},
+		"breaks before an event":         {false, []*Response{events("", errReset)}, "", CodeOutcomeUnknown, false},
+		"breaks within an event":         {false, []*Response{events(cut, errReset)}, "id: 1\ndata: a\n\n", CodeOutcomeUnknown, true},
+		"ends within an event":           {false, []*Response{events(cut, nil)}, "id: 1\ndata: a\n\n", CodeOutcomeUnknown, true},
+		"goes on elsewhere":              {true, []*Response{events(cut, errReset), events(rest, nil)}, threeEvents, "", false},
+		"the other begins anew":          {true, []*Response{events(cut, errReset), events(threeEvents, nil)}, threeEvents, "", false},
+		"the other fails":                {true, []*Response{events(cut, errReset), whole(500, "failed")}, "id: 1\ndata: a\n\n", CodeOutcomeUnknown, true},
+		"the other breaks off too":       {true, []*Response{events(cut, errReset), events("id: 2\ndata: b\n\n", errReset)}, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", CodeOutcomeUnknown, true},
+		"nothing yet, begun by the next": {true, []*Response{events("", errReset), events(threeEvents, nil)}, threeEvents, "", false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,12 +49,12 @@
 			f.addReplica("b", "east-1")
 			f.addReplica("c", "east-1")
 			f.fillRetryBudget()
-			f.answer = func(context.Context, *Attempt) (*Answer, error) { return test.answers[len(f.sent)-1], nil }
+			f.answer = func(context.Context, *Attempt) (*Response, error) { return test.answers[len(f.sent)-1], nil }
 			client, refusal := f.serve(nil)
 			if got := client.body.String(); got != test.want {
 				t.Errorf("the client has %q, want %q", got, test.want)
 			}
-			if (refusal != nil) != (test.code != "") || refusal != nil && (refusal.Code != test.code || refusal.Begun != test.begun) {
+			if (refusal != nil) != (test.code != "") || refusal != nil && (refusal.Code != test.code || refusal.ResponseStarted != test.begun) {
 				t.Errorf("got %+v, want %q, begun %v", refusal, test.code, test.begun)
 			}
 		})
@@ -67,15 +67,15 @@
 	f.addReplica("a", "east-1")
 	f.addReplica("b", "east-1")
 	f.fillRetryBudget()
-	f.answer = func(context.Context, *Attempt) (*Answer, error) {
+	f.answer = func(context.Context, *Attempt) (*Response, error) {
 		if len(f.sent) == 1 {
 			return events("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", errReset), nil
 		}
 		return events("id: 3\ndata: c\n\n", nil), nil
 	}
 	client, refusal := f.serve(nil)
-	if refusal != nil || client.body.String() != threeEvents || f.sent[1].After != "2" {
-		t.Errorf("got %v, %q after %q", refusal, client.body.String(), f.sent[1].After)
+	if refusal != nil || client.body.String() != threeEvents || f.sent[1].LastEventID != "2" {
+		t.Errorf("got %v, %q after %q", refusal, client.body.String(), f.sent[1].LastEventID)
 	}
 }
 
@@ -87,12 +87,12 @@
 	f.addReplica("a", "east-1")
 	f.addReplica("b", "east-1")
 	f.fillRetryBudget()
-	f.answer = func(ctx context.Context, _ *Attempt) (*Answer, error) {
+	f.answer = func(ctx context.Context, _ *Attempt) (*Response, error) {
 		if len(f.sent) > 1 {
 			return events(threeEvents, nil), nil
 		}
 		<-ctx.Done()
-		return nil, attemptError(Broken)
+		return nil, attemptError(FailureIndeterminate)
 	}
 	started := time.Now()
 	client, refusal := f.serve(nil)
--- a/dispatch/watch.go
+++ b/dispatch/watch.go
@@ -24,7 +24,7 @@
 	if !r.route.Retryable() || r.attempts+1 >= r.route.MaxAttempts {
 		return w
 	}
-	w.heard = func() time.Time { return r.dispatcher.options.Backend.Heard(at.endpoint.Address) }
+	w.heard = func() time.Time { return r.dispatcher.options.Backend.LastReceived(at.endpoint.Address) }
 	w.timer = time.AfterFunc(silence, w.look)
 	return w
 }
--- a/examples/embedding/holder.go
+++ b/examples/embedding/holder.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/consensus"
-	"github.com/deckpulley/deckpulley/detector"
+	"github.com/deckpulley/deckpulley/failuredetector"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/registry"
 	"github.com/deckpulley/deckpulley/transport"
@@ -28,7 +28,7 @@
 	active  uint32 // serial that the holder acts on
 	inForce uint32
 	lease   *lease.Holder
-	watch   *detector.Detector
+	watch   *failuredetector.Detector
 }
 
 func newHolder(memory *transport.Memory, group consensus.Membership) *holder {
@@ -43,7 +43,7 @@
 		primary: group.Members[0].Address,
 		table:   registry.NewSecondary(apex, kinds),
 		lease:   lease.NewHolder(terms()),
-		watch:   detector.New(detector.DefaultConfig(), time.Now()),
+		watch:   failuredetector.New(failuredetector.DefaultConfig(), time.Now()),
 	}
 }
 
@@ -96,7 +96,7 @@
 	if err := h.lease.HandleGrant(h.now(), sent, answer.Term, clusterName, answer.Length); err != nil {
 		return err
 	}
-	h.watch.Heard(time.Now())
+	h.watch.Heartbeat(time.Now())
 	if answer.Transfer != nil {
 		if err := h.table.ApplyTransfer(*answer.Transfer); err != nil {
 			return err
@@ -117,7 +117,7 @@
 
 // primaryLost is true once the primary is silent for too long and the lease over.
 func (h *holder) primaryLost() bool {
-	return h.watch.State(time.Now()) == detector.Dead && !h.lease.Valid(h.now())
+	return h.watch.State(time.Now()) == failuredetector.Dead && !h.lease.Valid(h.now())
 }
 
 func (h *holder) call(ctx context.Context, address string, kind transport.Kind, request, reply any) error {
--- a/detector/detector.go
+++ b/failuredetector/failuredetector.go
@@ -1,4 +1,4 @@
-// Package detector judges from missing time whether a watched process is alive,
+// Package failuredetector judges from missing time whether a watched process is alive,
 // after "The phi Accrual Failure Detector" (Hayashibara et al., 2004), and
 // keeps slow facts steady by hysteresis. It is pure: time is an input.
 //
@@ -6,7 +6,7 @@
 // distributed. Suspicion phi after an elapsed time t is -log10 of the
 // probability that a living process is silent for longer than t, so phi 3 is
 // wrong once in a thousand intervals and phi 8 once in a hundred million.
-package detector
+package failuredetector
 
 import (
 	"math"
@@ -15,28 +15,28 @@
 
 // Config holds the constants of the model.
 type Config struct {
-	// Interval is the expected time between signs of life; the mean is never
+	// ExpectedInterval is the expected time between signs of life; the mean is never
 	// taken below it, so that a burst of signs does not make the detector hasty.
-	Interval time.Duration
-	// Deviation is the least standard deviation assumed.
-	Deviation time.Duration
+	ExpectedInterval time.Duration
+	// MinStdDeviation is the least standard deviation assumed.
+	MinStdDeviation time.Duration
 	// Window is the number of intervals remembered.
 	Window int
-	// Suspect is the phi from which nothing new is placed.
-	Suspect float64
-	// Dead is the phi from which the process counts as down.
-	Dead float64
+	// SuspectThreshold is the phi from which nothing new is placed.
+	SuspectThreshold float64
+	// DeadThreshold is the phi from which the process counts as down.
+	DeadThreshold float64
 }
 
 // DefaultConfig suits polls every 500 ms: with steady polls a process is
 // suspected after about 1.3 s of silence and dead after about 1.9 s.
 func DefaultConfig() Config {
 	return Config{
-		Interval:  500 * time.Millisecond,
-		Deviation: 250 * time.Millisecond,
-		Window:    32,
-		Suspect:   3,
-		Dead:      8,
+		ExpectedInterval: 500 * time.Millisecond,
+		MinStdDeviation:  250 * time.Millisecond,
+		Window:           32,
+		SuspectThreshold: 3,
+		DeadThreshold:    8,
 	}
 }
 
@@ -65,18 +65,18 @@
 	return &Detector{config: config, last: now}
 }
 
-// Heard records a sign of life. One that follows within half of the expected
+// Heartbeat records a sign of life. One that follows within half of the expected
 // interval moves the last time but is no sample, since it is an extra one.
-func (d *Detector) Heard(now time.Time) {
+func (d *Detector) Heartbeat(now time.Time) {
 	elapsed := now.Sub(d.last)
 	if elapsed < 0 {
 		return
 	}
 	d.last = now
-	if elapsed < d.config.Interval/2 {
+	if elapsed < d.config.ExpectedInterval/2 {
 		return
 	}
-	sample := min(elapsed, 4*d.config.Interval).Seconds()
+	sample := min(elapsed, 4*d.config.ExpectedInterval).Seconds()
 	if len(d.intervals) < d.config.Window {
 		d.intervals = append(d.intervals, sample)
 		return
@@ -85,8 +85,8 @@
 	d.next = (d.next + 1) % len(d.intervals)
 }
 
-// Last is the time of the last sign of life.
-func (d *Detector) Last() time.Time {
+// LastHeartbeat is the time of the last sign of life.
+func (d *Detector) LastHeartbeat() time.Time {
 	return d.last
 }
 
@@ -102,9 +102,9 @@
 func (d *Detector) State(now time.Time) State {
 	phi := d.Phi(now)
 	switch {
-	case phi >= d.config.Dead:
+	case phi >= d.config.DeadThreshold:
 		return Dead
-	case phi >= d.config.Suspect:
+	case phi >= d.config.SuspectThreshold:
 		return Suspected
 	default:
 		return Alive
@@ -115,15 +115,15 @@
 // silent.
 func (d *Detector) SuspectedAt() time.Time {
 	mean, deviation := d.model()
-	tail := math.Pow(10, -d.config.Suspect)
+	tail := math.Pow(10, -d.config.SuspectThreshold)
 	silence := mean + deviation*math.Sqrt2*math.Erfcinv(2*tail)
 	return d.last.Add(time.Duration(silence * float64(time.Second)))
 }
 
 // model returns the mean and the standard deviation of the intervals, in seconds.
 func (d *Detector) model() (mean, deviation float64) {
-	floorMean := d.config.Interval.Seconds()
-	floorDeviation := d.config.Deviation.Seconds()
+	floorMean := d.config.ExpectedInterval.Seconds()
+	floorDeviation := d.config.MinStdDeviation.Seconds()
 	if len(d.intervals) == 0 {
 		return floorMean, floorDeviation
 	}
--- a/detector/detector_test.go
+++ b/failuredetector/failuredetector_test.go
@@ -1,4 +1,4 @@
-package detector
+package failuredetector
 
 import (
 	"flag"
@@ -21,7 +21,7 @@
 	d := New(DefaultConfig(), now)
 	for range 40 {
 		now = now.Add(500 * time.Millisecond)
-		d.Heard(now)
+		d.Heartbeat(now)
 	}
 	if got := d.State(now.Add(900 * time.Millisecond)); got != Alive {
 		t.Fatalf("after 0.9 s: %v", got)
@@ -36,7 +36,7 @@
 	if got := d.State(now.Add(2 * time.Second)); got != Dead {
 		t.Fatalf("after 2 s: %v", got)
 	}
-	d.Heard(now.Add(2 * time.Second))
+	d.Heartbeat(now.Add(2 * time.Second))
 	if got := d.State(now.Add(2100 * time.Millisecond)); got != Alive {
 		t.Fatalf("heard again: %v", got)
 	}
@@ -51,7 +51,7 @@
 		gaps := rapid.SliceOfN(rapid.IntRange(1, 30_000), 0, 60).Draw(t, "gaps")
 		for _, gap := range gaps {
 			now = now.Add(time.Duration(gap) * time.Millisecond)
-			d.Heard(now)
+			d.Heartbeat(now)
 		}
 		before := math.Inf(-1)
 		for tenth := range 300 {
@@ -86,7 +86,7 @@
 	}
 	for _, step := range steps {
 		now := start.Add(step.at * time.Millisecond)
-		if got := h.Offer(now, step.value, 500*time.Millisecond); got != step.want {
+		if got := h.Observe(now, step.value, 500*time.Millisecond); got != step.want {
 			t.Fatalf("at %v: %s, want %s", step.at, got, step.want)
 		}
 	}
--- a/detector/hysteresis.go
+++ b/failuredetector/hysteresis.go
@@ -1,4 +1,4 @@
-package detector
+package failuredetector
 
 import "time"
 
@@ -13,9 +13,9 @@
 	pending   bool
 }
 
-// Offer gives the value seen now and the time it must last before it replaces
+// Observe gives the value seen now and the time it must last before it replaces
 // the present one, and returns the adopted value.
-func (h *Hysteresis[T]) Offer(now time.Time, value T, hold time.Duration) T {
+func (h *Hysteresis[T]) Observe(now time.Time, value T, hold time.Duration) T {
 	if !h.settled {
 		h.value, h.settled = value, true
 		return h.value
--- a/setpoint/example_test.go
+++ b/feedback/example_test.go
@@ -1,16 +1,16 @@
-package setpoint_test
+package feedback_test
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"github.com/deckpulley/deckpulley/setpoint"
+	"github.com/deckpulley/deckpulley/feedback"
 )
 
 // The part of the work that is sent elsewhere settles where the load is at its aim.
 func Example() {
-	controller := setpoint.New(setpoint.Config{
+	controller := feedback.New(feedback.Config{
 		Name: "utilization", SetPoint: 0.8, Proportional: 0.25, Integral: 0.35, Reverse: true, Maximum: 0.9,
 	})
 	offered := 1.2 // of what the region can carry
--- a/setpoint/setpoint.go
+++ b/feedback/feedback.go
@@ -1,9 +1,9 @@
-// Package setpoint provides small proportional-integral controllers that hold a
+// Package feedback provides small proportional-integral controllers that hold a
 // measured value near a named set point. A controller is pure: the caller
 // passes the time and the measurement and applies the output. Output is
 // clamped, and the integral stops growing while the output is clamped, so that
 // a long saturation is not paid back as an overshoot.
-package setpoint
+package feedback
 
 import (
 	"math"
--- a/setpoint/setpoint_test.go
+++ b/feedback/feedback_test.go
@@ -1,4 +1,4 @@
-package setpoint
+package feedback
 
 import (
 	"math"
--- a/gateway/agent/agent.go
+++ b/gateway/agent/agent.go
@@ -26,15 +26,15 @@
 	Gateway peer.GatewayInfo
 	// Seeds are the peers' addresses of the first contact.
 	Seeds []string
-	// Terms are the fleet's lease terms.
-	Terms lease.Config
+	// LeaseConfig are the fleet's lease terms.
+	LeaseConfig lease.Config
 	// Network carries the messages. New registers its handlers; the owner starts it.
 	Network transport.Network
 	// Clock is monotonic and starts anywhere.
 	Clock func() time.Duration
-	// Activated is called, in order, for every contents that begins to decide.
-	Activated func(*catalog.State)
-	Logger    *slog.Logger
+	// OnActivate is called, in order, for every contents that begins to decide.
+	OnActivate func(*catalog.State)
+	Logger     *slog.Logger
 }
 
 // Agent keeps a lease and a copy of the registry. It is safe for concurrent use.
@@ -79,7 +79,7 @@
 		log:      options.Logger,
 		wake:     make(chan struct{}, 1),
 		contacts: newContacts(options.Seeds, options.Gateway.Name),
-		holder:   lease.NewHolder(options.Terms),
+		holder:   lease.NewHolder(options.LeaseConfig),
 		table:    registry.NewSecondary(catalog.Apex, catalog.Schema()),
 		changed:  make(chan struct{}),
 
@@ -110,15 +110,15 @@
 
 // Status describes an agent.
 type Status struct {
-	Cluster       string
-	Primary       string // peers' address, empty if unknown
-	Term          uint64
-	Held          uint32
-	Active        uint32
-	ActiveVersion uint64
-	Lease         time.Duration
-	Renewals      uint64 // granted
-	Refusals      uint64 // renewals without a grant
+	Cluster          string
+	Primary          string // peers' address, empty if unknown
+	Term             uint64
+	ReceivedSerial   uint32
+	ActiveSerial     uint32
+	ActiveVersion    uint64
+	LeaseRemaining   time.Duration
+	GrantedRenewals  uint64 // granted
+	RejectedRenewals uint64 // renewals without a grant
 }
 
 // Status returns a reading of the agent.
@@ -126,23 +126,23 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	status := Status{
-		Cluster:  a.holder.Cluster(),
-		Primary:  a.contacts.primary,
-		Term:     a.holder.Term(),
-		Held:     a.heldLocked(),
-		Lease:    a.Remaining(),
-		Renewals: a.renewals.Load(),
-		Refusals: a.refusals.Load(),
+		Cluster:          a.holder.Cluster(),
+		Primary:          a.contacts.primary,
+		Term:             a.holder.Term(),
+		ReceivedSerial:   a.heldLocked(),
+		LeaseRemaining:   a.Remaining(),
+		GrantedRenewals:  a.renewals.Load(),
+		RejectedRenewals: a.refusals.Load(),
 	}
 	if active := a.active.Load(); active != nil {
-		status.Active = active.Serial()
+		status.ActiveSerial = active.Serial()
 		status.ActiveVersion = active.Version()
 	}
 	return status
 }
 
-// Control lists the peers' addresses of the control nodes as last told.
-func (a *Agent) Control() []string {
+// ControlAddresses lists the peers' addresses of the control nodes as last told.
+func (a *Agent) ControlAddresses() []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.contacts.control()
@@ -218,8 +218,8 @@
 	if active != nil && !registry.SerialLess(active.Serial(), contents.Serial()) {
 		return false
 	}
-	if a.options.Activated != nil {
-		a.options.Activated(contents)
+	if a.options.OnActivate != nil {
+		a.options.OnActivate(contents)
 	}
 	a.active.Store(contents)
 	close(a.changed)
@@ -228,10 +228,10 @@
 	return true
 }
 
-// Proven tells that a replica has seen a configuration version. It has been
+// ConfirmVersion tells that a replica has seen a configuration version. It has been
 // active somewhere, so a held copy of it may become active here at once. It
 // reports whether the active version is at least that one.
-func (a *Agent) Proven(version uint64) bool {
+func (a *Agent) ConfirmVersion(version uint64) bool {
 	if active := a.active.Load(); active != nil && active.Version() >= version {
 		return true
 	}
@@ -259,7 +259,7 @@
 		a.mutex.Lock()
 		changed := a.changed
 		a.mutex.Unlock()
-		if a.Proven(version) {
+		if a.ConfirmVersion(version) {
 			return nil
 		}
 		select {
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -118,9 +118,9 @@
 	var activations []uint32
 	network := memory.Node("g1", "g1")
 	a := New(Options{
-		Gateway: peer.GatewayInfo{Name: "g1", Incarnation: "i"}, Seeds: []string{"c2"}, Terms: lease.DefaultConfig(),
+		Gateway: peer.GatewayInfo{Name: "g1", Incarnation: "i"}, Seeds: []string{"c2"}, LeaseConfig: lease.DefaultConfig(),
 		Network: network, Clock: clock, Logger: slog.New(slog.DiscardHandler),
-		Activated: func(contents *catalog.State) { activations = append(activations, contents.Serial()) },
+		OnActivate: func(contents *catalog.State) { activations = append(activations, contents.Serial()) },
 	})
 	if err := network.Start(); err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 	if a.Active().Serial() != 10 {
 		t.Fatalf("serial %d is active before it may be", a.Active().Serial())
 	}
-	if a.Proven(7) || a.Active().Serial() != 10 {
+	if a.ConfirmVersion(7) || a.Active().Serial() != 10 {
 		t.Fatal("a version that is not held became active")
 	}
 	waiting, stop := context.WithTimeout(ctx, patience)
@@ -164,14 +164,14 @@
 	if a.Valid() {
 		t.Fatal("the lease outlives its time")
 	}
-	before := a.Status().Refusals
-	waitFor(t, "some refused renewals", func() bool { return a.Status().Refusals > before+4 })
+	before := a.Status().RejectedRenewals
+	waitFor(t, "some refused renewals", func() bool { return a.Status().RejectedRenewals > before+4 })
 	if a.Valid() || a.Status().Term != 2 {
 		t.Fatal("took a lease of an older term")
 	}
 	c3.set(peer.Grant{Granted: true, Cluster: "c", Term: 3, LeaseMS: 1800, ActivationSerial: 12})
 	waitFor(t, "a lease again", a.Valid)
-	a.Leave(ctx)
+	a.ReleaseLease(ctx)
 	if a.Valid() || !c3.lastRenew().Gateway.Draining {
 		t.Fatal("did not leave")
 	}
@@ -193,7 +193,7 @@
 		network := memory.Node("g", "g")
 		started := time.Now()
 		a := New(Options{
-			Gateway: peer.GatewayInfo{Name: "g", Incarnation: "i"}, Seeds: []string{"c2"}, Terms: lease.DefaultConfig(),
+			Gateway: peer.GatewayInfo{Name: "g", Incarnation: "i"}, Seeds: []string{"c2"}, LeaseConfig: lease.DefaultConfig(),
 			Network: network, Clock: func() time.Duration { return time.Since(started) }, Logger: slog.New(slog.DiscardHandler),
 		})
 		if err := network.Start(); err != nil {
@@ -262,7 +262,7 @@
 	network := memory.Node("g", "g")
 	started := time.Now()
 	a := New(Options{
-		Gateway: peer.GatewayInfo{Name: name, Incarnation: "i"}, Seeds: []string{"c1", "c2", "c3"}, Terms: lease.DefaultConfig(),
+		Gateway: peer.GatewayInfo{Name: name, Incarnation: "i"}, Seeds: []string{"c1", "c2", "c3"}, LeaseConfig: lease.DefaultConfig(),
 		Network: network, Clock: func() time.Duration { return time.Since(started) }, Logger: slog.New(slog.DiscardHandler),
 	})
 	if err := network.Start(); err != nil {
@@ -295,7 +295,7 @@
 // TestCopyIsDiscarded gives the agent a transfer that does not fit.
 func TestCopyIsDiscarded(t *testing.T) {
 	memory := transport.NewMemory()
-	a := New(Options{Network: memory.Node("g", "g"), Terms: lease.DefaultConfig(), Clock: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler)})
+	a := New(Options{Network: memory.Node("g", "g"), LeaseConfig: lease.DefaultConfig(), Clock: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler)})
 	table := newTable(t)
 	if took, err := a.take(table.TransferSince(0)); err != nil || !took {
 		t.Fatal(took, err)
--- a/gateway/agent/forward.go
+++ b/gateway/agent/forward.go
@@ -34,8 +34,8 @@
 	return reply, err
 }
 
-// Order sends an operator's or the platform's order toward the primary.
-func (a *Agent) Order(ctx context.Context, order peer.OperationRequest) (peer.OperationReply, error) {
+// SubmitOperation sends an operator's or the platform's order toward the primary.
+func (a *Agent) SubmitOperation(ctx context.Context, order peer.OperationRequest) (peer.OperationReply, error) {
 	var reply peer.OperationReply
 	err := a.forward(ctx, func(address string) (string, bool, error) {
 		reply = peer.OperationReply{}
@@ -48,7 +48,7 @@
 
 // forward tries the known control nodes, the primary first, until one answers.
 func (a *Agent) forward(ctx context.Context, ask func(address string) (hint string, answered bool, err error)) error {
-	queue := a.Control()
+	queue := a.ControlAddresses()
 	asked := make(map[string]bool)
 	failure := ErrNoPrimary
 	for len(queue) > 0 && ctx.Err() == nil {
--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -144,7 +144,7 @@
 		request.ActiveVersion = active.Version()
 	}
 	address := a.contacts.next()
-	timeout := a.options.Terms.Duration / callShare
+	timeout := a.options.LeaseConfig.Duration / callShare
 	if request.ReceivedSerial == 0 {
 		timeout = min(firstTimeout, searchTimeout<<min(a.unanswered[address], maxDoublings))
 	}
@@ -158,7 +158,7 @@
 	if request.ReceivedSerial == 0 {
 		return searchTimeout / 2
 	}
-	return a.options.Terms.Duration / callShare
+	return a.options.LeaseConfig.Duration / callShare
 }
 
 // granted takes a grant and returns the wait before the next renewal.
@@ -185,7 +185,7 @@
 	if took || activated {
 		return 0 // the primary waits for the news
 	}
-	return a.options.Terms.RenewalInterval
+	return a.options.LeaseConfig.RenewalInterval
 }
 
 func (a *Agent) takeGrant(grant *peer.Grant) (bool, error) {
@@ -203,9 +203,9 @@
 	}
 }
 
-// Leave gives the lease up: from the call on the gateway may not act. The
+// ReleaseLease gives the lease up: from the call on the gateway may not act. The
 // primary is told if it can be reached.
-func (a *Agent) Leave(ctx context.Context) {
+func (a *Agent) ReleaseLease(ctx context.Context) {
 	a.mutex.Lock()
 	a.holder.Release()
 	a.validUntil.Store(0)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,7 +14,7 @@
 )
 
 // attempt sends the request to one replica and judges what comes back.
-func (r *runner) attempt(ctx context.Context, slot *routing.Slot) verdict {
+func (r *runner) attempt(ctx context.Context, slot *routing.Reservation) verdict {
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	body, err := json.Marshal(r.replicaRequest(slot))
@@ -33,7 +33,7 @@
 	return r.receive(attemptContext, cancel, slot, response)
 }
 
-func (r *runner) replicaRequest(slot *routing.Slot) *api.ReplicaRequest {
+func (r *runner) replicaRequest(slot *routing.Reservation) *api.ReplicaRequest {
 	version := slot.Version
 	if planted.Active(planted.StepBack) && r.stale == 0 && version > 1 && r.request.PromptTokens%16 == 0 {
 		version--
@@ -63,13 +63,13 @@
 	r.spare = false
 	r.route.Attempt = r.made() + 1
 	if r.made() == 1 {
-		r.gateway.router.NoteAttempt()
+		r.gateway.router.RecordAttempt()
 	}
 	r.gateway.metrics.attempts.Inc()
 }
 
 // sendFailed judges an attempt without an answer.
-func (r *runner) sendFailed(ctx context.Context, slot *routing.Slot, guard *sendGuard) verdict {
+func (r *runner) sendFailed(ctx context.Context, slot *routing.Reservation, guard *sendGuard) verdict {
 	sent, denied := guard.settle()
 	if denied != nil {
 		slot.Finish(routing.ResultNotStarted, nil, time.Now())
@@ -92,7 +92,7 @@
 }
 
 // unanswered judges an attempt whose request left, at least in part.
-func (r *runner) unanswered(ctx context.Context, slot *routing.Slot) verdict {
+func (r *runner) unanswered(ctx context.Context, slot *routing.Reservation) verdict {
 	if ctx.Err() != nil {
 		slot.Finish(routing.ResultCanceled, nil, time.Now())
 		return r.broken(failed(api.CodeDeadline, api.OutcomeUnknown, "the replica did not answer in time"))
@@ -110,7 +110,7 @@
 }
 
 // receive judges an answer and delivers it if it is whole and this request's.
-func (r *runner) receive(ctx context.Context, cancel context.CancelCauseFunc, slot *routing.Slot, response *http.Response) verdict {
+func (r *runner) receive(ctx context.Context, cancel context.CancelCauseFunc, slot *routing.Reservation, response *http.Response) verdict {
 	if response.StatusCode != http.StatusOK {
 		return r.settle(ctx, slot, checkError(response, r.request.RequestID))
 	}
@@ -128,7 +128,7 @@
 }
 
 // settle accounts for an attempt that brought no answer.
-func (r *runner) settle(ctx context.Context, slot *routing.Slot, outcome verdict) verdict {
+func (r *runner) settle(ctx context.Context, slot *routing.Reservation, outcome verdict) verdict {
 	accounted := routing.ResultFailed
 	switch {
 	case outcome.standing == stoodStale || outcome.standing == stoodRestarted:
@@ -153,7 +153,7 @@
 	return outcome
 }
 
-func (r *runner) receiveWhole(ctx context.Context, slot *routing.Slot, response *http.Response) verdict {
+func (r *runner) receiveWhole(ctx context.Context, slot *routing.Reservation, response *http.Response) verdict {
 	answer, failure := checkAnswer(response, r.request.RequestID)
 	if failure != nil {
 		return r.settle(ctx, slot, broken(failure))
@@ -161,7 +161,7 @@
 	now := time.Now()
 	report := answer.Report
 	answer.Report = nil
-	slot.CachedTokens(answer.CachedTokens)
+	slot.RecordCachedTokens(answer.CachedTokens)
 	slot.Finish(routing.ResultSuccess, report, now)
 	r.gateway.noteReport(r.route.Service, report)
 	answer.Replica = slot.Replica
@@ -173,17 +173,17 @@
 
 // receiveStream relays a stream event by event. From the first event on there is
 // no other attempt.
-func (r *runner) receiveStream(ctx context.Context, cancel context.CancelCauseFunc, slot *routing.Slot, response *http.Response) verdict {
+func (r *runner) receiveStream(ctx context.Context, cancel context.CancelCauseFunc, slot *routing.Reservation, response *http.Response) verdict {
 	reader := stream.NewReader(response.Body, stream.Options{
-		RequestID: r.request.RequestID,
-		Gap:       r.gateway.streamGap(),
-		Interrupt: func() { cancel(errStalled) },
+		RequestID:   r.request.RequestID,
+		IdleTimeout: r.gateway.streamGap(),
+		Interrupt:   func() { cancel(errStalled) },
 	})
 	defer reader.Close()
 	for {
 		event, err := reader.Next()
 		if err != nil {
-			return r.streamBroke(ctx, slot, streamFailure(err, reader.Pieces()))
+			return r.streamBroke(ctx, slot, streamFailure(err, reader.Chunks()))
 		}
 		switch {
 		case event.Error != nil:
@@ -192,18 +192,18 @@
 			r.streamEnded(slot, event.End)
 			return verdict{standing: stoodDone}
 		}
-		if reader.Pieces() == 1 {
-			slot.FirstToken(time.Now())
+		if reader.Chunks() == 1 {
+			slot.RecordFirstToken(time.Now())
 		}
-		if err := r.execution.piece(ctx, event.Piece); err != nil {
-			return r.streamBroke(ctx, slot, streamFailure(err, reader.Pieces()))
+		if err := r.execution.piece(ctx, event.Chunk); err != nil {
+			return r.streamBroke(ctx, slot, streamFailure(err, reader.Chunks()))
 		}
 	}
 }
 
 // streamBroke ends a stream that is not whole. Once the caller may have seen a
 // piece, the failure is its result.
-func (r *runner) streamBroke(ctx context.Context, slot *routing.Slot, failure *api.Error) verdict {
+func (r *runner) streamBroke(ctx context.Context, slot *routing.Reservation, failure *api.Error) verdict {
 	outcome := r.settle(ctx, slot, broken(failure))
 	if !r.execution.pieces() || planted.Active(planted.JoinRuns) {
 		return outcome
@@ -215,10 +215,10 @@
 	return verdict{standing: stoodDone}
 }
 
-func (r *runner) streamEnded(slot *routing.Slot, end *api.StreamEnd) {
+func (r *runner) streamEnded(slot *routing.Reservation, end *api.StreamEnd) {
 	report := end.Report
 	end.Report = nil
-	slot.CachedTokens(end.CachedTokens)
+	slot.RecordCachedTokens(end.CachedTokens)
 	slot.Finish(routing.ResultSuccess, report, time.Now())
 	r.gateway.noteReport(r.route.Service, report)
 	end.Replica = slot.Replica
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -67,7 +67,7 @@
 }
 
 func produce(ctx context.Context, run *execution, source []byte) {
-	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", Gap: time.Minute, Interrupt: func() {}})
+	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", IdleTimeout: time.Minute, Interrupt: func() {}})
 	defer events.Close()
 	for {
 		event, err := events.Next()
@@ -79,7 +79,7 @@
 			run.finish(&result{end: event.End})
 			return
 		}
-		if err := run.piece(ctx, event.Piece); err != nil {
+		if err := run.piece(ctx, event.Chunk); err != nil {
 			return
 		}
 	}
--- a/gateway/collector.go
+++ b/gateway/collector.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/deckpulley/deckpulley/feedback"
 	"github.com/deckpulley/deckpulley/routing"
-	"github.com/deckpulley/deckpulley/setpoint"
 )
 
 // routerCollector turns the router's status into metrics: the set point of each
@@ -58,7 +58,7 @@
 	into <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 }
 
-func (c *routerCollector) controller(into chan<- prometheus.Metric, status setpoint.Status, service string) {
+func (c *routerCollector) controller(into chan<- prometheus.Metric, status feedback.Status, service string) {
 	gauge(into, c.setPoint, status.SetPoint, status.Name, service)
 	gauge(into, c.measured, status.Measured, status.Name, service)
 	gauge(into, c.output, status.Output, status.Name, service)
@@ -72,7 +72,7 @@
 	gauge(into, c.replicas, float64(service.Replicas), name, "listed")
 	gauge(into, c.replicas, float64(service.Usable), name, "usable")
 	gauge(into, c.replicas, float64(service.Ejected), name, "ejected")
-	gauge(into, c.replicas, float64(service.Cold), name, "cold")
+	gauge(into, c.replicas, float64(service.WarmingUp), name, "cold")
 	gauge(into, c.replicas, float64(service.Draining), name, "draining")
 	for _, member := range service.Members {
 		gauge(into, c.suspicion, member.Suspicion, member.Replica, name)
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -37,11 +37,11 @@
 // state is what the owner's ledger keeps of the result.
 func (r *result) state() ticket.State {
 	if r.failure == nil {
-		return ticket.StateAnswered
+		return ticket.StateCompleted
 	}
 	switch r.failure.Outcome {
 	case api.OutcomeRefused:
-		return ticket.StateRefused
+		return ticket.StateRejected
 	case api.OutcomeFailed:
 		return ticket.StateFailed
 	default:
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -181,13 +181,13 @@
 			Region:     region.Name,
 			Rank:       slices.Index(order, region.Name) + 1,
 			Load:       region.Load,
-			Knowledge:  knowledgeName(region.Knowledge),
+			Knowledge:  knowledgeName(region.LoadFreshness),
 			Usable:     region.Usable,
-			TakesSpill: region.TakesSpill,
+			TakesSpill: region.AcceptsSpill,
 		})
 	}
 	if len(order) == 0 {
-		failure := e.gateway.router.Refusal(*resolved)
+		failure := e.gateway.router.Rejection(*resolved)
 		e.step("regions", "none", "%s", failure.Message)
 		e.refuse(failure)
 	} else {
@@ -216,7 +216,7 @@
 			Replica:      member.Replica,
 			State:        replicaState(&member),
 			InFlight:     member.InFlight,
-			Others:       member.Others,
+			Others:       member.InFlightElsewhere,
 			Limit:        member.Limit,
 			FirstTokenMS: time.Duration(expected * float64(time.Second)).Milliseconds(),
 		})
@@ -237,13 +237,13 @@
 	switch {
 	case member.Draining:
 		return "draining"
-	case member.Unknown:
+	case member.StateUnknown:
 		return "unknown: the last poll was not answered"
 	case member.Ejected:
 		return "ejected: it fails more than the others"
-	case member.Cold && !member.Usable:
+	case member.WarmingUp && !member.Usable:
 		return "cold: another gateway feeds it"
-	case member.Cold:
+	case member.WarmingUp:
 		return "usable, cold: fed by this gateway"
 	case !member.Usable:
 		return "closed: suspected, evacuated, or its condition is not up"
@@ -252,7 +252,7 @@
 	}
 }
 
-func knowledgeName(knowledge placement.Knowledge) string {
+func knowledgeName(knowledge placement.LoadFreshness) string {
 	switch knowledge {
 	case placement.Fresh:
 		return "fresh"
@@ -290,7 +290,7 @@
 			Queued:      service.Queued,
 			Replicas:    service.Replicas,
 			Usable:      service.Usable,
-			Cold:        service.Cold,
+			Cold:        service.WarmingUp,
 			Draining:    service.Draining,
 			Ejected:     service.Ejected,
 		}
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -52,7 +52,7 @@
 	f.ready(north, south)
 	waitFor(t, "the load of the other region", func() bool {
 		for _, region := range north.router.Status().Services[0].Regions {
-			if region.Name == "south" && region.Knowledge == 1 {
+			if region.Name == "south" && region.LoadFreshness == 1 {
 				return true
 			}
 		}
--- a/gateway/feed_test.go
+++ b/gateway/feed_test.go
@@ -15,9 +15,9 @@
 	feeder string
 }
 
-func (f *fedElsewhere) Feeders(string) []string { return []string{f.feeder} }
+func (f *fedElsewhere) WarmupGateways(string) []string { return []string{f.feeder} }
 
-func (f *fedElsewhere) Reserve(routing.Request) (*routing.Slot, *api.Error) {
+func (f *fedElsewhere) Reserve(routing.Request) (*routing.Reservation, *api.Error) {
 	return nil, refusedLater(api.CodeNoCapacity, "fed elsewhere")
 }
 
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -199,7 +199,7 @@
 }
 
 func pieceFrame(request *api.ReplicaRequest, sequence int) []byte {
-	data, _ := json.Marshal(api.StreamPiece{RequestID: request.RequestID, RunID: "run-1", Sequence: sequence, Text: "word ", Tokens: 1})
+	data, _ := json.Marshal(api.StreamChunk{RequestID: request.RequestID, RunID: "run-1", Sequence: sequence, Text: "word ", Tokens: 1})
 	return stream.AppendFrame(nil, api.EventPiece, data)
 }
 
@@ -270,15 +270,15 @@
 			Name: name, Incarnation: incarnation, Zone: region + "-1", Region: region,
 			PeerAddress: name, HTTPAddress: listener.Addr().String(),
 		},
-		Seeds:        []string{"control"},
-		Keys:         [][]byte{bytes.Repeat([]byte{7}, 32)},
-		Terms:        testTerms,
-		Network:      network,
-		Clock:        func() time.Duration { return time.Since(started) + time.Duration(f.skew.Load()) },
-		PollInterval: 20 * time.Millisecond,
-		PollTimeout:  patience,
-		StopTimeout:  10 * time.Millisecond,
-		Seed:         1,
+		Seeds:           []string{"control"},
+		TicketKeys:      [][]byte{bytes.Repeat([]byte{7}, 32)},
+		LeaseConfig:     testTerms,
+		Network:         network,
+		Clock:           func() time.Duration { return time.Since(started) + time.Duration(f.skew.Load()) },
+		PollInterval:    20 * time.Millisecond,
+		PollTimeout:     patience,
+		ShutdownTimeout: 10 * time.Millisecond,
+		Seed:            1,
 	}
 	if change != nil {
 		change(&options)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,18 +33,18 @@
 type Router interface {
 	SetPlan(*routing.Plan)
 	Observe(replica string, report api.ReplicaReport, at time.Time)
-	PollFailed(replica string, at time.Time)
+	RecordPollFailure(replica string, at time.Time)
 	Suspect(replica, incarnation string, at time.Time) bool
 	Resolve(api.GenerateRequest, time.Time) (routing.Request, *api.Error)
 	Regions(routing.Request) []string
-	Refusal(routing.Request) *api.Error
-	Acquire(context.Context, routing.Request) (*routing.Slot, *api.Error)
-	Reserve(routing.Request) (*routing.Slot, *api.Error)
+	Rejection(routing.Request) *api.Error
+	Acquire(context.Context, routing.Request) (*routing.Reservation, *api.Error)
+	Reserve(routing.Request) (*routing.Reservation, *api.Error)
 	AllowRetry() bool
-	NoteAttempt()
+	RecordAttempt()
 	Conditions(time.Time) []routing.ConditionChange
 	Watched() []string
-	Feeders(service string) []string
+	WarmupGateways(service string) []string
 	Status() routing.Status
 	Load() map[string]float64
 	SetRemoteLoad(region string, load map[string]float64, at time.Time)
@@ -75,10 +75,10 @@
 	Info peer.GatewayInfo
 	// Seeds are the peers' addresses of the first contact.
 	Seeds []string
-	// Keys are the fleet's keys, newest first.
-	Keys [][]byte
-	// Terms are the fleet's lease terms.
-	Terms lease.Config
+	// TicketKeys are the fleet's keys, newest first.
+	TicketKeys [][]byte
+	// LeaseConfig are the fleet's lease terms.
+	LeaseConfig lease.Config
 	// Network carries the messages to our own processes. The gateway starts it.
 	Network transport.Network
 	// Router decides where requests run. Optional.
@@ -89,9 +89,9 @@
 	DialOverrides map[string]string
 	// Tokens authenticates operators and the platform; nil lets everyone pass.
 	Tokens func() Authenticator
-	// HTTP carries requests by host and path beside those of the gateway itself.
+	// HTTPProxy carries requests by host and path beside those of the gateway itself.
 	// Optional.
-	HTTP HTTPProxy
+	HTTPProxy HTTPProxy
 	// Clock is monotonic and starts anywhere. Optional.
 	Clock func() time.Duration
 	// Seed makes the choices that are left to chance repeatable.
@@ -101,12 +101,12 @@
 	PollTimeout  time.Duration
 	// MaxConnections bounds the callers' connections. Optional.
 	MaxConnections int
-	// StopTimeout bounds how long a stopping gateway lets requests finish. Optional.
-	StopTimeout time.Duration
-	// HonorTickets is how long a stopping gateway takes requests with tickets that
+	// ShutdownTimeout bounds how long a stopping gateway lets requests finish. Optional.
+	ShutdownTimeout time.Duration
+	// TicketGracePeriod is how long a stopping gateway takes requests with tickets that
 	// it issued before. Optional; it is a part of StopTimeout.
-	HonorTickets time.Duration
-	Logger       *slog.Logger
+	TicketGracePeriod time.Duration
+	Logger            *slog.Logger
 }
 
 const (
@@ -154,11 +154,11 @@
 	if o.MaxConnections == 0 {
 		o.MaxConnections = defaultMaxConnections
 	}
-	if o.StopTimeout == 0 {
-		o.StopTimeout = defaultStopTimeout
+	if o.ShutdownTimeout == 0 {
+		o.ShutdownTimeout = defaultStopTimeout
 	}
-	if o.HonorTickets == 0 {
-		o.HonorTickets = defaultHonorTickets
+	if o.TicketGracePeriod == 0 {
+		o.TicketGracePeriod = defaultHonorTickets
 	}
 }
 
@@ -213,19 +213,19 @@
 		seen:      make(map[string]uint64),
 		reported:  make(map[string]time.Time),
 	}
-	if err := g.SetKeys(options.Keys); err != nil {
+	if err := g.SetTicketKeys(options.TicketKeys); err != nil {
 		return nil, err
 	}
 	g.work, g.stopWork = context.WithCancelCause(context.Background())
 	g.replicas = newReplicaClient(g.dial)
 	g.agent = agent.New(agent.Options{
-		Gateway:   options.Info,
-		Seeds:     options.Seeds,
-		Terms:     options.Terms,
-		Network:   options.Network,
-		Clock:     options.Clock,
-		Activated: g.activated,
-		Logger:    g.log,
+		Gateway:     options.Info,
+		Seeds:       options.Seeds,
+		LeaseConfig: options.LeaseConfig,
+		Network:     options.Network,
+		Clock:       options.Clock,
+		OnActivate:  g.activated,
+		Logger:      g.log,
 	})
 	g.newMetrics()
 	options.Network.Handle(peer.KindIssueTicket, g.serveMint)
@@ -237,8 +237,8 @@
 	return g, nil
 }
 
-// SetKeys replaces the fleet's keys for tickets, newest first.
-func (g *Gateway) SetKeys(keys [][]byte) error {
+// SetTicketKeys replaces the fleet's keys for tickets, newest first.
+func (g *Gateway) SetTicketKeys(keys [][]byte) error {
 	sealer, err := ticket.NewSealer(keys)
 	if err != nil {
 		return err
@@ -259,8 +259,8 @@
 	g.loop(g.watch)
 	g.loop(g.gossip)
 	g.loop(g.housekeep)
-	if g.options.HTTP != nil {
-		g.loop(g.options.HTTP.Run)
+	if g.options.HTTPProxy != nil {
+		g.loop(g.options.HTTPProxy.Run)
 	}
 	return nil
 }
@@ -282,7 +282,7 @@
 
 // honors tells that a leaving gateway still takes requests with its tickets.
 func (g *Gateway) honors() bool {
-	return g.options.Clock()-time.Duration(g.drainedAt.Load()) < g.options.HonorTickets
+	return g.options.Clock()-time.Duration(g.drainedAt.Load()) < g.options.TicketGracePeriod
 }
 
 // awaitTickets waits until every issued ticket is used or no longer honored.
@@ -298,13 +298,13 @@
 // ends everything. The context ends the waiting early.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.Drain()
-	waiting, cancel := context.WithTimeout(ctx, g.options.StopTimeout)
+	waiting, cancel := context.WithTimeout(ctx, g.options.ShutdownTimeout)
 	defer cancel()
 	g.awaitTickets(waiting)
 	if !g.running.idle(waiting) {
 		g.log.Warn("requests are cut off", "requests", g.running.count())
 	}
-	g.agent.Leave(context.WithoutCancel(ctx))
+	g.agent.ReleaseLease(context.WithoutCancel(ctx))
 	g.stopWork(errStopping)
 	g.loops.Wait()
 	g.running.idle(context.WithoutCancel(ctx))
@@ -322,8 +322,8 @@
 
 func (g *Gateway) activated(contents *catalog.State) {
 	g.router.SetPlan(contents)
-	if g.options.HTTP != nil {
-		g.options.HTTP.Update(contents)
+	if g.options.HTTPProxy != nil {
+		g.options.HTTPProxy.Update(contents)
 	}
 	g.log.Info("configuration copy active", "serial", contents.Serial(), "version", contents.Version())
 }
@@ -355,7 +355,7 @@
 
 // maySend is asked immediately before the first byte goes to a replica, whose
 // stamp names the version.
-func (g *Gateway) maySend(slot *routing.Slot, version uint64) error {
+func (g *Gateway) maySend(slot *routing.Reservation, version uint64) error {
 	if !slot.Usable(time.Now()) || slot.Version != version {
 		return errPlanChanged
 	}
@@ -387,7 +387,7 @@
 	}
 	g.mutex.Unlock()
 	if newer {
-		g.agent.Proven(version)
+		g.agent.ConfirmVersion(version)
 	}
 }
 
@@ -399,7 +399,7 @@
 
 // learnVersion asks a replica that refused a stale configuration which one it
 // has seen. It reports false if the time is over.
-func (g *Gateway) learnVersion(ctx context.Context, service string, slot *routing.Slot) bool {
+func (g *Gateway) learnVersion(ctx context.Context, service string, slot *routing.Reservation) bool {
 	changed := g.agent.Changed()
 	asking, cancel := context.WithTimeout(ctx, staleWait)
 	defer cancel()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -434,7 +434,7 @@
 		p.activate = p.table.Serial()
 		p.apply(registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: 2})))
 	})
-	waitFor(t, "the new serial to be held", func() bool { return g.agent.Status().Held > g.agent.Status().Active })
+	waitFor(t, "the new serial to be held", func() bool { return g.agent.Status().ReceivedSerial > g.agent.Status().ActiveSerial })
 	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		if request.Stamp.ConfigurationVersion < 2 {
 			replica.version.Store(2)
--- a/gateway/hop.go
+++ b/gateway/hop.go
@@ -39,7 +39,7 @@
 // consume copies a peer's events into an execution, checking that they belong
 // together, and returns the result that ends them.
 func consume(ctx context.Context, events streamReader, run *execution) (*result, error) {
-	order := stream.Order{RequestID: run.requestID}
+	order := stream.SequenceChecker{RequestID: run.requestID}
 	for {
 		var event peer.RunEvent
 		if err := events.Next(&event); err != nil {
@@ -47,7 +47,7 @@
 		}
 		switch {
 		case event.Chunk != nil:
-			if err := order.Piece(event.Chunk); err != nil {
+			if err := order.CheckChunk(event.Chunk); err != nil {
 				return nil, err
 			}
 			data, err := json.Marshal(event.Chunk)
@@ -58,8 +58,8 @@
 				return nil, err
 			}
 		case event.End != nil:
-			return &result{end: event.End, attempts: event.Attempts}, order.End(event.End)
-		case event.Answer != nil && event.Answer.RequestID == run.requestID && order.Pieces() == 0:
+			return &result{end: event.End, attempts: event.Attempts}, order.CheckEnd(event.End)
+		case event.Answer != nil && event.Answer.RequestID == run.requestID && order.Chunks() == 0:
 			return &result{answer: event.Answer, attempts: event.Attempts}, nil
 		case event.Error != nil:
 			return &result{failure: event.Error, attempts: event.Attempts}, nil //nolint:nilerr // the failure is the result of the run, not of reading it
@@ -80,7 +80,7 @@
 			return send(&peer.RunEvent{Answer: ended.answer, End: ended.end, Error: ended.failure, Attempts: ended.attempts})
 		}
 		err = eachPiece(frames, func(data []byte) error {
-			piece := new(api.StreamPiece)
+			piece := new(api.StreamChunk)
 			if err := json.Unmarshal(data, piece); err != nil {
 				return fmt.Errorf("gateway: decoding a piece: %w", err)
 			}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -68,8 +68,8 @@
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	g.registry.MustRegister(newRouterCollector(g.router))
-	if g.options.HTTP != nil {
-		g.registry.MustRegister(g.options.HTTP.Collector())
+	if g.options.HTTPProxy != nil {
+		g.registry.MustRegister(g.options.HTTPProxy.Collector())
 	}
 	g.registerGauges()
 	g.registerRenewals()
@@ -81,8 +81,8 @@
 		value      func() float64
 	}{
 		{"lease_seconds", "Time left of the lease; 0 is none.", func() float64 { return g.agent.Remaining().Seconds() }},
-		{"held_serial", "Newest registry serial held.", func() float64 { return float64(g.agent.Status().Held) }},
-		{"active_serial", "Registry serial that decides.", func() float64 { return float64(g.agent.Status().Active) }},
+		{"held_serial", "Newest registry serial held.", func() float64 { return float64(g.agent.Status().ReceivedSerial) }},
+		{"active_serial", "Registry serial that decides.", func() float64 { return float64(g.agent.Status().ActiveSerial) }},
 		{"active_version", "Configuration version that decides.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
 		{"primary_term", "Newest term seen of a primary.", func() float64 { return float64(g.agent.Status().Term) }},
 		{"running_requests", "Requests in progress.", func() float64 { return float64(g.running.count()) }},
@@ -99,8 +99,8 @@
 	granted := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_granted_total", Help: "Renewals of the lease that were granted."}
 	refused := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_refused_total", Help: "Renewals of the lease without a grant."}
 	g.registry.MustRegister(
-		prometheus.NewCounterFunc(granted, func() float64 { return float64(g.agent.Status().Renewals) }),
-		prometheus.NewCounterFunc(refused, func() float64 { return float64(g.agent.Status().Refusals) }),
+		prometheus.NewCounterFunc(granted, func() float64 { return float64(g.agent.Status().GrantedRenewals) }),
+		prometheus.NewCounterFunc(refused, func() float64 { return float64(g.agent.Status().RejectedRenewals) }),
 	)
 }
 
@@ -159,13 +159,13 @@
 	m.failures.WithLabelValues(code, string(failure.Outcome)).Inc()
 }
 
-func (m *metrics) noteStanding(standing ticket.Standing) {
-	events := map[ticket.Standing]string{
-		ticket.StandingRun:       "run",
-		ticket.StandingJoin:      "joined",
-		ticket.StandingExpired:   "expired",
-		ticket.StandingForgotten: "forgotten",
-		ticket.StandingConflict:  "conflict",
+func (m *metrics) noteStanding(standing ticket.UseResult) {
+	events := map[ticket.UseResult]string{
+		ticket.UseStart:    "run",
+		ticket.UseJoin:     "joined",
+		ticket.UseExpired:  "expired",
+		ticket.UseUnknown:  "forgotten",
+		ticket.UseConflict: "conflict",
 	}
 	m.tickets.WithLabelValues(events[standing]).Inc()
 }
--- a/gateway/mint.go
+++ b/gateway/mint.go
@@ -27,7 +27,7 @@
 	}
 	regions := g.router.Regions(route)
 	if len(regions) == 0 {
-		return nil, g.router.Refusal(route)
+		return nil, g.router.Rejection(route)
 	}
 	for _, region := range regions {
 		answer, failure := g.mintIn(ctx, region, request, refused == nil)
@@ -173,8 +173,8 @@
 		RequestID:   request.RequestID,
 		Owner:       g.options.Info.Name,
 		Incarnation: g.options.Info.Incarnation,
-		Home:        request.Home,
-		Repeatable:  request.Repeatable,
+		HomeRule:    request.Home,
+		Idempotent:  request.Repeatable,
 		IssuedAt:    now,
 		Expires:     now + wait,
 	}
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -41,7 +41,7 @@
 	state    offerState
 	request  api.GenerateRequest
 	route    routing.Request
-	slot     *routing.Slot
+	slot     *routing.Reservation
 	before   int
 	reply    peer.OfferReply
 	deadline time.Time
@@ -205,7 +205,7 @@
 		return nil, failed(api.CodeHomeUnavailable, api.OutcomeRefused, "region %s is not a home of the request", g.region())
 	}
 	active := g.agent.Active()
-	if active.Version() < asked.ConfigurationVersion && !g.agent.Proven(asked.ConfigurationVersion) {
+	if active.Version() < asked.ConfigurationVersion && !g.agent.ConfirmVersion(asked.ConfigurationVersion) {
 		return nil, refusedLater(api.CodeNoLease, "configuration %d is not active here yet", asked.ConfigurationVersion)
 	}
 	route, failure := g.router.Resolve(asked.Request, time.Now())
@@ -221,7 +221,7 @@
 
 // reserve finds room for an offer, at once or, if it asks for that and not too
 // many do, by a place in the queue.
-func (g *Gateway) reserve(ctx context.Context, asked *peer.Offer, route routing.Request) (*routing.Slot, *api.Error) {
+func (g *Gateway) reserve(ctx context.Context, asked *peer.Offer, route routing.Request) (*routing.Reservation, *api.Error) {
 	wait := min(time.Duration(asked.WaitMS)*time.Millisecond, maxOfferWait)
 	if wait <= 0 {
 		return g.router.Reserve(route)
@@ -242,7 +242,7 @@
 	return slot, failure
 }
 
-func (g *Gateway) remember(asked *peer.Offer, route routing.Request, slot *routing.Slot) (*peer.OfferReply, *api.Error) {
+func (g *Gateway) remember(asked *peer.Offer, route routing.Request, slot *routing.Reservation) (*peer.OfferReply, *api.Error) {
 	now := g.options.Clock()
 	left := time.Duration(asked.RemainingMS) * time.Millisecond
 	life := min(grantLife, left)
--- a/gateway/operator.go
+++ b/gateway/operator.go
@@ -61,13 +61,13 @@
 		Node:     info.Name,
 		Primary:  status.Primary, // known by its peers' address here
 		Term:     status.Term,
-		Serial:   status.Held,
+		Serial:   status.ReceivedSerial,
 		Version:  status.ActiveVersion,
 		Members:  []api.MemberStatus{g.ownStatus()},
 		Degraded: g.degraded(),
 		Services: g.serviceLoads(),
 	}
-	if status.Lease > 0 {
+	if status.LeaseRemaining > 0 {
 		answer.Leases = 1
 	}
 	writeJSON(w, http.StatusOK, answer)
@@ -85,9 +85,9 @@
 		PeerAddress:    info.PeerAddress,
 		HTTPAddress:    info.HTTPAddress,
 		Up:             !g.draining.Load(),
-		LeaseMS:        status.Lease.Milliseconds(),
-		ReceivedSerial: status.Held,
-		ActiveSerial:   status.Active,
+		LeaseMS:        status.LeaseRemaining.Milliseconds(),
+		ReceivedSerial: status.ReceivedSerial,
+		ActiveSerial:   status.ActiveSerial,
 		ActiveVersion:  status.ActiveVersion,
 	}
 }
@@ -123,11 +123,11 @@
 // serveHTTPReplicas answers how this gateway holds the replicas behind its HTTP
 // address.
 func (g *Gateway) serveHTTPReplicas(w http.ResponseWriter, _ *http.Request) {
-	if g.options.HTTP == nil {
+	if g.options.HTTPProxy == nil {
 		writeError(w, failed(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
 		return
 	}
-	writeJSON(w, http.StatusOK, api.HTTPReplicasAnswer{Gateway: g.options.Info.Name, Replicas: g.options.HTTP.Replicas()})
+	writeJSON(w, http.StatusOK, api.HTTPReplicasAnswer{Gateway: g.options.Info.Name, Replicas: g.options.HTTPProxy.Replicas()})
 }
 
 // listReplicas reads the replicas back from the active copy.
@@ -176,7 +176,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), orderWait)
 	defer cancel()
-	reply, err := g.agent.Order(ctx, peer.OperationRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
+	reply, err := g.agent.SubmitOperation(ctx, peer.OperationRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
 	if err != nil {
 		failure := refusedLater(api.CodeNoPrimary, "no primary can be reached")
 		failure.Outcome = api.OutcomeUnknown
--- a/gateway/owner.go
+++ b/gateway/owner.go
@@ -27,11 +27,11 @@
 // owner remembers the tickets of this process.
 type owner struct {
 	mutex  sync.Mutex
-	ledger *ticket.Ledger[*execution]
+	ledger *ticket.Table[*execution]
 }
 
 func newOwner() *owner {
-	return &owner{ledger: ticket.NewLedger[*execution](ticket.LedgerConfig{
+	return &owner{ledger: ticket.NewTable[*execution](ticket.TableConfig{
 		MaxTickets:       maxTickets,
 		MaxRetainedBytes: maxRetainedBytes,
 		Slack:            ticketSlack,
@@ -88,7 +88,7 @@
 	if presented.RequestID != request.RequestID {
 		return presented, failed(api.CodeTicketInvalid, api.OutcomeRefused, "the ticket is for another request id")
 	}
-	if presented.Home != request.Home || presented.Repeatable != request.Repeatable {
+	if presented.HomeRule != request.Home || presented.Idempotent != request.Repeatable {
 		return presented, failed(api.CodeTicketInvalid, api.OutcomeRefused, "the ticket is for another home rule, or the other kind of repeatable")
 	}
 	return presented, nil
@@ -108,14 +108,14 @@
 	g.owner.mutex.Unlock()
 	g.metrics.noteStanding(standing)
 	switch standing {
-	case ticket.StandingRun:
+	case ticket.UseStart:
 		go start()
 		return reader, nil
-	case ticket.StandingJoin:
+	case ticket.UseJoin:
 		return known.follow(request.Stream)
-	case ticket.StandingExpired:
+	case ticket.UseExpired:
 		return nil, failed(api.CodeTicketExpired, api.OutcomeRefused, "the ticket expired before it was used")
-	case ticket.StandingForgotten:
+	case ticket.UseUnknown:
 		return nil, failed(api.CodeTicketExpired, api.OutcomeUnknown, "the ticket expired and is no longer remembered")
 	default:
 		return nil, failed(api.CodeDuplicate, api.OutcomeUnknown, "the request id was used for a request with other contents")
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -45,7 +45,7 @@
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) {
-		options.StopTimeout, options.HonorTickets = patience, patience
+		options.ShutdownTimeout, options.TicketGracePeriod = patience, patience
 	})
 	f.ready(g)
 	started, release := make(chan struct{}), make(chan struct{})
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -47,7 +47,7 @@
 	route     routing.Request
 	execution *execution
 	// slot is a reservation made before, for the first attempt.
-	slot *routing.Slot
+	slot *routing.Reservation
 	// spilled means that the request came from another region and stays here.
 	spilled bool
 	// before is the number of attempts made in the region that the request came from.
@@ -178,7 +178,7 @@
 		regions = r.gateway.router.Regions(r.route)
 	}
 	if len(regions) == 0 {
-		return r.gateway.router.Refusal(r.route)
+		return r.gateway.router.Rejection(r.route)
 	}
 	var last *api.Error
 	for position, region := range regions {
@@ -268,7 +268,7 @@
 
 // acquire waits for a replica of the own region. Without a slot and a failure,
 // the request was run by another gateway of the region.
-func (r *runner) acquire(ctx context.Context) (*routing.Slot, verdict, *api.Error) {
+func (r *runner) acquire(ctx context.Context) (*routing.Reservation, verdict, *api.Error) {
 	if slot := r.slot; slot != nil {
 		r.slot = nil
 		return slot, verdict{}, nil
@@ -294,7 +294,7 @@
 	if r.spilled {
 		return nil
 	}
-	return r.gateway.router.Feeders(r.route.Service)
+	return r.gateway.router.WarmupGateways(r.route.Service)
 }
 
 // unusable tells that this gateway may place on no replica of the region.
@@ -323,7 +323,7 @@
 
 // again decides whether another attempt in this region follows an outcome, and
 // waits before it as long as it must.
-func (r *runner) again(ctx context.Context, slot *routing.Slot, outcome verdict) bool {
+func (r *runner) again(ctx context.Context, slot *routing.Reservation, outcome verdict) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -361,10 +361,10 @@
 }
 
 func (r *runner) exclude(replica string) {
-	if r.route.Exclude == nil {
-		r.route.Exclude = make(map[string]bool)
+	if r.route.ExcludedReplicas == nil {
+		r.route.ExcludedReplicas = make(map[string]bool)
 	}
-	r.route.Exclude[replica] = true
+	r.route.ExcludedReplicas[replica] = true
 }
 
 func (r *runner) backoff(ctx context.Context) bool {
@@ -388,7 +388,7 @@
 // of the service have seen is active here. Nothing is placed by an older one.
 func (r *runner) catchUp(ctx context.Context) *api.Error {
 	version := r.gateway.seenVersion(r.route.Service)
-	if r.gateway.agent.Proven(version) {
+	if r.gateway.agent.ConfirmVersion(version) {
 		return nil
 	}
 	waiting, cancel := context.WithTimeout(ctx, staleWait)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -154,7 +154,7 @@
 // suspect stops new requests to the replica of a slot until it has reported, and
 // has it polled at once. One that has reported another incarnation than the
 // slot's goes on.
-func (g *Gateway) suspect(slot *routing.Slot) {
+func (g *Gateway) suspect(slot *routing.Reservation) {
 	if g.router.Suspect(slot.Replica, slot.Incarnation, time.Now()) {
 		g.pollNow(slot.Replica)
 	}
@@ -172,7 +172,7 @@
 	now := time.Now()
 	if err != nil || report.Replica != replica {
 		g.metrics.polls.WithLabelValues("failed").Inc()
-		g.router.PollFailed(replica, now)
+		g.router.RecordPollFailure(replica, now)
 		return
 	}
 	g.metrics.polls.WithLabelValues("answered").Inc()
--- a/httpgateway/answer.go
+++ b/httpgateway/answer.go
@@ -8,13 +8,13 @@
 	"github.com/deckpulley/deckpulley/dispatch"
 )
 
-// clientAnswer implements dispatch.Client.
+// clientAnswer implements dispatch.ResponseWriter.
 type clientAnswer struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 }
 
-func (a *clientAnswer) Begin(status int, header http.Header) {
+func (a *clientAnswer) WriteHead(status int, header http.Header) {
 	target := a.writer.Header()
 	for name, values := range passedOn(header) {
 		target[name] = values
@@ -35,7 +35,7 @@
 
 // refuse answers a request that was not served.
 func (p *Proxy) refuse(w http.ResponseWriter, id string, refusal *dispatch.RequestError) {
-	if refusal.Begun || refusal.Code == dispatch.ClientGone {
+	if refusal.ResponseStarted || refusal.Code == dispatch.CodeClientClosed {
 		panic(http.ErrAbortHandler) // breaks the connection off, so that the answer looks cut
 	}
 	if id != "" {
@@ -50,11 +50,11 @@
 // statusOf gives 503 only to what has not run.
 func statusOf(code dispatch.Code) int {
 	switch code {
-	case dispatch.NoRoute:
+	case dispatch.CodeNoRoute:
 		return http.StatusNotFound
-	case dispatch.Unknown:
+	case dispatch.CodeOutcomeUnknown:
 		return http.StatusBadGateway
-	case dispatch.TimedOut:
+	case dispatch.CodeTimedOut:
 		return http.StatusGatewayTimeout
 	default:
 		return http.StatusServiceUnavailable
--- a/httpgateway/backend.go
+++ b/httpgateway/backend.go
@@ -34,36 +34,36 @@
 }
 
 func newBackend(headers Headers, connected func(address string, took time.Duration)) *backend {
-	return &backend{pool: upstream.NewPool(upstream.Config{Connected: connected}), headers: headers}
+	return &backend{pool: upstream.NewPool(upstream.Config{OnConnect: connected}), headers: headers}
 }
 
-func (b *backend) Heard(address string) time.Time { return b.pool.Heard(address) }
+func (b *backend) LastReceived(address string) time.Time { return b.pool.LastReceived(address) }
 
-func (b *backend) Idle(address string) bool { return b.pool.Idle(address) }
+func (b *backend) HasIdleConnection(address string) bool { return b.pool.HasIdleConnection(address) }
 
-func (b *backend) Forget(address string) { b.pool.Forget(address) }
+func (b *backend) CloseIdleConnections(address string) { b.pool.CloseIdleConnections(address) }
 
-func (b *backend) Send(ctx context.Context, attempt *dispatch.Attempt) (*dispatch.Answer, error) {
+func (b *backend) Send(ctx context.Context, attempt *dispatch.Attempt) (*dispatch.Response, error) {
 	response, err := b.pool.Do(ctx, attempt.Replica.Address, b.outgoing(attempt), attempt.Request.Body)
 	if err != nil {
-		failure := dispatch.Broken
-		var unanswered *upstream.Error
+		failure := dispatch.FailureIndeterminate
+		var unanswered *upstream.RequestError
 		if errors.As(err, &unanswered) && !unanswered.Sent {
-			failure = dispatch.Unsent
+			failure = dispatch.FailureUnsent
 		}
 		var network net.Error
 		silent := errors.As(err, &network) && network.Timeout()
-		return nil, &dispatch.AttemptError{Failure: failure, Silent: silent, Err: err}
+		return nil, &dispatch.AttemptError{Reason: failure, NoResponse: silent, Err: err}
 	}
 	if err := b.judge(response, attempt.Request.ID); err != nil {
 		response.Body.Close()
 		return nil, err
 	}
-	return &dispatch.Answer{
-		Status: response.StatusCode,
-		Header: response.Header,
-		Body:   response.Body,
-		Events: strings.HasPrefix(response.Header.Get("Content-Type"), contentTypeEvents),
+	return &dispatch.Response{
+		Status:      response.StatusCode,
+		Header:      response.Header,
+		Body:        response.Body,
+		EventStream: strings.HasPrefix(response.Header.Get("Content-Type"), contentTypeEvents),
 	}, nil
 }
 
@@ -74,8 +74,8 @@
 	header.Set(b.headers.Deadline, strconv.FormatInt(left, 10))
 	header.Set(b.headers.Replica, attempt.Replica.ID)
 	header.Set(b.headers.Priority, strconv.Itoa(min(max(attempt.Priority, 0), leastUrgent)))
-	if attempt.After != "" {
-		header.Set(headerLastEvent, attempt.After)
+	if attempt.LastEventID != "" {
+		header.Set(headerLastEvent, attempt.LastEventID)
 	}
 	if _, named := header["User-Agent"]; !named {
 		header["User-Agent"] = nil // none is added
@@ -92,17 +92,17 @@
 func (b *backend) judge(response *http.Response, id string) error {
 	echoed := response.Header.Get(b.headers.RequestID)
 	if echoed != "" && echoed != id {
-		return &dispatch.AttemptError{Failure: dispatch.Broken, Err: errOtherRequest}
+		return &dispatch.AttemptError{Reason: dispatch.FailureIndeterminate, Err: errOtherRequest}
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		return &dispatch.AttemptError{Failure: dispatch.Replaced, Err: errRefused}
+		return &dispatch.AttemptError{Reason: dispatch.FailureReplaced, Err: errRefused}
 	}
 	refused := response.Header.Get(b.headers.NotExecuted) != "" && response.StatusCode != http.StatusBadRequest
 	if refused {
-		return &dispatch.AttemptError{Failure: dispatch.Full, RetryAfter: retryAfter(response.Header), Err: errRefused}
+		return &dispatch.AttemptError{Reason: dispatch.FailureRejected, RetryAfter: retryAfter(response.Header), Err: errRefused}
 	}
 	if echoed == "" && response.StatusCode < http.StatusMultipleChoices {
-		return &dispatch.AttemptError{Failure: dispatch.Broken, Err: errOtherRequest}
+		return &dispatch.AttemptError{Reason: dispatch.FailureIndeterminate, Err: errOtherRequest}
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			b.pool.Reap(now)
+			b.pool.CloseExpired(now)
 		}
 	}
 }
--- a/httpgateway/door.go
+++ b/httpgateway/door.go
@@ -63,17 +63,17 @@
 	headers := p.options.Headers
 	chain, tokens := headers.promptOf(r.Header)
 	return &dispatch.Request{
-		ID:      r.Header.Get(headers.RequestID),
-		Method:  r.Method,
-		Host:    r.Host,
-		Path:    r.URL.EscapedPath(),
-		Target:  r.RequestURI,
-		Header:  passedOn(r.Header),
-		Body:    body,
-		Wait:    headers.waitOf(r.Header),
-		Arrived: arrived,
-		Chain:   chain,
-		Tokens:  tokens,
+		ID:            r.Header.Get(headers.RequestID),
+		Method:        r.Method,
+		Host:          r.Host,
+		Path:          r.URL.EscapedPath(),
+		Target:        r.RequestURI,
+		Header:        passedOn(r.Header),
+		Body:          body,
+		ClientTimeout: headers.waitOf(r.Header),
+		Arrived:       arrived,
+		PrefixChain:   chain,
+		PromptTokens:  tokens,
 	}, 0, nil
 }
 
--- a/httpgateway/door_test.go
+++ b/httpgateway/door_test.go
@@ -47,18 +47,18 @@
 		status  int
 		echo    string
 		refused bool
-		want    dispatch.Failure
+		want    dispatch.FailureReason
 	}{
 		"answer":                    {200, "id", false, ""},
 		"own error":                 {500, "id", false, ""},
 		"error without an id":       {500, "", false, ""},
-		"another request's":         {200, "other", false, dispatch.Broken},
-		"another request's refusal": {503, "other", true, dispatch.Broken},
-		"a success without an id":   {200, "", false, dispatch.Broken},
-		"full":                      {503, "id", true, dispatch.Full},
+		"another request's":         {200, "other", false, dispatch.FailureIndeterminate},
+		"another request's refusal": {503, "other", true, dispatch.FailureIndeterminate},
+		"a success without an id":   {200, "", false, dispatch.FailureIndeterminate},
+		"full":                      {503, "id", true, dispatch.FailureRejected},
 		"503 that ran":              {503, "id", false, ""},
-		"another replica":           {421, "id", false, dispatch.Replaced},
-		"another replica, not ours": {421, "other", false, dispatch.Broken},
+		"another replica":           {421, "id", false, dispatch.FailureReplaced},
+		"another replica, not ours": {421, "other", false, dispatch.FailureIndeterminate},
 		"bad request, not executed": {400, "", true, ""},
 	}
 	for name, test := range tests {
@@ -72,9 +72,9 @@
 			}
 			err := newBackend(headers, nil).judge(response, "id")
 			var failure *dispatch.AttemptError
-			got := dispatch.Failure("")
+			got := dispatch.FailureReason("")
 			if errors.As(err, &failure) {
-				got = failure.Failure
+				got = failure.Reason
 			}
 			if got != test.want {
 				t.Errorf("got %q (%v), want %q", got, err, test.want)
@@ -85,8 +85,8 @@
 
 func TestRefusalsThatPromiseNotRunHaveTheirStatus(t *testing.T) {
 	want := map[dispatch.Code]int{
-		dispatch.NotReady: 503, dispatch.NoReplica: 503, dispatch.Overloaded: 503, dispatch.NoTime: 503,
-		dispatch.NoRoute: 404, dispatch.Unknown: 502, dispatch.TimedOut: 504,
+		dispatch.CodeNotReady: 503, dispatch.CodeNoReplica: 503, dispatch.CodeOverloaded: 503, dispatch.CodeExpiredUnsent: 503,
+		dispatch.CodeNoRoute: 404, dispatch.CodeOutcomeUnknown: 502, dispatch.CodeTimedOut: 504,
 	}
 	for code, status := range want {
 		if got := statusOf(code); got != status {
--- a/httpgateway/exchange_metrics.go
+++ b/httpgateway/exchange_metrics.go
@@ -40,10 +40,10 @@
 	if status.Aggregator != "" {
 		gauge(d.aggregator, 1, status.Aggregator)
 	}
-	gauge(d.silence, status.Silence.Seconds())
+	gauge(d.silence, status.SinceLastContact.Seconds())
 	count(d.messages, status.Counts.ReportsSent, "report", "sent")
 	count(d.messages, status.Counts.DigestsSent, "digest", "sent")
-	count(d.messages, status.Counts.ReportsTaken, "report", "taken")
-	count(d.messages, status.Counts.DigestsTaken, "digest", "taken")
+	count(d.messages, status.Counts.ReportsReceived, "report", "taken")
+	count(d.messages, status.Counts.DigestsReceived, "digest", "taken")
 	count(d.suspicions, status.Counts.Suspicions)
 }
--- a/httpgateway/gateway.go
+++ b/httpgateway/gateway.go
@@ -29,9 +29,9 @@
 // Options sets up a Gateway. All fields but Headers and Bounds are required.
 type Options struct {
 	// Info is what the primary and the other gateways learn of this one.
-	Info  peer.GatewayInfo
-	Seeds []string
-	Terms lease.Config
+	Info        peer.GatewayInfo
+	Seeds       []string
+	LeaseConfig lease.Config
 	// Network carries the messages; the gateway starts it and closes it.
 	Network transport.Network
 	// Headers name the headers of requests. Default DefaultHeaders.
@@ -64,13 +64,13 @@
 	})
 	started := time.Now()
 	g.agent = agent.New(agent.Options{
-		Gateway:   options.Info,
-		Seeds:     options.Seeds,
-		Terms:     options.Terms,
-		Network:   options.Network,
-		Clock:     func() time.Duration { return time.Since(started) },
-		Activated: g.proxy.Update,
-		Logger:    options.Logger,
+		Gateway:     options.Info,
+		Seeds:       options.Seeds,
+		LeaseConfig: options.LeaseConfig,
+		Network:     options.Network,
+		Clock:       func() time.Duration { return time.Since(started) },
+		OnActivate:  g.proxy.Update,
+		Logger:      options.Logger,
 	})
 	return g
 }
@@ -106,18 +106,18 @@
 	if contents == nil {
 		return nil
 	}
-	question := directory.Question{Region: region, Limit: limit, Asked: g.options.Info.Name, Leaving: g.leaving.Load()}
-	question.CutOff = !question.Leaving && !g.agent.Valid()
+	question := directory.Query{Region: region, Limit: limit, Node: g.options.Info.Name, Draining: g.leaving.Load()}
+	question.Partitioned = !question.Draining && !g.agent.Valid()
 	return question.Answer(contents.Gateways())
 }
 
-// Leave takes the gateway out of the answers to clients and gives its lease up.
+// Deregister takes the gateway out of the answers to clients and gives its lease up.
 // Requests that still come are served.
-func (g *Gateway) Leave(ctx context.Context) {
+func (g *Gateway) Deregister(ctx context.Context) {
 	if g.leaving.Swap(true) {
 		return
 	}
-	g.agent.Leave(ctx)
+	g.agent.ReleaseLease(ctx)
 }
 
 // Close ends everything but requests that are under way.
--- a/httpgateway/loads.go
+++ b/httpgateway/loads.go
@@ -12,9 +12,9 @@
 func (p *Proxy) newExchange() *loadexchange.Node {
 	network := p.options.Network
 	return loadexchange.NewNode(loadexchange.Config{
-		Name:   p.options.Info.Name,
-		Region: p.options.Info.Region,
-		Loads:  p.dispatcher,
+		Name:       p.options.Info.Name,
+		Region:     p.options.Info.Region,
+		LoadSource: p.dispatcher,
 		SendReport: func(address string, report *peer.ReplicaLoads) {
 			network.Send(address, peer.KindReplicaLoads, report)
 		},
@@ -41,7 +41,7 @@
 	if err := decode(&report); err != nil {
 		return nil, err
 	}
-	p.exchange.TakeReport(&report)
+	p.exchange.HandleReport(&report)
 	return nil, nil
 }
 
@@ -50,6 +50,6 @@
 	if err := decode(&digest); err != nil {
 		return nil, err
 	}
-	p.exchange.TakeDigest(&digest)
+	p.exchange.HandleDigest(&digest)
 	return nil, nil
 }
--- a/httpgateway/metrics.go
+++ b/httpgateway/metrics.go
@@ -18,7 +18,7 @@
 type figures interface {
 	Counts() dispatch.Counts
 	Replicas() []api.HTTPReplicaStatus
-	Exchange() loadexchange.Status
+	LoadExchangeStatus() loadexchange.Status
 }
 
 // collector gives the figures of a proxy out as metrics.
@@ -70,17 +70,17 @@
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
 	}
 	count(c.requests, counts.Served, codeServed)
-	for code, value := range counts.Refused {
+	for code, value := range counts.Rejected {
 		count(c.requests, value, string(code))
 	}
-	for failure, value := range counts.Failed {
+	for failure, value := range counts.FailedAttempts {
 		count(c.failures, value, string(failure))
 	}
 	count(c.attempts, counts.Attempts)
 	count(c.retries, counts.Retries)
 	count(c.resumed, counts.Resumed)
 	c.collectReplicas(metrics)
-	c.exchange.collect(c.figures.Exchange(), metrics)
+	c.exchange.collect(c.figures.LoadExchangeStatus(), metrics)
 }
 
 func (c *collector) collectReplicas(metrics chan<- prometheus.Metric) {
--- a/httpgateway/metrics_test.go
+++ b/httpgateway/metrics_test.go
@@ -17,12 +17,12 @@
 
 func (fixedFigures) Counts() dispatch.Counts {
 	return dispatch.Counts{
-		Served:   7,
-		Attempts: 9,
-		Retries:  2,
-		Resumed:  1,
-		Refused:  map[dispatch.Code]uint64{dispatch.Overloaded: 3},
-		Failed:   map[dispatch.Failure]uint64{dispatch.Broken: 4},
+		Served:         7,
+		Attempts:       9,
+		Retries:        2,
+		Resumed:        1,
+		Rejected:       map[dispatch.Code]uint64{dispatch.CodeOverloaded: 3},
+		FailedAttempts: map[dispatch.FailureReason]uint64{dispatch.FailureIndeterminate: 4},
 	}
 }
 
@@ -34,8 +34,8 @@
 	}
 }
 
-func (fixedFigures) Exchange() loadexchange.Status {
-	return loadexchange.Status{Aggregator: "gateway-1", Silence: 200 * time.Millisecond}
+func (fixedFigures) LoadExchangeStatus() loadexchange.Status {
+	return loadexchange.Status{Aggregator: "gateway-1", SinceLastContact: 200 * time.Millisecond}
 }
 
 func TestCollector(t *testing.T) {
--- a/httpgateway/proxy.go
+++ b/httpgateway/proxy.go
@@ -47,16 +47,16 @@
 		options.Headers = DefaultHeaders()
 	}
 	p := &Proxy{options: options}
-	p.backend = newBackend(options.Headers, func(address string, took time.Duration) { p.dispatcher.Connected(address, took) })
+	p.backend = newBackend(options.Headers, func(address string, took time.Duration) { p.dispatcher.RecordConnect(address, took) })
 	p.dispatcher = dispatch.New(dispatch.Options{
-		Gateway: options.Info.Name,
-		Zone:    options.Info.Zone,
-		Region:  options.Info.Region,
-		Backend: p.backend,
-		Bounds:  options.Bounds,
-		Placed:  func(prompt peer.PlacedPrompt) { p.exchange.Placed(prompt) },
-		Read:    func(prompt peer.PrefillSample) { p.exchange.Measured(prompt) },
-		Logger:  options.Logger,
+		Gateway:   options.Info.Name,
+		Zone:      options.Info.Zone,
+		Region:    options.Info.Region,
+		Backend:   p.backend,
+		Bounds:    options.Bounds,
+		OnPlaced:  func(prompt peer.PlacedPrompt) { p.exchange.RecordPlacement(prompt) },
+		OnPrefill: func(prompt peer.PrefillSample) { p.exchange.RecordPrefill(prompt) },
+		Logger:    options.Logger,
 	})
 	p.exchange = p.newExchange()
 	options.Network.Handle(peer.KindReplicaLoads, p.serveReport)
@@ -85,8 +85,8 @@
 // Counts returns the totals since the start.
 func (p *Proxy) Counts() dispatch.Counts { return p.dispatcher.Counts() }
 
-// Exchange returns the gateway's part in the exchange of loads.
-func (p *Proxy) Exchange() loadexchange.Status { return p.exchange.Status() }
+// LoadExchangeStatus returns the gateway's part in the exchange of loads.
+func (p *Proxy) LoadExchangeStatus() loadexchange.Status { return p.exchange.Status() }
 
 // Replicas returns what this gateway holds of every replica.
 func (p *Proxy) Replicas() []api.HTTPReplicaStatus { return p.dispatcher.Replicas() }
--- a/internal/benchmark/gateway_job.go
+++ b/internal/benchmark/gateway_job.go
@@ -41,11 +41,11 @@
 			PeerAddress: network.Address(),
 			HTTPAddress: address,
 		},
-		Seeds:   config.Seeds,
-		Keys:    keys,
-		Terms:   lease.DefaultConfig(),
-		Network: network,
-		Logger:  workerLogger(config),
+		Seeds:       config.Seeds,
+		TicketKeys:  keys,
+		LeaseConfig: lease.DefaultConfig(),
+		Network:     network,
+		Logger:      workerLogger(config),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/benchmark/holders.go
+++ b/internal/benchmark/holders.go
@@ -60,11 +60,11 @@
 			PeerAddress: network.Address(),
 			HTTPAddress: network.Address(),
 		},
-		Seeds:   config.Seeds,
-		Terms:   lease.DefaultConfig(),
-		Network: network,
-		Clock:   func() time.Duration { return time.Since(started) },
-		Logger:  workerLogger(config),
+		Seeds:       config.Seeds,
+		LeaseConfig: lease.DefaultConfig(),
+		Network:     network,
+		Clock:       func() time.Duration { return time.Since(started) },
+		Logger:      workerLogger(config),
 	})
 	if err := network.Start(); err != nil {
 		return err
@@ -77,20 +77,20 @@
 func (h *holders) fill(status *workerStatus) {
 	for i, holder := range h.agents {
 		read := holder.Status()
-		status.Renewals += read.Renewals
+		status.Renewals += read.GrantedRenewals
 		if i == 0 || read.Term < status.Term {
 			status.Term = read.Term
 		}
 		status.NewestTerm = max(status.NewestTerm, read.Term)
-		if read.Lease > 0 {
+		if read.LeaseRemaining > 0 {
 			status.Valid++
 		}
-		if read.Active == 0 {
+		if read.ActiveSerial == 0 {
 			continue
 		}
 		status.Active++
-		if status.Serial == 0 || registry.SerialLess(read.Active, status.Serial) {
-			status.Serial = read.Active
+		if status.Serial == 0 || registry.SerialLess(read.ActiveSerial, status.Serial) {
+			status.Serial = read.ActiveSerial
 		}
 	}
 }
--- a/internal/experiment/aware.go
+++ b/internal/experiment/aware.go
@@ -38,8 +38,8 @@
 	chain := placement.Chain(request.Generate.Prefixes)
 	work := placement.Work{Tokens: promptTokens(request)}
 	if link, found := placement.Affinity(chain); found {
-		work.Key = link.Hash
-		work.Bulk = float64(link.Tokens)
+		work.AffinityHash = link.Hash
+		work.AffinityTokens = float64(link.Tokens)
 	}
 	clear(p.cached)
 	p.index.Cached(chain, func(replica, tokens int) { p.cached[replica] = tokens })
@@ -48,20 +48,20 @@
 		p.candidates = append(p.candidates, p.candidate(index, view))
 	}
 	target, _ = placement.Choose(p.candidates, work)
-	p.index.Note(target, chain)
+	p.index.Record(target, chain)
 	return target, p.cached[target]
 }
 
 func (p *CacheAware) candidate(index int, view *View) placement.Candidate {
 	return placement.Candidate{
-		Number:  index,
-		Hash:    p.hashes[index],
-		Pending: float64(view.Report.PendingPrefillTokens) + view.SentTokens,
-		Speed:   view.Report.PrefillTokensPerSecond,
-		Busy:    float64(view.Busy()),
-		Slots:   float64(max(1, view.Report.Slots)),
-		Hold:    view.Hold,
-		Cached:  float64(p.cached[index]) * p.trust[index],
+		Number:         index,
+		Hash:           p.hashes[index],
+		PendingTokens:  float64(view.Report.PendingPrefillTokens) + view.SentTokens,
+		PrefillRate:    view.Report.PrefillTokensPerSecond,
+		ActiveRequests: float64(view.Busy()),
+		Slots:          float64(max(1, view.Report.Slots)),
+		ServiceTime:    view.Hold,
+		CachedTokens:   float64(p.cached[index]) * p.trust[index],
 	}
 }
 
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -190,7 +190,7 @@
 func (l *live) poll(gateway *liveGateway) {
 	for _, name := range gateway.router.Watched() {
 		if l.isLost(gateway.region) {
-			gateway.router.PollFailed(name, time.Now())
+			gateway.router.RecordPollFailure(name, time.Now())
 			continue
 		}
 		gateway.router.Observe(name, *l.replica(name).Report(), time.Now())
@@ -268,7 +268,7 @@
 		if placing.region != request.Region {
 			l.meter.spilled()
 		}
-		entry.router.NoteAttempt()
+		entry.router.RecordAttempt()
 		l.execute(run, ctx, slot, placing.region, request, start)
 		return
 	}
@@ -280,7 +280,7 @@
 
 // restarted does what a gateway does with the refusal of a replica that is of
 // another incarnation than the one placed on: it asks for a report at once.
-func (l *live) restarted(slot *routing.Slot, placing *liveGateway) bool {
+func (l *live) restarted(slot *routing.Reservation, placing *liveGateway) bool {
 	report := l.replica(slot.Replica).Report()
 	if report.Incarnation == slot.Incarnation {
 		return false
@@ -310,9 +310,9 @@
 // acquire tries the regions in the order that the router gives, as a gateway
 // does: the own one by its queue, one that the request is spilled to by a bounded
 // wait in that queue, others by an offer that is taken at once or not at all.
-func (l *live) acquire(ctx context.Context, entry *liveGateway, request routing.Request, random *rand.Rand) (*routing.Slot, *liveGateway, *api.Error) {
+func (l *live) acquire(ctx context.Context, entry *liveGateway, request routing.Request, random *rand.Rand) (*routing.Reservation, *liveGateway, *api.Error) {
 	regions := entry.router.Regions(request)
-	refused := entry.router.Refusal(request)
+	refused := entry.router.Rejection(request)
 	for position, region := range regions {
 		if region == entry.region {
 			slot, failure := entry.router.Acquire(ctx, request)
@@ -326,7 +326,7 @@
 			continue
 		}
 		other := l.entry(region, random)
-		var slot *routing.Slot
+		var slot *routing.Reservation
 		var failure *api.Error
 		if position == 0 && slices.Contains(regions, entry.region) {
 			waiting, cancel := context.WithTimeout(ctx, spillWait)
@@ -343,7 +343,7 @@
 	return nil, nil, refused
 }
 
-func (l *live) execute(run, ctx context.Context, slot *routing.Slot, region string, request workload.Request, start time.Time) {
+func (l *live) execute(run, ctx context.Context, slot *routing.Reservation, region string, request workload.Request, start time.Time) {
 	replica := l.replica(slot.Replica)
 	generate := request.Generate
 	answer, err := replica.Generate(ctx, &api.ReplicaRequest{
@@ -352,7 +352,7 @@
 		TimeLeftMS: generate.WaitMS, Stamp: api.Stamp{ConfigurationVersion: slot.Version, ReplicaIncarnation: slot.Incarnation, Attempt: 1},
 	}, func() {
 		now := time.Now()
-		slot.FirstToken(now)
+		slot.RecordFirstToken(now)
 		l.meter.firstToken(now.Sub(start))
 	})
 	now := time.Now()
@@ -367,7 +367,7 @@
 		slot.Finish(routing.ResultFailed, nil, now)
 		l.meter.failed()
 	default:
-		slot.CachedTokens(answer.CachedTokens)
+		slot.RecordCachedTokens(answer.CachedTokens)
 		slot.Finish(routing.ResultSuccess, answer.Report, now)
 		l.meter.answered()
 	}
--- a/internal/experiment/response.go
+++ b/internal/experiment/response.go
@@ -230,7 +230,7 @@
 // sampleCold finds the most loaded cold replica that a gateway feeds.
 func (l *live) sampleCold(sample *Sample, status routing.ServiceStatus) {
 	for _, member := range status.Members {
-		if !member.Cold || !member.Usable {
+		if !member.WarmingUp || !member.Usable {
 			continue
 		}
 		report := l.replica(member.Replica).Report()
--- a/internal/fleet/caller/answer.go
+++ b/internal/fleet/caller/answer.go
@@ -128,7 +128,7 @@
 }
 
 func (r *answerReader) piece(data []byte) (hangUp bool) {
-	var piece api.StreamPiece
+	var piece api.StreamChunk
 	if err := json.Unmarshal(data, &piece); err != nil {
 		r.problem("an event that does not decode")
 		return false
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	for sequence := 1; sequence <= request.MaxTokens; sequence++ {
-		piece := api.StreamPiece{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
+		piece := api.StreamChunk{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
 		if g.fault == "spliced stream" && sequence == 3 {
 			piece.RunID = "another"
 		}
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -128,12 +128,12 @@
 			PeerAddress: network.Address(),
 			HTTPAddress: network.Address(),
 		},
-		Seeds:     f.options.Seeds,
-		Terms:     f.options.Terms,
-		Network:   network,
-		Clock:     func() time.Duration { return time.Since(f.started) },
-		Activated: f.activated(),
-		Logger:    slog.New(slog.DiscardHandler),
+		Seeds:       f.options.Seeds,
+		LeaseConfig: f.options.Terms,
+		Network:     network,
+		Clock:       func() time.Duration { return time.Since(f.started) },
+		OnActivate:  f.activated(),
+		Logger:      slog.New(slog.DiscardHandler),
 	})
 	if err := network.Start(); err != nil {
 		cancel()
--- a/internal/hollow/replica.go
+++ b/internal/hollow/replica.go
@@ -68,7 +68,7 @@
 	ticker := time.NewTicker(r.Gap)
 	defer ticker.Stop()
 	for i := 1; i <= asked.MaxTokens; i++ {
-		piece := api.StreamPiece{RequestID: asked.RequestID, RunID: run, Sequence: i, Text: "token", Tokens: 1}
+		piece := api.StreamChunk{RequestID: asked.RequestID, RunID: run, Sequence: i, Text: "token", Tokens: 1}
 		if writer.Event(api.EventPiece, piece) != nil {
 			return
 		}
--- a/internal/hollow/replica_test.go
+++ b/internal/hollow/replica_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer answer.Body.Close()
-	events := stream.NewReader(answer.Body, stream.Options{RequestID: "q", Gap: 10 * time.Second, Interrupt: cancel})
+	events := stream.NewReader(answer.Body, stream.Options{RequestID: "q", IdleTimeout: 10 * time.Second, Interrupt: cancel})
 	defer events.Close()
 	for {
 		event, err := events.Next()
@@ -51,8 +51,8 @@
 			break
 		}
 	}
-	if events.Pieces() != 3 {
-		t.Errorf("%d pieces", events.Pieces())
+	if events.Chunks() != 3 {
+		t.Errorf("%d pieces", events.Chunks())
 	}
 	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
 		t.Error(err)
--- a/internal/scale/parts.go
+++ b/internal/scale/parts.go
@@ -120,13 +120,13 @@
 			Name: what.Name, Incarnation: "1", Zone: what.Zone, Region: what.Region,
 			PeerAddress: what.Peer, HTTPAddress: what.HTTP,
 		},
-		Seeds:          what.Seeds,
-		Keys:           [][]byte{what.Key},
-		Terms:          lease.DefaultConfig(),
-		Network:        network,
-		Seed:           1,
-		MaxConnections: 4096,
-		StopTimeout:    time.Second,
+		Seeds:           what.Seeds,
+		TicketKeys:      [][]byte{what.Key},
+		LeaseConfig:     lease.DefaultConfig(),
+		Network:         network,
+		Seed:            1,
+		MaxConnections:  4096,
+		ShutdownTimeout: time.Second,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -320,7 +320,7 @@
 	if event.Kind == emulator.EventEnd {
 		return r.encodeEnd(event)
 	}
-	return encodeEvent(api.EventPiece, api.StreamPiece{
+	return encodeEvent(api.EventPiece, api.StreamChunk{
 		RequestID: r.identity.request,
 		RunID:     r.identity.run,
 		Sequence:  event.Index,
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -159,7 +159,7 @@
 		}
 		switch event {
 		case api.EventPiece:
-			var piece api.StreamPiece
+			var piece api.StreamChunk
 			if o.broken = json.Unmarshal([]byte(data), &piece); o.broken != nil {
 				return
 			}
--- a/loadexchange/aggregator.go
+++ b/loadexchange/aggregator.go
@@ -259,7 +259,7 @@
 	}
 	digest := &peer.LoadDigest{Aggregator: x.name, Regions: append([]peer.RegionLoads{part}, forwarded...)}
 	for _, name := range peers {
-		effects.Send = append(effects.Send, Outgoing{Address: x.gateways[name].Address, Digest: digest})
+		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: x.gateways[name].Address, Digest: digest})
 	}
 	return len(peers) * sizeOf(digest)
 }
@@ -297,7 +297,7 @@
 		return
 	}
 	if member, up := x.gateways[name]; up {
-		effects.Send = append(effects.Send, Outgoing{Address: member.Address, Digest: digest})
+		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: member.Address, Digest: digest})
 	}
 }
 
@@ -351,7 +351,7 @@
 		part.Region, part.Aggregator = x.region, x.name
 		part.Complete, part.Loads = whole, sums
 		digest := &peer.LoadDigest{Aggregator: x.name, Regions: []peer.RegionLoads{part}}
-		effects.Send = append(effects.Send, Outgoing{Address: to.Address, Digest: digest})
+		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: to.Address, Digest: digest})
 		bytes += sizeOf(digest)
 	}
 	a.pay(now, bytes)
--- a/loadexchange/example_test.go
+++ b/loadexchange/example_test.go
@@ -27,9 +27,9 @@
 	aggregator.SetGateways(gateways)
 
 	now := time.Now()
-	reporter.Placed(peer.PlacedPrompt{Replica: peer.NewReplicaKey("replica-a"), PrefillMS: 120})
+	reporter.RecordPlacement(peer.PlacedPrompt{Replica: peer.NewReplicaKey("replica-a"), PrefillMS: 120})
 	effects, _ := reporter.Step(now)
-	for _, message := range effects.Send {
+	for _, message := range effects.Outgoing {
 		fmt.Println("to", message.Address, len(message.Report.PlacedPrompts), "prompt")
 		aggregator.HandleReport(now, message.Report)
 	}
--- a/loadexchange/exchange.go
+++ b/loadexchange/exchange.go
@@ -86,8 +86,8 @@
 	LinkMbps int
 }
 
-// Loads tells what the own gateway has under way.
-type Loads interface {
+// LoadSource tells what the own gateway has under way.
+type LoadSource interface {
 	// Loads returns the own load by replica.
 	Loads() map[peer.ReplicaKey]peer.Load
 	// RegionOf returns the region of a replica, "" if it is not known.
@@ -103,18 +103,18 @@
 
 // Effects are what follows from a step.
 type Effects struct {
-	Send []Outgoing
+	Outgoing []Outgoing
 	// Observed is what the own gateway has learnt of others.
 	Observed []peer.RegionLoads
-	// Step says that the next step is due earlier than was told.
-	Step bool
+	// Reschedule says that the next step is due earlier than was told.
+	Reschedule bool
 }
 
 // Exchange is one gateway's part. It is not safe for concurrent use.
 type Exchange struct {
 	name     string
 	region   string
-	loads    Loads
+	loads    LoadSource
 	gateways map[string]Gateway
 	groups   map[string][][]string // the gateways of each region, by group
 
@@ -124,7 +124,7 @@
 }
 
 // New returns the exchange of a gateway that knows no others yet.
-func New(name, region string, loads Loads) *Exchange {
+func New(name, region string, loads LoadSource) *Exchange {
 	x := &Exchange{name: name, region: region, loads: loads}
 	x.own.suspects = make(map[string]*suspicion)
 	x.sum = newAggregator()
@@ -144,16 +144,16 @@
 	}
 }
 
-// Placed notes a prompt that the own gateway gave to a replica. A long one is told
+// RecordPlacement notes a prompt that the own gateway gave to a replica. A long one is told
 // with the next step, without delay.
-func (x *Exchange) Placed(prompt peer.PlacedPrompt) {
+func (x *Exchange) RecordPlacement(prompt peer.PlacedPrompt) {
 	prompt.Gateway = peer.NewReplicaKey(x.name)
 	x.own.placed = append(x.own.placed, prompt)
 	x.own.urgent = x.own.urgent || isUrgent(&prompt)
 }
 
-// Measured notes what a prompt told of a replica's speed.
-func (x *Exchange) Measured(prompt peer.PrefillSample) {
+// RecordPrefill notes what a prompt told of a replica's speed.
+func (x *Exchange) RecordPrefill(prompt peer.PrefillSample) {
 	x.own.read = append(x.own.read, prompt)
 }
 
@@ -162,7 +162,7 @@
 	var effects Effects
 	x.report(now, &effects)
 	x.aggregate(now, &effects)
-	x.counts.count(effects.Send)
+	x.counts.count(effects.Outgoing)
 	return effects, x.next(now)
 }
 
@@ -177,7 +177,7 @@
 
 // HandleReport takes a gateway's report in: this gateway is its aggregator.
 func (x *Exchange) HandleReport(now time.Time, report *peer.ReplicaLoads) {
-	x.counts.ReportsTaken++
+	x.counts.ReportsReceived++
 	x.sum.take(now, report)
 }
 
@@ -185,7 +185,7 @@
 // group or region to be passed on.
 func (x *Exchange) HandleDigest(now time.Time, digest *peer.LoadDigest) Effects {
 	var effects Effects
-	x.counts.DigestsTaken++
+	x.counts.DigestsReceived++
 	sender, known := x.gateways[digest.Aggregator]
 	if !known {
 		return effects
@@ -193,14 +193,14 @@
 	switch {
 	case sender.Region != x.region:
 		x.sum.relayFar(now, digest)
-		effects.Step = x.sum.relayed.urgent
+		effects.Reschedule = x.sum.relayed.urgent
 	case digest.Aggregator == x.own.aggregator:
 		x.own.heard(now)
 		observe(digest, &effects)
 	case x.groupOf(digest.Aggregator) != x.groupOf(x.name):
 		x.sum.peers[x.groupOf(digest.Aggregator)] = peerGroup{heard: digest.Aggregator, at: now}
 		x.sum.relayPeer(now, digest)
-		effects.Step = x.sum.relayed.urgent
+		effects.Reschedule = x.sum.relayed.urgent
 	}
 	return effects
 }
--- a/loadexchange/exchange_test.go
+++ b/loadexchange/exchange_test.go
@@ -290,10 +290,10 @@
 	g.place("north-replica", 100)
 	w.run(2 * time.Second)
 	fresh := New("fresh", "north", g)
-	fresh.Placed(peer.PlacedPrompt{Replica: w.key("north-replica"), PrefillMS: 100})
+	fresh.RecordPlacement(peer.PlacedPrompt{Replica: w.key("north-replica"), PrefillMS: 100})
 	effects, next := fresh.Step(w.now)
-	if g.sent > 0 || len(effects.Send) > 0 {
-		t.Errorf("%d messages sent, and %+v", g.sent, effects.Send)
+	if g.sent > 0 || len(effects.Outgoing) > 0 {
+		t.Errorf("%d messages sent, and %+v", g.sent, effects.Outgoing)
 	}
 	if !next.After(w.now) {
 		t.Errorf("a step is due at once, again and again")
@@ -311,13 +311,13 @@
 			continue
 		}
 		status := g.exchange.Status(w.now)
-		if status.Aggregator != first.name || status.Silence > silence {
-			t.Errorf("%s names %q, silent for %v; want %s", name, status.Aggregator, status.Silence, first.name)
+		if status.Aggregator != first.name || status.SinceLastContact > silence {
+			t.Errorf("%s names %q, silent for %v; want %s", name, status.Aggregator, status.SinceLastContact, first.name)
 		}
-		if g == first && (status.Members != 12 || status.Counts.DigestsSent == 0 || status.Counts.ReportsTaken == 0) {
+		if g == first && (status.Members != 12 || status.Counts.DigestsSent == 0 || status.Counts.ReportsReceived == 0) {
 			t.Errorf("the aggregator's status is %+v", status)
 		}
-		if g != first && (status.Members != 0 || status.Counts.ReportsSent == 0 || status.Counts.DigestsTaken == 0) {
+		if g != first && (status.Members != 0 || status.Counts.ReportsSent == 0 || status.Counts.DigestsReceived == 0) {
 			t.Errorf("%s's status is %+v", name, status)
 		}
 	}
--- a/loadexchange/node.go
+++ b/loadexchange/node.go
@@ -11,9 +11,9 @@
 // Config sets up a Node. All fields are required.
 type Config struct {
 	// Name and Region are the own gateway's.
-	Name   string
-	Region string
-	Loads  Loads
+	Name       string
+	Region     string
+	LoadSource LoadSource
 	// SendReport and SendDigest send one message to a peers' address. They must not
 	// block, and may lose it.
 	SendReport func(address string, report *peer.ReplicaLoads)
@@ -45,7 +45,7 @@
 	return &Node{
 		config:   config,
 		wake:     make(chan struct{}, 1),
-		exchange: New(config.Name, config.Region, config.Loads),
+		exchange: New(config.Name, config.Region, config.LoadSource),
 	}
 }
 
@@ -84,16 +84,16 @@
 	n.inbox.placed, n.inbox.read = nil, nil
 	n.inbox.Unlock()
 	for _, prompt := range placed {
-		n.exchange.Placed(prompt)
+		n.exchange.RecordPlacement(prompt)
 	}
 	for _, prompt := range read {
-		n.exchange.Measured(prompt)
+		n.exchange.RecordPrefill(prompt)
 	}
 }
 
 // carryOut sends what is to be sent and tells what was learnt.
 func (n *Node) carryOut(effects Effects) {
-	for _, message := range effects.Send {
+	for _, message := range effects.Outgoing {
 		if message.Report != nil {
 			n.config.SendReport(message.Address, message.Report)
 			continue
@@ -112,16 +112,16 @@
 	}
 }
 
-// Placed notes a prompt that the own gateway gave to a replica. It does not block.
-func (n *Node) Placed(prompt peer.PlacedPrompt) {
+// RecordPlacement notes a prompt that the own gateway gave to a replica. It does not block.
+func (n *Node) RecordPlacement(prompt peer.PlacedPrompt) {
 	n.inbox.Lock()
 	n.inbox.placed = append(n.inbox.placed, prompt)
 	n.inbox.Unlock()
 	n.signal()
 }
 
-// Measured notes what a prompt told of a replica's speed. It does not block.
-func (n *Node) Measured(prompt peer.PrefillSample) {
+// RecordPrefill notes what a prompt told of a replica's speed. It does not block.
+func (n *Node) RecordPrefill(prompt peer.PrefillSample) {
 	n.inbox.Lock()
 	defer n.inbox.Unlock()
 	n.inbox.read = append(n.inbox.read, prompt)
@@ -141,21 +141,21 @@
 	n.exchange.SetGateways(gateways)
 }
 
-// TakeReport takes another gateway's report in.
-func (n *Node) TakeReport(report *peer.ReplicaLoads) {
+// HandleReport takes another gateway's report in.
+func (n *Node) HandleReport(report *peer.ReplicaLoads) {
 	n.mutex.Lock()
 	n.exchange.HandleReport(time.Now(), report)
 	n.mutex.Unlock()
 	n.signal()
 }
 
-// TakeDigest takes an aggregator's digest in.
-func (n *Node) TakeDigest(digest *peer.LoadDigest) {
+// HandleDigest takes an aggregator's digest in.
+func (n *Node) HandleDigest(digest *peer.LoadDigest) {
 	n.mutex.Lock()
 	effects := n.exchange.HandleDigest(time.Now(), digest)
 	n.mutex.Unlock()
 	n.carryOut(effects)
-	if effects.Step {
+	if effects.Reschedule {
 		n.signal()
 	}
 }
--- a/loadexchange/reporter.go
+++ b/loadexchange/reporter.go
@@ -48,7 +48,7 @@
 		return
 	}
 	address := x.gateways[own.aggregator].Address
-	effects.Send = append(effects.Send, Outgoing{Address: address, Report: report})
+	effects.Outgoing = append(effects.Outgoing, Outgoing{Address: address, Report: report})
 }
 
 // due is when the next report is to be sent.
--- a/loadexchange/status.go
+++ b/loadexchange/status.go
@@ -7,9 +7,9 @@
 	// ReportsSent and DigestsSent count messages to other gateways.
 	ReportsSent uint64
 	DigestsSent uint64
-	// ReportsTaken and DigestsTaken count messages of other gateways.
-	ReportsTaken uint64
-	DigestsTaken uint64
+	// ReportsReceived and DigestsTaken count messages of other gateways.
+	ReportsReceived uint64
+	DigestsReceived uint64
 	// Suspicions counts aggregators that fell silent.
 	Suspicions uint64
 }
@@ -18,9 +18,9 @@
 type Status struct {
 	// Aggregator is the gateway that this one reports to, "" before the first report.
 	Aggregator string
-	// Silence is the time since the aggregator was heard or chosen. It is 0 at the
+	// SinceLastContact is the time since the aggregator was heard or chosen. It is 0 at the
 	// aggregator itself.
-	Silence time.Duration
+	SinceLastContact time.Duration
 	// Members counts the gateways that report to this one, itself included; 0 says
 	// that it does not aggregate.
 	Members int
@@ -31,7 +31,7 @@
 func (x *Exchange) Status(now time.Time) Status {
 	status := Status{Aggregator: x.own.aggregator, Members: len(x.sum.members), Counts: x.counts}
 	if status.Aggregator != "" && status.Aggregator != x.name {
-		status.Silence = now.Sub(x.own.heardAt)
+		status.SinceLastContact = now.Sub(x.own.heardAt)
 	}
 	return status
 }
--- a/loadexchange/world_test.go
+++ b/loadexchange/world_test.go
@@ -155,7 +155,7 @@
 }
 
 func (g *worldGateway) carryOut(effects Effects) {
-	for _, message := range effects.Send {
+	for _, message := range effects.Outgoing {
 		g.send(message)
 	}
 	for _, part := range effects.Observed {
@@ -220,7 +220,7 @@
 	}
 	effects := g.exchange.HandleDigest(g.world.now, message.Digest)
 	g.carryOut(effects)
-	if effects.Step {
+	if effects.Reschedule {
 		g.step()
 	}
 }
@@ -228,7 +228,7 @@
 // place gives a prompt to a replica, as the dispatcher does.
 func (g *worldGateway) place(replica string, readingMS int) {
 	g.world.placed[readingMS] = g.world.now
-	g.exchange.Placed(peer.PlacedPrompt{Replica: g.world.key(replica), PrefillMS: readingMS})
+	g.exchange.RecordPlacement(peer.PlacedPrompt{Replica: g.world.key(replica), PrefillMS: readingMS})
 	g.step()
 }
 
--- a/outlier/example_test.go
+++ b/outlier/example_test.go
@@ -12,17 +12,17 @@
 	now := time.Unix(0, 0)
 	config := outlier.DefaultConfig()
 	group := outlier.NewGroup(config)
-	group.Keep([]string{"r1", "r2", "r3", "r4"})
-	for range config.Failures {
-		group.Failure(now, "r1")
+	group.SetMembers([]string{"r1", "r2", "r3", "r4"})
+	for range config.ConsecutiveFailures {
+		group.RecordFailure(now, "r1")
 	}
-	fmt.Println(group.Ejected(now), group.EjectedUntil("r1").Sub(now) == config.Shortest)
+	fmt.Println(group.Ejected(now), group.EjectedUntil("r1").Sub(now) == config.BaseEjectionTime)
 	for _, name := range []string{"r2", "r3", "r4"} {
-		for range config.Failures {
-			group.Failure(now, name)
+		for range config.ConsecutiveFailures {
+			group.RecordFailure(now, name)
 		}
 	}
-	fmt.Println(group.Ejected(now) == group.Allowed(), group.Allowed() < 4)
+	fmt.Println(group.Ejected(now) == group.MaxEjected(), group.MaxEjected() < 4)
 	// Output:
 	// 1 true
 	// true true
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -11,49 +11,49 @@
 
 // Config holds the constants of ejection.
 type Config struct {
-	// Failures in a row eject.
-	Failures int
+	// ConsecutiveFailures in a row eject.
+	ConsecutiveFailures int
 	// ErrorRate over the recent requests ejects, once there are MinimumRequests.
 	ErrorRate       float64
 	MinimumRequests float64
-	// Slowness ejects a replica whose smoothed latency is this many times the
+	// SlowLatencyRatio ejects a replica whose smoothed latency is this many times the
 	// median of the group.
-	Slowness float64
-	// LeastSlow is the latency below which nothing counts as slow.
-	LeastSlow time.Duration
-	// Part of the group that may be ejected at a time, rounded down.
-	Part float64
-	// Shortest and Longest bound the time of an ejection, which doubles with
-	// each ejection that follows within Longest of the one before.
-	Shortest, Longest time.Duration
+	SlowLatencyRatio float64
+	// MinSlowLatency is the latency below which nothing counts as slow.
+	MinSlowLatency time.Duration
+	// MaxEjectionFraction of the group that may be ejected at a time, rounded down.
+	MaxEjectionFraction float64
+	// BaseEjectionTime and MaxEjectionTime bound the time of an ejection, which doubles with
+	// each ejection that follows within MaxEjectionTime of the one before.
+	BaseEjectionTime, MaxEjectionTime time.Duration
 }
 
 // DefaultConfig returns the documented constants.
 func DefaultConfig() Config {
 	return Config{
-		Failures:        5,
-		ErrorRate:       0.5,
-		MinimumRequests: 6,
-		Slowness:        4,
-		LeastSlow:       500 * time.Millisecond,
-		Part:            0.4,
-		Shortest:        2 * time.Second,
-		Longest:         30 * time.Second,
+		ConsecutiveFailures: 5,
+		ErrorRate:           0.5,
+		MinimumRequests:     6,
+		SlowLatencyRatio:    4,
+		MinSlowLatency:      500 * time.Millisecond,
+		MaxEjectionFraction: 0.4,
+		BaseEjectionTime:    2 * time.Second,
+		MaxEjectionTime:     30 * time.Second,
 	}
 }
 
 // smoothing is the weight of one request in the moving figures.
 const smoothing = 0.1
 
-// FailingHalf is the time in which the memory of failures halves while a
+// FailureHalfLife is the time in which the memory of failures halves while a
 // replica gets no attempts.
-const FailingHalf = 5 * time.Second
+const FailureHalfLife = 5 * time.Second
 
 // leastFailing is what counts as none, and forgetting the time after which the
 // memory of any failure has come down to it.
 const (
 	leastFailing = 0.01
-	forgetting   = 7 * FailingHalf
+	forgetting   = 7 * FailureHalfLife
 )
 
 // medianAge is how long a computed median is used.
@@ -85,8 +85,8 @@
 	return &Group{config: config, members: make(map[string]*member)}
 }
 
-// Keep makes the group consist of the named replicas. The others are forgotten.
-func (g *Group) Keep(names []string) {
+// SetMembers makes the group consist of the named replicas. The others are forgotten.
+func (g *Group) SetMembers(names []string) {
 	kept := make(map[string]*member, len(names))
 	for _, name := range names {
 		kept[name] = g.members[name]
@@ -104,8 +104,8 @@
 	}
 }
 
-// Success records a completed request.
-func (g *Group) Success(now time.Time, name string) {
+// RecordSuccess records a completed request.
+func (g *Group) RecordSuccess(now time.Time, name string) {
 	m := g.members[name]
 	if m == nil {
 		return
@@ -116,9 +116,9 @@
 	m.errorRate -= smoothing * m.errorRate
 }
 
-// Latency records how long a request waited for its first token. It reports
+// RecordLatency records how long a request waited for its first token. It reports
 // whether the replica was ejected by it.
-func (g *Group) Latency(now time.Time, name string, latency time.Duration) bool {
+func (g *Group) RecordLatency(now time.Time, name string, latency time.Duration) bool {
 	m := g.members[name]
 	if m == nil {
 		return false
@@ -134,9 +134,9 @@
 	return g.eject(now, m)
 }
 
-// Failure records a failed request. It reports whether the replica was ejected
+// RecordFailure records a failed request. It reports whether the replica was ejected
 // by it.
-func (g *Group) Failure(now time.Time, name string) bool {
+func (g *Group) RecordFailure(now time.Time, name string) bool {
 	m := g.members[name]
 	if m == nil {
 		return false
@@ -146,7 +146,7 @@
 	m.failuresInRow++
 	m.requests++
 	m.errorRate += smoothing * (1 - m.errorRate)
-	inRow := m.failuresInRow >= g.config.Failures
+	inRow := m.failuresInRow >= g.config.ConsecutiveFailures
 	rate := m.requests >= g.config.MinimumRequests && m.errorRate >= g.config.ErrorRate
 	if !inRow && !rate {
 		return false
@@ -154,18 +154,18 @@
 	return g.eject(now, m)
 }
 
-// Refusal records an attempt that the replica itself refused. It never ejects.
-func (g *Group) Refusal(now time.Time, name string) {
+// RecordRejection records an attempt that the replica itself refused. It never ejects.
+func (g *Group) RecordRejection(now time.Time, name string) {
 	if m := g.members[name]; m != nil {
 		g.trouble = now
 		m.noteAttempt(now, 1)
 	}
 }
 
-// Failing is the part of the recent attempts on a replica that failed or were
+// FailureRatio is the part of the recent attempts on a replica that failed or were
 // refused, 0 to 1. It halves with every FailingHalf without an attempt, so that
 // a replica that is avoided for it is tried again.
-func (g *Group) Failing(now time.Time, name string) float64 {
+func (g *Group) FailureRatio(now time.Time, name string) float64 {
 	if now.Sub(g.trouble) > forgetting {
 		return 0
 	}
@@ -173,7 +173,7 @@
 	if m == nil || m.failing < leastFailing {
 		return 0
 	}
-	return m.failing * math.Exp2(-float64(now.Sub(m.failingAt))/float64(FailingHalf))
+	return m.failing * math.Exp2(-float64(now.Sub(m.failingAt))/float64(FailureHalfLife))
 }
 
 func (m *member) noteAttempt(now time.Time, outcome float64) {
@@ -201,19 +201,19 @@
 	return count
 }
 
-// Allowed is the largest number of replicas that may be ejected at a time.
-func (g *Group) Allowed() int {
-	return int(g.config.Part * float64(len(g.members)))
+// MaxEjected is the largest number of replicas that may be ejected at a time.
+func (g *Group) MaxEjected() int {
+	return int(g.config.MaxEjectionFraction * float64(len(g.members)))
 }
 
 func (g *Group) eject(now time.Time, m *member) bool {
-	if m.ejectedUntil.After(now) || g.Ejected(now) >= g.Allowed() {
+	if m.ejectedUntil.After(now) || g.Ejected(now) >= g.MaxEjected() {
 		return false
 	}
-	if now.Sub(m.ejectedUntil) > g.config.Longest {
+	if now.Sub(m.ejectedUntil) > g.config.MaxEjectionTime {
 		m.ejections = 0
 	}
-	length := min(g.config.Shortest<<min(m.ejections, 16), g.config.Longest)
+	length := min(g.config.BaseEjectionTime<<min(m.ejections, 16), g.config.MaxEjectionTime)
 	m.ejections++
 	m.ejectedUntil = now.Add(length)
 	m.failuresInRow, m.errorRate, m.requests = 0, 0, 0
@@ -223,13 +223,13 @@
 
 // slow compares a replica with the median of the group.
 func (g *Group) slow(now time.Time, m *member) bool {
-	if m.samples < g.config.MinimumRequests || m.latency < g.config.LeastSlow.Seconds() {
+	if m.samples < g.config.MinimumRequests || m.latency < g.config.MinSlowLatency.Seconds() {
 		return false
 	}
 	if now.Sub(g.medianAt) >= medianAge {
 		g.median, g.medianAt = g.medianLatency(), now
 	}
-	return g.median > 0 && m.latency > g.config.Slowness*g.median
+	return g.median > 0 && m.latency > g.config.SlowLatencyRatio*g.median
 }
 
 // medianLatency is the median of the members with enough requests, 0 if there
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -26,16 +26,16 @@
 		for index := range names {
 			names[index] = fmt.Sprint(index)
 		}
-		group.Keep(names)
+		group.SetMembers(names)
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(50, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
 			name := rapid.SampledFrom(names).Draw(t, "replica")
 			if rapid.IntRange(0, 3).Draw(t, "fails") > 0 {
-				group.Failure(now, name)
+				group.RecordFailure(now, name)
 			} else {
-				group.Latency(now, name, time.Duration(rapid.IntRange(1, 9000).Draw(t, "latency"))*time.Millisecond)
-				group.Success(now, name)
+				group.RecordLatency(now, name, time.Duration(rapid.IntRange(1, 9000).Draw(t, "latency"))*time.Millisecond)
+				group.RecordSuccess(now, name)
 			}
 			if ejected := group.Ejected(now); ejected > int(0.4*float64(size)) {
 				t.Fatalf("%d of %d ejected", ejected, size)
@@ -47,7 +47,7 @@
 // TestEjects checks each cause, the return, and the doubling of the time.
 func TestEjects(t *testing.T) {
 	group := NewGroup(DefaultConfig())
-	group.Keep([]string{"a", "b", "c", "d", "e"})
+	group.SetMembers([]string{"a", "b", "c", "d", "e"})
 	now := time.Unix(0, 0)
 	first := ejectByFailures(t, group, now)
 	if first != 2*time.Second {
@@ -64,29 +64,29 @@
 	for range 20 {
 		now = now.Add(time.Second)
 		for _, name := range []string{"b", "c", "d"} {
-			group.Latency(now, name, 200*time.Millisecond)
+			group.RecordLatency(now, name, 200*time.Millisecond)
 		}
-		slow = slow || group.Latency(now, "e", 3*time.Second)
+		slow = slow || group.RecordLatency(now, "e", 3*time.Second)
 	}
 	if !slow {
 		t.Fatal("a replica fifteen times as slow as the others stayed")
 	}
-	if failing := group.Failing(now, "a"); failing > 0.5 {
+	if failing := group.FailureRatio(now, "a"); failing > 0.5 {
 		t.Fatalf("failing %v long after the last failure", failing)
 	}
 	for range 20 {
-		group.Refusal(now, "c")
+		group.RecordRejection(now, "c")
 	}
-	recent, later := group.Failing(now, "c"), group.Failing(now.Add(FailingHalf), "c")
+	recent, later := group.FailureRatio(now, "c"), group.FailureRatio(now.Add(FailureHalfLife), "c")
 	if recent < 0.8 || later > recent*0.51 || later < recent*0.49 || group.EjectedUntil("c").After(now) {
 		t.Fatalf("failing %v by refusals, %v a half life later", recent, later)
 	}
 	broken := false
 	for range 30 { // first tokens arrive in time, and every other stream breaks twice
 		now = now.Add(2 * time.Second)
-		group.Success(now, "b")
+		group.RecordSuccess(now, "b")
 		for range 2 {
-			broken = group.Failure(now, "b") || broken
+			broken = group.RecordFailure(now, "b") || broken
 		}
 	}
 	if !broken {
@@ -97,7 +97,7 @@
 func ejectByFailures(t *testing.T, group *Group, now time.Time) time.Duration {
 	t.Helper()
 	for count := range 5 {
-		if group.Failure(now, "a") != (count == 4) {
+		if group.RecordFailure(now, "a") != (count == 4) {
 			t.Fatalf("failure %d", count+1)
 		}
 	}
--- a/peer/golden_messages_test.go
+++ b/peer/golden_messages_test.go
@@ -140,7 +140,7 @@
 	add("OwnerRequest", filled[peer.OwnerRequest]())
 	add("OwnerRequest empty", peer.OwnerRequest{})
 	add("RunEvent answer", peer.RunEvent{Answer: filledPointer[api.GenerateAnswer](), Attempts: 1})
-	add("RunEvent piece", peer.RunEvent{Chunk: filledPointer[api.StreamPiece]()})
+	add("RunEvent piece", peer.RunEvent{Chunk: filledPointer[api.StreamChunk]()})
 	add("RunEvent end", peer.RunEvent{End: filledPointer[api.StreamEnd](), Attempts: 2})
 	add("RunEvent error", peer.RunEvent{Error: filledPointer[api.Error](), Attempts: 3})
 	add("RunEvent empty", peer.RunEvent{})
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -296,7 +296,7 @@
 // End and Error are the last of their stream.
 type RunEvent struct {
 	Answer *api.GenerateAnswer `cbor:"1,keyasint,omitempty"`
-	Chunk  *api.StreamPiece    `cbor:"2,keyasint,omitempty"`
+	Chunk  *api.StreamChunk    `cbor:"2,keyasint,omitempty"`
 	End    *api.StreamEnd      `cbor:"3,keyasint,omitempty"`
 	Error  *api.Error          `cbor:"4,keyasint,omitempty"`
 	// Attempts is the number of attempts that may have reached a replica, told
