--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -9,13 +9,13 @@
 // The replica with the prompt in its cache is worth a short wait, not a long one.
 func Example() {
 	candidates := []placement.Candidate{
-		{Number: 0, Hash: placement.Hash("r0"), Speed: 1000, Slots: 8, Pending: 500, Cached: 4000},
-		{Number: 1, Hash: placement.Hash("r1"), Speed: 1000, Slots: 8},
+		{Number: 0, Hash: placement.Hash("r0"), PrefillRate: 1000, Slots: 8, PendingTokens: 500, CachedTokens: 4000},
+		{Number: 1, Hash: placement.Hash("r1"), PrefillRate: 1000, Slots: 8},
 	}
-	work := placement.Work{Tokens: 4000, Key: placement.Hash("repository"), Bulk: 4000}
+	work := placement.Work{Tokens: 4000, AffinityHash: placement.Hash("repository"), AffinityTokens: 4000}
 	best, seconds := placement.Choose(candidates, work)
 	fmt.Printf("r%d in %.1f s\n", best, seconds)
-	candidates[0].Pending = 60_000
+	candidates[0].PendingTokens = 60_000
 	best, seconds = placement.Choose(candidates, work)
 	fmt.Printf("r%d in %.1f s\n", best, seconds)
 	// Output:
--- a/placement/index.go
+++ b/placement/index.go
@@ -45,8 +45,8 @@
 	x.limit = min(mostPerReplica, max(leastPerReplica, IndexEntries/max(1, count)))
 }
 
-// Note records that a chain was sent to a replica.
-func (x *Index) Note(replica int, chain []Link) {
+// Record records that a chain was sent to a replica.
+func (x *Index) Record(replica int, chain []Link) {
 	record := x.record(replica)
 	for position := len(chain) - 1; position >= 0; position-- {
 		x.touch(record, replica, chain[position].Hash)
@@ -54,8 +54,8 @@
 	x.trim(record, replica)
 }
 
-// NoteHashes is Note for a chain that is known by the hashes of its links alone.
-func (x *Index) NoteHashes(replica int, hashes []uint64) {
+// RecordHashes is Note for a chain that is known by the hashes of its links alone.
+func (x *Index) RecordHashes(replica int, hashes []uint64) {
 	record := x.record(replica)
 	for position := len(hashes) - 1; position >= 0; position-- {
 		x.touch(record, replica, hashes[position])
@@ -105,8 +105,8 @@
 	x.dropMany(x.record(replica), replica, count)
 }
 
-// Unsent takes back a chain whose request did not run.
-func (x *Index) Unsent(replica int, chain []Link) {
+// Undo takes back a chain whose request did not run.
+func (x *Index) Undo(replica int, chain []Link) {
 	record := x.record(replica)
 	for _, link := range chain {
 		x.drop(record, replica, link.Hash)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -75,23 +75,23 @@
 
 // TestChoose weighs a loaded replica with the prefix against others without.
 func TestChoose(t *testing.T) {
-	work := Work{Tokens: 5000, Key: 99, Bulk: 4000}
+	work := Work{Tokens: 5000, AffinityHash: 99, AffinityTokens: 4000}
 	hashes := []uint64{1, 2, 3, 4, 5}
-	slices.SortFunc(hashes, func(a, b uint64) int { return cmp.Compare(Score(work.Key, b), Score(work.Key, a)) })
+	slices.SortFunc(hashes, func(a, b uint64) int { return cmp.Compare(Score(work.AffinityHash, b), Score(work.AffinityHash, a)) })
 	with := func(rank int, change func(*Candidate)) Candidate {
-		c := Candidate{Speed: 1000, Slots: 8, Hold: 2, Hash: hashes[rank]}
+		c := Candidate{PrefillRate: 1000, Slots: 8, ServiceTime: 2, Hash: hashes[rank]}
 		change(&c)
 		return c
 	}
 	// The owner by rendezvous is busy in all cases but its own.
-	owner := with(0, func(c *Candidate) { c.Pending = 20000 })
-	holder := with(1, func(c *Candidate) { c.Cached = 4000; c.Busy = 3; c.Pending = 1000 })
-	swamped := with(1, func(c *Candidate) { c.Cached = 4000; c.Busy = 3; c.Pending = 9000 })
-	full := with(1, func(c *Candidate) { c.Cached = 4000; c.Busy = 40 })
+	owner := with(0, func(c *Candidate) { c.PendingTokens = 20000 })
+	holder := with(1, func(c *Candidate) { c.CachedTokens = 4000; c.ActiveRequests = 3; c.PendingTokens = 1000 })
+	swamped := with(1, func(c *Candidate) { c.CachedTokens = 4000; c.ActiveRequests = 3; c.PendingTokens = 9000 })
+	full := with(1, func(c *Candidate) { c.CachedTokens = 4000; c.ActiveRequests = 40 })
 	idle := with(2, func(*Candidate) {})
-	busy := with(2, func(c *Candidate) { c.Busy = 3 })
-	slow := with(3, func(c *Candidate) { c.Speed = 100 })
-	ready := with(0, func(c *Candidate) { c.Busy = 1; c.Pending = 500 })
+	busy := with(2, func(c *Candidate) { c.ActiveRequests = 3 })
+	slow := with(3, func(c *Candidate) { c.PrefillRate = 100 })
+	ready := with(0, func(c *Candidate) { c.ActiveRequests = 1; c.PendingTokens = 500 })
 	cases := []struct {
 		name       string
 		candidates []Candidate
@@ -124,11 +124,11 @@
 			candidates := make([]Candidate, 5)
 			for index := range candidates {
 				candidates[index] = Candidate{
-					Hash: Hash(fmt.Sprint("replica", index)), Speed: 1000, Slots: 8,
-					Busy: float64((key + gateway + index) % 2),
+					Hash: Hash(fmt.Sprint("replica", index)), PrefillRate: 1000, Slots: 8,
+					ActiveRequests: float64((key + gateway + index) % 2),
 				}
 			}
-			seen[gateway], _ = Choose(candidates, Work{Tokens: 5000, Key: mix(uint64(key)), Bulk: 4000})
+			seen[gateway], _ = Choose(candidates, Work{Tokens: 5000, AffinityHash: mix(uint64(key)), AffinityTokens: 4000})
 		}
 		used[seen[0]]++
 		if seen[0] == seen[1] {
@@ -159,7 +159,7 @@
 			})
 			switch rapid.IntRange(0, 5).Draw(t, "operation") {
 			default:
-				index.Note(replica, chain)
+				index.Record(replica, chain)
 				for _, link := range chain {
 					sentTo[replica][link.Hash] = true
 				}
@@ -173,7 +173,7 @@
 					t.Fatalf("just sent, found %d tokens", found)
 				}
 			case 3:
-				index.Unsent(replica, chain)
+				index.Undo(replica, chain)
 				delete(sentTo[replica], chain[0].Hash)
 				delete(sentTo[replica], chain[1].Hash)
 			case 4:
@@ -210,23 +210,23 @@
 			}
 			regions[name] = &Region{
 				Name: name, Hash: Hash(name), Capacity: float64(rapid.IntRange(0, 9).Draw(t, "capacity")),
-				Usable:     rapid.Bool().Draw(t, "usable"),
-				Load:       rapid.Float64Range(0, 100).Draw(t, "load"),
-				Knowledge:  Knowledge(rapid.IntRange(0, 2).Draw(t, "knowledge")),
-				TakesSpill: rapid.Bool().Draw(t, "takes"),
-				Recovery:   rapid.Float64Range(0, 1).Draw(t, "recovery"),
+				Usable:           rapid.Bool().Draw(t, "usable"),
+				Load:             rapid.Float64Range(0, 100).Draw(t, "load"),
+				LoadFreshness:    LoadFreshness(rapid.IntRange(0, 2).Draw(t, "knowledge")),
+				AcceptsSpill:     rapid.Bool().Draw(t, "takes"),
+				RecoveryFraction: rapid.Float64Range(0, 1).Draw(t, "recovery"),
 			}
 		}
 		work := RegionWork{
-			Key:       rapid.Uint64().Draw(t, "key"),
-			Preferred: rapid.SampledFrom(all).Draw(t, "preferred"),
-			Spill:     rapid.SliceOf(rapid.SampledFrom(all)).Draw(t, "spill"),
-			Fraction:  rapid.Float64Range(0, 1).Draw(t, "fraction"),
+			Key:           rapid.Uint64().Draw(t, "key"),
+			Preferred:     rapid.SampledFrom(all).Draw(t, "preferred"),
+			Spill:         rapid.SliceOf(rapid.SampledFrom(all)).Draw(t, "spill"),
+			SpillFraction: rapid.Float64Range(0, 1).Draw(t, "fraction"),
 		}
 		if rapid.Bool().Draw(t, "bound") {
 			work.Home = rapid.SliceOfN(rapid.SampledFrom(all), 1, 3).Draw(t, "home")
 		}
-		order := Order(work, regions)
+		order := RankRegions(work, regions)
 		for position, name := range order {
 			if work.Home != nil && !slices.Contains(work.Home, name) {
 				t.Fatalf("%s is outside the home %v", name, work.Home)
@@ -246,11 +246,11 @@
 // TestCommonLoad weighs what is known of regions that serve.
 func TestCommonLoad(t *testing.T) {
 	regions := map[string]*Region{
-		"large":  {Capacity: 6, Usable: true, Load: 1, Knowledge: Fresh, Recovery: 1},
-		"small":  {Capacity: 2, Usable: true, Load: 2, Knowledge: Fresh, Recovery: 1},
-		"silent": {Capacity: 90, Usable: true, Load: 0.1, Knowledge: Stale, Recovery: 1},
-		"empty":  {Capacity: 90, Usable: true, Load: 100, Knowledge: Fresh, Recovery: 1},
-		"closed": {Capacity: 90, Load: 0.1, Knowledge: Fresh, Recovery: 1},
+		"large":  {Capacity: 6, Usable: true, Load: 1, LoadFreshness: Fresh, RecoveryFraction: 1},
+		"small":  {Capacity: 2, Usable: true, Load: 2, LoadFreshness: Fresh, RecoveryFraction: 1},
+		"silent": {Capacity: 90, Usable: true, Load: 0.1, LoadFreshness: Stale, RecoveryFraction: 1},
+		"empty":  {Capacity: 90, Usable: true, Load: 100, LoadFreshness: Fresh, RecoveryFraction: 1},
+		"closed": {Capacity: 90, Load: 0.1, LoadFreshness: Fresh, RecoveryFraction: 1},
 	}
 	for _, c := range []struct {
 		names []string
@@ -271,19 +271,19 @@
 // unequal capacity and headroom.
 func TestOverflowFollowsCapacity(t *testing.T) {
 	regions := map[string]*Region{
-		"own":   {Name: "own", Hash: Hash("salt1"), Capacity: 5, Usable: true, Load: 1.2, Knowledge: Fresh, Recovery: 1},
-		"large": {Name: "large", Hash: Hash("salt2"), Capacity: 8, Usable: true, Load: 0.5, Knowledge: Fresh, TakesSpill: true, Recovery: 1},
-		"small": {Name: "small", Hash: Hash("salt3"), Capacity: 2, Usable: true, Load: 0.5, Knowledge: Fresh, TakesSpill: true, Recovery: 1},
-		"full":  {Name: "full", Hash: Hash("salt4"), Capacity: 90, Usable: true, Load: 0.9, Knowledge: Fresh, Recovery: 1},
-		"cut":   {Name: "cut", Hash: Hash("salt5"), Capacity: 90, Usable: true, Load: 0.1, Knowledge: Stale, Recovery: 1},
+		"own":   {Name: "own", Hash: Hash("salt1"), Capacity: 5, Usable: true, Load: 1.2, LoadFreshness: Fresh, RecoveryFraction: 1},
+		"large": {Name: "large", Hash: Hash("salt2"), Capacity: 8, Usable: true, Load: 0.5, LoadFreshness: Fresh, AcceptsSpill: true, RecoveryFraction: 1},
+		"small": {Name: "small", Hash: Hash("salt3"), Capacity: 2, Usable: true, Load: 0.5, LoadFreshness: Fresh, AcceptsSpill: true, RecoveryFraction: 1},
+		"full":  {Name: "full", Hash: Hash("salt4"), Capacity: 90, Usable: true, Load: 0.9, LoadFreshness: Fresh, RecoveryFraction: 1},
+		"cut":   {Name: "cut", Hash: Hash("salt5"), Capacity: 90, Usable: true, Load: 0.1, LoadFreshness: Stale, RecoveryFraction: 1},
 	}
 	first := map[string]int{}
 	for key := range 6000 {
 		work := RegionWork{
-			Key: mix(uint64(key)), Preferred: "own", Fraction: 1.0 / 3,
+			Key: mix(uint64(key)), Preferred: "own", SpillFraction: 1.0 / 3,
 			Spill: []string{"cut", "full", "small", "large"},
 		}
-		order := Order(work, regions)
+		order := RankRegions(work, regions)
 		first[order[0]]++
 		if order[4] != "cut" || order[3] != "full" {
 			t.Fatalf("order %v", order)
--- a/placement/region.go
+++ b/placement/region.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Knowledge says how good the known load of a region is.
-type Knowledge uint8
+// LoadFreshness says how good the known load of a region is.
+type LoadFreshness uint8
 
 const (
-	// Unheard means that no load was ever reported.
-	Unheard Knowledge = iota
+	// NeverReported means that no load was ever reported.
+	NeverReported LoadFreshness = iota
 	// Fresh means that the load is recent.
 	Fresh
 	// Stale means that reports have stopped: the region may be cut off or lost.
@@ -22,9 +22,9 @@
 	leastHeadroom = 0.02
 	// unheardLoad is assumed of a region that has not reported yet.
 	unheardLoad = 0.5
-	// MostLoad is the highest load that is compared with others. One above it says
+	// MaxComparedLoad is the highest load that is compared with others. One above it says
 	// that the region cannot serve, not how much it has to do.
-	MostLoad = 10
+	MaxComparedLoad = 10
 )
 
 // Region is what is known of one region for one service.
@@ -36,13 +36,13 @@
 	// Usable is false if the plan leaves it no replica or no gateway.
 	Usable bool
 	// Load is its utilization, 1 is full.
-	Load      float64
-	Knowledge Knowledge
-	// TakesSpill is the state of its Gate.
-	TakesSpill bool
-	// Recovery is the part of its traffic that a region may have again after it
+	Load          float64
+	LoadFreshness LoadFreshness
+	// AcceptsSpill is the state of its Gate.
+	AcceptsSpill bool
+	// RecoveryFraction is the part of its traffic that a region may have again after it
 	// was lost, 1 for all.
-	Recovery float64
+	RecoveryFraction float64
 }
 
 // RegionWork is what the choice of a region must know of a request.
@@ -55,17 +55,17 @@
 	Spill []string
 	// Home, if not nil, lists the only regions that may run it.
 	Home []string
-	// Fraction of the preferred region's requests that should go elsewhere.
-	Fraction float64
+	// SpillFraction of the preferred region's requests that should go elsewhere.
+	SpillFraction float64
 }
 
-// Order lists the regions to try, best first; it never has one outside the home.
+// RankRegions lists the regions to try, best first; it never has one outside the home.
 //
 // The preferred region comes first unless the request is drawn to be spilled or
 // the region is recovering. Overflow regions follow, drawn in proportion to
 // capacity and headroom, which is counted up to full or, if that is more, up to
 // the preferred region's load; regions that fell silent come last.
-func Order(work RegionWork, regions map[string]*Region) []string {
+func RankRegions(work RegionWork, regions map[string]*Region) []string {
 	candidates := candidatesOf(work, regions)
 	if len(candidates) == 0 {
 		return nil
@@ -76,7 +76,7 @@
 		overflow = candidates[1:]
 	}
 	full := 1.0
-	if hasPreferred && candidates[0].Load <= MostLoad {
+	if hasPreferred && candidates[0].Load <= MaxComparedLoad {
 		full = max(full, candidates[0].Load)
 	}
 	sortOverflow(work.Key, full, overflow)
@@ -114,10 +114,10 @@
 func sortOverflow(key uint64, full float64, overflow []*Region) {
 	score := func(region *Region) float64 {
 		load := region.Load
-		if region.Knowledge != Fresh {
+		if region.LoadFreshness != Fresh {
 			load = unheardLoad
 		}
-		weight := max(region.Capacity, leastHeadroom) * max(full-load, leastHeadroom) * region.Recovery
+		weight := max(region.Capacity, leastHeadroom) * max(full-load, leastHeadroom) * region.RecoveryFraction
 		return weightedScore(Score(key, region.Hash), max(weight, 1e-9))
 	}
 	slices.SortStableFunc(overflow, func(a, b *Region) int {
@@ -131,9 +131,9 @@
 // rank puts regions that take spill before the full ones, and silent ones last.
 func rank(region *Region) int {
 	switch {
-	case region.Knowledge == Stale:
+	case region.LoadFreshness == Stale:
 		return 2
-	case region.Knowledge == Fresh && !region.TakesSpill:
+	case region.LoadFreshness == Fresh && !region.AcceptsSpill:
 		return 1
 	default:
 		return 0
@@ -147,18 +147,18 @@
 	if len(overflow) == 0 {
 		return 0
 	}
-	if preferred.Knowledge == Stale {
+	if preferred.LoadFreshness == Stale {
 		place := 0
-		for place < len(overflow) && overflow[place].Knowledge != Stale {
+		for place < len(overflow) && overflow[place].LoadFreshness != Stale {
 			place++
 		}
 		return place
 	}
-	if first := overflow[0]; first.Knowledge != Fresh || !first.TakesSpill {
+	if first := overflow[0]; first.LoadFreshness != Fresh || !first.AcceptsSpill {
 		return 0
 	}
-	held := Uniform(Score(work.Key, recoverySalt)) >= preferred.Recovery
-	spilled := Uniform(Score(work.Key, spillSalt)) < work.Fraction
+	held := Uniform(Score(work.Key, recoverySalt)) >= preferred.RecoveryFraction
+	spilled := Uniform(Score(work.Key, spillSalt)) < work.SpillFraction
 	if held || spilled {
 		return 1
 	}
@@ -187,10 +187,10 @@
 	work, capacity := 0.0, 0.0
 	for _, name := range names {
 		region := regions[name]
-		if region == nil || !region.Usable || region.Knowledge != Fresh || region.Load > MostLoad {
+		if region == nil || !region.Usable || region.LoadFreshness != Fresh || region.Load > MaxComparedLoad {
 			continue
 		}
-		weight := max(region.Capacity, leastHeadroom) * region.Recovery
+		weight := max(region.Capacity, leastHeadroom) * region.RecoveryFraction
 		work += weight * region.Load
 		capacity += weight
 	}
@@ -200,8 +200,8 @@
 	return work / capacity
 }
 
-// Gate says with hysteresis whether a region takes spill from this one.
-type Gate struct {
+// SpillGate says with hysteresis whether a region takes spill from this one.
+type SpillGate struct {
 	open bool
 }
 
@@ -211,7 +211,7 @@
 // level and the own load, and closes when it has reached either. So a region at
 // or above the common load takes no spill, and of two regions at most the one
 // with the lower load does.
-func (g *Gate) Update(remote, own, level float64) bool {
+func (g *SpillGate) Update(remote, own, level float64) bool {
 	if g.open {
 		g.open = remote < level && remote < own
 		return g.open
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -29,24 +29,24 @@
 	Number int
 	// Hash is the hash of the replica's name.
 	Hash uint64
-	// Pending is the prefill work ahead of the request, in tokens.
-	Pending float64
-	// Speed is tokens prefilled per second; 0 for replicas without prefill.
-	Speed float64
-	// Busy counts the requests running, queued and sent.
-	Busy float64
+	// PendingTokens is the prefill work ahead of the request, in tokens.
+	PendingTokens float64
+	// PrefillRate is tokens prefilled per second; 0 for replicas without prefill.
+	PrefillRate float64
+	// ActiveRequests counts the requests running, queued and sent.
+	ActiveRequests float64
 	// Slots is the number it runs side by side at full speed.
 	Slots float64
-	// Hold is how long a request occupies a slot, in seconds.
-	Hold float64
+	// ServiceTime is how long a request occupies a slot, in seconds.
+	ServiceTime float64
 	// Wait is the expected time until it has room for the request, in seconds;
 	// 0 if it has room now.
 	Wait float64
 	// Penalty is added to its cost, in seconds, though not to the expected time:
 	// it keeps requests off a replica that fails them.
 	Penalty float64
-	// Cached is the part of the prompt expected in its KV cache, in tokens.
-	Cached float64
+	// CachedTokens is the part of the prompt expected in its KV cache, in tokens.
+	CachedTokens float64
 
 	cost float64 // seconds, set by Choose
 }
@@ -55,25 +55,25 @@
 type Work struct {
 	// Tokens is the whole prompt.
 	Tokens float64
-	// Key is the hash of the affinity link and Bulk its tokens. Without prefixes
-	// Bulk is 0 and Key any hash that spreads requests.
-	Key  uint64
-	Bulk float64
-	// Reread weighs the reading of an affinity link that is not cached, also where
+	// AffinityHash is the hash of the affinity link and Bulk its tokens. Without prefixes
+	// Bulk is 0 and AffinityHash any hash that spreads requests.
+	AffinityHash   uint64
+	AffinityTokens float64
+	// UncachedPrefillWeight weighs the reading of an affinity link that is not cached, also where
 	// nobody waits for it, in multiples of the time that it takes. Default 0.
-	Reread float64
+	UncachedPrefillWeight float64
 }
 
 // FirstToken is the expected time to the first token of a prompt, in seconds:
 // the wait for room, the prefill ahead, the request's own uncached prefill and
 // the wait for a slot.
 func (c *Candidate) FirstToken(tokens float64) float64 {
-	expected := c.Wait + crowding*c.Busy/max(c.Slots, 1)
-	if c.Speed > 0 {
-		expected += (c.Pending + max(0, tokens-c.Cached)) / c.Speed
+	expected := c.Wait + crowding*c.ActiveRequests/max(c.Slots, 1)
+	if c.PrefillRate > 0 {
+		expected += (c.PendingTokens + max(0, tokens-c.CachedTokens)) / c.PrefillRate
 	}
-	if over := c.Busy + 1 - c.Slots; over > 0 {
-		expected += over * c.Hold / max(c.Slots, 1)
+	if over := c.ActiveRequests + 1 - c.Slots; over > 0 {
+		expected += over * c.ServiceTime / max(c.Slots, 1)
 	}
 	return expected
 }
@@ -103,15 +103,15 @@
 		}
 	}
 	nearly := least + tieWidth*candidates[cheapest].FirstToken(work.Tokens) + tieFloor
-	best := nearlyLeast(candidates, work.Key, bound, nearly)
+	best := nearlyLeast(candidates, work.AffinityHash, bound, nearly)
 	return best, candidates[best].FirstToken(work.Tokens)
 }
 
 // costOf is the candidate's cost for a request, in seconds.
 func (c *Candidate) costOf(work Work) float64 {
 	cost := c.FirstToken(work.Tokens) + c.Penalty
-	if c.Speed > 0 {
-		cost += (othersPrice*c.Busy + work.Reread) * max(0, work.Bulk-c.Cached) / c.Speed
+	if c.PrefillRate > 0 {
+		cost += (othersPrice*c.ActiveRequests + work.UncachedPrefillWeight) * max(0, work.AffinityTokens-c.CachedTokens) / c.PrefillRate
 	}
 	return cost
 }
@@ -119,31 +119,31 @@
 // creditOwner takes the rendezvous owner of the affinity link to hold most of
 // it, since all gateways send there.
 func creditOwner(candidates []Candidate, work Work) {
-	if work.Bulk <= 0 {
+	if work.AffinityTokens <= 0 {
 		return
 	}
 	owner := &candidates[0]
 	for index := range candidates {
 		c := &candidates[index]
-		if Score(work.Key, c.Hash) > Score(work.Key, owner.Hash) {
+		if Score(work.AffinityHash, c.Hash) > Score(work.AffinityHash, owner.Hash) {
 			owner = c
 		}
 	}
-	owner.Cached = max(owner.Cached, ownerCredit*work.Bulk)
+	owner.CachedTokens = max(owner.CachedTokens, ownerCredit*work.AffinityTokens)
 }
 
 // loadBound is the largest load per slot at which a replica keeps its prefixes.
 func loadBound(candidates []Candidate) float64 {
 	var busy, slots float64
 	for index := range candidates {
-		busy += candidates[index].Busy
+		busy += candidates[index].ActiveRequests
 		slots += max(candidates[index].Slots, 1)
 	}
 	return BoundedLoad * busy / slots
 }
 
 func withinBound(c *Candidate, bound float64) bool {
-	return c.Busy <= bound*max(c.Slots, 1)+boundedSlack
+	return c.ActiveRequests <= bound*max(c.Slots, 1)+boundedSlack
 }
 
 // nearlyLeast is the rendezvous owner among the candidates that cost nearly as
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -13,7 +13,7 @@
 	budget := retry.NewBudget(0.1)
 	retries := 0
 	for range 100 {
-		budget.NoteFirst(now)
+		budget.RecordFirstAttempt(now)
 		if budget.Allow(now) {
 			retries++
 		}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -12,8 +12,8 @@
 const (
 	// DefaultRatio is the aim for retries over first attempts.
 	DefaultRatio = 0.1
-	// HardCap is the ratio that no setting can pass.
-	HardCap = 0.2
+	// MaximumRatio is the ratio that no setting can pass.
+	MaximumRatio = 0.2
 	// Window is the time over which the ratio is kept.
 	Window = 10 * time.Second
 	// MaximumAttempts bounds the attempts of one request: a first one and one
@@ -51,11 +51,11 @@
 	if ratio <= 0 {
 		ratio = DefaultRatio
 	}
-	b.ratio = min(ratio, HardCap)
+	b.ratio = min(ratio, MaximumRatio)
 }
 
-// NoteFirst counts a first attempt.
-func (b *Budget) NoteFirst(now time.Time) {
+// RecordFirstAttempt counts a first attempt.
+func (b *Budget) RecordFirstAttempt(now time.Time) {
 	b.advance(now)
 	b.firsts[b.slot()]++
 }
@@ -68,7 +68,7 @@
 	firsts, retries := b.sums()
 	wanted := float64(retries + 1)
 	within := wanted <= b.ratio*float64(firsts)
-	single := retries == 0 && wanted <= HardCap*float64(firsts)
+	single := retries == 0 && wanted <= MaximumRatio*float64(firsts)
 	if !within && !single && !planted.Active(planted.UnboundedRetries) {
 		return false
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -35,13 +35,13 @@
 		}
 		for index, gap := range steps {
 			now = now.Add(time.Duration(gap) * time.Millisecond)
-			budget.NoteFirst(now)
+			budget.RecordFirstAttempt(now)
 			firsts = append(firsts, now)
 			if !asks[index] || !budget.Allow(now) {
 				continue
 			}
 			retries = append(retries, now)
-			if got, most := within(retries), HardCap*float64(within(firsts)); float64(got) > most {
+			if got, most := within(retries), MaximumRatio*float64(within(firsts)); float64(got) > most {
 				t.Fatalf("%d retries over %d first attempts", got, within(firsts))
 			}
 		}
@@ -55,7 +55,7 @@
 	allowed := 0
 	for range 6000 { // 100 a second for a minute, each failing
 		now = now.Add(10 * time.Millisecond)
-		budget.NoteFirst(now)
+		budget.RecordFirstAttempt(now)
 		if budget.Allow(now) {
 			allowed++
 		}
--- a/routing/acquire.go
+++ b/routing/acquire.go
@@ -17,7 +17,7 @@
 	item    *admission.Item[*waiter]
 	since   time.Time     // when it was queued
 	done    chan struct{} // closed once slot or failure is set
-	slot    *Slot
+	slot    *Reservation
 	failure *api.Error
 	wants   *replica // the replica that it waits for
 }
@@ -25,15 +25,15 @@
 func newWaiter(request Request) *waiter {
 	w := &waiter{request: request, chain: placement.Chain(request.Prefixes)}
 	w.work.Tokens = promptTokens(&request)
-	w.work.Key = placement.Hash(request.ID)
+	w.work.AffinityHash = placement.Hash(request.ID)
 	if link, ok := placement.Affinity(w.chain); ok {
-		w.work.Key = link.Hash
-		w.work.Bulk = float64(link.Tokens)
+		w.work.AffinityHash = link.Hash
+		w.work.AffinityTokens = float64(link.Tokens)
 	}
 	return w
 }
 
-func (w *waiter) grant(slot *Slot) {
+func (w *waiter) grant(slot *Reservation) {
 	w.want(nil)
 	w.slot = slot
 	close(w.done)
@@ -60,7 +60,7 @@
 // the request's deadline, earlier if the request cannot make its time, and with
 // CodeCanceled if ctx ends first. A refused request never ran. Every slot must
 // be given back with Slot.Finish.
-func (r *Router) Acquire(ctx context.Context, request Request) (*Slot, *api.Error) {
+func (r *Router) Acquire(ctx context.Context, request Request) (*Reservation, *api.Error) {
 	w := newWaiter(request)
 	for {
 		slot, failure := r.acquireOnce(ctx, w)
@@ -73,7 +73,7 @@
 }
 
 // Reserve returns a slot at once or refuses; it never waits.
-func (r *Router) Reserve(request Request) (*Slot, *api.Error) {
+func (r *Router) Reserve(request Request) (*Reservation, *api.Error) {
 	now := time.Now()
 	w := newWaiter(request)
 	r.mutex.Lock()
@@ -93,7 +93,7 @@
 	return nil, refusal(&w.request, api.CodeOverloaded, retryAfter, "no replica of %q has room", target.name)
 }
 
-func (r *Router) acquireOnce(ctx context.Context, w *waiter) (*Slot, *api.Error) {
+func (r *Router) acquireOnce(ctx context.Context, w *waiter) (*Reservation, *api.Error) {
 	w.done = nil
 	slot, failure := r.enter(w)
 	if slot != nil || failure != nil {
@@ -103,7 +103,7 @@
 }
 
 // enter grants or refuses at once, or leaves the waiter queued.
-func (r *Router) enter(w *waiter) (*Slot, *api.Error) {
+func (r *Router) enter(w *waiter) (*Reservation, *api.Error) {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -117,7 +117,7 @@
 }
 
 // await waits for the grant or the refusal of a queued request.
-func (r *Router) await(ctx context.Context, w *waiter) (*Slot, *api.Error) {
+func (r *Router) await(ctx context.Context, w *waiter) (*Reservation, *api.Error) {
 	// The timer only wakes the judgement of the queue if nothing else does.
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -32,7 +32,7 @@
 	for index := range prefixes {
 		prefixes[index] = []api.Prefix{{ID: "system", Tokens: 200}, {ID: fmt.Sprint(index), Tokens: 4000}}
 	}
-	slots := make([]*Slot, 0, 1000)
+	slots := make([]*Reservation, 0, 1000)
 	b.ReportAllocs()
 	index := 0
 	for b.Loop() {
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -56,7 +56,7 @@
 	s.candidates = s.candidates[:0]
 	longest := patiencePart * w.request.Deadline.Sub(now).Seconds()
 	for position, target := range s.replicas {
-		if !target.usable(now) || w.request.Exclude[target.name] {
+		if !target.usable(now) || w.request.ExcludedReplicas[target.name] {
 			continue
 		}
 		room := target.room(now, w.request.Class)
@@ -65,7 +65,7 @@
 			continue
 		}
 		candidate := target.candidate(position, s.cached[target.number])
-		failing := s.group.Failing(now, target.name)
+		failing := s.group.FailureRatio(now, target.name)
 		candidate.Penalty = failingPrice * failing * failing
 		if !room {
 			candidate.Wait = wait
@@ -85,7 +85,7 @@
 func (s *service) feed(now time.Time, w *waiter) chosen {
 	for _, target := range s.replicas {
 		due := target.cold() && now.Sub(target.fedAt) >= feedInterval
-		if !due || !target.usable(now) || !target.room(now, w.request.Class) || w.request.Exclude[target.name] {
+		if !due || !target.usable(now) || !target.room(now, w.request.Class) || w.request.ExcludedReplicas[target.name] {
 			continue
 		}
 		candidate := target.candidate(0, s.cached[target.number])
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -22,7 +22,7 @@
 		router.SetPlan(f.plan())
 		router.Observe("r1", cold, time.Now())
 		wantRefused(t, router, request("another feeds"), api.CodeNoCapacity)
-		if feeders := router.Feeders("large"); len(feeders) != 1 || feeders[0] != "g9" {
+		if feeders := router.WarmupGateways("large"); len(feeders) != 1 || feeders[0] != "g9" {
 			t.Fatalf("feeders %v", feeders)
 		}
 		f.condition(catalog.ConditionWarmingUp, "g1")
@@ -53,7 +53,7 @@
 			router.Observe("r1", told, time.Now())
 			mustReserve(t, router, request("warms")).Finish(ResultSuccess, nil, time.Now())
 		}
-		early := []*Slot{mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))}
+		early := []*Reservation{mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))}
 		told.Cold, told.Running = true, 2
 		router.Observe("r1", told, time.Now())
 		wantRefused(t, router, request("no feeder yet"), api.CodeNoCapacity)
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/catalog"
-	"github.com/deckpulley/deckpulley/detector"
+	"github.com/deckpulley/deckpulley/failuredetector"
 	"github.com/deckpulley/deckpulley/placement"
 )
 
@@ -85,7 +85,7 @@
 		return true
 	}
 	for _, target := range r.replicas {
-		if target.reported && target.watch.State(now) == detector.Alive {
+		if target.reported && target.watch.State(now) == failuredetector.Alive {
 			return true
 		}
 	}
@@ -118,7 +118,7 @@
 	if !ok {
 		return catalog.Condition{}, false
 	}
-	state = t.fact.Offer(now, state, holdOf(state))
+	state = t.fact.Observe(now, state, holdOf(state))
 	if state == catalog.ConditionDown {
 		return t.seenDown(now)
 	}
@@ -140,7 +140,7 @@
 }
 
 func (t *replica) stateSeen(now time.Time) (catalog.ConditionState, bool) {
-	dead := t.watch.State(now) == detector.Dead
+	dead := t.watch.State(now) == failuredetector.Dead
 	switch {
 	case dead && (t.reported || now.Sub(t.created) >= startGrace):
 		return catalog.ConditionDown, true
@@ -181,10 +181,10 @@
 // feederKey keeps the choice of the feeder apart from that of the watcher.
 const feederKey = "feeder/"
 
-// Feeders names the other gateways of the own region that may place requests
+// WarmupGateways names the other gateways of the own region that may place requests
 // for a service on cold replicas, sorted. A gateway whose region has nothing
 // but cold replicas of other feeders offers its requests to these.
-func (r *Router) Feeders(name string) []string {
+func (r *Router) WarmupGateways(name string) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := r.services[name]
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -125,7 +125,7 @@
 	return f, router
 }
 
-func mustReserve(t *testing.T, router *Router, request Request) *Slot {
+func mustReserve(t *testing.T, router *Router, request Request) *Reservation {
 	t.Helper()
 	slot, failure := router.Reserve(request)
 	if failure != nil {
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -128,7 +128,7 @@
 		router := s.gateways[name]
 		for _, replica := range s.replicas {
 			if replica.silent {
-				router.PollFailed(replica.name, now)
+				router.RecordPollFailure(replica.name, now)
 				continue
 			}
 			router.Observe(replica.name, replica.report(), now)
@@ -178,7 +178,7 @@
 	s.after(hold, func() { s.finish(slot, replica, incarnation) })
 }
 
-func (s *simulation) finish(slot *Slot, replica *simulated, incarnation int) {
+func (s *simulation) finish(slot *Reservation, replica *simulated, incarnation int) {
 	if replica.incarnation != incarnation || replica.silent {
 		slot.Finish(ResultFailed, nil, time.Now())
 		return
@@ -186,7 +186,7 @@
 	replica.running--
 	replica.completed++
 	told := replica.report()
-	slot.FirstToken(time.Now())
+	slot.RecordFirstToken(time.Now())
 	slot.Finish(ResultSuccess, &told, time.Now())
 }
 
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -22,7 +22,7 @@
 // enter grants the waiter a slot on its best replica, if that has room and
 // nobody waits for it; else it queues the waiter. One that finds no place in the
 // queue is granted any replica with room before it is refused.
-func (s *service) enter(now time.Time, w *waiter) (*Slot, *api.Error) {
+func (s *service) enter(now time.Time, w *waiter) (*Reservation, *api.Error) {
 	choice := s.place(now, w, true)
 	free := s.queue.ClassLen(w.request.Class) == 0 || (choice.target != nil && choice.target.wanted == 0)
 	if choice.room && free {
@@ -47,26 +47,26 @@
 		w.done = make(chan struct{})
 	}
 	w.item = &admission.Item[*waiter]{
-		Tenant:   w.request.Tenant,
-		Class:    w.request.Class,
-		Weight:   shareOf(s.router.plan, &w.request),
-		Cost:     1 + (w.work.Tokens+float64(w.request.MaxTokens))/costUnit,
-		Deadline: w.request.Deadline,
-		Needs:    s.needs(w),
-		Payload:  w,
+		Tenant:             w.request.Tenant,
+		Class:              w.request.Class,
+		Weight:             shareOf(s.router.plan, &w.request),
+		Cost:               1 + (w.work.Tokens+float64(w.request.MaxTokens))/costUnit,
+		Deadline:           w.request.Deadline,
+		ExpectedFirstToken: s.needs(w),
+		Payload:            w,
 	}
 	if s.queue.Len() == 0 {
 		s.queuedSince = now
 	}
 	rate := s.rate(now)
-	pushedOut, refused := s.queue.Offer(now, w.item, rate)
+	pushedOut, refused := s.queue.Enqueue(now, w.item, rate)
 	if pushedOut != nil {
 		s.lastChance(now, pushedOut.Payload, s.fullError(&pushedOut.Payload.request, rate))
 	}
 	switch refused {
-	case admission.RefusedFull:
+	case admission.RejectedFull:
 		return s.fullError(&w.request, rate)
-	case admission.RefusedDeadline:
+	case admission.RejectedDeadline:
 		return s.lateError(&w.request, rate)
 	default:
 		return nil
@@ -81,7 +81,7 @@
 		s.queuedSince = time.Time{}
 		return
 	}
-	for s.anyRoom(now) && s.queue.Take(func(item *admission.Item[*waiter]) bool { return s.tryGrant(now, item.Payload) }) != nil {
+	for s.anyRoom(now) && s.queue.Dequeue(func(item *admission.Item[*waiter]) bool { return s.tryGrant(now, item.Payload) }) != nil {
 	}
 	s.sweep(now)
 }
@@ -123,7 +123,7 @@
 // all of them once no replica has been usable for a while.
 func (s *service) sweep(now time.Time) {
 	rate := s.rate(now)
-	for _, item := range s.queue.Sweep(now, rate) {
+	for _, item := range s.queue.RemoveExpired(now, rate) {
 		s.lastChance(now, item.Payload, s.lateError(&item.Payload.request, rate))
 	}
 	if s.queue.Len() > 0 && s.unusableFor(now) >= unusableWait {
@@ -140,11 +140,11 @@
 
 // exhausted reports whether a request has tried every usable replica.
 func (s *service) exhausted(now time.Time, request *Request) bool {
-	if len(request.Exclude) == 0 {
+	if len(request.ExcludedReplicas) == 0 {
 		return false
 	}
 	for _, target := range s.replicas {
-		if target.usable(now) && !request.Exclude[target.name] {
+		if target.usable(now) && !request.ExcludedReplicas[target.name] {
 			return false
 		}
 	}
@@ -234,12 +234,12 @@
 // long as the set point of the first token. A young queue may use all of it.
 func (s *service) boundStanding(now time.Time) {
 	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < youngQueue {
-		s.queue.SetStanding(0)
+		s.queue.SetStandingQueueLimit(0)
 		return
 	}
 	length := s.rate(now) * s.firstToken.Seconds()
 	least := leastStanding * float64(s.queueLength)
-	s.queue.SetStanding(int(max(length, least, 1)))
+	s.queue.SetStandingQueueLimit(int(max(length, least, 1)))
 }
 
 func (s *service) fullError(request *Request, rate float64) *api.Error {
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -50,7 +50,7 @@
 
 // Regions lists the regions to try for a request, best first. A region outside
 // the request's home is never listed. The list is empty if no region is left;
-// Refusal then says why. A request that came from another region's gateway must
+// Rejection then says why. A request that came from another region's gateway must
 // not be passed on again, whatever the list says.
 func (r *Router) Regions(request Request) []string {
 	now := time.Now()
@@ -78,18 +78,18 @@
 		Spill:     r.plan.Regions()[served].Spill,
 		Home:      home,
 	}
-	if request.Placed && served != r.config.Region {
+	if request.RegionChosen && served != r.config.Region {
 		work.Preferred = r.config.Region
 		work.Spill = append([]string{served}, work.Spill...)
 	}
-	if served == r.config.Region && !request.Placed {
-		work.Fraction = service.spill.Output()
+	if served == r.config.Region && !request.RegionChosen {
+		work.SpillFraction = service.spill.Output()
 	}
-	return placement.Order(work, service.regions)
+	return placement.RankRegions(work, service.regions)
 }
 
-// Refusal is the answer to a request for which Regions is empty.
-func (r *Router) Refusal(request Request) *api.Error {
+// Rejection is the answer to a request for which Regions is empty.
+func (r *Router) Rejection(request Request) *api.Error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if unconfigured(r.plan) {
@@ -222,9 +222,9 @@
 	for name, settings := range listed {
 		region := s.regions[name]
 		if region == nil {
-			region = &placement.Region{Name: name, Hash: placement.Hash(name), Recovery: 1}
+			region = &placement.Region{Name: name, Hash: placement.Hash(name), RecoveryFraction: 1}
 			s.regions[name] = region
-			s.gates[name] = &placement.Gate{}
+			s.gates[name] = &placement.SpillGate{}
 		}
 		region.Capacity = float64(settings.Capacity)
 		region.Usable = usable[name]
@@ -246,41 +246,41 @@
 	s.spill.SetSetPoint(level)
 	for name, region := range s.regions {
 		if name == own {
-			region.TakesSpill = s.gates[name].Update(s.utilization, unservable, level)
+			region.AcceptsSpill = s.gates[name].Update(s.utilization, unservable, level)
 			continue
 		}
 		open := s.gates[name].Update(region.Load, s.utilization, level)
-		region.TakesSpill = open && region.Knowledge == placement.Fresh
+		region.AcceptsSpill = open && region.LoadFreshness == placement.Fresh
 	}
 }
 
 func (s *service) refreshRemote(now time.Time, region *placement.Region) {
 	known := s.router.remotes[region.Name]
 	if known == nil {
-		region.Knowledge = placement.Unheard
+		region.LoadFreshness = placement.NeverReported
 		return
 	}
 	load, reported := known.loads[s.name]
 	switch {
 	case known.silent(now):
-		region.Knowledge = placement.Stale
+		region.LoadFreshness = placement.Stale
 	case !reported:
-		region.Knowledge = placement.Unheard
+		region.LoadFreshness = placement.NeverReported
 	default:
-		region.Knowledge = placement.Fresh
+		region.LoadFreshness = placement.Fresh
 	}
 	region.Load = load
-	region.Recovery = recovered(now, known.recovering)
+	region.RecoveryFraction = recovered(now, known.recovering)
 }
 
 // refreshOwn judges the own region by what this gateway sees itself. Without a
 // usable replica for a while it counts as silent and comes last.
 func (s *service) refreshOwn(now time.Time, region *placement.Region) {
 	region.Load = s.utilization
-	region.Knowledge = placement.Fresh
-	region.Recovery = recovered(now, s.recovering)
+	region.LoadFreshness = placement.Fresh
+	region.RecoveryFraction = recovered(now, s.recovering)
 	if s.unusableFor(now) >= unusableWait {
-		region.Knowledge = placement.Stale
+		region.LoadFreshness = placement.Stale
 	}
 }
 
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -6,10 +6,10 @@
 	"github.com/deckpulley/deckpulley/admission"
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/catalog"
-	"github.com/deckpulley/deckpulley/detector"
+	"github.com/deckpulley/deckpulley/failuredetector"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/ramp"
+	"github.com/deckpulley/deckpulley/slowstart"
 )
 
 const (
@@ -56,8 +56,8 @@
 	unknown  bool // the last poll failed
 	former   string
 	created  time.Time
-	watch    *detector.Detector
-	fact     detector.Hysteresis[catalog.ConditionState]
+	watch    *failuredetector.Detector
+	fact     failuredetector.Hysteresis[catalog.ConditionState]
 	emitted  emission
 
 	open        bool // everything but time admits new work
@@ -75,7 +75,7 @@
 	hold         float64 // seconds a request holds a slot, smoothed
 	trust        float64 // found over expected cached tokens, smoothed
 	limit        *admission.Limit
-	ramp         *ramp.Ramp
+	slowStart    *slowstart.Limiter
 	rampedFor    string // incarnation the ramp belongs to
 	fedAt        time.Time
 }
@@ -88,7 +88,7 @@
 		listed:  listed,
 		service: service,
 		created: now,
-		watch:   detector.New(service.router.watching, now),
+		watch:   failuredetector.New(service.router.watching, now),
 		trust:   1,
 	}
 	target.limit = admission.NewLimit(target.bound(), service.firstToken)
@@ -133,7 +133,7 @@
 	}
 	t.report = report
 	t.reported, t.unknown = true, false
-	t.watch.Heard(at)
+	t.watch.Heartbeat(at)
 	t.suspectedAt = t.watch.SuspectedAt()
 	t.others = max(0, report.Running+report.Queued-t.inFlight)
 	t.sentTokens = 0
@@ -151,7 +151,7 @@
 	t.service.group.Forget(t.name)
 	t.closedUntil = time.Time{}
 	t.fact.Reset()
-	t.watch = detector.New(t.service.router.watching, at)
+	t.watch = failuredetector.New(t.service.router.watching, at)
 	t.limit = admission.NewLimit(t.bound(), t.service.firstToken)
 	t.hold, t.trust, t.refusals = 0, 1, 0
 }
@@ -210,23 +210,23 @@
 	fresh := t.rampedFor != t.report.Incarnation
 	long := !was && now.Sub(t.closedAt) >= longClosure
 	bound := t.bound()
-	additive := t.ramp != nil && t.ramp.Growth() == ramp.Additive
+	additive := t.slowStart != nil && t.slowStart.Growth() == slowstart.Additive
 	if fresh || long || (t.cold() && !additive) {
 		t.rampedFor = t.report.Incarnation
-		t.ramp = t.newRamp(bound)
+		t.slowStart = t.newRamp(bound)
 		t.fedAt = now
 		return
 	}
 	if additive && !t.cold() {
-		t.ramp = ramp.New(ramp.Doubling, t.ramp.Limit(), bound)
+		t.slowStart = slowstart.New(slowstart.Doubling, t.slowStart.Limit(), bound)
 	}
 }
 
-func (t *replica) newRamp(bound int) *ramp.Ramp {
+func (t *replica) newRamp(bound int) *slowstart.Limiter {
 	if t.cold() {
-		return ramp.New(ramp.Additive, t.service.coldConcurrency, bound)
+		return slowstart.New(slowstart.Additive, t.service.coldConcurrency, bound)
 	}
-	return ramp.New(ramp.Doubling, int(returnPart*float64(bound)), bound)
+	return slowstart.New(slowstart.Doubling, int(returnPart*float64(bound)), bound)
 }
 
 // bound is the fixed upper limit of requests in flight.
@@ -252,8 +252,8 @@
 		return 0
 	}
 	ceiling := min(t.limit.Value(), t.bound())
-	if t.ramp != nil {
-		ceiling = min(ceiling, t.ramp.Limit())
+	if t.slowStart != nil {
+		ceiling = min(ceiling, t.slowStart.Limit())
 	}
 	return ceiling
 }
@@ -317,14 +317,14 @@
 		slots = t.bound()
 	}
 	return placement.Candidate{
-		Number:  position,
-		Hash:    t.hash,
-		Pending: float64(t.report.PendingPrefillTokens) + t.sentTokens,
-		Speed:   t.report.PrefillTokensPerSecond,
-		Busy:    float64(t.busy()),
-		Slots:   float64(slots),
-		Hold:    t.hold,
-		Cached:  cached * t.trust,
+		Number:         position,
+		Hash:           t.hash,
+		PendingTokens:  float64(t.report.PendingPrefillTokens) + t.sentTokens,
+		PrefillRate:    t.report.PrefillTokensPerSecond,
+		ActiveRequests: float64(t.busy()),
+		Slots:          float64(slots),
+		ServiceTime:    t.hold,
+		CachedTokens:   cached * t.trust,
 	}
 }
 
--- a/routing/resolve.go
+++ b/routing/resolve.go
@@ -70,7 +70,7 @@
 		MaxTokens:    generate.MaxTokens,
 		Stream:       generate.Stream,
 		Client:       generate.Client,
-		Placed:       generate.Ticket != "",
+		RegionChosen: generate.Ticket != "",
 		HomeRule:     generate.Home,
 		Deadline:     now.Add(api.Wait(generate.WaitMS)),
 		Attempt:      1,
--- a/routing/router.go
+++ b/routing/router.go
@@ -8,7 +8,7 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/catalog"
-	"github.com/deckpulley/deckpulley/detector"
+	"github.com/deckpulley/deckpulley/failuredetector"
 	"github.com/deckpulley/deckpulley/retry"
 )
 
@@ -38,7 +38,7 @@
 type Router struct {
 	config   Config
 	logger   *slog.Logger
-	watching detector.Config
+	watching failuredetector.Config
 
 	mutex    sync.Mutex
 	plan     *Plan
@@ -64,10 +64,10 @@
 	if logger == nil {
 		logger = slog.New(slog.DiscardHandler)
 	}
-	watching := detector.DefaultConfig()
+	watching := failuredetector.DefaultConfig()
 	if config.PollInterval > 0 {
-		watching.Interval = config.PollInterval
-		watching.Deviation = config.PollInterval / 2
+		watching.ExpectedInterval = config.PollInterval
+		watching.MinStdDeviation = config.PollInterval / 2
 	}
 	return &Router{
 		config:   config,
@@ -117,9 +117,9 @@
 	target.service.dispatch(at)
 }
 
-// PollFailed records that a replica did not answer a poll: its incarnation is
+// RecordPollFailure records that a replica did not answer a poll: its incarnation is
 // unknown and nothing new goes to it until it reports.
-func (r *Router) PollFailed(replica string, at time.Time) {
+func (r *Router) RecordPollFailure(replica string, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := r.replicas[replica]
@@ -162,12 +162,12 @@
 	return names
 }
 
-// NoteAttempt counts a first attempt sent to a replica, which earns budget for
+// RecordAttempt counts a first attempt sent to a replica, which earns budget for
 // retries.
-func (r *Router) NoteAttempt() {
+func (r *Router) RecordAttempt() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.budget.NoteFirst(time.Now())
+	r.budget.RecordFirstAttempt(time.Now())
 }
 
 // AllowRetry reports whether a request may be attempted again, and spends the
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -59,7 +59,7 @@
 	},
 	{
 		name:  "poll failed",
-		begin: func(_ *fleet, r *Router) { r.PollFailed("r1", time.Now()) },
+		begin: func(_ *fleet, r *Router) { r.RecordPollFailure("r1", time.Now()) },
 		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
 	},
 	{
@@ -186,7 +186,7 @@
 		if failure := <-gone; failure == nil || failure.Code != api.CodeCanceled {
 			t.Fatalf("canceled: %v", failure)
 		}
-		granted := make(chan *Slot, 1)
+		granted := make(chan *Reservation, 1)
 		go func() {
 			slot, failure := router.Acquire(t.Context(), request("waits"))
 			if failure != nil {
@@ -260,7 +260,7 @@
 		if got := router.Regions(free); len(got) != 0 {
 			t.Fatalf("home evacuated: %v", got)
 		}
-		if refused := router.Refusal(free); refused.Code != api.CodeHomeUnavailable {
+		if refused := router.Rejection(free); refused.Code != api.CodeHomeUnavailable {
 			t.Fatalf("refusal: %v", refused)
 		}
 	})
@@ -306,7 +306,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, router := oneReplica(t)
 		again := request("again")
-		again.Exclude = map[string]bool{"r1": true}
+		again.ExcludedReplicas = map[string]bool{"r1": true}
 		start := time.Now()
 		if _, failure := router.Acquire(t.Context(), again); failure == nil || failure.Code != api.CodeNoCapacity {
 			t.Fatalf("got %v", failure)
@@ -340,7 +340,7 @@
 		}
 		shared := request("shared")
 		shared.Prefixes = []api.Prefix{{ID: "repository", Tokens: 4000}}
-		holders := []*Slot{mustReserve(t, router, shared)}
+		holders := []*Reservation{mustReserve(t, router, shared)}
 		for len(holders) < 4 {
 			holders = append(holders, mustReserve(t, router, shared))
 		}
@@ -354,7 +354,7 @@
 		told := report(other)
 		told.Sequence, told.Running = 20, 3
 		router.Observe(other, told, time.Now())
-		granted := make(chan *Slot, 1)
+		granted := make(chan *Reservation, 1)
 		go func() {
 			slot, _ := router.Acquire(t.Context(), shared)
 			granted <- slot
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -27,9 +27,9 @@
 	MaxTokens    int
 	Stream       bool
 	Client       string
-	// Placed is set when a ticket has chosen the own region already: it comes
+	// RegionChosen is set when a ticket has chosen the own region already: it comes
 	// first then, so that a request is spilled once at the most.
-	Placed bool
+	RegionChosen bool
 	// Home lists the only regions that may run it; empty is any.
 	Home []string
 	// HomeRule is the home rule that the request itself named, if any.
@@ -38,19 +38,19 @@
 	Deadline time.Time
 	// Attempt is 1 for the first attempt.
 	Attempt int
-	// Exclude names replicas already tried.
-	Exclude map[string]bool
+	// ExcludedReplicas names replicas already tried.
+	ExcludedReplicas map[string]bool
 
 	// resolved is the plan under which Home was found.
 	resolved *Plan
 }
 
-// Result says how an attempt on a replica ended.
-type Result uint8
+// AttemptResult says how an attempt on a replica ended.
+type AttemptResult uint8
 
 const (
-	ResultSuccess    Result = iota
-	ResultNotStarted        // the replica itself said refused: it never ran
-	ResultFailed            // the replica failed or broke
-	ResultCanceled          // the caller went away, or the slot was not used
+	ResultSuccess    AttemptResult = iota
+	ResultNotStarted               // the replica itself said refused: it never ran
+	ResultFailed                   // the replica failed or broke
+	ResultCanceled                 // the caller went away, or the slot was not used
 )
--- a/routing/service.go
+++ b/routing/service.go
@@ -5,9 +5,9 @@
 
 	"github.com/deckpulley/deckpulley/admission"
 	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/feedback"
 	"github.com/deckpulley/deckpulley/outlier"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/setpoint"
 )
 
 const (
@@ -53,11 +53,11 @@
 	waited      float64   // seconds granted requests waited in the queue, smoothed
 	delay       float64   // seconds to the first token without own prefill, smoothed
 
-	spill       *setpoint.Controller
+	spill       *feedback.Controller
 	target      float64 // utilization to hold while all regions together can
 	utilization float64
 	regions     map[string]*placement.Region
-	gates       map[string]*placement.Gate
+	gates       map[string]*placement.SpillGate
 	closedSince time.Time // no replica was usable since; zero if one is
 	recovering  time.Time // when the own region had a usable replica again
 
@@ -72,8 +72,8 @@
 		index:   placement.NewIndex(0),
 		queue:   admission.NewQueue[*waiter](limits.QueueLength),
 		regions: make(map[string]*placement.Region),
-		gates:   make(map[string]*placement.Gate),
-		spill: setpoint.New(setpoint.Config{
+		gates:   make(map[string]*placement.SpillGate),
+		spill: feedback.New(feedback.Config{
 			Name:         "utilization",
 			SetPoint:     limits.TargetUtilization,
 			Proportional: spillProportional,
@@ -124,7 +124,7 @@
 			names = append(names, target.name)
 		}
 	}
-	s.group.Keep(names)
+	s.group.SetMembers(names)
 	s.index.SetCount(len(names))
 }
 
@@ -177,7 +177,7 @@
 
 // measureUtilization is the work on the usable replicas and in the queues over
 // their ceilings; the other gateways of the region are taken to queue as much
-// as this one. It is bounded by placement.MostLoad unless nothing is usable, which
+// as this one. It is bounded by placement.MaxComparedLoad unless nothing is usable, which
 // is unservable. A cold replica that another gateway feeds is left out.
 func (s *service) measureUtilization(now time.Time) float64 {
 	busy := float64(s.queue.Len() * max(1, len(s.router.gateways)))
@@ -192,7 +192,7 @@
 	if ceilings == 0 {
 		return unservable
 	}
-	return min(busy/ceilings, placement.MostLoad)
+	return min(busy/ceilings, placement.MaxComparedLoad)
 }
 
 // regionLoad is the utilization to be told to other regions.
--- a/routing/slot.go
+++ b/routing/slot.go
@@ -5,16 +5,16 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/ramp"
+	"github.com/deckpulley/deckpulley/slowstart"
 )
 
 // toleratedRefusals is the number of refusals in a row by a replica that say
 // nothing against it.
 const toleratedRefusals = 10
 
-// Slot is the permission to send one request to one replica. Version and
+// Reservation is the permission to send one request to one replica. Version and
 // Serial are those of the plan that decided it, for the stamp.
-type Slot struct {
+type Reservation struct {
 	Replica     string
 	Address     string
 	Incarnation string
@@ -35,7 +35,7 @@
 	finished       bool
 }
 
-func (s *service) newSlot(now time.Time, w *waiter, choice chosen) *Slot {
+func (s *service) newSlot(now time.Time, w *waiter, choice chosen) *Reservation {
 	target := choice.target
 	target.inFlight++
 	target.fedAt = now
@@ -44,8 +44,8 @@
 	}
 	uncached := max(0, w.work.Tokens-choice.cached*target.trust)
 	target.sentTokens += uncached
-	s.index.Note(target.number, w.chain)
-	slot := &Slot{
+	s.index.Record(target.number, w.chain)
+	slot := &Reservation{
 		Replica:        target.name,
 		Address:        target.listed.Address,
 		Incarnation:    target.report.Incarnation,
@@ -70,7 +70,7 @@
 // Usable reports whether the slot may still be used for a first byte: the plan,
 // the replica and the home are judged as they are now. A slot that is not must
 // be finished with ResultCanceled.
-func (l *Slot) Usable(now time.Time) bool {
+func (l *Reservation) Usable(now time.Time) bool {
 	l.router.mutex.Lock()
 	defer l.router.mutex.Unlock()
 	if !l.current() || !l.target.usable(now) {
@@ -86,9 +86,9 @@
 	return true
 }
 
-// FirstToken records when the first event of a stream arrived. A whole answer
+// RecordFirstToken records when the first event of a stream arrived. A whole answer
 // shows no first token, and the call does nothing for one.
-func (l *Slot) FirstToken(at time.Time) {
+func (l *Reservation) RecordFirstToken(at time.Time) {
 	l.router.mutex.Lock()
 	defer l.router.mutex.Unlock()
 	if l.firstToken || l.finished || !l.request.Stream {
@@ -99,9 +99,9 @@
 	l.recordDelay(at, at.Sub(l.granted).Seconds()-l.prefill)
 }
 
-// CachedTokens records what the replica found in its KV cache, as its answer
+// RecordCachedTokens records what the replica found in its KV cache, as its answer
 // says, which corrects what is expected of it.
-func (l *Slot) CachedTokens(found int) {
+func (l *Reservation) RecordCachedTokens(found int) {
 	l.router.mutex.Lock()
 	defer l.router.mutex.Unlock()
 	if l.expectedCached <= 0 || !l.current() {
@@ -114,7 +114,7 @@
 
 // Finish gives the slot back and says how the attempt ended. The report, if
 // any, is the one that came with the answer. Finishing twice does nothing.
-func (l *Slot) Finish(result Result, report *api.ReplicaReport, at time.Time) {
+func (l *Reservation) Finish(result AttemptResult, report *api.ReplicaReport, at time.Time) {
 	l.router.mutex.Lock()
 	defer l.router.mutex.Unlock()
 	if l.finished {
@@ -137,20 +137,20 @@
 }
 
 // current reports whether the replica is still listed and the same process.
-func (l *Slot) current() bool {
+func (l *Reservation) current() bool {
 	return !l.target.gone && l.target.report.Incarnation == l.Incarnation
 }
 
 // prefillDone takes the request's prefill off what was sent since the last
 // report, unless a report has counted it since.
-func (l *Slot) prefillDone() {
+func (l *Reservation) prefillDone() {
 	if l.epoch == l.target.epoch {
 		l.target.sentTokens = max(0, l.target.sentTokens-l.uncached)
 	}
 	l.uncached = 0
 }
 
-func (l *Slot) judge(result Result, at time.Time) {
+func (l *Reservation) judge(result AttemptResult, at time.Time) {
 	target := l.target
 	service := target.service
 	switch result {
@@ -159,12 +159,12 @@
 	case ResultNotStarted:
 		l.refused(at)
 	case ResultFailed:
-		service.index.Unsent(target.number, l.chain)
-		target.limit.Failure(at)
-		if target.ramp != nil {
-			target.ramp.Failure()
+		service.index.Undo(target.number, l.chain)
+		target.limit.RecordFailure(at)
+		if target.slowStart != nil {
+			target.slowStart.RecordFailure()
 		}
-		if service.group.Failure(at, target.name) {
+		if service.group.RecordFailure(at, target.name) {
 			target.ejected("errors")
 		}
 	case ResultCanceled:
@@ -175,22 +175,22 @@
 // refused takes a replica's own refusal as a sign that its limit is too high. A
 // few are usual when it drains or a configuration spreads; many without a
 // success between them are failures.
-func (l *Slot) refused(at time.Time) {
+func (l *Reservation) refused(at time.Time) {
 	target := l.target
 	service := target.service
-	service.index.Unsent(target.number, l.chain)
-	target.limit.Failure(at)
+	service.index.Undo(target.number, l.chain)
+	target.limit.RecordFailure(at)
 	target.refusals++
 	if target.refusals <= toleratedRefusals {
-		service.group.Refusal(at, target.name)
+		service.group.RecordRejection(at, target.name)
 		return
 	}
-	if service.group.Failure(at, target.name) {
+	if service.group.RecordFailure(at, target.name) {
 		target.ejected("refusals")
 	}
 }
 
-func (l *Slot) succeeded(at time.Time) {
+func (l *Reservation) succeeded(at time.Time) {
 	target := l.target
 	service := target.service
 	duration := at.Sub(l.granted).Seconds()
@@ -199,18 +199,18 @@
 	}
 	target.hold = smoothed(target.hold, duration, holdSmoothing)
 	service.hold = smoothed(service.hold, duration, holdSmoothing)
-	service.group.Success(at, target.name)
+	service.group.RecordSuccess(at, target.name)
 	target.refusals = 0
-	service.completions.Note(at)
+	service.completions.Record(at)
 	service.completed++
-	if target.ramp != nil {
-		target.ramp.Success()
+	if target.slowStart != nil {
+		target.slowStart.RecordSuccess()
 	}
 }
 
 // wholeDelay stands in for the delay to the first token of a whole answer: at
 // twice the usual duration it is the set point.
-func (l *Slot) wholeDelay(duration float64) float64 {
+func (l *Reservation) wholeDelay(duration float64) float64 {
 	service := l.target.service
 	tokens := float64(max(1, l.request.MaxTokens))
 	usual := l.prefill + service.perToken*tokens
@@ -223,7 +223,7 @@
 
 // recordDelay feeds the controllers with the delay to the first token that is
 // not the request's own prefill.
-func (l *Slot) recordDelay(at time.Time, seconds float64) {
+func (l *Reservation) recordDelay(at time.Time, seconds float64) {
 	target := l.target
 	service := target.service
 	if !l.current() || target.cold() {
@@ -232,7 +232,7 @@
 	delay := time.Duration(max(seconds, 0.001) * float64(time.Second))
 	service.delay = smoothed(service.delay, delay.Seconds(), holdSmoothing)
 	target.limit.Observe(at, delay, l.inFlight)
-	if service.group.Latency(at, target.name, delay) {
+	if service.group.RecordLatency(at, target.name, delay) {
 		target.ejected("latency")
 	}
 }
@@ -240,7 +240,7 @@
 // ejected closes the replica for the time of its ejection and ramps it after.
 func (t *replica) ejected(cause string) {
 	t.closedUntil = later(t.closedUntil, t.service.group.EjectedUntil(t.name))
-	t.ramp = ramp.New(ramp.Doubling, 1, t.bound())
+	t.slowStart = slowstart.New(slowstart.Doubling, 1, t.bound())
 	t.service.router.logger.Warn("replica ejected", "replica", t.name, "service", t.service.name, "cause", cause)
 }
 
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -274,7 +274,7 @@
 	work()
 }
 
-func (q *queueingRegions) acquire(ctx context.Context, name, target string, asked Request, position int) *Slot {
+func (q *queueingRegions) acquire(ctx context.Context, name, target string, asked Request, position int) *Reservation {
 	router := q.regions[target].router
 	if target != name && position > 0 {
 		slot, _ := router.Reserve(asked)
--- a/routing/status.go
+++ b/routing/status.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
+	"github.com/deckpulley/deckpulley/feedback"
 	"github.com/deckpulley/deckpulley/placement"
-	"github.com/deckpulley/deckpulley/setpoint"
 )
 
 // Status is the state of a router for metrics and people.
@@ -15,7 +15,7 @@
 	Serial   uint32
 	Services []ServiceStatus
 	// Retry is the retry ratio beside its aim over the last window.
-	Retry setpoint.Status
+	Retry feedback.Status
 }
 
 // ServiceStatus is one service in the own region, as this gateway sees it.
@@ -29,13 +29,13 @@
 	// Utilization is work over limit, 1 is full.
 	Utilization float64
 	// Replicas counts all, Usable those that may get new work from here.
-	Replicas int
-	Usable   int
-	Ejected  int
-	Cold     int
-	Draining int
+	Replicas  int
+	Usable    int
+	Ejected   int
+	WarmingUp int
+	Draining  int
 	// Controllers show the set point beside the measured value.
-	Controllers []setpoint.Status
+	Controllers []feedback.Status
 	// Members are the replicas one by one.
 	Members []ReplicaStatus
 	// Regions are all regions of the plan as known here, sorted by name.
@@ -44,16 +44,16 @@
 
 // ReplicaStatus is one replica.
 type ReplicaStatus struct {
-	Replica     string
-	Incarnation string
-	Usable      bool
-	Cold        bool
-	Draining    bool
-	Ejected     bool
-	Unknown     bool
-	InFlight    int
-	Others      int
-	Limit       int
+	Replica           string
+	Incarnation       string
+	Usable            bool
+	WarmingUp         bool
+	Draining          bool
+	Ejected           bool
+	StateUnknown      bool
+	InFlight          int
+	InFlightElsewhere int
+	Limit             int
 	// Suspicion is the phi of the failure detector.
 	Suspicion float64
 	Delay     time.Duration
@@ -71,7 +71,7 @@
 	status := Status{
 		Version: r.version,
 		Serial:  r.serial,
-		Retry:   setpoint.Status{Name: "retry_ratio", SetPoint: aim, Measured: measured, Output: measured},
+		Retry:   feedback.Status{Name: "retry_ratio", SetPoint: aim, Measured: measured, Output: measured},
 	}
 	for _, service := range r.services {
 		status.Services = append(status.Services, service.status(now))
@@ -98,7 +98,7 @@
 			status.Limit += member.Limit
 		}
 		status.Ejected += count(member.Ejected)
-		status.Cold += count(member.Cold)
+		status.WarmingUp += count(member.WarmingUp)
 		status.Draining += count(member.Draining)
 	}
 	slices.SortFunc(status.Members, func(a, b ReplicaStatus) int {
@@ -110,7 +110,7 @@
 	slices.SortFunc(status.Regions, func(a, b placement.Region) int {
 		return strings.Compare(a.Name, b.Name)
 	})
-	status.Controllers = []setpoint.Status{
+	status.Controllers = []feedback.Status{
 		s.spill.Status(),
 		{
 			Name:     "first_token_seconds",
@@ -122,7 +122,7 @@
 			Name:     "queue_wait_seconds",
 			SetPoint: s.firstToken.Seconds(),
 			Measured: s.waited,
-			Output:   float64(s.queue.Standing()),
+			Output:   float64(s.queue.StandingQueueLimit()),
 		},
 	}
 	return status
@@ -130,19 +130,19 @@
 
 func (t *replica) status(now time.Time) ReplicaStatus {
 	return ReplicaStatus{
-		Replica:     t.name,
-		Incarnation: t.report.Incarnation,
-		Usable:      t.usable(now),
-		Cold:        t.reported && t.cold(),
-		Draining:    t.report.Draining || t.service.router.plan.IsDraining(t.name),
-		Ejected:     t.service.group.EjectedUntil(t.name).After(now),
-		Unknown:     !t.reported || t.unknown,
-		InFlight:    t.inFlight,
-		Others:      t.others,
-		Limit:       t.ceiling(),
-		Suspicion:   t.watch.Phi(now),
-		Delay:       t.limit.Delay(),
-		Expected:    t.candidate(0, 0),
+		Replica:           t.name,
+		Incarnation:       t.report.Incarnation,
+		Usable:            t.usable(now),
+		WarmingUp:         t.reported && t.cold(),
+		Draining:          t.report.Draining || t.service.router.plan.IsDraining(t.name),
+		Ejected:           t.service.group.EjectedUntil(t.name).After(now),
+		StateUnknown:      !t.reported || t.unknown,
+		InFlight:          t.inFlight,
+		InFlightElsewhere: t.others,
+		Limit:             t.ceiling(),
+		Suspicion:         t.watch.Phi(now),
+		Delay:             t.limit.Delay(),
+		Expected:          t.candidate(0, 0),
 	}
 }
 
--- a/settings/derived.go
+++ b/settings/derived.go
@@ -41,9 +41,9 @@
 	return cmp.Or(time.Duration(w.Timeout), DefaultPollTimeout)
 }
 
-// LeaseTerms returns the configuration of leases, with the defaults of what the file
+// LeaseConfig returns the configuration of leases, with the defaults of what the file
 // leaves out.
-func (s *Settings) LeaseTerms() lease.Config {
+func (s *Settings) LeaseConfig() lease.Config {
 	defaults := lease.DefaultConfig()
 	return lease.Config{
 		Duration:            cmp.Or(time.Duration(s.Lease.Length), defaults.Duration),
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if control.LeaseTerms() != lease.DefaultConfig() || control.LogLevel() != slog.LevelInfo || len(control.Warnings()) != 0 {
+	if control.LeaseConfig() != lease.DefaultConfig() || control.LogLevel() != slog.LevelInfo || len(control.Warnings()) != 0 {
 		t.Errorf("defaults differ: %+v", control)
 	}
 	gateway, err := load(t, f, RoleGateway, gatewayFile, Overrides{})
@@ -100,7 +100,7 @@
 	}
 	terms := lease.DefaultConfig()
 	terms.Duration = 2 * time.Second
-	if diff := cmp.Diff(terms, gateway.LeaseTerms()); diff != "" {
+	if diff := cmp.Diff(terms, gateway.LeaseConfig()); diff != "" {
 		t.Error(diff)
 	}
 	if gateway.Watch.PollInterval() != 250*time.Millisecond || gateway.Watch.PollTimeout() != DefaultPollTimeout {
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -260,7 +260,7 @@
 }
 
 func (v *validator) lease() {
-	if err := v.settings.LeaseTerms().Validate(); err != nil {
+	if err := v.settings.LeaseConfig().Validate(); err != nil {
 		v.fail("lease", "%v", err)
 	}
 }
--- a/ramp/ramp.go
+++ b/slowstart/slowstart.go
@@ -1,7 +1,7 @@
-// Package ramp raises what one replica is given step by step, and only on
+// Package slowstart raises what one replica is given step by step, and only on
 // successes: for a cold replica slowly, for a returning one faster. It is pure
 // and keeps no time at all: without successes nothing grows.
-package ramp
+package slowstart
 
 // Growth says how a ramp rises.
 type Growth uint8
@@ -15,8 +15,8 @@
 	Doubling
 )
 
-// Ramp bounds the requests in flight on one replica.
-type Ramp struct {
+// Limiter bounds the requests in flight on one replica.
+type Limiter struct {
 	growth    Growth
 	initial   int
 	limit     int
@@ -25,29 +25,29 @@
 }
 
 // New starts a ramp at initial that is done at full. Both are at least 1.
-func New(growth Growth, initial, full int) *Ramp {
+func New(growth Growth, initial, full int) *Limiter {
 	initial = max(1, initial)
 	full = max(1, full)
-	return &Ramp{growth: growth, initial: initial, limit: min(initial, full), full: full}
+	return &Limiter{growth: growth, initial: initial, limit: min(initial, full), full: full}
 }
 
 // Limit is the number of requests that may be in flight now.
-func (r *Ramp) Limit() int {
+func (r *Limiter) Limit() int {
 	return r.limit
 }
 
 // Growth is how the ramp rises.
-func (r *Ramp) Growth() Growth {
+func (r *Limiter) Growth() Growth {
 	return r.growth
 }
 
 // Done reports whether the ramp has reached its end.
-func (r *Ramp) Done() bool {
+func (r *Limiter) Done() bool {
 	return r.limit >= r.full
 }
 
-// Success records a request that the replica completed.
-func (r *Ramp) Success() {
+// RecordSuccess records a request that the replica completed.
+func (r *Limiter) RecordSuccess() {
 	r.successes++
 	if r.successes < r.limit {
 		return
@@ -61,9 +61,9 @@
 	}
 }
 
-// Failure records a request that the replica failed: the limit halves, to its
+// RecordFailure records a request that the replica failed: the limit halves, to its
 // first step at the least.
-func (r *Ramp) Failure() {
+func (r *Limiter) RecordFailure() {
 	r.successes = 0
 	r.limit = max(min(r.initial, r.full), r.limit/2)
 }
--- a/ramp/ramp_test.go
+++ b/slowstart/slowstart_test.go
@@ -1,4 +1,4 @@
-package ramp
+package slowstart
 
 import (
 	"flag"
@@ -26,10 +26,10 @@
 			before := r.Limit()
 			if success {
 				since++
-				r.Success()
+				r.RecordSuccess()
 			} else {
 				since = 0
-				r.Failure()
+				r.RecordFailure()
 			}
 			after := r.Limit()
 			if after < 1 || after > full {
@@ -57,7 +57,7 @@
 		r := New(growth, 1, 8)
 		count := 0
 		for !r.Done() {
-			r.Success()
+			r.RecordSuccess()
 			count++
 		}
 		if count != most {
--- a/stream/example_test.go
+++ b/stream/example_test.go
@@ -22,7 +22,7 @@
 			fmt.Println(fault.Code)
 			return
 		}
-		fmt.Println(len(event.Piece) > 0, reader.RunID())
+		fmt.Println(len(event.Chunk) > 0, reader.RunID())
 	}
 	// Output:
 	// true r
--- a/stream/fuzz_test.go
+++ b/stream/fuzz_test.go
@@ -37,15 +37,15 @@
 			if ended {
 				t.Fatal("an event after the last one")
 			}
-			ended = event.Piece == nil
+			ended = event.Chunk == nil
 			if end := event.End; end != nil && (end.Sequence != pieces || end.RunID != run || end.Tokens != tokens || tokens <= 0) {
 				t.Fatalf("ended with %+v after %d pieces of run %q with %d tokens", end, pieces-1, run, tokens)
 			}
 			if ended {
 				continue
 			}
-			var piece api.StreamPiece
-			if err := json.Unmarshal(event.Piece, &piece); err != nil {
+			var piece api.StreamChunk
+			if err := json.Unmarshal(event.Chunk, &piece); err != nil {
 				t.Fatalf("passed on a piece that is not JSON: %v", err)
 			}
 			tokens += piece.Tokens
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -44,9 +44,9 @@
 	return &ReadError{Code: code, Reason: fmt.Sprintf(format, arguments...)}
 }
 
-// Order checks that the events of one stream belong together: one request, one
+// SequenceChecker checks that the events of one stream belong together: one request, one
 // run, sequence numbers from 1 without a gap, and tokens that add up.
-type Order struct {
+type SequenceChecker struct {
 	// RequestID is the request that the stream must answer.
 	RequestID string
 	runID     string
@@ -56,20 +56,20 @@
 }
 
 // RunID is the run that made the events so far; empty before the first.
-func (o *Order) RunID() string { return o.runID }
+func (o *SequenceChecker) RunID() string { return o.runID }
 
-// Pieces is the number of pieces seen.
-func (o *Order) Pieces() int { return o.last }
+// Chunks is the number of pieces seen.
+func (o *SequenceChecker) Chunks() int { return o.last }
 
-// Piece checks the next piece.
-func (o *Order) Piece(piece *api.StreamPiece) error {
+// CheckChunk checks the next piece.
+func (o *SequenceChecker) CheckChunk(piece *api.StreamChunk) error {
 	if piece.RequestID != o.RequestID {
 		return fault(api.CodeReplicaMismatch, "a piece of another request")
 	}
 	return o.next(piece.RunID, piece.Sequence, piece.Tokens)
 }
 
-func (o *Order) scanned(fields *pieceFields) error {
+func (o *SequenceChecker) scanned(fields *pieceFields) error {
 	if string(fields.requestID) != o.RequestID {
 		return fault(api.CodeReplicaMismatch, "a piece of another request")
 	}
@@ -79,7 +79,7 @@
 	return o.next(string(fields.runID), fields.sequence, fields.tokens)
 }
 
-func (o *Order) next(runID string, sequence, tokens int) error {
+func (o *SequenceChecker) next(runID string, sequence, tokens int) error {
 	if err := o.belongs(runID, sequence); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (o *Order) belongs(runID string, sequence int) error {
+func (o *SequenceChecker) belongs(runID string, sequence int) error {
 	if o.ended {
 		return fault(api.CodeReplicaMismatch, "an event after the end")
 	}
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// End checks the end marker.
-func (o *Order) End(end *api.StreamEnd) error {
+// CheckEnd checks the end marker.
+func (o *SequenceChecker) CheckEnd(end *api.StreamEnd) error {
 	if end.RequestID != o.RequestID {
 		return fault(api.CodeReplicaMismatch, "the end of another request")
 	}
@@ -127,8 +127,8 @@
 
 // Event is one checked event. Exactly one of Piece, End and Error is set.
 type Event struct {
-	// Piece is the JSON of a piece, valid until the next call of Next.
-	Piece []byte
+	// Chunk is the JSON of a piece, valid until the next call of Next.
+	Chunk []byte
 	End   *api.StreamEnd
 	Error *api.Error
 }
@@ -137,9 +137,9 @@
 type Options struct {
 	// RequestID is the request that the stream must answer.
 	RequestID string
-	// Gap is the longest wait for an event; 0 is no bound. The time that the
+	// IdleTimeout is the longest wait for an event; 0 is no bound. The time that the
 	// events' user takes between two calls of Next is not a part of it.
-	Gap time.Duration
+	IdleTimeout time.Duration
 	// Interrupt is called once when the gap is over. It must make the source's
 	// Read return, for instance by canceling the request.
 	Interrupt func()
@@ -147,7 +147,7 @@
 
 // Reader reads one stream. It is not safe for concurrent use.
 type Reader struct {
-	order   Order
+	order   SequenceChecker
 	lines   *bufio.Reader
 	kind    []byte
 	data    []byte
@@ -162,11 +162,11 @@
 
 // NewReader reads from source. Close gives its buffers back.
 func NewReader(source io.Reader, options Options) *Reader {
-	r := &Reader{order: Order{RequestID: options.RequestID}, gap: options.Gap}
+	r := &Reader{order: SequenceChecker{RequestID: options.RequestID}, gap: options.IdleTimeout}
 	r.lines = lineReaders.Get().(*bufio.Reader) //nolint:forcetypeassert // New of the pool makes nothing else
 	r.lines.Reset(source)
-	if options.Gap > 0 {
-		r.timer = time.AfterFunc(options.Gap, func() {
+	if options.IdleTimeout > 0 {
+		r.timer = time.AfterFunc(options.IdleTimeout, func() {
 			r.stalled.Store(true)
 			options.Interrupt()
 		})
@@ -186,8 +186,8 @@
 	}
 }
 
-// Pieces is the number of pieces read.
-func (r *Reader) Pieces() int { return r.order.Pieces() }
+// Chunks is the number of pieces read.
+func (r *Reader) Chunks() int { return r.order.Chunks() }
 
 // RunID is the run of the pieces read; empty before the first.
 func (r *Reader) RunID() string { return r.order.RunID() }
@@ -295,13 +295,13 @@
 
 func (r *Reader) piece() (Event, error) {
 	if fields, ok := scanPiece(r.data); ok {
-		return Event{Piece: r.data}, r.order.scanned(&fields)
+		return Event{Chunk: r.data}, r.order.scanned(&fields)
 	}
 	piece, canonical, ok := parsePiece(r.data)
 	if !ok {
 		return Event{}, fault(api.CodeReplicaBroken, "a piece that is not valid JSON")
 	}
-	return Event{Piece: canonical}, r.order.Piece(&piece)
+	return Event{Chunk: canonical}, r.order.CheckChunk(&piece)
 }
 
 func (r *Reader) end() (Event, error) {
@@ -309,7 +309,7 @@
 	if !utf8.Valid(r.data) || json.Unmarshal(r.data, end) != nil {
 		return Event{}, fault(api.CodeReplicaBroken, "an end marker that is not valid JSON")
 	}
-	return Event{End: end}, r.order.End(end)
+	return Event{End: end}, r.order.CheckEnd(end)
 }
 
 func (r *Reader) failure() (Event, error) {
--- a/stream/scan.go
+++ b/stream/scan.go
@@ -158,7 +158,7 @@
 
 // parsePiece decodes a piece of any valid form. canonical is its usual form,
 // to be passed on in place of the data.
-func parsePiece(data []byte) (piece api.StreamPiece, canonical []byte, ok bool) {
+func parsePiece(data []byte) (piece api.StreamChunk, canonical []byte, ok bool) {
 	if !utf8.Valid(data) || json.Unmarshal(data, &piece) != nil {
 		return piece, nil, false
 	}
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -19,7 +19,7 @@
 )
 
 func pieceFrame(request, run string, sequence, tokens int, text string) string {
-	data, _ := json.Marshal(&api.StreamPiece{RequestID: request, RunID: run, Sequence: sequence, Text: text, Tokens: tokens})
+	data, _ := json.Marshal(&api.StreamChunk{RequestID: request, RunID: run, Sequence: sequence, Text: text, Tokens: tokens})
 	return string(AppendFrame(nil, api.EventPiece, data))
 }
 
@@ -81,8 +81,8 @@
 			if test.code != "" && (!errors.As(err, &found) || found.Code != test.code) {
 				t.Fatalf("got %v, want %s", err, test.code)
 			}
-			if reader.Pieces() != test.pieces {
-				t.Fatalf("%d pieces, want %d", reader.Pieces(), test.pieces)
+			if reader.Chunks() != test.pieces {
+				t.Fatalf("%d pieces, want %d", reader.Chunks(), test.pieces)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 		const gap = time.Second
 		source, events := io.Pipe()
 		interrupted := false
-		reader := NewReader(source, Options{RequestID: "r", Gap: gap, Interrupt: func() {
+		reader := NewReader(source, Options{RequestID: "r", IdleTimeout: gap, Interrupt: func() {
 			interrupted = true
 			events.CloseWithError(errors.New("canceled"))
 		}})
@@ -123,7 +123,7 @@
 func TestReaderGap(t *testing.T) {
 	source, sink := io.Pipe()
 	defer sink.Close()
-	reader := NewReader(source, Options{RequestID: "r", Gap: 10 * time.Millisecond, Interrupt: func() {
+	reader := NewReader(source, Options{RequestID: "r", IdleTimeout: 10 * time.Millisecond, Interrupt: func() {
 		source.CloseWithError(errors.New("interrupted"))
 	}})
 	defer reader.Close()
@@ -138,7 +138,7 @@
 // pieces and on damaged ones: what it accepts means the same to both.
 func TestScanPieceAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		piece := api.StreamPiece{
+		piece := api.StreamChunk{
 			RequestID: rapid.String().Draw(t, "request"), RunID: rapid.String().Draw(t, "run"),
 			Sequence: rapid.IntRange(0, 1000).Draw(t, "sequence"), Tokens: rapid.IntRange(-3, 5).Draw(t, "tokens"),
 			Text: rapid.String().Draw(t, "text"),
@@ -151,7 +151,7 @@
 		if !ok {
 			return
 		}
-		var slow api.StreamPiece
+		var slow api.StreamChunk
 		if err := json.Unmarshal(data, &slow); err != nil {
 			t.Fatalf("scanned invalid JSON %q: %v", data, err)
 		}
--- a/ticket/example_test.go
+++ b/ticket/example_test.go
@@ -21,7 +21,7 @@
 		fmt.Println(err)
 		return
 	}
-	ledger := ticket.NewLedger[output](ticket.LedgerConfig{MaxTickets: 8, MaxRetainedBytes: 1 << 10, Slack: time.Second})
+	ledger := ticket.NewTable[output](ticket.TableConfig{MaxTickets: 8, MaxRetainedBytes: 1 << 10, Slack: time.Second})
 	issued, err := ledger.Issue(0, ticket.Ticket{RequestID: "request-1", Owner: "gateway-1", Incarnation: "1", Expires: time.Minute})
 	if err != nil {
 		fmt.Println(err)
@@ -39,7 +39,7 @@
 			return
 		}
 		standing, _ := ledger.Use(time.Second, presented, 7, func() output { return output{} })
-		fmt.Println(standing == ticket.StandingRun, standing == ticket.StandingJoin)
+		fmt.Println(standing == ticket.UseStart, standing == ticket.UseJoin)
 	}
 	// Output:
 	// true false
--- a/ticket/golden_test.go
+++ b/ticket/golden_test.go
@@ -27,7 +27,7 @@
 func TestGoldenTickets(t *testing.T) {
 	tickets := map[string]Ticket{
 		"every field": {
-			RequestID: "request-1", Owner: "gateway-1", Incarnation: "i-3", Home: "north-only", Repeatable: true,
+			RequestID: "request-1", Owner: "gateway-1", Incarnation: "i-3", HomeRule: "north-only", Idempotent: true,
 			IssuedAt: 1500 * time.Millisecond, Expires: 61500 * time.Millisecond,
 		},
 		"minimal": {RequestID: "r", Owner: "g", Incarnation: "i", Expires: 1},
--- a/ticket/ledger.go
+++ b/ticket/ledger.go
@@ -17,10 +17,10 @@
 	StateNew State = iota + 1
 	// StateRunning means that the request was admitted and has no result yet.
 	StateRunning
-	// StateAnswered means that the answer was whole.
-	StateAnswered
-	// StateRefused means that the request never ran and never will.
-	StateRefused
+	// StateCompleted means that the answer was whole.
+	StateCompleted
+	// StateRejected means that the request never ran and never will.
+	StateRejected
 	// StateFailed means that the request ran, at least in part, and failed.
 	StateFailed
 	// StateUnknown means that nobody can tell whether the request ran.
@@ -28,7 +28,7 @@
 )
 
 // Final tells whether the state can change no more.
-func (s State) Final() bool { return s >= StateAnswered }
+func (s State) Final() bool { return s >= StateCompleted }
 
 // String names the state.
 func (s State) String() string {
@@ -50,22 +50,22 @@
 	ErrClosed = errors.New("ticket: request was refused for good")
 )
 
-// Standing is the ledger's answer to the use of a ticket.
-type Standing uint8
+// UseResult is the ledger's answer to the use of a ticket.
+type UseResult uint8
 
 const (
-	// StandingRun asks the caller to run the request; it is told so only once.
-	StandingRun Standing = iota + 1
-	// StandingJoin means that the request runs already, or has its result.
-	StandingJoin
-	// StandingExpired means that the ticket came too late and was never used
+	// UseStart asks the caller to run the request; it is told so only once.
+	UseStart UseResult = iota + 1
+	// UseJoin means that the request runs already, or has its result.
+	UseJoin
+	// UseExpired means that the ticket came too late and was never used
 	// before. The request never ran and never will.
-	StandingExpired
-	// StandingForgotten means that the ledger cannot tell whether the request ran.
-	StandingForgotten
-	// StandingConflict means that the ticket was used for a request with other
+	UseExpired
+	// UseUnknown means that the ledger cannot tell whether the request ran.
+	UseUnknown
+	// UseConflict means that the ticket was used for a request with other
 	// contents. This one never runs; the other one may have.
-	StandingConflict
+	UseConflict
 )
 
 // Run is what an owner keeps beside a ticket: the run and its output.
@@ -79,8 +79,8 @@
 // minSlack keeps the memory of a ticket from ending with its use.
 const minSlack = time.Second
 
-// LedgerConfig bounds a ledger.
-type LedgerConfig struct {
+// TableConfig bounds a ledger.
+type TableConfig struct {
 	// MaxTickets is the number of tickets remembered at once.
 	MaxTickets int
 	// MaxRetainedBytes bounds the output kept of finished runs; the oldest is
@@ -90,9 +90,9 @@
 	Slack time.Duration
 }
 
-// Ledger is the memory of one owner. It is not safe for concurrent use.
-type Ledger[R Run] struct {
-	config   LedgerConfig
+// Table is the memory of one owner. It is not safe for concurrent use.
+type Table[R Run] struct {
+	config   TableConfig
 	entries  map[string]*entry[R]
 	expiries expiryHeap[R]
 	retained int
@@ -111,10 +111,10 @@
 	mark   *list.Element
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger[R Run](config LedgerConfig) *Ledger[R] {
+// NewTable returns an empty ledger.
+func NewTable[R Run](config TableConfig) *Table[R] {
 	config.Slack = max(config.Slack, minSlack)
-	return &Ledger[R]{
+	return &Table[R]{
 		config:   config,
 		entries:  make(map[string]*entry[R]),
 		finished: list.New(),
@@ -123,7 +123,7 @@
 
 // Issue remembers a new ticket and returns the one to hand out. Asking again
 // for a request id that is remembered returns the first ticket.
-func (l *Ledger[R]) Issue(now time.Duration, t Ticket) (Ticket, error) {
+func (l *Table[R]) Issue(now time.Duration, t Ticket) (Ticket, error) {
 	l.Expire(now)
 	if known, ok := l.entries[t.RequestID]; ok {
 		return l.reissue(now, known, t)
@@ -137,12 +137,12 @@
 	return t, nil
 }
 
-func (l *Ledger[R]) reissue(now time.Duration, known *entry[R], t Ticket) (Ticket, error) {
-	if known.ticket.Home != t.Home || known.ticket.Repeatable != t.Repeatable {
+func (l *Table[R]) reissue(now time.Duration, known *entry[R], t Ticket) (Ticket, error) {
+	if known.ticket.HomeRule != t.HomeRule || known.ticket.Idempotent != t.Idempotent {
 		return Ticket{}, ErrConflict
 	}
 	expired := known.state == StateNew && now >= known.ticket.Expires
-	if expired || known.state == StateRefused {
+	if expired || known.state == StateRejected {
 		return Ticket{}, ErrClosed
 	}
 	return known.ticket, nil
@@ -151,35 +151,35 @@
 // Use presents a ticket of this owner with a digest of the request's contents.
 // With StandingRun, make has been called and its run is remembered; with
 // StandingJoin the returned run is the one in progress or finished.
-func (l *Ledger[R]) Use(now time.Duration, t Ticket, digest uint64, begin func() R) (Standing, R) {
+func (l *Table[R]) Use(now time.Duration, t Ticket, digest uint64, begin func() R) (UseResult, R) {
 	l.Expire(now)
 	var none R
 	e, ok := l.entries[t.RequestID]
 	if !ok {
 		// Held until expiry and slack are over, it may have been used before that.
-		return StandingForgotten, none
+		return UseUnknown, none
 	}
 	if e.ticket != t {
-		return StandingConflict, none
+		return UseConflict, none
 	}
 	if e.state == StateNew {
 		if now >= t.Expires {
-			return StandingExpired, none
+			return UseExpired, none
 		}
 		e.state = StateRunning
 		e.digest = digest
 		e.run = begin()
-		return StandingRun, e.run
+		return UseStart, e.run
 	}
 	if e.digest != digest {
-		return StandingConflict, none
+		return UseConflict, none
 	}
-	return StandingJoin, e.run
+	return UseJoin, e.run
 }
 
 // Finish records the final state of a running request. A final state never
 // changes: it reports false if there was nothing to finish.
-func (l *Ledger[R]) Finish(requestID string, state State) bool {
+func (l *Table[R]) Finish(requestID string, state State) bool {
 	e, ok := l.entries[requestID]
 	if !ok || e.state != StateRunning || !state.Final() {
 		return false
@@ -192,7 +192,7 @@
 	return true
 }
 
-func (l *Ledger[R]) releaseOldest() {
+func (l *Table[R]) releaseOldest() {
 	for l.retained > l.config.MaxRetainedBytes {
 		first := l.finished.Front()
 		if first == nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (l *Ledger[R]) release(e *entry[R]) {
+func (l *Table[R]) release(e *entry[R]) {
 	if e.mark == nil {
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 // State returns what is known of a request id.
-func (l *Ledger[R]) State(requestID string) (State, bool) {
+func (l *Table[R]) State(requestID string) (State, bool) {
 	e, ok := l.entries[requestID]
 	if !ok {
 		return 0, false
@@ -222,7 +222,7 @@
 }
 
 // Run returns the run of a request id that was used.
-func (l *Ledger[R]) Run(requestID string) (R, bool) {
+func (l *Table[R]) Run(requestID string) (R, bool) {
 	e, ok := l.entries[requestID]
 	if !ok || e.state == StateNew {
 		var none R
@@ -232,10 +232,10 @@
 }
 
 // Len is the number of tickets remembered.
-func (l *Ledger[R]) Len() int { return len(l.entries) }
+func (l *Table[R]) Len() int { return len(l.entries) }
 
 // Unused is the number of tickets that were not used and have not expired.
-func (l *Ledger[R]) Unused(now time.Duration) int {
+func (l *Table[R]) Unused(now time.Duration) int {
 	unused := 0
 	for _, e := range l.entries {
 		if e.state == StateNew && now < e.ticket.Expires {
@@ -245,12 +245,12 @@
 	return unused
 }
 
-// Retained is the number of bytes of output kept.
-func (l *Ledger[R]) Retained() int { return l.retained }
+// RetainedBytes is the number of bytes of output kept.
+func (l *Table[R]) RetainedBytes() int { return l.retained }
 
 // Expire forgets tickets whose expiry and slack are over. A running request is
 // kept until it has a result.
-func (l *Ledger[R]) Expire(now time.Duration) {
+func (l *Table[R]) Expire(now time.Duration) {
 	for len(l.expiries) > 0 && l.expiries[0].forget <= now {
 		e := l.expiries[0]
 		if e.state == StateRunning {
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -49,24 +49,24 @@
 	Owner string `cbor:"2,keyasint"`
 	// Incarnation is the owner's process; another one knows nothing of the ticket.
 	Incarnation string `cbor:"3,keyasint"`
-	// Home is the home rule the request was asked with; empty is none.
-	Home string `cbor:"4,keyasint,omitempty"`
-	// Repeatable is what the caller said of the request.
-	Repeatable bool `cbor:"5,keyasint,omitempty"`
+	// HomeRule is the home rule the request was asked with; empty is none.
+	HomeRule string `cbor:"4,keyasint,omitempty"`
+	// Idempotent is what the caller said of the request.
+	Idempotent bool `cbor:"5,keyasint,omitempty"`
 	// IssuedAt and Expires are on the owner's monotonic clock, in nanoseconds.
 	IssuedAt time.Duration `cbor:"6,keyasint"`
 	Expires  time.Duration `cbor:"7,keyasint"`
 }
 
-// Check tells whether the ticket's fields are within their limits.
-func (t *Ticket) Check() error {
+// Validate tells whether the ticket's fields are within their limits.
+func (t *Ticket) Validate() error {
 	names := []string{t.RequestID, t.Owner, t.Incarnation}
 	for _, name := range names {
 		if name == "" || len(name) > api.MaxNameBytes {
 			return ErrMalformed
 		}
 	}
-	if len(t.Home) > api.MaxNameBytes {
+	if len(t.HomeRule) > api.MaxNameBytes {
 		return ErrMalformed
 	}
 	if t.IssuedAt < 0 || t.Expires <= t.IssuedAt {
@@ -101,7 +101,7 @@
 
 // Seal returns the text form of the ticket.
 func (s *Sealer) Seal(t Ticket) (string, error) {
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return "", err
 	}
 	token, err := encoding.Marshal(&t)
@@ -133,7 +133,7 @@
 	if err := decoding.Unmarshal(body, &t); err != nil {
 		return Ticket{}, ErrMalformed
 	}
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return Ticket{}, err
 	}
 	return t, nil
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -15,7 +15,7 @@
 func testKey(fill byte) []byte { return bytes.Repeat([]byte{fill}, 32) }
 
 func testTicket() Ticket {
-	return Ticket{RequestID: "r1", Owner: "gateway-1", Incarnation: "abc", Home: "eu", IssuedAt: 1, Expires: time.Minute}
+	return Ticket{RequestID: "r1", Owner: "gateway-1", Incarnation: "abc", HomeRule: "eu", IssuedAt: 1, Expires: time.Minute}
 }
 
 func TestSealerAcceptsBothKeysAndNothingElse(t *testing.T) {
@@ -92,7 +92,7 @@
 			case action == 1:
 				h.use(id)
 			default:
-				h.finish(id, State(rapid.IntRange(int(StateAnswered), int(StateUnknown)).Draw(t, "state")))
+				h.finish(id, State(rapid.IntRange(int(StateCompleted), int(StateUnknown)).Draw(t, "state")))
 			}
 			h.check(id)
 		}
@@ -103,8 +103,8 @@
 // request.
 type ledgerHistory struct {
 	t      *rapid.T
-	config LedgerConfig
-	ledger *Ledger[*testRun]
+	config TableConfig
+	ledger *Table[*testRun]
 	step   int
 	now    time.Duration
 	issued map[string]Ticket
@@ -115,9 +115,9 @@
 }
 
 func newLedgerHistory(t *rapid.T) *ledgerHistory {
-	config := LedgerConfig{MaxTickets: 6, MaxRetainedBytes: 100, Slack: 5 * time.Second}
+	config := TableConfig{MaxTickets: 6, MaxRetainedBytes: 100, Slack: 5 * time.Second}
 	return &ledgerHistory{
-		t: t, config: config, ledger: NewLedger[*testRun](config), now: 1,
+		t: t, config: config, ledger: NewTable[*testRun](config), now: 1,
 		issued: map[string]Ticket{}, runs: map[string]int{}, final: map[string]State{}, dead: map[string]bool{},
 	}
 }
@@ -138,17 +138,17 @@
 	presented := h.issued[id]
 	standing, _ := h.ledger.Use(h.now, presented, 1, func() *testRun { return &testRun{bytes: 40} })
 	switch standing {
-	case StandingRun:
+	case UseStart:
 		h.runs[id]++
 		if h.dead[id] || h.now >= presented.Expires {
 			h.t.Fatalf("step %d: %s runs after it was refused or expired", h.step, id)
 		}
-	case StandingExpired:
+	case UseExpired:
 		h.dead[id] = true
 		if h.runs[id] > 0 {
 			h.t.Fatalf("step %d: %s said never to have run", h.step, id)
 		}
-	case StandingForgotten:
+	case UseUnknown:
 		if h.now < presented.Expires+h.config.Slack {
 			h.t.Fatalf("step %d: %s forgotten early", h.step, id)
 		}
@@ -164,7 +164,7 @@
 		h.t.Fatalf("step %d: %s finished twice", h.step, id)
 	}
 	h.final[id] = state
-	h.dead[id] = state == StateRefused
+	h.dead[id] = state == StateRejected
 }
 
 // check compares what the ledger remembers of a request, and its bounds.
@@ -175,13 +175,13 @@
 	if h.runs[id] > 1 {
 		h.t.Fatalf("step %d: %s ran %d times", h.step, id, h.runs[id])
 	}
-	if h.ledger.Len() > h.config.MaxTickets || h.ledger.Retained() > h.config.MaxRetainedBytes {
-		h.t.Fatalf("step %d: %d tickets, %d bytes", h.step, h.ledger.Len(), h.ledger.Retained())
+	if h.ledger.Len() > h.config.MaxTickets || h.ledger.RetainedBytes() > h.config.MaxRetainedBytes {
+		h.t.Fatalf("step %d: %d tickets, %d bytes", h.step, h.ledger.Len(), h.ledger.RetainedBytes())
 	}
 }
 
 func TestLedgerIssueAgain(t *testing.T) {
-	ledger := NewLedger[*testRun](LedgerConfig{MaxTickets: 2, MaxRetainedBytes: 10, Slack: time.Second})
+	ledger := NewTable[*testRun](TableConfig{MaxTickets: 2, MaxRetainedBytes: 10, Slack: time.Second})
 	first := testTicket()
 	if _, err := ledger.Issue(0, first); err != nil {
 		t.Fatal(err)
@@ -191,21 +191,21 @@
 	if got, err := ledger.Issue(5, second); err != nil || got != first {
 		t.Fatalf("issue again: %+v, %v", got, err)
 	}
-	second.Home = "us"
+	second.HomeRule = "us"
 	if _, err := ledger.Issue(5, second); !errors.Is(err, ErrConflict) {
 		t.Fatalf("other home: %v", err)
 	}
-	if standing, _ := ledger.Use(6, first, 1, func() *testRun { return &testRun{} }); standing != StandingRun {
+	if standing, _ := ledger.Use(6, first, 1, func() *testRun { return &testRun{} }); standing != UseStart {
 		t.Fatalf("use: %v", standing)
 	}
-	if standing, _ := ledger.Use(6, first, 2, nil); standing != StandingConflict {
+	if standing, _ := ledger.Use(6, first, 2, nil); standing != UseConflict {
 		t.Fatalf("other contents: %v", standing)
 	}
-	ledger.Finish("r1", StateRefused)
+	ledger.Finish("r1", StateRejected)
 	if _, err := ledger.Issue(7, first); !errors.Is(err, ErrClosed) {
 		t.Fatalf("issue after refusal: %v", err)
 	}
-	if standing, _ := ledger.Use(8, first, 1, nil); standing != StandingJoin {
+	if standing, _ := ledger.Use(8, first, 1, nil); standing != UseJoin {
 		t.Fatalf("use after refusal: %v", standing)
 	}
 }
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, c.explain(ctx, err)
 	}
-	limit, keep := reuse(response, c.pool.config.IdleLimit)
+	limit, keep := reuse(response, c.pool.config.IdleTimeout)
 	response.Body = &answerBody{conn: c, ctx: ctx, inner: response.Body, limit: limit, keep: keep}
 	return response, nil
 }
--- a/upstream/example_test.go
+++ b/upstream/example_test.go
@@ -30,11 +30,11 @@
 	fmt.Println(response.StatusCode, string(text))
 
 	replica.Close()
-	pool.Forget(address)
+	pool.CloseIdleConnections(address)
 	if response, err = pool.Do(ctx, address, request, nil); err == nil {
 		response.Body.Close()
 	}
-	var unanswered *upstream.Error
+	var unanswered *upstream.RequestError
 	fmt.Println("may have run:", errors.As(err, &unanswered) && unanswered.Sent)
 	// Output:
 	// 200 hello
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -16,9 +16,9 @@
 
 // Defaults of Config.
 const (
-	DefaultDialTimeout    = 300 * time.Millisecond
-	DefaultUnacknowledged = 1500 * time.Millisecond
-	DefaultIdleLimit      = 4 * time.Second
+	DefaultDialTimeout           = 300 * time.Millisecond
+	DefaultUnacknowledgedTimeout = 1500 * time.Millisecond
+	DefaultIdleTimeout           = 4 * time.Second
 )
 
 // idlePart is the part of the idle time that a replica announces for which a
@@ -36,35 +36,35 @@
 type Config struct {
 	// DialTimeout bounds making a connection.
 	DialTimeout time.Duration
-	// Unacknowledged is how long sent bytes may stay unacknowledged before the
+	// UnacknowledgedTimeout is how long sent bytes may stay unacknowledged before the
 	// connection is given up.
-	Unacknowledged time.Duration
-	// IdleLimit is how long an idle connection is kept when its replica does not
+	UnacknowledgedTimeout time.Duration
+	// IdleTimeout is how long an idle connection is kept when its replica does not
 	// announce a time.
-	IdleLimit time.Duration
-	// Connected, if set, is told how long each connection took to make. It must not
+	IdleTimeout time.Duration
+	// OnConnect, if set, is told how long each connection took to make. It must not
 	// block.
-	Connected func(address string, took time.Duration)
+	OnConnect func(address string, took time.Duration)
 	// Dial replaces the dialling of TCP, for tests.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Error is a request that got no answer.
-type Error struct {
+// RequestError is a request that got no answer.
+type RequestError struct {
 	// Sent says that the replica may have seen a part of the request, and may
 	// have carried it out.
 	Sent bool
 	Err  error
 }
 
-func (e *Error) Error() string {
+func (e *RequestError) Error() string {
 	if e.Sent {
 		return "upstream: no answer: " + e.Err.Error()
 	}
 	return "upstream: not sent: " + e.Err.Error()
 }
 
-func (e *Error) Unwrap() error { return e.Err }
+func (e *RequestError) Unwrap() error { return e.Err }
 
 // Pool holds the connections of one process. It is safe for concurrent use.
 type Pool struct {
@@ -83,8 +83,8 @@
 // NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
 	setDefault(&config.DialTimeout, DefaultDialTimeout)
-	setDefault(&config.Unacknowledged, DefaultUnacknowledged)
-	setDefault(&config.IdleLimit, DefaultIdleLimit)
+	setDefault(&config.UnacknowledgedTimeout, DefaultUnacknowledgedTimeout)
+	setDefault(&config.IdleTimeout, DefaultIdleTimeout)
 	pool := &Pool{config: config, peers: make(map[string]*peer)}
 	if pool.config.Dial == nil {
 		pool.config.Dial = pool.dialTCP
@@ -107,12 +107,12 @@
 	if err != nil {
 		return nil, err
 	}
-	sockets.BoundUnacknowledged(raw, p.config.Unacknowledged)
+	sockets.BoundUnacknowledged(raw, p.config.UnacknowledgedTimeout)
 	return raw, nil
 }
 
-// Heard returns when bytes last came from an address, the zero time for never.
-func (p *Pool) Heard(address string) time.Time {
+// LastReceived returns when bytes last came from an address, the zero time for never.
+func (p *Pool) LastReceived(address string) time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if known, found := p.peers[address]; found {
@@ -121,16 +121,16 @@
 	return time.Time{}
 }
 
-// Idle says whether a connection to an address is open and free.
-func (p *Pool) Idle(address string) bool {
+// HasIdleConnection says whether a connection to an address is open and free.
+func (p *Pool) HasIdleConnection(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known, found := p.peers[address]
 	return found && len(known.idle) > 0 && time.Now().Before(known.idle[len(known.idle)-1].usableUntil)
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdleConnections closes the idle connections to an address.
+func (p *Pool) CloseIdleConnections(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known, found := p.peers[address]
@@ -146,8 +146,8 @@
 	}
 }
 
-// Reap closes the connections that have been idle for too long.
-func (p *Pool) Reap(now time.Time) {
+// CloseExpired closes the connections that have been idle for too long.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address, known := range p.peers {
@@ -172,12 +172,12 @@
 func (p *Pool) Do(ctx context.Context, address string, request *http.Request, body []byte) (*http.Response, error) {
 	conn, err := p.acquire(ctx, address)
 	if err != nil {
-		return nil, &Error{Err: err}
+		return nil, &RequestError{Err: err}
 	}
 	response, err := conn.exchange(ctx, request, body)
 	if err != nil {
 		conn.discard()
-		return nil, &Error{Sent: true, Err: err}
+		return nil, &RequestError{Sent: true, Err: err}
 	}
 	return response, nil
 }
@@ -223,8 +223,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	if p.config.Connected != nil {
-		p.config.Connected(address, time.Since(began))
+	if p.config.OnConnect != nil {
+		p.config.OnConnect(address, time.Since(began))
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -162,7 +162,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := fetch(t, NewPool(Config{}), test.address)
-			var failure *Error
+			var failure *RequestError
 			if !errors.As(err, &failure) || failure.Sent != test.sent {
 				t.Errorf("got %v, want sent %v", err, test.sent)
 			}
@@ -189,7 +189,7 @@
 	}
 	for _, method := range []string{http.MethodGet} {
 		err := exchange(t.Context(), pool, address, newRequest(t, method))
-		var failure *Error
+		var failure *RequestError
 		if !errors.As(err, &failure) || !failure.Sent {
 			t.Errorf("got %v", err)
 		}
@@ -263,23 +263,23 @@
 
 func TestReapAndForgetCloseIdleConnections(t *testing.T) {
 	address, _ := listen(t, answerAll("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
-	pool := NewPool(Config{IdleLimit: time.Minute})
+	pool := NewPool(Config{IdleTimeout: time.Minute})
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
-	if pool.Reap(time.Now()); openTo(pool, address) != 1 {
+	if pool.CloseExpired(time.Now()); openTo(pool, address) != 1 {
 		t.Error("a fresh connection was reaped")
 	}
-	if pool.Heard(address).IsZero() {
+	if pool.LastReceived(address).IsZero() {
 		t.Error("nothing was heard")
 	}
-	if pool.Reap(time.Now().Add(time.Hour)); openTo(pool, address) != 0 {
+	if pool.CloseExpired(time.Now().Add(time.Hour)); openTo(pool, address) != 0 {
 		t.Error("an old connection was kept")
 	}
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
-	if pool.Forget(address); openTo(pool, address) != 0 {
+	if pool.CloseIdleConnections(address); openTo(pool, address) != 0 {
 		t.Error("a connection to a forgotten address was kept")
 	}
 }
