--- a/patch/lists.go
+++ b/patch/lists.go
@@ -31,19 +31,19 @@
 		if len(section.Upsert)+len(section.Remove) == 0 {
 			continue
 		}
-		at := place(&members, section.Name, json.RawMessage("[]"))
+		at := memberIndex(&members, section.Name, json.RawMessage("[]"))
 		if members[at].value, err = section.applyToList(members[at].value); err != nil {
 			return "", err
 		}
 	}
 	for name, value := range set {
-		members[place(&members, name, nil)].value = value
+		members[memberIndex(&members, name, nil)].value = value
 	}
 	return writeObject(members)
 }
 
-// place returns the position of a member, which is appended if it is missing.
-func place(members *[]member, name string, value json.RawMessage) int {
+// memberIndex returns the position of a member, which is appended if it is missing.
+func memberIndex(members *[]member, name string, value json.RawMessage) int {
 	for i := range *members {
 		if (*members)[i].name == name {
 			return i
@@ -130,7 +130,7 @@
 		return err
 	}
 	name, _ := key.(string) // a key of an object is a string
-	(*members)[place(members, name, nil)].value = value
+	(*members)[memberIndex(members, name, nil)].value = value
 	return nil
 }
 
--- a/patch/mappings.go
+++ b/patch/mappings.go
@@ -48,7 +48,7 @@
 	}
 	removeKeys(section, s.removals())
 	for _, item := range s.Upsert {
-		if err := putKey(section, item); err != nil {
+		if err := setKey(section, item); err != nil {
 			return &FieldError{Field: fmt.Sprintf("upsert.%s.%s", s.Name, item.Name), Reason: err.Error()}
 		}
 	}
@@ -60,7 +60,7 @@
 	if parent.Kind != yaml.MappingNode {
 		return nil, fmt.Errorf("%q stands below what is no mapping", name)
 	}
-	if at := keyPosition(parent, name); at >= 0 {
+	if at := keyIndex(parent, name); at >= 0 {
 		return parent.Content[at+1], nil
 	}
 	made := &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"}
@@ -74,8 +74,8 @@
 	return key
 }
 
-// keyPosition returns the place of a key among a mapping's nodes, -1 for none.
-func keyPosition(mapping *yaml.Node, name string) int {
+// keyIndex returns the place of a key among a mapping's nodes, -1 for none.
+func keyIndex(mapping *yaml.Node, name string) int {
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if mapping.Content[i].Value == name {
 			return i
@@ -94,8 +94,8 @@
 	mapping.Content = kept
 }
 
-// putKey adds an item or takes the place of the one of its name.
-func putKey(mapping *yaml.Node, item Item) error {
+// setKey adds an item or takes the place of the one of its name.
+func setKey(mapping *yaml.Node, item Item) error {
 	var value yaml.Node
 	if err := yaml.Unmarshal([]byte(item.Value), &value); err != nil {
 		return err
@@ -103,7 +103,7 @@
 	if value.Kind != yaml.DocumentNode || len(value.Content) != 1 {
 		return fmt.Errorf("%q has no value", item.Name)
 	}
-	if at := keyPosition(mapping, item.Name); at >= 0 {
+	if at := keyIndex(mapping, item.Name); at >= 0 {
 		mapping.Content[at+1] = value.Content[0]
 		return nil
 	}
--- a/registry/build.go
+++ b/registry/build.go
@@ -62,7 +62,7 @@
 
 // SOARecord returns the SOA record of the table at apex.
 func SOARecord(apex Name, head SOA) Record {
-	return Record{Name: apex, Type: TypeSOA, Class: ClassTable, Data: encodeHead(head)}
+	return Record{Name: apex, Type: TypeSOA, Class: ClassTable, Data: encodeSOA(head)}
 }
 
 // NSRecord returns the NS record that names server a server of the table.
--- a/registry/check.go
+++ b/registry/check.go
@@ -2,18 +2,18 @@
 
 import "bytes"
 
-// setKey names one set of records within a table.
-type setKey struct {
+// rrsetKey names one set of records within a table.
+type rrsetKey struct {
 	name Name
 	kind Type
 }
 
 // checkPrerequisites is section 3.2. Records are judged in order; sets required
 // with a value are compared after the last record, as the pseudocode has it.
-func checkPrerequisites(now *content, section []Record) Result {
-	required := map[setKey][]Record{}
-	var order []setKey
-	firstOf := map[setKey]int{}
+func checkPrerequisites(now *tableState, section []Record) Result {
+	required := map[rrsetKey][]Record{}
+	var order []rrsetKey
+	firstOf := map[rrsetKey]int{}
 	for i, record := range section {
 		name, code, reason := checkName(now.apex, record.Name)
 		if code == NoError {
@@ -26,7 +26,7 @@
 		if record.Class != ClassTable {
 			continue
 		}
-		key := setKey{name: name, kind: record.Type}
+		key := rrsetKey{name: name, kind: record.Type}
 		if _, seen := firstOf[key]; !seen {
 			firstOf[key] = i
 			order = append(order, key)
@@ -34,7 +34,7 @@
 		required[key] = append(required[key], record)
 	}
 	for _, key := range order {
-		if !setEquals(findSet(now.tree, key.name.key(), key.kind).records, required[key]) {
+		if !rrsetEquals(findRRset(now.tree, key.name.key(), key.kind).records, required[key]) {
 			return Result{Code: NXRRSet, FailedIndex: firstOf[key], Section: SectionPrerequisite}
 		}
 	}
@@ -56,7 +56,7 @@
 // checkPrerequisite judges one record by sections 3.2.1 to 3.2.3. The
 // pseudocode's last else would also reject classes ANY and NONE; the text rejects
 // only classes that are none of the three.
-func checkPrerequisite(now *content, record Record) ResponseCode {
+func checkPrerequisite(now *tableState, record Record) ResponseCode {
 	if record.TTL != 0 {
 		return FormErr
 	}
@@ -73,13 +73,13 @@
 	key := record.Name.key()
 	wanted := record.Class == ClassAny
 	if record.Type == TypeANY {
-		return existence(wanted, nameInUse(now.tree, key), NXDomain, YXDomain)
+		return checkExistence(wanted, nameInUse(now.tree, key), NXDomain, YXDomain)
 	}
-	found := len(findSet(now.tree, key, record.Type).records) > 0
-	return existence(wanted, found, NXRRSet, YXRRSet)
+	found := len(findRRset(now.tree, key, record.Type).records) > 0
+	return checkExistence(wanted, found, NXRRSet, YXRRSet)
 }
 
-func existence(wanted, found bool, missing, present ResponseCode) ResponseCode {
+func checkExistence(wanted, found bool, missing, present ResponseCode) ResponseCode {
 	switch {
 	case wanted && !found:
 		return missing
@@ -89,8 +89,8 @@
 	return NoError
 }
 
-// setEquals compares two sets of one name and type, lifetimes and repeats ignored.
-func setEquals(have, want []Record) bool {
+// rrsetEquals compares two sets of one name and type, lifetimes and repeats ignored.
+func rrsetEquals(have, want []Record) bool {
 	distinct := map[string]bool{}
 	for _, record := range want {
 		distinct[string(record.Data)] = true
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -68,9 +68,9 @@
 	return nil
 }
 
-func encodeHead(head SOA) []byte { return encode(head) }
+func encodeSOA(head SOA) []byte { return encode(head) }
 
-func decodeHead(data []byte) (SOA, error) {
+func decodeSOA(data []byte) (SOA, error) {
 	var head SOA
 	err := decode(data, MaxDataBytes, "head record", &head)
 	return head, err
--- a/registry/codec_test.go
+++ b/registry/codec_test.go
@@ -140,7 +140,7 @@
 		if again, err := ParseName(string(one)); err != nil || again != one {
 			t.Fatalf("ParseName(%q) = %q, %v", one, again, err)
 		}
-		below := slices.Equal(tail(one.Labels(), len(other.Labels())), other.Labels())
+		below := slices.Equal(lastLabels(one.Labels(), len(other.Labels())), other.Labels())
 		if one.In(other) != below || strings.HasPrefix(one.key(), other.key()) != below {
 			t.Fatalf("%q in %q: %v by labels, %v by name, keys %q and %q", one, other, below, one.In(other), one.key(), other.key())
 		}
@@ -150,8 +150,8 @@
 	})
 }
 
-// tail returns the last labels, nil if there are fewer.
-func tail(labels []string, count int) []string {
+// lastLabels returns the last labels, nil if there are fewer.
+func lastLabels(labels []string, count int) []string {
 	if len(labels) < count {
 		return nil
 	}
--- a/registry/edit.go
+++ b/registry/edit.go
@@ -6,15 +6,15 @@
 	"github.com/google/btree"
 )
 
-// edit is a change of a table in the making. It works on a clone of the tree,
+// transaction is a change of a table in the making. It works on a clone of the tree,
 // so dropping it undoes everything (section 3.4.2.1).
-type edit struct {
+type transaction struct {
 	apex    Name
-	head    SOA
+	soa     SOA
 	schema  *Schema
-	tree    *btree.BTreeG[recordSet]
+	tree    *btree.BTreeG[rrset]
 	count   int
-	changed changeLog
+	changes changeLog
 }
 
 // recordKey is what section 1.1.1 compares, within one table.
@@ -24,47 +24,47 @@
 	data string
 }
 
-// fate is a record before and after a change; nil is absent.
-type fate struct {
+// recordChange is a record before and after a change; nil is absent.
+type recordChange struct {
 	before, after *Record
 }
 
 // changeLog is the net difference made by a change, in order of first touch.
 type changeLog struct {
-	order []recordKey
-	fates map[recordKey]*fate
+	keys    []recordKey
+	changes map[recordKey]*recordChange
 }
 
 func keyOf(record Record) recordKey {
 	return recordKey{name: record.Name, kind: record.Type, data: string(record.Data)}
 }
 
-func (l *changeLog) fateOf(record Record, before *Record) *fate {
+func (l *changeLog) change(record Record, before *Record) *recordChange {
 	key := keyOf(record)
-	if found := l.fates[key]; found != nil {
+	if found := l.changes[key]; found != nil {
 		return found
 	}
-	if l.fates == nil {
-		l.fates = map[recordKey]*fate{}
+	if l.changes == nil {
+		l.changes = map[recordKey]*recordChange{}
 	}
-	created := &fate{before: before}
-	l.fates[key] = created
-	l.order = append(l.order, key)
+	created := &recordChange{before: before}
+	l.changes[key] = created
+	l.keys = append(l.keys, key)
 	return created
 }
 
 func (l *changeLog) removed(record Record) {
-	l.fateOf(record, &record).after = nil
+	l.change(record, &record).after = nil
 }
 
 func (l *changeLog) added(record Record) {
-	l.fateOf(record, nil).after = &record
+	l.change(record, nil).after = &record
 }
 
 // net returns what differs between the two ends.
 func (l *changeLog) net() (removed, added []Record) {
-	for _, key := range l.order {
-		fate := l.fates[key]
+	for _, key := range l.keys {
+		fate := l.changes[key]
 		if fate.before != nil && fate.after != nil && fate.before.TTL == fate.after.TTL {
 			continue
 		}
@@ -79,8 +79,8 @@
 }
 
 // replaceSet stores the records as the set of one name and type.
-func (e *edit) replaceSet(key string, recordType Type, records []Record) {
-	set := recordSet{key: key, kind: recordType, records: records}
+func (e *transaction) replaceSet(key string, recordType Type, records []Record) {
+	set := rrset{key: key, kind: recordType, records: records}
 	if len(records) == 0 {
 		e.tree.Delete(set)
 		return
@@ -89,13 +89,13 @@
 }
 
 // remove drops the records that match from one set.
-func (e *edit) remove(key string, recordType Type, match func(Record) bool) {
-	set := findSet(e.tree, key, recordType)
-	kept := without(set.records, func(record Record) bool {
+func (e *transaction) remove(key string, recordType Type, match func(Record) bool) {
+	set := findRRset(e.tree, key, recordType)
+	kept := filterOut(set.records, func(record Record) bool {
 		if !match(record) {
 			return false
 		}
-		e.changed.removed(record)
+		e.changes.removed(record)
 		return true
 	})
 	if len(kept) == len(set.records) {
@@ -106,15 +106,15 @@
 }
 
 // insert stores a record that is not in its set yet.
-func (e *edit) insert(key string, record Record) {
-	set := findSet(e.tree, key, record.Type)
-	e.replaceSet(key, record.Type, with(set.records, record))
-	e.changed.added(record)
+func (e *transaction) insert(key string, record Record) {
+	set := findRRset(e.tree, key, record.Type)
+	e.replaceSet(key, record.Type, insertRecord(set.records, record))
+	e.changes.added(record)
 	e.count++
 }
 
 // apply processes one record of the update section (3.4.2). Its name is canonical.
-func (e *edit) apply(record Record) {
+func (e *transaction) apply(record Record) {
 	switch record.Class {
 	case ClassTable:
 		e.add(record)
@@ -126,20 +126,20 @@
 }
 
 // add is section 3.4.2.2.
-func (e *edit) add(record Record) {
+func (e *transaction) add(record Record) {
 	key := record.Name.key()
 	if record.Type == TypeSOA {
-		e.replaceHead(record)
+		e.replaceSOA(record)
 		return
 	}
-	if e.aliasConflict(key, record.Type) {
+	if e.cnameConflict(key, record.Type) {
 		return
 	}
 	e.put(key, record)
 }
 
 // put stores a record in place of those that its kind replaces.
-func (e *edit) put(key string, record Record) {
+func (e *transaction) put(key string, record Record) {
 	kind := e.schema.kinds[record.Type]
 	record.Data = bytes.Clone(record.Data)
 	e.remove(key, record.Type, func(existing Record) bool {
@@ -148,28 +148,28 @@
 	e.insert(key, record)
 }
 
-// replaceHead ignores a head that is not at the apex, or whose serial is zero or
+// replaceSOA ignores a head that is not at the apex, or whose serial is zero or
 // not higher than the current one: the text's "lower or equal" outranks the
 // pseudocode's "greater".
-func (e *edit) replaceHead(record Record) {
-	head, err := decodeHead(record.Data)
+func (e *transaction) replaceSOA(record Record) {
+	head, err := decodeSOA(record.Data)
 	if err != nil || record.Name != e.apex {
 		return
 	}
-	if head.Serial == 0 || !SerialLess(e.head.Serial, head.Serial) {
+	if head.Serial == 0 || !SerialLess(e.soa.Serial, head.Serial) {
 		return
 	}
-	e.head = head
-	e.put(record.Name.key(), Record{Name: e.apex, Type: TypeSOA, Class: ClassTable, TTL: record.TTL, Data: encodeHead(head)})
+	e.soa = head
+	e.put(record.Name.key(), Record{Name: e.apex, Type: TypeSOA, Class: ClassTable, TTL: record.TTL, Data: encodeSOA(head)})
 }
 
-// aliasConflict reports whether a CNAME would stand beside another kind.
-func (e *edit) aliasConflict(key string, recordType Type) bool {
+// cnameConflict reports whether a CNAME would stand beside another kind.
+func (e *transaction) cnameConflict(key string, recordType Type) bool {
 	if recordType != TypeCNAME {
-		return len(findSet(e.tree, key, TypeCNAME).records) > 0
+		return len(findRRset(e.tree, key, TypeCNAME).records) > 0
 	}
 	conflict := false
-	eachSetAt(e.tree, key, func(set recordSet) bool {
+	eachRRsetAt(e.tree, key, func(set rrset) bool {
 		conflict = set.kind != TypeCNAME
 		return !conflict
 	})
@@ -177,10 +177,10 @@
 }
 
 // deleteSets is section 3.4.2.3.
-func (e *edit) deleteSets(record Record) {
+func (e *transaction) deleteSets(record Record) {
 	key := record.Name.key()
 	var kinds []Type
-	eachSetAt(e.tree, key, func(set recordSet) bool {
+	eachRRsetAt(e.tree, key, func(set rrset) bool {
 		if record.Type == TypeANY || record.Type == set.kind {
 			kinds = append(kinds, set.kind)
 		}
@@ -195,13 +195,13 @@
 }
 
 // deleteRecord is section 3.4.2.4.
-func (e *edit) deleteRecord(record Record) {
+func (e *transaction) deleteRecord(record Record) {
 	key := record.Name.key()
 	if record.Name == e.apex {
 		if record.Type == TypeSOA {
 			return
 		}
-		if record.Type == TypeNS && len(findSet(e.tree, key, TypeNS).records) <= 1 {
+		if record.Type == TypeNS && len(findRRset(e.tree, key, TypeNS).records) <= 1 {
 			return
 		}
 	}
@@ -211,15 +211,15 @@
 }
 
 // raiseSerial increments the serial if the update did not (section 3.6).
-func (e *edit) raiseSerial(before uint32) {
-	if e.head.Serial != before {
+func (e *transaction) raiseSerial(before uint32) {
+	if e.soa.Serial != before {
 		return
 	}
 	key := e.apex.key()
 	var ttl uint32
-	for _, record := range findSet(e.tree, key, TypeSOA).records {
+	for _, record := range findRRset(e.tree, key, TypeSOA).records {
 		ttl = record.TTL
 	}
-	e.head.Serial = NextSerial(before)
-	e.put(key, Record{Name: e.apex, Type: TypeSOA, Class: ClassTable, TTL: ttl, Data: encodeHead(e.head)})
+	e.soa.Serial = NextSerial(before)
+	e.put(key, Record{Name: e.apex, Type: TypeSOA, Class: ClassTable, TTL: ttl, Data: encodeSOA(e.soa)})
 }
--- a/registry/golden_encoding_test.go
+++ b/registry/golden_encoding_test.go
@@ -40,7 +40,7 @@
 // goldenApex is the apex of the tables in the golden files.
 const goldenApex Name = "deckpulley."
 
-func goldenHead(serial uint32) SOA {
+func goldenSOA(serial uint32) SOA {
 	return SOA{Primary: "control-1", Serial: serial, Refresh: 900, Expire: 3600}
 }
 
@@ -50,7 +50,7 @@
 	return map[string]Record{
 		"ns":           NSRecord(goldenApex, "control-1"),
 		"cname":        rr("alias.deckpulley.", TypeCNAME, "route-a.deckpulley."),
-		"soa":          SOARecord(goldenApex, goldenHead(1<<32-1)),
+		"soa":          SOARecord(goldenApex, goldenSOA(1<<32-1)),
 		"wks":          rr("w.deckpulley.", TypeWKS, "1234\x06mask"),
 		"private":      withTTL(rr("route-a.deckpulley.", typeOne, "\x00\xffdata"), 300),
 		"private-last": rr("last.deckpulley.", 1<<16-1, "last type"),
@@ -79,13 +79,13 @@
 
 func TestGoldenSOAData(t *testing.T) {
 	cases := map[string]SOA{
-		"soa-data":      goldenHead(7),
+		"soa-data":      goldenSOA(7),
 		"soa-data-zero": {},
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
-			golden := checkGolden(t, name, encodeHead(want))
-			if got, err := decodeHead(golden); err != nil || got != want {
+			golden := checkGolden(t, name, encodeSOA(want))
+			if got, err := decodeSOA(golden); err != nil || got != want {
 				t.Errorf("decoded %+v, %v, want %+v", got, err, want)
 			}
 		})
@@ -110,7 +110,7 @@
 		"prerequisite-name-in-use":         prerequisite(InUse(route.Name)),
 		"prerequisite-name-not-in-use":     prerequisite(NotInUse(route.Name)),
 		"change-add":                       change(Add(route)),
-		"change-add-soa":                   change(Add(SOARecord(goldenApex, goldenHead(8)))),
+		"change-add-soa":                   change(Add(SOARecord(goldenApex, goldenSOA(8)))),
 		"change-delete-rrset":              change(DeleteSet(route.Name, route.Type)),
 		"change-delete-name":               change(DeleteName(route.Name)),
 		"change-delete-record":             change(DeleteRecord(route)),
@@ -143,7 +143,7 @@
 // records; that to serial 12 replaced one, deleted the other and added a third.
 func goldenTable(t *testing.T) *Table {
 	t.Helper()
-	table, err := New(goldenApex, testSchema(), goldenHead(10), []string{"control-1", "control-2"})
+	table, err := New(goldenApex, testSchema(), goldenSOA(10), []string{"control-1", "control-2"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,8 +173,8 @@
 	if again, err := restored.Snapshot(); err != nil || !bytes.Equal(again, golden) {
 		t.Errorf("restored table encodes as %x, %v, want %x", again, err, golden)
 	}
-	if restored.SOA() != goldenHead(12) {
-		t.Errorf("restored table has %+v, want %+v", restored.SOA(), goldenHead(12))
+	if restored.SOA() != goldenSOA(12) {
+		t.Errorf("restored table has %+v, want %+v", restored.SOA(), goldenSOA(12))
 	}
 	if difference := cmp.Diff(dump(table.View()), dump(restored.View())); difference != "" {
 		t.Errorf("restored table differs (-want +got):\n%s", difference)
@@ -191,17 +191,17 @@
 	}{
 		"full": {0, Transfer{Full: true, To: 12, Added: []Record{
 			NSRecord(goldenApex, "control-1"), NSRecord(goldenApex, "control-2"),
-			SOARecord(goldenApex, goldenHead(12)), newRoute, alias,
+			SOARecord(goldenApex, goldenSOA(12)), newRoute, alias,
 		}}},
 		"incremental": {11, Transfer{
 			From: 11, To: 12,
-			Removed: []Record{oldRoute, withTTL(rr("route-b.deckpulley.", typeMany, "2"), 60), SOARecord(goldenApex, goldenHead(11))},
-			Added:   []Record{newRoute, alias, SOARecord(goldenApex, goldenHead(12))},
+			Removed: []Record{oldRoute, withTTL(rr("route-b.deckpulley.", typeMany, "2"), 60), SOARecord(goldenApex, goldenSOA(11))},
+			Added:   []Record{newRoute, alias, SOARecord(goldenApex, goldenSOA(12))},
 		}},
 		"incremental-of-two-updates": {10, Transfer{
 			From: 10, To: 12,
-			Removed: []Record{SOARecord(goldenApex, goldenHead(10))},
-			Added:   []Record{newRoute, alias, SOARecord(goldenApex, goldenHead(12))},
+			Removed: []Record{SOARecord(goldenApex, goldenSOA(10))},
+			Added:   []Record{newRoute, alias, SOARecord(goldenApex, goldenSOA(12))},
 		}},
 		"of-nothing": {12, Transfer{From: 12, To: 12}},
 	}
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -437,7 +437,7 @@
 				t.Errorf("%s, serial %d, head %+v, want %d by %s", result.Code, result.Serial, table.SOA(), c.want, c.primary)
 			}
 			records := table.View().Lookup(testApex, TypeSOA)
-			if len(records) != 1 || string(records[0].Data) != string(encodeHead(table.SOA())) {
+			if len(records) != 1 || string(records[0].Data) != string(encodeSOA(table.SOA())) {
 				t.Errorf("head records %v do not say %+v", records, table.SOA())
 			}
 		})
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -14,7 +14,7 @@
 // model is the slow, obvious table: a list of records, judged by walking it.
 type model struct {
 	records []Record // without the head
-	head    SOA
+	soa     SOA
 }
 
 func (m *model) count(match func(Record) bool) int {
@@ -28,7 +28,7 @@
 }
 
 func (m *model) all() []Record {
-	return append(slices.Clone(m.records), SOARecord(testApex, m.head))
+	return append(slices.Clone(m.records), SOARecord(testApex, m.soa))
 }
 
 func sameName(a, b Record) bool { return strings.EqualFold(string(a.Name), string(b.Name)) }
@@ -142,9 +142,9 @@
 
 func (m *model) add(record Record) {
 	if record.Type == TypeSOA {
-		head, _ := decodeHead(record.Data)
-		if record.Name == testApex && head.Serial != 0 && int32(head.Serial-m.head.Serial) > 0 {
-			m.head = head
+		head, _ := decodeSOA(record.Data)
+		if record.Name == testApex && head.Serial != 0 && int32(head.Serial-m.soa.Serial) > 0 {
+			m.soa = head
 		}
 		return
 	}
@@ -172,14 +172,14 @@
 	if code := m.prescan(update.Changes); code != NoError {
 		return code
 	}
-	before, serial := m.dump(), m.head.Serial
+	before, serial := m.dump(), m.soa.Serial
 	for _, record := range update.Changes {
 		m.change(record)
 	}
-	if m.head.Serial == serial && !slices.Equal(before, m.dump()) {
-		m.head.Serial++
-		if m.head.Serial == 0 {
-			m.head.Serial = 1
+	if m.soa.Serial == serial && !slices.Equal(before, m.dump()) {
+		m.soa.Serial++
+		if m.soa.Serial == 0 {
+			m.soa.Serial = 1
 		}
 	}
 	return NoError
@@ -206,7 +206,7 @@
 	}
 	if record.Type == TypeSOA && record.Class == ClassTable {
 		offset := rapid.SampledFrom([]uint32{0, 1, 5, 1 << 31, 1<<31 - 1, 1<<32 - 3}).Draw(t, "offset")
-		record.Data = encodeHead(SOA{Primary: "a", Serial: serial + offset})
+		record.Data = encodeSOA(SOA{Primary: "a", Serial: serial + offset})
 		return record
 	}
 	if record.Class != ClassAny || rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
@@ -220,15 +220,15 @@
 func drawPrerequisite(t *rapid.T, m *model) []Record {
 	switch rapid.IntRange(0, 5).Draw(t, "prerequisite") {
 	case 0:
-		record := drawRecord(t, m.head.Serial)
+		record := drawRecord(t, m.soa.Serial)
 		return []Record{Exists(record.Name, record.Type)}
 	case 1:
-		record := drawRecord(t, m.head.Serial)
+		record := drawRecord(t, m.soa.Serial)
 		return []Record{Absent(record.Name, record.Type)}
 	case 2:
-		return []Record{InUse(drawRecord(t, m.head.Serial).Name)}
+		return []Record{InUse(drawRecord(t, m.soa.Serial).Name)}
 	case 3:
-		return []Record{NotInUse(drawRecord(t, m.head.Serial).Name)}
+		return []Record{NotInUse(drawRecord(t, m.soa.Serial).Name)}
 	case 4:
 		wanted := rapid.SampledFrom(m.all()).Draw(t, "held")
 		var set []Record
@@ -239,11 +239,11 @@
 		}
 		return set
 	}
-	return []Record{drawRecord(t, m.head.Serial)}
+	return []Record{drawRecord(t, m.soa.Serial)}
 }
 
-// seen is a view and what it showed when it was taken.
-type seen struct {
+// takenView is a view and what it showed when it was taken.
+type takenView struct {
 	view   View
 	serial uint32
 	dump   []string
@@ -260,25 +260,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reference := &model{records: slices.Clone(members), head: head}
+		reference := &model{records: slices.Clone(members), soa: head}
 		secondary := NewSecondary(testApex, testSchema())
-		var views []seen
+		var views []takenView
 		for range rapid.IntRange(1, 12).Draw(t, "updates") {
 			update := drawUpdate(t, reference)
 			want := reference.apply(update)
 			result := table.Apply(&update, nil)
-			if result.Code != want || table.SOA() != reference.head {
-				t.Fatalf("code %s, head %+v, want %s, %+v", result.Code, table.SOA(), want, reference.head)
+			if result.Code != want || table.SOA() != reference.soa {
+				t.Fatalf("code %s, head %+v, want %s, %+v", result.Code, table.SOA(), want, reference.soa)
 			}
 			if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
 				t.Fatalf("records differ (-model +table):\n%s", difference)
 			}
 			if rapid.Bool().Draw(t, "transfer") {
-				secondary = follow(t, table, secondary)
+				secondary = replicate(t, table, secondary)
 			}
-			views = append(views, seen{view: table.View(), serial: table.Serial(), dump: dump(table.View())})
+			views = append(views, takenView{view: table.View(), serial: table.Serial(), dump: dump(table.View())})
 		}
-		follow(t, table, secondary)
+		replicate(t, table, secondary)
 		for _, taken := range views {
 			if taken.view.Serial() != taken.serial || !slices.Equal(dump(taken.view), taken.dump) {
 				t.Fatalf("the view of serial %d has changed", taken.serial)
@@ -293,15 +293,15 @@
 		update.Prerequisites = append(update.Prerequisites, drawPrerequisite(t, reference)...)
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "changes") {
-		update.Changes = append(update.Changes, drawRecord(t, reference.head.Serial))
+		update.Changes = append(update.Changes, drawRecord(t, reference.soa.Serial))
 	}
 	return update
 }
 
-// follow brings the secondary up by an encoded transfer and compares snapshots.
+// replicate brings the secondary up by an encoded transfer and compares snapshots.
 // One that the serial has left half the circle behind must refuse (RFC 1982 does
 // not order the two) and is replaced by an empty one. It returns the secondary.
-func follow(t *rapid.T, table, secondary *Table) *Table {
+func replicate(t *rapid.T, table, secondary *Table) *Table {
 	data, err := EncodeTransfer(table.TransferSince(secondary.Serial()))
 	if err != nil {
 		t.Fatal(err)
@@ -317,7 +317,7 @@
 	lost := held != 0 && held != table.Serial() && !SerialLess(held, table.Serial())
 	err = secondary.ApplyTransfer(transfer)
 	if lost && errors.Is(err, ErrNotNewer) && secondary.Serial() == held {
-		return follow(t, table, NewSecondary(testApex, testSchema()))
+		return replicate(t, table, NewSecondary(testApex, testSchema()))
 	}
 	if lost || err != nil {
 		t.Fatalf("held %d, transfer to %d: %v", held, transfer.To, err)
--- a/registry/name.go
+++ b/registry/name.go
@@ -93,14 +93,14 @@
 
 // canonicalName returns the canonical form of a name from outside.
 func canonicalName(n Name) (Name, error) {
-	if plainCanonical(n) {
+	if isPlainCanonical(n) {
 		return n, nil
 	}
 	return ParseName(string(n))
 }
 
-// plainCanonical recognizes the common canonical names without allocating.
-func plainCanonical(n Name) bool {
+// isPlainCanonical recognizes the common canonical names without allocating.
+func isPlainCanonical(n Name) bool {
 	if len(n) < 2 || len(n) > MaxNameBytes-1 || n[len(n)-1] != '.' {
 		return false
 	}
--- a/registry/requestor_test.go
+++ b/registry/requestor_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// scripted answers each server's exchange from a table; a missing server never answers.
-type scripted struct {
-	answers map[string]ResponseCode
-	asked   []string
-	hops    []int
+// scriptedExchanger answers each server's exchange from a table; a missing server never answers.
+type scriptedExchanger struct {
+	answers   map[string]ResponseCode
+	contacted []string
+	hops      []int
 }
 
 var errUnreachable = errors.New("port unreachable")
 
-func (s *scripted) Exchange(ctx context.Context, server string, hops int, _ *Update) (Result, error) {
-	s.asked = append(s.asked, server)
+func (s *scriptedExchanger) Exchange(ctx context.Context, server string, hops int, _ *Update) (Result, error) {
+	s.contacted = append(s.contacted, server)
 	s.hops = append(s.hops, hops)
 	code, answers := s.answers[server]
 	switch {
@@ -58,15 +58,15 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				exchanger := &scripted{answers: answers}
+				exchanger := &scriptedExchanger{answers: answers}
 				requestor := Requestor{Exchanger: exchanger, Timeout: time.Second}
 				start := time.Now()
 				result, err := requestor.Send(t.Context(), c.servers, &Update{})
 				if result.Code != c.code || errors.Is(err, ErrNoServer) != c.gaveUp || (err != nil) != c.gaveUp {
 					t.Errorf("code %s, error %v", result.Code, err)
 				}
-				if !slices.Equal(exchanger.asked, c.asked) || time.Since(start) != c.elapsed {
-					t.Errorf("asked %v in %v, want %v in %v", exchanger.asked, time.Since(start), c.asked, c.elapsed)
+				if !slices.Equal(exchanger.contacted, c.asked) || time.Since(start) != c.elapsed {
+					t.Errorf("asked %v in %v, want %v in %v", exchanger.contacted, time.Since(start), c.asked, c.elapsed)
 				}
 			})
 		})
@@ -76,13 +76,13 @@
 func TestSection4RequestorStopsWithItsCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	exchanger := &scripted{}
+	exchanger := &scriptedExchanger{}
 	requestor := Requestor{Exchanger: exchanger}
 	if _, err := requestor.Send(ctx, []string{"silent", "other"}, &Update{}); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v, want context.Canceled", err)
 	}
-	if len(exchanger.asked) != 1 {
-		t.Errorf("asked %v after the caller went away", exchanger.asked)
+	if len(exchanger.contacted) != 1 {
+		t.Errorf("asked %v after the caller went away", exchanger.contacted)
 	}
 }
 
@@ -108,14 +108,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				exchanger := &scripted{answers: answers}
+				exchanger := &scriptedExchanger{answers: answers}
 				forwarder := Forwarder{Exchanger: exchanger}
 				result, err := forwarder.Forward(t.Context(), c.sources, c.hops, &Update{})
 				if result.Code != c.code || !errors.Is(err, c.want) {
 					t.Errorf("code %s, error %v, want %s and %v", result.Code, err, c.code, c.want)
 				}
-				if !slices.Equal(exchanger.asked, c.asked) {
-					t.Errorf("asked %v, want %v", exchanger.asked, c.asked)
+				if !slices.Equal(exchanger.contacted, c.asked) {
+					t.Errorf("asked %v, want %v", exchanger.contacted, c.asked)
 				}
 				for _, hops := range exchanger.hops {
 					if hops != c.hops+1 {
--- a/registry/schema.go
+++ b/registry/schema.go
@@ -16,7 +16,7 @@
 // the kinds given. It fails on a type below FirstOwnType and on a type or name
 // declared twice.
 func NewSchema(kinds ...Kind) (*Schema, error) {
-	schema := &Schema{kinds: sourceKinds()}
+	schema := &Schema{kinds: standardKinds()}
 	names := map[string]bool{}
 	for _, kind := range schema.kinds {
 		names[kind.Name] = true
@@ -43,12 +43,12 @@
 	return kind, known
 }
 
-// sourceKinds declares the types that the source gives rules for (1.1.5).
-func sourceKinds() map[Type]Kind {
+// standardKinds declares the types that the source gives rules for (1.1.5).
+func standardKinds() map[Type]Kind {
 	return map[Type]Kind{
 		TypeNS:    {Type: TypeNS, Name: "NS"},
 		TypeCNAME: {Type: TypeCNAME, Name: "CNAME", Singleton: true},
-		TypeSOA:   {Type: TypeSOA, Name: "SOA", Singleton: true, Check: checkHead},
+		TypeSOA:   {Type: TypeSOA, Name: "SOA", Singleton: true, Check: checkSOAData},
 		TypeWKS:   {Type: TypeWKS, Name: "WKS", Key: wksKey, Check: checkWKS},
 	}
 }
@@ -64,8 +64,8 @@
 	return nil
 }
 
-func checkHead(data []byte) error {
-	_, err := decodeHead(data)
+func checkSOAData(data []byte) error {
+	_, err := decodeSOA(data)
 	return err
 }
 
--- a/registry/snapshot.go
+++ b/registry/snapshot.go
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("%w: apex %q of snapshot", ErrMalformed, saved.Apex)
 	}
 	table := NewSecondary(apex, schema)
-	serial, err := headSerial(apex, saved.Records)
+	serial, err := soaSerial(apex, saved.Records)
 	if err != nil {
 		return nil, err
 	}
@@ -47,10 +47,10 @@
 	return table, nil
 }
 
-func headSerial(apex Name, records []Record) (uint32, error) {
+func soaSerial(apex Name, records []Record) (uint32, error) {
 	for _, record := range records {
 		if record.Name == apex && record.Type == TypeSOA {
-			head, err := decodeHead(record.Data)
+			head, err := decodeSOA(record.Data)
 			return head.Serial, err
 		}
 	}
--- a/registry/table.go
+++ b/registry/table.go
@@ -42,7 +42,7 @@
 
 	mutex   sync.Mutex // held while a change is made and while the journal is read
 	journal journal
-	current atomic.Pointer[content]
+	current atomic.Pointer[tableState]
 }
 
 // New returns a primary copy of an empty table at apex, with its head and its
@@ -59,13 +59,13 @@
 		return nil, fmt.Errorf("%w: no member", ErrSOA)
 	}
 	table := newTable(apex, schema)
-	work := &edit{apex: apex, schema: schema, tree: newTree()}
-	work.head = head
+	work := &transaction{apex: apex, schema: schema, tree: newTree()}
+	work.soa = head
 	work.put(apex.key(), SOARecord(apex, head))
 	for _, member := range members {
 		work.add(NSRecord(apex, member))
 	}
-	table.current.Store(work.content())
+	table.current.Store(work.state())
 	return table, nil
 }
 
@@ -76,7 +76,7 @@
 	}
 	table := newTable(apex, schema)
 	table.secondary = true
-	table.current.Store(&content{apex: apex, tree: newTree()})
+	table.current.Store(&tableState{apex: apex, tree: newTree()})
 	return table
 }
 
@@ -91,7 +91,7 @@
 func (t *Table) SOA() SOA { return t.View().SOA() }
 
 // View returns the table as it is now.
-func (t *Table) View() View { return View{content: t.current.Load()} }
+func (t *Table) View() View { return View{state: t.current.Load()} }
 
 // Apply processes one update through all the steps of section 3: all of it takes
 // effect or none, and the result is the same on every copy with the same content.
@@ -107,14 +107,14 @@
 	now := t.current.Load()
 	result := t.evaluate(now, update, policy)
 	if result.Code != NoError {
-		result.Serial = now.head.Serial
+		result.Serial = now.soa.Serial
 		return result
 	}
 	return t.commit(now, update, store)
 }
 
 // evaluate does everything that may answer an error before the first change.
-func (t *Table) evaluate(now *content, update *Update, policy Policy) Result {
+func (t *Table) evaluate(now *tableState, update *Update, policy Policy) Result {
 	if err := update.checkLimits(); err != nil {
 		return Result{Code: FormErr, FailedIndex: -1, Reason: err}
 	}
@@ -155,34 +155,34 @@
 }
 
 // commit applies the changes in order to a clone and publishes it (3.4.2 to 3.7).
-func (t *Table) commit(now *content, update *Update, store PersistFunc) Result {
-	work := &edit{apex: t.apex, head: now.head, schema: t.schema, tree: now.tree.Clone(), count: now.count}
+func (t *Table) commit(now *tableState, update *Update, store PersistFunc) Result {
+	work := &transaction{apex: t.apex, soa: now.soa, schema: t.schema, tree: now.tree.Clone(), count: now.count}
 	for _, change := range update.Changes {
 		change.Name, _ = canonicalName(change.Name) // the prescan has checked it
 		work.apply(change)
 	}
-	removed, added := work.changed.net()
+	removed, added := work.changes.net()
 	if len(removed) == 0 && len(added) == 0 {
-		return Result{Serial: now.head.Serial, FailedIndex: -1}
+		return Result{Serial: now.soa.Serial, FailedIndex: -1}
 	}
 	if work.count > t.maxRecords {
-		return Result{Code: ServFail, Serial: now.head.Serial, FailedIndex: -1, Section: SectionChange, Reason: ErrTableFull}
+		return Result{Code: ServFail, Serial: now.soa.Serial, FailedIndex: -1, Section: SectionChange, Reason: ErrTableFull}
 	}
-	work.raiseSerial(now.head.Serial)
-	removed, added = work.changed.net()
-	transfer := Transfer{From: now.head.Serial, To: work.head.Serial, Removed: removed, Added: added}
-	result := Result{Serial: work.head.Serial, Changed: true, FailedIndex: -1}
+	work.raiseSerial(now.soa.Serial)
+	removed, added = work.changes.net()
+	transfer := Transfer{From: now.soa.Serial, To: work.soa.Serial, Removed: removed, Added: added}
+	result := Result{Serial: work.soa.Serial, Changed: true, FailedIndex: -1}
 	if store != nil {
 		if err := store(result, transfer); err != nil {
-			return Result{Code: ServFail, Serial: now.head.Serial, FailedIndex: -1, Section: SectionChange, Reason: err}
+			return Result{Code: ServFail, Serial: now.soa.Serial, FailedIndex: -1, Section: SectionChange, Reason: err}
 		}
 	}
 	t.journal.append(transfer)
-	t.current.Store(work.content())
+	t.current.Store(work.state())
 	return result
 }
 
-// content closes the edit.
-func (e *edit) content() *content {
-	return &content{apex: e.apex, head: e.head, tree: e.tree, count: e.count}
+// state closes the edit.
+func (e *transaction) state() *tableState {
+	return &tableState{apex: e.apex, soa: e.soa, tree: e.tree, count: e.count}
 }
--- a/registry/transfer.go
+++ b/registry/transfer.go
@@ -33,11 +33,11 @@
 
 func (j *journal) append(entry Transfer) {
 	j.entries = append(j.entries, entry)
-	records, size := weight(entry)
+	records, size := transferSize(entry)
 	j.records += records
 	j.bytes += size
 	for len(j.entries) > 0 && (len(j.entries) > MaxJournalUpdates || j.records > MaxJournalRecords || j.bytes > MaxJournalBytes) {
-		records, size = weight(j.entries[0])
+		records, size = transferSize(j.entries[0])
 		j.records -= records
 		j.bytes -= size
 		j.entries[0] = Transfer{}
@@ -45,7 +45,7 @@
 	}
 }
 
-func weight(entry Transfer) (records, size int) {
+func transferSize(entry Transfer) (records, size int) {
 	for _, section := range [][]Record{entry.Removed, entry.Added} {
 		records += len(section)
 		for i := range section {
@@ -73,7 +73,7 @@
 	entries, reached := t.journal.since(from)
 	entries = append([]Transfer(nil), entries...)
 	t.mutex.Unlock()
-	if from == now.head.Serial && from != 0 {
+	if from == now.soa.Serial && from != 0 {
 		return Transfer{From: from, To: from}
 	}
 	if !reached {
@@ -82,13 +82,13 @@
 	return merge(entries)
 }
 
-func fullTransfer(now *content) Transfer {
-	return Transfer{Full: true, To: now.head.Serial, Added: allRecords(now)}
+func fullTransfer(now *tableState) Transfer {
+	return Transfer{Full: true, To: now.soa.Serial, Added: allRecords(now)}
 }
 
-func allRecords(now *content) []Record {
+func allRecords(now *tableState) []Record {
 	records := make([]Record, 0, now.count)
-	now.tree.Ascend(func(set recordSet) bool {
+	now.tree.Ascend(func(set rrset) bool {
 		records = append(records, set.records...)
 		return true
 	})
@@ -116,14 +116,14 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.current.Load()
-	held := now.head.Serial
+	held := now.soa.Serial
 	if transfer.To == held && held != 0 && (transfer.Full || transfer.From == held) {
 		return nil
 	}
 	if held != 0 && !SerialLess(held, transfer.To) {
 		return fmt.Errorf("%w: held %d, transfer to %d", ErrNotNewer, held, transfer.To)
 	}
-	next, err := t.transferred(now, transfer)
+	next, err := t.stateAfter(now, transfer)
 	if err != nil {
 		return err
 	}
@@ -136,37 +136,37 @@
 	return nil
 }
 
-// transferred returns the content that the transfer leads to.
-func (t *Table) transferred(now *content, transfer Transfer) (*content, error) {
-	work := &edit{apex: t.apex, head: now.head, schema: t.schema}
+// stateAfter returns the content that the transfer leads to.
+func (t *Table) stateAfter(now *tableState, transfer Transfer) (*tableState, error) {
+	work := &transaction{apex: t.apex, soa: now.soa, schema: t.schema}
 	if transfer.Full {
 		if len(transfer.Removed) != 0 {
 			return nil, fmt.Errorf("%w: full, with removed records", ErrTransfer)
 		}
 		work.tree = newTree()
 	} else {
-		if transfer.From != now.head.Serial || transfer.From == 0 {
-			return nil, fmt.Errorf("%w: held %d, transfer from %d", ErrGap, now.head.Serial, transfer.From)
+		if transfer.From != now.soa.Serial || transfer.From == 0 {
+			return nil, fmt.Errorf("%w: held %d, transfer from %d", ErrGap, now.soa.Serial, transfer.From)
 		}
 		work.tree, work.count = now.tree.Clone(), now.count
 	}
-	if err := work.transfer(transfer); err != nil {
+	if err := work.applyTransfer(transfer); err != nil {
 		return nil, err
 	}
 	if work.count > t.maxRecords {
 		return nil, &LimitError{What: "records of table", Got: work.count, Limit: t.maxRecords}
 	}
-	if err := work.checkTransferred(transfer.To); err != nil {
+	if err := work.checkApexRecords(transfer.To); err != nil {
 		return nil, err
 	}
-	return work.content(), nil
+	return work.state(), nil
 }
 
-// transfer removes, then adds, exactly what is listed: the rules of adding have
+// applyTransfer removes, then adds, exactly what is listed: the rules of adding have
 // been applied by the primary.
-func (e *edit) transfer(transfer Transfer) error {
+func (e *transaction) applyTransfer(transfer Transfer) error {
 	for _, record := range transfer.Removed {
-		if err := e.checkForeign(record); err != nil {
+		if err := e.checkReceived(record); err != nil {
 			return err
 		}
 		before := e.count
@@ -176,11 +176,11 @@
 		}
 	}
 	for _, record := range transfer.Added {
-		if err := e.checkForeign(record); err != nil {
+		if err := e.checkReceived(record); err != nil {
 			return err
 		}
 		key := record.Name.key()
-		for _, existing := range findSet(e.tree, key, record.Type).records {
+		for _, existing := range findRRset(e.tree, key, record.Type).records {
 			if sameRecord(existing, record) {
 				return fmt.Errorf("%w: added record of %s is present", ErrTransfer, record.Name)
 			}
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// checkForeign checks the form of a record that another node sent.
-func (e *edit) checkForeign(record Record) error {
+// checkReceived checks the form of a record that another node sent.
+func (e *transaction) checkReceived(record Record) error {
 	canonical, err := canonicalName(record.Name)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
@@ -205,23 +205,23 @@
 	return checkRecordLimits([]Record{record})
 }
 
-// checkTransferred requires exactly one head, with the serial announced, and a member.
-func (e *edit) checkTransferred(serial uint32) error {
+// checkApexRecords requires exactly one head, with the serial announced, and a member.
+func (e *transaction) checkApexRecords(serial uint32) error {
 	key := e.apex.key()
-	heads := findSet(e.tree, key, TypeSOA).records
+	heads := findRRset(e.tree, key, TypeSOA).records
 	if len(heads) != 1 {
 		return fmt.Errorf("%w: %d head records", ErrTransfer, len(heads))
 	}
-	head, err := decodeHead(heads[0].Data)
+	head, err := decodeSOA(heads[0].Data)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
 	}
 	if head.Serial != serial || serial == 0 {
 		return fmt.Errorf("%w: head has serial %d, transfer %d", ErrTransfer, head.Serial, serial)
 	}
-	if len(findSet(e.tree, key, TypeNS).records) == 0 {
+	if len(findRRset(e.tree, key, TypeNS).records) == 0 {
 		return fmt.Errorf("%w: no member record", ErrTransfer)
 	}
-	e.head = head
+	e.soa = head
 	return nil
 }
--- a/registry/transfer_test.go
+++ b/registry/transfer_test.go
@@ -44,7 +44,7 @@
 	}
 	records, size := 0, 0
 	for _, entry := range table.journal.entries {
-		r, s := weight(entry)
+		r, s := transferSize(entry)
 		records, size = records+r, size+s
 	}
 	if records != table.journal.records || size != table.journal.bytes {
--- a/registry/view.go
+++ b/registry/view.go
@@ -11,19 +11,19 @@
 // treeDegree balances the nodes copied by a change against the depth of a search.
 const treeDegree = 16
 
-// recordSet is all records of one name and type, sorted by data. It is never
+// rrset is all records of one name and type, sorted by data. It is never
 // changed once it is in a tree.
-type recordSet struct {
+type rrset struct {
 	key     string
 	kind    Type
 	records []Record
 }
 
-// content is the whole of a table at one serial. It is never changed once published.
-type content struct {
+// tableState is the whole of a table at one serial. It is never changed once published.
+type tableState struct {
 	apex  Name
-	head  SOA
-	tree  *btree.BTreeG[recordSet]
+	soa   SOA
+	tree  *btree.BTreeG[rrset]
 	count int
 }
 
@@ -31,18 +31,18 @@
 // It may be used by any number of goroutines while the table goes on changing.
 // The zero View is empty. Data of the records it returns must not be changed.
 type View struct {
-	content *content
+	state *tableState
 }
 
-func lessSet(a, b recordSet) bool {
+func lessRRset(a, b rrset) bool {
 	if a.key != b.key {
 		return a.key < b.key
 	}
 	return a.kind < b.kind
 }
 
-func newTree() *btree.BTreeG[recordSet] {
-	return btree.NewG(treeDegree, lessSet)
+func newTree() *btree.BTreeG[rrset] {
+	return btree.NewG(treeDegree, lessRRset)
 }
 
 // Serial returns the serial that the view shows, zero for an empty view.
@@ -50,32 +50,32 @@
 
 // SOA returns the data of the head record.
 func (v View) SOA() SOA {
-	if v.content == nil {
+	if v.state == nil {
 		return SOA{}
 	}
-	return v.content.head
+	return v.state.soa
 }
 
 // Apex returns the name of the table.
 func (v View) Apex() Name {
-	if v.content == nil {
+	if v.state == nil {
 		return ""
 	}
-	return v.content.apex
+	return v.state.apex
 }
 
 // Len returns the number of records.
 func (v View) Len() int {
-	if v.content == nil {
+	if v.state == nil {
 		return 0
 	}
-	return v.content.count
+	return v.state.count
 }
 
 // Lookup returns the records of the type at the name, ordered by data. TypeANY
 // matches every type.
 func (v View) Lookup(name Name, recordType Type) []Record {
-	if v.content == nil {
+	if v.state == nil {
 		return nil
 	}
 	name, err := canonicalName(name)
@@ -83,11 +83,11 @@
 		return nil
 	}
 	if recordType != TypeANY {
-		set := findSet(v.content.tree, name.key(), recordType)
+		set := findRRset(v.state.tree, name.key(), recordType)
 		return append([]Record(nil), set.records...)
 	}
 	var records []Record
-	eachSetAt(v.content.tree, name.key(), func(set recordSet) bool {
+	eachRRsetAt(v.state.tree, name.key(), func(set rrset) bool {
 		records = append(records, set.records...)
 		return true
 	})
@@ -96,17 +96,17 @@
 
 // InUse reports whether any record is at the name itself (2.4.4).
 func (v View) InUse(name Name) bool {
-	if v.content == nil {
+	if v.state == nil {
 		return false
 	}
 	name, err := canonicalName(name)
-	return err == nil && nameInUse(v.content.tree, name.key())
+	return err == nil && nameInUse(v.state.tree, name.key())
 }
 
 // Walk calls visit for the records of the type (TypeANY for all) at and below
 // the name, each name before those below it, until visit returns false.
 func (v View) Walk(under Name, recordType Type, visit func(Record) bool) {
-	if v.content == nil {
+	if v.state == nil {
 		return
 	}
 	under, err := canonicalName(under)
@@ -114,7 +114,7 @@
 		return
 	}
 	prefix := under.key()
-	v.content.tree.AscendGreaterOrEqual(recordSet{key: prefix}, func(set recordSet) bool {
+	v.state.tree.AscendGreaterOrEqual(rrset{key: prefix}, func(set rrset) bool {
 		if !strings.HasPrefix(set.key, prefix) {
 			return false
 		}
@@ -130,30 +130,30 @@
 	})
 }
 
-func findSet(tree *btree.BTreeG[recordSet], key string, recordType Type) recordSet {
-	set, _ := tree.Get(recordSet{key: key, kind: recordType})
+func findRRset(tree *btree.BTreeG[rrset], key string, recordType Type) rrset {
+	set, _ := tree.Get(rrset{key: key, kind: recordType})
 	return set
 }
 
-// eachSetAt visits the sets at exactly one name, in the order of their types.
-func eachSetAt(tree *btree.BTreeG[recordSet], key string, visit func(recordSet) bool) {
-	tree.AscendGreaterOrEqual(recordSet{key: key}, func(set recordSet) bool {
+// eachRRsetAt visits the sets at exactly one name, in the order of their types.
+func eachRRsetAt(tree *btree.BTreeG[rrset], key string, visit func(rrset) bool) {
+	tree.AscendGreaterOrEqual(rrset{key: key}, func(set rrset) bool {
 		return set.key == key && visit(set)
 	})
 }
 
-func nameInUse(tree *btree.BTreeG[recordSet], key string) bool {
+func nameInUse(tree *btree.BTreeG[rrset], key string) bool {
 	found := false
-	eachSetAt(tree, key, func(recordSet) bool {
+	eachRRsetAt(tree, key, func(rrset) bool {
 		found = true
 		return false
 	})
 	return found
 }
 
-// with returns the records with one more, in order of data. The record must not
+// insertRecord returns the records insertRecord one more, in order of data. The record must not
 // be among them.
-func with(records []Record, record Record) []Record {
+func insertRecord(records []Record, record Record) []Record {
 	at := sort.Search(len(records), func(i int) bool {
 		return bytes.Compare(records[i].Data, record.Data) >= 0
 	})
@@ -163,8 +163,8 @@
 	return append(grown, records[at:]...)
 }
 
-// without returns the records that drop does not pick.
-func without(records []Record, drop func(Record) bool) []Record {
+// filterOut returns the records that drop does not pick.
+func filterOut(records []Record, drop func(Record) bool) []Record {
 	var kept []Record
 	for _, record := range records {
 		if !drop(record) {
--- a/routemap/change.go
+++ b/routemap/change.go
@@ -18,14 +18,14 @@
 func (m *Map) Apply(change *Change) *Map {
 	return &Map{
 		Version:  change.Version,
-		Routes:   merged(m.Routes, change.Routes, change.RemovedRoutes, func(r *Route) string { return r.Name }),
-		Services: merged(m.Services, change.Services, change.RemovedServices, func(s *Service) string { return s.Name }),
+		Routes:   upsert(m.Routes, change.Routes, change.RemovedRoutes, func(r *Route) string { return r.Name }),
+		Services: upsert(m.Services, change.Services, change.RemovedServices, func(s *Service) string { return s.Name }),
 		Limits:   m.Limits,
 	}
 }
 
-// merged returns the items with some replaced, removed and added.
-func merged[Item any](items, upserted []Item, removed []string, name func(*Item) string) []Item {
+// upsert returns the items with some replaced, removed and added.
+func upsert[Item any](items, upserted []Item, removed []string, name func(*Item) string) []Item {
 	gone := make(map[string]bool, len(removed))
 	for _, each := range removed {
 		gone[each] = true
