--- a/registry/codec_test.go
+++ b/registry/codec_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestUpdatesSurviveEncoding(t *testing.T) {
+func TestUpdateRoundTrip(t *testing.T) {
 	update := NewUpdate(testApex, []Record{InUse("a.t.")}, []Record{Add(withTTL(rr("b.t.", typeMany, "1"), 7)), DeleteName("c.t.")})
 	update.Requestor = "control-1"
 	update.Additional = []Record{rr("elsewhere.", typeMany, "hint")}
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestWhatEncodesDecodes(t *testing.T) {
+func TestEncodeUpdateRejectsInvalidUTF8(t *testing.T) {
 	update := NewUpdate(testApex, nil, nil)
 	update.Requestor = "\xff"
 	if _, err := EncodeUpdate(&update); !errors.Is(err, ErrMalformed) {
@@ -40,14 +40,14 @@
 	}
 }
 
-func TestDecodingIsBounded(t *testing.T) {
+func TestUpdateLimits(t *testing.T) {
 	records := func(count int) []Record { return slices.Repeat([]Record{InUse("a.t.")}, count) }
 	cases := []struct {
 		name   string
 		update Update
 		what   string
 	}{
-		{"tables", Update{Tables: make([]TableEntry, maxTables+1)}, "tables"},
+		{"tables", Update{Tables: make([]TableEntry, maxTableEntries+1)}, "tables"},
 		{"prerequisites", Update{Prerequisites: records(MaxPrerequisites + 1)}, "prerequisites"},
 		{"changes", Update{Changes: records(MaxChanges + 1)}, "changes"},
 		{"additional", Update{Additional: records(MaxAdditional + 1)}, "additional records"},
@@ -56,17 +56,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var limit *LimitError
-			if _, err := DecodeUpdate(encode(c.update)); !errors.As(err, &limit) || limit.What != c.what || limit.Got != limit.Limit+1 {
-				t.Errorf("decoding: %v", err)
-			}
-			if _, err := EncodeUpdate(&c.update); !errors.As(err, &limit) {
-				t.Errorf("encoding: %v", err)
-			}
-			c.update.Tables = NewUpdate(testApex, nil, nil).Tables
+			checkUpdateLimit(t, c.update, c.what)
 			if c.name == "tables" {
 				return
 			}
+			c.update.Tables = NewUpdate(testApex, nil, nil).Tables
+			var limit *LimitError
 			if result := testTable(t).Apply(&c.update, nil); result.Code != FormErr || !errors.As(result.Reason, &limit) {
 				t.Errorf("applying: %+v", result)
 			}
@@ -78,7 +73,20 @@
 	}
 }
 
-func TestDecodingIsStrict(t *testing.T) {
+// checkUpdateLimit requires that an update one beyond a limit is neither decoded nor
+// encoded.
+func checkUpdateLimit(t *testing.T, update Update, what string) {
+	t.Helper()
+	var limit *LimitError
+	if _, err := DecodeUpdate(encode(update)); !errors.As(err, &limit) || limit.What != what || limit.Got != limit.Limit+1 {
+		t.Errorf("decoding: %v", err)
+	}
+	if _, err := EncodeUpdate(&update); !errors.As(err, &limit) {
+		t.Errorf("encoding: %v", err)
+	}
+}
+
+func TestDecodeUpdateRejectsMalformed(t *testing.T) {
 	valid := encode(NewUpdate(testApex, nil, nil))
 	cases := map[string][]byte{
 		"empty":              nil,
@@ -92,13 +100,15 @@
 		"announced too long": {0xa1, 0x02, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0},
 	}
 	for name, data := range cases {
-		if _, err := DecodeUpdate(data); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v, want ErrMalformed", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := DecodeUpdate(data); !errors.Is(err, ErrMalformed) {
+				t.Errorf("error %v, want ErrMalformed", err)
+			}
+		})
 	}
 }
 
-func TestNamesAreCanonical(t *testing.T) {
+func TestParseName(t *testing.T) {
 	cases := map[string]Name{
 		"Explain.T":   "explain.t.",
 		".":           ".",
@@ -183,7 +193,7 @@
 			t.Fatalf("%s has changed the table", result.Code)
 		}
 		if len(table.View().Lookup(testApex, TypeNS)) == 0 || table.Serial() == 0 {
-			t.Fatal("the table has lost its head or its members")
+			t.Fatal("the table has lost its SOA or its NS records")
 		}
 	})
 }
--- a/registry/example_test.go
+++ b/registry/example_test.go
@@ -14,8 +14,8 @@
 		fmt.Println(err)
 		return
 	}
-	head := registry.SOA{Primary: "control-1", Serial: 1}
-	table, err := registry.New("example.", schema, head, []string{"control-1"})
+	soa := registry.SOA{Primary: "control-1", Serial: 1}
+	table, err := registry.New("example.", schema, soa, []string{"control-1"})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/registry/forwarder.go
+++ b/registry/forwarder.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// DefaultMaxHops bounds how often an update is forwarded.
+// DefaultMaxHops is how often an update is forwarded at most.
 const DefaultMaxHops = 3
 
-// ErrHopLimit means that an update was forwarded too often: section 7.17 has no
-// loop detection, so the number of hops is bounded instead.
+// ErrHopLimit means that an update was forwarded too often: the draft has no loop
+// detection (section 7.17), so the number of hops is limited instead.
 var ErrHopLimit = errors.New("registry: update was forwarded too often")
 
 // Forwarder passes updates from a secondary toward the primary (section 6).
 type Forwarder struct {
 	Exchanger Exchanger
-	// Timeout bounds the wait for one source. Default DefaultServerTimeout.
+	// Timeout limits the wait for one source; 0 is DefaultServerTimeout.
 	Timeout time.Duration
-	// MaxHops bounds the forwardings of one update. Default DefaultMaxHops.
+	// MaxHops limits the forwardings of one update; 0 is DefaultMaxHops.
 	MaxHops int
 }
 
-// Forward asks the sources of this secondary in order, and answers what the first
-// reachable one answers, whatever its code (section 6.6). The next source is asked
-// only if no answer came (section 6.5). hops counts the forwardings before this
+// Forward sends the update to the sources of this secondary in order and returns
+// the first answer, whatever its code (section 6.6). The next source is tried only
+// if no answer came (section 6.5). hops is the number of forwardings before this
 // one. Without an answer the code is ServFail (section 2.2) and the error says
 // why; the update may then have been applied, unless the error is ErrHopLimit.
 func (f *Forwarder) Forward(ctx context.Context, sources []string, hops int, update *Update) (Result, error) {
@@ -32,20 +32,14 @@
 	if limit <= 0 {
 		limit = DefaultMaxHops
 	}
-	unanswered := Result{Code: ServFail, FailedIndex: -1}
 	if hops < 0 || hops >= limit {
-		return unanswered, ErrHopLimit
+		return unanswered(), ErrHopLimit
 	}
-	failures := []error{ErrNoServer}
-	for _, source := range sources {
-		result, err := exchange(ctx, f.Exchanger, f.Timeout, source, hops+1, update)
-		if err == nil {
-			return result, nil
-		}
-		failures = append(failures, &ServerError{Server: source, Err: err})
-		if ctx.Err() != nil {
-			break
-		}
+	sequence := serverSequence{
+		exchanger:  f.Exchanger,
+		timeout:    f.Timeout,
+		hops:       hops + 1,
+		conclusive: func(ResponseCode) bool { return true },
 	}
-	return unanswered, errors.Join(failures...)
+	return sequence.send(ctx, sources, update)
 }
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -13,7 +13,7 @@
 
 // model is the slow, obvious table: a list of records, judged by walking it.
 type model struct {
-	records []Record // without the head
+	records []Record // without the SOA record
 	soa     SOA
 }
 
@@ -72,29 +72,36 @@
 			return code
 		}
 	}
-	for _, wanted := range section {
-		if wanted.Class != ClassTable {
-			continue
-		}
-		for _, pair := range [][2][]Record{{section, m.all()}, {m.all(), section}} {
-			for _, record := range pair[0] {
-				if record.Class != ClassTable || !sameSet(record, wanted) {
-					continue
-				}
-				if !slices.ContainsFunc(pair[1], func(r Record) bool {
-					return r.Class == ClassTable && sameSet(r, record) && bytes.Equal(r.Data, record.Data)
-				}) {
-					return NXRRSet
-				}
-			}
-		}
-		if m.count(func(r Record) bool { return sameSet(r, wanted) }) == 0 {
+	for _, required := range section {
+		if required.Class == ClassTable && !m.hasExactly(required, section) {
 			return NXRRSet
 		}
 	}
 	return NoError
 }
 
+// hasExactly judges section 3.2.3 for the RRset of one required record: the table
+// has some, the section has all of the table's, and the table all of the section's.
+func (m *model) hasExactly(required Record, section []Record) bool {
+	exists := m.count(func(r Record) bool { return sameSet(r, required) }) > 0
+	return exists && containsSet(section, m.all(), required) && containsSet(m.all(), section, required)
+}
+
+// containsSet reports whether records has every record of the set that others has.
+func containsSet(records, others []Record, set Record) bool {
+	for _, other := range others {
+		if other.Class != ClassTable || !sameSet(other, set) {
+			continue
+		}
+		if !slices.ContainsFunc(records, func(r Record) bool {
+			return r.Class == ClassTable && sameSet(r, other) && bytes.Equal(r.Data, other.Data)
+		}) {
+			return false
+		}
+	}
+	return true
+}
+
 func (m *model) prescan(section []Record) ResponseCode {
 	known := []Type{TypeNS, TypeCNAME, TypeSOA, TypeWKS, typeMany, typeOne, typeKeyed, typeDigits}
 	for _, record := range section {
@@ -142,9 +149,9 @@
 
 func (m *model) add(record Record) {
 	if record.Type == TypeSOA {
-		head, _ := decodeSOA(record.Data)
-		if record.Name == testApex && head.Serial != 0 && int32(head.Serial-m.soa.Serial) > 0 {
-			m.soa = head
+		soa, _ := decodeSOA(record.Data)
+		if record.Name == testApex && soa.Serial != 0 && int32(soa.Serial-m.soa.Serial) > 0 {
+			m.soa = soa
 		}
 		return
 	}
@@ -230,10 +237,10 @@
 	case 3:
 		return []Record{NotInUse(drawRecord(t, m.soa.Serial).Name)}
 	case 4:
-		wanted := rapid.SampledFrom(m.all()).Draw(t, "held")
+		required := rapid.SampledFrom(m.all()).Draw(t, "present")
 		var set []Record
 		for _, record := range m.all() {
-			if sameSet(record, wanted) {
+			if sameSet(record, required) {
 				set = append(set, Equals(record))
 			}
 		}
@@ -255,24 +262,16 @@
 func TestTableEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.SampledFrom([]uint32{1, 10, 1<<31 - 2, 1<<32 - 3}).Draw(t, "start")
-		head := SOA{Primary: "a", Serial: start}
-		table, err := New(testApex, testSchema(), head, []string{"a", "b"})
+		soa := SOA{Primary: "a", Serial: start}
+		table, err := New(testApex, testSchema(), soa, []string{"a", "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		reference := &model{records: slices.Clone(members), soa: head}
+		reference := &model{records: slices.Clone(members), soa: soa}
 		secondary := NewSecondary(testApex, testSchema())
 		var views []takenView
 		for range rapid.IntRange(1, 12).Draw(t, "updates") {
-			update := drawUpdate(t, reference)
-			want := reference.apply(update)
-			result := table.Apply(&update, nil)
-			if result.Code != want || table.SOA() != reference.soa {
-				t.Fatalf("code %s, head %+v, want %s, %+v", result.Code, table.SOA(), want, reference.soa)
-			}
-			if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
-				t.Fatalf("records differ (-model +table):\n%s", difference)
-			}
+			applyToBoth(t, table, reference)
 			if rapid.Bool().Draw(t, "transfer") {
 				secondary = replicate(t, table, secondary)
 			}
@@ -287,6 +286,21 @@
 	})
 }
 
+// applyToBoth applies a random update to the table and the model, which must agree
+// on the result.
+func applyToBoth(t *rapid.T, table *Table, reference *model) {
+	t.Helper()
+	update := drawUpdate(t, reference)
+	want := reference.apply(update)
+	result := table.Apply(&update, nil)
+	if result.Code != want || table.SOA() != reference.soa {
+		t.Fatalf("code %s, SOA %+v, want %s, %+v", result.Code, table.SOA(), want, reference.soa)
+	}
+	if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
+		t.Fatalf("records differ (-model +table):\n%s", difference)
+	}
+}
+
 func drawUpdate(t *rapid.T, reference *model) Update {
 	update := NewUpdate(testApex, nil, nil)
 	for range rapid.IntRange(0, 2).Draw(t, "prerequisites") {
@@ -311,16 +325,16 @@
 		t.Fatal(err)
 	}
 	if transfer.Full != (secondary.Serial() == 0) {
-		t.Fatalf("full transfer: %v, held %d", transfer.Full, secondary.Serial())
+		t.Fatalf("full transfer: %v, secondary at %d", transfer.Full, secondary.Serial())
 	}
-	held := secondary.Serial()
-	lost := held != 0 && held != table.Serial() && !SerialLess(held, table.Serial())
+	serial := secondary.Serial()
+	unordered := serial != 0 && serial != table.Serial() && !SerialLess(serial, table.Serial())
 	err = secondary.ApplyTransfer(transfer)
-	if lost && errors.Is(err, ErrNotNewer) && secondary.Serial() == held {
+	if unordered && errors.Is(err, ErrNotNewer) && secondary.Serial() == serial {
 		return replicate(t, table, NewSecondary(testApex, testSchema()))
 	}
-	if lost || err != nil {
-		t.Fatalf("held %d, transfer to %d: %v", held, transfer.To, err)
+	if unordered || err != nil {
+		t.Fatalf("serial %d, transfer to %d: %v", serial, transfer.To, err)
 	}
 	want, err := table.Snapshot()
 	if err != nil {
--- a/registry/name.go
+++ b/registry/name.go
@@ -6,13 +6,17 @@
 	"strings"
 )
 
-// Bounds of names, in octets of the wire form (RFC 1035, 2.3.4).
+// Name is a canonical domain name: lower case, absolute, dot-terminated
+// (section 1.1.2). Use ParseName to make one from outside input.
+type Name string
+
+// Limits of names, in octets of the wire form (RFC 1035, 2.3.4).
 const (
 	MaxLabelBytes = 63
 	MaxNameBytes  = 255
 )
 
-// Root is the name that holds every other.
+// Root is the name that every other is below.
 const Root Name = "."
 
 // ErrName is wrapped by every error about the form of a name.
--- a/registry/requestor_test.go
+++ b/registry/requestor_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// scriptedExchanger answers each server's exchange from a table; a missing server never answers.
+// scriptedExchanger answers each server's exchange from a table. A server that is not
+// in it never answers.
 type scriptedExchanger struct {
 	answers   map[string]ResponseCode
 	contacted []string
@@ -40,12 +41,12 @@
 		"ok": NoError, "refuses": Refused, "fails": ServFail, "lacks": NotImp, "closed": unreachable,
 	}
 	cases := []struct {
-		name    string
-		servers []string
-		asked   []string
-		code    ResponseCode
-		gaveUp  bool
-		elapsed time.Duration
+		name      string
+		servers   []string
+		contacted []string
+		code      ResponseCode
+		exhausted bool
+		elapsed   time.Duration
 	}{
 		{"4.5 the first answer counts", []string{"ok", "refuses"}, []string{"ok"}, NoError, false, 0},
 		{"4.5 an error other than SERVFAIL and NOTIMP counts", []string{"refuses", "ok"}, []string{"refuses"}, Refused, false, 0},
@@ -62,18 +63,18 @@
 				requestor := Requestor{Exchanger: exchanger, Timeout: time.Second}
 				start := time.Now()
 				result, err := requestor.Send(t.Context(), c.servers, &Update{})
-				if result.Code != c.code || errors.Is(err, ErrNoServer) != c.gaveUp || (err != nil) != c.gaveUp {
+				if result.Code != c.code || errors.Is(err, ErrNoServer) != c.exhausted || (err != nil) != c.exhausted {
 					t.Errorf("code %s, error %v", result.Code, err)
 				}
-				if !slices.Equal(exchanger.contacted, c.asked) || time.Since(start) != c.elapsed {
-					t.Errorf("asked %v in %v, want %v in %v", exchanger.contacted, time.Since(start), c.asked, c.elapsed)
+				if !slices.Equal(exchanger.contacted, c.contacted) || time.Since(start) != c.elapsed {
+					t.Errorf("contacted %v in %v, want %v in %v", exchanger.contacted, time.Since(start), c.contacted, c.elapsed)
 				}
 			})
 		})
 	}
 }
 
-func TestSection4RequestorStopsWithItsCaller(t *testing.T) {
+func TestSection4RequestorStopsWhenCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	exchanger := &scriptedExchanger{}
@@ -82,19 +83,19 @@
 		t.Errorf("error %v, want context.Canceled", err)
 	}
 	if len(exchanger.contacted) != 1 {
-		t.Errorf("asked %v after the caller went away", exchanger.contacted)
+		t.Errorf("contacted %v after the context was canceled", exchanger.contacted)
 	}
 }
 
 func TestSection6Forwarder(t *testing.T) {
 	answers := map[string]ResponseCode{"ok": NoError, "fails": ServFail, "refuses": Refused, "closed": unreachable}
 	cases := []struct {
-		name    string
-		sources []string
-		hops    int
-		asked   []string
-		code    ResponseCode
-		want    error
+		name      string
+		sources   []string
+		hops      int
+		contacted []string
+		code      ResponseCode
+		want      error
 	}{
 		{"6.6 the answer is passed on", []string{"refuses", "ok"}, 0, []string{"refuses"}, Refused, nil},
 		{"6.6 SERVFAIL is an answer too", []string{"fails", "ok"}, 0, []string{"fails"}, ServFail, nil},
@@ -114,13 +115,11 @@
 				if result.Code != c.code || !errors.Is(err, c.want) {
 					t.Errorf("code %s, error %v, want %s and %v", result.Code, err, c.code, c.want)
 				}
-				if !slices.Equal(exchanger.contacted, c.asked) {
-					t.Errorf("asked %v, want %v", exchanger.contacted, c.asked)
+				if !slices.Equal(exchanger.contacted, c.contacted) {
+					t.Errorf("contacted %v, want %v", exchanger.contacted, c.contacted)
 				}
-				for _, hops := range exchanger.hops {
-					if hops != c.hops+1 {
-						t.Errorf("forwarded with %d hops, want %d", hops, c.hops+1)
-					}
+				if want := slices.Repeat([]int{c.hops + 1}, len(c.contacted)); !slices.Equal(exchanger.hops, want) {
+					t.Errorf("forwarded with hops %v, want %v", exchanger.hops, want)
 				}
 			})
 		})
--- a/registry/schema.go
+++ b/registry/schema.go
@@ -9,12 +9,32 @@
 // ErrSchema is wrapped by the errors of NewSchema.
 var ErrSchema = errors.New("registry: invalid schema")
 
+// Kind declares one record type.
+type Kind struct {
+	Type Type
+	Name string // mnemonic, e.g. "ROUTE"
+	// Singleton types have at most one record at a name: adding one replaces it, as
+	// with SOA and CNAME (section 1.1.5).
+	Singleton bool
+	// Key, if set, extracts the part of the data by which records replace each
+	// other: adding one replaces that with an equal key, as with WKS (section 1.1.5).
+	Key func(data []byte) []byte
+	// Check, if set, validates added data during the prescan (section 7.14). An
+	// error is answered as FormErr.
+	Check func(data []byte) error
+}
+
+// Schema is the set of record types that a table recognizes; others are
+// unrecognized types (section 3.4.1.2).
+type Schema struct {
+	kinds map[Type]Kind
+}
+
 // wksKeyBytes are the address and the protocol that lead the data of a WKS record.
 const wksKeyBytes = 5
 
-// NewSchema returns a schema with the source's own NS, CNAME, SOA and WKS and
-// the kinds given. It fails on a type below FirstOwnType and on a type or name
-// declared twice.
+// NewSchema returns a schema with NS, CNAME, SOA and WKS and the kinds given. It
+// fails on a type below FirstPrivateType and on a type or name declared twice.
 func NewSchema(kinds ...Kind) (*Schema, error) {
 	schema := &Schema{kinds: standardKinds()}
 	names := map[string]bool{}
@@ -43,7 +63,7 @@
 	return kind, known
 }
 
-// standardKinds declares the types that the source gives rules for (1.1.5).
+// standardKinds declares the types that the draft gives rules for (section 1.1.5).
 func standardKinds() map[Type]Kind {
 	return map[Type]Kind{
 		TypeNS:    {Type: TypeNS, Name: "NS"},
@@ -69,7 +89,7 @@
 	return err
 }
 
-// replaces reports whether adding data replaces existing (section 1.1.5).
+// replaces reports whether added data replaces existing data (section 1.1.5).
 func (k Kind) replaces(existing, data []byte) bool {
 	if k.Singleton {
 		return true
--- a/registry/table.go
+++ b/registry/table.go
@@ -7,69 +7,64 @@
 	"sync/atomic"
 )
 
-// Errors of making and keeping a table.
+// Errors of creating and updating a table.
 var (
-	ErrSOA       = errors.New("registry: invalid head")
+	// ErrSOA means that a new table's SOA data or list of members is invalid.
+	ErrSOA = errors.New("registry: invalid SOA")
+	// ErrTableFull is the reason behind ServFail for an update that would leave more
+	// than MaxTableRecords records.
 	ErrTableFull = errors.New("registry: table is full")
-	// ErrSecondary is the reason why Apply refuses on a secondary copy: the
-	// update must be forwarded (section 6).
+	// ErrSecondary is the reason behind Refused on a secondary: the update must be
+	// forwarded (section 6).
 	ErrSecondary = errors.New("registry: secondary copy, forward the update")
 )
 
-// Sections of an update, as in Result.Section.
-const (
-	SectionTable        = "table"
-	SectionPrerequisite = "prerequisite"
-	SectionPermission   = "permission"
-	SectionChange       = "change"
-)
-
 // Policy judges whether the requestor may make the update (section 3.3). An
-// error refuses it. It must decide the same on every copy.
+// error refuses it. It must decide the same on every replica.
 type Policy func(*Update) error
 
-// PersistFunc makes a change stable before it becomes visible (section 3.5). An error
-// undoes the update, which then answers ServFail.
+// PersistFunc makes a change stable before it becomes visible (section 3.5). An
+// error rolls the update back, which is then answered with ServFail.
 type PersistFunc func(Result, Transfer) error
 
-// Table is one registry: the source's zone. One update is applied at a time;
-// views may be taken and read by any goroutine.
+// Table is a replica of one registry, the draft's zone. It applies one update at a
+// time; any goroutine may take and read views.
 type Table struct {
 	schema     *Schema
 	apex       Name
 	secondary  bool
 	maxRecords int
 
-	mutex   sync.Mutex // held while a change is made and while the journal is read
+	mutex   sync.Mutex // guards journal, and is held while a change is made
 	journal journal
 	current atomic.Pointer[tableState]
 }
 
-// New returns a primary copy of an empty table at apex, with its head and its
-// member records. There must be a member, and head.Serial must not be zero.
-func New(apex Name, schema *Schema, head SOA, members []string) (*Table, error) {
+// New returns a primary replica of an empty table at apex, with its SOA record and
+// an NS record for each member. There must be a member, and the serial must not be
+// zero.
+func New(apex Name, schema *Schema, soa SOA, members []string) (*Table, error) {
 	apex, err := canonicalName(apex)
 	if err != nil {
 		return nil, err
 	}
-	if head.Serial == 0 {
+	if soa.Serial == 0 {
 		return nil, fmt.Errorf("%w: serial is zero", ErrSOA)
 	}
 	if len(members) == 0 {
 		return nil, fmt.Errorf("%w: no member", ErrSOA)
 	}
 	table := newTable(apex, schema)
-	work := &transaction{apex: apex, schema: schema, tree: newTree()}
-	work.soa = head
-	work.put(apex.key(), SOARecord(apex, head))
+	tx := &transaction{apex: apex, schema: schema, tree: newTree()}
+	tx.putSOA(apex.key(), soa, 0)
 	for _, member := range members {
-		work.add(NSRecord(apex, member))
+		tx.add(NSRecord(apex, member))
 	}
-	table.current.Store(work.state())
+	table.current.Store(tx.state())
 	return table, nil
 }
 
-// NewSecondary returns an empty secondary copy, to be filled by ApplyTransfer.
+// NewSecondary returns an empty secondary replica, to be filled by ApplyTransfer.
 func NewSecondary(apex Name, schema *Schema) *Table {
 	if canonical, err := canonicalName(apex); err == nil {
 		apex = canonical
@@ -84,49 +79,50 @@
 	return &Table{schema: schema, apex: apex, maxRecords: MaxTableRecords}
 }
 
-// Serial returns the serial of the newest applied change, zero for an empty secondary.
+// Serial returns the serial of the newest applied change, 0 for an empty secondary.
 func (t *Table) Serial() uint32 { return t.View().Serial() }
 
-// SOA returns the data of the head record.
+// SOA returns the data of the SOA record, the zero SOA for an empty secondary.
 func (t *Table) SOA() SOA { return t.View().SOA() }
 
-// View returns the table as it is now.
+// View returns a snapshot of the table at its newest serial.
 func (t *Table) View() View { return View{state: t.current.Load()} }
 
 // Apply processes one update through all the steps of section 3: all of it takes
-// effect or none, and the result is the same on every copy with the same content.
+// effect or none, and the result is the same on every replica in the same state.
 func (t *Table) Apply(update *Update, policy Policy) Result {
 	return t.ApplyAndPersist(update, policy, nil)
 }
 
 // ApplyAndPersist is Apply with a step that makes the change stable before it
-// becomes visible. The store is not called for an update that changes nothing.
-func (t *Table) ApplyAndPersist(update *Update, policy Policy, store PersistFunc) Result {
+// becomes visible. persist is not called for an update that changes nothing.
+func (t *Table) ApplyAndPersist(update *Update, policy Policy, persist PersistFunc) Result {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	now := t.current.Load()
-	result := t.evaluate(now, update, policy)
+	state := t.current.Load()
+	result := t.check(state, update, policy)
 	if result.Code != NoError {
-		result.Serial = now.soa.Serial
+		result.Serial = state.soa.Serial
 		return result
 	}
-	return t.commit(now, update, store)
+	return t.commit(state, update, persist)
 }
 
-// evaluate does everything that may answer an error before the first change.
-func (t *Table) evaluate(now *tableState, update *Update, policy Policy) Result {
+// check runs every step that may answer an error before the first change is made
+// (sections 3.1 to 3.4.1).
+func (t *Table) check(state *tableState, update *Update, policy Policy) Result {
 	if err := update.checkLimits(); err != nil {
-		return Result{Code: FormErr, FailedIndex: -1, Reason: err}
+		return Result{Code: FormErr, FailedIndex: noFailedRecord, Reason: err}
 	}
 	if result := t.checkTableSection(update.Tables); result.Code != NoError {
 		return result
 	}
-	if result := checkPrerequisites(now, update.Prerequisites); result.Code != NoError {
+	if result := checkPrerequisites(state, update.Prerequisites); result.Code != NoError {
 		return result
 	}
 	if policy != nil {
 		if err := policy(update); err != nil {
-			return Result{Code: Refused, FailedIndex: -1, Section: SectionPermission, Reason: err}
+			return Result{Code: Refused, FailedIndex: noFailedRecord, Section: SectionPermission, Reason: err}
 		}
 	}
 	return prescan(t.apex, t.schema, update.Changes)
@@ -135,7 +131,7 @@
 // checkTableSection is section 3.1.
 func (t *Table) checkTableSection(entries []TableEntry) Result {
 	if len(entries) != 1 {
-		return Result{Code: FormErr, FailedIndex: -1, Section: SectionTable}
+		return Result{Code: FormErr, FailedIndex: noFailedRecord, Section: SectionTable}
 	}
 	failed := Result{FailedIndex: 0, Section: SectionTable}
 	name, err := canonicalName(entries[0].Name)
@@ -149,40 +145,49 @@
 	case t.secondary:
 		failed.Code, failed.Reason = Refused, ErrSecondary
 	default:
-		return Result{FailedIndex: -1}
+		return Result{FailedIndex: noFailedRecord}
 	}
 	return failed
 }
 
-// commit applies the changes in order to a clone and publishes it (3.4.2 to 3.7).
-func (t *Table) commit(now *tableState, update *Update, store PersistFunc) Result {
-	work := &transaction{apex: t.apex, soa: now.soa, schema: t.schema, tree: now.tree.Clone(), count: now.count}
+// begin returns a transaction on the state.
+func (t *Table) begin(state *tableState) transaction {
+	return transaction{apex: t.apex, soa: state.soa, schema: t.schema, tree: state.tree.Clone(), count: state.count}
+}
+
+// commit applies the changes in order to a clone of the state, persists them and
+// then publishes the clone (sections 3.4.2 to 3.7). What is published without being
+// stable could be read and then lost.
+func (t *Table) commit(state *tableState, update *Update, persist PersistFunc) Result {
+	tx := t.begin(state)
 	for _, change := range update.Changes {
 		change.Name, _ = canonicalName(change.Name) // the prescan has checked it
-		work.apply(change)
+		tx.apply(change)
 	}
-	removed, added := work.changes.net()
+	serial := state.soa.Serial
+	removed, added := tx.changes.net()
 	if len(removed) == 0 && len(added) == 0 {
-		return Result{Serial: now.soa.Serial, FailedIndex: -1}
-	}
-	if work.count > t.maxRecords {
-		return Result{Code: ServFail, Serial: now.soa.Serial, FailedIndex: -1, Section: SectionChange, Reason: ErrTableFull}
-	}
-	work.raiseSerial(now.soa.Serial)
-	removed, added = work.changes.net()
-	transfer := Transfer{From: now.soa.Serial, To: work.soa.Serial, Removed: removed, Added: added}
-	result := Result{Serial: work.soa.Serial, Changed: true, FailedIndex: -1}
-	if store != nil {
-		if err := store(result, transfer); err != nil {
-			return Result{Code: ServFail, Serial: now.soa.Serial, FailedIndex: -1, Section: SectionChange, Reason: err}
+		return Result{Serial: serial, FailedIndex: noFailedRecord}
+	}
+	if tx.count > t.maxRecords {
+		return rolledBack(serial, ErrTableFull)
+	}
+	tx.raiseSerial(serial)
+	removed, added = tx.changes.net()
+	transfer := Transfer{From: serial, To: tx.soa.Serial, Removed: removed, Added: added}
+	result := Result{Serial: tx.soa.Serial, Changed: true, FailedIndex: noFailedRecord}
+	if persist != nil {
+		if err := persist(result, transfer); err != nil {
+			return rolledBack(serial, err)
 		}
 	}
 	t.journal.append(transfer)
-	t.current.Store(work.state())
+	t.current.Store(tx.state())
 	return result
 }
 
-// state closes the edit.
-func (e *transaction) state() *tableState {
-	return &tableState{apex: e.apex, soa: e.soa, tree: e.tree, count: e.count}
+// rolledBack is the result of an update that passed every check and still could not
+// be made.
+func rolledBack(serial uint32, reason error) Result {
+	return Result{Code: ServFail, Serial: serial, FailedIndex: noFailedRecord, Section: SectionChange, Reason: reason}
 }
--- a/registry/transfer.go
+++ b/registry/transfer.go
@@ -5,90 +5,55 @@
 	"fmt"
 )
 
-// Bounds of the journal. A secondary that is further behind takes a full transfer.
-const (
-	MaxJournalUpdates = 4096
-	MaxJournalRecords = 1 << 17
-	MaxJournalBytes   = 32 << 20 // octets of record data
-)
-
-// Errors of ApplyTransfer.
+// Errors of Table.ApplyTransfer.
 var (
 	// ErrGap means that the transfer does not start at the secondary's serial.
 	ErrGap = errors.New("registry: transfer does not start at the held serial")
 	// ErrNotNewer means that the transfer does not lead to a higher serial. A
-	// secondary that the serial has left half the circle behind gets it too: it
-	// must start again as an empty one.
+	// secondary whose serial is 2^31 or more behind gets it too, since RFC 1982 does
+	// not order the two: it must start again from an empty table.
 	ErrNotNewer = errors.New("registry: transfer is not newer than the held serial")
 	// ErrTransfer means that the transfer contradicts itself or the table.
 	ErrTransfer = errors.New("registry: inconsistent transfer")
 )
 
-// journal keeps the newest changes for incremental transfers, oldest first.
-type journal struct {
-	entries []Transfer
-	records int
-	bytes   int
-}
-
-func (j *journal) append(entry Transfer) {
-	j.entries = append(j.entries, entry)
-	records, size := transferSize(entry)
-	j.records += records
-	j.bytes += size
-	for len(j.entries) > 0 && (len(j.entries) > MaxJournalUpdates || j.records > MaxJournalRecords || j.bytes > MaxJournalBytes) {
-		records, size = transferSize(j.entries[0])
-		j.records -= records
-		j.bytes -= size
-		j.entries[0] = Transfer{}
-		j.entries = j.entries[1:]
-	}
+// Transfer carries a table, or the difference between two of its serials, to a
+// secondary (AXFR and IXFR of DNS).
+type Transfer struct {
+	Full bool   `cbor:"1,keyasint,omitempty"`
+	From uint32 `cbor:"2,keyasint,omitempty"` // serial before; 0 for a full transfer
+	To   uint32 `cbor:"3,keyasint"`           // serial after
+	// Removed and Added are applied in this order. A full transfer has no Removed.
+	Removed []Record `cbor:"4,keyasint,omitempty"`
+	Added   []Record `cbor:"5,keyasint,omitempty"`
 }
 
-func transferSize(entry Transfer) (records, size int) {
-	for _, section := range [][]Record{entry.Removed, entry.Added} {
-		records += len(section)
-		for i := range section {
-			size += len(section[i].Data)
-		}
-	}
-	return records, size
-}
-
-// since returns the entries that lead on from a serial.
-func (j *journal) since(from uint32) ([]Transfer, bool) {
-	for i := len(j.entries) - 1; i >= 0; i-- {
-		if j.entries[i].From == from {
-			return j.entries[i:], true
-		}
-	}
-	return nil, false
-}
-
-// TransferSince returns what a secondary that holds the serial from needs to reach
-// this table: an incremental transfer while the journal reaches back, else a full one.
+// TransferSince returns what a secondary at the serial from needs to reach this
+// table: an incremental transfer if the journal reaches back to it, otherwise a
+// full one.
 func (t *Table) TransferSince(from uint32) Transfer {
 	t.mutex.Lock()
-	now := t.current.Load()
-	entries, reached := t.journal.since(from)
+	state := t.current.Load()
+	entries, found := t.journal.since(from)
 	entries = append([]Transfer(nil), entries...)
 	t.mutex.Unlock()
-	if from == now.soa.Serial && from != 0 {
+	if from == state.soa.Serial && from != 0 {
 		return Transfer{From: from, To: from}
 	}
-	if !reached {
-		return fullTransfer(now)
+	if !found {
+		return fullTransfer(state)
 	}
 	return merge(entries)
 }
 
-func fullTransfer(now *tableState) Transfer {
-	return Transfer{Full: true, To: now.soa.Serial, Added: allRecords(now)}
+func fullTransfer(state *tableState) Transfer {
+	return Transfer{Full: true, To: state.soa.Serial, Added: allRecords(state)}
 }
 
-func allRecords(now *tableState) []Record {
-	records := make([]Record, 0, now.count)
-	now.tree.Ascend(func(set rrset) bool {
+// allRecords returns the records in the order of the tree.
+func allRecords(state *tableState) []Record {
+	records := make([]Record, 0, state.count)
+	state.tree.Ascend(func(set rrset) bool {
 		records = append(records, set.records...)
 		return true
 	})
@@ -97,33 +62,33 @@
 
 // merge returns the net difference of consecutive changes.
 func merge(entries []Transfer) Transfer {
-	var changed changeLog
+	var changes changeLog
 	for _, entry := range entries {
 		for _, record := range entry.Removed {
-			changed.removed(record)
+			changes.removed(record)
 		}
 		for _, record := range entry.Added {
-			changed.added(record)
+			changes.added(record)
 		}
 	}
-	removed, added := changed.net()
+	removed, added := changes.net()
 	return Transfer{From: entries[0].From, To: entries[len(entries)-1].To, Removed: removed, Added: added}
 }
 
 // ApplyTransfer brings a secondary to the transfer's serial, entirely or not at
-// all. A transfer to the held serial that changes nothing is accepted.
+// all. A transfer to the current serial that changes nothing is accepted.
 func (t *Table) ApplyTransfer(transfer Transfer) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	now := t.current.Load()
-	held := now.soa.Serial
-	if transfer.To == held && held != 0 && (transfer.Full || transfer.From == held) {
+	state := t.current.Load()
+	serial := state.soa.Serial
+	if transfer.To == serial && serial != 0 && (transfer.Full || transfer.From == serial) {
 		return nil
 	}
-	if held != 0 && !SerialLess(held, transfer.To) {
-		return fmt.Errorf("%w: held %d, transfer to %d", ErrNotNewer, held, transfer.To)
+	if serial != 0 && !SerialLess(serial, transfer.To) {
+		return fmt.Errorf("%w: held %d, transfer to %d", ErrNotNewer, serial, transfer.To)
 	}
-	next, err := t.stateAfter(now, transfer)
+	next, err := t.stateAfter(state, transfer)
 	if err != nil {
 		return err
 	}
@@ -136,92 +101,116 @@
 	return nil
 }
 
-// stateAfter returns the content that the transfer leads to.
-func (t *Table) stateAfter(now *tableState, transfer Transfer) (*tableState, error) {
-	work := &transaction{apex: t.apex, soa: now.soa, schema: t.schema}
-	if transfer.Full {
-		if len(transfer.Removed) != 0 {
-			return nil, fmt.Errorf("%w: full, with removed records", ErrTransfer)
-		}
-		work.tree = newTree()
-	} else {
-		if transfer.From != now.soa.Serial || transfer.From == 0 {
-			return nil, fmt.Errorf("%w: held %d, transfer from %d", ErrGap, now.soa.Serial, transfer.From)
-		}
-		work.tree, work.count = now.tree.Clone(), now.count
+// stateAfter returns the state that the transfer leads to.
+func (t *Table) stateAfter(state *tableState, transfer Transfer) (*tableState, error) {
+	tx, err := t.beginTransfer(state, transfer)
+	if err != nil {
+		return nil, err
 	}
-	if err := work.applyTransfer(transfer); err != nil {
+	if err := tx.applyTransfer(transfer); err != nil {
 		return nil, err
 	}
-	if work.count > t.maxRecords {
-		return nil, &LimitError{What: "records of table", Got: work.count, Limit: t.maxRecords}
+	if tx.count > t.maxRecords {
+		return nil, &LimitError{What: "records of table", Got: tx.count, Limit: t.maxRecords}
 	}
-	if err := work.checkApexRecords(transfer.To); err != nil {
+	if err := tx.loadSOA(transfer.To); err != nil {
 		return nil, err
 	}
-	return work.state(), nil
+	return tx.state(), nil
 }
 
-// applyTransfer removes, then adds, exactly what is listed: the rules of adding have
-// been applied by the primary.
-func (e *transaction) applyTransfer(transfer Transfer) error {
+// beginTransfer returns a transaction on an empty tree for a full transfer, on a
+// clone of the current one for an incremental transfer.
+func (t *Table) beginTransfer(state *tableState, transfer Transfer) (transaction, error) {
+	if transfer.Full {
+		if len(transfer.Removed) != 0 {
+			return transaction{}, fmt.Errorf("%w: full, with removed records", ErrTransfer)
+		}
+		return transaction{apex: t.apex, soa: state.soa, schema: t.schema, tree: newTree()}, nil
+	}
+	if transfer.From != state.soa.Serial || transfer.From == 0 {
+		return transaction{}, fmt.Errorf("%w: held %d, transfer from %d", ErrGap, state.soa.Serial, transfer.From)
+	}
+	return t.begin(state), nil
+}
+
+// applyTransfer removes, then adds, exactly what is listed: the primary has already
+// applied the rules of adding.
+func (tx *transaction) applyTransfer(transfer Transfer) error {
 	for _, record := range transfer.Removed {
-		if err := e.checkReceived(record); err != nil {
+		if err := tx.removeListed(record); err != nil {
 			return err
 		}
-		before := e.count
-		e.remove(record.Name.key(), record.Type, func(existing Record) bool { return sameRecord(existing, record) })
-		if e.count != before-1 {
-			return fmt.Errorf("%w: removed record of %s is absent", ErrTransfer, record.Name)
-		}
 	}
 	for _, record := range transfer.Added {
-		if err := e.checkReceived(record); err != nil {
+		if err := tx.addListed(record); err != nil {
 			return err
 		}
-		key := record.Name.key()
-		for _, existing := range findRRset(e.tree, key, record.Type).records {
-			if sameRecord(existing, record) {
-				return fmt.Errorf("%w: added record of %s is present", ErrTransfer, record.Name)
-			}
+	}
+	return nil
+}
+
+// removeListed removes a record, which must be in the table.
+func (tx *transaction) removeListed(record Record) error {
+	if err := tx.checkReceived(record); err != nil {
+		return err
+	}
+	before := tx.count
+	tx.remove(record.Name.key(), record.Type, func(existing Record) bool { return sameRecord(existing, record) })
+	if tx.count != before-1 {
+		return fmt.Errorf("%w: removed record of %s is absent", ErrTransfer, record.Name)
+	}
+	return nil
+}
+
+// addListed adds a record, which must not be in the table.
+func (tx *transaction) addListed(record Record) error {
+	if err := tx.checkReceived(record); err != nil {
+		return err
+	}
+	key := record.Name.key()
+	for _, existing := range findRRset(tx.tree, key, record.Type).records {
+		if sameRecord(existing, record) {
+			return fmt.Errorf("%w: added record of %s is present", ErrTransfer, record.Name)
 		}
-		e.insert(key, record)
 	}
+	tx.insert(key, record)
 	return nil
 }
 
 // checkReceived checks the form of a record that another node sent.
-func (e *transaction) checkReceived(record Record) error {
+func (tx *transaction) checkReceived(record Record) error {
 	canonical, err := canonicalName(record.Name)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
 	}
-	if canonical != record.Name || !record.Name.In(e.apex) {
+	if canonical != record.Name || !record.Name.In(tx.apex) {
 		return fmt.Errorf("%w: name %q", ErrTransfer, record.Name)
 	}
-	if _, known := e.schema.kinds[record.Type]; !known || record.Class != ClassTable {
+	if _, known := tx.schema.kinds[record.Type]; !known || record.Class != ClassTable {
 		return fmt.Errorf("%w: type %d, class %s", ErrTransfer, record.Type, record.Class)
 	}
 	return checkRecordLimits([]Record{record})
 }
 
-// checkApexRecords requires exactly one head, with the serial announced, and a member.
-func (e *transaction) checkApexRecords(serial uint32) error {
-	key := e.apex.key()
-	heads := findRRset(e.tree, key, TypeSOA).records
-	if len(heads) != 1 {
-		return fmt.Errorf("%w: %d head records", ErrTransfer, len(heads))
-	}
-	head, err := decodeSOA(heads[0].Data)
+// loadSOA reads the SOA data that a transfer brought. There must be exactly
+// one SOA record, with the serial announced, and an NS record.
+func (tx *transaction) loadSOA(serial uint32) error {
+	key := tx.apex.key()
+	records := findRRset(tx.tree, key, TypeSOA).records
+	if len(records) != 1 {
+		return fmt.Errorf("%w: %d SOA records", ErrTransfer, len(records))
+	}
+	soa, err := decodeSOA(records[0].Data)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
 	}
-	if head.Serial != serial || serial == 0 {
-		return fmt.Errorf("%w: head has serial %d, transfer %d", ErrTransfer, head.Serial, serial)
+	if soa.Serial != serial || serial == 0 {
+		return fmt.Errorf("%w: SOA record has serial %d, transfer %d", ErrTransfer, soa.Serial, serial)
 	}
-	if len(findRRset(e.tree, key, TypeNS).records) == 0 {
-		return fmt.Errorf("%w: no member record", ErrTransfer)
+	if len(findRRset(tx.tree, key, TypeNS).records) == 0 {
+		return fmt.Errorf("%w: no NS record", ErrTransfer)
 	}
-	e.soa = head
+	tx.soa = soa
 	return nil
 }
--- a/registry/transfer_test.go
+++ b/registry/transfer_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// grow applies updates that add one record each.
-func grow(t testing.TB, table *Table, from, to int) {
-	t.Helper()
-	for i := from; i < to; i++ {
+// grow applies count updates that add one record each.
+func grow(tb testing.TB, table *Table, count int) {
+	tb.Helper()
+	for i := range count {
 		update := NewUpdate(testApex, nil, []Record{Add(rr(testApex.Child(fmt.Sprintf("n%d", i)), typeOne, "1"))})
 		if result := table.Apply(&update, nil); result.Code != NoError {
-			t.Fatal(result.Code)
+			tb.Fatal(result.Code)
 		}
 	}
 }
 
-func TestJournalIsBounded(t *testing.T) {
+func TestJournalLimits(t *testing.T) {
 	table := testTable(t)
-	grow(t, table, 0, MaxJournalUpdates+1)
+	grow(t, table, MaxJournalUpdates+1)
 	if transfer := table.TransferSince(testSerial + 1); transfer.Full || len(transfer.Added) != MaxJournalUpdates+1 {
 		t.Errorf("from the oldest kept: full %v, %d added", transfer.Full, len(transfer.Added))
 	}
@@ -52,24 +52,24 @@
 	}
 }
 
-func TestTransferCostsWhatChanged(t *testing.T) {
+func TestIncrementalTransferHasOnlyChanges(t *testing.T) {
 	table := testTable(t)
-	grow(t, table, 0, 2000)
-	held := table.Serial()
+	grow(t, table, 2000)
+	from := table.Serial()
 	update := NewUpdate(testApex, nil, []Record{Add(rr("n7.t.", typeOne, "2")), Add(rr("new.t.", typeOne, "1"))})
 	table.Apply(&update, nil)
-	transfer := table.TransferSince(held)
+	transfer := table.TransferSince(from)
 	if transfer.Full || len(transfer.Removed) != 2 || len(transfer.Added) != 3 {
-		t.Errorf("transfer %+v, want old record and head out, two records and head in", transfer)
+		t.Errorf("transfer %+v, want the old record and SOA removed, two records and the SOA added", transfer)
 	}
 }
 
-func TestTransfersThatDoNotFit(t *testing.T) {
+func TestApplyTransferRejects(t *testing.T) {
 	primary := testTable(t)
 	full := primary.TransferSince(0)
-	held := primary.Serial()
-	grow(t, primary, 0, 1)
-	next := primary.TransferSince(held)
+	serial := primary.Serial()
+	grow(t, primary, 1)
+	next := primary.TransferSince(serial)
 	alter := func(change func(*Transfer)) Transfer {
 		altered := next
 		altered.Added = slices.Clone(next.Added)
@@ -83,8 +83,8 @@
 		want     error
 	}{
 		{"gap", alter(func(x *Transfer) { x.From++ }), ErrGap},
-		{"not newer", Transfer{Full: true, To: held - 1, Added: full.Added}, ErrNotNewer},
-		{"half the circle away", Transfer{Full: true, To: held + 1<<31, Added: full.Added}, ErrNotNewer},
+		{"not newer", Transfer{Full: true, To: serial - 1, Added: full.Added}, ErrNotNewer},
+		{"half the circle away", Transfer{Full: true, To: serial + 1<<31, Added: full.Added}, ErrNotNewer},
 		{"removes what is absent", alter(func(x *Transfer) { x.Removed = append(x.Removed, rr("z.t.", typeOne, "1")) }), ErrTransfer},
 		{"adds what is present", alter(func(x *Transfer) { x.Added = append(x.Added, members[0]) }), ErrTransfer},
 		{"name outside", alter(func(x *Transfer) { x.Added = append(x.Added, rr("z.u.", typeOne, "1")) }), ErrTransfer},
@@ -92,11 +92,11 @@
 		{"malformed name", alter(func(x *Transfer) { x.Added = append(x.Added, rr("", typeOne, "1")) }), ErrTransfer},
 		{"unrecognized type", alter(func(x *Transfer) { x.Added = append(x.Added, rr("z.t.", 9999, "1")) }), ErrTransfer},
 		{"class of a deletion", alter(func(x *Transfer) { x.Added = append(x.Added, withClass(rr("z.t.", typeOne, "1"), ClassNone)) }), ErrTransfer},
-		{"serial not the head's", alter(func(x *Transfer) { x.To++ }), ErrTransfer},
-		{"without the new head", alter(func(x *Transfer) { x.Added = x.Added[:0] }), ErrTransfer},
-		{"two heads", alter(func(x *Transfer) { x.Removed = nil }), ErrTransfer},
+		{"serial not that of the SOA", alter(func(x *Transfer) { x.To++ }), ErrTransfer},
+		{"without the new SOA", alter(func(x *Transfer) { x.Added = x.Added[:0] }), ErrTransfer},
+		{"two SOA records", alter(func(x *Transfer) { x.Removed = nil }), ErrTransfer},
 		{"without members", alter(func(x *Transfer) { x.Removed = append(x.Removed, members...) }), ErrTransfer},
-		{"full with removals", Transfer{Full: true, To: held + 1, Removed: members, Added: full.Added}, ErrTransfer},
+		{"full with removals", Transfer{Full: true, To: serial + 1, Removed: members, Added: full.Added}, ErrTransfer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -104,13 +104,7 @@
 			if err := secondary.ApplyTransfer(full); err != nil {
 				t.Fatal(err)
 			}
-			before := dump(secondary.View())
-			if err := secondary.ApplyTransfer(c.transfer); !errors.Is(err, c.want) {
-				t.Errorf("error %v, want %v", err, c.want)
-			}
-			if secondary.Serial() != held || !slices.Equal(before, dump(secondary.View())) {
-				t.Error("a transfer that fails has changed the table")
-			}
+			checkRejectedTransfer(t, secondary, c.transfer, c.want)
 			if err := secondary.ApplyTransfer(next); err != nil || secondary.Serial() != primary.Serial() {
 				t.Errorf("the right transfer afterwards: %v", err)
 			}
@@ -122,7 +116,19 @@
 	}
 }
 
-func TestSnapshotsThatAreDamaged(t *testing.T) {
+// checkRejectedTransfer requires that a transfer fails and changes nothing.
+func checkRejectedTransfer(t *testing.T, secondary *Table, transfer Transfer, want error) {
+	t.Helper()
+	serial, records := secondary.Serial(), dump(secondary.View())
+	if err := secondary.ApplyTransfer(transfer); !errors.Is(err, want) {
+		t.Errorf("error %v, want %v", err, want)
+	}
+	if secondary.Serial() != serial || !slices.Equal(records, dump(secondary.View())) {
+		t.Error("a transfer that fails has changed the table")
+	}
+}
+
+func TestRestoreRejectsDamagedSnapshots(t *testing.T) {
 	data, err := testTable(t, rr("m.t.", typeMany, "1")).Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -140,17 +146,17 @@
 			t.Errorf("restored from %d of %d octets", length, len(data))
 		}
 	}
-	headless := encode(snapshot{Format: snapshotFormat, Apex: testApex, Records: members})
-	foreign := encode(snapshot{Format: snapshotFormat + 1, Apex: testApex})
-	if _, err := Restore(testSchema(), headless); !errors.Is(err, ErrTransfer) {
-		t.Errorf("without a head: %v, want ErrTransfer", err)
+	withoutSOA := encode(snapshot{Format: snapshotFormat, Apex: testApex, Records: members})
+	otherFormat := encode(snapshot{Format: snapshotFormat + 1, Apex: testApex})
+	if _, err := Restore(testSchema(), withoutSOA); !errors.Is(err, ErrTransfer) {
+		t.Errorf("without an SOA record: %v, want ErrTransfer", err)
 	}
-	if _, err := Restore(testSchema(), foreign); !errors.Is(err, ErrMalformed) {
+	if _, err := Restore(testSchema(), otherFormat); !errors.Is(err, ErrMalformed) {
 		t.Errorf("another format: %v, want ErrMalformed", err)
 	}
 }
 
-func TestWalkVisitsANameAndAllBelow(t *testing.T) {
+func TestWalkVisitsNameAndDescendants(t *testing.T) {
 	table := testTable(t, rr("a.t.", typeOne, "1"), rr("b.a.t.", typeOne, "2"), rr("ab.t.", typeOne, "3"), rr("a.t.", typeMany, "4"))
 	visit := func(under Name, recordType Type, most int) (visited string) {
 		table.View().Walk(under, recordType, func(record Record) bool {
@@ -168,29 +174,15 @@
 	}
 }
 
-// TestViewsWhileWriting reads views in many goroutines while the table changes:
-// two records that each update sets together must be seen equal.
-func TestViewsWhileWriting(t *testing.T) {
+// TestConcurrentViews reads views in many goroutines while the table changes: the two
+// records that each update sets together must be equal in every view.
+func TestConcurrentViews(t *testing.T) {
 	const updates, readers = 300, 4
 	table := testTable(t, rr("p.t.", typeOne, "0"), rr("q.t.", typeOne, "0"))
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	for range readers {
-		group.Go(func() {
-			for last := uint32(0); ; {
-				view := table.View()
-				p, q := view.Lookup("p.t.", typeOne), view.Lookup("q.t.", typeOne)
-				if string(p[0].Data) != string(q[0].Data) || SerialLess(view.Serial(), last) {
-					t.Errorf("serial %d after %d: %s and %s", view.Serial(), last, p[0].Data, q[0].Data)
-				}
-				last = view.Serial()
-				select {
-				case <-done:
-					return
-				default:
-				}
-			}
-		})
+		group.Go(func() { readPairs(t, table, done) })
 	}
 	for i := range updates {
 		value := fmt.Sprint(i + 1)
@@ -203,12 +195,31 @@
 	group.Wait()
 }
 
+// readPairs takes views until done is closed. It only reports with Errorf, since it
+// runs outside of the test's goroutine.
+func readPairs(t *testing.T, table *Table, done <-chan struct{}) {
+	t.Helper()
+	for last := uint32(0); ; {
+		view := table.View()
+		p, q := view.Lookup("p.t.", typeOne), view.Lookup("q.t.", typeOne)
+		if string(p[0].Data) != string(q[0].Data) || SerialLess(view.Serial(), last) {
+			t.Errorf("serial %d after %d: %s and %s", view.Serial(), last, p[0].Data, q[0].Data)
+		}
+		last = view.Serial()
+		select {
+		case <-done:
+			return
+		default:
+		}
+	}
+}
+
 // BenchmarkView shows that taking a view costs the same at any size.
 func BenchmarkView(b *testing.B) {
 	for _, size := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			table := testTable(b)
-			grow(b, table, 0, size)
+			grow(b, table, size)
 			b.ReportAllocs()
 			for b.Loop() {
 				_ = table.View()
@@ -222,7 +233,7 @@
 	for _, size := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			table := testTable(b)
-			grow(b, table, 0, size)
+			grow(b, table, size)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				update := NewUpdate(testApex, nil, []Record{Add(rr("n7.t.", typeOne, fmt.Sprint(i)))})
--- a/registry/view.go
+++ b/registry/view.go
@@ -1,54 +1,30 @@
 package registry
 
 import (
-	"bytes"
-	"sort"
 	"strings"
 
 	"github.com/google/btree"
 )
 
-// treeDegree balances the nodes copied by a change against the depth of a search.
-const treeDegree = 16
-
-// rrset is all records of one name and type, sorted by data. It is never
-// changed once it is in a tree.
-type rrset struct {
-	key     string
-	kind    Type
-	records []Record
-}
-
-// tableState is the whole of a table at one serial. It is never changed once published.
+// tableState is the state of a table at one serial. It is immutable once published.
 type tableState struct {
 	apex  Name
 	soa   SOA
 	tree  *btree.BTreeG[rrset]
-	count int
+	count int // records
 }
 
-// View is an immutable reading of a table at one serial. Taking one costs O(1).
-// It may be used by any number of goroutines while the table goes on changing.
-// The zero View is empty. Data of the records it returns must not be changed.
+// View is an immutable snapshot of a table at one serial. Taking one costs O(1).
+// Any number of goroutines may use it while the table goes on changing. The zero
+// View is empty. The Data of the records it returns must not be modified.
 type View struct {
 	state *tableState
 }
 
-func lessRRset(a, b rrset) bool {
-	if a.key != b.key {
-		return a.key < b.key
-	}
-	return a.kind < b.kind
-}
-
-func newTree() *btree.BTreeG[rrset] {
-	return btree.NewG(treeDegree, lessRRset)
-}
-
-// Serial returns the serial that the view shows, zero for an empty view.
+// Serial returns the serial of the view, 0 for an empty one.
 func (v View) Serial() uint32 { return v.SOA().Serial }
 
-// SOA returns the data of the head record.
+// SOA returns the data of the SOA record, the zero SOA for an empty view.
 func (v View) SOA() SOA {
 	if v.state == nil {
 		return SOA{}
@@ -56,7 +32,7 @@
 	return v.state.soa
 }
 
-// Apex returns the name of the table.
+// Apex returns the name of the table, "" for an empty view.
 func (v View) Apex() Name {
 	if v.state == nil {
 		return ""
@@ -72,8 +48,8 @@
 	return v.state.count
 }
 
-// Lookup returns the records of the type at the name, ordered by data. TypeANY
-// matches every type.
+// Lookup returns a copy of the records of the type at the name, sorted by data.
+// TypeANY matches every type. A malformed name has no records.
 func (v View) Lookup(name Name, recordType Type) []Record {
 	if v.state == nil {
 		return nil
@@ -94,7 +70,7 @@
 	return records
 }
 
-// InUse reports whether any record is at the name itself (2.4.4).
+// InUse reports whether any record is at the name itself (section 2.4.4).
 func (v View) InUse(name Name) bool {
 	if v.state == nil {
 		return false
@@ -118,7 +94,7 @@
 		if !strings.HasPrefix(set.key, prefix) {
 			return false
 		}
-		if recordType != TypeANY && set.kind != recordType {
+		if recordType != TypeANY && set.recordType != recordType {
 			return true
 		}
 		for _, record := range set.records {
@@ -129,47 +105,3 @@
 		return true
 	})
 }
-
-func findRRset(tree *btree.BTreeG[rrset], key string, recordType Type) rrset {
-	set, _ := tree.Get(rrset{key: key, kind: recordType})
-	return set
-}
-
-// eachRRsetAt visits the sets at exactly one name, in the order of their types.
-func eachRRsetAt(tree *btree.BTreeG[rrset], key string, visit func(rrset) bool) {
-	tree.AscendGreaterOrEqual(rrset{key: key}, func(set rrset) bool {
-		return set.key == key && visit(set)
-	})
-}
-
-func nameInUse(tree *btree.BTreeG[rrset], key string) bool {
-	found := false
-	eachRRsetAt(tree, key, func(rrset) bool {
-		found = true
-		return false
-	})
-	return found
-}
-
-// insertRecord returns the records insertRecord one more, in order of data. The record must not
-// be among them.
-func insertRecord(records []Record, record Record) []Record {
-	at := sort.Search(len(records), func(i int) bool {
-		return bytes.Compare(records[i].Data, record.Data) >= 0
-	})
-	grown := make([]Record, 0, len(records)+1)
-	grown = append(grown, records[:at]...)
-	grown = append(grown, record)
-	return append(grown, records[at:]...)
-}
-
-// filterOut returns the records that drop does not pick.
-func filterOut(records []Record, drop func(Record) bool) []Record {
-	var kept []Record
-	for _, record := range records {
-		if !drop(record) {
-			kept = append(kept, record)
-		}
-	}
-	return kept
-}
