--- a/patch/change.go
+++ b/patch/patch.go
@@ -1,6 +1,6 @@
-// Package patch changes named items of a document and leaves the rest as
-// its author wrote it: items are added, replaced or removed by their names. It is
-// pure, and knows no document's meaning: whoever applies a change judges the
+// Package patch changes named items of a document and leaves the rest as its
+// author wrote it: items are added, replaced or removed by name. It is pure, and
+// knows nothing of a document's meaning: whoever applies a change validates the
 // result.
 //
 // Removing a name that the document does not have is ignored, as RFC 2136
@@ -10,7 +10,7 @@
 
 import "fmt"
 
-// MaxItems bounds the items that one change names.
+// MaxItems limits the items that one change names.
 const MaxItems = 50_000
 
 // Item is one named item with its value as the author wrote it.
@@ -22,7 +22,7 @@
 // Section is what a change does to one section of a document.
 type Section struct {
 	Name string `cbor:"1,keyasint"`
-	// Upsert are the items to add, or to put in the place of those of their names.
+	// Upsert are the items to add, or to replace those of the same names with.
 	Upsert []Item `cbor:"2,keyasint,omitempty"`
 	// Remove names the items to remove.
 	Remove []string `cbor:"3,keyasint,omitempty"`
@@ -33,16 +33,18 @@
 	Sections []Section `cbor:"1,keyasint,omitempty"`
 }
 
-// FieldError is why a change or its result cannot be used. Field names the place.
+// FieldError reports why a change or its result is invalid. Field is the path to
+// the invalid part.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-func (p *FieldError) Error() string { return fmt.Sprintf("change: %s: %s", p.Field, p.Reason) }
+// Error names the field and the reason.
+func (e *FieldError) Error() string { return fmt.Sprintf("change: %s: %s", e.Field, e.Reason) }
 
-// Validate returns a *Problem for the first thing wrong with the form of the
-// change: a name that is empty, stands twice, or is to be both kept and removed.
+// Validate returns a *FieldError for the first invalid part of the change: a name
+// that is empty, is listed twice, or is to be both upserted and removed.
 func (c *Change) Validate() error {
 	sections := make(map[string]bool, len(c.Sections))
 	items := 0
@@ -63,35 +65,49 @@
 	return nil
 }
 
+// operation is what a section does to one item.
+type operation int
+
+const (
+	operationNone operation = iota
+	operationUpsert
+	operationRemove
+)
+
 func (s *Section) validate() error {
-	const kept, removed = 1, 2
-	seen := make(map[string]int, len(s.Upsert)+len(s.Remove))
-	note := func(field, name string, use int) error {
-		switch {
-		case name == "":
-			return &FieldError{Field: field, Reason: "has no name"}
-		case seen[name] == use:
-			return &FieldError{Field: field, Reason: fmt.Sprintf("%q stands twice", name)}
-		case seen[name] != 0:
-			return &FieldError{Field: field, Reason: fmt.Sprintf("%q is upserted as well", name)}
-		}
-		seen[name] = use
-		return nil
-	}
+	operations := make(map[string]operation, len(s.Upsert)+len(s.Remove))
 	for i, item := range s.Upsert {
-		if err := note(fmt.Sprintf("upsert.%s[%d]", s.Name, i), item.Name, kept); err != nil {
-			return err
+		if reason := add(operations, item.Name, operationUpsert); reason != "" {
+			return &FieldError{Field: fmt.Sprintf("upsert.%s[%d]", s.Name, i), Reason: reason}
 		}
 	}
 	for i, name := range s.Remove {
-		if err := note(fmt.Sprintf("remove.%s[%d]", s.Name, i), name, removed); err != nil {
-			return err
+		if reason := add(operations, name, operationRemove); reason != "" {
+			return &FieldError{Field: fmt.Sprintf("remove.%s[%d]", s.Name, i), Reason: reason}
 		}
 	}
 	return nil
 }
 
-// upserts are a section's items to add or replace, by name.
+// add records the operation on a name and returns why it is invalid, "" if it is
+// valid.
+func add(operations map[string]operation, name string, added operation) string {
+	switch {
+	case name == "":
+		return "has no name"
+	case operations[name] == added:
+		return fmt.Sprintf("%q stands twice", name)
+	case operations[name] != operationNone:
+		return fmt.Sprintf("%q is upserted as well", name)
+	}
+	operations[name] = added
+	return ""
+}
+
+// isEmpty reports whether the section changes nothing.
+func (s *Section) isEmpty() bool { return len(s.Upsert)+len(s.Remove) == 0 }
+
+// upserts returns the values to add or replace, by name.
 func (s *Section) upserts() map[string]string {
 	values := make(map[string]string, len(s.Upsert))
 	for _, item := range s.Upsert {
@@ -100,7 +116,7 @@
 	return values
 }
 
-// removals are the names to remove.
+// removals returns the set of names to remove.
 func (s *Section) removals() map[string]bool {
 	names := make(map[string]bool, len(s.Remove))
 	for _, name := range s.Remove {
--- a/patch/change_test.go
+++ b/patch/patch_test.go
@@ -7,32 +7,32 @@
 	"testing"
 )
 
-func TestValidateNamesWhatIsWrong(t *testing.T) {
+func TestChangeValidate(t *testing.T) {
 	item := func(name string) Item { return Item{Name: name, Value: "{}"} }
 	tests := map[string]struct {
 		change Change
 		field  string // "" is valid
 	}{
-		"empty":           {Change{}, ""},
-		"kept, removed":   {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"y"}}}}, ""},
-		"same name apart": {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}}, {Name: "b", Remove: []string{"x"}}}}, ""},
-		"in both lists":   {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"x"}}}}, "remove.a[0]"},
-		"upserted twice":  {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x"), item("x")}}}}, "upsert.a[1]"},
-		"removed twice":   {Change{Sections: []Section{{Name: "a", Remove: []string{"x", "x"}}}}, "remove.a[1]"},
-		"no name":         {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("")}}}}, "upsert.a[0]"},
-		"removes no name": {Change{Sections: []Section{{Name: "a", Remove: []string{""}}}}, "remove.a[0]"},
-		"section twice":   {Change{Sections: []Section{{Name: "a"}, {Name: "a"}}}, "a"},
-		"too many":        {Change{Sections: []Section{{Name: "a", Upsert: manyItems(MaxItems + 1)}}}, "change"},
+		"empty":             {Change{}, ""},
+		"upserted, removed": {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"y"}}}}, ""},
+		"same name apart":   {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}}, {Name: "b", Remove: []string{"x"}}}}, ""},
+		"in both lists":     {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"x"}}}}, "remove.a[0]"},
+		"upserted twice":    {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x"), item("x")}}}}, "upsert.a[1]"},
+		"removed twice":     {Change{Sections: []Section{{Name: "a", Remove: []string{"x", "x"}}}}, "remove.a[1]"},
+		"no name":           {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("")}}}}, "upsert.a[0]"},
+		"removes no name":   {Change{Sections: []Section{{Name: "a", Remove: []string{""}}}}, "remove.a[0]"},
+		"section twice":     {Change{Sections: []Section{{Name: "a"}, {Name: "a"}}}, "a"},
+		"too many":          {Change{Sections: []Section{{Name: "a", Upsert: manyItems(MaxItems + 1)}}}, "change"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			err := test.change.Validate()
-			var problem *FieldError
+			var invalid *FieldError
 			switch {
 			case test.field == "" && err != nil:
 				t.Errorf("got %v", err)
-			case test.field != "" && (!errors.As(err, &problem) || problem.Field != test.field):
-				t.Errorf("got %v, want a problem at %s", err, test.field)
+			case test.field != "" && (!errors.As(err, &invalid) || invalid.Field != test.field):
+				t.Errorf("got %v, want a FieldError at %q", err, test.field)
 			}
 		})
 	}
@@ -50,7 +50,7 @@
 
 const listDocument = `{"version":7,"kept" : [1, 2],"routes":[{"name":"r1","x": 1.50},{"x":2,"name":"r2"},{"name":"r3"}],"limits":{"a":1e3}}`
 
-func TestApplyToLists(t *testing.T) {
+func TestApplyJSON(t *testing.T) {
 	set := map[string]json.RawMessage{"version": json.RawMessage("9")}
 	tests := map[string]struct {
 		document string
@@ -85,16 +85,26 @@
 	}
 }
 
-// compactMembers takes the space around the members' colons out.
+// compactMembers removes the spaces around the colon of a member.
 func compactMembers(text string) string { return strings.Replace(text, `"kept" : `, `"kept":`, 1) }
 
-func TestApplyToListsRefuses(t *testing.T) {
+func TestApplyJSONRejects(t *testing.T) {
 	change := Change{Sections: []Section{{Name: "routes", Upsert: []Item{{Name: "r", Value: `{`}}}}}
-	for _, document := range []string{`[]`, `{"routes":{}}`, `{"routes":[1]}`, `{"a":`, `{} {}`, `{"routes":[]}`} {
-		var problem *FieldError
-		if got, err := ApplyJSON(document, &change, nil); !errors.As(err, &problem) {
-			t.Errorf("%s: got %s, %v", document, got, err)
-		}
+	documents := map[string]string{
+		"no object":              `[]`,
+		"section is no list":     `{"routes":{}}`,
+		"item is no object":      `{"routes":[1]}`,
+		"truncated document":     `{"a":`,
+		"two documents":          `{} {}`,
+		"upserted value invalid": `{"routes":[]}`,
+	}
+	for name, document := range documents {
+		t.Run(name, func(t *testing.T) {
+			var invalid *FieldError
+			if got, err := ApplyJSON(document, &change, nil); !errors.As(err, &invalid) {
+				t.Errorf("%s: got %s, %v", document, got, err)
+			}
+		})
 	}
 }
 
@@ -108,7 +118,7 @@
         chat: {host: a}
 `
 
-func TestApplyToMappings(t *testing.T) {
+func TestApplyYAML(t *testing.T) {
 	change := Change{Sections: []Section{
 		{Name: "tenants", Upsert: []Item{{Name: "new", Value: "{weight: 3}"}}, Remove: []string{"old", "unknown"}},
 		{Name: "http.routes", Upsert: []Item{{Name: "chat", Value: `{"host": "b"}`}}},
@@ -130,19 +140,28 @@
 	}
 }
 
-func TestApplyToMappingsRefuses(t *testing.T) {
+func TestApplyYAMLRejects(t *testing.T) {
 	change := Change{Sections: []Section{{Name: "http.routes", Upsert: []Item{{Name: "r", Value: `{`}}}}}
-	for _, document := range []string{"", "http: 1", "http: {routes: []}", "a: [", "http: {}"} {
-		var problem *FieldError
-		if got, err := ApplyYAML(document, &change); !errors.As(err, &problem) {
-			t.Errorf("%q: got %s, %v", document, got, err)
-		}
+	documents := map[string]string{
+		"empty document":         "",
+		"path is no mapping":     "http: 1",
+		"section is no mapping":  "http: {routes: []}",
+		"truncated document":     "a: [",
+		"upserted value invalid": "http: {}",
+	}
+	for name, document := range documents {
+		t.Run(name, func(t *testing.T) {
+			var invalid *FieldError
+			if got, err := ApplyYAML(document, &change); !errors.As(err, &invalid) {
+				t.Errorf("%q: got %s, %v", document, got, err)
+			}
+		})
 	}
 }
 
-// FuzzApplyToLists holds that a change leaves JSON, keeps what it does not name,
-// and made twice is made once.
-func FuzzApplyToLists(f *testing.F) {
+// FuzzApplyJSON checks that the result of a change is JSON, and that making the same
+// change again alters nothing.
+func FuzzApplyJSON(f *testing.F) {
 	f.Add(listDocument, "r1", "r9", "r2")
 	f.Add(`{"routes":[]}`, "", "a", "b")
 	f.Add(`{"routes":[{"name":"a"},{"name":"a"}]}`, "a", "a", "x")
--- a/patch/mappings.go
+++ b/patch/yaml.go
@@ -7,10 +7,10 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ApplyYAML applies a valid change to a YAML or JSON document whose sections
-// are mappings from names to items. A section's name is the path to it, joined by
-// points: "http.routes". Comments and the order of what is not named stay. The
-// error is a *Problem.
+// ApplyYAML applies a valid change to a YAML or JSON document whose sections are
+// mappings from names to items. A section's name is the path to it, joined by dots:
+// "http.routes". Comments and the order of what is not named stay as they are. The
+// error is a *FieldError.
 func ApplyYAML(document string, change *Change) (string, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal([]byte(document), &root); err != nil {
@@ -32,7 +32,7 @@
 }
 
 func (s *Section) applyToMapping(root *yaml.Node) error {
-	if len(s.Upsert)+len(s.Remove) == 0 {
+	if s.isEmpty() {
 		return nil
 	}
 	section := root
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// child returns a mapping below a mapping, which is made if it is missing.
+// child returns the value of a key of a mapping. A missing one is appended as an
+// empty mapping.
 func child(parent *yaml.Node, name string) (*yaml.Node, error) {
 	if parent.Kind != yaml.MappingNode {
 		return nil, fmt.Errorf("%q stands below what is no mapping", name)
@@ -63,9 +64,9 @@
 	if at := keyIndex(parent, name); at >= 0 {
 		return parent.Content[at+1], nil
 	}
-	made := &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"}
-	parent.Content = append(parent.Content, keyNode(name), made)
-	return made, nil
+	created := &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"}
+	parent.Content = append(parent.Content, keyNode(name), created)
+	return created, nil
 }
 
 func keyNode(name string) *yaml.Node {
@@ -74,7 +75,8 @@
 	return key
 }
 
-// keyIndex returns the place of a key among a mapping's nodes, -1 for none.
+// keyIndex returns the index of a key among a mapping's nodes, -1 if it is missing.
+// Its value is the node after it.
 func keyIndex(mapping *yaml.Node, name string) int {
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if mapping.Content[i].Value == name {
@@ -85,16 +87,16 @@
 }
 
 func removeKeys(mapping *yaml.Node, removed map[string]bool) {
-	kept := mapping.Content[:0]
+	remaining := mapping.Content[:0]
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if !removed[mapping.Content[i].Value] {
-			kept = append(kept, mapping.Content[i], mapping.Content[i+1])
+			remaining = append(remaining, mapping.Content[i], mapping.Content[i+1])
 		}
 	}
-	mapping.Content = kept
+	mapping.Content = remaining
 }
 
-// setKey adds an item or takes the place of the one of its name.
+// setKey adds an item or replaces that of the same name.
 func setKey(mapping *yaml.Node, item Item) error {
 	var value yaml.Node
 	if err := yaml.Unmarshal([]byte(item.Value), &value); err != nil {
