--- a/routemap/change_test.go
+++ b/routemap/change_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestApply(t *testing.T) {
+func TestMapApply(t *testing.T) {
 	route := func(name string, timeout time.Duration) Route { return Route{Name: name, Timeout: timeout} }
 	before := &Map{
 		Version:  3,
@@ -31,6 +31,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if len(before.Routes) != 3 || before.Routes[1].Timeout != 2 || before.Services[0].Slots != 0 {
-		t.Errorf("the map that was changed is now %+v", before)
+		t.Errorf("Apply has modified its map: %+v", before)
 	}
 }
--- a/routemap/routemap_test.go
+++ b/routemap/routemap_test.go
@@ -20,27 +20,27 @@
 	}
 }
 
-func TestValidateNamesFieldAndReason(t *testing.T) {
+func TestValidate(t *testing.T) {
 	tests := map[string]struct {
 		change func(*Map)
 		field  string
 	}{
-		"version 0":            {func(m *Map) { m.Version = 0 }, "version"},
-		"service twice":        {func(m *Map) { m.Services[1].Name = "pool" }, "services[1].name"},
-		"nameless service":     {func(m *Map) { m.Services[0].Name = "" }, "services[0].name"},
-		"negative connections": {func(m *Map) { m.Services[0].MaxConnections = -1 }, "services[0]"},
-		"negative cold rate":   {func(m *Map) { m.Services[0].SlowStartRate = -1 }, "services[0]"},
-		"route twice":          {func(m *Map) { m.Routes[1].Name = "a" }, "routes[1].name"},
-		"same place":           {func(m *Map) { m.Routes[1].PathPrefix = "/a/" }, "routes[1].path_prefix"},
-		"no slash at the end":  {func(m *Map) { m.Routes[0].PathPrefix = "/a" }, "routes[0].path_prefix"},
-		"no host":              {func(m *Map) { m.Routes[0].Host = "" }, "routes[0].host"},
-		"unknown kind":         {func(m *Map) { m.Routes[0].Kind = "twice" }, "routes[0].kind"},
-		"no time-out":          {func(m *Map) { m.Routes[0].Timeout = 0 }, "routes[0].timeout_ms"},
-		"unknown service":      {func(m *Map) { m.Routes[0].Targets[1].Service = "gone" }, "routes[0].targets[1].service"},
-		"negative weight":      {func(m *Map) { m.Routes[0].Targets[1].Weight = -1 }, "routes[0].targets[1].weight"},
-		"weights of 0":         {func(m *Map) { m.Routes[1].Targets[0].Weight = 0 }, "routes[1].targets"},
-		"no targets":           {func(m *Map) { m.Routes[1].Targets = nil }, "routes[1].targets"},
-		"negative attempts":    {func(m *Map) { m.Routes[1].MaxAttempts = -1 }, "routes[1]"},
+		"version 0":                {func(m *Map) { m.Version = 0 }, "version"},
+		"duplicate service":        {func(m *Map) { m.Services[1].Name = "pool" }, "services[1].name"},
+		"service without name":     {func(m *Map) { m.Services[0].Name = "" }, "services[0].name"},
+		"negative connections":     {func(m *Map) { m.Services[0].MaxConnections = -1 }, "services[0]"},
+		"negative slow-start rate": {func(m *Map) { m.Services[0].SlowStartRate = -1 }, "services[0]"},
+		"duplicate route":          {func(m *Map) { m.Routes[1].Name = "a" }, "routes[1].name"},
+		"same host and prefix":     {func(m *Map) { m.Routes[1].PathPrefix = "/a/" }, "routes[1].path_prefix"},
+		"no slash at the end":      {func(m *Map) { m.Routes[0].PathPrefix = "/a" }, "routes[0].path_prefix"},
+		"no host":                  {func(m *Map) { m.Routes[0].Host = "" }, "routes[0].host"},
+		"unknown kind":             {func(m *Map) { m.Routes[0].Kind = "twice" }, "routes[0].kind"},
+		"no timeout":               {func(m *Map) { m.Routes[0].Timeout = 0 }, "routes[0].timeout_ms"},
+		"unknown service":          {func(m *Map) { m.Routes[0].Targets[1].Service = "gone" }, "routes[0].targets[1].service"},
+		"negative weight":          {func(m *Map) { m.Routes[0].Targets[1].Weight = -1 }, "routes[0].targets[1].weight"},
+		"weights of 0":             {func(m *Map) { m.Routes[1].Targets[0].Weight = 0 }, "routes[1].targets"},
+		"no targets":               {func(m *Map) { m.Routes[1].Targets = nil }, "routes[1].targets"},
+		"negative attempts":        {func(m *Map) { m.Routes[1].MaxAttempts = -1 }, "routes[1]"},
 	}
 	valid := validMap()
 	if err := valid.Validate(); err != nil {
@@ -50,22 +50,22 @@
 		t.Run(name, func(t *testing.T) {
 			m := validMap()
 			test.change(&m)
-			var problem *FieldError
-			if err := m.Validate(); !errors.As(err, &problem) || problem.Field != test.field || problem.Reason == "" {
-				t.Fatalf("got %v, want a problem at %s", err, test.field)
+			var invalid *FieldError
+			if err := m.Validate(); !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Reason == "" {
+				t.Fatalf("got %v, want a FieldError at %q", err, test.field)
 			}
 		})
 	}
 }
 
-func TestLookupTakesTheLongestPrefix(t *testing.T) {
+func TestLookupPrefersLongestPrefix(t *testing.T) {
 	table := NewTable(validMap().Routes)
 	tests := map[string]struct{ host, path, want string }{
-		"longest":         {"example.test", "/a/b/c", "ab"},
-		"shorter":         {"example.test", "/a/x", "a"},
-		"case and port":   {"EXAMPLE.test:80", "/a/", "a"},
-		"prefix is whole": {"example.test", "/ab/", ""},
-		"other host":      {"other.test", "/a/", ""},
+		"longest":                {"example.test", "/a/b/c", "ab"},
+		"shorter":                {"example.test", "/a/x", "a"},
+		"case and port":          {"EXAMPLE.test:80", "/a/", "a"},
+		"prefix ends at a slash": {"example.test", "/ab/", ""},
+		"other host":             {"other.test", "/a/", ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickByWeight(t *testing.T) {
 	route := validMap().Routes[0]
 	counts := map[string]int{}
 	for i := range 400 {
@@ -91,19 +91,21 @@
 	}
 }
 
-func TestMayRepeat(t *testing.T) {
-	tests := []struct {
+func TestRetryable(t *testing.T) {
+	tests := map[string]struct {
 		route Route
 		want  bool
 	}{
-		{Route{Kind: AtMostOnce}, false},
-		{Route{Kind: Idempotent}, true},
-		{Route{Kind: Stream}, false},
-		{Route{Kind: Stream, Resumable: true}, true},
+		"at most once":     {Route{Kind: AtMostOnce}, false},
+		"idempotent":       {Route{Kind: Idempotent}, true},
+		"stream":           {Route{Kind: Stream}, false},
+		"resumable stream": {Route{Kind: Stream, Resumable: true}, true},
 	}
-	for _, test := range tests {
-		if got := test.route.Retryable(); got != test.want {
-			t.Errorf("%+v: got %v", test.route, got)
-		}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			if got := test.route.Retryable(); got != test.want {
+				t.Errorf("%+v: got %v", test.route, got)
+			}
+		})
 	}
 }
--- a/routemap/validate.go
+++ b/routemap/validate.go
@@ -5,21 +5,33 @@
 	"strings"
 )
 
-// maxNameBytes bounds the names of routes, hosts, prefixes and services.
+// maxNameBytes limits the names of routes and services, and hosts.
 const maxNameBytes = 128
 
-// FieldError is why a map is not taken. Field names the place in the map.
+// FieldError reports why a map is rejected. Field is the path to the invalid part,
+// as in "routes[1].targets[0].service".
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-func (p *FieldError) Error() string { return fmt.Sprintf("routemap: %s: %s", p.Field, p.Reason) }
+// Error names the field and the reason.
+func (e *FieldError) Error() string { return fmt.Sprintf("routemap: %s: %s", e.Field, e.Reason) }
 
-// Validate returns a *Problem for the first thing wrong with the map.
+func invalid(field, format string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
+}
+
+func invalidName(field string) error {
+	return invalid(field, "must have 1 to %d bytes", maxNameBytes)
+}
+
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
+
+// Validate returns a *FieldError for the first invalid field of the map.
 func (m *Map) Validate() error {
 	if m.Version == 0 {
-		return &FieldError{Field: "version", Reason: "must be above 0"}
+		return invalid("version", "must be above 0")
 	}
 	services, err := m.validateServices()
 	if err != nil {
@@ -28,6 +40,7 @@
 	return m.validateRoutes(services)
 }
 
+// validateServices returns the names of the services.
 func (m *Map) validateServices() (map[string]bool, error) {
 	services := make(map[string]bool, len(m.Services))
 	for i, service := range m.Services {
@@ -36,81 +49,78 @@
 			return nil, err
 		}
 		if services[service.Name] {
-			return nil, &FieldError{Field: field + ".name", Reason: fmt.Sprintf("%q stands twice", service.Name)}
+			return nil, invalid(field+".name", "%q stands twice", service.Name)
 		}
 		services[service.Name] = true
 	}
 	return services, nil
 }
 
-// Validate returns a *Problem for the first thing wrong with the service. field
-// is its place in the map.
+// Validate returns a *FieldError for the first invalid field of the service. field is
+// the path to the service in the map.
 func (s *Service) Validate(field string) error {
 	switch {
 	case !validName(s.Name):
-		return &FieldError{Field: field + ".name", Reason: nameReason}
+		return invalidName(field + ".name")
 	case s.MaxConnections < 0 || s.Slots < 0 || s.CacheTokens < 0:
-		return &FieldError{Field: field, Reason: "numbers must not be negative"}
+		return invalid(field, "numbers must not be negative")
 	case s.SlowStartRate < 0 || s.SlowStartDuration < 0:
-		return &FieldError{Field: field, Reason: "cold bounds must not be negative"}
+		return invalid(field, "cold bounds must not be negative")
 	default:
 		return nil
 	}
 }
 
-// RouteKey is what only one route of a map may have.
+// RouteKey is the host and path prefix of a route. No two routes of a map have the
+// same.
 type RouteKey struct {
-	Host       string // in small letters
+	Host       string // lower case
 	PathPrefix string
 }
 
-// Key returns the route's place.
+// Key returns the route's key.
 func (r *Route) Key() RouteKey {
 	return RouteKey{Host: strings.ToLower(r.Host), PathPrefix: r.PathPrefix}
 }
 
 func (m *Map) validateRoutes(services map[string]bool) error {
 	names := make(map[string]bool, len(m.Routes))
-	placed := make(map[RouteKey]bool, len(m.Routes))
+	keys := make(map[RouteKey]bool, len(m.Routes))
 	for i := range m.Routes {
 		route := &m.Routes[i]
 		field := fmt.Sprintf("routes[%d]", i)
 		if err := route.Validate(field, services); err != nil {
 			return err
 		}
-		where := route.Key()
+		key := route.Key()
 		if names[route.Name] {
-			return &FieldError{Field: field + ".name", Reason: fmt.Sprintf("%q stands twice", route.Name)}
+			return invalid(field+".name", "%q stands twice", route.Name)
 		}
-		if placed[where] {
-			return &FieldError{Field: field + ".path_prefix", Reason: "another route has the same host and prefix"}
+		if keys[key] {
+			return invalid(field+".path_prefix", "another route has the same host and prefix")
 		}
 		names[route.Name] = true
-		placed[where] = true
+		keys[key] = true
 	}
 	return nil
 }
 
-var nameReason = fmt.Sprintf("must have 1 to %d bytes", maxNameBytes)
-
-func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
-
-// Validate returns a *Problem for the first thing wrong with the route. field is
-// its place in the map, services the names that its targets may have.
+// Validate returns a *FieldError for the first invalid field of the route. field is
+// the path to the route in the map, services the names that its targets may have.
 func (r *Route) Validate(field string, services map[string]bool) error {
 	switch {
 	case !validName(r.Name):
-		return &FieldError{Field: field + ".name", Reason: nameReason}
+		return invalidName(field + ".name")
 	case !validName(r.Host):
-		return &FieldError{Field: field + ".host", Reason: nameReason}
+		return invalidName(field + ".host")
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
-		return &FieldError{Field: field + ".path_prefix", Reason: "must begin and end with a slash"}
+		return invalid(field+".path_prefix", "must begin and end with a slash")
 	case r.Kind != Idempotent && r.Kind != AtMostOnce && r.Kind != Stream:
-		return &FieldError{Field: field + ".kind", Reason: fmt.Sprintf("%q is not known", r.Kind)}
+		return invalid(field+".kind", "%q is not known", r.Kind)
 	case r.Timeout <= 0:
-		return &FieldError{Field: field + ".timeout_ms", Reason: "must be above 0"}
+		return invalid(field+".timeout_ms", "must be above 0")
 	case r.FirstEventTarget < 0 || r.EventGapTarget < 0 || r.MaxAttempts < 0:
-		return &FieldError{Field: field, Reason: "numbers must not be negative"}
+		return invalid(field, "numbers must not be negative")
 	}
 	return r.validateTargets(field, services)
 }
@@ -118,17 +128,17 @@
 func (r *Route) validateTargets(field string, services map[string]bool) error {
 	total := 0
 	for i, target := range r.Targets {
-		at := fmt.Sprintf("%s.targets[%d]", field, i)
+		path := fmt.Sprintf("%s.targets[%d]", field, i)
 		if !services[target.Service] {
-			return &FieldError{Field: at + ".service", Reason: fmt.Sprintf("unknown service %q", target.Service)}
+			return invalid(path+".service", "unknown service %q", target.Service)
 		}
 		if target.Weight < 0 {
-			return &FieldError{Field: at + ".weight", Reason: "must not be negative"}
+			return invalid(path+".weight", "must not be negative")
 		}
 		total += target.Weight
 	}
 	if total == 0 {
-		return &FieldError{Field: field + ".targets", Reason: "the weights add up to 0"}
+		return invalid(field+".targets", "the weights add up to 0")
 	}
 	return nil
 }
