--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// model is the slow, obvious table: a list of records, judged by walking it.
+// model is the reference implementation of a table: a list of records that every
+// step walks.
 type model struct {
 	records []Record // without the SOA record
 	soa     SOA
@@ -249,7 +250,7 @@
 	return []Record{drawRecord(t, m.soa.Serial)}
 }
 
-// takenView is a view and what it showed when it was taken.
+// takenView is a view and its records when it was taken.
 type takenView struct {
 	view   View
 	serial uint32
@@ -312,10 +313,11 @@
 	return update
 }
 
-// replicate brings the secondary up by an encoded transfer and compares snapshots.
-// One that the serial has left half the circle behind must refuse (RFC 1982 does
-// not order the two) and is replaced by an empty one. It returns the secondary.
+// replicate updates the secondary by an encoded transfer, compares snapshots and
+// returns the secondary. One whose serial is 2^31 or more behind must reject the
+// transfer, since RFC 1982 does not order the two, and is replaced by an empty one.
 func replicate(t *rapid.T, table, secondary *Table) *Table {
+	t.Helper()
 	data, err := EncodeTransfer(table.TransferSince(secondary.Serial()))
 	if err != nil {
 		t.Fatal(err)
--- a/registry/name.go
+++ b/registry/name.go
@@ -53,7 +53,7 @@
 	return Name(canonical.String()), nil
 }
 
-// In reports whether the name is apex or below it (sections 1.2 and 7.18).
+// In reports whether the name is the apex or below it (sections 1.2 and 7.18).
 func (n Name) In(apex Name) bool {
 	if n == "" || apex == "" {
 		return false
@@ -61,11 +61,12 @@
 	if apex == Root || n == apex {
 		return true
 	}
-	head, found := strings.CutSuffix(string(n), "."+string(apex))
+	labels, found := strings.CutSuffix(string(n), "."+string(apex))
 	if !found {
 		return false
 	}
-	backslashes := len(head) - len(strings.TrimRight(head, `\`))
+	// After an odd number of backslashes the dot belongs to a label.
+	backslashes := len(labels) - len(strings.TrimRight(labels, `\`))
 	return backslashes%2 == 0
 }
 
@@ -95,7 +96,8 @@
 	return raw
 }
 
-// canonicalName returns the canonical form of a name from outside.
+// canonicalName returns the canonical form of a name from outside. It does not
+// allocate for the names that are common in a table.
 func canonicalName(n Name) (Name, error) {
 	if isPlainCanonical(n) {
 		return n, nil
@@ -126,8 +128,8 @@
 	return true
 }
 
-// key returns the form that the table sorts by: labels from the apex down, each
-// closed by a zero octet, so that a name and all below it are neighbours.
+// key returns the sort key of the name: its labels from the root down, each followed
+// by a zero octet, so that a name and all below it are adjacent.
 func (n Name) key() string {
 	text := string(n)
 	if text == "." || text == "" {
@@ -147,7 +149,7 @@
 	return string(append(key, 0))
 }
 
-// escapedAt reports whether an odd number of backslashes stands before text[i].
+// escapedAt reports whether an odd number of backslashes precedes text[i].
 func escapedAt(text string, i int) bool {
 	count := 0
 	for i--; i >= 0 && text[i] == '\\'; i-- {
@@ -186,7 +188,8 @@
 	return labels, nil
 }
 
-// unescape reads one octet of text and how many characters it took.
+// unescape returns the first octet of text and the number of characters it is
+// written with.
 func unescape(text string) (octet byte, width int, err error) {
 	if text[0] != '\\' {
 		return text[0], 1, nil
--- a/registry/prerequisite.go
+++ b/registry/prerequisite.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		key := rrsetKey{name: name, recordType: record.Type}
-		if _, seen := firstIndex[key]; !seen {
+		if _, found := firstIndex[key]; !found {
 			firstIndex[key] = i
 			keys = append(keys, key)
 		}
