--- a/transport/conn.go
+++ b/transport/conn.go
@@ -7,43 +7,51 @@
 	"time"
 )
 
-const readBufferBytes = 4 << 10
+const (
+	readBufferBytes = 4 << 10
+	writeChunkBytes = 64 << 10
+	// maxReusedBufferBytes bounds the read buffer that a connection keeps from frame
+	// to frame, so that a rare large frame does not hold memory.
+	maxReusedBufferBytes = 64 << 10
+)
 
 // conn is one connection after its handshake. One goroutine reads; any may write.
 type conn struct {
 	raw      net.Conn
-	peer     string
+	peer     string // the peer's name as authenticated by the handshake
 	reader   *bufio.Reader
-	buffer   []byte
+	buffer   []byte // of the next frame's content
 	counters *counters
 	maxFrame int
 
-	// writing holds a token while a frame is being written.
-	writing chan struct{}
-	// heard and progress are when bytes last came and last left, in nanoseconds
-	// since the node's epoch.
-	heard    atomic.Int64
-	progress atomic.Int64
-	epoch    time.Time
+	// writeToken holds a token while a frame is being written. It is a channel and
+	// no mutex because pong gives up at once.
+	writeToken chan struct{}
+	// lastReceived is when bytes last arrived, lastChunkWritten when a chunk of a
+	// frame was last written that has more to come: nanoseconds since the epoch.
+	lastReceived     atomic.Int64
+	lastChunkWritten atomic.Int64
+	epoch            time.Time
 }
 
 func newConn(raw net.Conn, peer string, node *Node) *conn {
 	c := &conn{raw: raw, peer: peer, counters: &node.counters, maxFrame: node.config.MaxFrameBytes, epoch: node.epoch}
-	c.writing = make(chan struct{}, 1)
-	c.reader = bufio.NewReaderSize(hearing{c}, readBufferBytes)
-	c.heard.Store(c.now())
+	c.writeToken = make(chan struct{}, 1)
+	c.reader = bufio.NewReaderSize(receiveTracker{c}, readBufferBytes)
+	c.lastReceived.Store(c.now())
 	return c
 }
 
+// now returns the connection's time in nanoseconds since the epoch.
 func (c *conn) now() int64 { return int64(time.Since(c.epoch)) }
 
-// hearing notes every arrival of bytes.
-type hearing struct{ *conn }
+// receiveTracker reads from a connection and records when bytes arrived.
+type receiveTracker struct{ *conn }
 
-func (h hearing) Read(into []byte) (int, error) {
-	n, err := h.raw.Read(into)
+func (t receiveTracker) Read(into []byte) (int, error) {
+	n, err := t.raw.Read(into)
 	if n > 0 {
-		h.heard.Store(h.now())
+		t.lastReceived.Store(t.now())
 	}
 	return n, err
 }
@@ -54,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	if cap(content) <= reusableBuffer {
+	if cap(content) <= maxReusedBufferBytes {
 		c.buffer = content[:0]
 	}
 	if err := decodeEnvelope(content, into); err != nil {
@@ -64,18 +72,20 @@
 	return nil
 }
 
-// write sends a whole frame. stall bounds each chunk's time, 0 is unbounded.
-func (c *conn) write(kind Kind, frame []byte, stall time.Duration) error {
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
-	return c.writeLocked(kind, frame, stall)
+// write sends a complete frame. timeout bounds the time of each chunk, 0 is
+// unbounded.
+func (c *conn) write(kind Kind, frame []byte, timeout time.Duration) error {
+	c.writeToken <- struct{}{}
+	defer func() { <-c.writeToken }()
+	return c.writeLocked(kind, frame, timeout)
 }
 
-func (c *conn) writeLocked(kind Kind, frame []byte, stall time.Duration) error {
+// writeLocked must be called with the write token.
+func (c *conn) writeLocked(kind Kind, frame []byte, timeout time.Duration) error {
 	c.counters.sent(kind, len(frame))
 	for len(frame) > 0 {
 		chunk := frame[:min(len(frame), writeChunkBytes)]
-		if err := c.raw.SetWriteDeadline(deadlineAfter(stall)); err != nil {
+		if err := c.raw.SetWriteDeadline(deadlineAfter(timeout)); err != nil {
 			return err
 		}
 		if _, err := c.raw.Write(chunk); err != nil {
@@ -83,17 +93,18 @@
 		}
 		frame = frame[len(chunk):]
 		if len(frame) > 0 {
-			c.progress.Store(c.now())
+			c.lastChunkWritten.Store(c.now())
 		}
 	}
 	return nil
 }
 
-func deadlineAfter(bound time.Duration) time.Time {
-	if bound == 0 {
+// deadlineAfter returns the zero time, which is no deadline, for a timeout of 0.
+func deadlineAfter(timeout time.Duration) time.Time {
+	if timeout == 0 {
 		return time.Time{}
 	}
-	return time.Now().Add(bound)
+	return time.Now().Add(timeout)
 }
 
 var (
@@ -102,21 +113,21 @@
 )
 
 func mustFrame(content envelope) []byte {
-	frame, err := encodeFrame(content, handshakeFrame)
+	frame, err := encodeFrame(content, maxControlFrameBytes)
 	if err != nil {
 		panic(err)
 	}
 	return frame
 }
 
-// pong answers a ping. When another frame is being written, that one shows life
-// as well and the pong is left out.
-func (c *conn) pong(stall time.Duration) error {
+// pong answers a ping. While another frame is being written it does nothing, as
+// that frame is a sign of life too.
+func (c *conn) pong(timeout time.Duration) error {
 	select {
-	case c.writing <- struct{}{}:
+	case c.writeToken <- struct{}{}:
 	default:
 		return nil
 	}
-	defer func() { <-c.writing }()
-	return c.writeLocked(0, pongFrame, stall)
+	defer func() { <-c.writeToken }()
+	return c.writeLocked(0, pongFrame, timeout)
 }
--- a/transport/counters.go
+++ b/transport/counters.go
@@ -2,18 +2,20 @@
 
 import "sync/atomic"
 
-// MaxKinds bounds the kinds; a Kind is below it. Kind 0 stands for the
-// transport's own frames: handshakes, pings and cancellations.
+// MaxKinds bounds the kinds: each is below it. Kind 0 stands for the transport's
+// own frames: pings, pongs and cancellations.
 const MaxKinds = 128
 
-// KindCounters count one kind's frames since the node's start. Replies and
-// stream messages count under the kind of their request. Bytes include framing.
+// KindCounters are the counts of one kind's frames since the node was made. Replies
+// and stream messages count under the kind of their request. Bytes include the
+// frame's length and envelope.
 type KindCounters struct {
 	SentMessages     uint64
 	SentBytes        uint64
 	ReceivedMessages uint64
 	ReceivedBytes    uint64
-	// DroppedMessages counts messages given up at this node, in or out.
+	// DroppedMessages counts the messages that this node discarded unsent or
+	// unhandled.
 	DroppedMessages uint64
 }
 
@@ -27,8 +29,8 @@
 
 type counters [MaxKinds]kindCounters
 
-// of returns the counters of a kind; a kind that nobody can have registered
-// counts as overhead.
+// of returns the counters of a kind. A received kind that is out of range counts
+// under kind 0.
 func (c *counters) of(kind Kind) *kindCounters {
 	if kind >= MaxKinds {
 		kind = 0
@@ -50,7 +52,7 @@
 
 func (c *counters) dropped(kind Kind) { c.of(kind).droppedMessages.Add(1) }
 
-// snapshot returns the kinds that were used.
+// snapshot returns the counters of the kinds that were used.
 func (c *counters) snapshot() map[Kind]KindCounters {
 	used := make(map[Kind]KindCounters)
 	for kind := range c {
--- a/transport/fabric.go
+++ b/transport/fabric.go
@@ -11,19 +11,21 @@
 // fabric makes connections: over TCP, or within a process for tests.
 type fabric interface {
 	listen(address string) (net.Listener, error)
-	dial(ctx context.Context, address string, what purpose) (net.Conn, error)
-	// reusable says that an idle connection has neither ended nor holds unread bytes.
+	dial(ctx context.Context, address string, use purpose) (net.Conn, error)
+	// reusable reports whether an idle connection is open and has no unread bytes.
 	reusable(raw net.Conn) bool
 }
 
-// Bounds of silence on TCP itself; pings find a silent peer sooner.
+// Time-outs of TCP itself. The pings of links and streams detect an unresponsive
+// peer sooner; these end the connections that nobody pings.
 const (
-	keepAliveIdle     = 10 * time.Second
-	keepAliveInterval = 3 * time.Second
-	keepAliveCount    = 3
-	unacknowledged    = 3 * time.Second
+	keepAliveIdle         = 10 * time.Second
+	keepAliveInterval     = 3 * time.Second
+	keepAliveCount        = 3
+	unacknowledgedTimeout = 3 * time.Second
 )
 
+// tcpFabric is the fabric of TCP sockets.
 type tcpFabric struct{}
 
 func keepAlive() net.KeepAliveConfig {
@@ -35,14 +37,14 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-func (tcpFabric) dial(ctx context.Context, address string, what purpose) (net.Conn, error) {
+func (tcpFabric) dial(ctx context.Context, address string, use purpose) (net.Conn, error) {
 	dialer := net.Dialer{KeepAliveConfig: keepAlive()}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if what == purposeMessages {
-		sockets.BoundUnacknowledged(raw, unacknowledged)
+	if use == purposeMessages {
+		sockets.BoundUnacknowledged(raw, unacknowledgedTimeout)
 	}
 	return raw, nil
 }
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -9,15 +9,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// frameType says what an envelope is for. The numbers are sent: they stay.
+// frameType is the type of a frame. The numbers are sent: they stay.
 type frameType uint8
 
 const (
-	frameOneWay  frameType = 1 // message without an answer
+	frameOneWay  frameType = 1 // message without a reply
 	frameRequest frameType = 2 // call; answered by frameReply or frameFailure with the same ID
 	frameReply   frameType = 3
 	frameFailure frameType = 4
-	frameCancel  frameType = 5 // the caller of ID has given up
+	frameCancel  frameType = 5 // the caller no longer waits for the reply to ID
 	framePing    frameType = 6 // answered by framePong at once
 	framePong    frameType = 7
 	frameOpen    frameType = 8 // request of a stream; followed by items and frameEnd or frameFailure
@@ -25,29 +25,33 @@
 	frameEnd     frameType = 10
 )
 
-// envelope is the CBOR content of a frame.
+// envelope is the CBOR content of a frame, an array of its fields in this order.
 type envelope struct {
-	_       struct{} `cbor:",toarray"`
-	Type    frameType
-	ID      uint64
-	Kind    Kind
-	LeftMS  int64 // time that the caller still waits, in milliseconds; 0 is unbounded
-	Problem string
-	Body    cbor.RawMessage
+	_         struct{} `cbor:",toarray"`
+	Type      frameType
+	ID        uint64 // of a call, unique on its connection; 0 for other frames
+	Kind      Kind   // of the message; 0 for frames of the transport's own
+	TimeoutMS int64  // how long the caller still waits, in milliseconds; 0 is unbounded
+	Error     string // the handler's error in a frameFailure
+	Body      cbor.RawMessage
 }
 
+// A frame is the length of its content in lengthBytes octets, big-endian, and the
+// content.
+const (
+	lengthBytes = 4
+	// maxControlFrameBytes bounds the content of a frame of the handshake, and of one
+	// without a body.
+	maxControlFrameBytes = 4 << 10
+)
+
 // Limits of what is decoded, beyond the frame's own.
 const (
-	lengthBytes     = 4
-	maxArrayItems   = 1 << 22
-	maxMapPairs     = 1 << 22
-	maxNesting      = 32
-	reusableBuffer  = 64 << 10
-	handshakeFrame  = 4 << 10
-	writeChunkBytes = 64 << 10
+	maxArrayItems = 1 << 22
+	maxMapPairs   = 1 << 22
+	maxNesting    = 32
 )
 
-// Errors of frames.
 var (
 	errFrameEmpty    = errors.New("transport: empty frame")
 	errFrameTooLarge = errors.New("transport: frame above the limit")
@@ -81,7 +85,7 @@
 	return mode
 }
 
-// encodeFrame returns the whole frame of a value.
+// encodeFrame returns the frame whose content is the value.
 func encodeFrame(value any, limit int) ([]byte, error) {
 	content, err := encoding.Marshal(value)
 	if err != nil {
@@ -106,8 +110,8 @@
 	return encodeFrame(head, limit)
 }
 
-// readFrame reads one frame's content. The length is checked before anything is
-// allocated; a buffer that is large enough is used again.
+// readFrame reads one frame's content, into the buffer if that is large enough. The
+// length is checked before anything is allocated.
 func readFrame(reader io.Reader, limit int, buffer []byte) ([]byte, error) {
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
@@ -133,7 +137,7 @@
 	return content, nil
 }
 
-// decodeEnvelope reads an envelope; its body is a copy.
+// decodeEnvelope decodes an envelope, whose body is a copy.
 func decodeEnvelope(content []byte, into *envelope) error {
 	*into = envelope{}
 	if err := decoding.Unmarshal(content, into); err != nil {
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// decodeBody fills a value from a message's body.
+// decodeBody decodes a message's body into a value; nil discards it.
 func decodeBody(body cbor.RawMessage, into any) error {
 	if into == nil {
 		return nil
--- a/transport/golden_frames_test.go
+++ b/transport/golden_frames_test.go
@@ -74,14 +74,14 @@
 	}
 	return []goldenFrame{
 		{"one-way", envelope{Type: frameOneWay, Kind: 1, Body: body}},
-		{"request", envelope{Type: frameRequest, ID: 2, Kind: 127, LeftMS: 30_000, Body: body}},
+		{"request", envelope{Type: frameRequest, ID: 2, Kind: 127, TimeoutMS: 30_000, Body: body}},
 		{"request without a deadline", envelope{Type: frameRequest, ID: 3, Kind: 5, Body: body}},
 		{"reply", envelope{Type: frameReply, ID: 1 << 40, Kind: 5, Body: body}},
-		{"failure", envelope{Type: frameFailure, ID: 3, Kind: 5, Problem: "not today"}},
+		{"failure", envelope{Type: frameFailure, ID: 3, Kind: 5, Error: "not today"}},
 		{"cancel", envelope{Type: frameCancel, ID: 3}},
 		{"ping", envelope{Type: framePing}},
 		{"pong", envelope{Type: framePong}},
-		{"open", envelope{Type: frameOpen, Kind: 13, LeftMS: 1, Body: body}},
+		{"open", envelope{Type: frameOpen, Kind: 13, TimeoutMS: 1, Body: body}},
 		{"item", envelope{Type: frameItem, Kind: 13, Body: body}},
 		{"end", envelope{Type: frameEnd, Kind: 13}},
 		{"handshake hello for messages", hello{Version: handshakeVersion, Name: "dialer", Nonce: dialerNonce, Purpose: purposeMessages}},
@@ -113,27 +113,11 @@
 			if !found {
 				t.Fatal("not in the golden file")
 			}
-			content, err := readFrame(bytes.NewReader(frame), handshakeFrame, nil)
-			if err != nil {
-				t.Fatalf("reading: %v", err)
-			}
-			decoded := reflect.New(reflect.TypeOf(test.content))
-			if head, ok := decoded.Interface().(*envelope); ok {
-				err = decodeEnvelope(content, head)
-				// A frame without a body has CBOR's null for it, which is read as is.
-				if bytes.Equal(head.Body, []byte{0xf6}) {
-					head.Body = nil
-				}
-			} else {
-				err = decoding.Unmarshal(content, decoded.Interface())
+			decoded := decodeGoldenFrame(t, frame, test.content)
+			if !reflect.DeepEqual(decoded, test.content) {
+				t.Errorf("decoded %+v, want %+v", decoded, test.content)
 			}
-			if err != nil {
-				t.Fatalf("decoding: %v", err)
-			}
-			if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, test.content) {
-				t.Errorf("decoded %+v, want %+v", got, test.content)
-			}
-			encoded, err := encodeFrame(decoded.Elem().Interface(), handshakeFrame)
+			encoded, err := encodeFrame(decoded, maxControlFrameBytes)
 			if err != nil {
 				t.Fatalf("encoding: %v", err)
 			}
@@ -144,11 +128,34 @@
 	}
 }
 
+// decodeGoldenFrame returns a frame's content as a value of the sample's type.
+func decodeGoldenFrame(t *testing.T, frame []byte, sample any) any {
+	t.Helper()
+	content, err := readFrame(bytes.NewReader(frame), maxControlFrameBytes, nil)
+	if err != nil {
+		t.Fatalf("reading: %v", err)
+	}
+	decoded := reflect.New(reflect.TypeOf(sample))
+	if head, ok := decoded.Interface().(*envelope); ok {
+		err = decodeEnvelope(content, head)
+		// A frame without a body has CBOR's null for it, which is read as is.
+		if bytes.Equal(head.Body, []byte{0xf6}) {
+			head.Body = nil
+		}
+	} else {
+		err = decoding.Unmarshal(content, decoded.Interface())
+	}
+	if err != nil {
+		t.Fatalf("decoding: %v", err)
+	}
+	return decoded.Elem().Interface()
+}
+
 // TestGoldenMessageFrame holds that a message and its envelope are encoded as in
 // the golden frames, and that the frames that are encoded once are the golden ones.
 func TestGoldenMessageFrame(t *testing.T) {
 	golden := readGoldenFrames(t)
-	request, err := encodeMessage(envelope{Type: frameRequest, ID: 2, Kind: 127, LeftMS: 30_000}, text{Text: "body"}, handshakeFrame)
+	request, err := encodeMessage(envelope{Type: frameRequest, ID: 2, Kind: 127, TimeoutMS: 30_000}, text{Text: "body"}, maxControlFrameBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +180,7 @@
 	t.Helper()
 	var written strings.Builder
 	for _, each := range cases {
-		frame, err := encodeFrame(each.content, handshakeFrame)
+		frame, err := encodeFrame(each.content, maxControlFrameBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/transport/link.go
+++ b/transport/link.go
@@ -2,137 +2,81 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"sync"
 	"time"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
 // Timing of links.
 const (
-	probeAfter   = 250 * time.Millisecond // silence after a frame of ours until a ping
-	silenceLimit = time.Second            // silence after a frame of ours until the connection is replaced
-	firstBackoff = 20 * time.Millisecond
-	lastBackoff  = 500 * time.Millisecond
-	linkIdle     = 5 * time.Minute // without a frame of ours until the connection is closed
-
-	// firstDialPart of DialTimeout bounds the first dialling of an address, and the
-	// next ones twice as long each: a machine that has just got its power back does
-	// not see the packet that was sent before, and TCP repeats it after a second.
-	firstDialPart = 4
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = 500 * time.Millisecond
+	idleLinkTimeout = 5 * time.Minute // without a frame sent until the link ends
+
+	// firstDialDivisor divides DialTimeout for the first attempt to connect; each
+	// further one has twice the time of the last, up to DialTimeout. A machine that
+	// has just got its power back has not seen the packet that was sent before, and
+	// TCP repeats that one only after a second.
+	firstDialDivisor = 4
 )
 
-var (
-	errQueueFull = errors.New("the queue of this address is full")
-	errLinkIdle  = errors.New("nothing was sent for long")
-)
-
-// pendingCall waits for its reply.
-type pendingCall struct {
-	id      uint64
-	done    chan struct{}
-	written bool
-	body    cbor.RawMessage
-	err     error
-}
-
-// link keeps one connection to one address: it dials when there is something to
-// send, replaces a broken or silent connection, and backs off while the address
-// cannot be reached.
+// link keeps one connection to one address for messages and calls: it connects
+// when there is something to send, replaces a broken or unresponsive connection,
+// and backs off while the address cannot be reached.
 type link struct {
 	node    *Node
 	address string
 	queue   *sendQueue
+	stop    context.CancelFunc // ends run
 
 	mutex   sync.Mutex
 	pending map[uint64]*pendingCall
 }
 
-func newLink(node *Node, address string) *link {
+func newLink(node *Node, address string, stop context.CancelFunc) *link {
 	return &link{
 		node:    node,
 		address: address,
 		queue:   newSendQueue(node.config.QueueLength),
+		stop:    stop,
 		pending: make(map[uint64]*pendingCall),
 	}
 }
 
-// await waits for the reply's body of a request that was pushed.
-func (l *link) await(ctx context.Context, waiting *pendingCall) (cbor.RawMessage, error) {
-	select {
-	case <-waiting.done:
-		return waiting.body, waiting.err
-	case <-ctx.Done():
-		return nil, l.giveUp(waiting, ctx.Err())
-	case <-l.node.ctx.Done():
-		return nil, l.giveUp(waiting, ErrClosed)
-	}
-}
-
-// begin queues a request.
-func (l *link) begin(waiting *pendingCall, kind Kind, frame []byte) pushResult {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	result := l.queue.push(outgoing{kind: kind, frame: frame, call: waiting})
-	if result == pushed {
-		l.pending[waiting.id] = waiting
-	}
-	return result
-}
-
-// abandon forgets a call and says whether it was written.
-func (l *link) abandon(waiting *pendingCall) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.pending, waiting.id)
-	return waiting.written
-}
-
-func (l *link) giveUp(waiting *pendingCall, cause error) error {
-	if !l.abandon(waiting) {
-		return fmt.Errorf("%w to %s: %w", ErrNotSent, l.address, cause)
-	}
-	if frame, err := encodeFrame(envelope{Type: frameCancel, ID: waiting.id}, handshakeFrame); err == nil {
-		l.queue.push(outgoing{frame: frame})
-	}
-	return fmt.Errorf("transport: call to %s: %w", l.address, cause)
-}
-
-// run is the link's goroutine until the node closes or the link is long unused.
-func (l *link) run() {
-	backoff := firstBackoff
-	dialTimeout := l.node.config.DialTimeout / firstDialPart
+// run is the link's goroutine. It returns when ctx ends or the link was idle for
+// idleLinkTimeout.
+func (l *link) run(ctx context.Context) {
+	firstDialTimeout := l.node.config.DialTimeout / firstDialDivisor
+	backoff, dialTimeout := minBackoff, firstDialTimeout
 	for {
-		first, found := l.next()
+		first, found := l.next(ctx)
 		if !found {
 			return
 		}
-		connection, err := l.node.connect(l.node.ctx, l.address, purposeMessages, dialTimeout)
+		connection, err := l.node.connect(ctx, l.address, purposeMessages, dialTimeout)
 		if err != nil {
-			l.node.logger.Debug("peer cannot be reached", "address", l.address, "error", err)
-			l.refuse(first, err)
-			l.refuseQueued(err)
-			l.pause(jitter(backoff))
-			backoff = min(2*backoff, lastBackoff)
+			l.node.logger.Debug("connecting to peer failed", "address", l.address, "error", err)
+			l.drop(first, err)
+			l.dropQueued(err)
+			sleep(ctx, jitter(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			dialTimeout = min(2*dialTimeout, l.node.config.DialTimeout)
 			continue
 		}
-		dialTimeout = l.node.config.DialTimeout / firstDialPart
-		if l.serve(connection, first) {
-			backoff = firstBackoff
+		dialTimeout = firstDialTimeout
+		if l.serve(ctx, connection, first) {
+			backoff = minBackoff
 			continue
 		}
-		l.pause(jitter(backoff))
-		backoff = min(2*backoff, lastBackoff)
+		sleep(ctx, jitter(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// next waits for something to send; false when the link must end.
-func (l *link) next() (outgoing, bool) {
-	idle := time.NewTimer(linkIdle)
+// next waits for something to send. It returns false when the link must end.
+func (l *link) next(ctx context.Context) (outgoing, bool) {
+	idle := time.NewTimer(idleLinkTimeout)
 	defer idle.Stop()
 	for {
 		if item, found := l.queue.take(); found {
@@ -144,143 +88,94 @@
 			if l.node.retire(l) {
 				return outgoing{}, false
 			}
-			idle.Reset(linkIdle)
-		case <-l.node.ctx.Done():
+			idle.Reset(idleLinkTimeout)
+		case <-ctx.Done():
 			return outgoing{}, false
 		}
 	}
 }
 
+// jitter returns a random duration from half of the bound up to the bound.
 func jitter(bound time.Duration) time.Duration {
 	return bound/2 + rand.N(bound/2)
 }
 
-func (l *link) pause(duration time.Duration) {
+// sleep waits for the duration or the end of the context.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.node.ctx.Done():
-	}
-}
-
-func (l *link) refuseQueued(cause error) {
-	for _, item := range l.queue.takeAll() {
-		l.refuse(item, cause)
-	}
-}
-
-// refuse gives up a frame that was not written.
-func (l *link) refuse(item outgoing, cause error) {
-	l.node.counters.dropped(item.kind)
-	if item.call != nil {
-		l.finish(item.call.id, nil, cause)
-	}
-}
-
-// finish ends a call, unless it has ended.
-func (l *link) finish(id uint64, body cbor.RawMessage, err error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	waiting, found := l.pending[id]
-	if !found {
-		return
+	case <-ctx.Done():
 	}
-	delete(l.pending, id)
-	waiting.body = body
-	waiting.err = err
-	close(waiting.done)
 }
 
-// serve uses one connection until it breaks or falls silent. It says whether
-// the peer was heard on it.
-func (l *link) serve(connection *conn, first outgoing) bool {
-	broken := make(chan struct{})
-	opened := connection.heard.Load()
+// serve uses one connection until it is lost. It reports whether anything was
+// received on it.
+func (l *link) serve(ctx context.Context, connection *conn, first outgoing) bool {
+	readerDone := make(chan struct{})
+	opened := connection.lastReceived.Load()
 	go func() {
-		defer close(broken)
+		defer close(readerDone)
 		l.readReplies(connection)
 	}()
-	cause := l.writeLoop(connection, first, broken)
+	cause := l.writeLoop(ctx, connection, first, readerDone)
 	l.node.release(connection.raw)
-	<-broken
-	l.failWritten(fmt.Errorf("%w to %s: %w", ErrConnectionLost, l.address, cause))
-	l.node.logger.Debug("connection ended", "address", l.address, "cause", cause)
-	return connection.heard.Load() > opened
-}
-
-func (l *link) writeLoop(connection *conn, first outgoing, broken <-chan struct{}) error {
-	probe := newProbe(connection)
-	defer probe.stop()
-	if err := l.write(connection, probe, first); err != nil {
+	<-readerDone
+	l.failWrittenCalls(fmt.Errorf("%w to %s: %w", ErrConnectionLost, l.address, cause))
+	l.node.logger.Debug("peer connection closed", "address", l.address, "error", cause)
+	return connection.lastReceived.Load() > opened
+}
+
+// writeLoop writes the first item and all that is queued until the connection is
+// lost, and returns why.
+func (l *link) writeLoop(ctx context.Context, connection *conn, first outgoing, readerDone <-chan struct{}) error {
+	monitor := newLivenessMonitor(connection)
+	defer monitor.stop()
+	if err := l.write(connection, monitor, first); err != nil {
 		return err
 	}
 	for {
 		select {
 		case <-l.queue.wake:
-			if err := l.writeQueued(connection, probe); err != nil {
+			if err := l.writeQueued(connection, monitor); err != nil {
 				return err
 			}
-		case <-probe.timer.C:
-			if err := probe.check(); err != nil {
+		case <-monitor.timer.C:
+			if err := monitor.check(); err != nil {
 				return err
 			}
-		case <-broken:
+		case <-readerDone:
 			return errPeerClosed
-		case <-l.node.ctx.Done():
+		case <-ctx.Done():
 			return ErrClosed
 		}
 	}
 }
 
-func (l *link) writeQueued(connection *conn, probe *probe) error {
+func (l *link) writeQueued(connection *conn, monitor *livenessMonitor) error {
 	for {
 		item, found := l.queue.take()
 		if !found {
 			return nil
 		}
-		if err := l.write(connection, probe, item); err != nil {
+		if err := l.write(connection, monitor, item); err != nil {
 			return err
 		}
 	}
 }
 
-func (l *link) write(connection *conn, probe *probe, item outgoing) error {
-	if !l.claim(item) {
+func (l *link) write(connection *conn, monitor *livenessMonitor, item outgoing) error {
+	if !l.markWritten(item) {
 		return nil
 	}
-	if err := connection.write(item.kind, item.frame, silenceLimit); err != nil {
+	if err := connection.write(item.kind, item.frame, unresponsiveTimeout); err != nil {
 		return err
 	}
-	probe.wrote()
+	monitor.wrote()
 	return nil
 }
 
-// claim marks a call as written; false if its caller has gone.
-func (l *link) claim(item outgoing) bool {
-	if item.call == nil {
-		return true
-	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	_, waiting := l.pending[item.call.id]
-	item.call.written = waiting
-	return waiting
-}
-
-func (l *link) failWritten(cause error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for id, waiting := range l.pending {
-		if !waiting.written {
-			continue
-		}
-		delete(l.pending, id)
-		waiting.err = cause
-		close(waiting.done)
-	}
-}
-
 func (l *link) readReplies(connection *conn) {
 	var received envelope
 	for {
@@ -289,9 +184,9 @@
 		}
 		switch received.Type {
 		case frameReply:
-			l.finish(received.ID, received.Body, nil)
+			l.completeCall(received.ID, received.Body, nil)
 		case frameFailure:
-			l.finish(received.ID, nil, &RemoteError{Kind: received.Kind, Message: received.Problem})
+			l.completeCall(received.ID, nil, &RemoteError{Kind: received.Kind, Message: received.Error})
 		case framePong:
 		default:
 			return // a peer that breaks the protocol
--- a/transport/memory.go
+++ b/transport/memory.go
@@ -8,84 +8,85 @@
 )
 
 // Memory connects nodes within one process, with the frames, handshakes, queues
-// and time-outs of the TCP network. It is for tests and hollow nodes. Addresses
-// are any texts.
+// and time-outs of the TCP network. It is for tests and hollow nodes. An address
+// may be any text.
 type Memory struct {
-	mutex     sync.Mutex
-	listeners map[string]*memoryListener
-	cut       map[direction]bool
-	loss      func(from, to string, kind Kind) bool
+	mutex       sync.Mutex
+	listeners   map[string]*memoryListener
+	partitioned map[path]bool
+	loss        func(from, to string, kind Kind) bool
 }
 
-// direction is a pair of addresses.
-type direction struct {
+// path is one direction between two addresses.
+type path struct {
 	from string
 	to   string
 }
 
-// memoryKey is the one key of every in-memory network.
+// memoryKey is the fleet key of nodes that are given none.
 var memoryKey = []byte("an in-memory key")
 
 // NewMemory returns an empty network.
 func NewMemory() *Memory {
-	return &Memory{listeners: make(map[string]*memoryListener), cut: make(map[direction]bool)}
+	return &Memory{listeners: make(map[string]*memoryListener), partitioned: make(map[path]bool)}
 }
 
-// Node adds a node. It panics if the address is taken.
+// Node adds a node with default settings. It panics if the address is in use.
 func (m *Memory) Node(name, address string) Network {
 	return m.NodeWithConfig(Config{Name: name, Listen: address})
 }
 
-// NodeWithConfig is Node with a whole configuration; the keys default to the network's own.
+// NodeWithConfig adds a node. Without Keys it has the network's own. It panics if the
+// address is in use.
 func (m *Memory) NodeWithConfig(config Config) *Node {
 	if len(config.Keys) == 0 {
 		config.Keys = [][]byte{memoryKey}
 	}
-	node, err := listenOn(&memoryFabric{memory: m, own: config.Listen}, config, nil)
+	node, err := listenOn(&memoryFabric{memory: m, address: config.Listen}, config, nil)
 	if err != nil {
 		panic(err)
 	}
-	hook := lossHook(func(to string, kind Kind) bool {
+	rule := dropRule(func(to string, kind Kind) bool {
 		m.mutex.Lock()
 		loss := m.loss
 		m.mutex.Unlock()
 		return loss != nil && loss(config.Listen, to, kind)
 	})
-	node.lossy.Store(&hook)
+	node.dropRule.Store(&rule)
 	return node
 }
 
-// Partition silently swallows everything sent from one address to another until Heal.
-// Connections that lost something stay broken; new ones work after Heal.
-func (m *Memory) Partition(from, to string) { m.setCut(from, to, true) }
+// Partition discards everything sent from one address to another until Heal, without an
+// error. A connection that lost something stays broken; new ones work after Heal.
+func (m *Memory) Partition(from, to string) { m.setPartitioned(from, to, true) }
 
-// Heal ends a Cut.
-func (m *Memory) Heal(from, to string) { m.setCut(from, to, false) }
+// Heal ends a Partition.
+func (m *Memory) Heal(from, to string) { m.setPartitioned(from, to, false) }
 
-func (m *Memory) setCut(from, to string, cut bool) {
+func (m *Memory) setPartitioned(from, to string, partitioned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.cut[direction{from, to}] = cut
+	m.partitioned[path{from, to}] = partitioned
 }
 
-// SetLoss installs a rule that loses messages, calls and stream requests before
-// they are sent; nil ends it. It may be called from many goroutines at once.
+// SetLoss installs a rule that drops messages, calls and stream requests before
+// they are sent; nil removes it. Goroutines may call the rule at the same time.
 func (m *Memory) SetLoss(loss func(from, to string, kind Kind) bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.loss = loss
 }
 
-func (m *Memory) isCut(path direction) bool {
+func (m *Memory) isPartitioned(along path) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.cut[path]
+	return m.partitioned[along]
 }
 
-// memoryFabric is Memory as one node sees it.
+// memoryFabric is the fabric of the node at one address of a Memory.
 type memoryFabric struct {
-	memory *Memory
-	own    string
+	memory  *Memory
+	address string
 }
 
 func (f *memoryFabric) listen(address string) (net.Listener, error) {
@@ -100,8 +101,8 @@
 }
 
 func (f *memoryFabric) dial(ctx context.Context, address string, _ purpose) (net.Conn, error) {
-	there, back := direction{f.own, address}, direction{address, f.own}
-	if f.memory.isCut(there) || f.memory.isCut(back) {
+	forward, reverse := path{f.address, address}, path{address, f.address}
+	if f.memory.isPartitioned(forward) || f.memory.isPartitioned(reverse) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -111,10 +112,10 @@
 	if !found {
 		return nil, fmt.Errorf("nobody listens on %s", address)
 	}
-	near, far := f.connect(there, back)
+	local, remote := f.memory.pipe(forward, reverse)
 	select {
-	case listener.incoming <- far:
-		return near, nil
+	case listener.incoming <- remote:
+		return local, nil
 	case <-listener.closed:
 		return nil, fmt.Errorf("nobody listens on %s", address)
 	case <-ctx.Done():
@@ -122,16 +123,10 @@
 	}
 }
 
-func (f *memoryFabric) connect(there, back direction) (near, far *memoryConn) {
-	outward, inward := newHalfPipe(), newHalfPipe()
-	near = &memoryConn{memory: f.memory, path: there, in: inward, out: outward, hole: make(chan []byte, pipeChunks)}
-	far = &memoryConn{memory: f.memory, path: back, in: outward, out: inward, hole: make(chan []byte, pipeChunks)}
-	return near, far
-}
-
+// reusable returns false, so that each stream in memory has a new connection.
 func (f *memoryFabric) reusable(net.Conn) bool { return false }
 
-// memoryListener hands over the far ends of dialled pipes.
+// memoryListener accepts the remote ends of dialed pipes.
 type memoryListener struct {
 	memory   *Memory
 	address  string
--- a/transport/memoryconn.go
+++ b/transport/memoryconn.go
@@ -12,10 +12,10 @@
 // pipeChunks is how many written chunks one direction of a pipe buffers.
 const pipeChunks = 64
 
-// halfPipe is one direction of a pipe.
+// halfPipe is one direction of a pipe. Either end closes it.
 type halfPipe struct {
 	chunks chan []byte
-	closed chan struct{} // by either end
+	closed chan struct{}
 	once   sync.Once
 }
 
@@ -25,18 +25,27 @@
 
 func (p *halfPipe) close() { p.once.Do(func() { close(p.closed) }) }
 
-// memoryConn is one end of a buffered pipe. What is written during a cut, and
-// everything after that, fills a buffer that nobody reads, as a connection with a
-// hole cannot go on. Its deadlines hold for reads and writes that begin after
-// they were set.
+// pipe returns the two ends of a buffered pipe. The local end sends along forward,
+// the remote end along reverse.
+func (m *Memory) pipe(forward, reverse path) (local, remote *memoryConn) {
+	outward, inward := newHalfPipe(), newHalfPipe()
+	local = &memoryConn{memory: m, path: forward, in: inward, out: outward, blackhole: make(chan []byte, pipeChunks)}
+	remote = &memoryConn{memory: m, path: reverse, in: outward, out: inward, blackhole: make(chan []byte, pipeChunks)}
+	return local, remote
+}
+
+// memoryConn is one end of a buffered pipe. What is written during a partition, and
+// everything after that, goes to a buffer that nobody reads: a connection of which
+// some bytes are missing cannot go on. Its deadlines apply to reads and writes that
+// begin after they were set.
 type memoryConn struct {
-	memory *Memory
-	path   direction
-	in     *halfPipe
-	out    *halfPipe
-	holed  atomic.Bool
-	hole   chan []byte
-	rest   []byte // read from the pipe and not yet taken
+	memory    *Memory
+	path      path // of what is written
+	in        *halfPipe
+	out       *halfPipe
+	broken    atomic.Bool // something that was written is lost
+	blackhole chan []byte
+	unread    []byte // rest of the chunk that was received last
 
 	readDeadline  atomic.Pointer[time.Time]
 	writeDeadline atomic.Pointer[time.Time]
@@ -45,15 +54,15 @@
 var _ net.Conn = (*memoryConn)(nil)
 
 func (c *memoryConn) Read(into []byte) (int, error) {
-	if len(c.rest) == 0 {
+	if len(c.unread) == 0 {
 		chunk, err := c.receive()
 		if err != nil {
 			return 0, err
 		}
-		c.rest = chunk
+		c.unread = chunk
 	}
-	n := copy(into, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(into, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
@@ -76,12 +85,12 @@
 }
 
 func (c *memoryConn) Write(content []byte) (int, error) {
-	if c.holed.Load() || c.memory.isCut(c.path) {
-		c.holed.Store(true)
+	if c.broken.Load() || c.memory.isPartitioned(c.path) {
+		c.broken.Store(true)
 	}
 	target := c.out.chunks
-	if c.holed.Load() {
-		target = c.hole
+	if c.broken.Load() {
+		target = c.blackhole
 	}
 	expired, stop := deadlineChannel(&c.writeDeadline)
 	defer stop()
@@ -100,7 +109,8 @@
 	}
 }
 
-// deadlineChannel is ready once the deadline has passed; never without one.
+// deadlineChannel returns a channel that is ready once the deadline has passed, never
+// without one, and a function that releases it.
 func deadlineChannel(deadline *atomic.Pointer[time.Time]) (<-chan time.Time, func()) {
 	at := deadline.Load()
 	if at == nil || at.IsZero() {
--- a/transport/node.go
+++ b/transport/node.go
@@ -11,65 +11,37 @@
 	"time"
 )
 
-// Defaults of Config.
-const (
-	DefaultQueueLength   = 1024
-	DefaultMaxFrameBytes = 64 << 20
-	DefaultDialTimeout   = time.Second
-	// DefaultHandshakeTimeout leaves room for two round trips between far regions
-	// and a busy peer.
-	DefaultHandshakeTimeout = time.Second
-)
-
-// maxHandshakes bounds the connections that have not proved a key yet.
+// maxHandshakes bounds the accepted connections that are not authenticated yet.
 const maxHandshakes = 512
 
-// Errors of sending.
-var (
-	// ErrClosed says that the node was closed.
-	ErrClosed = errors.New("transport: node is closed")
-	// ErrNotSent is wrapped by errors after which the peer has certainly not seen
-	// the request.
-	ErrNotSent = errors.New("transport: not sent")
-	// ErrConnectionLost is wrapped by errors after which the peer may have seen the request.
-	ErrConnectionLost = errors.New("transport: connection broke")
-)
-
-// RemoteError is the error that the peer's handler returned.
-type RemoteError struct {
-	Kind    Kind
-	Message string
-}
-
-// Error implements the error interface.
-func (e *RemoteError) Error() string { return e.Message }
-
 // Node is the Network over TCP. It is safe for concurrent use.
 type Node struct {
 	config   Config
 	logger   *slog.Logger
 	fabric   fabric
 	listener net.Listener
-	epoch    time.Time
+	epoch    time.Time // start of the connections' clock
 	counters counters
 	keys     atomic.Pointer[[][]byte]
+	callID   atomic.Uint64
+	dropRule atomic.Pointer[dropRule]
 
+	// The handlers are written before Start only and read without the mutex.
 	handlers       map[Kind]Handler
 	streamHandlers map[Kind]StreamHandler
-	handshakes     chan struct{}
-	idle           idleStreams
-	callID         atomic.Uint64
-	lossy          atomic.Pointer[lossHook]
+	// handshakeSlots holds a token for each handshake of an accepted connection.
+	handshakeSlots chan struct{}
+	streams        streamPool
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	group  sync.WaitGroup
+	closing chan struct{} // closed by Close
+	group   sync.WaitGroup
 
-	mutex   sync.Mutex
-	started bool
-	closed  bool
-	links   map[string]*link
-	open    map[net.Conn]struct{}
+	mutex       sync.Mutex
+	started     bool
+	closed      bool
+	stopServing context.CancelFunc // cancels the handlers; set by Start
+	links       map[string]*link
+	connections map[net.Conn]struct{}
 }
 
 var _ Network = (*Node)(nil)
@@ -91,13 +63,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("transport: listening on %s: %w", config.Listen, err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
 	node := &Node{
-		config: config, logger: logger, fabric: fabric, listener: listener, epoch: time.Now(),
-		handlers: make(map[Kind]Handler), streamHandlers: make(map[Kind]StreamHandler),
-		handshakes: make(chan struct{}, maxHandshakes),
-		ctx:        ctx, cancel: cancel,
-		links: make(map[string]*link), open: make(map[net.Conn]struct{}),
+		config:         config,
+		logger:         logger,
+		fabric:         fabric,
+		listener:       listener,
+		epoch:          time.Now(),
+		handlers:       make(map[Kind]Handler),
+		streamHandlers: make(map[Kind]StreamHandler),
+		handshakeSlots: make(chan struct{}, maxHandshakes),
+		closing:        make(chan struct{}),
+		links:          make(map[string]*link),
+		connections:    make(map[net.Conn]struct{}),
 	}
 	node.SetKeys(config.Keys)
 	return node, nil
@@ -118,17 +95,17 @@
 	}
 }
 
-// SetKeys replaces the keys for the handshakes to come. Connections stay.
+// SetKeys replaces the keys for future handshakes. Open connections stay.
 func (n *Node) SetKeys(keys [][]byte) { n.keys.Store(&keys) }
 
 // Address returns the bound address, of use when the port was given as 0.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Counters returns the counters of the kinds in use since the start.
+// Counters returns the counters of the kinds used since the node was made.
 func (n *Node) Counters() map[Kind]KindCounters { return n.counters.snapshot() }
 
-// Handle implements Network. It panics on a kind that is doubled or out of
-// range, and after Start.
+// Handle implements Network. It panics on a kind that is out of range or already
+// registered, and after Start.
 func (n *Node) Handle(kind Kind, handler Handler) {
 	n.mustRegister(kind)
 	n.handlers[kind] = handler
@@ -161,11 +138,13 @@
 		return errors.New("transport: started twice")
 	}
 	n.started = true
-	n.group.Go(n.acceptLoop)
+	ctx, cancel := context.WithCancel(context.Background())
+	n.stopServing = cancel
+	n.group.Go(func() { n.acceptLoop(ctx) })
 	return nil
 }
 
-// Close ends every connection, cancels the handlers and waits for them.
+// Close implements Network.
 func (n *Node) Close() error {
 	n.mutex.Lock()
 	if n.closed {
@@ -173,9 +152,15 @@
 		return nil
 	}
 	n.closed = true
-	n.cancel()
+	close(n.closing)
+	if n.stopServing != nil {
+		n.stopServing()
+	}
+	for _, link := range n.links {
+		link.stop()
+	}
 	err := n.listener.Close()
-	for raw := range n.open {
+	for raw := range n.connections {
 		raw.Close()
 	}
 	n.mutex.Unlock()
@@ -183,7 +168,7 @@
 	return err
 }
 
-// spawn runs work that Close waits for; false after Close.
+// spawn starts a goroutine that Close waits for. It returns false after Close.
 func (n *Node) spawn(work func()) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -194,58 +179,26 @@
 	return true
 }
 
-// track lets Close end the connection; false after Close.
+// track registers a connection that Close is to end. It returns false after Close.
 func (n *Node) track(raw net.Conn) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.closed {
 		return false
 	}
-	n.open[raw] = struct{}{}
+	n.connections[raw] = struct{}{}
 	return true
 }
 
-// release closes the connection and forgets it.
+// release closes a tracked connection.
 func (n *Node) release(raw net.Conn) {
 	n.mutex.Lock()
-	delete(n.open, raw)
+	delete(n.connections, raw)
 	n.mutex.Unlock()
 	raw.Close()
 }
 
-// connect dials for dialTimeout at most and runs the handshake within
-// HandshakeTimeout. The connection must be released. Its errors wrap ErrNotSent.
-func (n *Node) connect(ctx context.Context, address string, what purpose, dialTimeout time.Duration) (*conn, error) {
-	target := address
-	if override, found := n.config.AddressOverrides[address]; found {
-		target = override
-	}
-	dialing, stopDialing := context.WithTimeout(ctx, dialTimeout)
-	defer stopDialing()
-	raw, err := n.fabric.dial(dialing, target, what)
-	if err != nil {
-		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
-	}
-	if !n.track(raw) {
-		raw.Close()
-		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, ErrClosed)
-	}
-	deadline := time.Now().Add(n.config.HandshakeTimeout)
-	ctx, cancel := context.WithDeadline(ctx, deadline)
-	defer cancel()
-	stop := context.AfterFunc(ctx, func() { raw.Close() })
-	peer, err := dialHandshake(raw, n.config.Name, *n.keys.Load(), what, deadline)
-	if !stop() && err == nil {
-		err = context.Cause(ctx)
-	}
-	if err != nil {
-		n.release(raw)
-		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
-	}
-	return newConn(raw, peer, n), nil
-}
-
-// link returns the connection for one-way messages and calls to an address.
+// link returns the link to an address and starts it if there is none.
 func (n *Node) link(address string) (*link, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -255,13 +208,18 @@
 	if existing, found := n.links[address]; found {
 		return existing, nil
 	}
-	created := newLink(n, address)
+	ctx, cancel := context.WithCancel(context.Background())
+	created := newLink(n, address, cancel)
 	n.links[address] = created
-	n.group.Go(created.run)
+	n.group.Go(func() {
+		defer cancel()
+		created.run(ctx)
+	})
 	return created, nil
 }
 
-// retire forgets a link that has nothing to send.
+// retire removes a link that has nothing to send. It returns false if something
+// was queued meanwhile.
 func (n *Node) retire(unused *link) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -271,89 +229,3 @@
 	delete(n.links, unused.address)
 	return true
 }
-
-// lossHook decides whether a message is lost, for tests.
-type lossHook func(address string, kind Kind) bool
-
-func (n *Node) lost(address string, kind Kind) bool {
-	hook := n.lossy.Load()
-	return hook != nil && (*hook)(address, kind)
-}
-
-// Send implements Network.
-func (n *Node) Send(address string, kind Kind, message any) {
-	if n.lost(address, kind) {
-		n.counters.dropped(kind)
-		return
-	}
-	frame, err := encodeMessage(envelope{Type: frameOneWay, Kind: kind}, message, n.config.MaxFrameBytes)
-	if err != nil {
-		n.logger.Error("message cannot be sent", "kind", kind, "error", err)
-		n.counters.dropped(kind)
-		return
-	}
-	err = n.enqueue(address, func(l *link) pushResult {
-		return l.queue.push(outgoing{kind: kind, frame: frame})
-	})
-	if err != nil {
-		n.counters.dropped(kind)
-	}
-}
-
-// enqueue lets push put something on the address's queue.
-func (n *Node) enqueue(address string, push func(*link) pushResult) error {
-	for {
-		connection, err := n.link(address)
-		if err != nil {
-			return err
-		}
-		switch push(connection) {
-		case pushed:
-			return nil
-		case queueFull:
-			return fmt.Errorf("%w to %s: %w", ErrNotSent, address, errQueueFull)
-		case queueRetired: // a race with its end: the next round makes a new one
-		}
-	}
-}
-
-// Call implements Network. An error that wraps ErrNotSent says that the peer
-// has not seen the request.
-func (n *Node) Call(ctx context.Context, address string, kind Kind, request, reply any) error {
-	if n.lost(address, kind) {
-		n.counters.dropped(kind)
-		<-ctx.Done()
-		return ctx.Err()
-	}
-	head := envelope{Type: frameRequest, ID: n.callID.Add(1), Kind: kind, LeftMS: leftMillis(ctx)}
-	frame, err := encodeMessage(head, request, n.config.MaxFrameBytes)
-	if err != nil {
-		return fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
-	}
-	waiting := &pendingCall{id: head.ID, done: make(chan struct{})}
-	var connection *link
-	err = n.enqueue(address, func(l *link) pushResult {
-		connection = l
-		return l.begin(waiting, kind, frame)
-	})
-	if err != nil {
-		return err
-	}
-	body, err := connection.await(ctx, waiting)
-	if err != nil {
-		return err
-	}
-	if err := decodeBody(body, reply); err != nil {
-		return fmt.Errorf("transport: reply of kind %d from %s: %w", kind, address, err)
-	}
-	return nil
-}
-
-// leftMillis is the time until the context's deadline, at least 1; 0 is none.
-func leftMillis(ctx context.Context) int64 {
-	deadline, bounded := ctx.Deadline()
-	if !bounded {
-		return 0
-	}
-	return max(1, time.Until(deadline).Milliseconds())
-}
--- a/transport/queue.go
+++ b/transport/queue.go
@@ -2,31 +2,31 @@
 
 import "sync"
 
-// outgoing is one frame that waits for the connection.
+// outgoing is one frame to be written to the link's connection.
 type outgoing struct {
 	kind  Kind
 	frame []byte
-	call  *pendingCall // nil for a one-way message
+	call  *pendingCall // the call whose request it is, else nil
 }
 
-// sendQueue is a bounded first-in-first-out queue that holds no memory while it
-// is empty.
+// sendQueue is a bounded first-in-first-out queue that uses no memory for items
+// while it is empty.
 type sendQueue struct {
-	limit int
-	wake  chan struct{} // holds a token while there may be something to take
+	limit int           // items
+	wake  chan struct{} // has a token whenever there may be something to take
 
 	mutex   sync.Mutex
 	items   []outgoing
 	retired bool
 }
 
-// pushResult says what became of an item.
+// pushResult is the result of a push.
 type pushResult uint8
 
 const (
 	pushed pushResult = iota
 	queueFull
-	queueRetired // the link has gone; ask the node for a new one
+	queueRetired // the link has ended; the node makes a new one
 )
 
 func newSendQueue(limit int) *sendQueue {
@@ -43,19 +43,19 @@
 		return queueFull
 	}
 	q.items = append(q.items, item)
-	q.signal()
+	q.signalLocked()
 	return pushed
 }
 
-// signal must be called with the mutex held.
-func (q *sendQueue) signal() {
+// signalLocked must be called with the mutex held.
+func (q *sendQueue) signalLocked() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take removes the first item.
+// take removes and returns the first item. It returns false if there is none.
 func (q *sendQueue) take() (outgoing, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -68,12 +68,12 @@
 	if len(q.items) == 0 {
 		q.items = nil
 	} else {
-		q.signal()
+		q.signalLocked()
 	}
 	return first, true
 }
 
-// takeAll empties the queue.
+// takeAll removes and returns all items.
 func (q *sendQueue) takeAll() []outgoing {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -82,7 +82,7 @@
 	return items
 }
 
-// retire closes an empty queue for good.
+// retire closes the queue for good if it is empty, and reports whether it was.
 func (q *sendQueue) retire() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
