--- a/storage/bench_test.go
+++ b/storage/bench_test.go
@@ -30,14 +30,46 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = disk.Close() }()
-	made := entries(1, 1000, 1)
-	for position := range made {
-		made[position].Data = make([]byte, 512)
+	log := entries(1, 1000, 1)
+	for i := range log {
+		log[i].Data = make([]byte, 512)
 	}
-	if err := disk.Save(&consensus.HardState{Term: 1, Commit: 1000}, made); err != nil {
+	if err := disk.Save(&consensus.HardState{Term: 1, Commit: 1000}, log); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		mustLoad(b, disk)
 	}
 }
+
+// BenchmarkSaveSnapshot measures the snapshot of a busy node: of a log of 4,096
+// entries the newest 1,024 stay.
+func BenchmarkSaveSnapshot(b *testing.B) {
+	const length, retained = 4096, 1024
+	for b.Loop() {
+		b.StopTimer()
+		disk, err := Open(b.TempDir())
+		if err != nil {
+			b.Fatal(err)
+		}
+		for first := uint64(1); first <= length; first += 64 {
+			var entries []consensus.Entry
+			for index := first; index < first+64; index++ {
+				entries = append(entries, consensus.Entry{Index: index, Term: 1, Kind: consensus.EntryNormal, Data: make([]byte, 128)})
+			}
+			if err := disk.Save(nil, entries); err != nil {
+				b.Fatal(err)
+			}
+		}
+		snapshot := consensus.Snapshot{Index: length, Term: 1, Data: make([]byte, 100<<10)}
+		b.StartTimer()
+		if err := disk.SaveSnapshot(snapshot, length-retained+1); err != nil {
+			b.Fatal(err)
+		}
+		b.StopTimer()
+		if err := disk.Close(); err != nil {
+			b.Fatal(err)
+		}
+		b.StartTimer()
+	}
+}
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"math"
 	"os"
 	"path/filepath"
 	"time"
@@ -17,49 +16,43 @@
 
 const (
 	fileName = "consensus.db"
-	// unfinishedSuffix is on the name of a store that is being made.
+	// unfinishedSuffix is appended to the name of a file that is being created.
 	unfinishedSuffix = ".new"
 	fileMode         = 0o600
 	folderMode       = 0o700
-	lockTimeout      = 5 * time.Second
+	lockTimeout      = 5 * time.Second // waiting for another process to close the file
 	identityBytes    = 16
 	formatVersion    = 1
-	singletonIndex   = 0
 )
 
+// The buckets of the file and the keys of the records that exist only once. The log
+// bucket has an entry a key, see indexKey.
 var (
 	metaBucket     = []byte("meta")
 	stateBucket    = []byte("state")
 	logBucket      = []byte("log")
 	snapshotBucket = []byte("snapshot")
 
-	formatKey   = []byte("format")
-	identityKey = []byte("identity")
-	clusterKey  = []byte("cluster")
-	hardKey     = []byte("hard")
-	boundsKey   = []byte("bounds")
-	currentKey  = []byte("current")
+	formatKey    = []byte("format")   // in meta
+	identityKey  = []byte("identity") // in meta
+	clusterKey   = []byte("cluster")  // in meta
+	hardStateKey = []byte("hard")     // in state
+	logBoundsKey = []byte("bounds")   // in state
+	currentKey   = []byte("current")  // in snapshot
 )
 
-// bounds are the first and last index that the log bucket must hold; both are
-// zero for an empty log. They show an entry that is missing at an end.
-type bounds struct {
-	First uint64 `cbor:"1,keyasint"`
-	Last  uint64 `cbor:"2,keyasint"`
-}
-
-// Disk is a Store in one file under a folder. Each write is one transaction
-// that is synced before the method returns. A write that a power cut tore is
-// undone as a whole at the next Open.
+// Disk is a Store in one file of a folder. Each write is one transaction that is
+// synced before the method returns. A write that a power cut interrupted is undone
+// completely at the next Open.
 type Disk struct {
 	database *bolt.DB
-	failed   *FinalError
+	failed   *FinalError // of the first write that failed, returned by all later calls
 }
 
 var _ Store = (*Disk)(nil)
 
-// Open opens the folder's store, and makes the folder, the store and its random
-// identity at the first start.
+// Open opens the store in a folder. At the first start it creates the folder, and
+// the store with a random identity.
 func Open(folder string) (*Disk, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, fmt.Errorf("storage: make folder: %w", err)
@@ -73,8 +66,8 @@
 	return openFile(path)
 }
 
-// create makes a whole store under another name and renames it: a loss of power
-// on the way leaves nothing that looks like a store.
+// create prepares a store under another name and renames it when it is complete: a
+// power cut before that leaves nothing that looks like a store.
 func create(folder, path string) error {
 	unfinished := path + unfinishedSuffix
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -101,7 +94,8 @@
 	return &Disk{database: database}, nil
 }
 
-// prepare makes what a new store needs in one transaction.
+// prepare creates the buckets, the format and the identity of a new store in one
+// transaction.
 func (d *Disk) prepare() error {
 	return d.write("prepare", func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{metaBucket, stateBucket, logBucket, snapshotBucket} {
@@ -140,7 +134,8 @@
 	return errors.Join(handle.Sync(), handle.Close())
 }
 
-// write runs one synced transaction. The first failure is final.
+// write runs one synced transaction. The first failure is final: after a failed sync
+// nobody knows what is on the disk.
 func (d *Disk) write(operation string, change func(*bolt.Tx) error) error {
 	if d.failed != nil {
 		return d.failed
@@ -174,7 +169,7 @@
 	}
 	return d.write("save", func(tx *bolt.Tx) error {
 		if state != nil {
-			if err := put(tx.Bucket(stateBucket), hardKey, singletonIndex, *state); err != nil {
+			if err := put(tx.Bucket(stateBucket), hardStateKey, singletonIndex, *state); err != nil {
 				return err
 			}
 		}
@@ -185,62 +180,7 @@
 	})
 }
 
-// appendEntries drops what the new entries overwrite, and adds them.
-func appendEntries(tx *bolt.Tx, entries []consensus.Entry) error {
-	log := tx.Bucket(logBucket)
-	first := entries[0].Index
-	if err := deleteFrom(log, first); err != nil {
-		return err
-	}
-	for _, entry := range entries {
-		if err := put(log, indexKey(entry.Index), entry.Index, entry); err != nil {
-			return err
-		}
-	}
-	return saveBounds(tx)
-}
-
-func deleteFrom(log *bolt.Bucket, index uint64) error {
-	return deleteRange(log, index, math.MaxUint64)
-}
-
-func deleteBefore(log *bolt.Bucket, index uint64) error {
-	return deleteRange(log, 0, index)
-}
-
-// deleteRange deletes the entries from first up to before end. It notes them
-// first: a cursor that is placed anew after each deletion passes over all the
-// pages that are empty by then.
-func deleteRange(log *bolt.Bucket, first, end uint64) error {
-	var doomed []uint64
-	cursor := log.Cursor()
-	for key, _ := cursor.Seek(indexKey(first)); key != nil && keyIndex(key) < end; key, _ = cursor.Next() {
-		doomed = append(doomed, keyIndex(key))
-	}
-	for _, index := range doomed {
-		if err := log.Delete(indexKey(index)); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// saveBounds records the first and last index of the log. Last is asked only of
-// a log that holds something: on one of several pages that was emptied in the
-// same transaction, the library's cursor never returns from it.
-func saveBounds(tx *bolt.Tx) error {
-	cursor := tx.Bucket(logBucket).Cursor()
-	var held bounds
-	if first, _ := cursor.First(); first != nil {
-		last, _ := cursor.Last()
-		held.First = keyIndex(first)
-		held.Last = keyIndex(last)
-	}
-	return put(tx.Bucket(stateBucket), boundsKey, singletonIndex, held)
-}
-
-// SaveSnapshot implements Store. A log that holds another entry at the
-// snapshot's index leads somewhere else and is dropped whole.
+// SaveSnapshot implements Store.
 func (d *Disk) SaveSnapshot(snapshot consensus.Snapshot, keepFrom uint64) error {
 	return d.write("save snapshot", func(tx *bolt.Tx) error {
 		record, err := encodeRecord(snapshot.Index, snapshot)
@@ -251,28 +191,19 @@
 			return err
 		}
 		log := tx.Bucket(logBucket)
-		if !leadsThrough(log, snapshot) {
+		if !logMatches(log, snapshot) {
 			keepFrom = 0
-			if err := deleteFrom(log, 0); err != nil {
+			if err := truncateFrom(log, 0); err != nil {
 				return err
 			}
 		}
-		if err := deleteBefore(log, keepFrom); err != nil {
+		if err := compactBefore(log, keepFrom); err != nil {
 			return err
 		}
-		return saveBounds(tx)
+		return saveLogBounds(tx)
 	})
 }
 
-func leadsThrough(log *bolt.Bucket, snapshot consensus.Snapshot) bool {
-	record := log.Get(indexKey(snapshot.Index))
-	var entry consensus.Entry
-	if record == nil || decodeRecord(snapshot.Index, record, &entry) != nil {
-		return false
-	}
-	return entry.Term == snapshot.Term
-}
-
 // Close implements Store.
 func (d *Disk) Close() error {
 	return d.database.Close()
--- a/storage/example_test.go
+++ b/storage/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// What was saved is there after a crash. storage.Open does the same on a disk.
+// What was saved survives a crash. storage.Open returns a store on a disk.
 func Example() {
 	store := storage.NewMemory("disk-1")
 	state := consensus.HardState{Term: 3}
--- a/storage/golden_data_folder_test.go
+++ b/storage/golden_data_folder_test.go
@@ -130,8 +130,8 @@
 		"format":     {metaBucket, formatKey},
 		"identity":   {metaBucket, identityKey},
 		"cluster":    {metaBucket, clusterKey},
-		"hard state": {stateBucket, hardKey},
-		"bounds":     {stateBucket, boundsKey},
+		"hard state": {stateBucket, hardStateKey},
+		"bounds":     {stateBucket, logBoundsKey},
 		"snapshot":   {snapshotBucket, currentKey},
 		"entry":      {logBucket, indexKey(6)},
 	}
--- a/storage/load.go
+++ b/storage/load.go
@@ -1,7 +1,6 @@
 package storage
 
 import (
-	"encoding/binary"
 	"fmt"
 
 	bolt "go.etcd.io/bbolt"
@@ -38,7 +37,7 @@
 	if err := get(tx, metaBucket, clusterKey, &loaded.Cluster, false); err != nil {
 		return err
 	}
-	if err := get(tx, stateBucket, hardKey, &loaded.HardState, false); err != nil {
+	if err := get(tx, stateBucket, hardStateKey, &loaded.HardState, false); err != nil {
 		return err
 	}
 	if err := readSnapshot(tx, loaded); err != nil {
@@ -47,7 +46,8 @@
 	return readLog(tx, loaded)
 }
 
-// get reads one of the records of which there is one only.
+// get decodes a record that exists only once. It leaves the value as it is if the
+// record is missing and not required.
 func get(tx *bolt.Tx, bucket, key []byte, value any, required bool) error {
 	record := tx.Bucket(bucket).Get(key)
 	if record == nil {
@@ -62,7 +62,6 @@
 	return nil
 }
 
-// readSnapshot takes the index from the payload and checks it by the checksum.
 func readSnapshot(tx *bolt.Tx, loaded *State) error {
 	record := tx.Bucket(snapshotBucket).Get(currentKey)
 	if record == nil {
@@ -77,40 +76,52 @@
 }
 
 func readLog(tx *bolt.Tx, loaded *State) error {
-	var held bounds
-	if err := get(tx, stateBucket, boundsKey, &held, false); err != nil {
+	var bounds logBounds
+	if err := get(tx, stateBucket, logBoundsKey, &bounds, false); err != nil {
 		return err
 	}
-	next := held.First
+	next := bounds.First
 	err := tx.Bucket(logBucket).ForEach(func(key, record []byte) error {
 		if len(key) != indexSize {
 			return &CorruptError{Bucket: string(logBucket), Reason: "key is not an index"}
 		}
-		index := keyIndex(key)
-		if index != next {
-			return &CorruptError{Bucket: string(logBucket), Index: next, Reason: "entry is missing"}
+		if index := keyIndex(key); index != next {
+			return missingEntry(next)
 		}
-		next++
-		var entry consensus.Entry
-		if err := decodeRecord(index, record, &entry); err != nil {
-			return &CorruptError{Bucket: string(logBucket), Index: index, Reason: err.Error()}
-		}
-		if entry.Index != index {
-			return &CorruptError{Bucket: string(logBucket), Index: index, Reason: "entry is of another index"}
+		entry, err := decodeEntry(next, record)
+		if err != nil {
+			return err
 		}
 		loaded.Entries = append(loaded.Entries, entry)
+		next++
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if held.Last != 0 && next != held.Last+1 {
-		return &CorruptError{Bucket: string(logBucket), Index: next, Reason: "entry is missing"}
+	if bounds.Last != 0 && next != bounds.Last+1 {
+		return missingEntry(next)
 	}
 	return nil
 }
 
-// verify checks what the records say together.
+func decodeEntry(index uint64, record []byte) (consensus.Entry, error) {
+	var entry consensus.Entry
+	if err := decodeRecord(index, record, &entry); err != nil {
+		return consensus.Entry{}, &CorruptError{Bucket: string(logBucket), Index: index, Reason: err.Error()}
+	}
+	if entry.Index != index {
+		return consensus.Entry{}, &CorruptError{Bucket: string(logBucket), Index: index, Reason: "entry is of another index"}
+	}
+	return entry, nil
+}
+
+func missingEntry(index uint64) error {
+	return &CorruptError{Bucket: string(logBucket), Index: index, Reason: "entry is missing"}
+}
+
+// verify checks the records against each other: terms never fall, the log follows
+// the snapshot without a gap, and every committed entry is there.
 func verify(loaded State) error {
 	previousTerm := uint64(0)
 	last := loaded.Snapshot.Index
@@ -131,9 +142,3 @@
 	}
 	return nil
 }
-
-const indexSize = 8
-
-func keyIndex(key []byte) uint64 {
-	return binary.BigEndian.Uint64(key)
-}
--- a/storage/memory.go
+++ b/storage/memory.go
@@ -6,53 +6,52 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// Memory is a Store for tests that can lose power around any write.
+// Memory is a Store for tests that can lose power before or after any write.
 type Memory struct {
 	durable State
-	// writes counts the writes since the last Reopen.
-	writes int
-	plan   CrashPlan
-	down   bool
-	// unsynced is the number of newest writes that a crash takes back.
+	writes  int // since the last ScheduleCrash or Reopen
+	plan    CrashPlan
+	down    bool
+	// unsynced is the number of newest writes that a crash undoes.
 	unsynced int
-	history  []State
+	history  []State // before each of these writes, the oldest first
 }
 
 var _ Store = (*Memory)(nil)
 
-// CrashPlan says at which write the power goes.
+// CrashPlan schedules a power cut at a write.
 type CrashPlan struct {
-	// Write counts from 1; zero plans nothing.
+	// Write is the number of the write, from 1; 0 schedules nothing.
 	Write int
-	// AfterWrite lets that write reach the disk before the power goes.
+	// AfterWrite cuts the power after that write is durable, not before.
 	AfterWrite bool
 }
 
-// NewMemory makes an empty disk with the identity given.
+// NewMemory returns an empty disk with an identity.
 func NewMemory(identity consensus.ID) *Memory {
 	memory := &Memory{}
 	memory.Wipe(identity)
 	return memory
 }
 
-// Wipe takes everything away, as a replaced disk does.
+// Wipe makes the disk an empty one with a new identity, as if it was replaced.
 func (m *Memory) Wipe(identity consensus.ID) {
 	*m = Memory{durable: State{Identity: identity}}
 }
 
-// ScheduleCrash arms a power cut, counted from the next write.
+// ScheduleCrash schedules a power cut, counted from the next write.
 func (m *Memory) ScheduleCrash(plan CrashPlan) {
 	m.plan = plan
 	m.writes = 0
 }
 
-// DropSyncedWrites makes the disk lie: a crash takes the newest writes back although
-// they were reported as synced. It exists to show that the checks notice.
+// DropSyncedWrites makes a crash undo the newest writes although they were reported as
+// synced, as a faulty disk does. It exists to show that the checks notice.
 func (m *Memory) DropSyncedWrites(writes int) {
 	m.unsynced = writes
 }
 
-// Crash cuts the power now.
+// Crash cuts the power now. Load and the writes fail until Reopen.
 func (m *Memory) Crash() {
 	m.down = true
 	if m.unsynced > 0 && len(m.history) > 0 {
@@ -61,14 +60,15 @@
 	}
 }
 
-// Reopen brings the power back. What was not durable is gone.
+// Reopen restores the power and cancels the scheduled power cut. Only what was
+// durable is left.
 func (m *Memory) Reopen() {
 	m.down = false
 	m.plan = CrashPlan{}
 	m.writes = 0
 }
 
-// Down tells whether the power is out.
+// Down reports whether the power is cut.
 func (m *Memory) Down() bool {
 	return m.down
 }
@@ -78,42 +78,42 @@
 	if m.down {
 		return State{}, ErrCrash
 	}
-	return copyOf(m.durable), verify(m.durable)
+	return clone(m.durable), verify(m.durable)
 }
 
 // SetCluster implements Store.
 func (m *Memory) SetCluster(cluster string) error {
-	return m.write(func(held *State) { held.Cluster = cluster })
+	return m.write(func(stored *State) { stored.Cluster = cluster })
 }
 
 // Save implements Store.
 func (m *Memory) Save(state *consensus.HardState, entries []consensus.Entry) error {
-	return m.write(func(held *State) {
+	return m.write(func(stored *State) {
 		if state != nil {
-			held.HardState = *state
+			stored.HardState = *state
 		}
 		if len(entries) > 0 {
-			kept := held.Entries
-			for len(kept) > 0 && kept[len(kept)-1].Index >= entries[0].Index {
-				kept = kept[:len(kept)-1]
+			retained := stored.Entries
+			for len(retained) > 0 && retained[len(retained)-1].Index >= entries[0].Index {
+				retained = retained[:len(retained)-1]
 			}
-			held.Entries = append(slices.Clip(kept), entries...)
+			stored.Entries = append(slices.Clip(retained), entries...)
 		}
 	})
 }
 
 // SaveSnapshot implements Store.
 func (m *Memory) SaveSnapshot(snapshot consensus.Snapshot, keepFrom uint64) error {
-	return m.write(func(held *State) {
-		held.Snapshot = snapshot
-		reaches := slices.ContainsFunc(held.Entries, func(entry consensus.Entry) bool {
+	return m.write(func(stored *State) {
+		stored.Snapshot = snapshot
+		matches := slices.ContainsFunc(stored.Entries, func(entry consensus.Entry) bool {
 			return entry.Index == snapshot.Index && entry.Term == snapshot.Term
 		})
-		if !reaches {
-			held.Entries = nil
+		if !matches {
+			stored.Entries = nil
 		}
-		for len(held.Entries) > 0 && held.Entries[0].Index < keepFrom {
-			held.Entries = held.Entries[1:]
+		for len(stored.Entries) > 0 && stored.Entries[0].Index < keepFrom {
+			stored.Entries = stored.Entries[1:]
 		}
 	})
 }
@@ -123,41 +123,42 @@
 	return nil
 }
 
-// write applies one change as a synced transaction, around which the planned
-// power cut may strike.
+// write applies one change as a synced transaction, with the scheduled power cut
+// before or after it.
 func (m *Memory) write(change func(*State)) error {
 	if m.down {
 		return &FinalError{Operation: "write", Err: ErrCrash}
 	}
 	m.writes++
-	strikes := m.plan.Write != 0 && m.writes == m.plan.Write
-	if strikes && !m.plan.AfterWrite {
+	crashes := m.plan.Write != 0 && m.writes == m.plan.Write
+	if crashes && !m.plan.AfterWrite {
 		m.Crash()
 		return &FinalError{Operation: "write", Err: ErrCrash}
 	}
-	m.remember()
+	m.recordHistory()
 	change(&m.durable)
-	if strikes {
+	if crashes {
 		m.Crash()
 		return &FinalError{Operation: "write", Err: ErrCrash}
 	}
 	return nil
 }
 
-// remember keeps the states that a lying disk may go back to.
-func (m *Memory) remember() {
+// recordHistory keeps the states that a crash may restore, see DropSyncedWrites.
+func (m *Memory) recordHistory() {
 	if m.unsynced == 0 {
 		return
 	}
-	m.history = append(m.history, copyOf(m.durable))
+	m.history = append(m.history, clone(m.durable))
 	if len(m.history) > m.unsynced {
 		m.history = m.history[1:]
 	}
 }
 
 // copyOf copies the slice header with its capacity clipped: entries themselves
-// are never written to.
-func copyOf(held State) State {
-	held.Entries = slices.Clip(held.Entries)
-	return held
+// clone returns a copy that shares the entries, which are never changed. Their slice
+// is clipped, so that appending to one copy does not write into the other.
+func clone(loaded State) State {
+	loaded.Entries = slices.Clip(loaded.Entries)
+	return loaded
 }
--- a/storage/persist.go
+++ b/storage/persist.go
@@ -2,9 +2,9 @@
 
 import "github.com/deckpulley/deckpulley/consensus"
 
-// Persist writes what a Ready asks for, in the one order that is safe at a
-// power cut in between: a snapshot without its hard state is made good by
-// consensus.New, whereas entries without their snapshot would leave a gap.
+// Persist writes the snapshot of a Ready first, then its entries and hard state. The
+// order matters at a power cut between the two: consensus.New repairs a snapshot
+// without its hard state, whereas entries without their snapshot would leave a gap.
 func Persist(store Store, ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := store.SaveSnapshot(*ready.Snapshot, ready.Snapshot.Index+1); err != nil {
--- a/storage/powerloss_test.go
+++ b/storage/powerloss_test.go
@@ -12,25 +12,25 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// The model of a loss of power. A file holds what its last sync covered; each
-// later write is present, missing or torn. The store writes a transaction in two
-// steps, each synced: its pages, then one of the two first pages of the file. So a
-// loss within the first step leaves any part of the pages and the old first pages,
-// one within the second all pages and any part of a first page.
+// The model of a power loss: a file has what its last sync covered, and each later
+// write is present, missing or torn. The store writes a transaction in two steps,
+// each synced: its pages, then one of the two meta pages at the file's beginning. A
+// loss in the first step leaves any part of the pages and the old meta pages, one in
+// the second step all pages and any part of a meta page.
 
 const (
-	// sectorBytes is what a disk writes whole or not at all.
+	// sectorBytes is what a disk writes completely or not at all.
 	sectorBytes = 512
 	metaPages   = 2
 )
 
-// image is a file as it was at a sync, and what was stored then.
+// image is a file at a sync, with what was stored then.
 type image struct {
 	content []byte
 	loaded  State
 }
 
-// torn returns what may be left of the writes from one image to the next.
+// torn returns a file that may be left of the writes from one image to the next.
 func torn(random *rand.Rand, from, to []byte, pageBytes int, secondStep bool) []byte {
 	left := bytes.Clone(from)
 	if len(to) > len(left) && (secondStep || random.IntN(2) == 0) {
@@ -48,21 +48,21 @@
 	return left
 }
 
-// history does random writes and returns the file after each of them.
-func history(t *testing.T, random *rand.Rand, writes int) (images []image, pageBytes int) {
+// randomImages makes random writes and returns the file after each of them.
+func randomImages(t *testing.T, random *rand.Rand, writes int) (images []image, pageBytes int) {
 	t.Helper()
 	folder := t.TempDir()
 	path := filepath.Join(folder, fileName)
 	disk := mustOpen(t, folder)
 	pageBytes = disk.database.Info().PageSize
-	keep := func() {
+	record := func() {
 		content, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		images = append(images, image{content: content, loaded: mustLoad(t, disk)})
 	}
-	keep()
+	record()
 	last, first := uint64(0), uint64(1)
 	for range writes {
 		var err error
@@ -85,7 +85,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		keep()
+		record()
 	}
 	if err := disk.Close(); err != nil {
 		t.Fatal(err)
@@ -93,15 +93,15 @@
 	return images, pageBytes
 }
 
-// TestPowerLossLeavesOneOfTwoStates: after a loss of power within a write the
-// store opens and holds what it held before the write, or all of the write, and
-// before the second step never the latter.
+// TestPowerLossLeavesOneOfTwoStates holds that after a power loss during a write the
+// store opens with the state before the write or with all of the write, and never
+// with the latter before the second step.
 func TestPowerLossLeavesOneOfTwoStates(t *testing.T) {
 	const seeds, writes, lossesEach = 8, 12, 4
-	kept, undone := 0, 0
+	durable, undone := 0, 0
 	for seed := range uint64(seeds) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		images, pageBytes := history(t, random, writes)
+		images, pageBytes := randomImages(t, random, writes)
 		for i := 1; i < len(images); i++ {
 			for range lossesEach {
 				second := random.IntN(2) == 0
@@ -112,19 +112,19 @@
 				case before:
 					undone++
 				case after && second:
-					kept++
+					durable++
 				default:
-					t.Fatalf("seed %d, write %d, second step %v: the store holds neither state", seed, i, second)
+					t.Fatalf("seed %d, write %d, second step %v: the store has neither state", seed, i, second)
 				}
 			}
 		}
 	}
-	if kept < 50 || undone < 50 {
-		t.Errorf("too little happened: %d writes kept, %d undone", kept, undone)
+	if durable < 50 || undone < 50 {
+		t.Errorf("too few losses: %d writes durable, %d undone", durable, undone)
 	}
 }
 
-// reopen puts a file into a new folder and reads the store from it.
+// reopen writes a file into a new folder and loads the store from it.
 func reopen(t *testing.T, content []byte) State {
 	t.Helper()
 	folder := t.TempDir()
@@ -139,14 +139,14 @@
 	return loaded
 }
 
-// TestPowerLossWhileTheStoreIsMade: whatever is left of a store that was not
-// renamed yet, the next start makes a new one.
-func TestPowerLossWhileTheStoreIsMade(t *testing.T) {
-	whole := t.TempDir()
-	if err := mustOpen(t, whole).Close(); err != nil {
+// TestPowerLossDuringCreation holds that the next start creates a new store, whatever
+// is left of one that was not renamed yet.
+func TestPowerLossDuringCreation(t *testing.T) {
+	complete := t.TempDir()
+	if err := mustOpen(t, complete).Close(); err != nil {
 		t.Fatal(err)
 	}
-	content, err := os.ReadFile(filepath.Join(whole, fileName))
+	content, err := os.ReadFile(filepath.Join(complete, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/storage/record.go
+++ b/storage/record.go
@@ -11,14 +11,20 @@
 )
 
 // A record is the checksum of (position, payload), 8 bytes big-endian, then the
-// payload in CBOR. The position is a log index, or zero for the records of which
-// there is one only; it makes a record at the wrong place corrupt too.
+// payload in CBOR. The position is a log index, or singletonIndex for a record that
+// exists only once. It makes a record under the wrong key corrupt too.
 
-const checksumSize = 8
-
-var errShort = errors.New("record is shorter than its checksum")
+const (
+	checksumSize = 8
+	indexSize    = 8
+	// singletonIndex is the position of the records that exist only once.
+	singletonIndex = 0
+)
 
-var errChecksum = errors.New("checksum does not match")
+var (
+	errRecordTooShort   = errors.New("record is shorter than its checksum")
+	errChecksumMismatch = errors.New("checksum does not match")
+)
 
 func encodeRecord(position uint64, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
@@ -32,15 +38,28 @@
 
 func decodeRecord(position uint64, record []byte, value any) error {
 	if len(record) < checksumSize {
-		return errShort
+		return errRecordTooShort
 	}
 	payload := record[checksumSize:]
 	if binary.BigEndian.Uint64(record) != checksum(position, payload) {
-		return errChecksum
+		return errChecksumMismatch
 	}
 	return cbor.Unmarshal(payload, value)
 }
 
+// decodeSnapshot decodes a snapshot, whose position is its own index: the payload
+// must be decoded before its checksum can be verified.
+func decodeSnapshot(record []byte) (consensus.Snapshot, error) {
+	var snapshot consensus.Snapshot
+	if len(record) < checksumSize {
+		return snapshot, errRecordTooShort
+	}
+	if err := cbor.Unmarshal(record[checksumSize:], &snapshot); err != nil {
+		return consensus.Snapshot{}, err
+	}
+	return snapshot, decodeRecord(snapshot.Index, record, &snapshot)
+}
+
 func checksum(position uint64, payload []byte) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.Write(indexKey(position))
@@ -48,18 +67,11 @@
 	return digest.Sum64()
 }
 
+// indexKey returns the key of a log entry. Keys sort as their indexes do.
 func indexKey(index uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, index)
 }
 
-// decodeSnapshot reads a snapshot, whose record's position is its own index.
-func decodeSnapshot(record []byte) (consensus.Snapshot, error) {
-	var snapshot consensus.Snapshot
-	if len(record) < checksumSize {
-		return snapshot, errShort
-	}
-	if err := cbor.Unmarshal(record[checksumSize:], &snapshot); err != nil {
-		return consensus.Snapshot{}, err
-	}
-	return snapshot, decodeRecord(snapshot.Index, record, &snapshot)
+func keyIndex(key []byte) uint64 {
+	return binary.BigEndian.Uint64(key)
 }
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -1,35 +1,43 @@
-// Package storage keeps a member's identity, its log and its snapshot on disk.
-// Nothing that a method has returned without an error is lost by a power cut.
+// Package storage keeps a member's identity, its log and its snapshot on disk. A
+// write whose method has returned without an error survives a power cut.
 package storage
 
 import (
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// State is what a disk holds at start.
+// State is everything that is stored on a member's disk.
 type State struct {
+	// Identity is the random id of the disk.
 	Identity consensus.ID
-	// Cluster is the random id of the group; empty until formed or joined.
+	// Cluster is the random id of the cluster; empty until the member has
+	// bootstrapped or joined one.
 	Cluster   string
 	HardState consensus.HardState
-	Snapshot  consensus.Snapshot
-	Entries   []consensus.Entry
+	// Snapshot has index 0 if there is none.
+	Snapshot consensus.Snapshot
+	// Entries are in the order of their indexes, without a gap. They may begin at or
+	// before the snapshot's index.
+	Entries []consensus.Entry
 }
 
 // Store is one member's disk. Implementations are used from one goroutine.
-// An error from a Save method is final: the state on disk is in doubt and the
-// process must end (a failed sync is never retried).
+//
+// An error of a write is a *FinalError: the state on disk is in doubt and the
+// process must end. A failed sync is never retried.
 type Store interface {
-	// Load reads everything back and verifies each record's checksum. A corrupt
-	// record is a *CorruptError, never skipped.
+	// Load reads everything and verifies each record's checksum. It returns a
+	// *CorruptError for a corrupt record and never skips one.
 	Load() (State, error)
-	// SetCluster records that this disk belongs to a group.
+	// SetCluster records that this disk belongs to a cluster.
 	SetCluster(cluster string) error
-	// Save appends entries (truncating what conflicts) and the hard state in one
-	// synced transaction. Either may be nil or empty.
+	// Save appends entries and the hard state in one synced transaction. Existing
+	// entries from the first new index on are deleted. The state may be nil, the
+	// entries empty.
 	Save(state *consensus.HardState, entries []consensus.Entry) error
-	// SaveSnapshot stores the snapshot and drops the log up to keepFrom-1. If the
-	// log does not reach the snapshot's index, the whole log is dropped.
+	// SaveSnapshot replaces the snapshot and deletes the entries before keepFrom. If
+	// the log does not have the entry that the snapshot ends with, it deletes all.
 	SaveSnapshot(snapshot consensus.Snapshot, keepFrom uint64) error
+	// Close releases the disk. It writes nothing.
 	Close() error
 }
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -17,12 +17,13 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
+// entries returns the entries of a range of indexes, both ends included.
 func entries(from, to, term uint64) []consensus.Entry {
-	var made []consensus.Entry
+	var list []consensus.Entry
 	for index := from; index <= to; index++ {
-		made = append(made, consensus.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "%d/%d", term, index)})
+		list = append(list, consensus.Entry{Index: index, Term: term, Data: fmt.Appendf(nil, "%d/%d", term, index)})
 	}
-	return made
+	return list
 }
 
 func mustOpen(t *testing.T, folder string) *Disk {
@@ -35,16 +36,16 @@
 	return disk
 }
 
-func mustLoad(t testing.TB, store Store) State {
-	t.Helper()
+func mustLoad(tb testing.TB, store Store) State {
+	tb.Helper()
 	loaded, err := store.Load()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return loaded
 }
 
-func TestIdentityIsMadeOnceAndPerDisk(t *testing.T) {
+func TestIdentityIsCreatedOncePerDisk(t *testing.T) {
 	folder := t.TempDir()
 	disk := mustOpen(t, folder)
 	first := mustLoad(t, disk).Identity
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestDiskEqualsMemory drives both stores through the same random history of
-// writes and compares what is read back, with the disk reopened now and then.
+// TestDiskEqualsMemory drives both stores through the same random sequence of writes
+// and compares what is read back, with the disk reopened now and then.
 func TestDiskEqualsMemory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		folder, err := os.MkdirTemp("", "storage")
@@ -76,61 +77,86 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		defer func() { _ = disk.Close() }()
-		identity := mustLoad(t, disk).Identity
-		memory := NewMemory(identity)
-		var first, last, term, snapshot uint64 = 1, 0, 1, 0
+		pair := &storePair{folder: folder, disk: disk, memory: NewMemory(mustLoad(t, disk).Identity), first: 1, term: 1}
+		defer func() { _ = pair.disk.Close() }()
 		for range rapid.IntRange(1, 12).Draw(r, "writes") {
 			switch rapid.IntRange(0, 3).Draw(r, "write") {
 			case 0, 1:
-				from := rapid.Uint64Range(max(first, snapshot+1), last+1).Draw(r, "from")
-				term += rapid.Uint64Range(0, 1).Draw(r, "raise")
-				count := rapid.Uint64Range(1, 5).Draw(r, "count")
-				added := entries(from, from+count-1, term)
-				last = from + count - 1
-				state := &consensus.HardState{Term: term, Vote: "v", Commit: snapshot}
-				if disk.Save(state, added) != nil || memory.Save(state, added) != nil {
-					r.Fatal("save failed")
-				}
+				pair.saveEntries(r)
 			case 2:
-				made, keepFrom := drawSnapshot(r, mustLoad(t, memory), last, term)
-				if disk.SaveSnapshot(made, keepFrom) != nil || memory.SaveSnapshot(made, keepFrom) != nil {
-					r.Fatal("snapshot failed")
-				}
-				held := mustLoad(t, memory)
-				snapshot, first, last = made.Index, made.Index+1, made.Index
-				if count := len(held.Entries); count > 0 {
-					first, last = held.Entries[0].Index, held.Entries[count-1].Index
-				}
+				pair.saveSnapshot(t, r)
 			case 3:
-				if err := disk.Close(); err != nil {
-					r.Fatal(err)
-				}
-				if disk, err = Open(folder); err != nil {
-					r.Fatal(err)
-				}
+				pair.reopenDisk(r)
 			}
-			if difference := cmp.Diff(mustLoad(t, memory), mustLoad(t, disk), cmpopts.EquateEmpty()); difference != "" {
+			if difference := cmp.Diff(mustLoad(t, pair.memory), mustLoad(t, pair.disk), cmpopts.EquateEmpty()); difference != "" {
 				r.Fatal(difference)
 			}
 		}
 	})
 }
 
+// storePair is a disk and a memory that were given the same writes.
+type storePair struct {
+	folder string
+	disk   *Disk
+	memory *Memory
+
+	first, last uint64 // indexes of the log
+	term        uint64
+	snapshot    uint64 // index
+}
+
+func (p *storePair) saveEntries(r *rapid.T) {
+	from := rapid.Uint64Range(max(p.first, p.snapshot+1), p.last+1).Draw(r, "from")
+	p.term += rapid.Uint64Range(0, 1).Draw(r, "raise")
+	count := rapid.Uint64Range(1, 5).Draw(r, "count")
+	p.last = from + count - 1
+	added := entries(from, p.last, p.term)
+	state := &consensus.HardState{Term: p.term, Vote: "v", Commit: p.snapshot}
+	if p.disk.Save(state, added) != nil || p.memory.Save(state, added) != nil {
+		r.Fatal("save failed")
+	}
+}
+
+func (p *storePair) saveSnapshot(t *testing.T, r *rapid.T) {
+	t.Helper()
+	snapshot, keepFrom := drawSnapshot(r, mustLoad(t, p.memory), p.last, p.term)
+	if p.disk.SaveSnapshot(snapshot, keepFrom) != nil || p.memory.SaveSnapshot(snapshot, keepFrom) != nil {
+		r.Fatal("snapshot failed")
+	}
+	p.snapshot, p.first, p.last = snapshot.Index, snapshot.Index+1, snapshot.Index
+	log := mustLoad(t, p.memory).Entries
+	if count := len(log); count > 0 {
+		p.first, p.last = log[0].Index, log[count-1].Index
+	}
+}
+
+func (p *storePair) reopenDisk(r *rapid.T) {
+	if err := p.disk.Close(); err != nil {
+		r.Fatal(err)
+	}
+	disk, err := Open(p.folder)
+	if err != nil {
+		r.Fatal(err)
+	}
+	p.disk = disk
+}
+
 // drawSnapshot draws either a member's own snapshot or one that a leader sent.
-func drawSnapshot(r *rapid.T, held State, last, term uint64) (consensus.Snapshot, uint64) {
-	index := rapid.Uint64Range(held.Snapshot.Index+1, max(last, held.Snapshot.Index)+3).Draw(r, "index")
-	made := consensus.Snapshot{Index: index, Term: term, Data: []byte("table")}
-	for _, entry := range held.Entries {
+func drawSnapshot(r *rapid.T, stored State, last, term uint64) (consensus.Snapshot, uint64) {
+	index := rapid.Uint64Range(stored.Snapshot.Index+1, max(last, stored.Snapshot.Index)+3).Draw(r, "index")
+	snapshot := consensus.Snapshot{Index: index, Term: term, Data: []byte("table")}
+	for _, entry := range stored.Entries {
 		if entry.Index == index && rapid.Bool().Draw(r, "own") {
-			made.Term = entry.Term
+			snapshot.Term = entry.Term
 		}
 	}
-	return made, rapid.Uint64Range(1, index+1).Draw(r, "keepFrom")
+	return snapshot, rapid.Uint64Range(1, index+1).Draw(r, "keepFrom")
 }
 
-// TestDamageIsFound damages each kind of record and expects its name back.
-func TestDamageIsFound(t *testing.T) {
+// TestCorruptRecordIsReported damages each kind of record and expects its bucket and
+// index in the error.
+func TestCorruptRecordIsReported(t *testing.T) {
 	damage := func(bucket, key []byte, change func([]byte) []byte) func(*bolt.Tx) error {
 		return func(tx *bolt.Tx) error {
 			record := change(append([]byte(nil), tx.Bucket(bucket).Get(key)...))
@@ -141,7 +167,7 @@
 		}
 	}
 	flip := func(record []byte) []byte { record[len(record)-1] ^= 1; return record }
-	cut := func(record []byte) []byte { return record[:3] }
+	shorten := func(record []byte) []byte { return record[:3] }
 	drop := func([]byte) []byte { return nil }
 	cases := []struct {
 		name   string
@@ -152,20 +178,20 @@
 		{"identity", damage(metaBucket, identityKey, flip), "meta", 0},
 		{"identity gone", damage(metaBucket, identityKey, drop), "meta", 0},
 		{"cluster", damage(metaBucket, clusterKey, flip), "meta", 0},
-		{"hard state", damage(stateBucket, hardKey, flip), "state", 0},
+		{"hard state", damage(stateBucket, hardStateKey, flip), "state", 0},
 		{"snapshot", damage(snapshotBucket, currentKey, flip), "snapshot", 4},
 		{"middle entry", damage(logBucket, indexKey(7), flip), "log", 7},
-		{"short entry", damage(logBucket, indexKey(7), cut), "log", 7},
+		{"short entry", damage(logBucket, indexKey(7), shorten), "log", 7},
 		{"middle entry gone", damage(logBucket, indexKey(7), drop), "log", 7},
 		{"first entry gone", damage(logBucket, indexKey(5), drop), "log", 5},
 		{"last entry gone", damage(logBucket, indexKey(9), drop), "log", 9},
-		{"entry in another's place", func(tx *bolt.Tx) error {
+		{"entry under another key", func(tx *bolt.Tx) error {
 			log := tx.Bucket(logBucket)
 			return log.Put(indexKey(7), append([]byte(nil), log.Get(indexKey(8))...))
 		}, "log", 7},
 		{"snapshot gone", damage(snapshotBucket, currentKey, drop), "log", 1},
 		{"committed entries gone", func(tx *bolt.Tx) error {
-			return errors.Join(deleteFrom(tx.Bucket(logBucket), 6), saveBounds(tx))
+			return errors.Join(truncateFrom(tx.Bucket(logBucket), 6), saveLogBounds(tx))
 		}, "log", 6},
 	}
 	for _, test := range cases {
@@ -187,7 +213,7 @@
 			_, err := disk.Load()
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) || corrupt.Bucket != test.bucket || corrupt.Index != test.index {
-				t.Fatalf("got %v, want damage in %s at %d", err, test.bucket, test.index)
+				t.Fatalf("got %v, want a corrupt record in %s at %d", err, test.bucket, test.index)
 			}
 		})
 	}
@@ -238,8 +264,8 @@
 	}
 }
 
-// TestFullDiskIsFinal lets the file grow no further and expects the first error
-// to come back from every later call, even after there is room again.
+// TestFullDiskIsFinal bounds the file's size and expects the first error from every
+// later call too, even after there is space again.
 func TestFullDiskIsFinal(t *testing.T) {
 	folder := t.TempDir()
 	disk := mustOpen(t, folder)
@@ -280,8 +306,8 @@
 	}
 }
 
-// TestLongLogIsDropped installs a snapshot over a log of many pages that does
-// not reach it, as a member does that was away for long.
+// TestLongLogIsDropped installs a snapshot over a log of many pages that ends before
+// it, as a member does that was down for long.
 func TestLongLogIsDropped(t *testing.T) {
 	folder := t.TempDir()
 	disk, err := Open(folder)
@@ -320,30 +346,68 @@
 	}
 }
 
-func TestMemoryCrashesAroundAWrite(t *testing.T) {
-	for _, after := range []bool{false, true} {
-		memory := NewMemory("disk")
-		memory.ScheduleCrash(CrashPlan{Write: 2, AfterWrite: after})
-		if err := memory.Save(nil, entries(1, 1, 1)); err != nil {
+// TestLongLogIsShortenedAtBothEnds overwrites the end of a log of many pages and
+// compacts its beginning.
+func TestLongLogIsShortenedAtBothEnds(t *testing.T) {
+	const length, overwriteFrom, keepFrom = 4096, 3000, 1500
+	disk, err := Open(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer disk.Close()
+	var entries []consensus.Entry
+	for index := uint64(1); index <= length; index++ {
+		entries = append(entries, consensus.Entry{Index: index, Term: 1, Kind: consensus.EntryNormal, Data: make([]byte, 128)})
+	}
+	overwriting := []consensus.Entry{{Index: overwriteFrom, Term: 2, Kind: consensus.EntryNormal}}
+	for _, batch := range [][]consensus.Entry{entries, overwriting} {
+		if err := disk.Save(nil, batch); err != nil {
 			t.Fatal(err)
 		}
-		if err := memory.Save(nil, entries(2, 2, 1)); !errors.Is(err, ErrCrash) {
-			t.Fatalf("planned crash returned %v", err)
-		}
-		if err := memory.Save(nil, entries(3, 3, 1)); !errors.Is(err, ErrCrash) {
-			t.Fatalf("a write without power returned %v", err)
-		}
-		memory.Reopen()
-		want := 1
-		if after {
-			want = 2
-		}
-		if got := len(mustLoad(t, memory).Entries); got != want {
-			t.Fatalf("after=%v: %d entries, want %d", after, got, want)
-		}
-		memory.Wipe("new disk")
-		if loaded := mustLoad(t, memory); loaded.Identity != "new disk" || len(loaded.Entries) != 0 {
-			t.Fatalf("a wiped disk holds %+v", loaded)
-		}
+	}
+	if err := disk.SaveSnapshot(consensus.Snapshot{Index: overwriteFrom - 1, Term: 1}, keepFrom); err != nil {
+		t.Fatal(err)
+	}
+	loaded, err := disk.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := loaded.Entries
+	if len(log) != overwriteFrom-keepFrom+1 || log[0].Index != keepFrom || log[len(log)-1].Term != 2 {
+		t.Errorf("the log has %d entries from %d, want %d from %d and the overwriting one last", len(log), log[0].Index, overwriteFrom-keepFrom+1, keepFrom)
+	}
+}
+
+func TestMemoryCrashesAroundAWrite(t *testing.T) {
+	cases := []struct {
+		name  string
+		after bool
+		want  int // entries that are left
+	}{
+		{"before the write", false, 1},
+		{"after the write", true, 2},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			memory := NewMemory("disk")
+			memory.ScheduleCrash(CrashPlan{Write: 2, AfterWrite: test.after})
+			if err := memory.Save(nil, entries(1, 1, 1)); err != nil {
+				t.Fatal(err)
+			}
+			if err := memory.Save(nil, entries(2, 2, 1)); !errors.Is(err, ErrCrash) {
+				t.Fatalf("scheduled crash returned %v", err)
+			}
+			if err := memory.Save(nil, entries(3, 3, 1)); !errors.Is(err, ErrCrash) {
+				t.Fatalf("a write without power returned %v", err)
+			}
+			memory.Reopen()
+			if got := len(mustLoad(t, memory).Entries); got != test.want {
+				t.Fatalf("%d entries, want %d", got, test.want)
+			}
+			memory.Wipe("new disk")
+			if loaded := mustLoad(t, memory); loaded.Identity != "new disk" || len(loaded.Entries) != 0 {
+				t.Fatalf("a wiped disk has %+v", loaded)
+			}
+		})
 	}
 }
