--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -388,26 +388,31 @@
 		{"after the write", true, 2},
 	}
 	for _, test := range cases {
-		t.Run(test.name, func(t *testing.T) {
-			memory := NewMemory("disk")
-			memory.ScheduleCrash(CrashPlan{Write: 2, AfterWrite: test.after})
-			if err := memory.Save(nil, entries(1, 1, 1)); err != nil {
-				t.Fatal(err)
-			}
-			if err := memory.Save(nil, entries(2, 2, 1)); !errors.Is(err, ErrCrash) {
-				t.Fatalf("scheduled crash returned %v", err)
-			}
-			if err := memory.Save(nil, entries(3, 3, 1)); !errors.Is(err, ErrCrash) {
-				t.Fatalf("a write without power returned %v", err)
-			}
-			memory.Reopen()
-			if got := len(mustLoad(t, memory).Entries); got != test.want {
-				t.Fatalf("%d entries, want %d", got, test.want)
-			}
-			memory.Wipe("new disk")
-			if loaded := mustLoad(t, memory); loaded.Identity != "new disk" || len(loaded.Entries) != 0 {
-				t.Fatalf("a wiped disk has %+v", loaded)
-			}
-		})
+		t.Run(test.name, func(t *testing.T) { checkMemoryCrash(t, test.after, test.want) })
+	}
+}
+
+// checkMemoryCrash cuts the power at the second write and expects a number of entries
+// to be left.
+func checkMemoryCrash(t *testing.T, after bool, want int) {
+	t.Helper()
+	memory := NewMemory("disk")
+	memory.ScheduleCrash(CrashPlan{Write: 2, AfterWrite: after})
+	if err := memory.Save(nil, entries(1, 1, 1)); err != nil {
+		t.Fatal(err)
+	}
+	if err := memory.Save(nil, entries(2, 2, 1)); !errors.Is(err, ErrCrash) {
+		t.Fatalf("scheduled crash returned %v", err)
+	}
+	if err := memory.Save(nil, entries(3, 3, 1)); !errors.Is(err, ErrCrash) {
+		t.Fatalf("a write without power returned %v", err)
+	}
+	memory.Reopen()
+	if got := len(mustLoad(t, memory).Entries); got != want {
+		t.Fatalf("%d entries, want %d", got, want)
+	}
+	memory.Wipe("new disk")
+	if loaded := mustLoad(t, memory); loaded.Identity != "new disk" || len(loaded.Entries) != 0 {
+		t.Fatalf("a wiped disk has %+v", loaded)
 	}
 }
