--- a/peer/packed.go
+++ b/peer/packed.go
@@ -10,20 +10,22 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// leastPacked is the number of records from which a transfer is compressed: names,
-// places and addresses repeat, so that a large one takes about a fifth of its octets.
-const leastPacked = 64
+// minPackedRecords is the number of records from which a transfer is compressed. Names,
+// zones and addresses repeat: a large transfer takes about a fifth of its bytes.
+const minPackedRecords = 64
 
-// errPackedTooLong is a packed transfer that holds more than any table may.
-var errPackedTooLong = errors.New("peer: a packed transfer is too long")
+// errPackedTooLarge is returned for a packed transfer whose content is larger than
+// any transfer may be.
+var errPackedTooLarge = errors.New("peer: a packed transfer is too long")
 
-// PackedTransfer is a transfer in its encoding, compressed. It can be sent to many.
+// PackedTransfer is an encoded transfer, compressed with DEFLATE (RFC 1951). One that
+// was packed once can be sent to many gateways.
 type PackedTransfer []byte
 
 // PackTransfer compresses a large transfer. It returns nil for a small one, which is
-// sent as it is.
+// sent uncompressed.
 func PackTransfer(transfer *registry.Transfer) (PackedTransfer, error) {
-	if len(transfer.Added)+len(transfer.Removed) < leastPacked {
+	if len(transfer.Added)+len(transfer.Removed) < minPackedRecords {
 		return nil, nil
 	}
 	encoded, err := registry.EncodeTransfer(*transfer)
@@ -52,7 +54,8 @@
 	return compressed.Bytes(), nil
 }
 
-// Unpack returns the transfer.
+// Unpack returns the transfer. Its memory is bounded by registry.MaxTransferBytes,
+// whatever the packed bytes are.
 func (p PackedTransfer) Unpack() (*registry.Transfer, error) {
 	reader := flate.NewReader(bytes.NewReader(p))
 	encoded, err := io.ReadAll(io.LimitReader(reader, registry.MaxTransferBytes+1))
@@ -60,7 +63,7 @@
 		return nil, fmt.Errorf("peer: unpacking a transfer: %w", err)
 	}
 	if len(encoded) > registry.MaxTransferBytes {
-		return nil, errPackedTooLong
+		return nil, errPackedTooLarge
 	}
 	transfer, err := registry.DecodeTransfer(encoded)
 	if err != nil {
--- a/peer/packed_test.go
+++ b/peer/packed_test.go
@@ -10,8 +10,8 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// tableOf is a full transfer with so many gateways.
-func tableOf(gateways int) *registry.Transfer {
+// fullTransfer returns a full transfer with a number of gateways.
+func fullTransfer(gateways int) *registry.Transfer {
 	transfer := &registry.Transfer{Full: true, To: 7}
 	for i := range gateways {
 		transfer.Added = append(transfer.Added, catalog.GatewayRecord(fmt.Sprintf("edge-north-hall%d-%d", i%6, i), catalog.Gateway{
@@ -23,8 +23,8 @@
 	return transfer
 }
 
-func TestALargeTransferIsPacked(t *testing.T) {
-	transfer := tableOf(300)
+func TestLargeTransferIsPacked(t *testing.T) {
+	transfer := fullTransfer(300)
 	plain, err := registry.EncodeTransfer(*transfer)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if len(packed) == 0 || len(packed) > len(plain)/3 {
-		t.Errorf("%d octets are packed into %d", len(plain), len(packed))
+		t.Errorf("%d bytes are packed into %d", len(plain), len(packed))
 	}
 	grant := peer.Grant{Packed: packed}
 	unpacked, err := grant.UnpackTransfer()
@@ -42,33 +42,40 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(unpacked, transfer) {
-		t.Error("what was unpacked differs")
+		t.Error("the unpacked transfer differs")
 	}
 }
 
-func TestASmallTransferIsNotPacked(t *testing.T) {
-	transfer := tableOf(3)
+func TestSmallTransferIsNotPacked(t *testing.T) {
+	transfer := fullTransfer(3)
 	packed, err := peer.PackTransfer(transfer)
 	if err != nil || packed != nil {
-		t.Errorf("packed into %d octets, %v", len(packed), err)
+		t.Errorf("packed into %d bytes, %v", len(packed), err)
 	}
 	grant := peer.Grant{Transfer: transfer}
-	if same, err := grant.UnpackTransfer(); err != nil || same != transfer {
-		t.Errorf("%v, %v", same, err)
+	if got, err := grant.UnpackTransfer(); err != nil || got != transfer {
+		t.Errorf("got %v, %v", got, err)
 	}
 }
 
-func TestADamagedPackedTransferIsRefused(t *testing.T) {
-	packed, err := peer.PackTransfer(tableOf(100))
+func TestDamagedPackedTransferIsRejected(t *testing.T) {
+	packed, err := peer.PackTransfer(fullTransfer(100))
 	if err != nil {
 		t.Fatal(err)
 	}
-	damaged := map[string]peer.PackedTransfer{
-		"empty": {}, "cut": packed[:len(packed)/2], "noise": peer.PackedTransfer("no deflated data"),
+	cases := []struct {
+		name   string
+		packed peer.PackedTransfer
+	}{
+		{"empty", peer.PackedTransfer{}},
+		{"truncated", packed[:len(packed)/2]},
+		{"not compressed", peer.PackedTransfer("no deflated data")},
 	}
-	for name, of := range damaged {
-		if _, err := of.Unpack(); err == nil {
-			t.Errorf("%s: unpacked without an error", name)
-		}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := test.packed.Unpack(); err == nil {
+				t.Error("unpacked without an error")
+			}
+		})
 	}
 }
