--- a/storage/golden_data_folder_test.go
+++ b/storage/golden_data_folder_test.go
@@ -38,8 +38,8 @@
 	}}
 }
 
-// goldenLoaded is the content of the golden data folder.
-func goldenLoaded(t *testing.T) State {
+// goldenState is the content of the golden data folder.
+func goldenState(t *testing.T) State {
 	t.Helper()
 	membership, err := cbor.Marshal(goldenMembership())
 	if err != nil {
@@ -63,7 +63,7 @@
 // TestGoldenDataFolder opens the data folder of an earlier release, reads it, and
 // writes its content into a folder of its own: each record must have the same bytes.
 func TestGoldenDataFolder(t *testing.T) {
-	want := goldenLoaded(t)
+	want := goldenState(t)
 	if *updateGolden {
 		writeGoldenDataFolder(t, want)
 	}
@@ -84,16 +84,16 @@
 		t.Errorf("the folder has the records\n%s\nwant\n%s", records, wantRecords)
 	}
 	rewritten := mustOpen(t, t.TempDir())
-	writeLoaded(t, rewritten, want)
+	writeState(t, rewritten, want)
 	if again := recordsText(t, rewritten); again != records {
 		t.Errorf("written again, the records are\n%s\nwant\n%s", again, records)
 	}
 }
 
-// TestGoldenDataFolderIsWrittenTo goes on with the data folder of an earlier
+// TestGoldenDataFolderAcceptsWrites goes on with the data folder of an earlier
 // release, as a node does that was upgraded.
-func TestGoldenDataFolderIsWrittenTo(t *testing.T) {
-	want := goldenLoaded(t)
+func TestGoldenDataFolderAcceptsWrites(t *testing.T) {
+	want := goldenState(t)
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(goldenDataFolder)); err != nil {
 		t.Fatal(err)
@@ -158,9 +158,9 @@
 	}
 }
 
-// writeLoaded fills an empty disk. The first entries are written first and go with
+// writeState fills an empty disk. The first entries are written first and go with
 // the snapshot, as in a node.
-func writeLoaded(t *testing.T, disk *Disk, content State) {
+func writeState(t *testing.T, disk *Disk, content State) {
 	t.Helper()
 	var compacted []consensus.Entry
 	for index := uint64(1); index < content.Entries[0].Index; index++ {
@@ -225,7 +225,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeLoaded(t, disk, content)
+	writeState(t, disk, content)
 	records := recordsText(t, disk)
 	if err := disk.Close(); err != nil {
 		t.Fatal(err)
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -176,21 +176,21 @@
 		index  uint64
 	}{
 		{"identity", damage(metaBucket, identityKey, flip), "meta", 0},
-		{"identity gone", damage(metaBucket, identityKey, drop), "meta", 0},
+		{"identity missing", damage(metaBucket, identityKey, drop), "meta", 0},
 		{"cluster", damage(metaBucket, clusterKey, flip), "meta", 0},
 		{"hard state", damage(stateBucket, hardStateKey, flip), "state", 0},
 		{"snapshot", damage(snapshotBucket, currentKey, flip), "snapshot", 4},
 		{"middle entry", damage(logBucket, indexKey(7), flip), "log", 7},
 		{"short entry", damage(logBucket, indexKey(7), shorten), "log", 7},
-		{"middle entry gone", damage(logBucket, indexKey(7), drop), "log", 7},
-		{"first entry gone", damage(logBucket, indexKey(5), drop), "log", 5},
-		{"last entry gone", damage(logBucket, indexKey(9), drop), "log", 9},
+		{"middle entry missing", damage(logBucket, indexKey(7), drop), "log", 7},
+		{"first entry missing", damage(logBucket, indexKey(5), drop), "log", 5},
+		{"last entry missing", damage(logBucket, indexKey(9), drop), "log", 9},
 		{"entry under another key", func(tx *bolt.Tx) error {
 			log := tx.Bucket(logBucket)
 			return log.Put(indexKey(7), append([]byte(nil), log.Get(indexKey(8))...))
 		}, "log", 7},
-		{"snapshot gone", damage(snapshotBucket, currentKey, drop), "log", 1},
-		{"committed entries gone", func(tx *bolt.Tx) error {
+		{"snapshot missing", damage(snapshotBucket, currentKey, drop), "log", 1},
+		{"committed entries missing", func(tx *bolt.Tx) error {
 			return errors.Join(truncateFrom(tx.Bucket(logBucket), 6), saveLogBounds(tx))
 		}, "log", 6},
 	}
--- a/transport/bench_test.go
+++ b/transport/bench_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// BenchmarkStream opens a stream on a kept connection and reads 100 messages.
+// BenchmarkStream opens a stream on an idle connection and reads 100 messages.
 func BenchmarkStream(b *testing.B) {
 	caller, server := benchmarkPair(b)
 	address := server.Address()
--- a/transport/memory_test.go
+++ b/transport/memory_test.go
@@ -111,7 +111,7 @@
 		links, open := len(a.links), len(a.connections)
 		a.mutex.Unlock()
 		if links != 0 || open != 0 {
-			t.Fatalf("%d links and %d connections are kept for an address long unused", links, open)
+			t.Fatalf("%d links and %d connections remain for an address long unused", links, open)
 		}
 		if err := echo(a, time.Second); err != nil {
 			t.Fatal(err)
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -36,12 +36,13 @@
 type Network interface {
 	// Handle registers the handler of a kind. It must be called before Start.
 	Handle(kind Kind, handler Handler)
-	// Send queues a one-way message; when the queue of that address is full or
-	// the peer is gone, the message is dropped and counted.
+	// Send queues a one-way message and returns at once. A message is dropped and
+	// counted if the queue of that address is full or the peer cannot be reached.
 	Send(address string, kind Kind, message any)
-	// Call sends a request and waits for the reply. An error from the peer's
-	// handler comes back as *RemoteError; everything else leaves open whether the
-	// peer handled it.
+	// Call sends a request, waits for the reply and decodes it into reply. An error
+	// of the peer's handler is returned as *RemoteError. An error that wraps
+	// ErrNotSent means that the peer has not seen the request; any other leaves open
+	// whether the peer handled it.
 	Call(ctx context.Context, address string, kind Kind, request, reply any) error
 	// HandleStream registers the handler of a streamed kind. It must be called
 	// before Start.
@@ -62,7 +63,7 @@
 	Name string
 	// Listen is the peers' address (host:port) to bind.
 	Listen string
-	// Keys are the fleet's keys, newest first; a peer must hold one of them.
+	// Keys are the fleet's keys, newest first; a peer must have one of them.
 	Keys [][]byte
 	// AddressOverrides maps a peer's address to the one to dial instead.
 	AddressOverrides map[string]string
