--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -43,6 +43,15 @@
 	return listener.Addr().String(), connections
 }
 
+// exchange sends a request without a body and closes the answer, if there is one.
+func exchange(ctx context.Context, pool *Pool, address string, request *http.Request) error {
+	response, err := pool.Do(ctx, address, request, nil)
+	if err == nil {
+		response.Body.Close()
+	}
+	return err
+}
+
 // answerAll answers every request of a connection with the text.
 func answerAll(text string) script {
 	return func(conn net.Conn, reader *bufio.Reader) {
@@ -70,7 +79,7 @@
 
 func fetch(t *testing.T, pool *Pool, address string) (string, error) {
 	t.Helper()
-	response, err := pool.Do(context.Background(), address, newRequest(t, http.MethodPost), []byte("body"))
+	response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), []byte("body"))
 	if err != nil {
 		return "", err
 	}
@@ -179,7 +188,7 @@
 		t.Fatal(err)
 	}
 	for _, method := range []string{http.MethodGet} {
-		_, err := pool.Do(context.Background(), address, newRequest(t, method), nil)
+		err := exchange(t.Context(), pool, address, newRequest(t, method))
 		var failure *Error
 		if !errors.As(err, &failure) || !failure.Sent {
 			t.Errorf("got %v", err)
@@ -216,9 +225,9 @@
 		_, _ = reader.ReadByte() // returns when the connection is closed
 		close(gone)
 	})
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := NewPool(Config{}).Do(ctx, address, newRequest(t, http.MethodPost), nil)
+	err := exchange(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
@@ -238,7 +247,7 @@
 	pool := NewPool(Config{})
 	body := []byte(strings.Repeat("x", 32<<20)) // more than the buffers on the way take
 	for range 2 {
-		response, err := pool.Do(context.Background(), address, newRequest(t, http.MethodPost), body)
+		response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), body)
 		if err != nil {
 			t.Fatal(err)
 		}
