--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -68,11 +68,7 @@
 // and compares what is read back, with the disk reopened now and then.
 func TestDiskEqualsMemory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		folder, err := os.MkdirTemp("", "storage")
-		if err != nil {
-			r.Fatal(err)
-		}
-		defer func() { _ = os.RemoveAll(folder) }()
+		folder := t.TempDir()
 		disk, err := Open(folder)
 		if err != nil {
 			r.Fatal(err)
--- a/transport/call_test.go
+++ b/transport/call_test.go
@@ -50,7 +50,7 @@
 
 func TestCallEndsWithItsContextAndCancelsTheHandler(t *testing.T) {
 	a, b, events := pairTCP(t)
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- a.Call(ctx, b.Address(), kindHang, text{}, nil) }()
 	if got := <-events; got != "hanging" {
--- a/transport/memory_test.go
+++ b/transport/memory_test.go
@@ -145,7 +145,7 @@
 func TestUnresponsiveStreamBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, a, b, events := memoryPair(t, Config{})
-		stream, err := a.OpenStream(context.Background(), "b", kindCount, number{Number: 1 << 40})
+		stream, err := a.OpenStream(t.Context(), "b", kindCount, number{Number: 1 << 40})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +173,7 @@
 func TestStreamHandlerNoticesAnUnresponsiveReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, a, _, events := memoryPair(t, Config{})
-		stream, err := a.OpenStream(context.Background(), "b", kindCount, number{Number: 1 << 40})
+		stream, err := a.OpenStream(t.Context(), "b", kindCount, number{Number: 1 << 40})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/transport/send.go
+++ b/transport/send.go
@@ -52,7 +52,6 @@
 	}
 	call := &pendingCall{id: head.ID, done: make(chan struct{})}
 	var used *link
-	//nolint:contextcheck // the link serves other calls too and lives longer than this one
 	err = n.enqueue(address, func(l *link) pushResult {
 		used = l
 		return l.enqueueCall(call, kind, frame)
--- a/transport/stream_test.go
+++ b/transport/stream_test.go
@@ -100,7 +100,7 @@
 func TestClosedStreamStopsTheHandler(t *testing.T) {
 	a, b, events := pairTCP(t)
 	for _, stop := range []string{"close", "context"} {
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		stream, err := a.OpenStream(ctx, b.Address(), kindCount, number{Number: 1 << 40})
 		if err != nil {
 			t.Fatal(err)
