--- a/control/locator/locator.go
+++ b/control/locator/locator.go
@@ -74,9 +74,9 @@
 	if observed.Catalog == nil {
 		return nil
 	}
-	question := directory.Question{Region: request.Region, Limit: request.Limit, Asked: l.name}
-	question.CutOff = observed.Status.Leader == consensus.None
-	return question.Answer(observed.Catalog.Gateways())
+	query := directory.Query{Region: request.Region, Limit: request.Limit, Node: l.name}
+	query.Partitioned = observed.Status.Leader == consensus.None
+	return query.Answer(observed.Catalog.Gateways())
 }
 
 // askMembers uses the answer of a member, which is cached for a moment.
