--- a/control/node.go
+++ b/control/node.go
@@ -81,13 +81,13 @@
 		queue:       eventqueue.New(),
 		stop:        make(chan struct{}),
 	}
-	metrics := metrics.New()
-	engine, err := engine.New(n.engineConfig(), n.queue, metrics)
+	nodeMetrics := metrics.New()
+	started, err := engine.New(n.engineConfig(), n.queue, nodeMetrics)
 	if err != nil {
 		return nil, err
 	}
-	n.engine = engine
-	n.assemble(metrics)
+	n.engine = started
+	n.assemble(nodeMetrics)
 	n.handleMessages()
 	return n, nil
 }
@@ -116,7 +116,7 @@
 }
 
 // assemble makes the parts around the engine.
-func (n *Node) assemble(metrics *metrics.Metrics) {
+func (n *Node) assemble(nodeMetrics *metrics.Metrics) {
 	options := n.options
 	contacts := discovery.NewContacts(n.engine, options.PeerAddress, options.Seeds, options.InitialControl)
 	n.describer = discovery.NewDescriber(n.description(), n.engine, n.network, options.CallTimeout)
@@ -144,7 +144,7 @@
 		Network:     n.network,
 		Reader:      n.reader,
 		Contacts:    contacts,
-		Metrics:     metrics,
+		Metrics:     nodeMetrics,
 		Logger:      n.log,
 	})
 	n.reporter = status.New(status.Config{
@@ -163,12 +163,12 @@
 		Executor:         n.executor,
 		Reader:           n.reader,
 		Reporter:         n.reporter,
-		Metrics:          metrics.Registry,
+		Metrics:          nodeMetrics.Registry,
 	})
 	if options.Inventory != nil {
 		n.inventory = inventory.NewReader(options.Inventory, options.InventoryInterval, n.engine, n.executor, n.log)
 	}
-	metrics.RegisterTraffic(n.network)
+	nodeMetrics.RegisterTraffic(n.network)
 }
 
 // description is this node's own, without its identity.
