--- a/configuration/golden_test.go
+++ b/configuration/golden_test.go
@@ -68,7 +68,7 @@
 		},
 		HTTP: HTTP{
 			Services: map[string]HTTPService{
-				"pool": {MaxConnections: 390, ColdPerSecond: 10.5, ColdStartMS: 3000, Slots: 8, CacheTokens: 400_000},
+				"pool": {MaxConnections: 390, SlowStartRate: 10.5, SlowStartMS: 3000, Slots: 8, CacheTokens: 400_000},
 				"web":  {},
 			},
 			Routes: map[string]HTTPRoute{
--- a/configuration/http.go
+++ b/configuration/http.go
@@ -21,11 +21,11 @@
 type HTTPService struct {
 	// MaxConnections bounds the connections to one replica from all gateways.
 	MaxConnections int `yaml:"max_connections,omitempty" json:"max_connections,omitempty" jsonschema:"minimum=0"`
-	// ColdPerSecond is the rate that a replica sustains while it warms up, in requests
+	// SlowStartRate is the rate that a replica sustains while it warms up, in requests
 	// a second; 0 is no bound.
-	ColdPerSecond float64 `yaml:"cold_per_second,omitempty" json:"cold_per_second,omitempty" jsonschema:"minimum=0"`
-	// ColdStartMS is how long a replica warms up, in ms.
-	ColdStartMS int `yaml:"cold_start_ms,omitempty" json:"cold_start_ms,omitempty" jsonschema:"minimum=0"`
+	SlowStartRate float64 `yaml:"cold_per_second,omitempty" json:"cold_per_second,omitempty" jsonschema:"minimum=0"`
+	// SlowStartMS is how long a replica warms up, in ms.
+	SlowStartMS int `yaml:"cold_start_ms,omitempty" json:"cold_start_ms,omitempty" jsonschema:"minimum=0"`
 	// Slots is the number of requests that a replica runs concurrently; 0 leaves it to
 	// the list of replicas.
 	Slots int `yaml:"slots,omitempty" json:"slots,omitempty" jsonschema:"minimum=0"`
@@ -92,8 +92,8 @@
 	return routemap.Service{
 		Name:              name,
 		MaxConnections:    s.MaxConnections,
-		SlowStartRate:     s.ColdPerSecond,
-		SlowStartDuration: milliseconds(s.ColdStartMS),
+		SlowStartRate:     s.SlowStartRate,
+		SlowStartDuration: milliseconds(s.SlowStartMS),
 		Slots:             s.Slots,
 		CacheTokens:       s.CacheTokens,
 	}
