--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -161,7 +161,7 @@
 				newest = node
 			}
 		}
-		if newest != nil && newest.commit == newest.log.last() {
+		if newest != nil && newest.commit == newest.log.lastIndex() {
 			return newest
 		}
 	}
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -286,7 +286,7 @@
 			t.Errorf("case %d: %v, want %v", position, err, test.want)
 		}
 	}
-	if !leader.membership().has("d") {
+	if !leader.membership().contains("d") {
 		t.Error("a change must hold as soon as it is appended")
 	}
 	fresh := newCluster(t, "a", "b", "c")
@@ -366,8 +366,8 @@
 	c.frozen[voter] = true
 	index := c.propose(leader, "needs the other voter")
 	c.settle()
-	if leader.commit >= index || c.nodes["d"].log.last() < index {
-		t.Fatalf("commit %d, learner at %d, entry %d", leader.commit, c.nodes["d"].log.last(), index)
+	if leader.commit >= index || c.nodes["d"].log.lastIndex() < index {
+		t.Fatalf("commit %d, learner at %d, entry %d", leader.commit, c.nodes["d"].log.lastIndex(), index)
 	}
 	c.frozen[leader.config.ID] = true
 	c.run(5 * time.Second)
--- a/consensus/contact.go
+++ b/consensus/contact.go
@@ -16,11 +16,11 @@
 
 // leadership is what a leader knows, from its election to its end.
 type leadership struct {
-	elected       time.Duration
-	nextHeartbeat time.Duration
-	round         uint64
-	roundSent     map[uint64]time.Duration
-	progress      map[ID]*progress
+	electedAt       time.Duration
+	nextHeartbeatAt time.Duration
+	round           uint64
+	roundSentAt     map[uint64]time.Duration
+	progress        map[ID]*progress
 
 	transferTo       ID
 	transferDeadline time.Duration
@@ -28,50 +28,50 @@
 
 func newLeadership(n *Node) *leadership {
 	l := &leadership{
-		elected:   n.now,
-		roundSent: make(map[uint64]time.Duration),
-		progress:  make(map[ID]*progress),
+		electedAt:   n.now,
+		roundSentAt: make(map[uint64]time.Duration),
+		progress:    make(map[ID]*progress),
 	}
-	l.follow(n)
+	l.trackMembers(n)
 	return l
 }
 
-// follow makes the set of watched members that of the newest membership.
-func (l *leadership) follow(n *Node) {
+// trackMembers makes the set of watched members that of the newest membership.
+func (l *leadership) trackMembers(n *Node) {
 	membership := n.membership()
 	for id := range l.progress {
-		if !membership.has(id) {
+		if !membership.contains(id) {
 			delete(l.progress, id)
 		}
 	}
 	for _, member := range membership.Members {
 		if member.ID != n.config.ID && l.progress[member.ID] == nil {
-			l.progress[member.ID] = newProgress(n.log.last() + 1)
+			l.progress[member.ID] = newProgress(n.log.lastIndex() + 1)
 		}
 	}
 }
 
-func (l *leadership) report(n *Node) (map[ID]uint64, map[ID]time.Duration) {
+func (l *leadership) memberProgress(n *Node) (map[ID]uint64, map[ID]time.Duration) {
 	match := map[ID]uint64{n.config.ID: n.log.stable}
 	contact := map[ID]time.Duration{n.config.ID: n.now}
 	for id, member := range l.progress {
 		match[id] = member.match
-		if member.answered {
-			contact[id] = member.lastAnswer
+		if member.responded {
+			contact[id] = member.lastResponse
 		}
 	}
 	return match, contact
 }
 
-// beginRound starts a heartbeat round.
-func (n *Node) beginRound() {
+// startHeartbeatRound starts a heartbeat round.
+func (n *Node) startHeartbeatRound() {
 	l := n.leadership
 	l.round++
-	l.roundSent[l.round] = n.now
-	l.nextHeartbeat = n.now + n.config.HeartbeatInterval
-	for round, sent := range l.roundSent {
-		if n.now-sent > roundMemoryTimeouts*n.config.ElectionTimeout {
-			delete(l.roundSent, round)
+	l.roundSentAt[l.round] = n.now
+	l.nextHeartbeatAt = n.now + n.config.HeartbeatInterval
+	for round, sent := range l.roundSentAt {
+		if n.now-sent > roundRetentionTimeouts*n.config.ElectionTimeout {
+			delete(l.roundSentAt, round)
 		}
 	}
 	for _, member := range n.membership().Members {
@@ -86,7 +86,7 @@
 func (n *Node) ConfirmLeadership(now time.Duration) {
 	n.now = max(n.now, now)
 	if n.role == Leader {
-		n.beginRound()
+		n.startHeartbeatRound()
 	}
 }
 
@@ -100,19 +100,19 @@
 	})
 }
 
-// noteAnswer records that a member answered a round.
-func (n *Node) noteAnswer(from ID, round uint64) *progress {
+// recordResponse records that a member answered a round.
+func (n *Node) recordResponse(from ID, round uint64) *progress {
 	member := n.leadership.progress[from]
 	if member == nil {
 		return nil
 	}
-	member.answered = true
-	member.lastAnswer = n.now
-	if sent, known := n.leadership.roundSent[round]; known && round > member.round {
-		member.round = round
-		member.roundSent = sent
+	member.responded = true
+	member.lastResponse = n.now
+	if sent, known := n.leadership.roundSentAt[round]; known && round > member.acknowledgedRound {
+		member.acknowledgedRound = round
+		member.acknowledgedRoundSentAt = sent
 		if n.defects.Has(defectFreshContact) {
-			member.roundSent = n.now
+			member.acknowledgedRoundSentAt = n.now
 		}
 	}
 	return member
@@ -135,9 +135,9 @@
 		}
 		voters++
 		if member.ID == n.config.ID {
-			acknowledged = append(acknowledged, l.roundSent[l.round])
-		} else if other := l.progress[member.ID]; other.round > 0 {
-			acknowledged = append(acknowledged, other.roundSent)
+			acknowledged = append(acknowledged, l.roundSentAt[l.round])
+		} else if other := l.progress[member.ID]; other.acknowledgedRound > 0 {
+			acknowledged = append(acknowledged, other.acknowledgedRoundSentAt)
 		}
 	}
 	quorum := voters/2 + 1
@@ -150,7 +150,7 @@
 
 // checkQuorum ends the leadership of a leader without a recent majority.
 func (n *Node) checkQuorum() {
-	newest := n.leadership.elected
+	newest := n.leadership.electedAt
 	if contact, known := n.QuorumContact(); known {
 		newest = max(newest, contact)
 	}
@@ -165,13 +165,13 @@
 		return
 	}
 	n.expireTransfer()
-	if n.now >= n.leadership.nextHeartbeat {
-		n.beginRound()
+	if n.now >= n.leadership.nextHeartbeatAt {
+		n.startHeartbeatRound()
 	}
 }
 
 func (n *Node) handleHeartbeat(message Message) {
-	n.followLeader(message.From)
+	n.recordLeaderContact(message.From)
 	n.commitTo(message.Commit)
 	n.send(Message{Kind: MessageHeartbeatReply, To: message.From, HeartbeatRound: message.HeartbeatRound})
 }
@@ -180,12 +180,12 @@
 	if n.role != Leader {
 		return
 	}
-	member := n.noteAnswer(message.From, message.HeartbeatRound)
+	member := n.recordResponse(message.From, message.HeartbeatRound)
 	if member == nil {
 		return
 	}
 	member.resume()
-	if member.match < n.log.last() {
+	if member.match < n.log.lastIndex() {
 		n.sendAppend(message.From, member, true)
 	}
 }
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -16,7 +16,7 @@
 func (n *Node) resetElectionDeadline() {
 	least := n.config.ElectionTimeout
 	spread := least
-	if n.starting && n.config.StartupTimeout > 0 {
+	if n.awaitingFirstLeader && n.config.StartupTimeout > 0 {
 		// Several members that start at once must not keep splitting the votes.
 		least = n.config.StartupTimeout
 		spread = startupSpread * least
@@ -27,17 +27,17 @@
 // startupSpread is the range of the first elections' times, in StartupTimeouts.
 const startupSpread = 3
 
-// backingPart divides ElectionTimeout into the time for which a member that has given
+// voteHoldOffDivisor divides ElectionTimeout into the time for which a member that has given
 // its vote helps no other one: as long as the news of a won election may take.
-const backingPart = 2
+const voteHoldOffDivisor = 2
 
-// hearsLeader tells whether this member knows a present leader.
-func (n *Node) hearsLeader() bool {
+// hasCurrentLeader tells whether this member knows a present leader.
+func (n *Node) hasCurrentLeader() bool {
 	if n.role == Leader {
 		n.checkQuorum()
 		return n.role == Leader
 	}
-	return n.leader != None && n.now-n.heardLeader < n.config.ElectionTimeout
+	return n.leader != None && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
 func (n *Node) becomeFollower(term uint64, leader ID) {
@@ -48,54 +48,54 @@
 	n.role = Follower
 	n.leader = leader
 	n.leadership = nil
-	n.ballots = nil
+	n.votes = nil
 	n.resetElectionDeadline()
 }
 
-// followLeader notes a sign of life from the leader of the present term.
-func (n *Node) followLeader(leader ID) {
+// recordLeaderContact notes a sign of life from the leader of the present term.
+func (n *Node) recordLeaderContact(leader ID) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.term, leader)
 	}
-	n.heardLeader = n.now
-	n.starting = false
+	n.lastLeaderContact = n.now
+	n.awaitingFirstLeader = false
 	n.resetElectionDeadline()
 }
 
-func (n *Node) electionTimedOut() {
+func (n *Node) handleElectionTimeout() {
 	n.resetElectionDeadline()
-	if !n.membership().votes(n.config.ID) {
+	if !n.membership().isVoter(n.config.ID) {
 		n.leader = None
 		return
 	}
-	n.campaignBeforeVote()
+	n.preCampaign()
 }
 
 // tickElection begins an election when its time has come, and asks voters again
 // that have not answered one that is under way: they may have started since.
 func (n *Node) tickElection() {
 	if n.now >= n.electionDeadline {
-		n.electionTimedOut()
+		n.handleElectionTimeout()
 		return
 	}
-	if n.now < n.askAgain {
+	if n.now < n.nextVoteRequest {
 		return
 	}
 	switch n.role {
 	case PreCandidate:
-		n.askVoters(Message{Kind: MessagePreVote, Term: n.term + 1})
+		n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 	case Candidate:
-		n.askVoters(Message{Kind: MessageVote, LeadershipTransfer: n.transferred})
+		n.requestVotes(Message{Kind: MessageVote, LeadershipTransfer: n.electedByTransfer})
 	}
 }
 
-// campaignBeforeVote asks whether an election could be won.
-func (n *Node) campaignBeforeVote() {
+// preCampaign asks whether an election could be won.
+func (n *Node) preCampaign() {
 	n.role = PreCandidate
 	n.leader = None
-	n.ballots = map[ID]bool{n.config.ID: true}
-	n.askVoters(Message{Kind: MessagePreVote, Term: n.term + 1})
-	n.countBallots()
+	n.votes = map[ID]bool{n.config.ID: true}
+	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
+	n.tallyVotes()
 }
 
 // campaign starts an election in a new term.
@@ -104,20 +104,20 @@
 	n.leader = None
 	n.term++
 	n.vote = n.config.ID
-	n.ballots = map[ID]bool{n.config.ID: true}
-	n.transferred = transfer
-	n.back()
-	n.askVoters(Message{Kind: MessageVote, LeadershipTransfer: transfer})
-	n.countBallots()
+	n.votes = map[ID]bool{n.config.ID: true}
+	n.electedByTransfer = transfer
+	n.startVoteHoldOff()
+	n.requestVotes(Message{Kind: MessageVote, LeadershipTransfer: transfer})
+	n.tallyVotes()
 }
 
-// askVoters asks the voters whose ballots are not known yet.
-func (n *Node) askVoters(message Message) {
-	n.askAgain = n.now + n.config.HeartbeatInterval
-	message.Index = n.log.last()
+// requestVotes asks the voters whose ballots are not known yet.
+func (n *Node) requestVotes(message Message) {
+	n.nextVoteRequest = n.now + n.config.HeartbeatInterval
+	message.Index = n.log.lastIndex()
 	message.LogTerm = n.log.lastTerm()
 	for _, member := range n.membership().Members {
-		if _, cast := n.ballots[member.ID]; member.Learner || cast {
+		if _, cast := n.votes[member.ID]; member.Learner || cast {
 			continue
 		}
 		message.To = member.ID
@@ -126,10 +126,10 @@
 }
 
 func (n *Node) handlePreVote(message Message) {
-	if n.hearsLeader() && !message.LeadershipTransfer || n.backsAnother(message.From) {
+	if n.hasCurrentLeader() && !message.LeadershipTransfer || n.holdsOff(message.From) {
 		return
 	}
-	granted := message.Term > n.term && n.acceptableLog(message)
+	granted := message.Term > n.term && n.candidateLogUpToDate(message)
 	reply := Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term}
 	if !granted {
 		reply.Term = n.term
@@ -138,37 +138,37 @@
 	n.send(reply)
 }
 
-// back stands by the vote that was just given: this member neither begins another
+// startVoteHoldOff stands by the vote that was just given: this member neither begins another
 // election nor helps to one before the news of a won election could be here.
-func (n *Node) back() {
-	n.backedUntil = n.now + n.config.ElectionTimeout/backingPart
+func (n *Node) startVoteHoldOff() {
+	n.voteHoldOffEnd = n.now + n.config.ElectionTimeout/voteHoldOffDivisor
 	n.resetElectionDeadline()
-	n.electionDeadline = max(n.electionDeadline, n.backedUntil)
+	n.electionDeadline = max(n.electionDeadline, n.voteHoldOffEnd)
 }
 
-// backsAnother says whether this member has just voted for another one than asks.
+// holdsOff says whether this member has just voted for another one than asks.
 // That one may lead without having been heard here, and a new election would unseat
 // it.
-func (n *Node) backsAnother(asking ID) bool { return n.now < n.backedUntil && n.vote != asking }
+func (n *Node) holdsOff(candidate ID) bool { return n.now < n.voteHoldOffEnd && n.vote != candidate }
 
 func (n *Node) handleVote(message Message) {
 	free := n.vote == None && n.leader == None || n.vote == message.From
-	granted := free && n.acceptableLog(message)
+	granted := free && n.candidateLogUpToDate(message)
 	if granted {
 		n.vote = message.From
-		n.back()
+		n.startVoteHoldOff()
 	}
 	n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: !granted})
 }
 
-func (n *Node) acceptableLog(message Message) bool {
+func (n *Node) candidateLogUpToDate(message Message) bool {
 	if n.defects.Has(defectVoteIgnoresLog) {
 		return true
 	}
-	return n.log.upToDate(message.Index, message.LogTerm)
+	return n.log.isUpToDate(message.Index, message.LogTerm)
 }
 
-func (n *Node) handleBallot(message Message) {
+func (n *Node) handleVoteReply(message Message) {
 	expected := Candidate
 	if message.Kind == MessagePreVoteReply {
 		expected = PreCandidate
@@ -179,18 +179,18 @@
 	if expected == PreCandidate && !message.Reject && message.Term != n.term+1 {
 		return
 	}
-	n.ballots[message.From] = !message.Reject
-	n.countBallots()
+	n.votes[message.From] = !message.Reject
+	n.tallyVotes()
 }
 
-func (n *Node) countBallots() {
+func (n *Node) tallyVotes() {
 	voters, granted, rejected := 0, 0, 0
 	for _, member := range n.membership().Members {
 		if member.Learner {
 			continue
 		}
 		voters++
-		if ballot, cast := n.ballots[member.ID]; cast && ballot {
+		if ballot, cast := n.votes[member.ID]; cast && ballot {
 			granted++
 		} else if cast {
 			rejected++
@@ -211,10 +211,10 @@
 // entries be committed (Raft, section 5.4.2).
 func (n *Node) becomeLeader() {
 	n.role = Leader
-	n.starting = false
+	n.awaitingFirstLeader = false
 	n.leader = n.config.ID
-	n.ballots = nil
+	n.votes = nil
 	n.leadership = newLeadership(n)
-	n.appendOwn(EntryNoop, nil)
-	n.beginRound()
+	n.appendEntry(EntryNoop, nil)
+	n.startHeartbeatRound()
 }
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -44,7 +44,7 @@
 		entries = entries[1:]
 	}
 	log.entries = append([]Entry(nil), entries...)
-	log.stable = log.last()
+	log.stable = log.lastIndex()
 	return log, nil
 }
 
@@ -57,12 +57,12 @@
 	return true
 }
 
-func (log *replicatedLog) last() uint64 {
+func (log *replicatedLog) lastIndex() uint64 {
 	return log.boundaryIndex + uint64(len(log.entries))
 }
 
 func (log *replicatedLog) lastTerm() uint64 {
-	term, _ := log.term(log.last())
+	term, _ := log.term(log.lastIndex())
 	return term
 }
 
@@ -75,7 +75,7 @@
 	if index == log.boundaryIndex {
 		return log.boundaryTerm, true
 	}
-	if index < log.boundaryIndex || index > log.last() {
+	if index < log.boundaryIndex || index > log.lastIndex() {
 		return 0, false
 	}
 	return log.entries[index-log.boundaryIndex-1].Term, true
@@ -87,19 +87,19 @@
 	return known && own == term
 }
 
-// upToDate tells whether a log that ends with (index, term) is at least as
+// isUpToDate tells whether a log that ends with (index, term) is at least as
 // complete as this one (Raft, section 5.4.1).
-func (log *replicatedLog) upToDate(index, term uint64) bool {
+func (log *replicatedLog) isUpToDate(index, term uint64) bool {
 	if term != log.lastTerm() {
 		return term > log.lastTerm()
 	}
-	return index >= log.last()
+	return index >= log.lastIndex()
 }
 
 // slice returns entries [from, to] of at most maxBytes, at least one. The
 // result is a copy of the headers; data is shared and never written.
 func (log *replicatedLog) slice(from, to uint64, maxBytes int) []Entry {
-	if from <= log.boundaryIndex || to > log.last() || from > to {
+	if from <= log.boundaryIndex || to > log.lastIndex() || from > to {
 		return nil
 	}
 	window := log.entries[from-log.boundaryIndex-1 : to-log.boundaryIndex]
@@ -129,7 +129,7 @@
 
 // unstable returns what has to be written.
 func (log *replicatedLog) unstable() []Entry {
-	return log.slice(log.stable+1, log.last(), unlimited)
+	return log.slice(log.stable+1, log.lastIndex(), unlimited)
 }
 
 // stableTo notes that the disk holds the log up to (index, term). A batch that
@@ -140,8 +140,8 @@
 	}
 }
 
-// install replaces the whole log by a snapshot.
-func (log *replicatedLog) install(snapshot Snapshot) {
+// restore replaces the whole log by a snapshot.
+func (log *replicatedLog) restore(snapshot Snapshot) {
 	log.snapshot = snapshot
 	log.boundaryIndex = snapshot.Index
 	log.boundaryTerm = snapshot.Term
@@ -162,10 +162,10 @@
 	log.boundaryTerm = term
 }
 
-// conflictHint walks back from index past every entry of a later term than
+// findConflictByTerm walks back from index past every entry of a later term than
 // term, so that one answer skips a whole run of entries that cannot match.
-func (log *replicatedLog) conflictHint(index, term uint64) uint64 {
-	index = min(index, log.last())
+func (log *replicatedLog) findConflictByTerm(index, term uint64) uint64 {
+	index = min(index, log.lastIndex())
 	for index > log.boundaryIndex {
 		own, known := log.term(index)
 		if !known || own <= term {
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -35,7 +35,7 @@
 	return membership, nil
 }
 
-func (m Membership) find(id ID) (Member, bool) {
+func (m Membership) member(id ID) (Member, bool) {
 	for _, member := range m.Members {
 		if member.ID == id {
 			return member, true
@@ -44,13 +44,13 @@
 	return Member{}, false
 }
 
-func (m Membership) has(id ID) bool {
-	_, found := m.find(id)
+func (m Membership) contains(id ID) bool {
+	_, found := m.member(id)
 	return found
 }
 
-func (m Membership) votes(id ID) bool {
-	member, found := m.find(id)
+func (m Membership) isVoter(id ID) bool {
+	member, found := m.member(id)
 	return found && !member.Learner
 }
 
@@ -87,16 +87,16 @@
 	return nil
 }
 
-// distance counts the members that differ between two memberships.
-func distance(from, to Membership) int {
+// countChanges counts the members that differ between two memberships.
+func countChanges(from, to Membership) int {
 	count := 0
 	for _, member := range to.Members {
-		if before, found := from.find(member.ID); !found || before != member {
+		if before, found := from.member(member.ID); !found || before != member {
 			count++
 		}
 	}
 	for _, member := range from.Members {
-		if !to.has(member.ID) {
+		if !to.contains(member.ID) {
 			count++
 		}
 	}
@@ -138,9 +138,9 @@
 	return nil
 }
 
-// noteConfigurations takes over the memberships among new entries. Their
+// appendConfigurations takes over the memberships among new entries. Their
 // encoding was checked when the message came in.
-func (n *Node) noteConfigurations(entries []Entry) {
+func (n *Node) appendConfigurations(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
 			continue
@@ -151,8 +151,8 @@
 	}
 }
 
-// forgetConfigurations goes back to the membership before a truncation.
-func (n *Node) forgetConfigurations(from uint64) {
+// truncateConfigurations goes back to the membership before a truncation.
+func (n *Node) truncateConfigurations(from uint64) {
 	for len(n.configurations) > 1 && n.configurations[len(n.configurations)-1].index >= from {
 		n.configurations = n.configurations[:len(n.configurations)-1]
 	}
@@ -169,41 +169,41 @@
 // single member.
 func (n *Node) ProposeMembership(now time.Duration, membership Membership) (index, term uint64, err error) {
 	n.advanceClock(now)
-	if err := n.acceptsProposals(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if err := membership.Validate(); err != nil {
 		return 0, 0, err
 	}
-	if err := n.checkMembershipStep(membership); err != nil {
+	if err := n.checkMembershipChange(membership); err != nil {
 		return 0, 0, err
 	}
 	data, err := EncodeMembership(membership)
 	if err != nil {
 		return 0, 0, err
 	}
-	index = n.appendOwn(EntryMembership, data)
+	index = n.appendEntry(EntryMembership, data)
 	n.configurations = append(n.configurations, configuration{index, membership.clone()})
-	n.leadership.follow(n)
+	n.leadership.trackMembers(n)
 	return index, n.term, nil
 }
 
-func (n *Node) checkMembershipStep(membership Membership) error {
+func (n *Node) checkMembershipChange(membership Membership) error {
 	if n.defects.Has(defectTwoChanges) {
 		return nil
 	}
-	if !n.settled() {
+	if !n.membershipCommitted() {
 		return ErrMembershipPending
 	}
-	if distance(n.membership(), membership) > 1 {
+	if countChanges(n.membership(), membership) > 1 {
 		return ErrMembershipMultipleChanges
 	}
 	return nil
 }
 
-// settled tells whether the newest membership and an entry of the own term are
+// membershipCommitted tells whether the newest membership and an entry of the own term are
 // committed.
-func (n *Node) settled() bool {
+func (n *Node) membershipCommitted() bool {
 	if len(n.configurations) > 0 && n.configurations[len(n.configurations)-1].index > n.commit {
 		return false
 	}
@@ -211,22 +211,22 @@
 	return term == n.term
 }
 
-// leaveIfRemoved ends the leadership of a leader that the committed membership no
+// stepDownIfRemoved ends the leadership of a leader that the committed membership no
 // longer counts among the voters. It tells the others the commit first, and
 // calls on the most complete voter to take over.
-func (n *Node) leaveIfRemoved() {
+func (n *Node) stepDownIfRemoved() {
 	newest := n.configurations[len(n.configurations)-1]
-	if newest.index > n.commit || newest.membership.votes(n.config.ID) {
+	if newest.index > n.commit || newest.membership.isVoter(n.config.ID) {
 		return
 	}
 	n.replicateToAll()
-	if successor := n.mostComplete(); successor != None {
+	if successor := n.mostUpToDateVoter(); successor != None {
 		n.send(Message{Kind: MessageTimeoutNow, To: successor})
 	}
 	n.becomeFollower(n.term, None)
 }
 
-func (n *Node) mostComplete() ID {
+func (n *Node) mostUpToDateVoter() ID {
 	best := None
 	var match uint64
 	for _, member := range n.membership().Members {
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -24,9 +24,9 @@
 	// snapshotResendTimeouts is the number of election timeouts between two
 	// snapshots to the same member.
 	snapshotResendTimeouts = 4
-	// roundMemoryTimeouts is the number of election timeouts for which the send
+	// roundRetentionTimeouts is the number of election timeouts for which the send
 	// time of a round is remembered. Older answers prove nothing of use.
-	roundMemoryTimeouts = 8
+	roundRetentionTimeouts = 8
 )
 
 // Node is one member's state machine. It is used from one goroutine. Invariants:
@@ -50,22 +50,22 @@
 	log            *replicatedLog
 	configurations []configuration
 
-	// persisted is the hard state of the last Ready.
-	persisted       HardState
-	pendingSnapshot *Snapshot
-	outbox          []Message
-	// flush asks the next Ready to send what members have not got yet.
-	flush bool
+	// persistedHardState is the hard state of the last Ready.
+	persistedHardState HardState
+	pendingSnapshot    *Snapshot
+	outbox             []Message
+	// replicatePending asks the next Ready to send what members have not got yet.
+	replicatePending bool
 
-	started          bool // the clock has been told once
-	starting         bool // restored from a disk, and no leader heard of since
-	now              time.Duration
-	electionDeadline time.Duration
-	heardLeader      time.Duration
-	backedUntil      time.Duration // until when the member that got the vote is backed
-	ballots          map[ID]bool
-	askAgain         time.Duration // when voters without a ballot are asked again
-	transferred      bool          // the leader itself asked for the election
+	clockStarted        bool // the clock has been told once
+	awaitingFirstLeader bool // restored from a disk, and no leader heard of since
+	now                 time.Duration
+	electionDeadline    time.Duration
+	lastLeaderContact   time.Duration
+	voteHoldOffEnd      time.Duration // until when the member that got the vote is backed
+	votes               map[ID]bool
+	nextVoteRequest     time.Duration // when voters without a ballot are asked again
+	electedByTransfer   bool          // the leader itself asked for the election
 
 	leadership *leadership
 }
@@ -87,18 +87,18 @@
 		log:     log,
 		term:    config.HardState.Term,
 		vote:    config.HardState.Vote,
-		commit:  min(max(config.HardState.Commit, config.Snapshot.Index), log.last()),
+		commit:  min(max(config.HardState.Commit, config.Snapshot.Index), log.lastIndex()),
 		applied: max(config.Applied, config.Snapshot.Index),
 	}
 	if node.applied > node.commit {
 		return nil, fmt.Errorf("%w: applied %d is beyond the commit %d", ErrInvalidConfig, node.applied, node.commit)
 	}
-	node.raiseToLog()
+	node.raiseTermToLog()
 	if err := node.restoreConfigurations(); err != nil {
 		return nil, err
 	}
-	node.persisted = node.hardState()
-	node.starting = node.term > 0
+	node.persistedHardState = node.hardState()
+	node.awaitingFirstLeader = node.term > 0
 	node.resetElectionDeadline()
 	node.config.Entries = nil
 	node.config.Snapshot = Snapshot{}
@@ -126,9 +126,9 @@
 	return hash.Sum64()
 }
 
-// raiseToLog covers a crash between the writing of a snapshot and that of the
+// raiseTermToLog covers a crash between the writing of a snapshot and that of the
 // hard state: the member has seen the log's term, and cannot have voted in it.
-func (n *Node) raiseToLog() {
+func (n *Node) raiseTermToLog() {
 	if n.log.lastTerm() > n.term {
 		n.term = n.log.lastTerm()
 		n.vote = None
@@ -153,8 +153,8 @@
 }
 
 func (n *Node) advanceClock(now time.Duration) {
-	if !n.started {
-		n.started = true
+	if !n.clockStarted {
+		n.clockStarted = true
 		n.now = now
 		n.resetElectionDeadline()
 	}
@@ -171,7 +171,7 @@
 		return err
 	}
 	n.advanceClock(now)
-	if !n.settleTerm(message) {
+	if !n.reconcileTerm(message) {
 		return nil
 	}
 	n.dispatch(message)
@@ -200,20 +200,20 @@
 	return nil
 }
 
-// settleTerm compares terms and tells whether the message is to be handled.
-func (n *Node) settleTerm(message Message) bool {
+// reconcileTerm compares terms and tells whether the message is to be handled.
+func (n *Node) reconcileTerm(message Message) bool {
 	switch {
 	case message.Term > n.term:
-		return n.meetNewerTerm(message)
+		return n.handleNewerTerm(message)
 	case message.Term < n.term:
-		n.answerOlderTerm(message)
+		n.rejectOlderTerm(message)
 		return false
 	default:
 		return true
 	}
 }
 
-func (n *Node) meetNewerTerm(message Message) bool {
+func (n *Node) handleNewerTerm(message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
 		return true // asks, and moves nobody to the term
@@ -222,7 +222,7 @@
 			return true // carries the term that was asked about
 		}
 	case MessageVote:
-		if n.hearsLeader() && !message.LeadershipTransfer {
+		if n.hasCurrentLeader() && !message.LeadershipTransfer {
 			return false
 		}
 	}
@@ -230,10 +230,10 @@
 	return true
 }
 
-// answerOlderTerm tells a deposed leader or a late candidate the newer term.
+// rejectOlderTerm tells a deposed leader or a late candidate the newer term.
 // Without it a member that has reached a higher term could never rejoin, since
 // the others ignore its votes while they hear the old leader.
-func (n *Node) answerOlderTerm(message Message) {
+func (n *Node) rejectOlderTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		n.send(Message{Kind: MessageAppendReply, To: message.From, Index: message.Index, Reject: true})
@@ -251,7 +251,7 @@
 	case MessageVote:
 		n.handleVote(message)
 	case MessagePreVoteReply, MessageVoteReply:
-		n.handleBallot(message)
+		n.handleVoteReply(message)
 	case MessageAppend:
 		n.handleAppend(message)
 	case MessageHeartbeat:
@@ -285,12 +285,12 @@
 		Leader:     n.leader,
 		Commit:     n.commit,
 		Applied:    n.applied,
-		LastIndex:  n.log.last(),
+		LastIndex:  n.log.lastIndex(),
 		Membership: n.membership().clone(),
 	}
 	if n.role == Leader {
-		status.Match, status.LastContact = n.leadership.report(n)
-		status.MembershipCommitted = n.settled()
+		status.Match, status.LastContact = n.leadership.memberProgress(n)
+		status.MembershipCommitted = n.membershipCommitted()
 	}
 	return status
 }
--- a/consensus/ready.go
+++ b/consensus/ready.go
@@ -2,10 +2,10 @@
 
 // HasReady tells whether Ready has anything to do.
 func (n *Node) HasReady() bool {
-	return n.flush ||
+	return n.replicatePending ||
 		len(n.outbox) > 0 ||
 		n.pendingSnapshot != nil ||
-		n.log.stable < n.log.last() ||
+		n.log.stable < n.log.lastIndex() ||
 		n.mustPersistHardState() ||
 		n.commit > n.applied
 }
@@ -14,8 +14,8 @@
 // steps. Each Ready is followed by its Advance before the next Ready; ticks,
 // messages and proposals may come in between.
 func (n *Node) Ready() Ready {
-	if n.flush {
-		n.flush = false
+	if n.replicatePending {
+		n.replicatePending = false
 		n.replicateToAll()
 	}
 	ready := Ready{
@@ -30,9 +30,9 @@
 	n.outbox = nil
 	if n.mustPersistHardState() || len(ready.Entries) > 0 || ready.Snapshot != nil {
 		state := n.hardState()
-		state.Commit = min(state.Commit, n.log.last())
+		state.Commit = min(state.Commit, n.log.lastIndex())
 		ready.HardState = &state
-		n.persisted = state
+		n.persistedHardState = state
 	}
 	return ready
 }
@@ -68,5 +68,5 @@
 // mustPersistHardState leaves out a change of the commit alone: it is learnt
 // again from the leader, so it is not worth a sync of its own.
 func (n *Node) mustPersistHardState() bool {
-	return n.persisted.Term != n.term || n.persisted.Vote != n.vote
+	return n.persistedHardState.Term != n.term || n.persistedHardState.Vote != n.vote
 }
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -24,15 +24,15 @@
 	next  uint64
 	// inflight holds the last index of every append not yet answered.
 	inflight []uint64
-	// probing is true while the answer to a probe is awaited.
-	probing      bool
-	sentCommit   uint64
-	snapshotSent time.Duration
+	// probeInFlight is true while the answer to a probe is awaited.
+	probeInFlight  bool
+	sentCommit     uint64
+	snapshotSentAt time.Duration
 
-	answered   bool
-	lastAnswer time.Duration
-	round      uint64
-	roundSent  time.Duration
+	responded               bool
+	lastResponse            time.Duration
+	acknowledgedRound       uint64
+	acknowledgedRoundSentAt time.Duration
 }
 
 func newProgress(next uint64) *progress {
@@ -42,17 +42,17 @@
 // resume permits one more message after a sign of life: an append or its answer
 // may have been lost.
 func (p *progress) resume() {
-	p.probing = false
+	p.probeInFlight = false
 	if len(p.inflight) > 0 {
 		p.inflight = p.inflight[1:]
 	}
 }
 
-func (p *progress) probe(next uint64) {
+func (p *progress) becomeProbe(next uint64) {
 	p.state = progressProbe
 	p.next = max(next, p.match+1)
 	p.inflight = nil
-	p.probing = false
+	p.probeInFlight = false
 }
 
 // acknowledge notes that the member holds the log up to index. It reports
@@ -71,13 +71,13 @@
 // entry that is later handed out at this index carries this term.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.advanceClock(now)
-	if err := n.acceptsProposals(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	return n.appendOwn(EntryNormal, data), n.term, nil
+	return n.appendEntry(EntryNormal, data), n.term, nil
 }
 
-func (n *Node) acceptsProposals() error {
+func (n *Node) checkCanPropose() error {
 	if n.role == Leader {
 		n.checkQuorum()
 	}
@@ -91,10 +91,10 @@
 	return nil
 }
 
-func (n *Node) appendOwn(kind EntryKind, data []byte) uint64 {
-	entry := Entry{Term: n.term, Index: n.log.last() + 1, Kind: kind, Data: data}
+func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
+	entry := Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
-	n.flush = true
+	n.replicatePending = true
 	return entry.Index
 }
 
@@ -111,7 +111,7 @@
 
 // replicate sends a member what it lacks, as far as its window permits.
 func (n *Node) replicate(to ID, member *progress) {
-	for member.next <= n.log.last() && n.sendAppend(to, member, false) {
+	for member.next <= n.log.lastIndex() && n.sendAppend(to, member, false) {
 	}
 	if member.state == progressReplicate && member.sentCommit < n.commit {
 		n.sendAppend(to, member, true)
@@ -121,7 +121,7 @@
 // sendAppend sends one append, empty only if permitted. It reports whether
 // another one may follow.
 func (n *Node) sendAppend(to ID, member *progress, permitEmpty bool) bool {
-	if n.blocked(member) {
+	if n.isPaused(member) {
 		return false
 	}
 	previousTerm, known := n.log.term(member.next - 1)
@@ -129,7 +129,7 @@
 		n.sendSnapshot(to, member)
 		return false
 	}
-	entries := n.log.slice(member.next, n.log.last(), n.config.MaxAppendBytes)
+	entries := n.log.slice(member.next, n.log.lastIndex(), n.config.MaxAppendBytes)
 	if len(entries) == 0 && !permitEmpty {
 		return false
 	}
@@ -144,7 +144,7 @@
 	})
 	member.sentCommit = n.commit
 	if member.state == progressProbe {
-		member.probing = true
+		member.probeInFlight = true
 		return false
 	}
 	if len(entries) > 0 {
@@ -155,19 +155,19 @@
 	return true
 }
 
-func (n *Node) blocked(member *progress) bool {
+func (n *Node) isPaused(member *progress) bool {
 	switch member.state {
 	case progressProbe:
-		return member.probing
+		return member.probeInFlight
 	case progressSnapshot:
-		return n.now-member.snapshotSent < snapshotResendTimeouts*n.config.ElectionTimeout
+		return n.now-member.snapshotSentAt < snapshotResendTimeouts*n.config.ElectionTimeout
 	default:
 		return len(member.inflight) >= n.config.MaxInflight
 	}
 }
 
 func (n *Node) handleAppend(message Message) {
-	n.followLeader(message.From)
+	n.recordLeaderContact(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	if message.Index < n.commit {
 		// What is committed here is the same everywhere.
@@ -178,7 +178,7 @@
 	if !n.log.matches(message.Index, message.LogTerm) {
 		reply.Index = message.Index
 		reply.Reject = true
-		reply.RejectHint = n.log.conflictHint(message.Index, message.LogTerm)
+		reply.RejectHint = n.log.findConflictByTerm(message.Index, message.LogTerm)
 		reply.LogTerm, _ = n.log.term(reply.RejectHint)
 		n.send(reply)
 		return
@@ -196,26 +196,26 @@
 		if n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
-		if entry.Index <= n.log.last() {
+		if entry.Index <= n.log.lastIndex() {
 			n.log.truncate(entry.Index)
-			n.forgetConfigurations(entry.Index)
+			n.truncateConfigurations(entry.Index)
 		}
 		n.log.append(entries[position:]...)
-		n.noteConfigurations(entries[position:])
+		n.appendConfigurations(entries[position:])
 		return
 	}
 }
 
 // commitTo raises the commit of a follower.
 func (n *Node) commitTo(index uint64) {
-	n.commit = max(n.commit, min(index, n.log.last()))
+	n.commit = max(n.commit, min(index, n.log.lastIndex()))
 }
 
 func (n *Node) handleAppendReply(message Message) {
 	if n.role != Leader {
 		return
 	}
-	member := n.noteAnswer(message.From, message.HeartbeatRound)
+	member := n.recordResponse(message.From, message.HeartbeatRound)
 	if member == nil {
 		return
 	}
@@ -223,15 +223,15 @@
 		n.handleRejection(message, member)
 		return
 	}
-	if message.Index > n.log.last() {
+	if message.Index > n.log.lastIndex() {
 		return
 	}
 	news := member.acknowledge(message.Index)
 	if member.state == progressProbe || member.state == progressSnapshot && member.match >= n.log.boundaryIndex {
-		member.probe(member.match + 1)
+		member.becomeProbe(member.match + 1)
 		member.state = progressReplicate
 	}
-	n.flush = true
+	n.replicatePending = true
 	if news {
 		n.advanceCommit()
 		n.finishTransfer(message.From)
@@ -248,15 +248,15 @@
 	}
 	hint := message.RejectHint
 	if message.LogTerm > 0 {
-		hint = n.log.conflictHint(hint, message.LogTerm)
+		hint = n.log.findConflictByTerm(hint, message.LogTerm)
 	}
-	member.probe(min(message.Index, hint+1))
+	member.becomeProbe(min(message.Index, hint+1))
 	n.sendAppend(message.From, member, true)
 }
 
 // advanceCommit commits what a majority of voters has on disk.
 func (n *Node) advanceCommit() {
-	index := n.majorityMatch()
+	index := n.quorumMatch()
 	if index <= n.commit {
 		return
 	}
@@ -265,12 +265,12 @@
 		return
 	}
 	n.commit = index
-	n.flush = true
-	n.leaveIfRemoved()
+	n.replicatePending = true
+	n.stepDownIfRemoved()
 }
 
-// majorityMatch returns the highest index that a majority of voters holds.
-func (n *Node) majorityMatch() uint64 {
+// quorumMatch returns the highest index that a majority of voters holds.
+func (n *Node) quorumMatch() uint64 {
 	var matches []uint64
 	for _, member := range n.membership().Members {
 		if member.Learner {
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -39,7 +39,7 @@
 func (n *Node) sendSnapshot(to ID, member *progress) {
 	snapshot := n.log.snapshot
 	member.state = progressSnapshot
-	member.snapshotSent = n.now
+	member.snapshotSentAt = n.now
 	member.inflight = nil
 	n.send(Message{
 		Kind:           MessageSnapshot,
@@ -52,7 +52,7 @@
 // handleSnapshot replaces the log by the leader's snapshot, unless the log
 // already leads through it.
 func (n *Node) handleSnapshot(message Message) {
-	n.followLeader(message.From)
+	n.recordLeaderContact(message.From)
 	snapshot := *message.Snapshot
 	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	switch {
@@ -69,7 +69,7 @@
 }
 
 func (n *Node) installSnapshot(snapshot Snapshot) {
-	n.log.install(snapshot)
+	n.log.restore(snapshot)
 	n.commit = snapshot.Index
 	n.configurations = []configuration{{index: snapshot.Index, membership: snapshot.Membership}}
 	n.pendingSnapshot = &snapshot
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -7,16 +7,16 @@
 // one ElectionTimeout.
 func (n *Node) TransferLeadership(now time.Duration, to ID) error {
 	n.advanceClock(now)
-	if err := n.acceptsProposals(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return err
 	}
 	member := n.leadership.progress[to]
-	if member == nil || !n.membership().votes(to) {
+	if member == nil || !n.membership().isVoter(to) {
 		return ErrNotVoter
 	}
 	n.leadership.transferTo = to
 	n.leadership.transferDeadline = n.now + n.config.ElectionTimeout
-	n.flush = true
+	n.replicatePending = true
 	n.finishTransfer(to)
 	return nil
 }
@@ -26,7 +26,7 @@
 	if n.role != Leader || n.leadership.transferTo != id {
 		return
 	}
-	if n.leadership.progress[id].match == n.log.last() {
+	if n.leadership.progress[id].match == n.log.lastIndex() {
 		n.send(Message{Kind: MessageTimeoutNow, To: id})
 	}
 }
@@ -39,7 +39,7 @@
 
 // handleTimeoutNow starts an election at the leader's own request.
 func (n *Node) handleTimeoutNow(message Message) {
-	if n.role != Follower || !n.membership().votes(n.config.ID) {
+	if n.role != Follower || !n.membership().isVoter(n.config.ID) {
 		return
 	}
 	if n.leader != None && n.leader != message.From {
