--- a/consensus/election.go
+++ b/consensus/election.go
@@ -3,76 +3,38 @@
 import "time"
 
 // Elections. Invariants:
-//   - a member gives one vote a term, and only to a log at least as complete as
-//     its own; so two leaders of one term, or a leader without a committed
-//     entry, are impossible
-//   - a pre-vote changes nothing at the member asked, so a member that was
-//     frozen or cut off does not disturb the group when it returns
-//   - a member that has heard its leader within ElectionTimeout helps nobody
-//     else, unless the leader itself asked for the election
-//   - a member that has just given its vote begins no other election and helps
-//     to none until the news that it was won may be here
+//   - a member gives one vote a term, and only to a candidate whose log is at least as
+//     up-to-date as its own; so there are never two leaders of one term, nor a leader
+//     that lacks a committed entry
+//   - a pre-vote changes nothing at its receiver, so a member that was frozen or
+//     partitioned does not disturb the group when it returns
+//   - a member that has had contact to its leader within ElectionTimeout supports no
+//     election, unless the leader itself requested it
+//   - a member that has just given its vote neither starts nor supports another
+//     election until the winner's first message can have arrived
+
+const (
+	// startupSpread is the width of the range from which the first election timeout
+	// after a start is drawn, in StartupTimeouts.
+	startupSpread = 3
+	// voteHoldOffDivisor divides ElectionTimeout into the time for which a member that
+	// has given its vote supports no other candidate.
+	voteHoldOffDivisor = 2
+)
 
 func (n *Node) resetElectionDeadline() {
 	least := n.config.ElectionTimeout
 	spread := least
 	if n.awaitingFirstLeader && n.config.StartupTimeout > 0 {
-		// Several members that start at once must not keep splitting the votes.
+		// A wide spread, or members that start together would keep splitting the vote.
 		least = n.config.StartupTimeout
 		spread = startupSpread * least
 	}
 	n.electionDeadline = n.now + least + time.Duration(n.random.Int64N(int64(spread)))
 }
 
-// startupSpread is the range of the first elections' times, in StartupTimeouts.
-const startupSpread = 3
-
-// voteHoldOffDivisor divides ElectionTimeout into the time for which a member that has given
-// its vote helps no other one: as long as the news of a won election may take.
-const voteHoldOffDivisor = 2
-
-// hasCurrentLeader tells whether this member knows a present leader.
-func (n *Node) hasCurrentLeader() bool {
-	if n.role == Leader {
-		n.checkQuorum()
-		return n.role == Leader
-	}
-	return n.leader != None && n.now-n.lastLeaderContact < n.config.ElectionTimeout
-}
-
-func (n *Node) becomeFollower(term uint64, leader ID) {
-	if term > n.term {
-		n.term = term
-		n.vote = None
-	}
-	n.role = Follower
-	n.leader = leader
-	n.leadership = nil
-	n.votes = nil
-	n.resetElectionDeadline()
-}
-
-// recordLeaderContact notes a sign of life from the leader of the present term.
-func (n *Node) recordLeaderContact(leader ID) {
-	if n.role != Follower || n.leader != leader {
-		n.becomeFollower(n.term, leader)
-	}
-	n.lastLeaderContact = n.now
-	n.awaitingFirstLeader = false
-	n.resetElectionDeadline()
-}
-
-func (n *Node) handleElectionTimeout() {
-	n.resetElectionDeadline()
-	if !n.membership().isVoter(n.config.ID) {
-		n.leader = None
-		return
-	}
-	n.preCampaign()
-}
-
-// tickElection begins an election when its time has come, and asks voters again
-// that have not answered one that is under way: they may have started since.
+// tickElection starts an election at the deadline. In one that is in progress it asks
+// the voters again that have not replied: they may have been started since.
 func (n *Node) tickElection() {
 	if n.now >= n.electionDeadline {
 		n.handleElectionTimeout()
@@ -83,18 +45,28 @@
 	}
 	switch n.role {
 	case PreCandidate:
-		n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
+		n.requestPreVotes()
 	case Candidate:
-		n.requestVotes(Message{Kind: MessageVote, LeadershipTransfer: n.electedByTransfer})
+		n.requestVotes()
 	}
 }
 
-// preCampaign asks whether an election could be won.
+func (n *Node) handleElectionTimeout() {
+	n.resetElectionDeadline()
+	if !n.membership().isVoter(n.config.ID) {
+		n.leader = None
+		return
+	}
+	n.preCampaign()
+}
+
+// preCampaign asks the voters whether an election could be won (Raft thesis, section
+// 9.6), without a new term that would depose a leader.
 func (n *Node) preCampaign() {
 	n.role = PreCandidate
 	n.leader = None
 	n.votes = map[ID]bool{n.config.ID: true}
-	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
+	n.requestPreVotes()
 	n.tallyVotes()
 }
 
@@ -107,21 +79,29 @@
 	n.votes = map[ID]bool{n.config.ID: true}
 	n.electedByTransfer = transfer
 	n.startVoteHoldOff()
-	n.requestVotes(Message{Kind: MessageVote, LeadershipTransfer: transfer})
+	n.requestVotes()
 	n.tallyVotes()
 }
 
-// requestVotes asks the voters whose ballots are not known yet.
-func (n *Node) requestVotes(message Message) {
+func (n *Node) requestPreVotes() {
+	n.sendToVoters(Message{Kind: MessagePreVote, Term: n.term + 1})
+}
+
+func (n *Node) requestVotes() {
+	n.sendToVoters(Message{Kind: MessageVote, LeadershipTransfer: n.electedByTransfer})
+}
+
+// sendToVoters sends a vote request to the voters that have not replied yet.
+func (n *Node) sendToVoters(request Message) {
 	n.nextVoteRequest = n.now + n.config.HeartbeatInterval
-	message.Index = n.log.lastIndex()
-	message.LogTerm = n.log.lastTerm()
+	request.Index = n.log.lastIndex()
+	request.LogTerm = n.log.lastTerm()
 	for _, member := range n.membership().Members {
-		if _, cast := n.votes[member.ID]; member.Learner || cast {
+		if _, replied := n.votes[member.ID]; member.Learner || replied {
 			continue
 		}
-		message.To = member.ID
-		n.send(message)
+		request.To = member.ID
+		n.send(request)
 	}
 }
 
@@ -138,19 +118,6 @@
 	n.send(reply)
 }
 
-// startVoteHoldOff stands by the vote that was just given: this member neither begins another
-// election nor helps to one before the news of a won election could be here.
-func (n *Node) startVoteHoldOff() {
-	n.voteHoldOffEnd = n.now + n.config.ElectionTimeout/voteHoldOffDivisor
-	n.resetElectionDeadline()
-	n.electionDeadline = max(n.electionDeadline, n.voteHoldOffEnd)
-}
-
-// holdsOff says whether this member has just voted for another one than asks.
-// That one may lead without having been heard here, and a new election would unseat
-// it.
-func (n *Node) holdsOff(candidate ID) bool { return n.now < n.voteHoldOffEnd && n.vote != candidate }
-
 func (n *Node) handleVote(message Message) {
 	free := n.vote == None && n.leader == None || n.vote == message.From
 	granted := free && n.candidateLogUpToDate(message)
@@ -161,6 +128,30 @@
 	n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: !granted})
 }
 
+// hasCurrentLeader reports whether this member leads, or had contact to its leader
+// within ElectionTimeout. A leader that has lost its quorum steps down first.
+func (n *Node) hasCurrentLeader() bool {
+	if n.role == Leader {
+		n.checkQuorum()
+		return n.role == Leader
+	}
+	return n.leader != None && n.now-n.lastLeaderContact < n.config.ElectionTimeout
+}
+
+// startVoteHoldOff is called when this member gives its vote. Until the candidate's
+// first message as a leader can have arrived, another election would depose the winner
+// for nothing.
+func (n *Node) startVoteHoldOff() {
+	n.voteHoldOffEnd = n.now + n.config.ElectionTimeout/voteHoldOffDivisor
+	n.resetElectionDeadline()
+	n.electionDeadline = max(n.electionDeadline, n.voteHoldOffEnd)
+}
+
+// holdsOff reports whether this member has just voted for somebody else than candidate.
+func (n *Node) holdsOff(candidate ID) bool {
+	return n.now < n.voteHoldOffEnd && n.vote != candidate
+}
+
 func (n *Node) candidateLogUpToDate(message Message) bool {
 	if n.defects.Has(defectVoteIgnoresLog) {
 		return true
@@ -168,6 +159,8 @@
 	return n.log.isUpToDate(message.Index, message.LogTerm)
 }
 
+// handleVoteReply counts a reply to the present pre-vote or election. One to an
+// earlier pre-vote is recognised by the term that it was asked about.
 func (n *Node) handleVoteReply(message Message) {
 	expected := Candidate
 	if message.Kind == MessagePreVoteReply {
@@ -183,6 +176,7 @@
 	n.tallyVotes()
 }
 
+// tallyVotes ends the pre-vote or election once a quorum has granted or rejected it.
 func (n *Node) tallyVotes() {
 	voters, granted, rejected := 0, 0, 0
 	for _, member := range n.membership().Members {
@@ -190,31 +184,41 @@
 			continue
 		}
 		voters++
-		if ballot, cast := n.votes[member.ID]; cast && ballot {
+		if vote, replied := n.votes[member.ID]; replied && vote {
 			granted++
-		} else if cast {
+		} else if replied {
 			rejected++
 		}
 	}
-	quorum := voters/2 + 1
 	switch {
-	case granted >= quorum && n.role == PreCandidate:
+	case granted >= quorum(voters) && n.role == PreCandidate:
 		n.campaign(false)
-	case granted >= quorum:
+	case granted >= quorum(voters):
 		n.becomeLeader()
-	case rejected >= quorum:
+	case rejected >= quorum(voters):
 		n.becomeFollower(n.term, None)
 	}
 }
 
-// becomeLeader begins to lead and appends the entry that lets earlier terms'
-// entries be committed (Raft, section 5.4.2).
-func (n *Node) becomeLeader() {
-	n.role = Leader
-	n.awaitingFirstLeader = false
-	n.leader = n.config.ID
+// becomeFollower ends whatever role the member has. In a newer term it has no vote yet.
+func (n *Node) becomeFollower(term uint64, leader ID) {
+	if term > n.term {
+		n.term = term
+		n.vote = None
+	}
+	n.role = Follower
+	n.leader = leader
+	n.leadership = nil
 	n.votes = nil
-	n.leadership = newLeadership(n)
-	n.appendEntry(EntryNoop, nil)
-	n.startHeartbeatRound()
+	n.resetElectionDeadline()
+}
+
+// recordLeaderContact records a message of the present term's leader.
+func (n *Node) recordLeaderContact(leader ID) {
+	if n.role != Follower || n.leader != leader {
+		n.becomeFollower(n.term, leader)
+	}
+	n.lastLeaderContact = n.now
+	n.awaitingFirstLeader = false
+	n.resetElectionDeadline()
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -3,80 +3,72 @@
 import (
 	"fmt"
 	"hash/fnv"
-	"math"
 	"math/rand/v2"
 	"time"
 
 	"github.com/deckpulley/deckpulley/internal/defect"
 )
 
-const (
-	defaultElectionTimeout   = 600 * time.Millisecond
-	defaultHeartbeatInterval = 100 * time.Millisecond
-	defaultMaxAppendBytes    = 256 << 10
-	defaultMaxInflight       = 64
-
-	// entryOverhead is the size of an entry without its data, in bytes, as
-	// counted against MaxAppendBytes.
-	entryOverhead = 24
-	// unlimited takes a whole batch, which is written at once.
-	unlimited = math.MaxInt
-	// snapshotResendTimeouts is the number of election timeouts between two
-	// snapshots to the same member.
-	snapshotResendTimeouts = 4
-	// roundRetentionTimeouts is the number of election timeouts for which the send
-	// time of a round is remembered. Older answers prove nothing of use.
-	roundRetentionTimeouts = 8
-)
-
-// Node is one member's state machine. It is used from one goroutine. Invariants:
+// Node is one member's state machine. It is not safe for concurrent use. Invariants:
 //   - the term never falls; in one term at most one vote is given
-//   - commit never falls, and never exceeds the log
+//   - the commit index never falls, and never exceeds the log
 //   - no message leaves before the Ready that carries it has been persisted, so
-//     every promise made in a message is on the disk
+//     whatever a message promises is on the disk
 type Node struct {
 	config  Config
 	random  *rand.Rand
 	defects defect.Set
 
-	role   Role
-	term   uint64
-	vote   ID
-	leader ID
-	commit uint64
-	// applied is what the state machine holds.
-	applied uint64
+	role    Role
+	term    uint64
+	vote    ID
+	leader  ID
+	commit  uint64
+	applied uint64 // what the driver has acknowledged as applied
 
-	log            *replicatedLog
+	log *replicatedLog
+	// configurations are the memberships in the log by index; the last one is in effect.
 	configurations []configuration
 
 	// persistedHardState is the hard state of the last Ready.
 	persistedHardState HardState
-	pendingSnapshot    *Snapshot
-	outbox             []Message
-	// replicatePending asks the next Ready to send what members have not got yet.
+	// pendingSnapshot is received, but not acknowledged as applied yet.
+	pendingSnapshot *Snapshot
+	outbox          []Message
+	// replicatePending makes the next Ready send members what they lack, so that the
+	// proposals between two Readies share their appends.
 	replicatePending bool
 
-	clockStarted        bool // the clock has been told once
-	awaitingFirstLeader bool // restored from a disk, and no leader heard of since
-	now                 time.Duration
+	clockStarted bool
+	now          time.Duration
+	// awaitingFirstLeader is true at a member that is restored from its disk and has
+	// had no contact to a leader since, see Config.StartupTimeout.
+	awaitingFirstLeader bool
 	electionDeadline    time.Duration
 	lastLeaderContact   time.Duration
-	voteHoldOffEnd      time.Duration // until when the member that got the vote is backed
-	votes               map[ID]bool
-	nextVoteRequest     time.Duration // when voters without a ballot are asked again
-	electedByTransfer   bool          // the leader itself asked for the election
 
+	// votes are the replies in the present election or pre-vote, true if granted.
+	votes map[ID]bool
+	// voteHoldOffEnd is until when this member neither starts nor supports another
+	// election, see startVoteHoldOff.
+	voteHoldOffEnd time.Duration
+	// nextVoteRequest is when voters that have not replied are asked again.
+	nextVoteRequest time.Duration
+	// electedByTransfer is true in an election that the leader requested.
+	electedByTransfer bool
+
+	// leadership is nil unless the member leads.
 	leadership *leadership
 }
 
-// New restores a member from its disk, or makes a new one that belongs to no
-// group and waits to be told its log.
+// New returns a Node that is restored from what its disk holds, or one that belongs to
+// no group yet and receives its log from a leader. It returns ErrInvalidConfig or
+// ErrMembershipInvalid if the restored state is not valid.
 func New(config Config) (*Node, error) {
 	if config.ID == None {
 		return nil, fmt.Errorf("%w: no identity", ErrInvalidConfig)
 	}
-	setDefaults(&config)
+	config.setDefaults()
 	log, err := newLog(config.Snapshot, config.Entries)
 	if err != nil {
 		return nil, err
@@ -105,29 +97,16 @@
 	return node, nil
 }
 
-func setDefaults(config *Config) {
-	if config.ElectionTimeout <= 0 {
-		config.ElectionTimeout = defaultElectionTimeout
-	}
-	if config.HeartbeatInterval <= 0 {
-		config.HeartbeatInterval = defaultHeartbeatInterval
-	}
-	if config.MaxAppendBytes <= 0 {
-		config.MaxAppendBytes = defaultMaxAppendBytes
-	}
-	if config.MaxInflight <= 0 {
-		config.MaxInflight = defaultMaxInflight
-	}
-}
-
+// identitySeed makes members of one Config.Seed draw different election timeouts.
 func identitySeed(id ID) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	return hash.Sum64()
 }
 
-// raiseTermToLog covers a crash between the writing of a snapshot and that of the
-// hard state: the member has seen the log's term, and cannot have voted in it.
+// raiseTermToLog covers a crash between the write of a snapshot and that of the hard
+// state. The term of the log's end was this member's term then, and it cannot have
+// voted in it, since a vote would be in the hard state.
 func (n *Node) raiseTermToLog() {
 	if n.log.lastTerm() > n.term {
 		n.term = n.log.lastTerm()
@@ -135,14 +114,9 @@
 	}
 }
 
-// InjectDefects switches deliberate faults on, for the simulation that proves that its
-// checks see them. A non-empty set cannot be made outside this module.
-func (n *Node) InjectDefects(defects defect.Set) {
-	n.defects = defects
-}
-
-// Tick tells the time. It is to be called several times in each heartbeat
-// interval, and at once after a pause of the process.
+// Tick advances the clock, and starts elections and heartbeat rounds that are due.
+// Call it several times in each Config.HeartbeatInterval, and at once after a pause of
+// the process.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == Leader {
@@ -152,6 +126,8 @@
 	n.tickElection()
 }
 
+// advanceClock never turns the clock back. The first call starts it: before, the
+// election deadline had no time to count from.
 func (n *Node) advanceClock(now time.Duration) {
 	if !n.clockStarted {
 		n.clockStarted = true
@@ -161,46 +137,26 @@
 	n.now = max(n.now, now)
 }
 
-// Step takes a message in. An error means that the message was not for this
-// member or malformed; the node is unchanged then.
+// Step processes a message from another member. It returns ErrMisaddressed or
+// ErrMalformed, and leaves the node as it is, if the message is not for this member or
+// not valid.
 func (n *Node) Step(now time.Duration, message Message) error {
 	if message.To != n.config.ID {
 		return ErrMisaddressed
 	}
-	if err := validate(message); err != nil {
+	if err := message.validate(); err != nil {
 		return err
 	}
 	n.advanceClock(now)
 	if !n.reconcileTerm(message) {
 		return nil
 	}
-	n.dispatch(message)
-	return nil
-}
-
-func validate(message Message) error {
-	if message.From == None || message.From == message.To {
-		return ErrMalformed
-	}
-	if message.Kind == MessageSnapshot && message.Snapshot == nil {
-		return ErrMalformed
-	}
-	previous := Entry{Index: message.Index, Term: message.LogTerm}
-	for _, entry := range message.Entries {
-		if entry.Index != previous.Index+1 || entry.Term < previous.Term || entry.Term > message.Term {
-			return ErrMalformed
-		}
-		if entry.Kind == EntryMembership {
-			if _, err := DecodeMembership(entry.Data); err != nil {
-				return fmt.Errorf("%w: %w", ErrMalformed, err)
-			}
-		}
-		previous = entry
-	}
+	n.handle(message)
 	return nil
 }
 
-// reconcileTerm compares terms and tells whether the message is to be handled.
+// reconcileTerm compares the message's term with the member's (Raft, section 5.1) and
+// reports whether the message is to be handled.
 func (n *Node) reconcileTerm(message Message) bool {
 	switch {
 	case message.Term > n.term:
@@ -213,13 +169,15 @@
 	}
 }
 
+// handleNewerTerm adopts the message's term, unless that is only the term of an
+// election that may follow. It reports whether the message is to be handled.
 func (n *Node) handleNewerTerm(message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
-		return true // asks, and moves nobody to the term
+		return true // nobody is in that term yet
 	case MessagePreVoteReply:
 		if !message.Reject {
-			return true // carries the term that was asked about
+			return true // the term that this member asked about
 		}
 	case MessageVote:
 		if n.hasCurrentLeader() && !message.LeadershipTransfer {
@@ -230,9 +188,10 @@
 	return true
 }
 
-// rejectOlderTerm tells a deposed leader or a late candidate the newer term.
-// Without it a member that has reached a higher term could never rejoin, since
-// the others ignore its votes while they hear the old leader.
+// rejectOlderTerm sends a deposed leader or a late candidate the newer term. If this
+// member is the one with the higher term, the leader learns it so and steps down:
+// otherwise this member could never rejoin, since the others ignore its vote requests
+// while they have contact to the leader.
 func (n *Node) rejectOlderTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -244,7 +203,7 @@
 	}
 }
 
-func (n *Node) dispatch(message Message) {
+func (n *Node) handle(message Message) {
 	switch message.Kind {
 	case MessagePreVote:
 		n.handlePreVote(message)
@@ -267,7 +226,8 @@
 	}
 }
 
-// send queues a message of the present term.
+// send queues a message for the next Ready. A message without a term gets the present
+// one.
 func (n *Node) send(message Message) {
 	message.From = n.config.ID
 	if message.Term == 0 {
@@ -275,28 +235,3 @@
 	}
 	n.outbox = append(n.outbox, message)
 }
-
-// Status reports the member's present state. The maps and slices are copies.
-func (n *Node) Status() Status {
-	status := Status{
-		ID:         n.config.ID,
-		Role:       n.role,
-		Term:       n.term,
-		Leader:     n.leader,
-		Commit:     n.commit,
-		Applied:    n.applied,
-		LastIndex:  n.log.lastIndex(),
-		Membership: n.membership().clone(),
-	}
-	if n.role == Leader {
-		status.Match, status.LastContact = n.leadership.memberProgress(n)
-		status.MembershipCommitted = n.membershipCommitted()
-	}
-	return status
-}
-
-// Leadership returns the present term, and whether the node leads in it. It is
-// cheaper than Status.
-func (n *Node) Leadership() (term uint64, leading bool) {
-	return n.term, n.role == Leader
-}
--- /dev/null
+++ b/consensus/progress.go
@@ -0,0 +1,96 @@
+package consensus
+
+import "time"
+
+// progressState says how a leader sends log entries to a member.
+type progressState uint8
+
+const (
+	// progressProbe sends one append at a time, until one is accepted and the match
+	// index is known.
+	progressProbe progressState = iota
+	// progressReplicate sends appends without waiting for replies, up to
+	// Config.MaxInflight.
+	progressReplicate
+	// progressSnapshot sends nothing while a snapshot is in flight.
+	progressSnapshot
+)
+
+// snapshotResendTimeouts is the number of election timeouts after which a snapshot
+// that was not acknowledged is sent again.
+const snapshotResendTimeouts = 4
+
+// progress is a leader's view of another member (Raft's matchIndex and nextIndex).
+// Invariants:
+//   - match <= what the member has on its disk, since it replies after the write
+//   - match < next
+type progress struct {
+	state progressState
+	match uint64
+	next  uint64
+	// inflight is the last index of each append that is not acknowledged, ascending.
+	inflight []uint64
+	// probeInFlight is true in progressProbe while an append is not answered.
+	probeInFlight bool
+	// sentCommit is the commit index of the last append.
+	sentCommit     uint64
+	snapshotSentAt time.Duration
+
+	responded    bool // in this term
+	lastResponse time.Duration
+	// acknowledgedRound is the newest heartbeat round that the member has echoed, 0 if
+	// none; acknowledgedRoundSentAt is when that round was sent.
+	acknowledgedRound       uint64
+	acknowledgedRoundSentAt time.Duration
+}
+
+func newProgress(next uint64) *progress {
+	return &progress{next: next}
+}
+
+// resume permits one more append when the member has responded to a heartbeat: an
+// append or its reply may have been lost, and nothing else would ever free its place.
+func (p *progress) resume() {
+	p.probeInFlight = false
+	if len(p.inflight) > 0 {
+		p.inflight = p.inflight[1:]
+	}
+}
+
+// becomeProbe goes back to sending one append at a time, from next on.
+func (p *progress) becomeProbe(next uint64) {
+	p.state = progressProbe
+	p.next = max(next, p.match+1)
+	p.inflight = nil
+	p.probeInFlight = false
+}
+
+// becomeReplicate starts to send appends without waiting, from the match index on.
+func (p *progress) becomeReplicate() {
+	p.becomeProbe(p.match + 1)
+	p.state = progressReplicate
+}
+
+// acknowledge records that the member's log matches up to index. It reports whether
+// match has advanced.
+func (p *progress) acknowledge(index uint64) bool {
+	for len(p.inflight) > 0 && p.inflight[0] <= index {
+		p.inflight = p.inflight[1:]
+	}
+	advanced := index > p.match
+	p.match = max(p.match, index)
+	p.next = max(p.next, p.match+1)
+	return advanced
+}
+
+// isPaused reports whether flow control holds appends to the member back.
+func (n *Node) isPaused(member *progress) bool {
+	switch member.state {
+	case progressProbe:
+		return member.probeInFlight
+	case progressSnapshot:
+		return n.now-member.snapshotSentAt < snapshotResendTimeouts*n.config.ElectionTimeout
+	default:
+		return len(member.inflight) >= n.config.MaxInflight
+	}
+}
--- a/consensus/ready.go
+++ b/consensus/ready.go
@@ -1,6 +1,23 @@
 package consensus
 
-// HasReady tells whether Ready has anything to do.
+// Ready is one batch of work for the driver. The driver
+//
+//  1. persists Snapshot, HardState and Entries with a sync (storage.Persist),
+//  2. sends Messages,
+//  3. applies Snapshot and then CommittedEntries to its state machine,
+//  4. calls Node.Advance.
+//
+// The order is what safety rests on: a message promises what the member has on its
+// disk, so it may not leave before the sync. A nil HardState or Snapshot is unchanged.
+type Ready struct {
+	HardState        *HardState
+	Snapshot         *Snapshot
+	Entries          []Entry
+	Messages         []Message
+	CommittedEntries []Entry
+}
+
+// HasReady reports whether Ready would return any work.
 func (n *Node) HasReady() bool {
 	return n.replicatePending ||
 		len(n.outbox) > 0 ||
@@ -10,9 +27,8 @@
 		n.commit > n.applied
 }
 
-// Ready returns the next batch of work. See the type for the order of its
-// steps. Each Ready is followed by its Advance before the next Ready; ticks,
-// messages and proposals may come in between.
+// Ready returns the next batch of work. Call Advance with it before the next Ready;
+// ticks, messages and proposals may come in between.
 func (n *Node) Ready() Ready {
 	if n.replicatePending {
 		n.replicatePending = false
@@ -21,11 +37,12 @@
 	ready := Ready{
 		Snapshot:         n.pendingSnapshot,
 		Entries:          n.log.unstable(),
-		CommittedEntries: n.log.slice(n.applied+1, n.commit, unlimited),
+		CommittedEntries: n.log.slice(n.applied+1, n.commit, unlimitedBytes),
 		Messages:         n.outbox,
 	}
 	if n.pendingSnapshot != nil {
-		ready.CommittedEntries = n.log.slice(n.pendingSnapshot.Index+1, n.commit, unlimited)
+		// The snapshot is applied first, so what it covers is not applied again.
+		ready.CommittedEntries = n.log.slice(n.pendingSnapshot.Index+1, n.commit, unlimitedBytes)
 	}
 	n.outbox = nil
 	if n.mustPersistHardState() || len(ready.Entries) > 0 || ready.Snapshot != nil {
@@ -37,11 +54,14 @@
 	return ready
 }
 
-// Advance tells that the batch is persisted, sent and applied.
+// Advance acknowledges that the driver has persisted, sent and applied ready, which
+// is what the last call of Ready returned.
 func (n *Node) Advance(ready Ready) {
 	if ready.Snapshot != nil {
 		n.applied = max(n.applied, ready.Snapshot.Index)
-		n.clearPendingSnapshot(ready.Snapshot)
+		if n.pendingSnapshot == ready.Snapshot {
+			n.pendingSnapshot = nil // unless a newer one has come in between
+		}
 	}
 	if count := len(ready.Entries); count > 0 {
 		last := ready.Entries[count-1]
@@ -55,18 +75,13 @@
 	}
 }
 
-func (n *Node) clearPendingSnapshot(done *Snapshot) {
-	if n.pendingSnapshot == done {
-		n.pendingSnapshot = nil
-	}
-}
-
 func (n *Node) hardState() HardState {
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.commit}
 }
 
-// mustPersistHardState leaves out a change of the commit alone: it is learnt
-// again from the leader, so it is not worth a sync of its own.
+// mustPersistHardState reports whether the term or vote changed since the last Ready.
+// A change of the commit index alone is not worth a sync of its own: a restarted
+// member learns it again from the leader.
 func (n *Node) mustPersistHardState() bool {
 	return n.persistedHardState.Term != n.term || n.persistedHardState.Vote != n.vote
 }
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -2,73 +2,13 @@
 
 import "time"
 
-// Replication. Invariants:
-//   - match <= what the member has synced, since its answer follows its write
-//   - next > match
-//   - an entry counts as committed only when a majority of voters holds it and
-//     it belongs to the leader's own term (Raft, section 5.4.2)
+// Replication. Invariant: the leader commits an entry only when a quorum of voters has
+// it on disk and it belongs to the leader's own term. An entry of an earlier term is
+// committed by one of the own term after it (Raft, section 5.4.2).
 
-// progressState says how entries are sent to a member.
-type progressState uint8
-
-const (
-	progressProbe     progressState = iota // one append at a time, looking for the match
-	progressReplicate                      // pipelined
-	progressSnapshot                       // a snapshot is on its way
-)
-
-// progress is what the leader knows of one other member.
-type progress struct {
-	state progressState
-	match uint64
-	next  uint64
-	// inflight holds the last index of every append not yet answered.
-	inflight []uint64
-	// probeInFlight is true while the answer to a probe is awaited.
-	probeInFlight  bool
-	sentCommit     uint64
-	snapshotSentAt time.Duration
-
-	responded               bool
-	lastResponse            time.Duration
-	acknowledgedRound       uint64
-	acknowledgedRoundSentAt time.Duration
-}
-
-func newProgress(next uint64) *progress {
-	return &progress{next: next}
-}
-
-// resume permits one more message after a sign of life: an append or its answer
-// may have been lost.
-func (p *progress) resume() {
-	p.probeInFlight = false
-	if len(p.inflight) > 0 {
-		p.inflight = p.inflight[1:]
-	}
-}
-
-func (p *progress) becomeProbe(next uint64) {
-	p.state = progressProbe
-	p.next = max(next, p.match+1)
-	p.inflight = nil
-	p.probeInFlight = false
-}
-
-// acknowledge notes that the member holds the log up to index. It reports
-// whether that is news.
-func (p *progress) acknowledge(index uint64) bool {
-	for len(p.inflight) > 0 && p.inflight[0] <= index {
-		p.inflight = p.inflight[1:]
-	}
-	news := index > p.match
-	p.match = max(p.match, index)
-	p.next = max(p.next, p.match+1)
-	return news
-}
-
-// Propose appends data to the log. The entry is committed if, and only if, the
-// entry that is later handed out at this index carries this term.
+// Propose appends an entry with data to the log and returns its index and term. The
+// entry is committed if, and only if, Ready.CommittedEntries later has an entry of this
+// index with this term. It returns ErrNotLeader or ErrLeadershipTransfer.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.advanceClock(now)
 	if err := n.checkCanPropose(); err != nil {
@@ -77,6 +17,8 @@
 	return n.appendEntry(EntryNormal, data), n.term, nil
 }
 
+// checkCanPropose returns nil if the member leads, still has a recent quorum contact,
+// and no leadership transfer is in progress.
 func (n *Node) checkCanPropose() error {
 	if n.role == Leader {
 		n.checkQuorum()
@@ -91,6 +33,7 @@
 	return nil
 }
 
+// appendEntry appends an entry to the leader's own log. The next Ready sends it.
 func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
@@ -109,7 +52,8 @@
 	}
 }
 
-// replicate sends a member what it lacks, as far as its window permits.
+// replicate sends a member the entries and the commit index that it lacks, as far as
+// flow control permits.
 func (n *Node) replicate(to ID, member *progress) {
 	for member.next <= n.log.lastIndex() && n.sendAppend(to, member, false) {
 	}
@@ -118,8 +62,9 @@
 	}
 }
 
-// sendAppend sends one append, empty only if permitted. It reports whether
-// another one may follow.
+// sendAppend sends a member one append from its next index on, or a snapshot if that is
+// compacted. Without entries to send it does so only if permitEmpty. It reports whether
+// another append may follow at once.
 func (n *Node) sendAppend(to ID, member *progress, permitEmpty bool) bool {
 	if n.isPaused(member) {
 		return false
@@ -155,22 +100,13 @@
 	return true
 }
 
-func (n *Node) isPaused(member *progress) bool {
-	switch member.state {
-	case progressProbe:
-		return member.probeInFlight
-	case progressSnapshot:
-		return n.now-member.snapshotSentAt < snapshotResendTimeouts*n.config.ElectionTimeout
-	default:
-		return len(member.inflight) >= n.config.MaxInflight
-	}
-}
-
+// handleAppend takes in a leader's entries if the log matches the message's position,
+// and rejects it with a hint otherwise (Raft, section 5.3).
 func (n *Node) handleAppend(message Message) {
 	n.recordLeaderContact(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	if message.Index < n.commit {
-		// What is committed here is the same everywhere.
+		// Committed entries are the same in every log: it matches up to there.
 		reply.Index = n.commit
 		n.send(reply)
 		return
@@ -189,8 +125,8 @@
 	n.send(reply)
 }
 
-// acceptEntries takes a leader's entries in. Only a real conflict truncates: a
-// late message must not drop what a newer one has brought.
+// acceptEntries appends a leader's entries that the log lacks. Only a conflict
+// truncates the log: a delayed append must not remove what a newer one has added.
 func (n *Node) acceptEntries(entries []Entry) {
 	for position, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
@@ -206,7 +142,7 @@
 	}
 }
 
-// commitTo raises the commit of a follower.
+// commitTo raises the commit index of a follower, at most to the end of its log.
 func (n *Node) commitTo(index uint64) {
 	n.commit = max(n.commit, min(index, n.log.lastIndex()))
 }
@@ -226,25 +162,26 @@
 	if message.Index > n.log.lastIndex() {
 		return
 	}
-	news := member.acknowledge(message.Index)
-	if member.state == progressProbe || member.state == progressSnapshot && member.match >= n.log.boundaryIndex {
-		member.becomeProbe(member.match + 1)
-		member.state = progressReplicate
+	advanced := member.acknowledge(message.Index)
+	snapshotArrived := member.state == progressSnapshot && member.match >= n.log.boundaryIndex
+	if member.state == progressProbe || snapshotArrived {
+		member.becomeReplicate()
 	}
 	n.replicatePending = true
-	if news {
+	if advanced {
 		n.advanceCommit()
 		n.finishTransfer(message.From)
 	}
 }
 
-// handleRejection looks for the match further back, past whole terms.
+// handleRejection probes for the match index further back, skipping whole terms by the
+// follower's hint and by the leader's own log.
 func (n *Node) handleRejection(message Message, member *progress) {
 	if message.Index <= member.match || member.state == progressSnapshot {
-		return
+		return // delayed
 	}
 	if member.state == progressProbe && message.Index != member.next-1 {
-		return
+		return // the reply to an earlier probe
 	}
 	hint := message.RejectHint
 	if message.LogTerm > 0 {
@@ -254,7 +191,7 @@
 	n.sendAppend(message.From, member, true)
 }
 
-// advanceCommit commits what a majority of voters has on disk.
+// advanceCommit commits what a quorum of voters has on disk, see the invariant above.
 func (n *Node) advanceCommit() {
 	index := n.quorumMatch()
 	if index <= n.commit {
@@ -269,7 +206,7 @@
 	n.stepDownIfRemoved()
 }
 
-// quorumMatch returns the highest index that a majority of voters holds.
+// quorumMatch returns the highest index that a quorum of voters has on disk.
 func (n *Node) quorumMatch() uint64 {
 	var matches []uint64
 	for _, member := range n.membership().Members {
@@ -282,5 +219,6 @@
 			matches = append(matches, n.leadership.progress[member.ID].match)
 		}
 	}
-	return quorumValue(matches)
+	index, _ := quorumValue(matches, len(matches))
+	return index
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -1,8 +1,9 @@
 package consensus
 
-// Compact takes the state machine's own snapshot at an applied index and drops
-// the log before it, except for keep entries that a lagging member may still
-// need. The driver stores the result with KeepFrom(snapshot, keep).
+// Compact makes a snapshot of the state machine's data at an applied index and drops
+// the log before it, except for keep entries, which spare a member that lags a little
+// the transfer of a snapshot. The driver stores the snapshot, and the log from
+// FirstRetainedIndex(snapshot, keep) on. It returns ErrCompacted or ErrNotApplied.
 func (n *Node) Compact(index uint64, data []byte, keep uint64) (Snapshot, error) {
 	if index <= n.log.snapshot.Index {
 		return Snapshot{}, ErrCompacted
@@ -25,8 +26,8 @@
 	return snapshot, nil
 }
 
-// FirstRetainedIndex returns the first index that stays in the log when keep entries
-// before the snapshot's index are kept.
+// FirstRetainedIndex returns the first index that stays in the log when it is compacted
+// and keep entries, up to and including the snapshot's index, are retained.
 func FirstRetainedIndex(snapshot Snapshot, keep uint64) uint64 {
 	if keep >= snapshot.Index {
 		return 1
@@ -34,8 +35,8 @@
 	return snapshot.Index - keep + 1
 }
 
-// sendSnapshot brings a member up to date whose next entry is compacted. It is
-// sent again only after several election timeouts, as it may be large.
+// sendSnapshot sends the newest snapshot to a member whose next entry is compacted.
+// It may be large, so isPaused holds the next one back for several election timeouts.
 func (n *Node) sendSnapshot(to ID, member *progress) {
 	snapshot := n.log.snapshot
 	member.state = progressSnapshot
@@ -49,8 +50,8 @@
 	})
 }
 
-// handleSnapshot replaces the log by the leader's snapshot, unless the log
-// already leads through it.
+// handleSnapshot replaces the log by the leader's snapshot, unless the log already
+// contains the snapshot's last entry: then the entries after it are worth keeping.
 func (n *Node) handleSnapshot(message Message) {
 	n.recordLeaderContact(message.From)
 	snapshot := *message.Snapshot
--- /dev/null
+++ b/consensus/status.go
@@ -0,0 +1,84 @@
+package consensus
+
+import "time"
+
+// Role is a member's role in the group.
+type Role uint8
+
+// The roles of a member. A learner is a Follower.
+const (
+	Follower Role = iota
+	PreCandidate
+	Candidate
+	Leader
+)
+
+// Status is a member's state as operators and the driver see it.
+type Status struct {
+	ID        ID
+	Role      Role
+	Term      uint64
+	Leader    ID // None if unknown
+	Commit    uint64
+	Applied   uint64
+	LastIndex uint64
+	// Membership is the newest membership in the log, committed or not.
+	Membership Membership
+	// MembershipCommitted is true at a leader that has committed an entry of its own
+	// term and its newest membership. Only then are Commit and Membership what a
+	// successor would have too, so a change of the group is complete only then.
+	MembershipCommitted bool
+	// Match is the highest index known to be on the disk of each member. It is nil
+	// unless the member leads.
+	Match map[ID]uint64
+	// LastContact is the time of the last response of each member that has responded
+	// in this term. It is nil unless the member leads.
+	LastContact map[ID]time.Duration
+}
+
+// Status returns the member's present state. Its maps and slices are copies.
+func (n *Node) Status() Status {
+	status := Status{
+		ID:         n.config.ID,
+		Role:       n.role,
+		Term:       n.term,
+		Leader:     n.leader,
+		Commit:     n.commit,
+		Applied:    n.applied,
+		LastIndex:  n.log.lastIndex(),
+		Membership: n.membership().clone(),
+	}
+	if n.role == Leader {
+		status.Match = n.matchByMember()
+		status.LastContact = n.lastContactByMember()
+		status.MembershipCommitted = n.membershipCommitted()
+	}
+	return status
+}
+
+// matchByMember returns the highest index known to be on each member's disk.
+func (n *Node) matchByMember() map[ID]uint64 {
+	match := map[ID]uint64{n.config.ID: n.log.stable}
+	for id, member := range n.leadership.progress {
+		match[id] = member.match
+	}
+	return match
+}
+
+// lastContactByMember returns the time of the last response of each member; the
+// leader's own is now.
+func (n *Node) lastContactByMember() map[ID]time.Duration {
+	contact := map[ID]time.Duration{n.config.ID: n.now}
+	for id, member := range n.leadership.progress {
+		if member.responded {
+			contact[id] = member.lastResponse
+		}
+	}
+	return contact
+}
+
+// Leadership returns the present term, and whether the node leads in it. It is
+// cheaper than Status.
+func (n *Node) Leadership() (term uint64, leading bool) {
+	return n.term, n.role == Leader
+}
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// TransferLeadership hands the leadership over to a voter as soon as that voter
-// holds the whole log. Proposals are refused meanwhile. It is given up after
-// one ElectionTimeout.
+// TransferLeadership starts to transfer the leadership to a voter (Raft thesis,
+// section 3.10): once that voter's log is complete, it is asked to start an election.
+// Until then proposals fail with ErrLeadershipTransfer. The transfer is aborted after
+// one ElectionTimeout. It returns ErrNotVoter if the target is no other voter.
 func (n *Node) TransferLeadership(now time.Duration, to ID) error {
 	n.advanceClock(now)
 	if err := n.checkCanPropose(); err != nil {
@@ -21,7 +22,8 @@
 	return nil
 }
 
-// finishTransfer calls the successor to an election once it holds everything.
+// finishTransfer asks the transfer's target to start an election once its log is as
+// long as the leader's. A target that lacks entries would lose it.
 func (n *Node) finishTransfer(id ID) {
 	if n.role != Leader || n.leadership.transferTo != id {
 		return
@@ -37,7 +39,8 @@
 	}
 }
 
-// handleTimeoutNow starts an election at the leader's own request.
+// handleTimeoutNow starts an election at the request of the leader. There is no
+// pre-vote: the others have a current leader and would refuse it.
 func (n *Node) handleTimeoutNow(message Message) {
 	if n.role != Follower || !n.membership().isVoter(n.config.ID) {
 		return
