--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -10,10 +10,10 @@
 func BenchmarkRenew(b *testing.B) {
 	for _, holders := range []int{8, 400} {
 		b.Run(fmt.Sprint(holders), func(b *testing.B) {
-			grantor, now := settled()
+			grantor, now := grantorAfterGracePeriod()
 			requests := make([]Request, holders)
 			for i := range requests {
-				requests[i] = ask(fmt.Sprint("gateway-", i), 5, 5)
+				requests[i] = renewalRequest(fmt.Sprint("gateway-", i), 5, 5)
 			}
 			step := DefaultConfig().RenewalInterval / time.Duration(holders)
 			for i := 0; b.Loop(); i++ {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -10,14 +10,14 @@
 
 const ms = time.Millisecond
 
-// ask renews as a holder that has made active what it holds.
-func ask(holder string, held, active uint32) Request {
+// renewalRequest renews as a holder that has made active what it holds.
+func renewalRequest(holder string, held, active uint32) Request {
 	return Request{Holder: holder, Incarnation: "1", ReceivedSerial: held, ActiveSerial: active, Term: 7}
 }
 
-// settled is a grantor of term 7 with serial 5 whose window is over at the
+// grantorAfterGracePeriod is a grantor of term 7 with serial 5 whose window is over at the
 // returned time.
-func settled() (*Grantor, time.Duration) {
+func grantorAfterGracePeriod() (*Grantor, time.Duration) {
 	terms := DefaultConfig()
 	grantor := NewGrantor(terms, 7, 0, 5)
 	now := terms.GracePeriod()
@@ -34,7 +34,7 @@
 }
 
 func TestActivationTakesTwoSteps(t *testing.T) {
-	grantor, now := settled()
+	grantor, now := grantorAfterGracePeriod()
 	want := func(got Decision, activate uint32) {
 		t.Helper()
 		expected := Decision{Authoritative: true, LeaseDuration: 1800 * ms, ActivationSerial: activate}
@@ -42,28 +42,28 @@
 			t.Fatal(diff)
 		}
 	}
-	want(grantor.Renew(now, now, true, ask("a", 5, 5)), 5)
-	want(grantor.Renew(now, now, true, ask("b", 5, 5)), 5)
+	want(grantor.Renew(now, now, true, renewalRequest("a", 5, 5)), 5)
+	want(grantor.Renew(now, now, true, renewalRequest("b", 5, 5)), 5)
 	grantor.SetSerial(6)
-	want(grantor.Renew(now, now, true, ask("a", 6, 5)), 5)
+	want(grantor.Renew(now, now, true, renewalRequest("a", 6, 5)), 5)
 	wantInForce(t, grantor, now, 5, true)
-	want(grantor.Renew(now, now, true, ask("b", 6, 5)), 6)
-	want(grantor.Renew(now, now, true, ask("a", 6, 6)), 6)
+	want(grantor.Renew(now, now, true, renewalRequest("b", 6, 5)), 6)
+	want(grantor.Renew(now, now, true, renewalRequest("a", 6, 6)), 6)
 	wantInForce(t, grantor, now, 5, true)
-	want(grantor.Renew(now, now, true, ask("b", 6, 6)), 6)
+	want(grantor.Renew(now, now, true, renewalRequest("b", 6, 6)), 6)
 	wantInForce(t, grantor, now, 6, true)
 }
 
 func TestCutOffHolderDelaysOnlyUntilItsLeaseRanOut(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
-	grantor.Renew(now, now, true, ask("gone", 5, 5))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
+	grantor.Renew(now, now, true, renewalRequest("gone", 5, 5))
 	grantor.SetSerial(6)
 	end := now + 2000*ms
 	if got := grantor.NextDeadline(now); got != end {
 		t.Fatalf("next deadline %v, want %v", got, end)
 	}
-	grantor.Renew(end-ms, end-ms, true, ask("a", 6, 5))
+	grantor.Renew(end-ms, end-ms, true, renewalRequest("a", 6, 5))
 	wantInForce(t, grantor, end-ms, 5, true)
 	if expired := grantor.Expired(end - ms); len(expired) != 0 {
 		t.Fatalf("expired too early: %v", expired)
@@ -78,28 +78,28 @@
 	if again := grantor.Expired(end); len(again) != 0 {
 		t.Fatalf("expired twice: %v", again)
 	}
-	grantor.Renew(end, end, true, ask("a", 6, 6))
+	grantor.Renew(end, end, true, renewalRequest("a", 6, 6))
 	wantInForce(t, grantor, end, 6, true)
 
-	back := grantor.Renew(end, end, true, ask("gone", 5, 5))
+	back := grantor.Renew(end, end, true, renewalRequest("gone", 5, 5))
 	if diff := cmp.Diff(Decision{Authoritative: true, ActivationSerial: 6}, back); diff != "" {
 		t.Fatalf("a holder that is behind: %s", diff)
 	}
 }
 
 func TestWithoutProofOfLeadershipNothingIsGrantedNorExpired(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
 	grantor.SetSerial(6)
 	late := now + 5*time.Second
-	if got := grantor.Renew(late, now, true, ask("b", 6, 6)); got != (Decision{}) {
+	if got := grantor.Renew(late, now, true, renewalRequest("b", 6, 6)); got != (Decision{}) {
 		t.Fatalf("granted on an old proof: %+v", got)
 	}
 	if serial, known := grantor.SerialInForce(); serial != 5 || !known {
 		t.Fatalf("in force %d (%v): judged beyond the proof of leadership", serial, known)
 	}
 	unknown := NewGrantor(DefaultConfig(), 1, 0, 1)
-	if got := unknown.Renew(0, 0, false, ask("a", 1, 1)); got != (Decision{}) {
+	if got := unknown.Renew(0, 0, false, renewalRequest("a", 1, 1)); got != (Decision{}) {
 		t.Fatalf("granted without a proof: %+v", got)
 	}
 }
@@ -107,13 +107,13 @@
 // Another primary may let a holder in that is behind, after the newest proof of
 // leadership of this one. So what is reported later must not raise what is in force.
 func TestReportsAndLeavesCountOnlyWithALaterProof(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
-	grantor.Renew(now, now, true, ask("b", 5, 5))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
+	grantor.Renew(now, now, true, renewalRequest("b", 5, 5))
 	grantor.SetSerial(6)
 	later := now + 100*ms
-	grantor.Renew(later, now, true, ask("a", 6, 6))
-	leaving := ask("b", 5, 5)
+	grantor.Renew(later, now, true, renewalRequest("a", 6, 6))
+	leaving := renewalRequest("b", 5, 5)
 	leaving.Release = true
 	grantor.Renew(later, now, true, leaving)
 	if serial, _ := grantor.SerialInForce(); serial != 5 {
@@ -131,11 +131,11 @@
 		request Request
 		want    Decision
 	}{
-		{"fresh", ask("fresh", 0, 0), Decision{Authoritative: true}},
-		{"lapsed and behind", ask("lapsed", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
+		{"fresh", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
+		{"lapsed and behind", renewalRequest("lapsed", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
 		{"valid but asked before it knew the term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
 		{"valid and behind", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 4}},
-		{"lapsed and up to date", ask("d", 5, 5), Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 5}},
+		{"lapsed and up to date", renewalRequest("d", 5, 5), Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 5}},
 	}
 	for _, c := range cases {
 		if diff := cmp.Diff(c.want, grantor.Renew(now, now, true, c.request)); diff != "" {
@@ -147,9 +147,9 @@
 }
 
 func TestActivateNeverFallsBelowWhatIsActive(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
-	got := grantor.Renew(now, now, true, ask("ahead", 9, 9))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
+	got := grantor.Renew(now, now, true, renewalRequest("ahead", 9, 9))
 	if got.ActivationSerial != 9 {
 		t.Fatalf("activate %d, want 9", got.ActivationSerial)
 	}
@@ -162,16 +162,16 @@
 }
 
 func TestLeavingGivesTheLeaseUpAtOnce(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
-	grantor.Renew(now, now, true, ask("b", 5, 5))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
+	grantor.Renew(now, now, true, renewalRequest("b", 5, 5))
 	grantor.SetSerial(6)
-	grantor.Renew(now, now, true, ask("b", 6, 6))
-	leaving := ask("a", 5, 5)
+	grantor.Renew(now, now, true, renewalRequest("b", 6, 6))
+	leaving := renewalRequest("a", 5, 5)
 	leaving.Release = true
 	grantor.Renew(now, now, true, leaving)
 	wantInForce(t, grantor, now, 6, true)
-	if got := grantor.Renew(now, now, true, ask("a", 6, 6)); got.LeaseDuration != 0 {
+	if got := grantor.Renew(now, now, true, renewalRequest("a", 6, 6)); got.LeaseDuration != 0 {
 		t.Fatal("a late renewal of a holder that has left was granted")
 	}
 }
@@ -180,9 +180,9 @@
 	const last = ^uint32(0)
 	grantor := NewGrantor(DefaultConfig(), 7, 0, last)
 	now := DefaultConfig().GracePeriod()
-	grantor.Renew(now, now, true, ask("a", last, last))
+	grantor.Renew(now, now, true, renewalRequest("a", last, last))
 	grantor.SetSerial(1)
-	grantor.Renew(now, now, true, ask("a", 1, 1))
+	grantor.Renew(now, now, true, renewalRequest("a", 1, 1))
 	wantInForce(t, grantor, now, 1, true)
 }
 
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -29,8 +29,8 @@
 	rate   float64
 }
 
-func (c clock) read(real time.Duration) time.Duration {
-	return c.offset + time.Duration(float64(real)*c.rate)
+func (c clock) read(trueTime time.Duration) time.Duration {
+	return c.offset + time.Duration(float64(trueTime)*c.rate)
 }
 
 func chooseClock(choose chooser) clock {
@@ -44,19 +44,19 @@
 type simulatedPrimary struct {
 	clock   clock
 	grantor *Grantor
-	// contact is the newest proof of leadership in real time; it stops at the election
+	// quorumContact is the newest proof of leadership in real time; it stops at the election
 	// of the next primary, of which this one may not know.
-	contact time.Duration
-	known   bool
+	quorumContact      time.Duration
+	quorumContactKnown bool
 }
 
 type simulatedHolder struct {
-	clock       clock
-	holder      *Holder
-	name        string
-	incarnation int
-	copies      []uint32 // serials held
-	active      uint32
+	clock           clock
+	holder          *Holder
+	name            string
+	incarnation     int
+	receivedSerials []uint32 // serials held
+	activeSerial    uint32
 }
 
 type renewal struct {
@@ -78,7 +78,7 @@
 type simulation struct {
 	choose    chooser
 	terms     Config
-	real      time.Duration
+	trueTime  time.Duration
 	serial    uint32 // newest committed
 	primaries []*simulatedPrimary
 	holders   []*simulatedHolder
@@ -132,7 +132,7 @@
 			s.notify()
 		}
 	case 3, 4:
-		s.real += time.Duration(1+s.choose(s.longestPause())) * time.Millisecond
+		s.trueTime += time.Duration(1+s.choose(s.maxPauseMilliseconds())) * time.Millisecond
 	case 5:
 		if s.choose(12) == 0 {
 			s.restart(s.choose(len(s.holders)))
@@ -149,16 +149,16 @@
 	return s.check()
 }
 
-// longestPause is short mostly, so that leases are kept up, and sometimes long.
-func (s *simulation) longestPause() int {
+// maxPauseMilliseconds is short mostly, so that leases are kept up, and sometimes long.
+func (s *simulation) maxPauseMilliseconds() int {
 	if s.choose(5) == 0 {
 		return 900
 	}
 	return 120
 }
 
-// anyOf picks one of n messages in flight, a newer one more often.
-func (s *simulation) anyOf(n int) int {
+// pickInFlight picks one of n messages in flight, a newer one more often.
+func (s *simulation) pickInFlight(n int) int {
 	if s.choose(3) > 0 {
 		return n - 1 - s.choose(min(n, 3))
 	}
@@ -176,7 +176,7 @@
 func (s *simulation) elect() {
 	primary := &simulatedPrimary{clock: chooseClock(s.choose)}
 	term := uint64(len(s.primaries) + 1)
-	primary.grantor = NewGrantor(s.terms, term, primary.clock.read(s.real), s.serial)
+	primary.grantor = NewGrantor(s.terms, term, primary.clock.read(s.trueTime), s.serial)
 	if s.defect != nil {
 		s.defect(primary.grantor)
 	}
@@ -189,13 +189,13 @@
 	for name, incarnation := range s.recorded {
 		expected = append(expected, HolderID{Holder: name, Incarnation: incarnation})
 	}
-	primary.grantor.ExpectReclaims(primary.clock.read(s.real), expected)
+	primary.grantor.ExpectReclaims(primary.clock.read(s.trueTime), expected)
 }
 
-// mayLease keeps the rule that a lease is granted only to a holder that the
+// mayHoldLease keeps the rule that a lease is granted only to a holder that the
 // registry names. The newest primary alone can write there. It takes a new
 // incarnation only from one that knows its term, and none that it saw replaced.
-func (s *simulation) mayLease(index int, request Request) bool {
+func (s *simulation) mayHoldLease(index int, request Request) bool {
 	held, known := s.recorded[request.Holder]
 	if s.forgetful || known && held == request.Incarnation {
 		return true
@@ -209,22 +209,22 @@
 	return false
 }
 
-// refreshContact lets a primary learn that a majority answered a heartbeat: a
+// refreshQuorumContact lets a primary learn that a majority answered a heartbeat: a
 // moment that is not after now, and that only the newest primary can have.
-func (s *simulation) refreshContact(index int) (time.Duration, bool) {
+func (s *simulation) refreshQuorumContact(index int) (time.Duration, bool) {
 	primary := s.primaries[index]
 	if index == len(s.primaries)-1 && s.choose(4) > 0 {
 		lag := time.Duration(s.choose(300)) * time.Millisecond
-		elected := primary.grantor.windowEnd - s.terms.GracePeriod()
-		contact := primary.clock.read(s.real) - lag
-		if contact >= elected && contact > primary.contact {
-			primary.contact, primary.known = contact, true
+		elected := primary.grantor.gracePeriodEnd - s.terms.GracePeriod()
+		contact := primary.clock.read(s.trueTime) - lag
+		if contact >= elected && contact > primary.quorumContact {
+			primary.quorumContact, primary.quorumContactKnown = contact, true
 		}
 	}
 	if s.blind {
-		return primary.clock.read(s.real), true
+		return primary.clock.read(s.trueTime), true
 	}
-	return primary.contact, primary.known
+	return primary.quorumContact, primary.quorumContactKnown
 }
 
 func (s *simulation) restart(index int) {
@@ -239,15 +239,15 @@
 
 func (s *simulation) sendRenewal(index int) {
 	h := s.holders[index]
-	now := h.clock.read(s.real)
+	now := h.clock.read(s.trueTime)
 	request := Request{
 		Holder:       h.name,
 		Incarnation:  fmt.Sprint(h.incarnation),
-		ActiveSerial: h.active,
+		ActiveSerial: h.activeSerial,
 		LeaseValid:   h.holder.Valid(now),
 		Term:         h.holder.Term(),
 	}
-	for _, serial := range h.copies {
+	for _, serial := range h.receivedSerials {
 		request.ReceivedSerial = newerSerial(request.ReceivedSerial, serial)
 	}
 	if s.choose(40) == 0 {
@@ -268,7 +268,7 @@
 	if len(s.renewals) == 0 {
 		return
 	}
-	index := s.anyOf(len(s.renewals))
+	index := s.pickInFlight(len(s.renewals))
 	message := s.renewals[index]
 	if s.choose(5) > 0 { // else it stays to be received again
 		s.renewals = append(s.renewals[:index], s.renewals[index+1:]...)
@@ -277,13 +277,13 @@
 		return // lost
 	}
 	primary := s.primaries[message.primary]
-	contact, known := s.refreshContact(message.primary)
-	now := primary.clock.read(s.real)
+	contact, known := s.refreshQuorumContact(message.primary)
+	now := primary.clock.read(s.trueTime)
 	decision := primary.grantor.Renew(now, contact, known, message.request)
 	if !decision.Authoritative {
 		decision.ActivationSerial = 0
 	}
-	if !s.mayLease(message.primary, message.request) {
+	if !s.mayHoldLease(message.primary, message.request) {
 		decision.LeaseDuration = 0
 	}
 	var incarnation int
@@ -298,7 +298,7 @@
 	if len(s.grants) == 0 {
 		return
 	}
-	index := s.anyOf(len(s.grants))
+	index := s.pickInFlight(len(s.grants))
 	message := s.grants[index]
 	if s.choose(5) > 0 {
 		s.grants = append(s.grants[:index], s.grants[index+1:]...)
@@ -307,7 +307,7 @@
 	if s.choose(8) == 0 || h.incarnation != message.incarnation {
 		return
 	}
-	now := h.clock.read(s.real)
+	now := h.clock.read(s.trueTime)
 	length := message.decision.LeaseDuration
 	if !message.decision.Authoritative {
 		length = 0
@@ -321,7 +321,7 @@
 	if length > 0 {
 		s.granted++
 	}
-	h.copies = append(h.copies, message.transfer)
+	h.receivedSerials = append(h.receivedSerials, message.transfer)
 	h.activateUpTo(message.decision.ActivationSerial)
 }
 
@@ -330,12 +330,12 @@
 func (s *simulation) hint() {
 	primary := s.primaries[s.choose(len(s.primaries))]
 	h := s.holders[s.choose(len(s.holders))]
-	if h.holder.Observe(primary.grantor.Term(), "cluster") != nil || len(h.copies) > 0 {
+	if h.holder.Observe(primary.grantor.Term(), "cluster") != nil || len(h.receivedSerials) > 0 {
 		return
 	}
 	age := uint32(s.choose(4))
 	if age < s.serial {
-		h.copies = append(h.copies, s.serial-age)
+		h.receivedSerials = append(h.receivedSerials, s.serial-age)
 	}
 }
 
@@ -350,9 +350,9 @@
 }
 
 func (h *simulatedHolder) activateUpTo(activate uint32) {
-	for _, serial := range h.copies {
+	for _, serial := range h.receivedSerials {
 		if !serialLess(activate, serial) && activate != 0 {
-			h.active = newerSerial(h.active, serial)
+			h.activeSerial = newerSerial(h.activeSerial, serial)
 		}
 	}
 }
@@ -360,7 +360,7 @@
 // report lets a primary, leading or not, say what is in force.
 func (s *simulation) report(index int) {
 	primary := s.primaries[index]
-	contact, known := s.refreshContact(index)
+	contact, known := s.refreshQuorumContact(index)
 	if known {
 		primary.grantor.SetQuorumContact(contact)
 	}
@@ -368,7 +368,7 @@
 	if sure && serialLess(s.inForce, serial) {
 		s.inForce = serial
 		s.advances++
-		if primary.grantor.contact < primary.grantor.windowEnd {
+		if primary.grantor.quorumContact < primary.grantor.gracePeriodEnd {
 			s.early++
 		}
 	}
@@ -376,8 +376,8 @@
 
 func (s *simulation) check() error {
 	for _, h := range s.holders {
-		if h.holder.Valid(h.clock.read(s.real)) && serialLess(h.active, s.inForce) {
-			return fmt.Errorf("%s holds a valid lease at serial %d after %d was reported in force", h.name, h.active, s.inForce)
+		if h.holder.Valid(h.clock.read(s.trueTime)) && serialLess(h.activeSerial, s.inForce) {
+			return fmt.Errorf("%s holds a valid lease at serial %d after %d was reported in force", h.name, h.activeSerial, s.inForce)
 		}
 	}
 	return nil
@@ -441,10 +441,10 @@
 func TestSimulationFindsPlantedDefects(t *testing.T) {
 	defects := map[string]func(*simulation){
 		"a new primary does not wait out older leases": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.windowEnd = g.windowEnd - s.terms.GracePeriod() }
+			s.defect = func(g *Grantor) { g.gracePeriodEnd = g.gracePeriodEnd - s.terms.GracePeriod() }
 		},
 		"the margin does not cover the drift": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.terms.ClockDriftMargin = -100 * time.Millisecond }
+			s.defect = func(g *Grantor) { g.config.ClockDriftMargin = -100 * time.Millisecond }
 		},
 		"leadership is assumed without proof": func(s *simulation) {
 			s.blind = true
@@ -453,7 +453,7 @@
 			s.forgetful = true
 		},
 		"holders that are behind get leases": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.floor = 0 }
+			s.defect = func(g *Grantor) { g.electionSerial = 0 }
 		},
 	}
 	const seeds = 4000
