--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -47,6 +47,7 @@
 
 // tick passes time at every member and lets each do what follows from it.
 func (g *benchmarkGroup) tick(step time.Duration) {
+	g.b.Helper()
 	g.now += step
 	for _, node := range g.nodes {
 		node.Tick(g.now)
@@ -56,6 +57,7 @@
 
 // deliver works until no member has anything left to do.
 func (g *benchmarkGroup) deliver() {
+	g.b.Helper()
 	for idle := false; !idle; {
 		idle = true
 		for _, node := range g.nodes {
@@ -88,6 +90,16 @@
 	return nil
 }
 
+// compact drops every member's log, which would grow without end otherwise.
+func (g *benchmarkGroup) compact() {
+	g.b.Helper()
+	for _, node := range g.nodes {
+		if _, err := node.Compact(node.Status().Applied, nil, 0); err != nil {
+			g.b.Fatal(err)
+		}
+	}
+}
+
 // BenchmarkPropose is one entry of 512 bytes from its proposal to its commit at
 // every member.
 func BenchmarkPropose(b *testing.B) {
@@ -103,13 +115,8 @@
 					b.Fatal(err)
 				}
 				g.deliver()
-				if index%benchmarkSnapshotInterval != 0 {
-					continue
-				}
-				for _, node := range g.nodes {
-					if _, err := node.Compact(node.Status().Applied, nil, 0); err != nil {
-						b.Fatal(err)
-					}
+				if index%benchmarkSnapshotInterval == 0 {
+					g.compact()
 				}
 			}
 		})
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -13,17 +13,16 @@
 	testStep      = 10 * time.Millisecond
 )
 
-// cluster runs nodes in virtual time over a network without delay, which drops
-// what block says. Each node's disk is what its Readies asked to persist.
+// cluster runs nodes in virtual time over a network without delay.
 type cluster struct {
 	t       *testing.T
 	now     time.Duration
 	nodes   map[ID]*Node
-	disks   map[ID]*Config
+	disks   map[ID]*Config // what each node's Readies asked to persist
 	applied map[ID][]Entry
-	frozen  map[ID]bool
-	block   func(Message) bool
-	sent    map[MessageKind]int
+	frozen  map[ID]bool         // neither ticked nor reached by messages
+	drop    func(Message) bool  // reports which messages are lost
+	sent    map[MessageKind]int // lost ones included
 }
 
 func membersOf(ids ...ID) Membership {
@@ -38,7 +37,7 @@
 	t.Helper()
 	c := &cluster{
 		t: t, nodes: map[ID]*Node{}, disks: map[ID]*Config{}, applied: map[ID][]Entry{},
-		frozen: map[ID]bool{}, block: func(Message) bool { return false }, sent: map[MessageKind]int{},
+		frozen: map[ID]bool{}, drop: func(Message) bool { return false }, sent: map[MessageKind]int{},
 	}
 	for _, id := range ids {
 		c.add(id, Snapshot{Index: 1, Term: 1, Membership: membersOf(ids...)})
@@ -46,7 +45,19 @@
 	return c
 }
 
+// newSeededCluster is newCluster with election timeouts that depend on the seed.
+func newSeededCluster(t *testing.T, seed uint64, ids ...ID) *cluster {
+	t.Helper()
+	c := newCluster(t, ids...)
+	for _, id := range c.ids() {
+		c.disks[id].Seed = seed
+		c.restart(id)
+	}
+	return c
+}
+
 func (c *cluster) add(id ID, snapshot Snapshot) {
+	c.t.Helper()
 	c.disks[id] = &Config{
 		ID: id, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
 		Seed: 7, HardState: HardState{Term: snapshot.Term}, Snapshot: snapshot, MaxInflight: 8,
@@ -74,8 +85,8 @@
 	return ids
 }
 
-// settle delivers until nothing is left to do.
-func (c *cluster) settle() {
+// deliverAll delivers until nothing is left to do.
+func (c *cluster) deliverAll() {
 	c.t.Helper()
 	for round := 0; ; round++ {
 		if round > 10_000 {
@@ -87,7 +98,7 @@
 				messages = append(messages, c.drive(id)...)
 			}
 		}
-		if len(messages) == 0 && !c.busy() {
+		if len(messages) == 0 && !c.hasWork() {
 			return
 		}
 		for _, message := range messages {
@@ -96,7 +107,7 @@
 	}
 }
 
-func (c *cluster) busy() bool {
+func (c *cluster) hasWork() bool {
 	for _, id := range c.ids() {
 		if !c.frozen[id] && c.nodes[id].HasReady() {
 			return true
@@ -117,8 +128,8 @@
 	}
 	if len(ready.Entries) > 0 {
 		first := ready.Entries[0].Index
-		kept := slices.DeleteFunc(slices.Clone(disk.Entries), func(entry Entry) bool { return entry.Index >= first })
-		disk.Entries = append(kept, ready.Entries...)
+		disk.Entries = slices.DeleteFunc(slices.Clone(disk.Entries), func(entry Entry) bool { return entry.Index >= first })
+		disk.Entries = append(disk.Entries, ready.Entries...)
 	}
 	c.applied[id] = append(c.applied[id], ready.CommittedEntries...)
 	node.Advance(ready)
@@ -128,7 +139,7 @@
 func (c *cluster) deliver(message Message) {
 	c.sent[message.Kind]++
 	node := c.nodes[message.To]
-	if node == nil || c.frozen[message.To] || c.block(message) {
+	if node == nil || c.frozen[message.To] || c.drop(message) {
 		return
 	}
 	if err := node.Step(c.now, message); err != nil {
@@ -145,7 +156,7 @@
 				c.nodes[id].Tick(c.now)
 			}
 		}
-		c.settle()
+		c.deliverAll()
 	}
 }
 
@@ -178,8 +189,8 @@
 	return index
 }
 
-// texts lists what a node's state machine was given.
-func (c *cluster) texts(id ID) []string {
+// appliedTexts lists what a node's state machine was given.
+func (c *cluster) appliedTexts(id ID) []string {
 	var texts []string
 	for _, entry := range c.applied[id] {
 		if entry.Kind == EntryNormal {
@@ -198,13 +209,21 @@
 	return nil
 }
 
-// cut blocks the messages from and to a node.
-func (c *cluster) cut(id ID) {
-	c.block = func(message Message) bool { return message.From == id || message.To == id }
+// isolate drops the messages from and to a node.
+func (c *cluster) isolate(id ID) {
+	c.drop = func(message Message) bool { return message.From == id || message.To == id }
+}
+
+// partition drops the messages between two sets of nodes.
+func (c *cluster) partition(left, right []ID) {
+	c.drop = func(message Message) bool {
+		return slices.Contains(left, message.From) && slices.Contains(right, message.To) ||
+			slices.Contains(right, message.From) && slices.Contains(left, message.To)
+	}
 }
 
 func (c *cluster) heal() {
-	c.block = func(Message) bool { return false }
+	c.drop = func(Message) bool { return false }
 }
 
 func numbered(prefix string, count int) []string {
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -11,7 +11,7 @@
 	"github.com/deckpulley/deckpulley/internal/defect"
 )
 
-func TestReplicationInOrderWithPipelining(t *testing.T) {
+func TestReplicationIsOrderedAndBatched(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	want := numbered("update", 100)
@@ -19,9 +19,9 @@
 		c.propose(leader, text)
 	}
 	appends := c.sent[MessageAppend]
-	c.settle()
+	c.deliverAll()
 	for _, id := range c.ids() {
-		if difference := cmp.Diff(want, c.texts(id)); difference != "" {
+		if difference := cmp.Diff(want, c.appliedTexts(id)); difference != "" {
 			t.Errorf("%s: %s", id, difference)
 		}
 	}
@@ -34,7 +34,7 @@
 	c := newCluster(t, "a")
 	leader := c.leader()
 	index := c.propose(leader, "alone")
-	c.settle()
+	c.deliverAll()
 	if leader.Status().Applied != index {
 		t.Fatalf("applied %d, want %d", leader.Status().Applied, index)
 	}
@@ -59,15 +59,15 @@
 	t.Helper()
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader().config.ID
-	c.block = func(message Message) bool { return message.Kind == MessageAppendReply }
+	c.drop = func(message Message) bool { return message.Kind == MessageAppendReply }
 	index = c.propose(c.nodes[old], "of an older term")
-	c.settle()
+	c.deliverAll()
 	c.restart(old)
-	c.block = func(message Message) bool { return message.Kind == MessageAppend }
+	c.drop = func(message Message) bool { return message.Kind == MessageAppend }
 	node := c.nodes[old]
 	node.InjectDefects(planted)
 	node.campaign(true)
-	c.settle()
+	c.deliverAll()
 	if node.role != Leader {
 		t.Fatal("the member with the longest log lost the election")
 	}
@@ -78,8 +78,8 @@
 		if !c.nodes[id].log.matches(index, node.term-1) {
 			t.Fatalf("%s does not hold the entry", id)
 		}
-		answer := Message{Kind: MessageAppendReply, From: id, To: old, Term: node.term, Index: index}
-		if err := node.Step(c.now, answer); err != nil {
+		reply := Message{Kind: MessageAppendReply, From: id, To: old, Term: node.term, Index: index}
+		if err := node.Step(c.now, reply); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -92,12 +92,12 @@
 	return commit, index
 }
 
-func TestReturningMemberDoesNotDisturb(t *testing.T) {
+func TestReturningMemberDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	term := leader.term
 	away := c.other(leader.config.ID)
-	c.cut(away.config.ID)
+	c.isolate(away.config.ID)
 	c.run(10 * time.Second)
 	c.heal()
 	c.run(2 * time.Second)
@@ -106,25 +106,25 @@
 	}
 }
 
-func TestOneWayCutDoesNotElect(t *testing.T) {
+func TestOneWayPartitionDoesNotElect(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	term := leader.term
-	deaf := c.other(leader.config.ID).config.ID
-	c.block = func(message Message) bool { return message.To == deaf && message.From == leader.config.ID }
+	follower := c.other(leader.config.ID).config.ID
+	c.drop = func(message Message) bool { return message.To == follower && message.From == leader.config.ID }
 	c.run(10 * time.Second)
 	if leader.role != Leader || leader.term != term {
-		t.Fatalf("a deaf member unseated the leader: %v in term %d", leader.role, leader.term)
+		t.Fatalf("a follower without heartbeats deposed the leader: %v in term %d", leader.role, leader.term)
 	}
 }
 
-// TestMuteLeaderStepsDown cuts a leader's outgoing side: the others replace it,
-// and it steps down by itself within an election timeout.
-func TestMuteLeaderStepsDown(t *testing.T) {
+// TestLeaderThatCannotSendStepsDown drops all messages from a leader: the others
+// replace it, and it steps down by itself within an election timeout.
+func TestLeaderThatCannotSendStepsDown(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
 	term := old.term
-	c.block = func(message Message) bool { return message.From == old.config.ID }
+	c.drop = func(message Message) bool { return message.From == old.config.ID }
 	c.run(testElection + 2*testHeartbeat)
 	if old.role == Leader {
 		t.Fatal("a leader without a majority still leads")
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestFrozenLeader freezes a leader, elects a successor, and hands the old one
-// answers that waited in its buffers: none makes its contact fresh again.
-func TestFrozenLeader(t *testing.T) {
+// TestFrozenLeaderGainsNoQuorumContact freezes a leader, elects a successor, and
+// delivers replies that waited in the old one's buffers: none renews its quorum contact.
+func TestFrozenLeaderGainsNoQuorumContact(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
 	var buffered []Message
@@ -178,53 +178,53 @@
 	}
 }
 
-// TestHintSkipsWholeTerms leaves a deposed leader with a long tail that nobody
-// else has, and counts the rejections until the logs meet.
-func TestHintSkipsWholeTerms(t *testing.T) {
+// TestRejectHintSkipsTerms leaves a deposed leader with a long tail of uncommitted
+// entries, and counts the rejections until the logs match.
+func TestRejectHintSkipsTerms(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
-	c.cut(old.config.ID)
+	c.isolate(old.config.ID)
 	for _, text := range numbered("lost", 200) {
 		c.propose(old, text)
-		c.settle()
+		c.deliverAll()
 	}
 	c.run(3 * time.Second)
 	successor := c.leader()
 	want := numbered("majority", 300)
 	for _, text := range want {
 		c.propose(successor, text)
-		c.settle()
+		c.deliverAll()
 	}
 	third := c.other(old.config.ID, successor.config.ID)
 	if err := successor.TransferLeadership(c.now, third.config.ID); err != nil {
 		t.Fatal(err)
 	}
-	c.settle()
+	c.deliverAll()
 	rejections := 0
-	c.block = func(message Message) bool {
+	c.drop = func(message Message) bool {
 		if message.Kind == MessageAppendReply && message.Reject {
 			rejections++
 		}
 		return false
 	}
 	c.run(2 * time.Second)
-	if difference := cmp.Diff(want, c.texts(old.config.ID)); difference != "" {
+	if difference := cmp.Diff(want, c.appliedTexts(old.config.ID)); difference != "" {
 		t.Fatal(difference)
 	}
 	if rejections == 0 || rejections > 6 {
-		t.Fatalf("%d rejections until the logs met", rejections)
+		t.Fatalf("%d rejections until the logs matched", rejections)
 	}
 }
 
-func TestLaggingMemberGetsSnapshotOnce(t *testing.T) {
+func TestLaggingMemberIsSentSnapshotOnce(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	away := c.other(leader.config.ID).config.ID
-	c.cut(away)
+	c.isolate(away)
 	var last uint64
 	for _, text := range numbered("update", 50) {
 		last = c.propose(leader, text)
-		c.settle()
+		c.deliverAll()
 	}
 	snapshot, err := leader.Compact(last, []byte("state"), 5)
 	if err != nil {
@@ -236,7 +236,7 @@
 	if _, err := leader.Compact(last, nil, 5); !errors.Is(err, ErrCompacted) {
 		t.Fatalf("compacting twice: %v", err)
 	}
-	c.block = func(message Message) bool { return message.To == away && message.Kind == MessageSnapshot }
+	c.drop = func(message Message) bool { return message.To == away && message.Kind == MessageSnapshot }
 	c.run(3 * time.Second)
 	if sent := c.sent[MessageSnapshot]; sent > 3 {
 		t.Fatalf("a lost snapshot was sent %d times in 3 s", sent)
@@ -247,8 +247,8 @@
 		t.Fatalf("applied %d, want %d", got, last)
 	}
 	c.propose(leader, "after")
-	c.settle()
-	if difference := cmp.Diff([]string{"after"}, c.texts(away)); difference != "" {
+	c.deliverAll()
+	if difference := cmp.Diff([]string{"after"}, c.appliedTexts(away)); difference != "" {
 		t.Fatal(difference)
 	}
 	c.restart(away)
@@ -258,51 +258,52 @@
 	}
 }
 
-func TestMembershipRules(t *testing.T) {
+func TestProposeMembershipErrors(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	follower := c.other(leader.config.ID)
 	members := leader.Status().Membership
 	learner := Member{ID: "d", Name: "node-d", Learner: true}
-	plus := Membership{Members: append(slices.Clone(members.Members), learner)}
-	twice := Membership{Members: append(slices.Clone(plus.Members), Member{ID: "e", Learner: true})}
-	swapped := Membership{Members: append(slices.Clone(members.Members[1:]), learner)}
-	doubled := Membership{Members: append(slices.Clone(members.Members), members.Members[0])}
-	cases := []struct {
-		node *Node
-		to   Membership
-		want error
+	oneAdded := Membership{Members: append(slices.Clone(members.Members), learner)}
+	twoAdded := Membership{Members: append(slices.Clone(oneAdded.Members), Member{ID: "e", Learner: true})}
+	replaced := Membership{Members: append(slices.Clone(members.Members[1:]), learner)}
+	duplicate := Membership{Members: append(slices.Clone(members.Members), members.Members[0])}
+	steps := []struct {
+		name       string
+		node       *Node
+		membership Membership
+		want       error
 	}{
-		{follower, plus, ErrNotLeader},
-		{leader, twice, ErrMembershipMultipleChanges},
-		{leader, swapped, ErrMembershipMultipleChanges},
-		{leader, doubled, ErrMembershipInvalid},
-		{leader, Membership{}, ErrMembershipInvalid},
-		{leader, plus, nil},
-		{leader, twice, ErrMembershipPending},
-	}
-	for position, test := range cases {
-		if _, _, err := test.node.ProposeMembership(c.now, test.to); !errors.Is(err, test.want) {
-			t.Errorf("case %d: %v, want %v", position, err, test.want)
+		{"at a follower", follower, oneAdded, ErrNotLeader},
+		{"two members added", leader, twoAdded, ErrMembershipMultipleChanges},
+		{"one member replaced", leader, replaced, ErrMembershipMultipleChanges},
+		{"duplicate member", leader, duplicate, ErrMembershipInvalid},
+		{"no members", leader, Membership{}, ErrMembershipInvalid},
+		{"one member added", leader, oneAdded, nil},
+		{"another one while that is pending", leader, twoAdded, ErrMembershipPending},
+	}
+	for _, step := range steps {
+		if _, _, err := step.node.ProposeMembership(c.now, step.membership); !errors.Is(err, step.want) {
+			t.Errorf("%s: %v, want %v", step.name, err, step.want)
 		}
 	}
 	if !leader.membership().contains("d") {
-		t.Error("a change must hold as soon as it is appended")
+		t.Error("a change must be in effect as soon as it is appended")
 	}
 	fresh := newCluster(t, "a", "b", "c")
-	fresh.block = func(message Message) bool { return message.Kind == MessageAppendReply }
+	fresh.drop = func(message Message) bool { return message.Kind == MessageAppendReply }
 	for fresh.nodes["a"].role != Leader {
 		fresh.nodes["a"].campaign(true)
-		fresh.settle()
+		fresh.deliverAll()
 	}
-	if _, _, err := fresh.nodes["a"].ProposeMembership(fresh.now, plus); !errors.Is(err, ErrMembershipPending) {
+	if _, _, err := fresh.nodes["a"].ProposeMembership(fresh.now, oneAdded); !errors.Is(err, ErrMembershipPending) {
 		t.Errorf("a leader that has committed nothing of its term proposed a change: %v", err)
 	}
 }
 
-// TestReplacementOfEveryMember replaces all three voters one after another, the
-// leader included, and reads everything back from the newcomers.
-func TestReplacementOfEveryMember(t *testing.T) {
+// TestReplaceEveryMember replaces all three voters one after another, the leader
+// included, and reads every entry back from the new ones.
+func TestReplaceEveryMember(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	var want []string
 	for step, pair := range [][2]ID{{"a", "d"}, {"b", "e"}, {"c", "f"}} {
@@ -310,7 +311,7 @@
 		text := numbered("update", 3)[step]
 		want = append(want, text)
 		c.propose(leader, text)
-		c.settle()
+		c.deliverAll()
 		newcomer := Member{ID: pair[1], Name: "node-" + string(pair[1]), Learner: true}
 		c.add(pair[1], Snapshot{})
 		c.change(func(m Membership) Membership {
@@ -335,7 +336,7 @@
 	}
 	c.run(time.Second)
 	for _, id := range []ID{"d", "e", "f"} {
-		if got := c.texts(id); !slices.Equal(got, want) {
+		if got := c.appliedTexts(id); !slices.Equal(got, want) {
 			t.Errorf("%s holds %v, want %v", id, got, want)
 		}
 	}
@@ -354,7 +355,7 @@
 	c.run(time.Second)
 }
 
-func TestLearnerNeitherVotesNorCounts(t *testing.T) {
+func TestLearnerIsNotCountedForQuorum(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	c.add("d", Snapshot{})
 	c.change(func(m Membership) Membership {
@@ -365,7 +366,7 @@
 	voter := c.other(leader.config.ID, "d").config.ID
 	c.frozen[voter] = true
 	index := c.propose(leader, "needs the other voter")
-	c.settle()
+	c.deliverAll()
 	if leader.commit >= index || c.nodes["d"].log.lastIndex() < index {
 		t.Fatalf("commit %d, learner at %d, entry %d", leader.commit, c.nodes["d"].log.lastIndex(), index)
 	}
@@ -376,12 +377,12 @@
 	}
 }
 
-func TestTransferIsQuickAndWaivesStickiness(t *testing.T) {
+func TestLeadershipTransferOverridesCurrentLeader(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
 	next := c.other(old.config.ID)
 	if err := old.TransferLeadership(c.now, "nobody"); !errors.Is(err, ErrNotVoter) {
-		t.Fatalf("transfer to a stranger: %v", err)
+		t.Fatalf("transfer to a node outside of the group: %v", err)
 	}
 	if err := old.TransferLeadership(c.now, next.config.ID); err != nil {
 		t.Fatal(err)
@@ -389,7 +390,7 @@
 	if _, _, err := old.Propose(c.now, nil); !errors.Is(err, ErrLeadershipTransfer) {
 		t.Fatalf("proposal during a transfer: %v", err)
 	}
-	c.settle()
+	c.deliverAll()
 	if next.role != Leader || old.role != Follower {
 		t.Fatalf("successor is %v, predecessor %v", next.role, old.role)
 	}
@@ -398,7 +399,7 @@
 	}
 }
 
-func TestTransferThatFailsIsGivenUp(t *testing.T) {
+func TestLeadershipTransferTimesOut(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	target := c.other(leader.config.ID).config.ID
@@ -408,13 +409,13 @@
 	}
 	c.run(testElection + testHeartbeat)
 	index := c.propose(leader, "after the transfer was given up")
-	c.settle()
+	c.deliverAll()
 	if leader.commit != index {
 		t.Fatalf("commit %d, want %d", leader.commit, index)
 	}
 }
 
-func TestMessageForAnotherIdentityIsRefused(t *testing.T) {
+func TestInvalidMessageIsRejected(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	err := c.nodes["a"].Step(0, Message{Kind: MessageVote, From: "b", To: "wiped", Term: 9})
 	if !errors.Is(err, ErrMisaddressed) || c.nodes["a"].term != 1 {
@@ -434,9 +435,9 @@
 	return entries
 }
 
-// TestSnapshotWithoutHardState restarts a member whose power went between the
-// snapshot and the hard state: its term must not lie below its log's.
-func TestSnapshotWithoutHardState(t *testing.T) {
+// TestRestoreSnapshotWithoutHardState restarts a member that lost power between the
+// writes of the snapshot and the hard state: its term must not be below its log's.
+func TestRestoreSnapshotWithoutHardState(t *testing.T) {
 	node, err := New(Config{
 		ID:        "a",
 		HardState: HardState{Term: 2, Vote: "b", Commit: 3},
--- a/consensus/election_test.go
+++ b/consensus/election_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// TestVotersThatStartLaterAreAskedAgain: members that come back together after a
-// loss of power miss the first question of the earliest; it must not cost another
-// election timeout.
+// TestVotersThatStartLaterAreAskedAgain: of members that restart together after a loss
+// of power, later ones miss the first vote request of the earliest; that must not cost
+// another election timeout.
 func TestVotersThatStartLaterAreAskedAgain(t *testing.T) {
-	questions := map[string]MessageKind{"before the election": MessagePreVote, "in the election": MessageVote}
-	for name, lost := range questions {
+	requests := map[string]MessageKind{"pre-vote": MessagePreVote, "vote": MessageVote}
+	for name, lost := range requests {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, "a", "b", "c")
 			dropped := 0
-			c.block = func(message Message) bool {
+			c.drop = func(message Message) bool {
 				if message.Kind == lost {
 					dropped++
 					return true
@@ -21,7 +21,7 @@
 			for dropped == 0 {
 				c.run(testStep)
 			}
-			c.block = func(Message) bool { return false }
+			c.drop = func(Message) bool { return false }
 			c.run(2 * testHeartbeat)
 			for _, id := range c.ids() {
 				if c.nodes[id].role == Leader {
@@ -33,18 +33,18 @@
 	}
 }
 
-// TestAskedAgainIsOneVote: a voter that answered is not asked again, and one that
-// is asked twice gives the same vote.
-func TestAskedAgainIsOneVote(t *testing.T) {
+// TestRepeatedVoteRequestGetsTheSameVote loses the vote replies, so that the voter is
+// asked again: it must give the same vote.
+func TestRepeatedVoteRequestGetsTheSameVote(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.block = func(message Message) bool {
+	c.drop = func(message Message) bool {
 		return message.To == "c" || message.From == "c" || message.Kind == MessageVoteReply
 	}
-	asked := map[ID]int{}
-	inner := c.block
-	c.block = func(message Message) bool {
+	requests := map[ID]int{}
+	inner := c.drop
+	c.drop = func(message Message) bool {
 		if message.Kind == MessageVote {
-			asked[message.To]++
+			requests[message.To]++
 		}
 		return inner(message)
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("votes %v in term %d: the candidate and its voter must agree", votes, term)
 		}
 	}
-	if len(asked) == 0 {
-		t.Error("nobody was asked")
+	if len(requests) == 0 {
+		t.Error("no vote was requested")
 	}
 }
--- a/consensus/golden_encoding_test.go
+++ b/consensus/golden_encoding_test.go
@@ -120,7 +120,9 @@
 
 	covered := map[MessageKind]bool{}
 	for _, c := range cases {
-		covered[c.value.(Message).Kind] = true
+		if m, ok := c.value.(Message); ok {
+			covered[m.Kind] = true
+		}
 	}
 	for kind := MessagePreVote; kind <= MessageTimeoutNow; kind++ {
 		if !covered[kind] {
@@ -175,24 +177,29 @@
 			if !found {
 				t.Fatalf("%s has no value of this name", path)
 			}
-			decoded, err := c.decode(want)
-			if err != nil {
-				t.Fatalf("decoding %x: %v", want, err)
-			}
-			if difference := cmp.Diff(c.value, decoded); difference != "" {
-				t.Errorf("decoded value (-want +got):\n%s", difference)
-			}
-			encoded, err := cbor.Marshal(c.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(encoded, want) {
-				t.Errorf("encoded as %x, want %x", encoded, want)
-			}
+			c.check(t, want)
 		})
 	}
 }
 
+func (c goldenCase) check(t *testing.T, want []byte) {
+	t.Helper()
+	decoded, err := c.decode(want)
+	if err != nil {
+		t.Fatalf("decoding %x: %v", want, err)
+	}
+	if difference := cmp.Diff(c.value, decoded); difference != "" {
+		t.Errorf("decoded value (-want +got):\n%s", difference)
+	}
+	encoded, err := cbor.Marshal(c.value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("encoded as %x, want %x", encoded, want)
+	}
+}
+
 // readGolden reads lines of a name, a colon and the encoded value in hexadecimal.
 func readGolden(t *testing.T, path string) map[string][]byte {
 	t.Helper()
--- a/consensus/restart_test.go
+++ b/consensus/restart_test.go
@@ -7,47 +7,46 @@
 	"time"
 )
 
-// restartGroup is a group of five members in three regions that come back after a
-// loss of all power, each at a moment of its own. Messages take time, and so do the
-// disk and the first connection between two members, which is lost if the other one
-// has no power yet.
+// restartGroup is a group of five members in three regions that restart after a loss of
+// all power, each at a random time. Messages take time, and so do a sync and the first
+// connection between two members, which fails if the other one is not started yet.
 type restartGroup struct {
 	*cluster
-	random    *rand.Rand
-	starts    map[ID]time.Duration
-	lastTick  map[ID]time.Duration
-	busyUntil map[ID]time.Duration // its disk
-	links     map[[2]ID]*restartLink
-	underWay  []flight
+	random        *rand.Rand
+	startAt       map[ID]time.Duration
+	lastTick      map[ID]time.Duration
+	diskBusyUntil map[ID]time.Duration // with a sync
+	links         map[[2]ID]*restartLink
+	inFlight      []messageInFlight
 }
 
-// restartLink is what one member has to another one.
+// restartLink is the connection from one member to another one.
 type restartLink struct {
-	upAt    time.Duration // when its connection is made, 0 for none
-	blocked time.Duration // until when a dialling that fails takes the messages with it
-	dialing time.Duration // how long the next dialling may take
+	connectedAt  time.Duration // 0 if there is no connection
+	dialingUntil time.Duration // until when a failing dial loses messages
+	dialTimeout  time.Duration // of the next dial
 }
 
-// flight is one message on its way.
-type flight struct {
-	at      time.Duration
+// messageInFlight is one message and when it arrives.
+type messageInFlight struct {
+	arrival time.Duration
 	message Message
 }
 
 const (
-	restartStep      = time.Millisecond
-	restartTick      = 25 * time.Millisecond
-	restartSync      = 5 * time.Millisecond
-	restartStartup   = 100 * time.Millisecond
-	restartElection  = testElection
-	restartHeartbeat = testHeartbeat
-	restartDialling  = 100 * time.Millisecond
-	longestDialling  = 400 * time.Millisecond
-	connecting       = 3                     // round trips of a connection and its handshake
-	restartJitter    = 30 * time.Millisecond // of a busy processor
-	betweenRegions   = 20 * time.Millisecond
-	betweenZones     = 1400 * time.Microsecond
-	startsWithin     = 450 * time.Millisecond
+	restartStep        = time.Millisecond
+	restartTick        = 25 * time.Millisecond
+	restartSync        = 5 * time.Millisecond
+	restartStartup     = 100 * time.Millisecond
+	restartElection    = testElection
+	restartHeartbeat   = testHeartbeat
+	restartDialTimeout = 100 * time.Millisecond
+	maxDialTimeout     = 400 * time.Millisecond
+	connectRoundTrips  = 3                     // round trips of a connection and its handshake
+	restartJitter      = 30 * time.Millisecond // of a busy processor
+	betweenRegions     = 20 * time.Millisecond
+	betweenZones       = 1400 * time.Microsecond
+	startSpread        = 450 * time.Millisecond
 )
 
 var restartRegions = map[ID]string{"a": "west", "b": "west", "c": "middle", "d": "middle", "e": "east"}
@@ -58,52 +57,57 @@
 	g := &restartGroup{
 		cluster:  newCluster(t, "a", "b", "c", "d", "e"),
 		random:   random,
-		starts:   map[ID]time.Duration{},
+		startAt:  map[ID]time.Duration{},
 		links:    map[[2]ID]*restartLink{},
-		lastTick: map[ID]time.Duration{}, busyUntil: map[ID]time.Duration{},
+		lastTick: map[ID]time.Duration{}, diskBusyUntil: map[ID]time.Duration{},
 	}
 	for _, id := range g.ids() {
 		disk := g.disks[id]
 		disk.ElectionTimeout, disk.HeartbeatInterval = restartElection, restartHeartbeat
 		disk.StartupTimeout = restartStartup
 		disk.Seed = random.Uint64()
-		g.starts[id] = time.Duration(random.Int64N(int64(startsWithin)))
+		g.startAt[id] = time.Duration(random.Int64N(int64(startSpread)))
 		g.frozen[id] = true
 	}
 	return g
 }
 
-// step passes a millisecond.
+// step advances the time by restartStep.
 func (g *restartGroup) step() {
 	g.now += restartStep
 	for _, id := range g.ids() {
-		if g.frozen[id] && g.now >= g.starts[id] {
+		if g.frozen[id] && g.now >= g.startAt[id] {
 			g.frozen[id] = false
 			g.restart(id)
 			g.lastTick[id] = g.now
 		}
 	}
-	var left, due []flight
-	for _, sent := range g.underWay {
-		if sent.at <= g.now {
+	g.deliverDue()
+	for _, id := range g.ids() {
+		if !g.frozen[id] && g.now >= g.diskBusyUntil[id] {
+			g.runMember(id)
+		}
+	}
+}
+
+// deliverDue delivers the messages in flight that arrive now, in the order of sending.
+func (g *restartGroup) deliverDue() {
+	var later, due []messageInFlight
+	for _, sent := range g.inFlight {
+		if sent.arrival <= g.now {
 			due = append(due, sent)
 		} else {
-			left = append(left, sent)
+			later = append(later, sent)
 		}
 	}
-	g.underWay = left
+	g.inFlight = later
 	for _, sent := range due {
 		g.deliver(sent.message)
 	}
-	for _, id := range g.ids() {
-		if !g.frozen[id] && g.now >= g.busyUntil[id] {
-			g.work(id)
-		}
-	}
 }
 
-// work ticks a member when it is time, and sends what it has once that is stored.
-func (g *restartGroup) work(id ID) {
+// runMember ticks a member when that is due, and sends its messages after the sync.
+func (g *restartGroup) runMember(id ID) {
 	if g.now-g.lastTick[id] >= restartTick {
 		g.lastTick[id] = g.now
 		g.nodes[id].Tick(g.now)
@@ -117,17 +121,17 @@
 	sent := g.now
 	if stored != g.disks[id].HardState || entries != len(g.disks[id].Entries) {
 		sent += restartSync
-		g.busyUntil[id] = sent
+		g.diskBusyUntil[id] = sent
 	}
 	for _, message := range messages {
-		if at, carried := g.carry(sent, message); carried {
-			g.underWay = append(g.underWay, flight{at: at, message: message})
+		if arrival, arrives := g.transmit(sent, message); arrives {
+			g.inFlight = append(g.inFlight, messageInFlight{arrival: arrival, message: message})
 		}
 	}
 }
 
-// carry says when a message that is sent arrives, if it does.
-func (g *restartGroup) carry(sent time.Duration, message Message) (at time.Duration, carried bool) {
+// transmit returns when a message arrives, and false if it is lost.
+func (g *restartGroup) transmit(sent time.Duration, message Message) (arrival time.Duration, arrives bool) {
 	delay := betweenRegions
 	if restartRegions[message.From] == restartRegions[message.To] {
 		delay = betweenZones
@@ -135,40 +139,40 @@
 	name := [2]ID{message.From, message.To}
 	link, known := g.links[name]
 	if !known {
-		link = &restartLink{dialing: restartDialling}
+		link = &restartLink{dialTimeout: restartDialTimeout}
 		g.links[name] = link
 	}
 	delay += time.Duration(g.random.Int64N(int64(restartJitter)))
 	switch {
-	case link.upAt > 0:
-		return max(sent, link.upAt) + delay, true
-	case sent < link.blocked:
+	case link.connectedAt > 0:
+		return max(sent, link.connectedAt) + delay, true
+	case sent < link.dialingUntil:
 		return 0, false
-	case sent+delay < g.starts[message.To]:
-		link.blocked = sent + link.dialing
-		link.dialing = min(2*link.dialing, longestDialling)
+	case sent+delay < g.startAt[message.To]:
+		link.dialingUntil = sent + link.dialTimeout
+		link.dialTimeout = min(2*link.dialTimeout, maxDialTimeout)
 		return 0, false
 	default:
-		link.upAt = sent + 2*connecting*delay
-		return link.upAt + delay, true
+		link.connectedAt = sent + 2*connectRoundTrips*delay
+		return link.connectedAt + delay, true
 	}
 }
 
-// restarted is how an election after a loss of all power went.
-type restarted struct {
-	wait    time.Duration // from the third start to the leader that stayed
-	unseats int           // leaders that others took the place of
+// electionResult is the outcome of the election after a loss of all power.
+type electionResult struct {
+	wait        time.Duration // from the start of the third member to the election of the last leader
+	depositions int           // leaders that were replaced by another one
 }
 
 // observe runs the group for a while and says how its election went.
-func (g *restartGroup) observe() restarted {
+func (g *restartGroup) observe() electionResult {
 	g.t.Helper()
 	var starts []time.Duration
-	for _, start := range g.starts {
+	for _, start := range g.startAt {
 		starts = append(starts, start)
 	}
 	slices.Sort(starts)
-	result := restarted{}
+	result := electionResult{}
 	var leader *Node
 	var term uint64
 	var since time.Duration
@@ -180,7 +184,7 @@
 				continue
 			}
 			if leader != nil {
-				result.unseats++
+				result.depositions++
 			}
 			leader, term, since = node, node.term, g.now
 		}
@@ -197,15 +201,15 @@
 func TestElectionAfterALossOfAllPower(t *testing.T) {
 	const groups = 300
 	var waits []time.Duration
-	unseated := 0
+	deposed := 0
 	for seed := range uint64(groups) {
 		result := newRestartGroup(t, seed).observe()
 		waits = append(waits, result.wait)
-		if result.unseats > 0 {
-			unseated++
-			t.Errorf("seed %d: %d leaders unseated, %v until the last", seed, result.unseats, result.wait)
+		if result.depositions > 0 {
+			deposed++
+			t.Errorf("seed %d: %d leaders deposed, %v until the last", seed, result.depositions, result.wait)
 		}
 	}
 	slices.Sort(waits)
-	t.Logf("median %v, 9 in 10 %v, longest %v, unseated in %d of %d", waits[groups/2], waits[groups*9/10], waits[groups-1], unseated, groups)
+	t.Logf("median %v, 9 in 10 %v, longest %v, deposed leaders in %d of %d", waits[groups/2], waits[groups*9/10], waits[groups-1], deposed, groups)
 }
