--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -7,12 +7,12 @@
 	"github.com/deckpulley/deckpulley/lease"
 )
 
-// A primary grants from its first proof of leadership on; what is in force it knows
-// only once every lease of an earlier primary is over.
+// A primary grants leases from its first quorum contact on. It knows the serial in force
+// only once the grace period is over.
 func Example() {
-	terms := lease.DefaultConfig()
-	grantor := lease.NewGrantor(terms, 1, 0, 5)
-	holder := lease.NewHolder(terms)
+	config := lease.DefaultConfig()
+	grantor := lease.NewGrantor(config, 1, 0, 5)
+	holder := lease.NewHolder(config)
 
 	renew := func(now time.Duration) {
 		request := lease.Request{Holder: "gateway-1", Incarnation: "1", ReceivedSerial: 5, ActiveSerial: 5, LeaseValid: holder.Valid(now), Term: holder.Term()}
@@ -25,14 +25,14 @@
 	_, known := grantor.SerialInForce()
 	fmt.Println(holder.Remaining(0), known)
 
-	for now := time.Duration(0); now <= terms.GracePeriod(); now += terms.RenewalInterval {
+	for now := time.Duration(0); now <= config.GracePeriod(); now += config.RenewalInterval {
 		renew(now)
 	}
-	now := terms.GracePeriod()
+	now := config.GracePeriod()
 	grantor.SetQuorumContact(now)
 	serial, known := grantor.SerialInForce()
 	fmt.Println(holder.Valid(now), serial, known)
-	fmt.Println(holder.Valid(now + terms.Duration))
+	fmt.Println(holder.Valid(now + config.Duration))
 	// Output:
 	// 1.8s false
 	// true 5 true
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -10,17 +10,17 @@
 
 const ms = time.Millisecond
 
-// renewalRequest renews as a holder that has made active what it holds.
-func renewalRequest(holder string, held, active uint32) Request {
-	return Request{Holder: holder, Incarnation: "1", ReceivedSerial: held, ActiveSerial: active, Term: 7}
+// renewalRequest is a renewal of term 7 without a valid lease.
+func renewalRequest(holder string, received, active uint32) Request {
+	return Request{Holder: holder, Incarnation: "1", ReceivedSerial: received, ActiveSerial: active, Term: 7}
 }
 
-// grantorAfterGracePeriod is a grantor of term 7 with serial 5 whose window is over at the
-// returned time.
+// grantorAfterGracePeriod returns a grantor of term 7 with serial 5, and the time at which
+// its grace period is over.
 func grantorAfterGracePeriod() (*Grantor, time.Duration) {
-	terms := DefaultConfig()
-	grantor := NewGrantor(terms, 7, 0, 5)
-	now := terms.GracePeriod()
+	config := DefaultConfig()
+	grantor := NewGrantor(config, 7, 0, 5)
+	now := config.GracePeriod()
 	grantor.SetQuorumContact(now)
 	return grantor, now
 }
@@ -35,9 +35,9 @@
 
 func TestActivationTakesTwoSteps(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
-	want := func(got Decision, activate uint32) {
+	want := func(got Decision, activation uint32) {
 		t.Helper()
-		expected := Decision{Authoritative: true, LeaseDuration: 1800 * ms, ActivationSerial: activate}
+		expected := Decision{Authoritative: true, LeaseDuration: 1800 * ms, ActivationSerial: activation}
 		if diff := cmp.Diff(expected, got); diff != "" {
 			t.Fatal(diff)
 		}
@@ -54,10 +54,10 @@
 	wantInForce(t, grantor, now, 6, true)
 }
 
-func TestCutOffHolderDelaysOnlyUntilItsLeaseRanOut(t *testing.T) {
+func TestPartitionedHolderDelaysUntilItsLeaseExpires(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
-	grantor.Renew(now, now, true, renewalRequest("gone", 5, 5))
+	grantor.Renew(now, now, true, renewalRequest("partitioned", 5, 5))
 	grantor.SetSerial(6)
 	end := now + 2000*ms
 	if got := grantor.NextDeadline(now); got != end {
@@ -69,10 +69,10 @@
 		t.Fatalf("expired too early: %v", expired)
 	}
 	wantInForce(t, grantor, end, 5, true) // a has not reported 6 yet
-	if activate := grantor.ActivationSerial(); activate != 6 {
-		t.Fatalf("activate %d, want 6", activate)
+	if activation := grantor.ActivationSerial(); activation != 6 {
+		t.Fatalf("activation serial %d, want 6", activation)
 	}
-	if diff := cmp.Diff([]HolderID{{Holder: "gone", Incarnation: "1"}}, grantor.Expired(end)); diff != "" {
+	if diff := cmp.Diff([]HolderID{{Holder: "partitioned", Incarnation: "1"}}, grantor.Expired(end)); diff != "" {
 		t.Fatal(diff)
 	}
 	if again := grantor.Expired(end); len(again) != 0 {
@@ -81,61 +81,62 @@
 	grantor.Renew(end, end, true, renewalRequest("a", 6, 6))
 	wantInForce(t, grantor, end, 6, true)
 
-	back := grantor.Renew(end, end, true, renewalRequest("gone", 5, 5))
-	if diff := cmp.Diff(Decision{Authoritative: true, ActivationSerial: 6}, back); diff != "" {
+	returned := grantor.Renew(end, end, true, renewalRequest("partitioned", 5, 5))
+	if diff := cmp.Diff(Decision{Authoritative: true, ActivationSerial: 6}, returned); diff != "" {
 		t.Fatalf("a holder that is behind: %s", diff)
 	}
 }
 
-func TestWithoutProofOfLeadershipNothingIsGrantedNorExpired(t *testing.T) {
+func TestNoGrantAndNoExpiryWithoutQuorumContact(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
 	grantor.SetSerial(6)
 	late := now + 5*time.Second
 	if got := grantor.Renew(late, now, true, renewalRequest("b", 6, 6)); got != (Decision{}) {
-		t.Fatalf("granted on an old proof: %+v", got)
+		t.Fatalf("granted on an old quorum contact: %+v", got)
 	}
 	if serial, known := grantor.SerialInForce(); serial != 5 || !known {
-		t.Fatalf("in force %d (%v): judged beyond the proof of leadership", serial, known)
+		t.Fatalf("in force %d (%v): judged beyond the quorum contact", serial, known)
 	}
 	unknown := NewGrantor(DefaultConfig(), 1, 0, 1)
 	if got := unknown.Renew(0, 0, false, renewalRequest("a", 1, 1)); got != (Decision{}) {
-		t.Fatalf("granted without a proof: %+v", got)
+		t.Fatalf("granted without a quorum contact: %+v", got)
 	}
 }
 
-// Another primary may let a holder in that is behind, after the newest proof of
-// leadership of this one. So what is reported later must not raise what is in force.
-func TestReportsAndLeavesCountOnlyWithALaterProof(t *testing.T) {
+// TestReportsAndReleasesNeedLaterQuorumContact: after this primary's quorum contact,
+// another one may grant to a holder that is behind. So what is reported later must not
+// raise the serial in force.
+func TestReportsAndReleasesNeedLaterQuorumContact(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
 	grantor.Renew(now, now, true, renewalRequest("b", 5, 5))
 	grantor.SetSerial(6)
 	later := now + 100*ms
 	grantor.Renew(later, now, true, renewalRequest("a", 6, 6))
-	leaving := renewalRequest("b", 5, 5)
-	leaving.Release = true
-	grantor.Renew(later, now, true, leaving)
+	release := renewalRequest("b", 5, 5)
+	release.Release = true
+	grantor.Renew(later, now, true, release)
 	if serial, _ := grantor.SerialInForce(); serial != 5 {
-		t.Fatalf("in force %d on a proof from before the reports", serial)
+		t.Fatalf("in force %d on a quorum contact from before the reports", serial)
 	}
 	wantInForce(t, grantor, later, 6, true)
 }
 
-func TestNewPrimaryWaitsOutOlderLeases(t *testing.T) {
-	terms := DefaultConfig()
-	grantor := NewGrantor(terms, 7, 0, 5)
-	now := terms.GracePeriod() - ms
+func TestNewPrimaryWaitsForGracePeriod(t *testing.T) {
+	config := DefaultConfig()
+	grantor := NewGrantor(config, 7, 0, 5)
+	now := config.GracePeriod() - ms
 	cases := []struct {
 		name    string
 		request Request
 		want    Decision
 	}{
 		{"fresh", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
-		{"lapsed and behind", renewalRequest("lapsed", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
-		{"valid but asked before it knew the term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
-		{"valid and behind", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 4}},
-		{"lapsed and up to date", renewalRequest("d", 5, 5), Decision{Authoritative: true, LeaseDuration: terms.Duration, ActivationSerial: 5}},
+		{"expired and behind", renewalRequest("expired", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
+		{"valid, sent before it knew the term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
+		{"valid and behind", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
+		{"expired and up to date", renewalRequest("d", 5, 5), Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 5}},
 	}
 	for _, c := range cases {
 		if diff := cmp.Diff(c.want, grantor.Renew(now, now, true, c.request)); diff != "" {
@@ -146,12 +147,12 @@
 	wantInForce(t, grantor, now+ms, 4, true)
 }
 
-func TestActivateNeverFallsBelowWhatIsActive(t *testing.T) {
+func TestActivationSerialIsNotBelowActiveSerial(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
 	got := grantor.Renew(now, now, true, renewalRequest("ahead", 9, 9))
 	if got.ActivationSerial != 9 {
-		t.Fatalf("activate %d, want 9", got.ActivationSerial)
+		t.Fatalf("activation serial %d, want 9", got.ActivationSerial)
 	}
 	if diff := cmp.Diff([]HolderStatus{
 		{Holder: "a", Incarnation: "1", Remaining: 2000 * ms, ReceivedSerial: 5, ActiveSerial: 5},
@@ -161,18 +162,18 @@
 	}
 }
 
-func TestLeavingGivesTheLeaseUpAtOnce(t *testing.T) {
+func TestReleaseEndsLeaseAtOnce(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
 	grantor.Renew(now, now, true, renewalRequest("b", 5, 5))
 	grantor.SetSerial(6)
 	grantor.Renew(now, now, true, renewalRequest("b", 6, 6))
-	leaving := renewalRequest("a", 5, 5)
-	leaving.Release = true
-	grantor.Renew(now, now, true, leaving)
+	release := renewalRequest("a", 5, 5)
+	release.Release = true
+	grantor.Renew(now, now, true, release)
 	wantInForce(t, grantor, now, 6, true)
 	if got := grantor.Renew(now, now, true, renewalRequest("a", 6, 6)); got.LeaseDuration != 0 {
-		t.Fatal("a late renewal of a holder that has left was granted")
+		t.Fatal("a delayed renewal of a holder that has released its lease was granted")
 	}
 }
 
@@ -186,7 +187,7 @@
 	wantInForce(t, grantor, now, 1, true)
 }
 
-func TestHolderCountsFromTheSending(t *testing.T) {
+func TestHolderCountsLeaseFromSending(t *testing.T) {
 	holder := NewHolder(DefaultConfig())
 	if holder.Valid(0) || holder.Remaining(0) != 0 {
 		t.Fatal("valid before any grant")
@@ -196,24 +197,24 @@
 		now, sent time.Duration
 		term      uint64
 		cluster   string
-		length    time.Duration
+		duration  time.Duration
 		want      error
-		until     time.Duration
+		expiry    time.Duration
 	}{
 		{"first", 100 * ms, 50 * ms, 3, "x", 1800 * ms, nil, 1850 * ms},
 		{"older term", 200 * ms, 200 * ms, 2, "x", 1800 * ms, ErrStaleTerm, 1850 * ms},
 		{"other cluster", 200 * ms, 200 * ms, 3, "y", 1800 * ms, ErrOtherCluster, 1850 * ms},
-		{"no length keeps the lease", 300 * ms, 250 * ms, 4, "x", 0, nil, 1850 * ms},
-		{"late reply to an old renewal", 400 * ms, 10 * ms, 4, "x", 1800 * ms, nil, 1850 * ms},
-		{"longer than the terms allow", 500 * ms, 400 * ms, 4, "x", time.Hour, nil, 2200 * ms},
+		{"no duration keeps the lease", 300 * ms, 250 * ms, 4, "x", 0, nil, 1850 * ms},
+		{"delayed reply to an old renewal", 400 * ms, 10 * ms, 4, "x", 1800 * ms, nil, 1850 * ms},
+		{"longer than configured", 500 * ms, 400 * ms, 4, "x", time.Hour, nil, 2200 * ms},
 	}
 	for _, step := range steps {
-		err := holder.HandleGrant(step.now, step.sent, step.term, step.cluster, step.length)
+		err := holder.HandleGrant(step.now, step.sent, step.term, step.cluster, step.duration)
 		if !errors.Is(err, step.want) {
 			t.Fatalf("%s: %v, want %v", step.name, err, step.want)
 		}
-		if !holder.Valid(step.until-1) || holder.Valid(step.until) {
-			t.Fatalf("%s: not valid until %v exactly", step.name, step.until)
+		if !holder.Valid(step.expiry-1) || holder.Valid(step.expiry) {
+			t.Fatalf("%s: not valid until %v exactly", step.name, step.expiry)
 		}
 	}
 	if holder.Term() != 4 || holder.Cluster() != "x" {
@@ -221,24 +222,24 @@
 	}
 	holder.Release()
 	if holder.Valid(500*ms) || !errors.Is(holder.HandleGrant(500*ms, 500*ms, 5, "x", 1800*ms), ErrReleased) {
-		t.Fatal("valid after leaving")
+		t.Fatal("valid after the release")
 	}
 }
 
-func TestTermsAreChecked(t *testing.T) {
+func TestConfigIsValidated(t *testing.T) {
 	if err := DefaultConfig().Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Config){
-		"length": func(terms *Config) { terms.Duration = 0 },
-		"margin": func(terms *Config) { terms.ClockDriftMargin = -1 },
-		"quorum": func(terms *Config) { terms.MaxQuorumContactAge = 0 },
-		"renew":  func(terms *Config) { terms.RenewalInterval = terms.Duration },
-		"never":  func(terms *Config) { terms.RenewalInterval = 0 },
+	for name, edit := range map[string]func(*Config){
+		"no duration":           func(config *Config) { config.Duration = 0 },
+		"negative margin":       func(config *Config) { config.ClockDriftMargin = -1 },
+		"no quorum contact age": func(config *Config) { config.MaxQuorumContactAge = 0 },
+		"one renewal per lease": func(config *Config) { config.RenewalInterval = config.Duration },
+		"no renewals":           func(config *Config) { config.RenewalInterval = 0 },
 	} {
-		terms := DefaultConfig()
-		spoil(&terms)
-		if terms.Validate() == nil {
+		config := DefaultConfig()
+		edit(&config)
+		if config.Validate() == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -9,13 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// The simulation runs a fleet with one real clock that nobody sees. Primaries
-// come and go, also without knowing; messages take any time or get lost.
+// The simulation runs primaries and holders in virtual time, which none of them sees:
+// each has a clock of its own. Primaries are deposed without knowing it; messages take
+// any time, get lost and arrive twice.
 
 const (
 	simulatedHolders = 3
-	// Clocks run within 3% of real time, so that two of them drift by less than
-	// Margin over a lease: 1800 ms * 1.03/0.97 is 1911 ms.
+	// Clocks run within 3% of true time, so that two of them drift by less than
+	// ClockDriftMargin over a lease: 1800 ms * 1.03/0.97 is 1911 ms.
 	slowestClock = 0.97
 	fastestClock = 1.03
 )
@@ -44,8 +45,8 @@
 type simulatedPrimary struct {
 	clock   clock
 	grantor *Grantor
-	// quorumContact is the newest proof of leadership in real time; it stops at the election
-	// of the next primary, of which this one may not know.
+	// quorumContact is by this primary's clock. It is not renewed any more once the next
+	// primary is elected, of which this one may not know.
 	quorumContact      time.Duration
 	quorumContactKnown bool
 }
@@ -55,14 +56,14 @@
 	holder          *Holder
 	name            string
 	incarnation     int
-	receivedSerials []uint32 // serials held
+	receivedSerials []uint32
 	activeSerial    uint32
 }
 
 type renewal struct {
 	holder  int
 	primary int
-	sent    time.Duration // holder's clock
+	sent    time.Duration // by the holder's clock
 	request Request
 }
 
@@ -77,33 +78,33 @@
 
 type simulation struct {
 	choose    chooser
-	terms     Config
+	config    Config
 	trueTime  time.Duration
 	serial    uint32 // newest committed
 	primaries []*simulatedPrimary
 	holders   []*simulatedHolder
 	renewals  []renewal
 	grants    []grant
-	inForce   uint32 // newest serial that any primary reported
-	defect    func(*Grantor)
-	blind     bool // planted defect: leases are judged by the clock alone
-	granted   int
-	advances  int
-	early     int // windows that ended early
-	// recorded is what the registry holds: the incarnation of each holder that may
-	// have a lease. superseded are those that a newer one replaced in the newest
-	// primary's memory.
-	recorded   map[string]string
+	inForce   uint32 // newest serial that any primary returned as in force
+	// mayHold is what the registry says: the incarnation of each holder that may have a
+	// lease. superseded are incarnations that the newest primary has seen replaced.
+	mayHold    map[string]string
 	superseded map[HolderID]bool
-	forgetful  bool // planted defect: leases are granted without a record
+
+	granted         int // leases
+	advances        int // of inForce
+	earlyAdvances   int // before the end of the grace period
+	grantorDefect   func(*Grantor)
+	ignoresContact  bool // injected defect: leases are judged by the clock alone
+	ignoresRegistry bool // injected defect: leases are granted without a record
 }
 
 func newSimulation(choose chooser) *simulation {
-	s := &simulation{choose: choose, terms: DefaultConfig(), serial: 1, recorded: make(map[string]string)}
+	s := &simulation{choose: choose, config: DefaultConfig(), serial: 1, mayHold: make(map[string]string)}
 	for i := range simulatedHolders {
 		s.holders = append(s.holders, &simulatedHolder{
 			clock:  chooseClock(choose),
-			holder: NewHolder(s.terms),
+			holder: NewHolder(s.config),
 			name:   fmt.Sprint("gateway-", i),
 		})
 	}
@@ -112,7 +113,7 @@
 
 func (s *simulation) newest() *simulatedPrimary { return s.primaries[len(s.primaries)-1] }
 
-// step does one thing and returns a violation of the invariant, if any.
+// step takes one random step and returns a violation of the invariant, if any.
 func (s *simulation) step() error {
 	if len(s.primaries) == 0 {
 		s.elect()
@@ -127,9 +128,9 @@
 		s.newest().grantor.SetSerial(s.serial)
 	case 2:
 		if s.choose(4) == 0 {
-			s.hint()
+			s.sendFirstTable()
 		} else {
-			s.notify()
+			s.sendActivation()
 		}
 	case 3, 4:
 		s.trueTime += time.Duration(1+s.choose(s.maxPauseMilliseconds())) * time.Millisecond
@@ -144,12 +145,13 @@
 	case 12, 13, 14:
 		s.receiveGrant()
 	case 15:
-		s.report(s.choose(len(s.primaries)))
+		s.readSerialInForce(s.choose(len(s.primaries)))
 	}
 	return s.check()
 }
 
-// maxPauseMilliseconds is short mostly, so that leases are kept up, and sometimes long.
+// maxPauseMilliseconds is mostly short, so that leases are renewed in time, and
+// sometimes long.
 func (s *simulation) maxPauseMilliseconds() int {
 	if s.choose(5) == 0 {
 		return 900
@@ -172,56 +174,56 @@
 	return serial
 }
 
-// elect makes a new primary. The old one goes on without proof of leadership.
+// elect makes a new primary. The old one goes on without new quorum contacts.
 func (s *simulation) elect() {
 	primary := &simulatedPrimary{clock: chooseClock(s.choose)}
 	term := uint64(len(s.primaries) + 1)
-	primary.grantor = NewGrantor(s.terms, term, primary.clock.read(s.trueTime), s.serial)
-	if s.defect != nil {
-		s.defect(primary.grantor)
+	primary.grantor = NewGrantor(s.config, term, primary.clock.read(s.trueTime), s.serial)
+	if s.grantorDefect != nil {
+		s.grantorDefect(primary.grantor)
 	}
 	s.primaries = append(s.primaries, primary)
 	s.superseded = make(map[HolderID]bool)
 	if s.choose(4) == 0 {
-		return // a primary that was not told
+		return // waits for the complete grace period
 	}
 	var expected []HolderID
-	for name, incarnation := range s.recorded {
+	for name, incarnation := range s.mayHold {
 		expected = append(expected, HolderID{Holder: name, Incarnation: incarnation})
 	}
 	primary.grantor.ExpectReclaims(primary.clock.read(s.trueTime), expected)
 }
 
-// mayHoldLease keeps the rule that a lease is granted only to a holder that the
-// registry names. The newest primary alone can write there. It takes a new
-// incarnation only from one that knows its term, and none that it saw replaced.
+// mayHoldLease keeps the rule that a lease is granted only to a holder that the registry
+// names. Only the newest primary can write there. It accepts a new incarnation only if
+// that knows its term, and none that it has seen replaced.
 func (s *simulation) mayHoldLease(index int, request Request) bool {
-	held, known := s.recorded[request.Holder]
-	if s.forgetful || known && held == request.Incarnation {
+	registered, known := s.mayHold[request.Holder]
+	if s.ignoresRegistry || known && registered == request.Incarnation {
 		return true
 	}
 	id := HolderID{Holder: request.Holder, Incarnation: request.Incarnation}
 	newest := index == len(s.primaries)-1
 	if newest && request.Term == s.newest().grantor.Term() && !s.superseded[id] {
-		s.superseded[HolderID{Holder: request.Holder, Incarnation: held}] = true
-		s.recorded[request.Holder] = request.Incarnation
+		s.superseded[HolderID{Holder: request.Holder, Incarnation: registered}] = true
+		s.mayHold[request.Holder] = request.Incarnation
 	}
 	return false
 }
 
-// refreshQuorumContact lets a primary learn that a majority answered a heartbeat: a
-// moment that is not after now, and that only the newest primary can have.
+// refreshQuorumContact may renew a primary's quorum contact to a time that is not after
+// now. Only the newest primary can get one.
 func (s *simulation) refreshQuorumContact(index int) (time.Duration, bool) {
 	primary := s.primaries[index]
 	if index == len(s.primaries)-1 && s.choose(4) > 0 {
 		lag := time.Duration(s.choose(300)) * time.Millisecond
-		elected := primary.grantor.gracePeriodEnd - s.terms.GracePeriod()
+		elected := primary.grantor.gracePeriodEnd - s.config.GracePeriod()
 		contact := primary.clock.read(s.trueTime) - lag
 		if contact >= elected && contact > primary.quorumContact {
 			primary.quorumContact, primary.quorumContactKnown = contact, true
 		}
 	}
-	if s.blind {
+	if s.ignoresContact {
 		return primary.clock.read(s.trueTime), true
 	}
 	return primary.quorumContact, primary.quorumContactKnown
@@ -231,7 +233,7 @@
 	old := s.holders[index]
 	s.holders[index] = &simulatedHolder{
 		clock:       old.clock,
-		holder:      NewHolder(s.terms),
+		holder:      NewHolder(s.config),
 		name:        old.name,
 		incarnation: old.incarnation + 1,
 	}
@@ -270,7 +272,7 @@
 	}
 	index := s.pickInFlight(len(s.renewals))
 	message := s.renewals[index]
-	if s.choose(5) > 0 { // else it stays to be received again
+	if s.choose(5) > 0 { // otherwise it will be received again
 		s.renewals = append(s.renewals[:index], s.renewals[index+1:]...)
 	}
 	if s.choose(8) == 0 {
@@ -308,26 +310,26 @@
 		return
 	}
 	now := h.clock.read(s.trueTime)
-	length := message.decision.LeaseDuration
+	duration := message.decision.LeaseDuration
 	if !message.decision.Authoritative {
-		length = 0
+		duration = 0
 	}
-	if err := h.holder.HandleGrant(now, message.sent, message.term, "cluster", length); err != nil {
+	if err := h.holder.HandleGrant(now, message.sent, message.term, "cluster", duration); err != nil {
 		return
 	}
 	if !message.decision.Authoritative {
 		return
 	}
-	if length > 0 {
+	if duration > 0 {
 		s.granted++
 	}
 	h.receivedSerials = append(h.receivedSerials, message.transfer)
 	h.activateUpTo(message.decision.ActivationSerial)
 }
 
-// hint is what a node that follows a primary tells a holder: the primary's term, and
-// to one that holds nothing a table that is committed, though it may be old.
-func (s *simulation) hint() {
+// sendFirstTable lets a follower of a primary send a holder the primary's term and, if
+// it has received no table yet, a committed one, which may be old.
+func (s *simulation) sendFirstTable() {
 	primary := s.primaries[s.choose(len(s.primaries))]
 	h := s.holders[s.choose(len(s.holders))]
 	if h.holder.Observe(primary.grantor.Term(), "cluster") != nil || len(h.receivedSerials) > 0 {
@@ -339,8 +341,8 @@
 	}
 }
 
-// notify tells a holder an activation, whether it has a lease or not.
-func (s *simulation) notify() {
+// sendActivation sends a holder the activation serial, whether it has a lease or not.
+func (s *simulation) sendActivation() {
 	primary := s.primaries[s.choose(len(s.primaries))]
 	h := s.holders[s.choose(len(s.holders))]
 	if h.holder.Observe(primary.grantor.Term(), "cluster") != nil {
@@ -349,35 +351,35 @@
 	h.activateUpTo(primary.grantor.ActivationSerial())
 }
 
-func (h *simulatedHolder) activateUpTo(activate uint32) {
+func (h *simulatedHolder) activateUpTo(activation uint32) {
 	for _, serial := range h.receivedSerials {
-		if !serialLess(activate, serial) && activate != 0 {
+		if !serialLess(activation, serial) && activation != 0 {
 			h.activeSerial = newerSerial(h.activeSerial, serial)
 		}
 	}
 }
 
-// report lets a primary, leading or not, say what is in force.
-func (s *simulation) report(index int) {
+// readSerialInForce asks a primary, deposed or not, for the serial in force.
+func (s *simulation) readSerialInForce(index int) {
 	primary := s.primaries[index]
-	contact, known := s.refreshQuorumContact(index)
-	if known {
+	if contact, known := s.refreshQuorumContact(index); known {
 		primary.grantor.SetQuorumContact(contact)
 	}
-	serial, sure := primary.grantor.SerialInForce()
-	if sure && serialLess(s.inForce, serial) {
+	serial, known := primary.grantor.SerialInForce()
+	if known && serialLess(s.inForce, serial) {
 		s.inForce = serial
 		s.advances++
 		if primary.grantor.quorumContact < primary.grantor.gracePeriodEnd {
-			s.early++
+			s.earlyAdvances++
 		}
 	}
 }
 
+// check returns a violation of the invariant, if any.
 func (s *simulation) check() error {
 	for _, h := range s.holders {
 		if h.holder.Valid(h.clock.read(s.trueTime)) && serialLess(h.activeSerial, s.inForce) {
-			return fmt.Errorf("%s holds a valid lease at serial %d after %d was reported in force", h.name, h.activeSerial, s.inForce)
+			return fmt.Errorf("%s holds a valid lease at serial %d after %d was returned as in force", h.name, h.activeSerial, s.inForce)
 		}
 	}
 	return nil
@@ -388,17 +390,17 @@
 	deterministicRuns = 1000
 )
 
-// TestNoValidHolderIsBehindWhatIsInForce is the invariant of the package over
+// TestValidHolderIsNotBehindSerialInForce checks the invariant of the package over
 // arbitrary schedules.
-func TestNoValidHolderIsBehindWhatIsInForce(t *testing.T) {
+func TestValidHolderIsNotBehindSerialInForce(t *testing.T) {
 	for seed := range uint64(deterministicRuns) {
-		if violation := newSimulation(seededChooser(seed)).run(simulatedSteps); violation != nil {
+		if violation := newSimulation(seededChooser(seed)).run(); violation != nil {
 			t.Fatalf("seed %d: %v", seed, violation)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		if violation := newSimulation(seededChooser(seed)).run(simulatedSteps); violation != nil {
+		if violation := newSimulation(seededChooser(seed)).run(); violation != nil {
 			t.Fatal(violation)
 		}
 	})
@@ -408,8 +410,9 @@
 	return rand.New(rand.NewPCG(seed, 1)).IntN
 }
 
-func (s *simulation) run(steps int) error {
-	for range steps {
+// run returns the first violation of the invariant, nil if there is none.
+func (s *simulation) run() error {
+	for range simulatedSteps {
 		if violation := s.step(); violation != nil {
 			return violation
 		}
@@ -423,46 +426,46 @@
 	granted, advances, elections, early := 0, 0, 0, 0
 	for seed := range uint64(50) {
 		s := newSimulation(seededChooser(seed))
-		if violation := s.run(simulatedSteps); violation != nil {
+		if violation := s.run(); violation != nil {
 			t.Fatalf("seed %d: %v", seed, violation)
 		}
 		granted += s.granted
 		advances += s.advances
 		elections += len(s.primaries)
-		early += s.early
+		early += s.earlyAdvances
 	}
-	t.Logf("50 runs: %d leases granted, %d serials reported in force (%d before the window's end), %d primaries", granted, advances, early, elections)
+	t.Logf("50 runs: %d leases granted, %d serials returned as in force (%d before the end of the grace period), %d primaries", granted, advances, early, elections)
 	if granted < 500 || advances < 100 || elections < 200 || early < 20 {
-		t.Fatalf("too little happened: %d leases, %d reports (%d early), %d primaries", granted, advances, early, elections)
+		t.Fatalf("too little happened: %d leases, %d advances (%d early), %d primaries", granted, advances, early, elections)
 	}
 }
 
-// TestSimulationFindsPlantedDefects shows that the invariant's test can fail.
-func TestSimulationFindsPlantedDefects(t *testing.T) {
+// TestSimulationFindsInjectedDefects shows that the invariant's test can fail.
+func TestSimulationFindsInjectedDefects(t *testing.T) {
 	defects := map[string]func(*simulation){
-		"a new primary does not wait out older leases": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.gracePeriodEnd = g.gracePeriodEnd - s.terms.GracePeriod() }
+		"a new primary has no grace period": func(s *simulation) {
+			s.grantorDefect = func(g *Grantor) { g.gracePeriodEnd -= s.config.GracePeriod() }
 		},
 		"the margin does not cover the drift": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.config.ClockDriftMargin = -100 * time.Millisecond }
+			s.grantorDefect = func(g *Grantor) { g.config.ClockDriftMargin = -100 * time.Millisecond }
 		},
-		"leadership is assumed without proof": func(s *simulation) {
-			s.blind = true
+		"leadership is assumed without quorum contact": func(s *simulation) {
+			s.ignoresContact = true
 		},
 		"leases are granted to holders that no record names": func(s *simulation) {
-			s.forgetful = true
+			s.ignoresRegistry = true
 		},
 		"holders that are behind get leases": func(s *simulation) {
-			s.defect = func(g *Grantor) { g.electionSerial = 0 }
+			s.grantorDefect = func(g *Grantor) { g.electionSerial = 0 }
 		},
 	}
 	const seeds = 4000
-	for name, plant := range defects {
+	for name, inject := range defects {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				s := newSimulation(seededChooser(seed))
-				plant(s)
-				if violation := s.run(simulatedSteps); violation != nil {
+				inject(s)
+				if violation := s.run(); violation != nil {
 					t.Logf("seed %d: %v", seed, violation)
 					return
 				}
