--- a/consensus/election.go
+++ b/consensus/election.go
@@ -105,6 +105,9 @@
 	}
 }
 
+// handlePreVote replies whether this member would grant its vote in the message's term.
+// It does not reply to a candidate whose election it must not support at present, which
+// therefore asks again instead of counting a rejection.
 func (n *Node) handlePreVote(message Message) {
 	if n.hasCurrentLeader() && !message.LeadershipTransfer || n.holdsOff(message.From) {
 		return
@@ -118,6 +121,8 @@
 	n.send(reply)
 }
 
+// handleVote grants this member's vote of the term to the first candidate whose log is
+// up-to-date, and grants it again if the reply was lost.
 func (n *Node) handleVote(message Message) {
 	free := n.vote == None && n.leader == None || n.vote == message.From
 	granted := free && n.candidateLogUpToDate(message)
@@ -152,6 +157,8 @@
 	return n.now < n.voteHoldOffEnd && n.vote != candidate
 }
 
+// candidateLogUpToDate reports whether the candidate's log is at least as up-to-date as
+// this member's (Raft, section 5.4.1).
 func (n *Node) candidateLogUpToDate(message Message) bool {
 	if n.defects.Has(defectVoteIgnoresLog) {
 		return true
@@ -159,8 +166,8 @@
 	return n.log.isUpToDate(message.Index, message.LogTerm)
 }
 
-// handleVoteReply counts a reply to the present pre-vote or election. One to an
-// earlier pre-vote is recognised by the term that it was asked about.
+// handleVoteReply counts a reply to the present pre-vote or election. A grant of an
+// earlier pre-vote is told apart by the term that it is for.
 func (n *Node) handleVoteReply(message Message) {
 	expected := Candidate
 	if message.Kind == MessagePreVoteReply {
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -27,7 +27,7 @@
 	// ErrMalformed means that no correct member sends such a message.
 	ErrMalformed = errors.New("consensus: malformed message")
 	// ErrCompacted means that the newest snapshot covers the index already.
-	ErrCompacted = errors.New("consensus: a snapshot reaches as far already")
+	ErrCompacted = errors.New("consensus: index is compacted already")
 	// ErrNotApplied means that the state machine has not applied the index yet.
 	ErrNotApplied = errors.New("consensus: index is not applied yet")
 	// ErrInvalidConfig means that the restored state is inconsistent, or that the Config
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -81,7 +81,7 @@
 			return fmt.Errorf("%w: empty identity", ErrMembershipInvalid)
 		}
 		if seen[member.ID] {
-			return fmt.Errorf("%w: %s stands twice", ErrMembershipInvalid, member.ID)
+			return fmt.Errorf("%w: duplicate identity %s", ErrMembershipInvalid, member.ID)
 		}
 		seen[member.ID] = true
 	}
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -92,6 +92,7 @@
 	node.persistedHardState = node.hardState()
 	node.awaitingFirstLeader = node.term > 0
 	node.resetElectionDeadline()
+	// The log has them now; the Config would keep their memory for good.
 	node.config.Entries = nil
 	node.config.Snapshot = Snapshot{}
 	return node, nil
@@ -169,8 +170,9 @@
 	}
 }
 
-// handleNewerTerm adopts the message's term, unless that is only the term of an
-// election that may follow. It reports whether the message is to be handled.
+// handleNewerTerm adopts the message's term, unless it is only that of an election that
+// may follow, or of one that a member with a current leader must not support. It reports
+// whether the message is to be handled.
 func (n *Node) handleNewerTerm(message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
@@ -203,6 +205,7 @@
 	}
 }
 
+// handle handles a message of the present term, or of a pre-vote for a later one.
 func (n *Node) handle(message Message) {
 	switch message.Kind {
 	case MessagePreVote:
--- a/consensus/reconfiguration.go
+++ b/consensus/reconfiguration.go
@@ -34,6 +34,7 @@
 	return found
 }
 
+// restoreConfigurations collects the memberships of the restored snapshot and log.
 func (n *Node) restoreConfigurations() error {
 	snapshot := n.log.snapshot
 	n.configurations = []configuration{{index: snapshot.Index, membership: snapshot.Membership}}
@@ -103,6 +104,7 @@
 	return index, n.term, nil
 }
 
+// checkMembershipChange enforces the invariants above for a proposed membership.
 func (n *Node) checkMembershipChange(membership Membership) error {
 	if n.defects.Has(defectTwoChanges) {
 		return nil
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -17,8 +17,8 @@
 	return n.appendEntry(EntryNormal, data), n.term, nil
 }
 
-// checkCanPropose returns nil if the member leads, still has a recent quorum contact,
-// and no leadership transfer is in progress.
+// checkCanPropose returns nil if the member leads and no leadership transfer is in
+// progress. A leader that has lost its quorum steps down first.
 func (n *Node) checkCanPropose() error {
 	if n.role == Leader {
 		n.checkQuorum()
@@ -41,6 +41,8 @@
 	return entry.Index
 }
 
+// replicateToAll sends every other member what it lacks. It does nothing unless the
+// member leads: it may have been deposed since replicatePending was set.
 func (n *Node) replicateToAll() {
 	if n.role != Leader {
 		return
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -13,7 +13,7 @@
 	// ErrOtherCluster means that the message is of another cluster than the first one.
 	ErrOtherCluster = errors.New("lease: from another cluster")
 	// ErrReleased means that the holder has released its lease for good.
-	ErrReleased = errors.New("lease: given up")
+	ErrReleased = errors.New("lease: released")
 )
 
 // Holder is a gateway's side. It is not safe for concurrent use.
