--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -46,7 +46,8 @@
 			kept = append(kept, known)
 		}
 	}
-	r.claims = append(kept, claim{at: now, gateway: gateway, reading: reading})
+	kept = append(kept, claim{at: now, gateway: gateway, reading: reading})
+	r.claims = kept
 }
 
 // claim waits for claims that crossed the attempt's own. It returns the attempt,
@@ -90,7 +91,7 @@
 func (d *Dispatcher) withdraw(at *placed) {
 	at.work.end()
 	at.replica.backlog.add(time.Now(), -at.work.reading)
-	if d.options.Placed != nil {
-		d.options.Placed(peer.PlacedPrompt{Replica: at.replica.key, PrefillMS: -int(at.work.reading.Milliseconds())})
+	if d.options.OnPlaced != nil {
+		d.options.OnPlaced(peer.PlacedPrompt{Replica: at.replica.key, PrefillMS: -int(at.work.reading.Milliseconds())})
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -204,7 +204,7 @@
 	if now := len(replica.requests()); now != reached {
 		t.Fatalf("reached the replica %d times after the refusal", now-reached)
 	}
-	response, err := post(context.Background(), g.url+api.PathWhere, api.WhereRequest{RequestID: "refused", Model: "m"})
+	response, err := post(t.Context(), g.url+api.PathWhere, api.WhereRequest{RequestID: "refused", Model: "m"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -434,7 +434,7 @@
 		p.activate = p.table.Serial()
 		p.apply(registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: 2})))
 	})
-	waitFor(t, "the new serial to be held", func() bool { return g.agent.Status().Held > g.agent.Status().Active })
+	waitFor(t, "the new serial to be held", func() bool { return g.agent.Status().ReceivedSerial > g.agent.Status().ActiveSerial })
 	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		if request.Stamp.ConfigurationVersion < 2 {
 			replica.version.Store(2)
--- a/gateway/mint.go
+++ b/gateway/mint.go
@@ -27,7 +27,7 @@
 	}
 	regions := g.router.Regions(route)
 	if len(regions) == 0 {
-		return nil, g.router.Refusal(route)
+		return nil, g.router.Rejection(route)
 	}
 	for _, region := range regions {
 		answer, failure := g.mintIn(ctx, region, request, refused == nil)
@@ -146,17 +146,23 @@
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
-	if failure := checkWhere(&request.Request); failure != nil {
-		return &peer.IssueTicketReply{Error: failure}, nil
+	answer, failure := g.mintForPeer(&request.Request)
+	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
+}
+
+// mintForPeer makes a ticket that this process owns for a caller of another
+// gateway, if this one accepts the request.
+func (g *Gateway) mintForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+	if failure := checkWhere(request); failure != nil {
+		return nil, failure
 	}
 	if failure := g.mayAccept(); failure != nil {
-		return &peer.IssueTicketReply{Error: failure}, nil
+		return nil, failure
 	}
 	if !g.mayOwn() {
-		return &peer.IssueTicketReply{Error: refusedLater(api.CodeNotReady, comeBack, "the zone is evacuated")}, nil
+		return nil, refusedLater(api.CodeNotReady, "the zone is evacuated")
 	}
-	answer, failure := g.mint(&request.Request)
-	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
+	return g.mint(request)
 }
 
 // mint makes a ticket that this process owns.
@@ -167,8 +173,8 @@
 		RequestID:   request.RequestID,
 		Owner:       g.options.Info.Name,
 		Incarnation: g.options.Info.Incarnation,
-		Home:        request.Home,
-		Repeatable:  request.Repeatable,
+		HomeRule:    request.Home,
+		Idempotent:  request.Repeatable,
 		IssuedAt:    now,
 		Expires:     now + wait,
 	}
@@ -201,7 +207,7 @@
 	var failure *api.Error
 	switch {
 	case errors.Is(err, ticket.ErrFull):
-		failure = refusedLater(api.CodeOverloaded, comeBack, "the gateway remembers as many requests as it can")
+		failure = refusedLater(api.CodeOverloaded, "the gateway remembers as many requests as it can")
 	case errors.Is(err, ticket.ErrClosed):
 		failure = failed(api.CodeDuplicate, api.OutcomeRefused, "the request was refused for good: ask again with a new request id")
 	default:
@@ -218,20 +224,20 @@
 	if active == nil {
 		return nil
 	}
-	var near, far []string
+	var addresses, otherRegions []string
 	for name, member := range active.Gateways() {
 		switch {
 		case name == g.options.Info.Name || !usable(active, member):
 		case member.Region == g.region():
-			near = append(near, member.HTTPAddress)
+			addresses = append(addresses, member.HTTPAddress)
 		default:
-			far = append(far, member.HTTPAddress)
+			otherRegions = append(otherRegions, member.HTTPAddress)
 		}
 	}
-	g.shuffle(near)
-	g.shuffle(far)
-	all := append(near, far...)
-	return all[:min(len(all), maxAlternates)]
+	g.shuffle(addresses)
+	g.shuffle(otherRegions)
+	addresses = append(addresses, otherRegions...)
+	return addresses[:min(len(addresses), maxAlternates)]
 }
 
 func usable(active *catalog.State, member catalog.Gateway) bool {
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -15,8 +15,9 @@
 	records []registry.Record
 }
 
-func newFleet(t testing.TB) *fleet {
-	f := &fleet{t: t}
+func newFleet(tb testing.TB) *fleet {
+	tb.Helper()
+	f := &fleet{t: tb}
 	f.set(
 		catalog.ConfigurationRecord(catalog.Configuration{Version: 1}),
 		catalog.LimitsRecord(catalog.Limits{QueueLength: 8}),
@@ -63,8 +64,9 @@
 	}))
 }
 
-func (f *fleet) condition(name string, state catalog.ConditionState, feeder string) {
-	f.set(catalog.ConditionRecord(name, catalog.Condition{State: state, Incarnation: name + "-1", WarmupGateway: feeder}))
+// condition sets the condition of replica r1.
+func (f *fleet) condition(state catalog.ConditionState, feeder string) {
+	f.set(catalog.ConditionRecord("r1", catalog.Condition{State: state, Incarnation: "r1-1", WarmupGateway: feeder}))
 }
 
 func (f *fleet) plan() *Plan {
@@ -113,8 +115,9 @@
 }
 
 // oneReplica returns a fleet with one replica and a router that has heard of it.
-func oneReplica(t testing.TB) (*fleet, *Router) {
-	f := newFleet(t)
+func oneReplica(tb testing.TB) (*fleet, *Router) {
+	tb.Helper()
+	f := newFleet(tb)
 	f.replica("r1", "east-a", "east")
 	router := newRouter("east", "g1")
 	router.SetPlan(f.plan())
@@ -122,7 +125,7 @@
 	return f, router
 }
 
-func mustReserve(t *testing.T, router *Router, request Request) *Slot {
+func mustReserve(t *testing.T, router *Router, request Request) *Reservation {
 	t.Helper()
 	slot, failure := router.Reserve(request)
 	if failure != nil {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -37,13 +37,13 @@
 	},
 	{
 		name:  "condition draining",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionDraining, "") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionUp, "") },
+		begin: func(f *fleet, _ *Router) { f.condition(catalog.ConditionDraining, "") },
+		end:   func(f *fleet, _ *Router) { f.condition(catalog.ConditionUp, "") },
 	},
 	{
 		name:  "condition down",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionDown, "") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionUp, "") },
+		begin: func(f *fleet, _ *Router) { f.condition(catalog.ConditionDown, "") },
+		end:   func(f *fleet, _ *Router) { f.condition(catalog.ConditionUp, "") },
 	},
 	{
 		name: "zone evacuated",
@@ -54,12 +54,12 @@
 	},
 	{
 		name:  "cold with another feeder",
-		begin: func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionWarmingUp, "g9") },
-		end:   func(f *fleet, _ *Router) { f.condition("r1", catalog.ConditionWarmingUp, "g1") },
+		begin: func(f *fleet, _ *Router) { f.condition(catalog.ConditionWarmingUp, "g9") },
+		end:   func(f *fleet, _ *Router) { f.condition(catalog.ConditionWarmingUp, "g1") },
 	},
 	{
 		name:  "poll failed",
-		begin: func(_ *fleet, r *Router) { r.PollFailed("r1", time.Now()) },
+		begin: func(_ *fleet, r *Router) { r.RecordPollFailure("r1", time.Now()) },
 		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
 	},
 	{
@@ -149,7 +149,7 @@
 		for index := range 2 {
 			waiting := request(fmt.Sprint("waits", index))
 			go func() {
-				_, failure := router.Acquire(context.Background(), waiting)
+				_, failure := router.Acquire(t.Context(), waiting)
 				answers <- failure
 			}()
 		}
@@ -175,7 +175,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, router := oneReplica(t)
 		held := mustReserve(t, router, request("holder"))
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan *api.Error, 1)
 		go func() {
 			_, failure := router.Acquire(ctx, request("goes away"))
@@ -186,9 +186,9 @@
 		if failure := <-gone; failure == nil || failure.Code != api.CodeCanceled {
 			t.Fatalf("canceled: %v", failure)
 		}
-		granted := make(chan *Slot, 1)
+		granted := make(chan *Reservation, 1)
 		go func() {
-			slot, failure := router.Acquire(context.Background(), request("waits"))
+			slot, failure := router.Acquire(t.Context(), request("waits"))
 			if failure != nil {
 				t.Errorf("waits: %v", failure)
 			}
@@ -204,7 +204,7 @@
 		slot.Finish(ResultSuccess, nil, time.Now())
 		time.Sleep(1400 * time.Millisecond) // the replica falls silent
 		start := time.Now()
-		_, failure := router.Acquire(context.Background(), request("late"))
+		_, failure := router.Acquire(t.Context(), request("late"))
 		if failure == nil || failure.Code != api.CodeNoCapacity {
 			t.Fatalf("no usable replica: %v", failure)
 		}
@@ -260,7 +260,7 @@
 		if got := router.Regions(free); len(got) != 0 {
 			t.Fatalf("home evacuated: %v", got)
 		}
-		if refused := router.Refusal(free); refused.Code != api.CodeHomeUnavailable {
+		if refused := router.Rejection(free); refused.Code != api.CodeHomeUnavailable {
 			t.Fatalf("refusal: %v", refused)
 		}
 	})
@@ -306,7 +306,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, router := oneReplica(t)
 		again := request("again")
-		again.Exclude = map[string]bool{"r1": true}
+		again.ExcludedReplicas = map[string]bool{"r1": true}
 		start := time.Now()
 		if _, failure := router.Acquire(t.Context(), again); failure == nil || failure.Code != api.CodeNoCapacity {
 			t.Fatalf("got %v", failure)
@@ -340,7 +340,7 @@
 		}
 		shared := request("shared")
 		shared.Prefixes = []api.Prefix{{ID: "repository", Tokens: 4000}}
-		holders := []*Slot{mustReserve(t, router, shared)}
+		holders := []*Reservation{mustReserve(t, router, shared)}
 		for len(holders) < 4 {
 			holders = append(holders, mustReserve(t, router, shared))
 		}
@@ -354,9 +354,9 @@
 		told := report(other)
 		told.Sequence, told.Running = 20, 3
 		router.Observe(other, told, time.Now())
-		granted := make(chan *Slot, 1)
+		granted := make(chan *Reservation, 1)
 		go func() {
-			slot, _ := router.Acquire(context.Background(), shared)
+			slot, _ := router.Acquire(t.Context(), shared)
 			granted <- slot
 		}()
 		synctest.Wait()
--- a/stream/fuzz_test.go
+++ b/stream/fuzz_test.go
@@ -10,7 +10,7 @@
 )
 
 // FuzzReader feeds bytes to a Reader. Pieces come in sequence from one run, the
-// end comes once and last, and everything else is a *Fault with a code.
+// end comes once and last, and everything else is a *ReadError with a code.
 func FuzzReader(f *testing.F) {
 	whole := "event: piece\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":1,\"text\":\"x\",\"tokens\":1}\n\n" +
 		"event: end\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":2,\"tokens\":1,\"cached_tokens\":0}\n\n"
@@ -37,15 +37,15 @@
 			if ended {
 				t.Fatal("an event after the last one")
 			}
-			ended = event.Piece == nil
+			ended = event.Chunk == nil
 			if end := event.End; end != nil && (end.Sequence != pieces || end.RunID != run || end.Tokens != tokens || tokens <= 0) {
 				t.Fatalf("ended with %+v after %d pieces of run %q with %d tokens", end, pieces-1, run, tokens)
 			}
 			if ended {
 				continue
 			}
-			var piece api.StreamPiece
-			if err := json.Unmarshal(event.Piece, &piece); err != nil {
+			var piece api.StreamChunk
+			if err := json.Unmarshal(event.Chunk, &piece); err != nil {
 				t.Fatalf("passed on a piece that is not JSON: %v", err)
 			}
 			tokens += piece.Tokens
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -43,6 +43,15 @@
 	return listener.Addr().String(), connections
 }
 
+// exchange sends a request without a body and closes the answer, if there is one.
+func exchange(ctx context.Context, pool *Pool, address string, request *http.Request) error {
+	response, err := pool.Do(ctx, address, request, nil)
+	if err == nil {
+		response.Body.Close()
+	}
+	return err
+}
+
 // answerAll answers every request of a connection with the text.
 func answerAll(text string) script {
 	return func(conn net.Conn, reader *bufio.Reader) {
@@ -70,7 +79,7 @@
 
 func fetch(t *testing.T, pool *Pool, address string) (string, error) {
 	t.Helper()
-	response, err := pool.Do(context.Background(), address, newRequest(t, http.MethodPost), []byte("body"))
+	response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), []byte("body"))
 	if err != nil {
 		return "", err
 	}
@@ -153,7 +162,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := fetch(t, NewPool(Config{}), test.address)
-			var failure *Error
+			var failure *RequestError
 			if !errors.As(err, &failure) || failure.Sent != test.sent {
 				t.Errorf("got %v, want sent %v", err, test.sent)
 			}
@@ -179,8 +188,8 @@
 		t.Fatal(err)
 	}
 	for _, method := range []string{http.MethodGet} {
-		_, err := pool.Do(context.Background(), address, newRequest(t, method), nil)
-		var failure *Error
+		err := exchange(t.Context(), pool, address, newRequest(t, method))
+		var failure *RequestError
 		if !errors.As(err, &failure) || !failure.Sent {
 			t.Errorf("got %v", err)
 		}
@@ -216,9 +225,9 @@
 		_, _ = reader.ReadByte() // returns when the connection is closed
 		close(gone)
 	})
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := NewPool(Config{}).Do(ctx, address, newRequest(t, http.MethodPost), nil)
+	err := exchange(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
@@ -238,7 +247,7 @@
 	pool := NewPool(Config{})
 	body := []byte(strings.Repeat("x", 32<<20)) // more than the buffers on the way take
 	for range 2 {
-		response, err := pool.Do(context.Background(), address, newRequest(t, http.MethodPost), body)
+		response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -254,23 +263,23 @@
 
 func TestReapAndForgetCloseIdleConnections(t *testing.T) {
 	address, _ := listen(t, answerAll("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
-	pool := NewPool(Config{IdleLimit: time.Minute})
+	pool := NewPool(Config{IdleTimeout: time.Minute})
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
-	if pool.Reap(time.Now()); openTo(pool, address) != 1 {
+	if pool.CloseExpired(time.Now()); openTo(pool, address) != 1 {
 		t.Error("a fresh connection was reaped")
 	}
-	if pool.Heard(address).IsZero() {
+	if pool.LastReceived(address).IsZero() {
 		t.Error("nothing was heard")
 	}
-	if pool.Reap(time.Now().Add(time.Hour)); openTo(pool, address) != 0 {
+	if pool.CloseExpired(time.Now().Add(time.Hour)); openTo(pool, address) != 0 {
 		t.Error("an old connection was kept")
 	}
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
-	if pool.Forget(address); openTo(pool, address) != 0 {
+	if pool.CloseIdleConnections(address); openTo(pool, address) != 0 {
 		t.Error("a connection to a forgotten address was kept")
 	}
 }
