--- a/cmd/deckpulley-fleet/finding.go
+++ b/cmd/deckpulley-fleet/finding.go
@@ -31,7 +31,7 @@
 // writeFinding keeps what is needed to look into a scenario that was not good: which
 // sources, seed and machine, what was broken, and how to play it again.
 func writeFinding(of outcome, flags common, build results.Build) error {
-	machine := results.ThisMachine()
+	machine := results.CurrentMachine()
 	lines := []string{
 		"scenario: " + of.scenario.Name,
 		"deployment: " + flags.deployment,
--- a/cmd/deckpulley-fleet/results.go
+++ b/cmd/deckpulley-fleet/results.go
@@ -56,13 +56,13 @@
 
 // begin begins a record of this run.
 func (r *recordFlags) begin(kind results.Kind, deployment string) results.Record {
-	build := results.ThisBuild()
+	build := results.CurrentBuild()
 	if r.commit != "" {
 		build = results.Build{Commit: r.commit}
 	}
 	return results.Record{
 		Kind: kind, Deployment: deployment, Command: strings.Join(os.Args, " "),
-		Build: build, Machine: results.ThisMachine(), Began: time.Now(),
+		Build: build, Machine: results.CurrentMachine(), Began: time.Now(),
 	}
 }
 
--- a/internal/results/machine.go
+++ b/internal/results/environment.go
@@ -10,9 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// ThisBuild reads what the compiler noted of the source; "unknown" without it.
-func ThisBuild() Build {
-	build := Build{Commit: "unknown"}
+// unknownCommit stands for the revision of a program built without one.
+const unknownCommit = "unknown"
+
+// CurrentBuild returns the revision that the compiler recorded in this program.
+func CurrentBuild() Build {
+	build := Build{Commit: unknownCommit}
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return build
@@ -28,16 +31,16 @@
 	return build
 }
 
-// ThisMachine describes the machine now.
-func ThisMachine() Machine {
+// CurrentMachine describes this machine and its present load.
+func CurrentMachine() Machine {
 	machine := Machine{Processors: runtime.NumCPU()}
 	var info unix.Sysinfo_t
 	if unix.Sysinfo(&info) == nil {
 		machine.MemoryBytes = int64(info.Totalram) * int64(info.Unit)
 	}
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		first, _, _ := strings.Cut(string(text), " ")
-		machine.LoadBefore, _ = strconv.ParseFloat(first, 64) // absent shows as 0
+		lastMinute, _, _ := strings.Cut(string(text), " ")
+		machine.LoadBefore, _ = strconv.ParseFloat(lastMinute, 64) // unknown is 0
 	}
 	return machine
 }
--- a/internal/results/page.go
+++ b/internal/results/page.go
@@ -2,161 +2,117 @@
 
 import (
 	"fmt"
-	"strings"
+	"strconv"
 	"time"
-
-	"github.com/deckpulley/deckpulley/internal/checker"
 )
 
 // gibibyte is the unit of memory on the page.
 const gibibyte = 1 << 30
 
-// page builds Markdown.
-type page struct{ strings.Builder }
-
-func (p *page) line(format string, arguments ...any) {
-	fmt.Fprintf(p, format+"\n", arguments...)
-}
-
-func (p *page) row(cells ...string) {
-	escaped := make([]string, len(cells))
-	for i, cell := range cells {
-		escaped[i] = strings.ReplaceAll(strings.ReplaceAll(cell, "|", "\\|"), "\n", " ")
-	}
-	p.line("| %s |", strings.Join(escaped, " | "))
-}
-
-func (p *page) head(cells ...string) {
-	p.row(cells...)
-	p.line("|%s", strings.Repeat("---|", len(cells)))
-}
-
-// Page renders records in their order.
+// Page renders records as Markdown, in the order given.
 func Page(records []Record) string {
-	p := &page{}
-	p.line("# Results of the fault suite")
-	p.line("")
-	p.line("Written by `deckpulley-fleet results`; do not edit. How the suite works and what it cannot see: [FAULTS.md](FAULTS.md).")
-	p.line("")
-	p.shortfalls(records)
-	p.runs(records)
+	page := &document{}
+	page.paragraph("# Results of the fault suite")
+	page.paragraph("Written by `deckpulley-fleet results`; do not edit. How the suite works and what it cannot see: [FAULTS.md](FAULTS.md).")
+	writeShortfalls(page, records)
+	writeRuns(page, records)
 	for _, record := range records {
-		p.line("")
-		p.line("## %s, %s", titles[record.Kind], record.Deployment)
-		p.line("")
-		if record.Kind == KindPlanted {
-			p.defects(record)
-			continue
-		}
-		p.promises(record)
-		p.line("")
-		p.scenarios(record)
+		writeRecord(page, record)
 	}
-	return p.String()
+	return page.String()
 }
 
-var titles = map[Kind]string{KindFaults: "Fault suite", KindPlanted: "Planted defects"}
-
-// shortfalls lists everything that was not as it should be.
-func (p *page) shortfalls(records []Record) {
-	p.line("## What fell short")
-	p.line("")
-	var list []string
-	for _, record := range records {
-		for _, text := range shortOf(record) {
-			list = append(list, fmt.Sprintf("%s, %s: %s", titles[record.Kind], record.Deployment, text))
-		}
-	}
-	if len(list) == 0 {
-		p.line("Nothing in the runs below.")
-	}
-	for _, text := range list {
-		p.line("- %s", strings.ReplaceAll(text, "\n", " "))
+// title returns the heading for the records of a kind.
+func (k Kind) title() string {
+	switch k {
+	case KindFaults:
+		return "Fault suite"
+	case KindPlanted:
+		return "Planted defects"
 	}
+	return ""
 }
 
-func shortOf(record Record) []string {
-	var list []string
-	if record.Partial {
-		list = append(list, "only a part of the suite was run")
-	}
-	for _, of := range record.Promises {
-		switch checker.Status(of.Status) {
-		case checker.StatusBroken:
-			list = append(list, fmt.Sprintf("%s (%s) broken, %d violations: %s", of.Name, of.Title, of.Violations, strings.Join(of.First, "; ")))
-		case checker.StatusNotExercised:
-			list = append(list, fmt.Sprintf("%s (%s) not exercised", of.Name, of.Title))
-		}
-	}
-	for _, of := range record.Scenarios {
-		for _, problem := range of.Problems {
-			list = append(list, fmt.Sprintf("scenario %s: %s", of.Name, problem))
-		}
-		if len(of.Unexercised) > 0 {
-			list = append(list, fmt.Sprintf("scenario %s left %s unexercised", of.Name, strings.Join(of.Unexercised, ", ")))
-		}
-	}
-	for _, of := range record.Defects {
-		if !of.Caught {
-			list = append(list, fmt.Sprintf("defect %s in %s: %s; reported broken: %s", of.Name, of.Scenario, of.Verdict, orDash(of.Reported)))
+// writeShortfalls comes first: it is what a reader looks for.
+func writeShortfalls(page *document, records []Record) {
+	page.paragraph("## What fell short")
+	none := true
+	for _, record := range records {
+		for _, shortfall := range shortfalls(record) {
+			page.line("- %s, %s: %s", record.Kind.title(), record.Deployment, singleLine(shortfall))
+			none = false
 		}
 	}
-	return list
-}
-
-func orDash(list []string) string {
-	if len(list) == 0 {
-		return "–"
+	if none {
+		page.line("Nothing in the runs below.")
 	}
-	return strings.Join(list, ", ")
 }
 
-func (p *page) runs(records []Record) {
-	p.line("")
-	p.line("## Runs")
-	p.line("")
-	p.head("command", "commit", "began", "took", "processors", "memory", "load before")
+func writeRuns(page *document, records []Record) {
+	page.line("")
+	page.paragraph("## Runs")
+	page.tableHeader("command", "commit", "began", "took", "processors", "memory", "load before")
 	for _, record := range records {
 		commit := record.Build.Commit
 		if record.Build.Modified {
 			commit += ", with changes"
 		}
-		p.row("`"+record.Command+"`", commit, record.Began.UTC().Format(time.DateTime)+" UTC", fmt.Sprintf("%.0f s", record.Seconds),
-			fmt.Sprint(record.Machine.Processors), fmt.Sprintf("%.1f GiB", float64(record.Machine.MemoryBytes)/gibibyte),
-			fmt.Sprintf("%.1f", record.Machine.LoadBefore))
+		page.row(
+			"`"+record.Command+"`",
+			commit,
+			record.Began.UTC().Format(time.DateTime)+" UTC",
+			fmt.Sprintf("%.0f s", record.Seconds),
+			strconv.Itoa(record.Machine.Processors),
+			fmt.Sprintf("%.1f GiB", float64(record.Machine.MemoryBytes)/gibibyte),
+			fmt.Sprintf("%.1f", record.Machine.LoadBefore),
+		)
+	}
+}
+
+func writeRecord(page *document, record Record) {
+	page.line("")
+	page.paragraph(fmt.Sprintf("## %s, %s", record.Kind.title(), record.Deployment))
+	if record.Kind == KindPlanted {
+		writeDefects(page, record.Defects)
+		return
 	}
+	writePromises(page, record.Promises)
+	page.line("")
+	writeScenarios(page, record.Scenarios)
 }
 
-func (p *page) promises(record Record) {
-	p.head("promise", "", "verdict", "examined", "violations", "worst", "allowed", "scenarios")
-	for _, of := range record.Promises {
-		worst, allowed := "–", "0 violations"
-		if of.Unit != "" {
-			worst, allowed = fmt.Sprintf("%.4g", of.Worst), fmt.Sprintf("%.4g %s", of.Allowed, of.Unit)
+func writePromises(page *document, promises []Promise) {
+	page.tableHeader("promise", "", "verdict", "examined", "violations", "worst", "allowed", "scenarios")
+	for _, promise := range promises {
+		worst, allowed := emptyCell, "0 violations"
+		if promise.Unit != "" {
+			worst, allowed = fmt.Sprintf("%.4g", promise.Worst), fmt.Sprintf("%.4g %s", promise.Allowed, promise.Unit)
 		}
-		p.row(of.Name, of.Title, of.Status, fmt.Sprint(of.Examined), fmt.Sprint(of.Violations), worst, allowed, orDash(of.Scenarios))
+		page.row(promise.Name, promise.Title, promise.Status, strconv.Itoa(promise.Examined),
+			strconv.Itoa(promise.Violations), worst, allowed, joined(promise.Scenarios))
 	}
 }
 
-func (p *page) scenarios(record Record) {
-	p.head("scenario", "verdict", "requests", "succeeded", "seconds", "broken", "not exercised")
-	for _, of := range record.Scenarios {
+func writeScenarios(page *document, scenarios []Scenario) {
+	page.tableHeader("scenario", "verdict", "requests", "succeeded", "seconds", "broken", "not exercised")
+	for _, scenario := range scenarios {
 		verdict := "bad"
-		if of.Good {
+		if scenario.Good {
 			verdict = "good"
 		}
-		p.row(of.Name, verdict, fmt.Sprint(of.Requests), fmt.Sprintf("%.2f%%", 100*of.Succeeded), fmt.Sprintf("%.0f", of.Seconds),
-			orDash(of.Broken), orDash(of.Unexercised))
+		page.row(scenario.Name, verdict, strconv.Itoa(scenario.Requests), fmt.Sprintf("%.2f%%", 100*scenario.Succeeded),
+			fmt.Sprintf("%.0f", scenario.Seconds), joined(scenario.Broken), joined(scenario.Unexercised))
 	}
 }
 
-func (p *page) defects(record Record) {
-	p.head("defect", "scenario", "seconds", "promise", "broken too", "reported", "verdict", "first violation")
-	for _, of := range record.Defects {
-		also := orDash(of.Also)
-		if of.Because != "" {
-			also += ": " + of.Because
+func writeDefects(page *document, defects []Defect) {
+	page.tableHeader("defect", "scenario", "seconds", "promise", "broken too", "reported", "verdict", "first violation")
+	for _, defect := range defects {
+		also := joined(defect.Also)
+		if defect.Because != "" {
+			also += ": " + defect.Because
 		}
-		p.row(of.Name, of.Scenario, fmt.Sprintf("%.0f", of.Seconds), of.Promise, also, orDash(of.Reported), of.Verdict, of.First)
+		page.row(defect.Name, defect.Scenario, fmt.Sprintf("%.0f", defect.Seconds), defect.Promise, also,
+			joined(defect.Reported), defect.Verdict, defect.First)
 	}
 }
--- a/internal/results/results_test.go
+++ b/internal/results/results_test.go
@@ -11,7 +11,7 @@
 	"github.com/deckpulley/deckpulley/internal/checker"
 )
 
-func example() []Record {
+func exampleRecords() []Record {
 	report := checker.Report{Verdicts: []checker.Verdict{
 		{Promise: "P1", Title: "once", Examined: 7, Bound: &checker.Bound{Worst: 1, Allowed: 1, Unit: "executions"}},
 		{Promise: "P2", Title: "never", Examined: 3, Violations: []checker.Violation{{Summary: "one | ran"}, {Summary: "two"}, {Summary: "three"}, {Summary: "four"}}},
@@ -30,43 +30,43 @@
 	return []Record{faults, planted}
 }
 
-// TestPageListsShortfallsFirst finds every shortfall before the first table, and
-// nothing there that was as it should be.
+// TestPageListsShortfallsFirst holds that every shortfall stands before the first
+// table, and nothing there that was as it should be.
 func TestPageListsShortfallsFirst(t *testing.T) {
-	page := Page(example())
+	page := Page(exampleRecords())
 	before, after, found := strings.Cut(page, "## Runs")
 	if !found {
 		t.Fatal("no table of runs")
 	}
-	for _, wanted := range []string{
+	for _, want := range []string{
 		"P2 (never) broken, 4 violations: one | ran; two; three\n", "P3 (whole) not exercised", "scenario storm: no primary",
 		"scenario storm left P3 unexercised", "defect unseen in storm: not caught; reported broken: –",
 	} {
-		if !strings.Contains(before, wanted) {
-			t.Errorf("%q is not among the shortfalls:\n%s", wanted, before)
+		if !strings.Contains(before, want) {
+			t.Errorf("%q is not among the shortfalls:\n%s", want, before)
 		}
 	}
 	if strings.Contains(before, "P1") || strings.Contains(before, "Nothing") || strings.Contains(before, "defect seen") {
 		t.Errorf("more than the shortfalls:\n%s", before)
 	}
-	for _, wanted := range []string{
+	for _, want := range []string{
 		"| `make faults` | abc, with changes | 1970-01-01 00:00:00 UTC | 61 s | 12 | 3.0 GiB | 0.5 |",
 		"| P1 | once | kept | 7 | 0 | 1 | 1 executions | calm, storm |",
 		"| storm | bad | 10 | 50.00% | 0 | – | P3 |",
 		"| seen |  | 0 | P1 | – | P1 | caught |  |",
 	} {
-		if !strings.Contains(after, wanted+"\n") {
-			t.Errorf("row %q is missing:\n%s", wanted, after)
+		if !strings.Contains(after, want+"\n") {
+			t.Errorf("row %q is missing:\n%s", want, after)
 		}
 	}
-	if whole := Page([]Record{{Kind: KindFaults, Promises: example()[0].Promises[:1]}}); !strings.Contains(whole, "Nothing in the runs below.") {
-		t.Errorf("a good run fell short:\n%s", whole)
+	if complete := Page([]Record{{Kind: KindFaults, Promises: exampleRecords()[0].Promises[:1]}}); !strings.Contains(complete, "Nothing in the runs below.") {
+		t.Errorf("a good run has shortfalls:\n%s", complete)
 	}
 }
 
-func TestSaveAndLoad(t *testing.T) {
+func TestSavedRecordsAreLoadedUnchanged(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "new", "record.json")
-	for _, record := range example() {
+	for _, record := range exampleRecords() {
 		if err := Save(path, record); err != nil {
 			t.Fatal(err)
 		}
