--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -10,8 +10,8 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// course is a short run: one configuration, one evacuation, three requests.
-func course() []eventlog.Event {
+// exampleRun is a short run: one configuration, one evacuation, three requests.
+func exampleRun() []eventlog.Event {
 	at := func(milliseconds int, event eventlog.Event) eventlog.Event {
 		event.At = int64(milliseconds+1000) * int64(time.Millisecond)
 		return event
@@ -41,27 +41,27 @@
 	}
 }
 
-func TestSummary(t *testing.T) {
-	s := Summarize(course())
+func TestSummaryCountsAndMeasuresOperations(t *testing.T) {
+	s := Summarize(exampleRun())
 	if got := s.SuccessRatio(); got < 0.66 || got > 0.67 {
 		t.Errorf("success ratio %v", got)
 	}
-	if s.Spilled != 1 || s.First != 1 || s.Further != 1 || s.CachedTokens != 50 || s.PromptTokens != 200 {
-		t.Errorf("spilled %d, first %d, further %d, cached %d of %d", s.Spilled, s.First, s.Further, s.CachedTokens, s.PromptTokens)
+	if s.CrossRegion != 1 || s.FirstAttempts != 1 || s.Retries != 1 || s.CachedTokens != 50 || s.PromptTokens != 200 {
+		t.Errorf("cross-region %d, first attempts %d, retries %d, cached %d of %d", s.CrossRegion, s.FirstAttempts, s.Retries, s.CachedTokens, s.PromptTokens)
 	}
-	if len(s.InForce) != 2 || s.InForce[0].LastOld != 60*time.Millisecond || s.InForce[0].Acknowledged != 100*time.Millisecond {
-		t.Errorf("configuration in force: %+v", s.InForce)
+	if len(s.Operations) != 2 || s.Operations[0].LastWithout != 60*time.Millisecond || s.Operations[0].Acknowledged != 100*time.Millisecond {
+		t.Errorf("configuration in force: %+v", s.Operations)
 	}
-	if s.InForce[1].LastOld != 50*time.Millisecond {
-		t.Errorf("evacuation in force: %+v", s.InForce[1])
+	if s.Operations[1].LastWithout != 50*time.Millisecond {
+		t.Errorf("evacuation in force: %+v", s.Operations[1])
 	}
-	if got := len(s.seconds()); got != 2 {
+	if got := len(s.timeline()); got != 2 {
 		t.Errorf("%d seconds", got)
 	}
 }
 
-func TestPageHoldsVerdictsChartsAndNoLinks(t *testing.T) {
-	events := course()
+func TestPageHasVerdictsChartsAndNoLinks(t *testing.T) {
+	events := exampleRun()
 	var page bytes.Buffer
 	report := checker.Check(events, checker.Options{ColdRamp: 1, Gateways: 8})
 	err := WritePage(&page, Page{Title: "run <1>", Summary: Summarize(events), Report: report, Problems: []string{"a step"}})
@@ -84,8 +84,8 @@
 	}
 }
 
-func TestVerdictsShowTheirEvidence(t *testing.T) {
-	events := append(course(), eventlog.Event{At: 3e9, Kind: eventlog.ReplicaExecuted, Request: "three", Replica: "south-replica", Version: 1})
+func TestVerdictsListEvidence(t *testing.T) {
+	events := append(exampleRun(), eventlog.Event{At: 3e9, Kind: eventlog.ReplicaExecuted, Request: "three", Replica: "south-replica", Version: 1})
 	var out bytes.Buffer
 	if err := WriteVerdicts(&out, checker.Check(events, checker.Options{}), map[checker.Promise][]string{"P2": {"a-scenario"}}); err != nil {
 		t.Fatal(err)
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -3,7 +3,6 @@
 package report
 
 import (
-	"sort"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -13,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Outcomes of whole requests, over all their attempts.
+// Outcomes of requests over all their attempts.
 const (
 	OutcomeSuccess     = string(api.OutcomeSuccess)
 	OutcomeRefused     = string(api.OutcomeRefused)
@@ -26,95 +25,95 @@
 
 // Request is one request over all its attempts.
 type Request struct {
-	ID      string
-	At      int64 // nanoseconds of the log
-	Class   string
-	Region  string // of its caller
-	Stream  bool
+	ID string
+	// At is the time of its first event, in nanoseconds of the log.
+	At    int64
+	Class string
+	// Region is that of its caller.
+	Region string
+	Stream bool
+	// Outcome is the final one, and Code its error code.
 	Outcome string
 	Code    string
-	// FirstTokenMS and ElapsedMS are those of its first success.
+	// FirstTokenMS and ElapsedMS are those of its first success, in milliseconds.
 	FirstTokenMS float64
 	ElapsedMS    float64
 	PromptTokens int
 	CachedTokens int
 }
 
-// Latency holds the distributions of one class, in microseconds.
+// Latency holds the distributions of one class of requests, in microseconds.
 type Latency struct {
+	// FirstToken is the time to the first token of a stream.
 	FirstToken *hdrhistogram.Histogram
-	Elapsed    *hdrhistogram.Histogram
-	Between    *hdrhistogram.Histogram
+	// Elapsed is the time to the end of the answer.
+	Elapsed *hdrhistogram.Histogram
+	// InterToken is the time between two events of a stream.
+	InterToken *hdrhistogram.Histogram
 }
 
-// Bounds of the histograms, in microseconds.
+// Range of the histograms, in microseconds, and their precision.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 func newLatency() *Latency {
 	histogram := func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(lowestMicros, highestMicros, digits)
+		return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 	}
-	return &Latency{FirstToken: histogram(), Elapsed: histogram(), Between: histogram()}
-}
-
-// InForce says how an order took hold, judged from replicas' receipts.
-type InForce struct {
-	Order   string
-	Detail  string
-	Zone    string
-	Version uint64
-	At      int64
-	// Acknowledged is the time from the first send to the acknowledgement, and
-	// LastOld to the last request that was decided without the order.
-	Acknowledged time.Duration
-	LastOld      time.Duration
-	// FirstBack is, for a withdrawal, the time to the first request in the zone.
-	FirstBack time.Duration
+	return &Latency{FirstToken: histogram(), Elapsed: histogram(), InterToken: histogram()}
 }
 
 // Summary holds the figures of a run.
 type Summary struct {
 	Requests []*Request
-	Latency  map[string]*Latency
+	// Latency holds the successful requests by class.
+	Latency map[string]*Latency
+	// Outcomes counts requests by their final outcome.
 	Outcomes map[string]int
-	// Codes counts the codes of requests without success.
-	Codes      map[string]int
-	Placements map[string]int // executions by region
-	Spilled    int
-	Executed   int
-	First      int // first attempts that reached a replica
-	Further    int
+	// Codes counts the outcomes and codes of requests without success.
+	Codes map[string]int
+	// Placements counts executions by region.
+	Placements map[string]int
+	// CrossRegion counts executions outside of the caller's region.
+	CrossRegion int
+	Executed    int
+	// FirstAttempts and Retries count the attempts that reached a replica.
+	FirstAttempts int
+	Retries       int
+	// Versions counts receipts by the configuration version that decided them.
 	Versions   map[uint64]int
-	InForce    []InForce
+	Operations []Operation
 	Faults     []eventlog.Event
-	Orders     []eventlog.Event
-	// Start and End are the first and last request, in nanoseconds of the log.
+	// Acknowledgements are the answers that accepted an operation.
+	Acknowledgements []eventlog.Event
+	// Start and End are the times at which the first and the last request began,
+	// in nanoseconds of the log.
 	Start, End int64
-	// CachedTokens of PromptTokens were found in a cache, successes alone.
+	// CachedTokens of PromptTokens were found in a cache; successes only.
 	CachedTokens, PromptTokens int
 
 	executions []eventlog.Event
-	byID       map[string]*Request
-	regions    map[string]string
-	zones      map[string]string
-	lastPiece  map[pieceKey]int64
+	requests   map[string]*Request // by id
+	regions    map[string]string   // by replica
+	zones      map[string]string   // by replica
+	lastChunk  map[attemptKey]int64
 }
 
-type pieceKey struct {
+// attemptKey identifies one attempt of a request.
+type attemptKey struct {
 	request string
 	attempt int
 }
 
-// Summarize reads events that are ordered by their stamps.
+// Summarize computes the figures of events that are ordered by their timestamps.
 func Summarize(events []eventlog.Event) *Summary {
 	s := &Summary{
 		Latency: map[string]*Latency{}, Outcomes: map[string]int{}, Codes: map[string]int{},
 		Placements: map[string]int{}, Versions: map[uint64]int{},
-		byID: map[string]*Request{}, regions: map[string]string{}, zones: map[string]string{}, lastPiece: map[pieceKey]int64{},
+		requests: map[string]*Request{}, regions: map[string]string{}, zones: map[string]string{}, lastChunk: map[attemptKey]int64{},
 	}
 	for _, event := range events {
 		s.add(event)
@@ -122,8 +121,8 @@
 	for _, request := range s.Requests {
 		s.count(request)
 	}
-	s.countSpill()
-	s.measureOrders(events)
+	s.countCrossRegion()
+	s.Operations = measureOperations(events, s.zones)
 	return s
 }
 
@@ -134,17 +133,17 @@
 	case eventlog.CallerAsked, eventlog.CallerSent:
 		s.request(event)
 	case eventlog.CallerPiece:
-		s.addPiece(event)
+		s.addChunk(event)
 	case eventlog.CallerAnswered:
-		s.addAnswer(s.request(event), event)
+		s.request(event).addAnswer(event)
 	case eventlog.CallerAbandoned:
 		s.request(event).Outcome = OutcomeAbandoned
 	case eventlog.ReplicaReceived:
 		s.Versions[event.Version]++
 		if event.Attempt > 1 {
-			s.Further++
+			s.Retries++
 		} else {
-			s.First++
+			s.FirstAttempts++
 		}
 	case eventlog.ReplicaExecuted:
 		s.executions = append(s.executions, event)
@@ -154,67 +153,69 @@
 		s.Faults = append(s.Faults, event)
 	case eventlog.OrderAnswered:
 		if event.Outcome == checker.OrderAccepted {
-			s.Orders = append(s.Orders, event)
+			s.Acknowledgements = append(s.Acknowledgements, event)
 		}
 	}
 }
 
+// request returns the request of a caller's event, which may be its first one.
 func (s *Summary) request(event eventlog.Event) *Request {
-	of, ok := s.byID[event.Request]
-	if !ok {
-		of = &Request{
-			ID: event.Request, At: event.At, Class: event.Class, Region: event.Region, Stream: event.Stream,
-			Outcome: OutcomeUnanswered, PromptTokens: event.PromptTokens,
-		}
-		s.byID[event.Request] = of
-		s.Requests = append(s.Requests, of)
-		if s.Start == 0 {
-			s.Start = event.At
-		}
-		s.End = event.At
+	if known, ok := s.requests[event.Request]; ok {
+		return known
+	}
+	added := &Request{
+		ID: event.Request, At: event.At, Class: event.Class, Region: event.Region, Stream: event.Stream,
+		Outcome: OutcomeUnanswered, PromptTokens: event.PromptTokens,
+	}
+	s.requests[event.Request] = added
+	s.Requests = append(s.Requests, added)
+	if s.Start == 0 {
+		s.Start = event.At
 	}
-	return of
+	s.End = event.At
+	return added
 }
 
-func (s *Summary) addPiece(event eventlog.Event) {
-	key := pieceKey{event.Request, event.Attempt}
-	if last, ok := s.lastPiece[key]; ok {
-		record(s.latency(event.Class).Between, (event.At-last)/int64(time.Microsecond))
+func (s *Summary) addChunk(event eventlog.Event) {
+	key := attemptKey{event.Request, event.Attempt}
+	if last, ok := s.lastChunk[key]; ok {
+		record(s.latency(event.Class).InterToken, (event.At-last)/int64(time.Microsecond))
 	}
-	s.lastPiece[key] = event.At
+	s.lastChunk[key] = event.At
 }
 
-// addAnswer keeps a success over anything else, and the last of the others.
-func (s *Summary) addAnswer(of *Request, event eventlog.Event) {
-	if of.Outcome == OutcomeSuccess || of.Outcome == OutcomeAbandoned {
+// addAnswer keeps the first success, or else the last answer.
+func (r *Request) addAnswer(event eventlog.Event) {
+	if r.Outcome == OutcomeSuccess || r.Outcome == OutcomeAbandoned {
 		return
 	}
-	of.Outcome, of.Code = event.Outcome, event.Code
+	r.Outcome, r.Code = event.Outcome, event.Code
 	if event.Outcome != OutcomeSuccess {
 		return
 	}
-	of.FirstTokenMS, of.ElapsedMS, of.CachedTokens = event.FirstTokenMS, event.ElapsedMS, event.CachedTokens
+	r.FirstTokenMS, r.ElapsedMS, r.CachedTokens = event.FirstTokenMS, event.ElapsedMS, event.CachedTokens
 }
 
-func (s *Summary) count(of *Request) {
-	s.Outcomes[of.Outcome]++
-	if of.Outcome != OutcomeSuccess {
-		s.Codes[of.Outcome+"/"+of.Code]++
+// count adds a request with its final outcome to the figures.
+func (s *Summary) count(request *Request) {
+	s.Outcomes[request.Outcome]++
+	if request.Outcome != OutcomeSuccess {
+		s.Codes[request.Outcome+"/"+request.Code]++
 		return
 	}
-	latency := s.latency(of.Class)
-	if of.Stream {
-		record(latency.FirstToken, micros(of.FirstTokenMS))
+	latency := s.latency(request.Class)
+	if request.Stream {
+		record(latency.FirstToken, micros(request.FirstTokenMS))
 	}
-	record(latency.Elapsed, micros(of.ElapsedMS))
-	s.CachedTokens += of.CachedTokens
-	s.PromptTokens += of.PromptTokens
+	record(latency.Elapsed, micros(request.ElapsedMS))
+	s.CachedTokens += request.CachedTokens
+	s.PromptTokens += request.PromptTokens
 }
 
 func micros(milliseconds float64) int64 { return int64(milliseconds * 1000) }
 
-// record puts a value, in microseconds, into a histogram; one beyond its bounds
-// counts as the bound.
+// record adds a value, in microseconds, to a histogram. A value out of its range
+// counts as the nearest one within.
 func record(histogram *hdrhistogram.Histogram, value int64) {
 	if err := histogram.RecordValue(min(highestMicros, max(lowestMicros, value))); err != nil {
 		panic("report: a value within the bounds of a histogram was not taken: " + err.Error())
@@ -222,22 +223,25 @@
 }
 
 func (s *Summary) latency(class string) *Latency {
-	of, ok := s.Latency[class]
+	latency, ok := s.Latency[class]
 	if !ok {
-		of = newLatency()
-		s.Latency[class] = of
+		latency = newLatency()
+		s.Latency[class] = latency
 	}
-	return of
+	return latency
 }
 
-func (s *Summary) countSpill() {
+func (s *Summary) countCrossRegion() {
 	for _, executed := range s.executions {
-		if of, ok := s.byID[executed.Request]; ok && of.Region != s.regionOf(executed) {
-			s.Spilled++
+		request, ok := s.requests[executed.Request]
+		if ok && request.Region != s.regionOf(executed) {
+			s.CrossRegion++
 		}
 	}
 }
 
+// regionOf returns the region of a replica's event: that of the inventory, or the
+// one that the replica states if the inventory lacks it.
 func (s *Summary) regionOf(event eventlog.Event) string {
 	if region, ok := s.regions[event.Replica]; ok {
 		return region
@@ -245,8 +249,8 @@
 	return event.Region
 }
 
-// SuccessRatio is the part of the requests that were not abandoned which
-// succeeded.
+// SuccessRatio returns the ratio of successes, 0 to 1, among the requests that their
+// callers did not abandon.
 func (s *Summary) SuccessRatio() float64 {
 	counted := len(s.Requests) - s.Outcomes[OutcomeAbandoned]
 	if counted == 0 {
@@ -254,63 +258,3 @@
 	}
 	return float64(s.Outcomes[OutcomeSuccess]) / float64(counted)
 }
-
-// measureOrders looks from each accepted order to the last request that was
-// decided without it.
-func (s *Summary) measureOrders(events []eventlog.Event) {
-	sent := map[string]eventlog.Event{}
-	seen := map[string]bool{}
-	for _, event := range events {
-		switch {
-		case event.Kind == eventlog.OrderSent:
-			if _, ok := sent[event.Order]; !ok {
-				sent[event.Order] = event
-			}
-		case event.Kind == eventlog.OrderAnswered && event.Outcome == checker.OrderAccepted && !seen[event.Order]:
-			seen[event.Order] = true
-			s.InForce = append(s.InForce, s.inForce(events, sent[event.Order], event))
-		}
-	}
-}
-
-// inForceWindow bounds the search for requests decided without an order.
-const inForceWindow = 15 * time.Second
-
-func (s *Summary) inForce(events []eventlog.Event, sent, answered eventlog.Event) InForce {
-	found := InForce{
-		Order: answered.Order, Detail: answered.Detail, Zone: sent.Zone, Version: answered.Version, At: sent.At,
-		Acknowledged: time.Duration(answered.At - sent.At),
-	}
-	from := sort.Search(len(events), func(i int) bool { return events[i].At >= sent.At })
-	for _, event := range events[from:] {
-		if event.At > answered.At+int64(inForceWindow) {
-			break
-		}
-		if event.Kind == eventlog.OrderSent && event.Detail == checker.DetailWithdraw && event.Order != answered.Order && event.Zone == sent.Zone {
-			break
-		}
-		if event.Kind == eventlog.ReplicaReceived {
-			s.noteReceipt(&found, event)
-		}
-	}
-	return found
-}
-
-func (s *Summary) noteReceipt(found *InForce, event eventlog.Event) {
-	since := time.Duration(event.At - found.At)
-	inZone := s.zones[event.Replica] == found.Zone
-	switch found.Detail {
-	case checker.DetailConfiguration:
-		if event.Version < found.Version {
-			found.LastOld = since
-		}
-	case checker.DetailEvacuate:
-		if inZone {
-			found.LastOld = since
-		}
-	case checker.DetailWithdraw:
-		if inZone && found.FirstBack == 0 {
-			found.FirstBack = since
-		}
-	}
-}
