--- /dev/null
+++ b/internal/scenario/suite/check.go
@@ -0,0 +1,29 @@
+package suite
+
+import (
+	"io"
+
+	"github.com/deckpulley/deckpulley/internal/checker"
+	"github.com/deckpulley/deckpulley/internal/eventlog"
+	"github.com/deckpulley/deckpulley/internal/report"
+)
+
+// CheckLogs checks the event logs of a folder again and writes figures and verdicts.
+// It returns ErrBroken if a promise is broken.
+func CheckLogs(out io.Writer, folder string, options checker.Options) error {
+	events, err := eventlog.ReadFolder(folder)
+	if err != nil {
+		return err
+	}
+	checked := checker.Check(events, options)
+	if err := report.WriteSummary(out, report.Summarize(events)); err != nil {
+		return err
+	}
+	if err := report.WriteVerdicts(out, checked, nil); err != nil {
+		return err
+	}
+	if checked.Broken() {
+		return ErrBroken
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/scenario/suite/finding.go
@@ -0,0 +1,58 @@
+package suite
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/deckpulley/deckpulley/internal/results"
+)
+
+// findingFile is the file that a scenario that was not good leaves in its run
+// folder, beside the logs of its processes and events.
+const findingFile = "finding.txt"
+
+// WriteFindings writes a finding for each scenario that was not good. Build is the
+// source of the programs.
+func (f *Faults) WriteFindings(out io.Writer, build results.Build) error {
+	for _, done := range f.outcomes {
+		if done.good() || done.folder == "" {
+			continue
+		}
+		if err := f.config.writeFinding(done, build); err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s: seed %d, logs and %s in %s\n", done.scenario.Name, f.config.Seed, findingFile, done.folder)
+	}
+	return nil
+}
+
+// writeFinding stores what is needed to look into a scenario that was not good:
+// source, seed and machine, what was broken, and the command that repeats the run.
+func (c Config) writeFinding(done outcome, build results.Build) error {
+	name := done.scenario.Name
+	lines := []string{
+		"scenario: " + name,
+		"deployment: " + c.Deployment.Name,
+		fmt.Sprintf("seed: %d", c.Seed),
+		"commit: " + build.Commit,
+		fmt.Sprintf("machine: %+v", results.CurrentMachine()),
+		fmt.Sprintf("again: deckpulley-fleet faults --deployment %s --scenario %s --seed %d", c.Deployment.Name, name, c.Seed),
+		done.reason(),
+	}
+	if done.result != nil {
+		for _, problem := range done.result.Problems {
+			lines = append(lines, "problem: "+problem.Error())
+		}
+	}
+	path := filepath.Join(done.folder, findingFile)
+	if err := os.MkdirAll(done.folder, 0o755); err != nil {
+		return fmt.Errorf("keeping a finding: %w", err)
+	}
+	if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		return fmt.Errorf("keeping a finding: %w", err)
+	}
+	return nil
+}
--- a/cmd/deckpulley-fleet/finding_test.go
+++ b/internal/scenario/suite/finding_test.go
@@ -1,4 +1,4 @@
-package main
+package suite
 
 import (
 	"errors"
@@ -7,17 +7,18 @@
 	"strings"
 	"testing"
 
+	"github.com/deckpulley/deckpulley/internal/fleet"
 	"github.com/deckpulley/deckpulley/internal/results"
 	"github.com/deckpulley/deckpulley/internal/scenario"
 )
 
-// TestAFindingSaysHowToPlayItAgain: whatever kept a scenario from being good, the run
-// folder names sources, seed and command.
-func TestAFindingSaysHowToPlayItAgain(t *testing.T) {
+// TestFindingNamesCauseAndCommandToRepeat holds that, whatever kept a scenario from
+// being good, the run folder names source, seed, cause and command.
+func TestFindingNamesCauseAndCommandToRepeat(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "run")
-	of := outcome{scenario: &scenario.Scenario{Name: "gateway-killed"}, folder: folder, err: errors.New("no port was free")}
-	flags := common{deployment: "georgia", seed: 17}
-	if err := writeFinding(of, flags, results.Build{Commit: "abc"}); err != nil {
+	failed := outcome{scenario: &scenario.Scenario{Name: "gateway-killed"}, folder: folder, err: errors.New("no port was free")}
+	config := Config{Deployment: fleet.Deployment{Name: "georgia"}, Seed: 17}
+	if err := config.writeFinding(failed, results.Build{Commit: "abc"}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(filepath.Join(folder, findingFile))
--- /dev/null
+++ b/internal/scenario/suite/planted.go
@@ -0,0 +1,200 @@
+package suite
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"io"
+	"io/fs"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/deckpulley/deckpulley/internal/checker"
+	"github.com/deckpulley/deckpulley/internal/planted/catalog"
+	"github.com/deckpulley/deckpulley/internal/results"
+	"github.com/deckpulley/deckpulley/internal/scenario"
+	"github.com/deckpulley/deckpulley/scenarios"
+)
+
+// defectVariable names the defect to daemons built with the tag "planted".
+const defectVariable = "DECKPULLEY_PLANTED_DEFECT"
+
+// SelectCases returns the cases of the named defects, each once; without names all
+// of them and the control runs.
+func SelectCases(names []string) ([]catalog.Case, error) {
+	if len(names) == 0 {
+		return append(catalog.Cases(), catalog.Controls()...), nil
+	}
+	var selected []catalog.Case
+	for i, name := range names {
+		if slices.Contains(names[:i], name) {
+			continue // two runs of one name would share a folder
+		}
+		found, err := catalog.Find(name)
+		if err != nil {
+			return nil, fmt.Errorf("--defect: %w", err)
+		}
+		selected = append(selected, found)
+	}
+	return selected, nil
+}
+
+// caseOutcome is what became of one planted defect or control run.
+type caseOutcome struct {
+	of catalog.Case
+	// result is nil if the scenario could not begin.
+	result *scenario.Result
+	broken []checker.Promise
+	// caught is set if the result is the one that the case expects.
+	caught bool
+	// evidence is the first violation, or why the scenario could not begin.
+	evidence string
+	err      error
+}
+
+// Planted holds the outcomes of a run of planted defects.
+type Planted struct{ outcomes []caseOutcome }
+
+// RunPlanted runs cases, each on a fleet of its own. The daemons must be built with
+// the tag "planted".
+func RunPlanted(ctx context.Context, config Config, cases []catalog.Case) *Planted {
+	planted := &Planted{outcomes: make([]caseOutcome, len(cases))}
+	forEach(config.Parallel, len(cases), func(index int) {
+		planted.outcomes[index] = config.runCase(ctx, cases[index])
+	})
+	return planted
+}
+
+func (c Config) runCase(ctx context.Context, of catalog.Case) caseOutcome {
+	done := caseOutcome{of: of}
+	done.result, done.err = c.startCase(ctx, of)
+	if done.err != nil {
+		done.evidence = firstLine(done.err)
+		return done
+	}
+	done.broken, done.caught = of.Judge(done.result.Report)
+	if of.Control() {
+		done.caught = done.result.Good()
+	}
+	if verdict, ok := done.result.Report.Verdict(of.Promise); ok && len(verdict.Violations) > 0 {
+		done.evidence = verdict.Violations[0].Summary
+	}
+	done.result.Events = nil // they are on disk
+	return done
+}
+
+func (c Config) startCase(ctx context.Context, of catalog.Case) (*scenario.Result, error) {
+	name := cmp.Or(string(of.Defect), "none-"+of.Scenario)
+	shown, err := loadPlanted(of.Scenario)
+	if err != nil {
+		return nil, err
+	}
+	result, _, err := c.start(ctx, run{
+		scenario: shown, folder: "planted-" + name, label: labelOf(name),
+		environment: []string{defectVariable + "=" + string(of.Defect)},
+	})
+	return result, err
+}
+
+// loadPlanted reads the scenario of a case.
+func loadPlanted(name string) (*scenario.Scenario, error) {
+	text, err := fs.ReadFile(scenarios.Planted(), name+".yaml")
+	if err != nil {
+		return nil, fmt.Errorf("reading scenario: %w", err)
+	}
+	return scenario.Parse(name, text)
+}
+
+// defect returns the name of the defect, "none" for a control run.
+func (o caseOutcome) defect() string { return cmp.Or(string(o.of.Defect), "none") }
+
+// verdict names the outcome in one or two words.
+func (o caseOutcome) verdict() string {
+	switch {
+	case o.of.Control() && o.caught:
+		return "clean"
+	case o.of.Control():
+		return "not clean"
+	case o.caught:
+		return "caught"
+	default:
+		return "not caught"
+	}
+}
+
+// Count returns the number of cases.
+func (p *Planted) Count() int { return len(p.outcomes) }
+
+// Check returns ErrBroken if a case did not have the expected result.
+func (p *Planted) Check() error {
+	if slices.ContainsFunc(p.outcomes, func(done caseOutcome) bool { return !done.caught }) {
+		return ErrBroken
+	}
+	return nil
+}
+
+// Record adds the defects to the record of the run.
+func (p *Planted) Record(record *results.Record) {
+	for _, done := range p.outcomes {
+		record.Defects = append(record.Defects, done.record())
+	}
+}
+
+func (o caseOutcome) record() results.Defect {
+	recorded := results.Defect{
+		Name: o.defect(), Scenario: o.of.Scenario, Promise: string(o.of.Promise), Also: texts(o.of.Also),
+		Because: o.of.Because, Reported: texts(o.broken), Caught: o.caught, Verdict: o.verdict(), First: o.evidence,
+	}
+	if o.result != nil {
+		recorded.Seconds = o.result.Took.Seconds()
+	}
+	return recorded
+}
+
+// Write writes one row for each case, then the reasons of consequences and what a
+// run reported that was not expected.
+func (p *Planted) Write(out io.Writer) error {
+	if err := p.writeTable(out); err != nil {
+		return fmt.Errorf("writing the table: %w", err)
+	}
+	for _, done := range p.outcomes {
+		if done.of.Because != "" {
+			fmt.Fprintf(out, "%s breaks %s too: %s\n", done.of.Defect, strings.Join(texts(done.of.Also), " "), done.of.Because)
+		}
+		if !done.caught && done.result != nil {
+			done.writeUnexpected(out)
+		}
+	}
+	return nil
+}
+
+func (p *Planted) writeTable(out io.Writer) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "defect\tscenario\tseconds\tpromise\tbroken too\treported\tverdict\tfirst violation")
+	for _, done := range p.outcomes {
+		took := "-"
+		if done.result != nil {
+			took = fmt.Sprintf("%.0f", done.result.Took.Seconds())
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", done.defect(), done.of.Scenario, took,
+			cmp.Or(string(done.of.Promise), "-"), joined(texts(done.of.Also)), joined(texts(done.broken)), done.verdict(), done.evidence)
+	}
+	return table.Flush()
+}
+
+// writeUnexpected writes everything that a run reported.
+func (o caseOutcome) writeUnexpected(out io.Writer) {
+	fmt.Fprintf(out, "%s in %s: %s; logs in %s\n", o.defect(), o.of.Scenario, o.verdict(), o.result.Folder)
+	if unexercised := o.result.Unexercised(); len(unexercised) > 0 {
+		fmt.Fprintf(out, "  not exercised: %s\n", strings.Join(unexercised, " "))
+	}
+	for _, promise := range o.broken {
+		if verdict, ok := o.result.Report.Verdict(promise); ok {
+			fmt.Fprintf(out, "  %s: %s\n", promise, verdict.Violations[0].Summary)
+		}
+	}
+	for _, problem := range o.result.Problems {
+		fmt.Fprintf(out, "  step: %v\n", problem)
+	}
+}
