--- a/internal/fleet/process/process.go
+++ b/internal/fleet/process/process.go
@@ -1,6 +1,6 @@
-// Package process starts, freezes, thaws and ends the processes of a fleet. It
-// signals only processes that it started, by their id, and all of them end with
-// the program that started them, however that one ends.
+// Package process starts, suspends, resumes and ends the processes of a fleet. It
+// signals only processes that it started, by their id. The kernel kills them when
+// the program that started them ends, for whatever reason.
 package process
 
 import (
@@ -14,41 +14,42 @@
 	"time"
 )
 
-// Command says what to start.
+// Command describes a process to start.
 type Command struct {
-	// Name is for messages.
+	// Name identifies the process in errors.
 	Name string
-	// Path is the program's file.
+	// Path is the file of the program.
 	Path      string
 	Arguments []string
 	// Environment is added to that of this program, as NAME=value.
 	Environment []string
-	// LogPath receives standard output and error, appended.
+	// LogPath is the file to which standard output and standard error are appended.
 	LogPath string
 }
 
-// Process is one started process. Its methods are safe for concurrent use.
+// Process is a started process. Its methods are safe for concurrent use.
 type Process struct {
 	name    string
 	command *exec.Cmd
-	exited  chan struct{}
+	exited  chan struct{} // closed once the process has ended
 
 	mutex   sync.Mutex
 	frozen  bool
-	waitErr error
+	exitErr error
 }
 
-// starter runs starts on one thread that lives as long as the program: the
-// kernel ends a child with the thread that started it.
-var starter = sync.OnceValue(func() chan func() {
-	work := make(chan func())
+// startThread returns the queue of a goroutine that starts processes on one thread
+// of its own. The kernel sends the parent-death signal when the thread that started
+// the child ends, so that thread must live as long as the program.
+var startThread = sync.OnceValue(func() chan<- func() {
+	starts := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for start := range work {
+		for start := range starts {
 			start()
 		}
 	}()
-	return work
+	return starts
 })
 
 // Start starts the command in a process group of its own.
@@ -63,7 +64,7 @@
 	cmd.Stdout, cmd.Stderr = output, output
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
-	starter() <- func() { started <- cmd.Start() }
+	startThread() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, fmt.Errorf("starting %s: %w", command.Name, err)
 	}
@@ -75,12 +76,12 @@
 func (p *Process) wait() {
 	err := p.command.Wait()
 	p.mutex.Lock()
-	p.waitErr = err
+	p.exitErr = err
 	p.mutex.Unlock()
 	close(p.exited)
 }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Running reports whether the process has not ended.
@@ -93,11 +94,11 @@
 	}
 }
 
-// ExitError is the reason of a bad end, nil while running or after status 0.
+// ExitError returns how the process failed; nil while it runs and after exit status 0.
 func (p *Process) ExitError() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.waitErr
+	return p.exitErr
 }
 
 // Kill ends the process at once and waits for its end.
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// Freeze stops the process without its notice.
+// Freeze suspends the process, which cannot notice or prevent it.
 func (p *Process) Freeze() error {
 	p.mutex.Lock()
 	p.frozen = true
@@ -117,7 +118,7 @@
 	return p.signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() error {
 	p.mutex.Lock()
 	p.frozen = false
@@ -125,23 +126,24 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// Frozen reports whether the process is frozen.
+// Frozen reports whether the process is suspended.
 func (p *Process) Frozen() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.frozen
 }
 
-// Stop asks the process to end and kills it once patience has passed. It
-// reports whether the process ended by itself.
-func (p *Process) Stop(patience time.Duration) (bool, error) {
+// Stop terminates the process and kills it if it has not ended within timeout. It
+// reports whether the process ended gracefully. A frozen process, which cannot, is
+// killed at once.
+func (p *Process) Stop(timeout time.Duration) (graceful bool, err error) {
 	if p.Frozen() {
 		return false, p.Kill()
 	}
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return false, err
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-p.exited:
@@ -151,7 +153,8 @@
 	}
 }
 
-// signal sends to this process alone. One that has ended is no error.
+// signal sends a signal to this process alone, not to its group. It is no error if
+// the process has ended.
 func (p *Process) signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if err == nil || errors.Is(err, os.ErrProcessDone) {
--- a/internal/fleet/process/process_test.go
+++ b/internal/fleet/process/process_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func start(t *testing.T, arguments ...string) *Process {
+func startShell(t *testing.T, arguments ...string) *Process {
 	t.Helper()
 	p, err := Start(Command{Name: "shell", Path: "/bin/sh", Arguments: arguments, LogPath: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
@@ -17,16 +17,30 @@
 	return p
 }
 
-func TestStopEndsByItselfOrByForce(t *testing.T) {
+// waitForOutput waits until a process has written to its log.
+func waitForOutput(t *testing.T, logPath string) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); ; {
+		if text, _ := os.ReadFile(logPath); len(text) > 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatal("did not begin")
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+func TestStopIsGracefulOrKills(t *testing.T) {
 	tests := []struct {
-		name   string
-		script string
-		freeze bool
-		gentle bool
+		name     string
+		script   string
+		freeze   bool
+		graceful bool
 	}{
-		{"obeys", "trap 'exit 0' TERM; echo ready; while :; do sleep 0.01; done", false, true},
-		{"ignores", "trap '' TERM; echo ready; while :; do sleep 0.01; done", false, false},
-		{"frozen", "echo ready; while :; do sleep 0.01; done", true, false},
+		{"handles the signal", "trap 'exit 0' TERM; echo ready; while :; do sleep 0.01; done", false, true},
+		{"ignores the signal", "trap '' TERM; echo ready; while :; do sleep 0.01; done", false, false},
+		{"is frozen", "echo ready; while :; do sleep 0.01; done", true, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -36,41 +50,33 @@
 				t.Fatal(err)
 			}
 			defer p.Kill()
-			for deadline := time.Now().Add(10 * time.Second); ; {
-				if text, _ := os.ReadFile(logPath); len(text) > 0 {
-					break
-				}
-				if time.Now().After(deadline) {
-					t.Fatal("did not begin")
-				}
-				time.Sleep(time.Millisecond)
-			}
+			waitForOutput(t, logPath)
 			if test.freeze {
 				if err := p.Freeze(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			patience := 10 * time.Second
-			if !test.gentle {
-				patience = 50 * time.Millisecond
+			timeout := 10 * time.Second
+			if !test.graceful {
+				timeout = 50 * time.Millisecond
 			}
-			gentle, err := p.Stop(patience)
-			if err != nil || gentle != test.gentle || p.Running() {
-				t.Errorf("gentle %v, error %v, running %v", gentle, err, p.Running())
+			graceful, err := p.Stop(timeout)
+			if err != nil || graceful != test.graceful || p.Running() {
+				t.Errorf("graceful %v, error %v, running %v", graceful, err, p.Running())
 			}
 		})
 	}
 }
 
-func TestUsageIsRead(t *testing.T) {
-	p := start(t, "-c", "while :; do sleep 1; done")
+func TestReadUsageReportsMemory(t *testing.T) {
+	p := startShell(t, "-c", "while :; do sleep 1; done")
 	usage, err := p.ReadUsage()
 	if err != nil || usage.Resident == 0 {
 		t.Errorf("usage %+v, %v", usage, err)
 	}
 }
 
-func TestStartNamesTheProgram(t *testing.T) {
+func TestStartOfMissingProgramFails(t *testing.T) {
 	if _, err := Start(Command{Name: "absent", Path: "/nonexistent/program", LogPath: filepath.Join(t.TempDir(), "log")}); err == nil {
 		t.Error("no error")
 	}
--- a/internal/fleet/process/usage.go
+++ b/internal/fleet/process/usage.go
@@ -10,73 +10,83 @@
 	"time"
 )
 
-// Usage is what the kernel counts for one process.
+// Usage holds what the kernel counts for a process.
 type Usage struct {
-	// Resident is memory in bytes.
+	// Resident is the resident memory in bytes.
 	Resident int64
-	// CPU is user and system time since the start.
+	// CPU is the user and system time since the start.
 	CPU time.Duration
-	// Read and Written are bytes through system calls, network included.
+	// Read and Written are the bytes of read and write system calls since the start,
+	// network included.
 	Read, Written int64
 }
 
-// clockTicks is the unit of CPU times in /proc, per second.
-const clockTicks = 100
+// clockTicksPerSecond is the unit of CPU times in /proc.
+const clockTicksPerSecond = 100
 
-// Fields of /proc/<pid>/stat after the command's name.
+// Indexes of fields of /proc/<pid>/stat, counted after the command's name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-// statmResident is the field of /proc/<pid>/statm with the resident pages. The
-// one in stat is an estimate that may be 0 for a process that has just started.
+// statmResident is the index of the field of /proc/<pid>/statm with the resident
+// pages. The field in stat is an estimate that may be 0 for a process that has just
+// started.
 const statmResident = 1
 
-// ReadUsage reads the present usage from /proc.
+// ReadUsage reads the present usage from /proc. It fails once the process has ended.
 func (p *Process) ReadUsage() (Usage, error) {
-	folder := filepath.Join("/proc", strconv.Itoa(p.PID()))
-	stat, err := os.ReadFile(filepath.Join(folder, "stat"))
+	usage, err := readUsage(filepath.Join("/proc", strconv.Itoa(p.PID())))
 	if err != nil {
 		return Usage{}, fmt.Errorf("reading usage of %s: %w", p.name, err)
 	}
-	usage, err := parseStat(stat)
+	return usage, nil
+}
+
+// readUsage reads the usage from a process's folder in /proc.
+func readUsage(folder string) (Usage, error) {
+	stat, err := os.ReadFile(filepath.Join(folder, "stat"))
 	if err != nil {
-		return Usage{}, fmt.Errorf("reading usage of %s: %w", p.name, err)
+		return Usage{}, err
 	}
-	pages, err := os.ReadFile(filepath.Join(folder, "statm"))
+	statm, err := os.ReadFile(filepath.Join(folder, "statm"))
 	if err != nil {
-		return Usage{}, fmt.Errorf("reading usage of %s: %w", p.name, err)
-	}
-	if usage.Resident, err = parseResident(pages); err != nil {
-		return Usage{}, fmt.Errorf("reading usage of %s: %w", p.name, err)
+		return Usage{}, err
 	}
 	counts, err := os.ReadFile(filepath.Join(folder, "io"))
 	if err != nil {
-		return Usage{}, fmt.Errorf("reading usage of %s: %w", p.name, err)
+		return Usage{}, err
+	}
+	var usage Usage
+	if usage.CPU, err = parseCPU(stat); err != nil {
+		return Usage{}, err
+	}
+	if usage.Resident, err = parseResident(statm); err != nil {
+		return Usage{}, err
 	}
 	usage.Read, usage.Written = parseCounts(counts)
 	return usage, nil
 }
 
-func parseStat(stat []byte) (Usage, error) {
-	end := bytes.LastIndexByte(stat, ')')
-	fields := strings.Fields(string(stat[end+1:]))
+func parseCPU(stat []byte) (time.Duration, error) {
+	nameEnd := bytes.LastIndexByte(stat, ')') // the name may contain spaces
+	fields := strings.Fields(string(stat[nameEnd+1:]))
 	if len(fields) <= statSystemTime {
-		return Usage{}, fmt.Errorf("unexpected stat of %d fields", len(fields))
+		return 0, fmt.Errorf("unexpected stat of %d fields", len(fields))
 	}
-	var numbers [2]int64
-	for i, field := range []int{statUserTime, statSystemTime} {
+	var ticks int64
+	for _, field := range []int{statUserTime, statSystemTime} {
 		number, err := strconv.ParseInt(fields[field], 10, 64)
 		if err != nil {
-			return Usage{}, err
+			return 0, err
 		}
-		numbers[i] = number
+		ticks += number
 	}
-	ticks := time.Duration(numbers[0] + numbers[1])
-	return Usage{CPU: ticks * time.Second / clockTicks}, nil
+	return time.Duration(ticks) * time.Second / clockTicksPerSecond, nil
 }
 
+// parseResident returns bytes.
 func parseResident(statm []byte) (int64, error) {
 	fields := strings.Fields(string(statm))
 	if len(fields) <= statmResident {
@@ -89,6 +99,7 @@
 	return pages * int64(os.Getpagesize()), nil
 }
 
+// parseCounts returns bytes; a count that is missing or malformed is 0.
 func parseCounts(counts []byte) (read, written int64) {
 	for _, line := range strings.Split(string(counts), "\n") {
 		name, value, ok := strings.Cut(line, ": ")
--- /dev/null
+++ b/internal/fleet/relay/forward.go
@@ -0,0 +1,150 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+)
+
+// forward serves one connection from its client to the target. It dials the target
+// once both directions are open, since a handshake needs both.
+func (n *Network) forward(client net.Conn, target string, outbound, inbound *gate) {
+	defer n.tasks.Done()
+	defer client.Close()
+	if outbound.wait(n.context) != nil || inbound.wait(n.context) != nil {
+		return
+	}
+	server, err := new(net.Dialer).DialContext(n.context, "tcp", target)
+	if err != nil {
+		return
+	}
+	defer server.Close()
+	ctx, cancel := context.WithCancel(n.context)
+	defer cancel()
+	closeBoth := func() {
+		client.Close()
+		server.Close()
+	}
+	stop := context.AfterFunc(ctx, closeBoth)
+	defer stop()
+	var readers, writers sync.WaitGroup
+	pump := func(to, from net.Conn, gate *gate) {
+		chunks := make(chan chunk, chunksInFlight)
+		readers.Add(1)
+		go func() { defer readers.Done(); readChunks(ctx, from, chunks, gate) }()
+		writers.Add(1)
+		go func() { defer writers.Done(); writeChunks(ctx, cancel, to, chunks, gate) }()
+	}
+	pump(server, client, outbound)
+	pump(client, server, inbound)
+	writers.Wait()
+	cancel()
+	closeBoth() // ends the readers
+	readers.Wait()
+}
+
+// chunk is data in flight in one direction of a connection.
+type chunk struct {
+	data []byte
+	// due is the earliest time of delivery.
+	due time.Time
+	end streamEnd
+}
+
+// streamEnd says whether and how a direction ends with a chunk.
+type streamEnd int
+
+const (
+	notEnded streamEnd = iota
+	// closedCleanly ends this direction alone.
+	closedCleanly
+	// broken ends the whole connection.
+	broken
+)
+
+const (
+	chunkBytes = 32 << 10
+	// chunksInFlight bounds the data in flight in one direction. Beyond it the sender
+	// waits, as with a full TCP window.
+	chunksInFlight = 64
+)
+
+// readChunks reads one direction until it ends, and closes chunks.
+func readChunks(ctx context.Context, from net.Conn, chunks chan<- chunk, gate *gate) {
+	defer close(chunks)
+	for {
+		buffer := make([]byte, chunkBytes)
+		count, err := from.Read(buffer)
+		due := time.Now().Add(gate.currentDelay())
+		if count > 0 && !send(ctx, chunks, chunk{data: buffer[:count], due: due}) {
+			return
+		}
+		if err != nil {
+			send(ctx, chunks, chunk{due: due, end: endOf(err)})
+			return
+		}
+	}
+}
+
+func endOf(err error) streamEnd {
+	if errors.Is(err, io.EOF) {
+		return closedCleanly
+	}
+	return broken
+}
+
+// writeChunks delivers one direction, each chunk once it is due and the gate is
+// open. It calls abort if the connection is broken.
+func writeChunks(ctx context.Context, abort context.CancelFunc, to net.Conn, chunks <-chan chunk, gate *gate) {
+	for next := range chunks {
+		if sleepUntil(ctx, next.due) != nil || gate.wait(ctx) != nil {
+			return
+		}
+		if next.end == notEnded {
+			if _, err := to.Write(next.data); err != nil {
+				abort()
+				return
+			}
+			continue
+		}
+		if next.end == broken || closeWrite(to) != nil {
+			abort()
+		}
+		return
+	}
+}
+
+func send(ctx context.Context, chunks chan<- chunk, next chunk) bool {
+	select {
+	case chunks <- next:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func sleepUntil(ctx context.Context, due time.Time) error {
+	left := time.Until(due)
+	if left <= 0 {
+		return nil
+	}
+	timer := time.NewTimer(left)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// closeWrite closes one direction of a connection, or all of one that cannot.
+func closeWrite(connection net.Conn) error {
+	if half, ok := connection.(interface{ CloseWrite() error }); ok {
+		return half.CloseWrite()
+	}
+	return connection.Close()
+}
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	patience = 10 * time.Second
-	// silence is how long a cut link is watched for a byte that must not come.
-	silence = 50 * time.Millisecond
+	readTimeout = 10 * time.Second
+	// quietTime is how long a cut link is watched for a byte that must not come.
+	quietTime = 50 * time.Millisecond
 )
 
-// echo answers each line with itself until the listener is closed.
-func echo(t *testing.T) string {
+// startEcho returns the address of a server that sends back all that it receives.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,50 +78,50 @@
 
 func (c *client) expect(line string) {
 	c.t.Helper()
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	got, err := c.reader.ReadString('\n')
 	if err != nil || got != line+"\n" {
 		c.t.Fatalf("got %q, %v; want %q", got, err, line)
 	}
 }
 
-func (c *client) expectSilence() {
+func (c *client) expectNothing() {
 	c.t.Helper()
-	c.conn.SetReadDeadline(time.Now().Add(silence))
+	c.conn.SetReadDeadline(time.Now().Add(quietTime))
 	if _, err := c.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.t.Fatalf("read through a cut: %v", err)
 	}
 }
 
-func TestCutHoldsAndHealDelivers(t *testing.T) {
-	for _, way := range [][2]string{{"a", "b"}, {"b", "a"}} {
-		t.Run(way[0]+" to "+way[1], func(t *testing.T) {
+func TestCutBlocksAndHealDelivers(t *testing.T) {
+	for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
+		t.Run(direction[0]+" to "+direction[1], func(t *testing.T) {
 			network := New()
 			defer network.Close()
-			address, err := network.Link("127.0.0.1", "a", "b", echo(t))
+			address, err := network.Link("127.0.0.1", "a", "b", startEcho(t))
 			if err != nil {
 				t.Fatal(err)
 			}
 			c := dial(t, address)
 			c.send("one")
 			c.expect("one")
-			network.Cut(way[0], way[1])
+			network.Cut(direction[0], direction[1])
 			c.send("two")
-			c.expectSilence()
+			c.expectNothing()
 			late := dial(t, address)
 			late.send("three")
-			late.expectSilence()
-			network.Heal(way[0], way[1])
+			late.expectNothing()
+			network.Heal(direction[0], direction[1])
 			c.expect("two")
 			late.expect("three")
 		})
 	}
 }
 
-func TestDelayHoldsEachByte(t *testing.T) {
+func TestDelayPostponesDelivery(t *testing.T) {
 	network := New()
 	defer network.Close()
-	address, err := network.Link("127.0.0.1", "a", "b", echo(t))
+	address, err := network.Link("127.0.0.1", "a", "b", startEcho(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,10 +136,10 @@
 	}
 }
 
-func TestCloseAndBreakArePassedOn(t *testing.T) {
+func TestHalfCloseIsForwarded(t *testing.T) {
 	network := New()
 	defer network.Close()
-	address, err := network.Link("127.0.0.1", "a", "b", echo(t))
+	address, err := network.Link("127.0.0.1", "a", "b", startEcho(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,14 +147,14 @@
 	c.send("last")
 	c.closeWrite()
 	c.expect("last")
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the close: %v", err)
 	}
 }
 
-func TestCloseLeavesNoGoroutine(t *testing.T) {
-	target := echo(t)
+func TestNetworkCloseEndsAllGoroutines(t *testing.T) {
+	target := startEcho(t)
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	network := New()
 	address, err := network.Link("127.0.0.1", "a", "b", target)
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,4 +1,5 @@
-// Package scenarios holds the shipped fault scenarios.
+// Package scenarios embeds the shipped fault scenarios; package internal/scenario
+// reads them.
 package scenarios
 
 import (
@@ -6,7 +7,7 @@
 	"io/fs"
 )
 
-// Files are the scenario files.
+// Files holds the scenarios of the fault suite, one file each.
 //
 //go:embed *.yaml
 var Files embed.FS
@@ -14,11 +15,11 @@
 //go:embed planted/*.yaml
 var planted embed.FS
 
-// Planted are the short scenarios that show the planted defects.
+// Planted returns the folder of the short scenarios that show the planted defects.
 func Planted() fs.FS {
 	folder, err := fs.Sub(planted, "planted")
 	if err != nil {
-		panic("scenarios: " + err.Error()) // the name is a constant
+		panic("scenarios: " + err.Error()) // impossible: the name is a valid constant
 	}
 	return folder
 }
