--- a/internal/fleet/caller/answer.go
+++ b/internal/fleet/caller/answer.go
@@ -12,7 +12,6 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/internal/checker"
-	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
 const streamType = "text/event-stream"
@@ -23,11 +22,12 @@
 	attempt int
 	gateway string
 
-	got     result
-	last    time.Time
-	pieces  int
-	failure *api.Error
-	ended   bool
+	// The rest is the state of a stream.
+	got       result
+	lastChunk time.Time
+	chunks    int
+	failure   *api.Error // of an error event
+	ended     bool       // by an end event
 }
 
 func (r *answerReader) read(response *http.Response) result {
@@ -35,29 +35,30 @@
 	if err == nil && kind == streamType {
 		return r.readStream(response.Body)
 	}
-	return r.readWhole(response)
+	return r.readBody(response.Body)
 }
 
-// readWhole verifies that the answer is this request's and as long as it says
-// and was asked for.
-func (r *answerReader) readWhole(response *http.Response) result {
-	text, err := io.ReadAll(io.LimitReader(response.Body, api.MaxReplicaAnswer))
+// readBody verifies an answer that is no stream: it must be that of this request, and
+// as long as it states and as was requested.
+func (r *answerReader) readBody(body io.Reader) result {
+	text, err := io.ReadAll(io.LimitReader(body, api.MaxReplicaAnswer))
 	if err != nil {
 		return result{outcome: string(api.OutcomeUnknown), code: codeBroken, detail: err.Error()}
 	}
-	got := result{outcome: string(api.OutcomeSuccess), firstMS: r.session.elapsed()}
+	got := result{outcome: string(api.OutcomeSuccess), firstTokenMS: r.session.elapsed()}
 	var answer api.GenerateAnswer
 	if err := json.Unmarshal(text, &answer); err != nil {
 		got.detail = "a body that does not decode: " + err.Error()
 		return got
 	}
 	got.run, got.replica, got.version = answer.RunID, answer.Replica, answer.ConfigurationVersion
-	got.tokens, got.cached = answer.Tokens, answer.CachedTokens
-	got.detail = r.wholeProblem(text, answer)
+	got.tokens, got.cachedTokens = answer.Tokens, answer.CachedTokens
+	got.detail = r.faultOf(text, answer)
 	return got
 }
 
-func (r *answerReader) wholeProblem(text []byte, answer api.GenerateAnswer) string {
+// faultOf returns what is wrong with an answer, "" if nothing is.
+func (r *answerReader) faultOf(text []byte, answer api.GenerateAnswer) string {
 	request := r.session.arrival.Generate
 	var failed api.ErrorBody
 	words := len(strings.Fields(answer.Text))
@@ -78,11 +79,14 @@
 	return ""
 }
 
-// readStream logs every event and verifies identity, order and end.
+// initialLineBytes is the initial size of the buffer for a line of a stream.
+const initialLineBytes = 4096
+
+// readStream logs every event and verifies identity, order and end of the stream.
 func (r *answerReader) readStream(body io.Reader) result {
-	r.last = r.session.start
+	r.lastChunk = r.session.start
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), api.MaxStreamLine)
+	scanner.Buffer(make([]byte, 0, initialLineBytes), api.MaxStreamLine)
 	name := ""
 	for scanner.Scan() {
 		line := scanner.Text()
@@ -94,84 +98,89 @@
 		if !ok {
 			continue
 		}
-		if hangUp := r.streamEvent(name, []byte(data)); hangUp {
+		if abandon := r.readEvent(name, []byte(data)); abandon {
 			return r.abandon()
 		}
 	}
 	return r.streamResult(scanner.Err())
 }
 
-// streamEvent takes one event and reports whether this caller hangs up after it.
-func (r *answerReader) streamEvent(name string, data []byte) (hangUp bool) {
+// readEvent verifies one event and reports whether the caller abandons the stream
+// after it.
+func (r *answerReader) readEvent(name string, data []byte) (abandon bool) {
 	if r.ended || r.failure != nil {
-		r.problem("an event after the last one")
+		r.addFault("an event after the last one")
 		return false
 	}
 	switch name {
 	case api.EventPiece:
-		return r.piece(data)
+		return r.readChunk(data)
 	case api.EventEnd:
-		r.end(data)
+		r.readEnd(data)
 	case api.EventError:
-		r.streamError(data)
+		r.readStreamError(data)
 	default:
-		r.problem("an event named " + name)
+		r.addFault("an event named " + name)
 	}
 	return false
 }
 
-// problem keeps the first problem found.
-func (r *answerReader) problem(text string) {
+// addFault keeps the first fault that is found in the answer.
+func (r *answerReader) addFault(text string) {
 	if r.got.detail == "" {
 		r.got.detail = text
 	}
 }
 
-func (r *answerReader) piece(data []byte) (hangUp bool) {
-	var piece api.StreamChunk
-	if err := json.Unmarshal(data, &piece); err != nil {
-		r.problem("an event that does not decode")
+func (r *answerReader) readChunk(data []byte) (abandon bool) {
+	var chunk api.StreamChunk
+	if err := json.Unmarshal(data, &chunk); err != nil {
+		r.addFault("an event that does not decode")
 		return false
 	}
-	now := time.Now()
-	if r.pieces == 0 {
-		r.got.firstMS = r.session.elapsed()
+	r.measure(time.Now())
+	r.chunks++
+	if chunk.RequestID != r.session.arrival.Generate.RequestID {
+		r.addFault("an event of " + chunk.RequestID)
+	}
+	r.got.run = chunk.RunID
+	r.got.tokens += chunk.Tokens
+	r.session.logChunk(r.attempt, r.gateway, chunk)
+	return r.session.treatment.abandon && r.chunks >= abandonAfter
+}
+
+// measure takes the time of a chunk.
+func (r *answerReader) measure(now time.Time) {
+	if r.chunks == 0 {
+		r.got.firstTokenMS = r.session.elapsed()
 	} else {
-		r.got.maxGapMS = max(r.got.maxGapMS, milliseconds(now.Sub(r.last)))
-	}
-	r.last = now
-	r.pieces++
-	if piece.RequestID != r.session.arrival.Generate.RequestID {
-		r.problem("an event of " + piece.RequestID)
-	}
-	r.got.run = piece.RunID
-	r.got.tokens += piece.Tokens
-	line := r.session.event(eventlog.CallerPiece)
-	line.Attempt, line.Gateway, line.Run, line.Sequence = r.attempt, r.gateway, piece.RunID, piece.Sequence
-	r.session.pool.config.Log.Write(line)
-	return r.session.plan.abandon && r.pieces >= abandonAfter
+		r.got.maxGapMS = max(r.got.maxGapMS, milliseconds(now.Sub(r.lastChunk)))
+	}
+	r.lastChunk = now
 }
 
-func (r *answerReader) end(data []byte) {
+func (r *answerReader) readEnd(data []byte) {
 	r.ended = true
 	var end api.StreamEnd
 	if err := json.Unmarshal(data, &end); err != nil {
-		r.problem("an end that does not decode")
+		r.addFault("an end that does not decode")
 		return
 	}
-	r.got.sequence, r.got.cached = end.Sequence, end.CachedTokens
+	r.got.sequence, r.got.cachedTokens = end.Sequence, end.CachedTokens
 	request := r.session.arrival.Generate
 	switch {
 	case end.RequestID != request.RequestID:
-		r.problem("the end of " + end.RequestID)
+		r.addFault("the end of " + end.RequestID)
 	case end.RunID != r.got.run:
-		r.problem("the end of run " + end.RunID)
+		r.addFault("the end of run " + end.RunID)
 	case end.Tokens != request.MaxTokens || r.got.tokens != end.Tokens:
-		r.problem(fmt.Sprintf("%d tokens, %d announced, %d asked for", r.got.tokens, end.Tokens, request.MaxTokens))
+		r.addFault(fmt.Sprintf("%d tokens, %d announced, %d asked for", r.got.tokens, end.Tokens, request.MaxTokens))
 	}
 }
 
-func (r *answerReader) streamError(data []byte) {
+// readStreamError accepts an error event with and without the envelope of an error
+// body.
+func (r *answerReader) readStreamError(data []byte) {
 	var body api.ErrorBody
 	if json.Unmarshal(data, &body) == nil && body.Error != nil {
 		r.failure = body.Error
@@ -184,11 +193,13 @@
 	r.failure = &failure
 }
 
+// streamResult returns the result of a stream that ended with err, nil for a clean
+// end.
 func (r *answerReader) streamResult(err error) result {
 	switch {
 	case r.failure != nil:
-		failed := outcomeOf(r.failure)
-		failed.run, failed.tokens, failed.firstMS = r.got.run, r.got.tokens, r.got.firstMS
+		failed := resultOf(r.failure)
+		failed.run, failed.tokens, failed.firstTokenMS = r.got.run, r.got.tokens, r.got.firstTokenMS
 		if err == nil {
 			failed.detail = checker.DetailCleanEnd
 		}
@@ -197,19 +208,17 @@
 		r.got.outcome = string(api.OutcomeSuccess)
 	case err != nil:
 		r.got.outcome, r.got.code = string(api.OutcomeUnknown), codeBroken
-		r.problem(err.Error())
+		r.addFault(err.Error())
 	default:
 		// A clean close without an end event looks finished to a simple reader.
 		r.got.outcome = string(api.OutcomeSuccess)
-		r.problem("a clean close without an end event")
+		r.addFault("a clean close without an end event")
 	}
 	return r.got
 }
 
 func (r *answerReader) abandon() result {
-	line := r.session.event(eventlog.CallerAbandoned)
-	line.Attempt, line.Gateway, line.Run = r.attempt, r.gateway, r.got.run
-	r.session.pool.config.Log.Write(line)
+	r.session.logAbandoned(r.attempt, r.gateway, r.got.run)
 	r.got.outcome, r.got.code = string(api.OutcomeUnknown), codeAbandoned
 	return r.got
 }
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -18,20 +18,20 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// fakeGateway answers as a gateway does, or wrongly as its fault says, and logs
+// fakeGateway answers as a gateway does, or incorrectly as its fault says, and logs
 // the executions that a replica would.
 type fakeGateway struct {
-	fault string
-	log   *eventlog.Writer
-	self  string
-	runs  atomic.Int64
+	fault   string
+	log     *eventlog.Writer
+	address string
+	runs    atomic.Int64
 }
 
 func (g *fakeGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == api.PathWhere {
 		var where api.WhereRequest
 		json.NewDecoder(r.Body).Decode(&where)
-		json.NewEncoder(w).Encode(api.WhereAnswer{RequestID: where.RequestID, Ticket: "ticket", Gateway: g.self})
+		json.NewEncoder(w).Encode(api.WhereAnswer{RequestID: where.RequestID, Ticket: "ticket", Gateway: g.address})
 		return
 	}
 	var request api.GenerateRequest
@@ -41,11 +41,11 @@
 		return
 	}
 	run := fmt.Sprintf("run-%d", g.runs.Add(1))
-	line := eventlog.Event{Replica: "replica", Region: "north", Request: request.RequestID, Run: run, Attempt: 1}
-	line.Kind = eventlog.ReplicaExecuted
-	g.log.Write(line)
-	line.Kind, line.Detail, line.Tokens = eventlog.ReplicaEnded, "whole", request.MaxTokens
-	g.log.Write(line)
+	event := eventlog.Event{Replica: "replica", Region: "north", Request: request.RequestID, Run: run, Attempt: 1}
+	event.Kind = eventlog.ReplicaExecuted
+	g.log.Write(event)
+	event.Kind, event.Detail, event.Tokens = eventlog.ReplicaEnded, "whole", request.MaxTokens
+	g.log.Write(event)
 	if g.fault == "refusal after execution" {
 		writeFailure(w, api.CodeOverloaded, api.OutcomeRefused)
 		return
@@ -54,16 +54,16 @@
 		g.stream(w, request, run)
 		return
 	}
-	g.whole(w, request, run)
+	g.answer(w, request, run)
 }
 
 func writeFailure(w http.ResponseWriter, code api.Code, outcome api.Outcome) {
-	failure := &api.Error{Code: code, Outcome: outcome, Message: "told to"}
+	failure := &api.Error{Code: code, Outcome: outcome, Message: "requested by the test"}
 	w.WriteHeader(failure.Status())
 	json.NewEncoder(w).Encode(api.ErrorBody{Error: failure})
 }
 
-func (g *fakeGateway) whole(w http.ResponseWriter, request api.GenerateRequest, run string) {
+func (g *fakeGateway) answer(w http.ResponseWriter, request api.GenerateRequest, run string) {
 	answer := api.GenerateAnswer{RequestID: request.RequestID, RunID: run, Tokens: request.MaxTokens, Text: strings.Repeat("word ", request.MaxTokens)}
 	switch g.fault {
 	case "foreign answer":
@@ -87,14 +87,14 @@
 		}
 	}
 	for sequence := 1; sequence <= request.MaxTokens; sequence++ {
-		piece := api.StreamChunk{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
+		chunk := api.StreamChunk{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
 		if g.fault == "spliced stream" && sequence == 3 {
-			piece.RunID = "another"
+			chunk.RunID = "another"
 		}
 		if g.fault == "skipped event" && sequence == 3 {
 			continue
 		}
-		send(api.EventPiece, piece)
+		send(api.EventPiece, chunk)
 	}
 	switch g.fault {
 	case "no end":
@@ -120,8 +120,8 @@
 	gateway := &fakeGateway{fault: fault, log: log}
 	server := httptest.NewServer(gateway)
 	defer server.Close()
-	gateway.self = server.Listener.Addr().String()
-	pool := New(Config{Gateways: map[string][]string{"north": {gateway.self}}, Regions: []string{"north"}, Log: log, Seed: 1})
+	gateway.address = server.Listener.Addr().String()
+	pool := New(Config{Gateways: map[string][]string{"north": {gateway.address}}, Regions: []string{"north"}, Log: log, Seed: 1})
 	for number := range count {
 		pool.begin(workload.Request{Region: "north", Generate: api.GenerateRequest{
 			RequestID: fmt.Sprintf("request-%d", number), Model: "model", MaxTokens: 5, Stream: stream, WaitMS: 5000, Repeatable: true,
@@ -140,7 +140,7 @@
 	return checker.Check(events, checker.Options{ColdRamp: 1, Gateways: 1})
 }
 
-func TestCallersFindWrongAnswers(t *testing.T) {
+func TestCallersDetectIncorrectAnswers(t *testing.T) {
 	tests := []struct {
 		fault  string
 		stream bool
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestCallersGoOnWithoutAGateway(t *testing.T) {
+func TestCallersUseAnotherGatewayIfOneIsUnreachable(t *testing.T) {
 	folder := t.TempDir()
 	log, err := eventlog.Open(filepath.Join(folder, "log.jsonl"), "test")
 	if err != nil {
@@ -181,12 +181,12 @@
 	gateway := &fakeGateway{log: log}
 	server := httptest.NewServer(gateway)
 	defer server.Close()
-	gateway.self = server.Listener.Addr().String()
-	gone := httptest.NewServer(gateway)
-	goneAddress := gone.Listener.Addr().String()
-	gone.Close()
+	gateway.address = server.Listener.Addr().String()
+	stopped := httptest.NewServer(gateway)
+	stoppedAddress := stopped.Listener.Addr().String()
+	stopped.Close()
 	pool := New(Config{
-		Gateways: map[string][]string{"north": {goneAddress}, "south": {gateway.self}}, Regions: []string{"north", "south"}, Log: log, Seed: 1,
+		Gateways: map[string][]string{"north": {stoppedAddress}, "south": {gateway.address}}, Regions: []string{"north", "south"}, Log: log, Seed: 1,
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
--- a/internal/fleet/caller/session.go
+++ b/internal/fleet/caller/session.go
@@ -1,39 +1,35 @@
 package caller
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/internal/checker"
-	"github.com/deckpulley/deckpulley/internal/eventlog"
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// Patience of a caller.
 const (
-	// whereTimeout is how long a gateway may take to say where to go.
+	// whereTimeout bounds the time in which a gateway says where to go.
 	whereTimeout = 2 * time.Second
+	// whereAttempts bounds the number of gateways that are asked where to go.
+	whereAttempts = 4
 	// answerGrace is added to the wait that the request states.
 	answerGrace = 2 * time.Second
-	// whereAttempts bounds the gateways that are asked.
-	whereAttempts = 4
-	// againPause lies between an answer and the resend after it.
-	againPause = 300 * time.Millisecond
+	// resendDelay lies between an answer and the resend after it.
+	resendDelay = 300 * time.Millisecond
 	// abandonAfter is the number of events after which a stream is abandoned.
 	abandonAfter = 3
 )
 
-// Codes of a caller's own outcomes.
+// Codes of outcomes that callers determine themselves.
 const (
 	codeUnreachable = "unreachable"
 	codeTimeout     = "caller_timeout"
@@ -41,68 +37,51 @@
 	codeAbandoned   = "abandoned"
 )
 
-// session is one request of one caller with its resends.
+// session is one request of one caller with all its attempts.
 type session struct {
-	pool     *Pool
-	arrival  workload.Request
-	plan     plan
-	start    time.Time
-	attempts atomic.Int32
-	prompt   int
+	pool         *Pool
+	arrival      workload.Request
+	treatment    treatment
+	start        time.Time
+	attempts     atomic.Int32
+	promptTokens int // prefixes included
 }
 
-func newSession(pool *Pool, arrival workload.Request, plan plan) *session {
-	prompt := arrival.Generate.PromptTokens
+func newSession(pool *Pool, arrival workload.Request, drawn treatment) *session {
+	promptTokens := arrival.Generate.PromptTokens
 	for _, prefix := range arrival.Generate.Prefixes {
-		prompt += prefix.Tokens
-	}
-	return &session{pool: pool, arrival: arrival, plan: plan, start: time.Now(), prompt: prompt}
-}
-
-// event fills in what every line of this request carries.
-func (s *session) event(kind eventlog.Kind) eventlog.Event {
-	request := s.arrival.Generate
-	return eventlog.Event{
-		Kind: kind, Source: "callers-" + s.arrival.Region,
-		Request: request.RequestID, Region: s.arrival.Region, Class: string(request.Class), Service: request.Model,
-		Home: request.Home, HomeRegions: s.arrival.HomeRegions, Repeatable: request.Repeatable, Stream: request.Stream,
-		PromptTokens: s.prompt,
+		promptTokens += prefix.Tokens
 	}
+	return &session{pool: pool, arrival: arrival, treatment: drawn, start: time.Now(), promptTokens: promptTokens}
 }
 
 func (s *session) run() {
-	where, ok := s.ask()
+	where, ok := s.askWhere()
 	if !ok {
 		return
 	}
-	gateways := append([]string{where.Gateway}, without(where.Alternates, where.Gateway)...)
-	if len(gateways) == 1 {
-		gateways = append(gateways, firstOther(s.plan.entries, where.Gateway)...)
-	}
-	if s.plan.double && len(gateways) > 1 {
+	gateways := s.gatewaysOf(where)
+	if s.treatment.duplicate && len(gateways) > 1 {
 		s.sendTwice(where.Ticket, gateways)
 		return
 	}
 	s.sendUntilAnswered(where.Ticket, gateways)
-	if s.plan.again && len(gateways) > 1 {
-		time.Sleep(againPause)
+	if s.treatment.resend && len(gateways) > 1 {
+		time.Sleep(resendDelay)
 		s.send(where.Ticket, gateways[1])
 	}
 }
 
-func without(list []string, item string) []string {
-	var rest []string
-	for _, entry := range list {
-		if entry != item {
-			rest = append(rest, entry)
-		}
+// gatewaysOf returns the gateways for a request: the one that it was directed to,
+// then the alternates, or another one that the caller knows if there are none.
+func (s *session) gatewaysOf(where api.WhereAnswer) []string {
+	isDirected := func(gateway string) bool { return gateway == where.Gateway }
+	alternates := slices.DeleteFunc(slices.Clone(where.Alternates), isDirected)
+	if len(alternates) == 0 {
+		known := slices.DeleteFunc(slices.Clone(s.treatment.gateways), isDirected)
+		alternates = known[:min(1, len(known))]
 	}
-	return rest
-}
-
-func firstOther(list []string, item string) []string {
-	rest := without(list, item)
-	return rest[:min(1, len(rest))]
+	return append([]string{where.Gateway}, alternates...)
 }
 
 // sendTwice sends the same request to two gateways at once.
@@ -119,46 +98,46 @@
 }
 
 // sendUntilAnswered resends the same ticket through other gateways after a lost
-// connection or a time-out. A repeatable request is resent only if it cannot
-// have left.
+// connection or a timeout. A repeatable request is resent only if no gateway can have
+// received it.
 func (s *session) sendUntilAnswered(ticket string, gateways []string) {
 	for _, gateway := range gateways {
 		switch s.send(ticket, gateway) {
-		case sentAnswered:
+		case attemptAnswered:
 			return
-		case sentLost:
+		case attemptLost:
 			if s.arrival.Generate.Repeatable {
 				return
 			}
-		case sentUnreachable:
+		case attemptUnreachable:
 		}
 	}
 }
 
-// ask finds out where to go, from the first gateway that can be reached.
-func (s *session) ask() (api.WhereAnswer, bool) {
+// askWhere asks where to send the request, the first gateway that can be reached.
+func (s *session) askWhere() (api.WhereAnswer, bool) {
 	var last error
-	for _, gateway := range s.plan.entries[:min(whereAttempts, len(s.plan.entries))] {
+	gateways := s.treatment.gateways
+	for _, gateway := range gateways[:min(whereAttempts, len(gateways))] {
 		answer, failure, err := s.where(gateway)
 		if err != nil {
-			s.pool.avoided.add(gateway)
+			s.pool.suspects.add(gateway)
 			last = err
 			continue
 		}
 		if failure != nil {
-			s.answered(0, gateway, outcomeOf(failure))
+			s.logAnswered(0, gateway, resultOf(failure))
 			return api.WhereAnswer{}, false
 		}
-		asked := s.event(eventlog.CallerAsked)
-		asked.Gateway, asked.Target, asked.Version = gateway, answer.Gateway, answer.ConfigurationVersion
-		asked.ElapsedMS = s.elapsed()
-		s.pool.config.Log.Write(asked)
+		s.logAsked(gateway, answer)
 		return answer, true
 	}
-	s.answered(0, "", result{outcome: checker.OutcomeUnreachable, code: codeUnreachable, detail: fmt.Sprint(last)})
+	s.logAnswered(0, "", result{outcome: checker.OutcomeUnreachable, code: codeUnreachable, detail: fmt.Sprint(last)})
 	return api.WhereAnswer{}, false
 }
 
+// where asks one gateway. It returns an answer, or the gateway's typed error, or the
+// error that kept it from answering.
 func (s *session) where(gateway string) (api.WhereAnswer, *api.Error, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), whereTimeout)
 	defer cancel()
@@ -178,36 +157,21 @@
 	return answer, nil, nil
 }
 
-func (s *session) post(ctx context.Context, gateway, path string, body any) (*http.Response, error) {
-	text, err := json.Marshal(body)
-	if err != nil {
-		return nil, fmt.Errorf("encoding: %w", err)
-	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+path, bytes.NewReader(text))
-	if err != nil {
-		return nil, err
-	}
-	// A resend is the caller's decision, never its HTTP library's.
-	request.GetBody = nil
-	request.Header.Set("Content-Type", "application/json")
-	return s.pool.client.Do(request)
-}
-
-// sent says how one attempt ended for the caller.
-type sent int
+// attemptEnd says how one attempt ended for the caller.
+type attemptEnd int
 
 const (
-	sentAnswered    sent = iota
-	sentLost             // the connection broke, or the wait was over
-	sentUnreachable      // nothing left
+	attemptAnswered attemptEnd = iota
+	// attemptLost means that the connection broke or the wait was over.
+	attemptLost
+	// attemptUnreachable means that no byte was sent.
+	attemptUnreachable
 )
 
 // send makes one attempt and logs it.
-func (s *session) send(ticket, gateway string) sent {
+func (s *session) send(ticket, gateway string) attemptEnd {
 	attempt := int(s.attempts.Add(1))
-	line := s.event(eventlog.CallerSent)
-	line.Attempt, line.Gateway = attempt, gateway
-	s.pool.config.Log.Write(line)
+	s.logSent(attempt, gateway)
 	request := s.arrival.Generate
 	request.Ticket = ticket
 	wait := time.Duration(request.WaitMS)*time.Millisecond + answerGrace
@@ -223,86 +187,51 @@
 		if err != nil {
 			return s.lost(attempt, gateway, err)
 		}
-		s.answered(attempt, gateway, outcomeOf(failure))
-		return sentAnswered
+		s.logAnswered(attempt, gateway, resultOf(failure))
+		return attemptAnswered
 	}
 	reader := answerReader{session: s, attempt: attempt, gateway: gateway}
 	got := reader.read(response)
-	s.answered(attempt, gateway, got)
+	s.logAnswered(attempt, gateway, got)
 	if got.code == codeBroken {
-		return sentLost
+		return attemptLost
 	}
-	return sentAnswered
+	return attemptAnswered
 }
 
-// lost logs an attempt without an answer.
-func (s *session) lost(attempt int, gateway string, err error) sent {
-	s.pool.avoided.add(gateway)
+// lost logs an attempt that no gateway answered.
+func (s *session) lost(attempt int, gateway string, err error) attemptEnd {
+	s.pool.suspects.add(gateway)
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		s.answered(attempt, gateway, result{outcome: checker.OutcomeUnreachable, code: codeUnreachable, detail: err.Error()})
-		return sentUnreachable
+		s.logAnswered(attempt, gateway, result{outcome: checker.OutcomeUnreachable, code: codeUnreachable, detail: err.Error()})
+		return attemptUnreachable
 	}
 	code := codeBroken
 	if errors.Is(err, context.DeadlineExceeded) {
 		code = codeTimeout
 	}
-	s.answered(attempt, gateway, result{outcome: string(api.OutcomeUnknown), code: code, detail: err.Error()})
-	return sentLost
+	s.logAnswered(attempt, gateway, result{outcome: string(api.OutcomeUnknown), code: code, detail: err.Error()})
+	return attemptLost
 }
 
-// result is one attempt's end as the caller sees it.
+// result is the end of one attempt as the caller sees it.
 type result struct {
-	outcome  string
-	code     string
-	detail   string
-	run      string
-	replica  string
-	sequence int
-	tokens   int
-	cached   int
-	version  uint64
-	firstMS  float64
-	maxGapMS float64
-}
-
-func outcomeOf(failure *api.Error) result {
+	outcome string
+	code    string
+	// detail is the first fault that the caller found in the answer, or the message
+	// of an error.
+	detail       string
+	run          string
+	replica      string
+	sequence     int // of the end of a stream
+	tokens       int
+	cachedTokens int
+	version      uint64 // of the configuration
+	firstTokenMS float64
+	maxGapMS     float64 // between two events of a stream
+}
+
+func resultOf(failure *api.Error) result {
 	return result{outcome: string(failure.Outcome), code: string(failure.Code), detail: failure.Message}
 }
-
-func (s *session) answered(attempt int, gateway string, got result) {
-	line := s.event(eventlog.CallerAnswered)
-	line.Attempt, line.Gateway = attempt, gateway
-	line.Outcome, line.Code, line.Detail = got.outcome, got.code, got.detail
-	line.Run, line.Replica, line.Sequence, line.Version = got.run, got.replica, got.sequence, got.version
-	line.Tokens, line.CachedTokens = got.tokens, got.cached
-	line.FirstTokenMS, line.MaxGapMS, line.ElapsedMS = got.firstMS, got.maxGapMS, s.elapsed()
-	s.pool.config.Log.Write(line)
-}
-
-func (s *session) elapsed() float64 {
-	return milliseconds(time.Since(s.start))
-}
-
-func milliseconds(duration time.Duration) float64 {
-	return float64(duration) / float64(time.Millisecond)
-}
-
-func decode(body io.Reader, into any) error {
-	if err := json.NewDecoder(io.LimitReader(body, api.MaxReplicaAnswer)).Decode(into); err != nil {
-		return fmt.Errorf("decoding: %w", err)
-	}
-	return nil
-}
-
-// readError reads a typed error; an untyped one is an error of its own.
-func readError(response *http.Response) (*api.Error, error) {
-	var body api.ErrorBody
-	if err := decode(response.Body, &body); err != nil {
-		return nil, err
-	}
-	if body.Error == nil || body.Error.Code == "" || body.Error.Outcome == "" {
-		return nil, fmt.Errorf("status %d without a typed error", response.StatusCode)
-	}
-	return body.Error, nil
-}
--- /dev/null
+++ b/internal/fleet/caller/treatment.go
@@ -0,0 +1,55 @@
+package caller
+
+import (
+	"math/rand/v2"
+
+	"github.com/deckpulley/deckpulley/internal/workload"
+)
+
+// treatment is how a caller treats its request.
+type treatment struct {
+	gateways  []string // to ask where to go, in this order
+	duplicate bool
+	resend    bool
+	abandon   bool
+}
+
+// draw draws the treatment of a request. Requests draw in the order of their
+// arrival, so that a seed gives the same treatments.
+func (p *Pool) draw(arrival workload.Request) treatment {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	ratios := p.config.Ratios
+	drawn := treatment{gateways: p.gatewaysFor(arrival.Region)}
+	nonRepeatable := !arrival.Generate.Repeatable
+	draw := p.random.Float64()
+	switch {
+	case nonRepeatable && draw < ratios.Duplicated:
+		drawn.duplicate = true
+	case nonRepeatable && draw < ratios.Duplicated+ratios.Resent:
+		drawn.resend = true
+	}
+	drawn.abandon = arrival.Generate.Stream && !drawn.duplicate && p.random.Float64() < ratios.Abandoned
+	return drawn
+}
+
+// gatewaysFor orders the gateways for a caller: those of its region first, each
+// region from a random one on, and those that failed recently last.
+func (p *Pool) gatewaysFor(region string) []string {
+	list := rotated(p.config.Gateways[region], p.random)
+	for _, other := range p.config.Regions {
+		if other != region {
+			list = append(list, rotated(p.config.Gateways[other], p.random)...)
+		}
+	}
+	return p.suspects.moveLast(list)
+}
+
+// rotated returns a copy of the list that begins at a random item.
+func rotated(list []string, random *rand.Rand) []string {
+	if len(list) == 0 {
+		return nil
+	}
+	first := random.IntN(len(list))
+	return append(append([]string(nil), list[first:]...), list[:first]...)
+}
--- /dev/null
+++ b/internal/fleet/operator/read.go
@@ -0,0 +1,67 @@
+package operator
+
+import (
+	"context"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/internal/checker"
+	"github.com/deckpulley/deckpulley/internal/eventlog"
+)
+
+// linearizable is the query of a read that no older state may answer.
+const linearizable = "?linearizable=true"
+
+// zoneOpen is the detail of a zone in the event log that is not evacuated.
+const zoneOpen = "open"
+
+// ReadConfiguration reads the configuration in force back and logs it.
+func (o *Operator) ReadConfiguration(ctx context.Context) (api.ConfigurationAnswer, error) {
+	var answer api.ConfigurationAnswer
+	address, err := o.get(ctx, api.PathConfiguration+linearizable, &answer)
+	if err != nil {
+		return answer, err
+	}
+	o.log.Write(eventlog.Event{
+		Kind: eventlog.ConfigurationRead, Source: o.name, Gateway: address,
+		Version: answer.Version, Serial: answer.Serial, Target: digest(answer.Document),
+	})
+	return answer, nil
+}
+
+// ReadZones reads the zones back and logs them.
+func (o *Operator) ReadZones(ctx context.Context) (api.ZonesAnswer, error) {
+	var answer api.ZonesAnswer
+	address, err := o.get(ctx, api.PathZones+linearizable, &answer)
+	if err != nil {
+		return answer, err
+	}
+	for _, zone := range answer.Zones {
+		detail := zoneOpen
+		if zone.Evacuated {
+			detail = checker.DetailEvacuated
+		}
+		o.log.Write(eventlog.Event{Kind: eventlog.ZonesRead, Source: o.name, Gateway: address, Zone: zone.Zone, Detail: detail})
+	}
+	return answer, nil
+}
+
+// ReadStatus asks the node at address for its status.
+func (o *Operator) ReadStatus(ctx context.Context, address string) (api.StatusAnswer, error) {
+	var answer api.StatusAnswer
+	err := o.getFrom(ctx, address, api.PathStatus, &answer)
+	return answer, err
+}
+
+// ReadMembers asks any node for the members.
+func (o *Operator) ReadMembers(ctx context.Context) (api.MembersAnswer, error) {
+	var answer api.MembersAnswer
+	_, err := o.get(ctx, api.PathMembers, &answer)
+	return answer, err
+}
+
+// ReadReplicas asks any node for the replicas.
+func (o *Operator) ReadReplicas(ctx context.Context) (api.ReplicasAnswer, error) {
+	var answer api.ReplicasAnswer
+	_, err := o.get(ctx, api.PathReplicas, &answer)
+	return answer, err
+}
--- a/internal/scenario/orders.go
+++ b/internal/scenario/orders.go
@@ -180,7 +180,7 @@
 
 func (r *runner) resend(ctx context.Context) error {
 	r.orderMutex.Lock()
-	orders := append([]operator.Order(nil), r.orders[max(0, len(r.orders)-resendMaximum):]...)
+	orders := append([]operator.Operation(nil), r.orders[max(0, len(r.orders)-resendMaximum):]...)
 	r.orderMutex.Unlock()
 	var all []error
 	for _, order := range orders {
@@ -190,7 +190,7 @@
 }
 
 // sendEverywhere sends an order to each running node until it answers.
-func (r *runner) sendEverywhere(ctx context.Context, by *operator.Operator, order operator.Order) error {
+func (r *runner) sendEverywhere(ctx context.Context, by *operator.Operator, order operator.Operation) error {
 	ctx, cancel := context.WithTimeout(ctx, orderPatience)
 	defer cancel()
 	for _, node := range r.fleet.Controls() {
--- a/internal/scenario/session.go
+++ b/internal/scenario/session.go
@@ -45,7 +45,7 @@
 	version     uint64
 	routes      int
 	orderMutex  sync.Mutex
-	orders      []operator.Order
+	orders      []operator.Operation
 }
 
 // operatorCount is two, so that they can race.
@@ -156,7 +156,7 @@
 		regions = append(regions, plan.Name)
 	}
 	s.pool = caller.New(caller.Config{
-		Gateways: gateways, Regions: regions, Log: log, Seed: s.options.Seed, Shares: caller.DefaultShares(),
+		Gateways: gateways, Regions: regions, Log: log, Seed: s.options.Seed, Ratios: caller.DefaultRatios(),
 	})
 	return nil
 }
@@ -237,14 +237,14 @@
 }
 
 // send sends an order and remembers it for resends.
-func (s *session) send(ctx context.Context, by *operator.Operator, order operator.Order) (operator.Answer, error) {
+func (s *session) send(ctx context.Context, by *operator.Operator, order operator.Operation) (operator.Answer, error) {
 	s.remember(order)
 	ctx, cancel := context.WithTimeout(ctx, orderPatience)
 	defer cancel()
 	return by.Send(ctx, order)
 }
 
-func (s *session) remember(order operator.Order) {
+func (s *session) remember(order operator.Operation) {
 	s.orderMutex.Lock()
 	defer s.orderMutex.Unlock()
 	s.orders = append(s.orders, order)
