--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -7,34 +7,36 @@
 	"net"
 )
 
-// addressBlock is a block of loopback addresses that one fleet has for itself,
-// so that fleets run side by side and a restarted process finds its ports free.
+// addressBlock is a block of loopback addresses, 127.second.third.0/24, that one fleet
+// uses exclusively, so that fleets run side by side and a restarted process finds its
+// ports free.
 type addressBlock struct {
 	second, third int
-	next          int
+	nextHost      int
 	guard         net.Listener
 }
 
 const (
 	firstSecondByte = 16
 	lastSecondByte  = 250
-	blockAttempts   = 50
-	// guardHost is the address whose listener marks the block as taken.
+	// reserveAttempts is the number of random blocks that are tried.
+	reserveAttempts = 50
+	// guardHost and guardPort are those of the listener that marks a block as in use.
 	guardHost = 1
+	guardPort = 47000
 	firstHost = 10
 	lastHost  = 254
-	guardPort = 47000
 )
 
-var errNoBlock = errors.New("no free block of loopback addresses")
+var errNoAddress = errors.New("no free block of loopback addresses")
 
-// reserveBlock finds a block that no other fleet of this machine holds.
+// reserveBlock reserves a block that no other fleet on this machine uses.
 func reserveBlock() (*addressBlock, error) {
-	for range blockAttempts {
+	for range reserveAttempts {
 		block := &addressBlock{
-			second: firstSecondByte + rand.IntN(lastSecondByte-firstSecondByte),
-			third:  rand.IntN(lastSecondByte),
-			next:   firstHost,
+			second:   firstSecondByte + rand.IntN(lastSecondByte-firstSecondByte),
+			third:    rand.IntN(lastSecondByte),
+			nextHost: firstHost,
 		}
 		guard, err := net.Listen("tcp", fmt.Sprintf("%s:%d", block.address(guardHost), guardPort))
 		if err == nil {
@@ -42,20 +44,20 @@
 			return block, nil
 		}
 	}
-	return nil, errNoBlock
+	return nil, errNoAddress
 }
 
 func (b *addressBlock) address(host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.second, b.third, host)
 }
 
-// host returns an address that this block has not given out before.
-func (b *addressBlock) host() (string, error) {
-	if b.next > lastHost {
-		return "", errNoBlock
+// allocate returns an address of the block that has not been allocated before.
+func (b *addressBlock) allocate() (string, error) {
+	if b.nextHost > lastHost {
+		return "", errNoAddress
 	}
-	b.next++
-	return b.address(b.next - 1), nil
+	b.nextHost++
+	return b.address(b.nextHost - 1), nil
 }
 
 func (b *addressBlock) release() { b.guard.Close() }
--- /dev/null
+++ b/internal/fleet/document.go
@@ -0,0 +1,107 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"go.yaml.in/yaml/v3"
+
+	"github.com/deckpulley/deckpulley/configuration"
+)
+
+// parseDocument parses the text of the configuration.
+func (d Deployment) parseDocument() (configuration.Document, error) {
+	var document configuration.Document
+	if err := yaml.Unmarshal([]byte(d.Document), &document); err != nil {
+		return configuration.Document{}, fmt.Errorf("parsing the configuration of %s: %w", d.Name, err)
+	}
+	return document, nil
+}
+
+// homes returns the home rules of the configuration: the regions by the name of the
+// home.
+func (d Deployment) homes() map[string][]string {
+	document, err := d.parseDocument()
+	if err != nil {
+		return nil
+	}
+	return document.Homes
+}
+
+// SpareZone returns the smallest zone that is not the only home of any request: all
+// requests can be served while it is evacuated.
+func (d Deployment) SpareZone() string {
+	required := map[string]bool{} // by region
+	for _, regions := range d.homes() {
+		if len(regions) == 1 {
+			required[regions[0]] = true
+		}
+	}
+	for _, plan := range slices.Backward(d.Regions) {
+		if !required[plan.Name] {
+			return plan.Zone
+		}
+	}
+	return d.Regions[len(d.Regions)-1].Zone
+}
+
+// WithRoute returns the text of the configuration with one more route, from model to
+// the web service.
+func (d Deployment) WithRoute(model string) (string, error) {
+	return addRoute(d.Document, model, d.WebService)
+}
+
+// WithBadRoute returns the text of the configuration with a route to a service that
+// does not exist, which validation refuses.
+func (d Deployment) WithBadRoute(model string) (string, error) {
+	return addRoute(d.Document, model, missingService)
+}
+
+var errNoRoutes = errors.New("the configuration has no routes")
+
+const (
+	missingService = "no-such-service"
+	routesField    = "routes"
+	// addedClass is the class of the routes that are added.
+	addedClass = "fetch"
+)
+
+// addRoute edits the text as a document tree, so that its comments stay.
+func addRoute(text, model, service string) (string, error) {
+	var document yaml.Node
+	if err := yaml.Unmarshal([]byte(text), &document); err != nil {
+		return "", fmt.Errorf("parsing the configuration: %w", err)
+	}
+	routes, err := routesOf(&document)
+	if err != nil {
+		return "", err
+	}
+	route := &yaml.Node{Kind: yaml.MappingNode}
+	route.Content = []*yaml.Node{scalar("service"), scalar(service), scalar("class"), scalar(addedClass)}
+	routes.Content = append(routes.Content, scalar(model), route)
+	changed, err := yaml.Marshal(&document)
+	if err != nil {
+		return "", fmt.Errorf("writing the configuration: %w", err)
+	}
+	return string(changed), nil
+}
+
+// routesOf finds the mapping of the routes. A mapping's content holds keys and values
+// in turn.
+func routesOf(document *yaml.Node) (*yaml.Node, error) {
+	if len(document.Content) == 0 {
+		return nil, errNoRoutes
+	}
+	fields := document.Content[0].Content
+	for i := 0; i+1 < len(fields); i += 2 {
+		if fields[i].Value == routesField {
+			return fields[i+1], nil
+		}
+	}
+	return nil, errNoRoutes
+}
+
+func scalar(value string) *yaml.Node {
+	return &yaml.Node{Kind: yaml.ScalarNode, Value: value}
+}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -10,16 +10,16 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// healthTimeout bounds one look at a process.
+// healthTimeout bounds one health check.
 const healthTimeout = time.Second
 
 var healthClient = &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// errEnded means that a process is gone that should run.
-var errEnded = errors.New("it runs no longer")
+// errNotRunning means that a process has ended that should run.
+var errNotRunning = errors.New("it runs no longer")
 
-// get expects status 200.
-func get(ctx context.Context, address, path string) error {
+// checkHealth requests a path and expects status 200.
+func checkHealth(ctx context.Context, address, path string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return err
@@ -35,25 +35,25 @@
 	return nil
 }
 
-// WaitReplicas waits until every replica that runs answers its report.
+// WaitReplicas waits until every replica answers with its report.
 func (f *Fleet) WaitReplicas(ctx context.Context) error {
 	for _, replica := range f.Replicas() {
-		err := waitFor(ctx, func() error { return get(ctx, replica.Address, api.PathReplicaReport) })
+		err := poll(ctx, func() error { return checkHealth(ctx, replica.Address, api.PathReplicaReport) })
 		if err != nil {
-			return fmt.Errorf("replica %s is not up: %w\n%s", replica.ID, err, f.tail(replica.ID))
+			return fmt.Errorf("replica %s is not up: %w\n%s", replica.ID, err, f.logTail(replica.ID))
 		}
 	}
 	return nil
 }
 
-// WaitLive waits until every node answers.
+// WaitLive waits until every node is live.
 func (f *Fleet) WaitLive(ctx context.Context) error { return f.waitNodes(ctx, api.PathLive) }
 
-// WaitReady waits until every node may do its work.
+// WaitReady waits until every node is ready.
 func (f *Fleet) WaitReady(ctx context.Context) error { return f.waitNodes(ctx, api.PathReady) }
 
 func (f *Fleet) waitNodes(ctx context.Context, path string) error {
-	for _, node := range append(f.Controls(), f.Gateways()...) {
+	for _, node := range f.Nodes() {
 		if err := f.waitNode(ctx, node, path); err != nil {
 			return err
 		}
@@ -61,36 +61,57 @@
 	return nil
 }
 
+// waitNode polls a path of a node and gives up once the node's process has ended.
 func (f *Fleet) waitNode(ctx context.Context, node *Node, path string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	err := waitFor(ctx, func() error {
+	err := poll(ctx, func() error {
 		if !node.Running() {
 			cancel()
-			return fmt.Errorf("process ended: %w", errors.Join(errEnded, node.process.ExitError()))
+			return fmt.Errorf("process ended: %w", errors.Join(errNotRunning, node.process.ExitError()))
 		}
-		return get(ctx, node.HealthAddress(), path)
+		return checkHealth(ctx, node.HealthAddress(), path)
 	})
 	if err != nil {
-		return fmt.Errorf("%s (%s): %w\n%s", node.Name, path, err, f.tail(node.Name))
+		return fmt.Errorf("%s (%s): %w\n%s", node.Name, path, err, f.logTail(node.Name))
 	}
 	return nil
 }
 
-// WaitNodeReady waits until one node may do its work.
+// WaitNodeReady waits until one node is ready.
 func (f *Fleet) WaitNodeReady(ctx context.Context, node *Node) error {
 	return f.waitNode(ctx, node, api.PathReady)
 }
 
-// CheckReady looks once whether every running node may do its work.
+// CheckReady returns an error if a running node is not ready now.
 func (f *Fleet) CheckReady(ctx context.Context) error {
-	for _, node := range append(f.Controls(), f.Gateways()...) {
+	for _, node := range f.Nodes() {
 		if !node.Running() {
 			continue
 		}
-		if err := get(ctx, node.HealthAddress(), api.PathReady); err != nil {
+		if err := checkHealth(ctx, node.HealthAddress(), api.PathReady); err != nil {
 			return fmt.Errorf("%s: %w", node.Name, err)
 		}
 	}
 	return nil
 }
+
+// pollInterval is the pause between two checks of a condition.
+const pollInterval = 50 * time.Millisecond
+
+// poll calls condition until it returns nil, or until ctx ends.
+func poll(ctx context.Context, condition func() error) error {
+	for {
+		err := condition()
+		if err == nil {
+			return nil
+		}
+		timer := time.NewTimer(pollInterval)
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+			return fmt.Errorf("%w: %w", ctx.Err(), err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/members.go
@@ -0,0 +1,134 @@
+package fleet
+
+import (
+	"fmt"
+
+	"github.com/deckpulley/deckpulley/internal/freeport"
+	"github.com/deckpulley/deckpulley/settings"
+)
+
+// addAll adds the nodes and replicas of the deployment, with names and addresses.
+func (f *Fleet) addAll() error {
+	f.initialControl = map[string]string{}
+	for _, plan := range f.options.Deployment.Regions {
+		node, err := f.newNode("control-"+plan.Name, settings.RoleControl, plan)
+		if err != nil {
+			return err
+		}
+		f.nodes = append(f.nodes, node)
+		f.initialControl[node.Name] = node.PeerAddress
+	}
+	for _, plan := range f.options.Deployment.Regions {
+		if err := f.addRegion(plan); err != nil {
+			return err
+		}
+	}
+	host, err := f.block.allocate()
+	if err != nil {
+		return err
+	}
+	ports, err := freeport.Addresses(host, 1)
+	if err != nil {
+		return err
+	}
+	f.platformAddress = ports[0]
+	return nil
+}
+
+func (f *Fleet) addRegion(plan RegionPlan) error {
+	for number := 1; number <= plan.Gateways; number++ {
+		node, err := f.newNode(fmt.Sprintf("gateway-%s-%d", plan.Name, number), settings.RoleGateway, plan)
+		if err != nil {
+			return err
+		}
+		f.nodes = append(f.nodes, node)
+	}
+	for number := 1; number <= plan.Models; number++ {
+		if err := f.addReplica(fmt.Sprintf("model-%s-%d", plan.Name, number), KindModel, plan); err != nil {
+			return err
+		}
+	}
+	for number := 1; number <= plan.Webs; number++ {
+		if err := f.addReplica(fmt.Sprintf("web-%s-%d", plan.Name, number), KindWeb, plan); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) addReplica(id, kind string, plan RegionPlan) error {
+	replica, err := f.newReplica(id, kind, plan)
+	if err != nil {
+		return err
+	}
+	replica.Cold = f.options.Cold && kind == KindModel
+	f.replicas = append(f.replicas, replica)
+	return nil
+}
+
+// controlsLocked and gatewaysLocked are called with the lock held, or from New, before
+// anything else can use the fleet.
+func (f *Fleet) controlsLocked() []*Node { return f.nodesLocked(settings.RoleControl) }
+func (f *Fleet) gatewaysLocked() []*Node { return f.nodesLocked(settings.RoleGateway) }
+
+func (f *Fleet) nodesLocked(role settings.Role) []*Node {
+	var list []*Node
+	for _, node := range f.nodes {
+		if node.Role == role {
+			list = append(list, node)
+		}
+	}
+	return list
+}
+
+// Controls returns the control nodes.
+func (f *Fleet) Controls() []*Node {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.controlsLocked()
+}
+
+// Gateways returns the gateways.
+func (f *Fleet) Gateways() []*Node {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.gatewaysLocked()
+}
+
+// Nodes returns the control nodes, then the gateways.
+func (f *Fleet) Nodes() []*Node {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return append(f.controlsLocked(), f.gatewaysLocked()...)
+}
+
+// Replicas returns the replicas.
+func (f *Fleet) Replicas() []*Replica {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return append([]*Replica(nil), f.replicas...)
+}
+
+// Node returns the node with a name.
+func (f *Fleet) Node(name string) (*Node, error) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, node := range f.nodes {
+		if node.Name == name {
+			return node, nil
+		}
+	}
+	return nil, fmt.Errorf("no node %q", name)
+}
+
+// Replica returns the replica with an id.
+func (f *Fleet) Replica(id string) (*Replica, error) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, replica := range f.replicas {
+		if replica.ID == id {
+			return replica, nil
+		}
+	}
+	return nil, fmt.Errorf("no replica %q", id)
+}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -13,7 +13,7 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// Node is one daemon of the fleet.
+// Node is one daemon of the fleet: a control node or a gateway.
 type Node struct {
 	Name   string
 	Role   settings.Role
@@ -22,17 +22,16 @@
 
 	PeerAddress     string
 	OperatorAddress string
-	// CallerAddress is set for gateways.
+	// CallerAddress is set for gateways only.
 	CallerAddress string
-	// DataFolder is set for control nodes.
+	// DataFolder is set for control nodes only.
 	DataFolder string
 
 	settingsPath string
-	process      *process.Process
-	starts       int
+	process      *process.Process // nil before the first start
 }
 
-// HealthAddress is where the node answers for its health.
+// HealthAddress returns the address at which the node answers health checks.
 func (n *Node) HealthAddress() string {
 	if n.Role == settings.RoleGateway {
 		return n.CallerAddress
@@ -43,7 +42,8 @@
 // Running reports whether the node's process runs.
 func (n *Node) Running() bool { return n.process != nil && n.process.Running() }
 
-// Usage reads what the kernel counts for the node's process.
+// Usage returns what the kernel counts for the node's process. It fails if the node
+// does not run.
 func (n *Node) Usage() (process.Usage, error) {
 	if !n.Running() {
 		return process.Usage{}, fmt.Errorf("%s does not run", n.Name)
@@ -51,15 +51,16 @@
 	return n.process.ReadUsage()
 }
 
-// Ports of a node.
+// Numbers of ports of a node.
 const (
 	controlPorts = 2
 	gatewayPorts = 3
 )
 
-// newNode gives a node its addresses and, for a control node, its data folder.
+// newNode returns a node with its addresses and, for a control node, with an empty
+// data folder.
 func (f *Fleet) newNode(name string, role settings.Role, plan RegionPlan) (*Node, error) {
-	host, err := f.block.host()
+	host, err := f.block.allocate()
 	if err != nil {
 		return nil, err
 	}
@@ -74,25 +75,25 @@
 	node := &Node{
 		Name: name, Role: role, Zone: plan.Zone, Region: plan.Name,
 		PeerAddress: ports[0], OperatorAddress: ports[1],
-		settingsPath: filepath.Join(f.options.Folder, "settings", name+".yaml"),
+		settingsPath: filepath.Join(f.options.Folder, settingsFolder, name+".yaml"),
 	}
 	if role == settings.RoleGateway {
 		node.CallerAddress = ports[2]
 		return node, nil
 	}
-	node.DataFolder = filepath.Join(f.options.Folder, "data", name)
+	node.DataFolder = filepath.Join(f.options.Folder, dataFolder, name)
 	if err := os.MkdirAll(node.DataFolder, 0o700); err != nil {
 		return nil, fmt.Errorf("making the data folder of %s: %w", name, err)
 	}
 	return node, nil
 }
 
-// seedCount is how many other processes a node is told of.
+// seedCount is the number of other nodes that a node's settings name as seeds.
 const seedCount = 3
 
-// writeSettings writes the node's settings file.
+// writeSettings writes the node's settings nodeSettings.
 func (f *Fleet) writeSettings(node *Node) error {
-	file := settings.Settings{
+	nodeSettings := settings.Settings{
 		Name: node.Name, Role: node.Role, Zone: node.Zone, Region: node.Region,
 		PeerAddress: node.PeerAddress, OperatorAddress: node.OperatorAddress,
 		CallerAddress: node.CallerAddress, DataFolder: node.DataFolder,
@@ -101,14 +102,14 @@
 		Log: settings.Log{Level: f.options.LogLevel},
 	}
 	if node.Role == settings.RoleControl {
-		file.InitialControl = f.initialControl
+		nodeSettings.InitialControl = f.initialControl
 	}
-	overrides, err := f.overridesFor(node)
+	overrides, err := f.dialOverrides(node)
 	if err != nil {
 		return err
 	}
-	file.DialOverrides = overrides
-	text, err := yaml.Marshal(&file)
+	nodeSettings.DialOverrides = overrides
+	text, err := yaml.Marshal(&nodeSettings)
 	if err != nil {
 		return fmt.Errorf("writing the settings of %s: %w", node.Name, err)
 	}
@@ -118,10 +119,10 @@
 	return nil
 }
 
-// seedsFor names three other processes, control nodes first.
+// seedsFor returns the peer addresses of other nodes, control nodes first.
 func (f *Fleet) seedsFor(node *Node) []string {
 	var seeds []string
-	for _, other := range append(f.controls(), f.gateways()...) {
+	for _, other := range append(f.controlsLocked(), f.gatewaysLocked()...) {
 		if other != node && len(seeds) < seedCount {
 			seeds = append(seeds, other.PeerAddress)
 		}
@@ -129,12 +130,13 @@
 	return seeds
 }
 
-// overridesFor opens the relays for the links that the node dials.
-func (f *Fleet) overridesFor(node *Node) (map[string]string, error) {
-	overrides := map[string]string{}
+// dialOverrides opens the relays for the links that the node dials. It returns the
+// relay's address by that of the target; nil without relays.
+func (f *Fleet) dialOverrides(node *Node) (map[string]string, error) {
 	if !f.options.Relays {
 		return nil, nil
 	}
+	overrides := map[string]string{}
 	for _, other := range f.nodes {
 		if other == node {
 			continue
@@ -158,7 +160,7 @@
 	return overrides, nil
 }
 
-// Programs of the daemons.
+// Files of the programs.
 const (
 	controlProgram  = "deckpulley-control"
 	gatewayProgram  = "deckpulley-gateway"
@@ -171,13 +173,12 @@
 	if node.Role == settings.RoleGateway {
 		program = gatewayProgram
 	}
-	node.starts++
 	started, err := process.Start(process.Command{
 		Name:        node.Name,
 		Path:        filepath.Join(f.options.Programs, program),
 		Arguments:   []string{"--settings", node.settingsPath},
 		Environment: f.options.Environment,
-		LogPath:     filepath.Join(f.options.Folder, "logs", node.Name+".log"),
+		LogPath:     f.logPath(node.Name),
 	})
 	if err != nil {
 		return err
@@ -186,13 +187,15 @@
 	return nil
 }
 
-// tail is the end of a node's log, for messages.
-func (f *Fleet) tail(name string) string {
-	text, err := os.ReadFile(filepath.Join(f.options.Folder, "logs", name+".log"))
+// logTailLines is the number of lines of a log that errors quote.
+const logTailLines = 5
+
+// logTail returns the end of a process's log, "" if there is none.
+func (f *Fleet) logTail(name string) string {
+	text, err := os.ReadFile(f.logPath(name))
 	if err != nil {
 		return ""
 	}
-	const lines = 5
-	list := strings.Split(strings.TrimSpace(string(text)), "\n")
-	return strings.Join(list[max(0, len(list)-lines):], "\n")
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	return strings.Join(lines[max(0, len(lines)-logTailLines):], "\n")
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/profile.go
@@ -1,26 +1,26 @@
 package fleet
 
 import (
+	"errors"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 
-	"go.yaml.in/yaml/v3"
-
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// Profile is the deployment's traffic in the names of its configuration: its
-// regions, home rules, client groups, routes and services.
+// Profile returns the deployment's traffic in the names of its configuration: regions,
+// homes, client groups, routes and services.
 func (d Deployment) Profile() (*workload.Profile, error) {
 	profile, err := workload.ByName(d.Name)
 	if err != nil {
 		return nil, err
 	}
-	var document configuration.Document
-	if err := yaml.Unmarshal([]byte(d.Document), &document); err != nil {
-		return nil, fmt.Errorf("parsing the configuration of %s: %w", d.Name, err)
+	document, err := d.parseDocument()
+	if err != nil {
+		return nil, err
 	}
 	profile.Regions = nil
 	for _, plan := range d.Regions {
@@ -45,15 +45,10 @@
 }
 
 func sortedNames[Value any](values map[string]Value) []string {
-	names := make([]string, 0, len(values))
-	for name := range values {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
+	return slices.Sorted(maps.Keys(values))
 }
 
-// clientPrefix is what the client groups' names have before the region's.
+// clientPrefix returns the part of the client groups' names before that of a region.
 func clientPrefix(document configuration.Document, regions []RegionPlan) (string, error) {
 	for _, name := range sortedNames(document.Clients) {
 		for _, plan := range regions {
@@ -62,9 +57,10 @@
 			}
 		}
 	}
-	return "", fmt.Errorf("no client group is named after a region")
+	return "", errors.New("no client group is named after a region")
 }
 
+// routeOfClass returns the model and the service of the first route of a class.
 func routeOfClass(document configuration.Document, class string) (model, service string, err error) {
 	for _, name := range sortedNames(document.Routes) {
 		if document.Routes[name].Class == class {
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -1,15 +1,9 @@
 package fleet
 
 import (
-	"encoding/json"
-	"fmt"
-	"os"
 	"path/filepath"
 	"strconv"
 
-	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/internal/checker"
-	"github.com/deckpulley/deckpulley/internal/eventlog"
 	"github.com/deckpulley/deckpulley/internal/fleet/process"
 	"github.com/deckpulley/deckpulley/internal/freeport"
 )
@@ -18,6 +12,7 @@
 type Replica struct {
 	ID      string
 	Service string
+	// Kind is that of its service.
 	Kind    string
 	Zone    string
 	Region  string
@@ -25,15 +20,15 @@
 	// Cold makes its next start a cold one.
 	Cold bool
 
-	number  int
-	process *process.Process
+	number  int              // from 1 on, part of its seed
+	process *process.Process // nil before the first start
 }
 
 // Running reports whether the replica's process runs.
 func (r *Replica) Running() bool { return r.process != nil && r.process.Running() }
 
 func (f *Fleet) newReplica(id, kind string, plan RegionPlan) (*Replica, error) {
-	host, err := f.block.host()
+	host, err := f.block.allocate()
 	if err != nil {
 		return nil, err
 	}
@@ -51,12 +46,15 @@
 	}, nil
 }
 
+// replicaSeeds is the number of seeds of replicas for each seed of a fleet.
+const replicaSeeds = 1000
+
 func (f *Fleet) startReplica(replica *Replica) error {
 	arguments := []string{
 		"--id", replica.ID, "--service", replica.Service, "--zone", replica.Zone, "--region", replica.Region,
 		"--listen", replica.Address, "--kind", replica.Kind,
 		"--log", f.eventPath(replica.ID),
-		"--seed", strconv.FormatUint(f.options.Seed*1000+uint64(replica.number), 10),
+		"--seed", strconv.FormatUint(f.options.Seed*replicaSeeds+uint64(replica.number), 10),
 	}
 	if f.options.Parameters != "" && replica.Kind == KindModel {
 		arguments = append(arguments, "--parameters", f.options.Parameters)
@@ -68,7 +66,7 @@
 		Name:      replica.ID,
 		Path:      filepath.Join(f.options.Programs, replicaProgram),
 		Arguments: arguments,
-		LogPath:   filepath.Join(f.options.Folder, "logs", replica.ID+".log"),
+		LogPath:   f.logPath(replica.ID),
 	})
 	if err != nil {
 		return err
@@ -76,57 +74,3 @@
 	replica.process = started
 	return nil
 }
-
-// writeInventory writes the platform's list, and the places of the replicas for
-// the checker.
-func (f *Fleet) writeInventory() error {
-	var list api.ReplicaList
-	for _, replica := range f.replicas {
-		list.Replicas = append(list.Replicas, api.ReplicaEntry{ID: replica.ID, Service: replica.Service, Zone: replica.Zone, Address: replica.Address})
-		f.Log.Write(eventlog.Event{Kind: eventlog.Inventory, Replica: replica.ID, Zone: replica.Zone, Region: replica.Region, Service: replica.Service})
-	}
-	for _, node := range f.controls() {
-		f.noteControl(node)
-	}
-	text, err := json.Marshal(list)
-	if err != nil {
-		return fmt.Errorf("writing the replica list: %w", err)
-	}
-	if err := os.WriteFile(f.replicasPath, text, 0o600); err != nil {
-		return fmt.Errorf("writing the replica list: %w", err)
-	}
-	return nil
-}
-
-// noteControl logs where operators reach a control node.
-func (f *Fleet) noteControl(node *Node) {
-	f.Log.Write(eventlog.Event{
-		Kind: eventlog.Inventory, Class: checker.TargetControl, Target: node.Name, Gateway: node.OperatorAddress,
-		Zone: node.Zone, Region: node.Region,
-	})
-}
-
-func (f *Fleet) startPlatform() error {
-	var controls []string
-	for _, node := range f.controls() {
-		controls = append(controls, node.OperatorAddress)
-	}
-	arguments := []string{
-		"--replicas", f.replicasPath, "--token-file", f.platformTokenPath,
-		"--listen", f.platformAddress, "--log", f.eventPath("platform"),
-	}
-	for _, address := range controls {
-		arguments = append(arguments, "--control", address)
-	}
-	started, err := process.Start(process.Command{
-		Name:      "platform",
-		Path:      filepath.Join(f.options.Programs, platformProgram),
-		Arguments: arguments,
-		LogPath:   filepath.Join(f.options.Folder, "logs", "platform.log"),
-	})
-	if err != nil {
-		return err
-	}
-	f.platform = started
-	return nil
-}
--- a/internal/scenario/actions.go
+++ b/internal/scenario/actions.go
@@ -62,7 +62,7 @@
 }
 
 func (r *runner) note(detail string, on target) {
-	r.fleet.NoteFault(detail, on.class, on.label, on.region)
+	r.fleet.LogFault(detail, on.class, on.label, on.region)
 }
 
 // eachNode goes through the nodes side by side, as one event hits machines.
@@ -103,7 +103,7 @@
 // restart rolls the nodes: each leaves and is back before the next one leaves.
 func (r *runner) restart(ctx context.Context, on target) error {
 	for _, node := range on.nodes {
-		r.fleet.NoteFault("stop", on.class, node.Name, "")
+		r.fleet.LogFault("stop", on.class, node.Name, "")
 		if err := r.fleet.StopNode(node); err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		r.fleet.NoteFault("replace", on.class, successor.Name, "")
+		r.fleet.LogFault("replace", on.class, successor.Name, "")
 		last.nodes = append(last.nodes, successor)
 		last.label = successor.Name
 	}
@@ -163,11 +163,11 @@
 		var err error
 		switch step.Do {
 		case ReplicaFault:
-			err = r.fleet.TellReplica(limited, replica, *step.Fault)
+			err = r.fleet.InjectReplicaFault(limited, replica, *step.Fault)
 		case Drain, Undrain:
-			err = r.fleet.DrainReplica(limited, replica, step.Do == Drain)
+			err = r.fleet.SetReplicaDraining(limited, replica, step.Do == Drain)
 		case ListDrain, ListUndrain:
-			err = r.fleet.ListDraining(limited, replica, step.Do == ListDrain)
+			err = r.fleet.SetListedDraining(limited, replica, step.Do == ListDrain)
 		}
 		all = append(all, err)
 	}
@@ -265,7 +265,7 @@
 	length := time.Duration(step.For)
 	switch step.Do {
 	case Crowd:
-		r.fleet.NoteFault(checker.FaultCrowd, checker.TargetLoad, fmt.Sprintf("load ×%g", step.Factor), "")
+		r.fleet.LogFault(checker.FaultCrowd, checker.TargetLoad, fmt.Sprintf("load ×%g", step.Factor), "")
 		r.crowd(ctx, step.Factor)
 		if length == 0 {
 			return nil
@@ -273,14 +273,14 @@
 		sleep(ctx, length)
 		fallthrough
 	case Calm:
-		r.fleet.NoteFault(checker.FaultCalm, checker.TargetLoad, "load", "")
+		r.fleet.LogFault(checker.FaultCalm, checker.TargetLoad, "load", "")
 		r.calm()
 	case Swing:
-		r.fleet.NoteFault("swing", checker.TargetLoad, "load", "")
+		r.fleet.LogFault("swing", checker.TargetLoad, "load", "")
 		const swings = 2
 		r.setLoad(ctx, r.profile, workload.Swing(0, length/swings, length, step.Factor))
 	case Move:
-		r.fleet.NoteFault("move", checker.TargetLoad, step.Target+" to "+step.To, "")
+		r.fleet.LogFault("move", checker.TargetLoad, step.Target+" to "+step.To, "")
 		r.setLoad(ctx, r.profile, workload.Move(0, length, r.profile, step.Target, step.To))
 	}
 	return nil
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -219,7 +219,7 @@
 		if err == nil {
 			r.progress("%s after %.1f s", step.When, time.Since(begun).Seconds())
 			if step.When == WhenRepaired {
-				r.fleet.NoteFault(checker.FaultRepaired, checker.TargetControls, targetControls, "")
+				r.fleet.LogFault(checker.FaultRepaired, checker.TargetControls, targetControls, "")
 			}
 			return nil
 		}
