--- /dev/null
+++ b/internal/scenario/perform.go
@@ -0,0 +1,67 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/deckpulley/deckpulley/internal/checker"
+	"github.com/deckpulley/deckpulley/internal/workload"
+)
+
+// perform performs one step.
+func (r *runner) perform(ctx context.Context, step Step) error {
+	switch step.Do {
+	case Wait:
+		return nil
+	case Crowd, Calm, Swing, Move:
+		return r.performLoad(ctx, step)
+	case Configure, ConfigureBad, Outrace, Race, LoseAnswer, Resend, Evacuate, Withdraw, Fill, Read:
+		return r.performOperation(ctx, step)
+	}
+	on, err := r.resolve(ctx, step.Target)
+	if err != nil {
+		return err
+	}
+	r.setLastTarget(on)
+	switch step.Do {
+	case ReplicaFault, Drain, Undrain, ListDrain, ListUndrain:
+		return r.performReplica(ctx, step, on)
+	case Cut, Heal, Delay:
+		return r.performLink(ctx, step, on)
+	default:
+		return r.performNode(ctx, step, on)
+	}
+}
+
+// logFault writes a fault of a target to the event log.
+func (r *runner) logFault(detail string, on target) {
+	r.fleet.LogFault(detail, on.class, on.label, on.region)
+}
+
+// swingPeriods is the number of periods in a swinging load.
+const swingPeriods = 2
+
+func (r *runner) performLoad(ctx context.Context, step Step) error {
+	length := time.Duration(step.For)
+	switch step.Do {
+	case Crowd:
+		r.fleet.LogFault(checker.FaultCrowd, checker.TargetLoad, fmt.Sprintf("load ×%g", step.Factor), "")
+		r.load.addCrowd(ctx, step.Factor)
+		if length == 0 {
+			return nil
+		}
+		sleep(ctx, length)
+		fallthrough
+	case Calm:
+		r.fleet.LogFault(checker.FaultCalm, checker.TargetLoad, "load", "")
+		r.load.removeCrowd()
+	case Swing:
+		r.fleet.LogFault(detailSwing, checker.TargetLoad, "load", "")
+		r.load.setOrdinary(ctx, workload.Swing(0, length/swingPeriods, length, step.Factor))
+	case Move:
+		r.fleet.LogFault(detailMove, checker.TargetLoad, step.Target+" to "+step.To, "")
+		r.load.setOrdinary(ctx, workload.Move(0, length, r.load.profile, step.Target, step.To))
+	}
+	return nil
+}
--- a/internal/scenario/random.go
+++ b/internal/scenario/random.go
@@ -8,16 +8,20 @@
 	"github.com/deckpulley/deckpulley/internal/fleet"
 )
 
-// episode is a fault and its end, after which the fleet is whole again.
+// episode draws the steps of a fault and of its end, after which the fleet is healthy
+// again.
 type episode func(random *rand.Rand, deployment fleet.Deployment) []Step
 
-// drawSteps draws episodes from the seed for the given time. One is over before
-// the next begins, so that one disk machine, zone or region is lost at a time.
+// randomStream distinguishes the random faults from other random numbers of one seed.
+const randomStream = 0x72616e64
+
+// drawSteps draws episodes from the seed for the given time. Each ends before the next
+// begins, so that at most one control node, zone or region is lost at a time.
 func drawSteps(of Random, seed uint64, deployment fleet.Deployment) []Step {
-	random := rand.New(rand.NewPCG(seed, 0x72616e64))
+	random := rand.New(rand.NewPCG(seed, randomStream))
 	episodes := []episode{
-		killGateway, killControl, freezeControl, wipeControl, cutRegion, cutOneWay,
-		evacuateZone, drainReplica, breakStreams, changeConfiguration, crowdIn, freezeGateway,
+		killGateway, killControl, freezeControl, wipeControl, cutRegion, cutOneDirection,
+		evacuateZone, drainReplica, breakStreams, changeConfiguration, addCrowd, freezeGateway,
 	}
 	var steps []Step
 	for at := time.Duration(0); at < time.Duration(of.For); at += time.Duration(of.Interval) {
@@ -47,7 +51,8 @@
 	return []string{targetPrimary, targetFollower}[random.IntN(2)]
 }
 
-func pause(random *rand.Rand, from, to time.Duration) *Duration {
+// between draws a duration of at least from and less than to.
+func between(random *rand.Rand, from, to time.Duration) *Duration {
 	drawn := Duration(from + time.Duration(random.Int64N(int64(to-from))))
 	return &drawn
 }
@@ -55,14 +60,14 @@
 func killGateway(random *rand.Rand, deployment fleet.Deployment) []Step {
 	return []Step{
 		{Do: Kill, Target: pickGateway(random, deployment)},
-		{Do: Start, Target: targetLost, After: pause(random, time.Second, 5*time.Second)},
+		{Do: Start, Target: targetLost, After: between(random, time.Second, 5*time.Second)},
 		{Do: Wait, When: WhenReady},
 	}
 }
 
 func freezeGateway(random *rand.Rand, deployment fleet.Deployment) []Step {
 	return []Step{
-		{Do: Freeze, Target: pickGateway(random, deployment), For: *pause(random, time.Second, 8*time.Second)},
+		{Do: Freeze, Target: pickGateway(random, deployment), For: *between(random, time.Second, 8*time.Second)},
 		{Do: Wait, When: WhenReady},
 	}
 }
@@ -71,7 +76,7 @@
 	return []Step{
 		{Do: Kill, Target: pickControl(random)},
 		{Do: Configure},
-		{Do: Start, Target: targetLost, After: pause(random, time.Second, 5*time.Second)},
+		{Do: Start, Target: targetLost, After: between(random, time.Second, 5*time.Second)},
 		{Do: Wait, When: WhenRepaired},
 		{Do: Read},
 	}
@@ -79,9 +84,9 @@
 
 func freezeControl(random *rand.Rand, _ fleet.Deployment) []Step {
 	return []Step{
-		{Do: Freeze, Target: targetPrimary, For: *pause(random, 20*time.Second, 26*time.Second), Background: true},
-		{Do: Configure, After: pause(random, time.Second, 4*time.Second)},
-		{Do: Configure, After: pause(random, 22*time.Second, 24*time.Second)},
+		{Do: Freeze, Target: targetPrimary, For: *between(random, 20*time.Second, 26*time.Second), Background: true},
+		{Do: Configure, After: between(random, time.Second, 4*time.Second)},
+		{Do: Configure, After: between(random, 22*time.Second, 24*time.Second)},
 		{Do: Wait, When: WhenRepaired},
 	}
 }
@@ -90,7 +95,7 @@
 	return []Step{
 		{Do: Configure},
 		{Do: Wipe, Target: pickControl(random)},
-		{Do: Start, Target: targetLost, After: pause(random, 0, 2*time.Second)},
+		{Do: Start, Target: targetLost, After: between(random, 0, 2*time.Second)},
 		{Do: Wait, When: WhenRepaired},
 		{Do: Read},
 	}
@@ -98,14 +103,14 @@
 
 func cutRegion(random *rand.Rand, deployment fleet.Deployment) []Step {
 	return []Step{
-		{Do: Cut, Target: regionPrefix + pickRegion(random, deployment).Name, For: *pause(random, 4*time.Second, 10*time.Second)},
+		{Do: Cut, Target: regionPrefix + pickRegion(random, deployment).Name, For: *between(random, 4*time.Second, 10*time.Second)},
 		{Do: Wait, When: WhenReady},
 	}
 }
 
-func cutOneWay(random *rand.Rand, _ fleet.Deployment) []Step {
+func cutOneDirection(random *rand.Rand, _ fleet.Deployment) []Step {
 	return []Step{
-		{Do: Cut, Target: targetPrimary, OneWay: true, For: *pause(random, 4*time.Second, 10*time.Second)},
+		{Do: Cut, Target: targetPrimary, OneWay: true, For: *between(random, 4*time.Second, 10*time.Second)},
 		{Do: Wait, When: WhenReady},
 	}
 }
@@ -114,7 +119,7 @@
 	zone := pickRegion(random, deployment).Zone
 	return []Step{
 		{Do: Evacuate, Target: zone},
-		{Do: Withdraw, Target: zone, After: pause(random, 6*time.Second, 10*time.Second)},
+		{Do: Withdraw, Target: zone, After: between(random, 6*time.Second, 10*time.Second)},
 	}
 }
 
@@ -126,7 +131,7 @@
 	}
 	return []Step{
 		{Do: begin, Target: replica},
-		{Do: end, Target: replica, After: pause(random, 5*time.Second, 8*time.Second)},
+		{Do: end, Target: replica, After: between(random, 5*time.Second, 8*time.Second)},
 	}
 }
 
@@ -141,6 +146,6 @@
 	return []Step{{Do: actions[random.IntN(len(actions))]}, {Do: Resend}}
 }
 
-func crowdIn(random *rand.Rand, _ fleet.Deployment) []Step {
-	return []Step{{Do: Crowd, Factor: 1.3, For: *pause(random, 3*time.Second, 6*time.Second)}}
+func addCrowd(random *rand.Rand, _ fleet.Deployment) []Step {
+	return []Step{{Do: Crowd, Factor: 1.3, For: *between(random, 3*time.Second, 6*time.Second)}}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -18,11 +18,11 @@
 		t.Fatal(err)
 	}
 	short, exercised := 0, map[string]bool{}
-	for _, of := range list {
-		if of.Short {
+	for _, shipped := range list {
+		if shipped.Short {
 			short++
 		}
-		for _, promise := range of.Promises {
+		for _, promise := range shipped.Promises {
 			exercised[promise] = true
 		}
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWrongScenariosAreNamed(t *testing.T) {
+func TestParseNamesTheInvalidField(t *testing.T) {
 	tests := []struct{ name, text, reason string }{
 		{"unknown field", "about: x\nstep: []", "field step not found"},
 		{"unknown action", "about: x\nsteps: [{do: explode}]", `unknown action "explode"`},
@@ -59,25 +59,25 @@
 	}
 }
 
-func TestDrawnStepsAreValidAndSeeded(t *testing.T) {
+func TestRandomStepsAreValidAndDependOnTheSeedAlone(t *testing.T) {
 	deployment, err := fleet.LoadDeployment("georgia")
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := &Scenario{Relays: true}
-	draw := Random{For: Duration(10 * time.Minute), Interval: Duration(time.Second)}
-	steps := drawSteps(draw, 7, deployment)
+	withRelays := &Scenario{Relays: true}
+	random := Random{For: Duration(10 * time.Minute), Interval: Duration(time.Second)}
+	steps := drawSteps(random, 7, deployment)
 	for i, step := range steps {
-		if err := step.validate(of); err != nil {
+		if err := step.validate(withRelays); err != nil {
 			t.Errorf("steps[%d] (%s): %v", i, step.Do, err)
 		}
 	}
-	if difference := cmp.Diff(steps, drawSteps(draw, 7, deployment)); difference != "" {
+	if difference := cmp.Diff(steps, drawSteps(random, 7, deployment)); difference != "" {
 		t.Errorf("one seed gave two runs:\n%s", difference)
 	}
 }
 
-func TestDeploymentsHaveTheirTraffic(t *testing.T) {
+func TestDeploymentsHaveProfilesAndRoutes(t *testing.T) {
 	for _, name := range fleet.Deployments() {
 		deployment, err := fleet.LoadDeployment(name)
 		if err != nil {
--- a/internal/scenario/session.go
+++ b/internal/scenario/session.go
@@ -7,57 +7,52 @@
 	"sync"
 	"time"
 
+	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 	"github.com/deckpulley/deckpulley/internal/fleet"
 	"github.com/deckpulley/deckpulley/internal/fleet/caller"
 	"github.com/deckpulley/deckpulley/internal/fleet/operator"
-	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// Patience with a fleet at its start and end.
+// Timeouts of a fleet and its clients.
 const (
-	startPatience  = 60 * time.Second
-	listPatience   = 20 * time.Second
-	answerPatience = 25 * time.Second
-	orderPatience  = 30 * time.Second
-	readPatience   = 20 * time.Second
-	stepPatience   = 30 * time.Second
+	startTimeout     = 60 * time.Second
+	listedTimeout    = 20 * time.Second
+	answerTimeout    = 25 * time.Second // of the requests in flight at the end
+	operationTimeout = 30 * time.Second
+	readTimeout      = 20 * time.Second
+	stepTimeout      = 30 * time.Second
 )
 
-// session is one fleet under load with its operators.
+// session is a fleet under load, with its callers and operators.
 type session struct {
 	options   Options
 	fleet     *fleet.Fleet
-	profile   *workload.Profile
-	pool      *caller.Pool
+	load      *load
 	operators []*operator.Operator
 	logs      []*eventlog.Writer
 	progress  func(format string, arguments ...any)
 
-	loadMutex sync.Mutex
-	loads     sync.WaitGroup
-	stopLoad  context.CancelFunc // of the ordinary load
-	stopCrowd context.CancelFunc // of the load beside it
-	loadCount int
-
-	// configuring keeps configurations in order; version is the newest known.
+	// configuring serializes configurations. It guards version and addedRoutes.
 	configuring sync.Mutex
-	version     uint64
-	routes      int
-	orderMutex  sync.Mutex
-	orders      []operator.Operation
+	version     uint64 // the newest version known
+	addedRoutes int    // in all documents so far
+
+	operationMutex sync.Mutex
+	operations     []operator.Operation // sent so far
 }
 
 // operatorCount is two, so that they can race.
 const operatorCount = 2
 
-func openSession(ctx context.Context, options Options, progress func(string, ...any)) (*session, error) {
+// openSession starts a fleet and its clients. The load has not begun.
+func openSession(ctx context.Context, options Options) (*session, error) {
 	profile, err := options.Deployment.Profile()
 	if err != nil {
 		return nil, err
 	}
 	of := options.Scenario
-	running, err := fleet.New(fleet.Options{
+	prepared, err := fleet.New(fleet.Options{
 		Deployment: options.Deployment, Programs: options.Programs, Folder: options.Folder, Seed: options.Seed,
 		Relays: of.Relays || of.ReplicaRelays, ReplicaRelays: of.ReplicaRelays, Cold: of.Cold, LogLevel: options.LogLevel,
 		Environment: options.Environment,
@@ -65,38 +60,30 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &session{options: options, fleet: running, profile: profile.Scale(of.Load), progress: progress}
+	s := &session{
+		options: options, fleet: prepared, progress: options.Progress,
+		load: &load{profile: profile.Scale(of.Load), seed: options.Seed},
+	}
 	if err := s.start(ctx); err != nil {
 		return nil, errors.Join(err, s.close())
 	}
 	return s, nil
 }
 
-// start brings the fleet to the point where the load may begin.
+// start brings the fleet to the state in which the load may begin. Gateways are ready
+// only with a configuration and replicas, so that these come first.
 func (s *session) start(ctx context.Context) error {
 	if err := s.openClients(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := s.fleet.StartAll(); err != nil {
+	if err := s.startProcesses(ctx); err != nil {
 		return err
 	}
-	if err := s.fleet.WaitReplicas(ctx); err != nil {
-		return err
-	}
-	if err := s.fleet.WaitLive(ctx); err != nil {
+	if err := s.configureFirst(ctx); err != nil {
 		return err
 	}
-	order := s.operators[0].Configuration(0, s.options.Deployment.Document)
-	answer, err := s.send(ctx, s.operators[0], order)
-	if err != nil {
-		return fmt.Errorf("sending the first configuration: %w", err)
-	}
-	if !answer.Accepted {
-		return fmt.Errorf("the first configuration was refused: %s: %s", answer.Code, answer.Message)
-	}
-	s.version = answer.Version
 	if err := s.fleet.StartPlatform(); err != nil {
 		return err
 	}
@@ -109,56 +96,90 @@
 	return nil
 }
 
-// waitListed waits until the registry holds a condition of every replica that
-// runs. What is missing after a while shows in the load.
+func (s *session) startProcesses(ctx context.Context) error {
+	if err := s.fleet.StartAll(); err != nil {
+		return err
+	}
+	if err := s.fleet.WaitReplicas(ctx); err != nil {
+		return err
+	}
+	return s.fleet.WaitLive(ctx)
+}
+
+// configureFirst sends the deployment's configuration.
+func (s *session) configureFirst(ctx context.Context) error {
+	by := s.operators[0]
+	answer, err := s.send(ctx, by, by.Configuration(0, s.options.Deployment.Document))
+	if err != nil {
+		return fmt.Errorf("sending the first configuration: %w", err)
+	}
+	if !answer.Accepted {
+		return fmt.Errorf("the first configuration was refused: %s: %s", answer.Code, answer.Message)
+	}
+	s.version = answer.Version
+	return nil
+}
+
+// waitListed waits until the registry has a condition of every replica. It gives up
+// after a while: what is missing then shows in the load.
 func (s *session) waitListed(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, listPatience)
+	ctx, cancel := context.WithTimeout(ctx, listedTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		answer, err := s.operators[0].ReadReplicas(ctx)
-		if err == nil && len(answer.Replicas) == len(s.fleet.Replicas()) {
-			known := 0
-			for _, replica := range answer.Replicas {
-				if replica.Condition == "up" || replica.Condition == "cold" {
-					known++
-				}
-			}
-			if known == len(answer.Replicas) {
-				return
-			}
+		if err == nil && len(answer.Replicas) == len(s.fleet.Replicas()) && allAvailable(answer.Replicas) {
+			return
 		}
-		sleep(ctx, conditionStep)
+		sleep(ctx, conditionInterval)
 	}
 	s.progress("not every replica has a condition in the registry")
 }
 
+// Conditions of a replica that can serve.
+const (
+	conditionUp   = "up"
+	conditionCold = "cold"
+)
+
+func allAvailable(replicas []api.ReplicaStatus) bool {
+	for _, replica := range replicas {
+		if replica.Condition != conditionUp && replica.Condition != conditionCold {
+			return false
+		}
+	}
+	return true
+}
+
+// openClients opens the operators and the callers with their logs.
 func (s *session) openClients() error {
-	for number := 1; number <= operatorCount; number++ {
-		name := fmt.Sprintf("operator-%d", number)
+	for index := range operatorCount {
+		name := fmt.Sprintf("operator-%d", index+1)
 		log, err := s.openLog(name)
 		if err != nil {
 			return err
 		}
-		rotation := number - 1
-		addresses := func() []string { return s.operatorAddresses(rotation) }
+		addresses := func() []string { return s.operatorAddresses(index) }
 		s.operators = append(s.operators, operator.New(name, s.fleet.Token, addresses, log))
 	}
 	log, err := s.openLog("callers")
 	if err != nil {
 		return err
 	}
-	gateways := map[string][]string{}
+	s.load.pool = caller.New(s.callerConfig(log))
+	return nil
+}
+
+func (s *session) callerConfig(log *eventlog.Writer) caller.Config {
+	config := caller.Config{
+		Gateways: map[string][]string{}, Log: log, Seed: s.options.Seed, Ratios: caller.DefaultRatios(),
+	}
 	for _, node := range s.fleet.Gateways() {
-		gateways[node.Region] = append(gateways[node.Region], node.CallerAddress)
+		config.Gateways[node.Region] = append(config.Gateways[node.Region], node.CallerAddress)
 	}
-	var regions []string
 	for _, plan := range s.options.Deployment.Regions {
-		regions = append(regions, plan.Name)
+		config.Regions = append(config.Regions, plan.Name)
 	}
-	s.pool = caller.New(caller.Config{
-		Gateways: gateways, Regions: regions, Log: log, Seed: s.options.Seed, Ratios: caller.DefaultRatios(),
-	})
-	return nil
+	return config
 }
 
 func (s *session) openLog(name string) (*eventlog.Writer, error) {
@@ -170,89 +191,42 @@
 	return log, nil
 }
 
-// operatorAddresses begins with another node for each operator.
-func (s *session) operatorAddresses(rotation int) []string {
+// operatorAddresses returns the control nodes' addresses for operators, beginning with
+// the node of the given index.
+func (s *session) operatorAddresses(first int) []string {
 	nodes := s.fleet.Controls()
-	var list []string
+	var addresses []string
 	for i := range nodes {
-		list = append(list, nodes[(i+rotation)%len(nodes)].OperatorAddress)
-	}
-	return list
-}
-
-// setLoad replaces the ordinary load.
-func (s *session) setLoad(ctx context.Context, profile *workload.Profile, phases workload.Scenario) {
-	s.loadMutex.Lock()
-	defer s.loadMutex.Unlock()
-	if s.stopLoad != nil {
-		s.stopLoad()
-	}
-	s.stopLoad = s.beginLoad(ctx, profile, phases)
-}
-
-// beginLoad is called with the lock held.
-func (s *session) beginLoad(ctx context.Context, profile *workload.Profile, phases workload.Scenario) context.CancelFunc {
-	ctx, cancel := context.WithCancel(ctx)
-	s.loadCount++
-	generator := workload.New(profile, phases, s.options.Seed, fmt.Sprintf("load%d", s.loadCount))
-	s.loads.Add(1)
-	go func() {
-		defer s.loads.Done()
-		s.pool.Generate(ctx, generator)
-	}()
-	return cancel
-}
-
-// crowd adds load beside the ordinary one, up to factor times it.
-func (s *session) crowd(ctx context.Context, factor float64) {
-	s.loadMutex.Lock()
-	defer s.loadMutex.Unlock()
-	if s.stopCrowd != nil {
-		s.stopCrowd()
+		addresses = append(addresses, nodes[(first+i)%len(nodes)].OperatorAddress)
 	}
-	s.stopCrowd = s.beginLoad(ctx, s.profile.Scale(factor-1), nil)
+	return addresses
 }
 
-func (s *session) calm() {
-	s.loadMutex.Lock()
-	defer s.loadMutex.Unlock()
-	if s.stopCrowd != nil {
-		s.stopCrowd()
-		s.stopCrowd = nil
-	}
-}
-
-// endLoad stops the arrivals and waits for the answers.
+// endLoad ends the load and waits for the answers.
 func (s *session) endLoad() {
-	s.calm()
-	s.loadMutex.Lock()
-	if s.stopLoad != nil {
-		s.stopLoad()
-	}
-	s.loadMutex.Unlock()
-	s.loads.Wait()
-	if !s.pool.Wait(answerPatience) {
-		s.progress("some requests had no answer %v after the load", answerPatience)
+	if !s.load.end(answerTimeout) {
+		s.progress("some requests had no answer %v after the load", answerTimeout)
 	}
 }
 
-// send sends an order and remembers it for resends.
-func (s *session) send(ctx context.Context, by *operator.Operator, order operator.Operation) (operator.Answer, error) {
-	s.remember(order)
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+// send sends an operation and remembers it for resends.
+func (s *session) send(ctx context.Context, by *operator.Operator, operation operator.Operation) (operator.Answer, error) {
+	s.remember(operation)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	return by.Send(ctx, order)
+	return by.Send(ctx, operation)
 }
 
-func (s *session) remember(order operator.Operation) {
-	s.orderMutex.Lock()
-	defer s.orderMutex.Unlock()
-	s.orders = append(s.orders, order)
+func (s *session) remember(operation operator.Operation) {
+	s.operationMutex.Lock()
+	defer s.operationMutex.Unlock()
+	s.operations = append(s.operations, operation)
 }
 
-// read reads the state back, for the checker.
+// read reads configuration and zones back, which the checker compares with what was
+// acknowledged.
 func (s *session) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readPatience)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if _, err := s.operators[0].ReadConfiguration(ctx); err != nil {
 		return err
@@ -261,19 +235,20 @@
 	return err
 }
 
-// close ends the fleet and its logs. It may be called again.
+// close ends the fleet and closes the logs. Further calls have no effect.
 func (s *session) close() error {
-	all := []error{s.fleet.Close()}
+	failures := []error{s.fleet.Close()}
 	for _, log := range s.logs {
-		all = append(all, log.Close())
+		failures = append(failures, log.Close())
 	}
 	s.logs = nil
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
-// conditionStep is the pause between two looks at a condition.
-const conditionStep = 100 * time.Millisecond
+// conditionInterval is the pause between two checks of a condition.
+const conditionInterval = 100 * time.Millisecond
 
+// sleep reports whether the time passed before ctx ended.
 func sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/internal/scenario/target.go
+++ b/internal/scenario/target.go
@@ -11,30 +11,33 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// target is what a step works on.
+// target is what a step acts on.
 type target struct {
-	label    string
-	class    string
-	region   string // set for zones and regions
+	// label names it in the event log and class is its class there.
+	label string
+	class string
+	// region is set for zones and regions only.
+	region   string
 	nodes    []*fleet.Node
 	replicas []*fleet.Replica
 }
 
-// Names of targets.
+// Names of targets in scenario files.
 const (
 	targetPrimary  = "primary"
 	targetFollower = "follower"
-	targetLast     = "last"
+	targetLast     = "last" // that of the step before
 	targetLost     = "lost" // that of the last kill or wipe
 	targetAll      = "all"
 	targetControls = "controls"
 	zonePrefix     = "zone:"
 	regionPrefix   = "region:"
-	modelsPrefix   = "models:" // the model replicas of a region, or models:all, models:half
+	modelsPrefix   = "models:" // and a region, or one of the next two
 	modelsAll      = "all"
 	modelsHalf     = "half"
 )
 
+// resolve returns the target with a name, as of now.
 func (r *runner) resolve(ctx context.Context, name string) (target, error) {
 	switch name {
 	case targetLast:
@@ -46,15 +49,15 @@
 	case targetFollower:
 		return r.follower(ctx)
 	case targetAll:
-		return target{label: name, class: checker.TargetFleet, nodes: append(r.fleet.Controls(), r.fleet.Gateways()...)}, nil
+		return target{label: name, class: checker.TargetFleet, nodes: r.fleet.Nodes()}, nil
 	case targetControls:
 		return target{label: name, class: checker.TargetControls, nodes: r.fleet.Controls()}, nil
 	}
 	if zone, ok := strings.CutPrefix(name, zonePrefix); ok {
-		return r.place(name, checker.TargetZone, func(nodeZone, _ string) bool { return nodeZone == zone })
+		return r.within(name, checker.TargetZone, func(nodeZone, _ string) bool { return nodeZone == zone })
 	}
 	if region, ok := strings.CutPrefix(name, regionPrefix); ok {
-		return r.place(name, checker.TargetRegion, func(_, nodeRegion string) bool { return nodeRegion == region })
+		return r.within(name, checker.TargetRegion, func(_, nodeRegion string) bool { return nodeRegion == region })
 	}
 	if models, ok := strings.CutPrefix(name, modelsPrefix); ok {
 		return r.models(name, models)
@@ -62,6 +65,7 @@
 	return r.named(name)
 }
 
+// earlier returns the target of an earlier step, if there was one.
 func earlier(on target) (target, error) {
 	if on.label == "" {
 		return target{}, errors.New("target: no earlier step had one")
@@ -69,6 +73,7 @@
 	return on, nil
 }
 
+// named returns the node or replica with a name.
 func (r *runner) named(name string) (target, error) {
 	if node, err := r.fleet.Node(name); err == nil {
 		class := checker.TargetGateway
@@ -84,17 +89,17 @@
 	return target{label: name, class: checker.TargetReplica, replicas: []*fleet.Replica{replica}}, nil
 }
 
-// place gathers what stands in a zone or region.
-func (r *runner) place(label, class string, within func(zone, region string) bool) (target, error) {
+// within returns the nodes and replicas whose zone and region includes accepts.
+func (r *runner) within(label, class string, includes func(zone, region string) bool) (target, error) {
 	found := target{label: label, class: class}
-	for _, node := range append(r.fleet.Controls(), r.fleet.Gateways()...) {
-		if within(node.Zone, node.Region) {
+	for _, node := range r.fleet.Nodes() {
+		if includes(node.Zone, node.Region) {
 			found.nodes = append(found.nodes, node)
 			found.region = node.Region
 		}
 	}
 	for _, replica := range r.fleet.Replicas() {
-		if within(replica.Zone, replica.Region) {
+		if includes(replica.Zone, replica.Region) {
 			found.replicas = append(found.replicas, replica)
 		}
 	}
@@ -104,6 +109,7 @@
 	return found, nil
 }
 
+// models returns the model replicas of a region, or all or half of them.
 func (r *runner) models(label, which string) (target, error) {
 	found := target{label: label, class: checker.TargetReplica}
 	for _, replica := range r.fleet.Replicas() {
@@ -131,48 +137,50 @@
 	return half
 }
 
-// primary asks the running control nodes who leads.
+// primary waits until a primary is known.
 func (r *runner) primary(ctx context.Context) (target, error) {
-	ctx, cancel := context.WithTimeout(ctx, stepPatience)
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	for {
 		if node, ok := r.knownPrimary(ctx); ok {
 			return target{label: node.Name, class: checker.TargetControl, nodes: []*fleet.Node{node}}, nil
 		}
-		if !sleep(ctx, conditionStep) {
+		if !sleep(ctx, conditionInterval) {
 			return target{}, fmt.Errorf("target: no primary is known: %w", ctx.Err())
 		}
 	}
 }
 
-// knownPrimary is the primary of the newest term that any node names.
+// knownPrimary returns the primary of the highest term that any control node reports.
+// Frozen nodes are not asked.
 func (r *runner) knownPrimary(ctx context.Context) (*fleet.Node, bool) {
-	var newest uint64
+	var highestTerm uint64
 	var primary *fleet.Node
 	for _, node := range r.fleet.Controls() {
 		if !node.Running() || r.isFrozen(node.Name) {
 			continue
 		}
 		status, err := r.operators[0].ReadStatus(ctx, node.OperatorAddress)
-		if err != nil || status.Primary == "" || status.Term < newest {
+		if err != nil || status.Primary == "" || status.Term < highestTerm {
 			continue
 		}
 		if named, err := r.fleet.Node(status.Primary); err == nil {
-			newest, primary = status.Term, named
+			highestTerm, primary = status.Term, named
 		}
 	}
 	return primary, primary != nil
 }
 
+// follower returns a running control node that is not the primary.
 func (r *runner) follower(ctx context.Context) (target, error) {
-	leading, err := r.primary(ctx)
+	primary, err := r.primary(ctx)
 	if err != nil {
 		return target{}, err
 	}
 	for _, node := range r.fleet.Controls() {
-		if node.Name != leading.label && node.Running() {
+		if node.Name != primary.label && node.Running() {
 			return target{label: node.Name, class: checker.TargetControl, nodes: []*fleet.Node{node}}, nil
 		}
 	}
-	return target{}, fmt.Errorf("target: no follower runs")
+	return target{}, errors.New("target: no follower runs")
 }
