--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -9,36 +9,38 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Times of the hand-made run, in milliseconds.
+// Times of the example run, in milliseconds.
 const (
-	secondOrderAt  = 10_000
-	refusedOrderAt = 12_000
-	lossAt         = 15_000
-	readAt         = 19_000
-	freezeAt       = 29_000
-	drainAt        = 30_000
-	evacuateAt     = 30_000
-	withdrawAt     = 40_000
-	thawAt         = 50_000
-	lastOrderAt    = 51_000
-	startAt        = 53_000
-	crowdAt        = 62_000
-	endAt          = 100_000
-	refusedSecond  = 5_000
+	secondOperationAt  = 10_000
+	refusedOperationAt = 12_000
+	failureAt          = 15_000
+	readAt             = 19_000
+	freezeAt           = 29_000
+	drainAt            = 30_000
+	evacuateAt         = 30_000
+	withdrawAt         = 40_000
+	thawAt             = 50_000
+	lastOperationAt    = 51_000
+	startAt            = 53_000
+	crowdAt            = 62_000
+	endAt              = 100_000
+	refusalAt          = 5_000
 )
 
+// run is a run whose events a test makes and changes.
 type run struct{ events []eventlog.Event }
 
+// add adds an event at a time in milliseconds.
 func (r *run) add(at int64, event eventlog.Event) {
 	event.At = (at + 1_000_000) * int64(time.Millisecond)
 	r.events = append(r.events, event)
 }
 
-// change rewrites the events that match.
-func (r *run) change(match func(eventlog.Event) bool, rewrite func(*eventlog.Event)) {
+// rewrite changes the events that match.
+func (r *run) rewrite(match func(eventlog.Event) bool, change func(*eventlog.Event)) {
 	for i := range r.events {
 		if match(r.events[i]) {
-			rewrite(&r.events[i])
+			change(&r.events[i])
 		}
 	}
 }
@@ -57,27 +59,28 @@
 	return event.At/int64(time.Millisecond) - 1_000_000
 }
 
-func between(from, to int64) func(eventlog.Event) bool {
+// requestsIn matches the events of requests in [from, to) milliseconds.
+func requestsIn(from, to int64) func(eventlog.Event) bool {
 	return func(event eventlog.Event) bool {
 		at := milliseconds(event)
 		return event.Request != "" && at >= from && at < to
 	}
 }
 
-// versionAt is the version and serial in force at a time.
+// versionAt returns the version and serial in force at a time.
 func versionAt(at int64) (uint64, uint32) {
 	switch {
-	case at >= lastOrderAt+200:
+	case at >= lastOperationAt+200:
 		return 3, 30
-	case at >= secondOrderAt+200:
+	case at >= secondOperationAt+200:
 		return 2, 20
 	default:
 		return 1, 10
 	}
 }
 
-// addRequest adds one request of three kinds in turn: a non-repeatable stream,
-// a repeatable one bound to its home and a plain one.
+// addRequest adds a request of one of three kinds in turn: a non-repeatable stream, a
+// repeatable request bound to its home, and one without a home.
 func (r *run) addRequest(number int, at int64) {
 	id := fmt.Sprintf("request-%d", number)
 	replica := "replica-north-1"
@@ -99,25 +102,26 @@
 	r.add(at+1, with(placed, eventlog.ReplicaExecuted))
 	if caller.Stream {
 		for sequence := 1; sequence <= 2; sequence++ {
-			piece := with(caller, eventlog.CallerPiece)
-			piece.Sequence = sequence
-			r.add(at+2+int64(sequence), piece)
+			chunk := with(caller, eventlog.CallerPiece)
+			chunk.Sequence = sequence
+			r.add(at+2+int64(sequence), chunk)
 		}
 	}
 	ended := with(placed, eventlog.ReplicaEnded)
-	ended.Detail, ended.Tokens = DetailWhole, 7
+	ended.Detail, ended.Tokens = DetailComplete, 7
 	r.add(at+50, ended)
 	answer := with(caller, eventlog.CallerAnswered)
 	answer.Outcome, answer.Tokens, answer.Sequence = "success", 7, 3
 	r.add(at+51, answer)
 }
 
+// with returns the event as one of another kind.
 func with(event eventlog.Event, kind eventlog.Kind) eventlog.Event {
 	event.Kind = kind
 	return event
 }
 
-func (r *run) addOrder(at int64, id, detail string, base, version uint64, serial uint32, outcome string) {
+func (r *run) addOperation(at int64, id, detail string, base, version uint64, serial uint32, outcome string) {
 	sent := eventlog.Event{Kind: eventlog.OrderSent, Order: id, Detail: detail, Base: base, Zone: "south-1", Target: "digest-" + id}
 	r.add(at, sent)
 	r.add(at+100, eventlog.Event{Kind: eventlog.OrderAnswered, Order: id, Outcome: outcome, Version: version, Serial: serial})
@@ -127,31 +131,31 @@
 	r.add(at, eventlog.Event{Kind: eventlog.FaultInjected, Detail: detail, Class: class, Target: target})
 }
 
-// healthy is a run that exercises and keeps every promise.
-func healthy() *run {
+// healthyRun returns a run that exercises and keeps every promise.
+func healthyRun() *run {
 	r := &run{}
 	for _, region := range []string{"north", "south"} {
 		for number := 1; number <= 3; number++ {
 			r.add(-10, eventlog.Event{Kind: eventlog.Inventory, Replica: fmt.Sprintf("replica-%s-%d", region, number), Region: region, Zone: region + "-1"})
 		}
 	}
-	r.addOrder(-200, "first", DetailConfiguration, 0, 1, 10, OrderAccepted)
+	r.addOperation(-200, "first", DetailConfiguration, 0, 1, 10, OperationAccepted)
 	for number := 0; number*100 < endAt; number++ {
 		r.addRequest(number, int64(number)*100)
 	}
-	r.add(refusedSecond, eventlog.Event{Kind: eventlog.CallerAnswered, Request: "refused", Repeatable: true, Outcome: "refused", Code: "overloaded"})
-	r.addOrder(secondOrderAt, "second", DetailConfiguration, 1, 2, 20, OrderAccepted)
-	r.addOrder(secondOrderAt+500, "second", DetailConfiguration, 1, 2, 20, OrderAccepted)
-	r.addOrder(refusedOrderAt, "outraced", DetailConfiguration, 1, 0, 0, OrderRefused)
-	r.addFault(lossAt, FaultKill, TargetControl, "control-north")
+	r.add(refusalAt, eventlog.Event{Kind: eventlog.CallerAnswered, Request: "refused", Repeatable: true, Outcome: "refused", Code: "overloaded"})
+	r.addOperation(secondOperationAt, "second", DetailConfiguration, 1, 2, 20, OperationAccepted)
+	r.addOperation(secondOperationAt+500, "second", DetailConfiguration, 1, 2, 20, OperationAccepted)
+	r.addOperation(refusedOperationAt, "outraced", DetailConfiguration, 1, 0, 0, OperationRefused)
+	r.addFault(failureAt, FaultKill, TargetControl, "control-north")
 	r.addFault(readAt+500, FaultStart, TargetControl, "control-north")
 	r.add(readAt, eventlog.Event{Kind: eventlog.ConfigurationRead, Version: 2, Target: "digest-second"})
 	r.addFault(freezeAt, FaultFreeze, TargetControl, "control-south")
 	r.add(drainAt, eventlog.Event{Kind: eventlog.ReplicaDraining, Replica: "replica-north-3"})
-	r.addOrder(evacuateAt-100, "evacuation", DetailEvacuate, 0, 2, 21, OrderAccepted)
-	r.addOrder(withdrawAt, "withdrawal", DetailWithdraw, 0, 2, 22, OrderAccepted)
+	r.addOperation(evacuateAt-100, "evacuation", DetailEvacuate, 0, 2, 21, OperationAccepted)
+	r.addOperation(withdrawAt, "withdrawal", DetailWithdraw, 0, 2, 22, OperationAccepted)
 	r.addFault(thawAt, FaultThaw, TargetControl, "control-south")
-	r.addOrder(lastOrderAt, "last", DetailConfiguration, 2, 3, 30, OrderAccepted)
+	r.addOperation(lastOperationAt, "last", DetailConfiguration, 2, 3, 30, OperationAccepted)
 	r.addFault(startAt, FaultStart, TargetFleet, "all")
 	r.add(startAt, eventlog.Event{Kind: eventlog.ReplicaStarted, Replica: "replica-north-2"})
 	r.add(startAt+10, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-north-2", Cold: true, InFlight: 1, Version: 3, Serial: 30, Attempt: 1})
@@ -166,41 +170,41 @@
 	return Check(r.events, Options{ColdRamp: 1, Gateways: 8})
 }
 
-// breaks holds for each promise one change of the healthy run that breaks it.
-var breaks = map[Promise]func(*run){
+// violations has, for each promise, one change of the healthy run that breaks it.
+var violations = map[Promise]func(*run){
 	"P1": func(r *run) {
 		r.add(200, eventlog.Event{Kind: eventlog.ReplicaExecuted, Request: "request-0", Run: "again", Replica: "replica-south-1", Version: 1, Serial: 10})
 	},
 	"P2": func(r *run) {
-		r.add(refusedSecond+900, eventlog.Event{Kind: eventlog.ReplicaExecuted, Request: "refused", Run: "late", Replica: "replica-south-1", Version: 1, Serial: 10})
+		r.add(refusalAt+900, eventlog.Event{Kind: eventlog.ReplicaExecuted, Request: "refused", Run: "late", Replica: "replica-south-1", Version: 1, Serial: 10})
 	},
 	"P3": func(r *run) {
-		r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaEnded && e.Request == "request-1" },
+		r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaEnded && e.Request == "request-1" },
 			func(e *eventlog.Event) { e.Detail = "broken" })
 	},
 	"P4": func(r *run) {
-		r.change(func(e eventlog.Event) bool {
+		r.rewrite(func(e eventlog.Event) bool {
 			return e.Kind == eventlog.CallerPiece && e.Request == "request-3" && e.Sequence == 2
 		}, func(e *eventlog.Event) { e.Run = "another" })
 	},
 	"P5": func(r *run) {
-		r.add(secondOrderAt+2700, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-1", Gateway: "gateway-2", Version: 1, Serial: 10, Attempt: 1})
+		r.add(secondOperationAt+2700, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-1", Gateway: "gateway-2", Version: 1, Serial: 10, Attempt: 1})
 	},
 	"P6": func(r *run) {
-		r.add(secondOrderAt+900, eventlog.Event{Kind: eventlog.ReplicaExecuted, Run: "old", Replica: "replica-north-1", Version: 1, Serial: 10})
+		r.add(secondOperationAt+900, eventlog.Event{Kind: eventlog.ReplicaExecuted, Run: "old", Replica: "replica-north-1", Version: 1, Serial: 10})
 	},
 	"P7": func(r *run) {
-		r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.ConfigurationRead },
+		r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.ConfigurationRead },
 			func(e *eventlog.Event) { e.Version, e.Target = 1, "digest-first" })
 	},
 	"P8": func(r *run) {
-		r.add(lastOrderAt+500, eventlog.Event{Kind: eventlog.ConfigurationRead, Version: 4, Target: "digest-outraced"})
+		r.add(lastOperationAt+500, eventlog.Event{Kind: eventlog.ConfigurationRead, Version: 4, Target: "digest-outraced"})
 	},
 	"P9": func(r *run) {
-		r.add(secondOrderAt+700, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "second", Outcome: OrderRefused, Code: "version_conflict"})
+		r.add(secondOperationAt+700, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "second", Outcome: OperationRefused, Code: "version_conflict"})
 	},
 	"P10": func(r *run) {
-		r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.OrderAnswered && e.Order == "last" },
+		r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.OrderAnswered && e.Order == "last" },
 			func(e *eventlog.Event) { e.Serial = 21 })
 	},
 	"P11": func(r *run) {
@@ -210,45 +214,45 @@
 		r.add(evacuateAt+5500, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Version: 2, Serial: 20, Attempt: 1})
 	},
 	"P13": func(r *run) {
-		r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaExecuted && e.Request == "request-1" },
+		r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaExecuted && e.Request == "request-1" },
 			func(e *eventlog.Event) { e.Replica = "replica-south-1" })
 	},
 	"P14": func(r *run) {
-		r.change(func(e eventlog.Event) bool { return e.Cold }, func(e *eventlog.Event) { e.InFlight = 20 })
+		r.rewrite(func(e eventlog.Event) bool { return e.Cold }, func(e *eventlog.Event) { e.InFlight = 20 })
 	},
 	"P15": func(r *run) {
 		for i := int64(0); i < 50; i++ {
 			r.add(55_000+i*100, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-north-1", Version: 3, Serial: 30, Attempt: 2})
 		}
 	},
-	"P16": func(r *run) { r.remove(between(startAt-100, startAt+13_500)) },
-	"P17": func(r *run) { r.remove(between(lossAt-100, lossAt+13_500)) },
+	"P16": func(r *run) { r.remove(requestsIn(startAt-100, startAt+13_500)) },
+	"P17": func(r *run) { r.remove(requestsIn(failureAt-100, failureAt+13_500)) },
 	"P18": func(r *run) {
 		for i := 0; i < 20; i++ {
 			name := fmt.Sprintf("surge-%d", i)
 			r.add(crowdAt+33_000, eventlog.Event{Kind: eventlog.ReplicaExecuted, Request: name, Run: name, Replica: "replica-north-1", Version: 3, Serial: 30})
-			r.add(crowdAt+34_000, eventlog.Event{Kind: eventlog.ReplicaEnded, Request: name, Run: name, Replica: "replica-north-1", Detail: DetailWhole})
+			r.add(crowdAt+34_000, eventlog.Event{Kind: eventlog.ReplicaEnded, Request: name, Run: name, Replica: "replica-north-1", Detail: DetailComplete})
 		}
 	},
 }
 
 func TestHealthyRunKeepsEveryPromise(t *testing.T) {
-	for _, verdict := range healthy().check().Verdicts {
+	for _, verdict := range healthyRun().check().Verdicts {
 		if verdict.Status() != StatusKept {
 			t.Errorf("%s: %s, examined %d, violations %+v", verdict.Promise, verdict.Status(), verdict.Examined, verdict.Violations)
 		}
 	}
 }
 
-func TestEachBreakIsReportedAlone(t *testing.T) {
+func TestEachViolationIsReportedAlone(t *testing.T) {
 	for _, check := range checks() {
-		breakIt, ok := breaks[check.promise]
+		breakPromise, ok := violations[check.promise]
 		if !ok {
 			t.Errorf("%s: no run that breaks it", check.promise)
 			continue
 		}
-		r := healthy()
-		breakIt(r)
+		r := healthyRun()
+		breakPromise(r)
 		for _, verdict := range r.check().Verdicts {
 			broken := verdict.Status() == StatusBroken
 			if broken != (verdict.Promise == check.promise) {
@@ -263,7 +267,7 @@
 	}
 }
 
-func TestEmptyRunExercisesNothing(t *testing.T) {
+func TestEmptyRunExercisesNoPromise(t *testing.T) {
 	for _, verdict := range Check(nil, Options{}).Verdicts {
 		if verdict.Status() != StatusNotExercised {
 			t.Errorf("%s: %s of nothing", verdict.Promise, verdict.Status())
@@ -271,61 +275,61 @@
 	}
 }
 
-// Further ways to break a promise, each found as that promise.
-func TestOtherBreaks(t *testing.T) {
+// TestOtherViolationsAreReported has further ways to break a promise.
+func TestOtherViolationsAreReported(t *testing.T) {
 	tests := []struct {
 		name    string
 		promise Promise
 		change  func(*run)
 	}{
-		{"a step back of one gateway over two replicas", "P6", func(r *run) {
-			r.add(secondOrderAt+900, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Gateway: "gateway-1", Version: 1, Serial: 10, Attempt: 1})
+		{"a gateway that goes back to an older version over two replicas", "P6", func(r *run) {
+			r.add(secondOperationAt+900, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Gateway: "gateway-1", Version: 1, Serial: 10, Attempt: 1})
 		}},
 		{"two winners on one base", "P8", func(r *run) {
-			r.addOrder(secondOrderAt+3000, "rival", DetailConfiguration, 1, 2, 0, OrderAccepted)
+			r.addOperation(secondOperationAt+3000, "rival", DetailConfiguration, 1, 2, 0, OperationAccepted)
 		}},
-		{"a stamp that no order made", "P8", func(r *run) {
-			r.add(refusedOrderAt+100, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Gateway: "gateway-7", Version: 9, Serial: 99, Attempt: 1})
+		{"a version that no operation made", "P8", func(r *run) {
+			r.add(refusedOperationAt+100, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Gateway: "gateway-7", Version: 9, Serial: 99, Attempt: 1})
 		}},
 		{"one serial with two versions", "P10", func(r *run) {
 			r.add(freezeAt+9000, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-north-3", Gateway: "gateway-7", Version: 1, Serial: 20, Attempt: 1})
 		}},
-		{"an order accepted by a node that is cut off", "P10", func(r *run) {
+		{"an operation accepted by a partitioned node", "P10", func(r *run) {
 			r.add(-10, eventlog.Event{Kind: eventlog.Inventory, Class: TargetControl, Target: "control-east", Gateway: "10.0.0.1:1"})
 			r.addFault(crowdAt, FaultCut, TargetControl, "control-east")
 			r.add(crowdAt+5000, eventlog.Event{Kind: eventlog.OrderSent, Order: "alone", Detail: DetailWithdraw, Gateway: "10.0.0.1:1"})
-			r.add(crowdAt+5100, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "alone", Outcome: OrderAccepted, Gateway: "10.0.0.1:1", Serial: 31, Version: 3})
+			r.add(crowdAt+5100, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "alone", Outcome: OperationAccepted, Gateway: "10.0.0.1:1", Serial: 31, Version: 3})
 			r.addFault(crowdAt+24_000, FaultHeal, TargetControl, "control-east")
 		}},
 		{"a success of a run that never began", "P3", func(r *run) {
-			r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-1" },
+			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-1" },
 				func(e *eventlog.Event) { e.Run = "invented" })
 		}},
 		{"an answer of another request", "P3", func(r *run) {
-			r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-1" },
+			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-1" },
 				func(e *eventlog.Event) { e.Run = "run-request-4" })
 		}},
 		{"an end after a gap", "P4", func(r *run) {
-			r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-3" },
+			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-3" },
 				func(e *eventlog.Event) { e.Sequence = 9 })
 		}},
 		{"an end that the replica did not send", "P4", func(r *run) {
-			r.change(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaEnded && e.Request == "request-3" },
+			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaEnded && e.Request == "request-3" },
 				func(e *eventlog.Event) { e.Detail = "broken" })
 		}},
-		{"an evacuation gone after a loss", "P7", func(r *run) {
+		{"an evacuation lost with a disk", "P7", func(r *run) {
 			r.addFault(evacuateAt+1000, FaultWipe, TargetControl, "control-north")
 			r.add(evacuateAt+5000, eventlog.Event{Kind: eventlog.ZonesRead, Zone: "south-1", Detail: "open"})
 		}},
-		{"a resent order refused though it is in effect", "P9", func(r *run) {
-			r.addOrder(lastOrderAt+3000, "lost", DetailConfiguration, 3, 0, 0, OrderUnknown)
-			r.addOrder(lastOrderAt+4000, "lost", DetailConfiguration, 3, 0, 0, OrderRefused)
-			r.add(lastOrderAt+5000, eventlog.Event{Kind: eventlog.ConfigurationRead, Version: 4, Target: "digest-lost"})
+		{"a resent operation refused though it is in effect", "P9", func(r *run) {
+			r.addOperation(lastOperationAt+3000, "lost", DetailConfiguration, 3, 0, 0, OperationUnknown)
+			r.addOperation(lastOperationAt+4000, "lost", DetailConfiguration, 3, 0, 0, OperationRefused)
+			r.add(lastOperationAt+5000, eventlog.Event{Kind: eventlog.ConfigurationRead, Version: 4, Target: "digest-lost"})
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r := healthy()
+			r := healthyRun()
 			test.change(r)
 			verdict, _ := r.check().Verdict(test.promise)
 			if verdict.Status() != StatusBroken {
@@ -335,9 +339,9 @@
 	}
 }
 
-func TestMergeAddsUp(t *testing.T) {
-	kept, broken := healthy().check(), healthy()
-	breaks["P12"](broken)
+func TestMergeAddsCountsAndKeepsTheWorst(t *testing.T) {
+	kept, broken := healthyRun().check(), healthyRun()
+	violations["P12"](broken)
 	merged := Merge(kept, broken.check())
 	verdict, _ := merged.Verdict("P12")
 	if verdict.Status() != StatusBroken || verdict.Bound.Worst < 5.4 || verdict.Examined <= kept.Verdicts[11].Examined {
@@ -348,47 +352,47 @@
 	}
 }
 
-// A second loss during the first, and what a cut region cannot serve, are not
-// held against one loss.
-func TestOnlyOneLossIsJudged(t *testing.T) {
+// TestOnlySingleFailuresAreJudged holds that neither a second failure during the first,
+// nor what a partitioned region can't serve, counts against one failure.
+func TestOnlySingleFailuresAreJudged(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*run)
 		status Status
 	}{
-		{"a second control node lost before the first returned", func(r *run) {
-			r.addFault(lossAt+500, FaultFreeze, TargetControl, "control-south")
-			r.remove(between(lossAt-100, lossAt+13_500))
+		{"a second control node fails before the first has recovered", func(r *run) {
+			r.addFault(failureAt+500, FaultFreeze, TargetControl, "control-south")
+			r.remove(requestsIn(failureAt-100, failureAt+13_500))
 		}, StatusNotExercised},
-		{"the first one back before the second was lost", func(r *run) {
-			r.addFault(lossAt+100, FaultStart, TargetControl, "control-north")
-			r.addFault(lossAt+500, FaultFreeze, TargetControl, "control-south")
-			r.remove(between(lossAt+400, lossAt+15_000))
+		{"the first one recovers before the second fails", func(r *run) {
+			r.addFault(failureAt+100, FaultStart, TargetControl, "control-north")
+			r.addFault(failureAt+500, FaultFreeze, TargetControl, "control-south")
+			r.remove(requestsIn(failureAt+400, failureAt+15_000))
 		}, StatusBroken},
-		{"an outage that begins when the leases run out", func(r *run) {
+		{"an outage that begins when the leases expire", func(r *run) {
 			r.remove(func(e eventlog.Event) bool {
 				return e.Kind == eventlog.FaultInjected && e.Detail == FaultStart && milliseconds(e) < startAt
 			})
-			for at := int64(lossAt) + 1800; at < lossAt+20_000; at += 50 {
+			for at := int64(failureAt) + 1800; at < failureAt+20_000; at += 50 {
 				r.add(at, eventlog.Event{Kind: eventlog.CallerAnswered, Request: fmt.Sprintf("outage-%d", at), Outcome: "refused", Code: "no_lease"})
 			}
 		}, StatusBroken},
-		{"single refusals after the return", func(r *run) {
-			for at := int64(lossAt) + 2000; at < lossAt+20_000; at += 1000 {
+		{"single refusals after the recovery", func(r *run) {
+			for at := int64(failureAt) + 2000; at < failureAt+20_000; at += 1000 {
 				r.add(at, eventlog.Event{Kind: eventlog.CallerAnswered, Request: fmt.Sprintf("single-%d", at), Outcome: "refused", Code: "overloaded"})
 			}
 		}, StatusKept},
-		{"callers of a region that is cut off", func(r *run) {
-			r.remove(func(e eventlog.Event) bool { return e.Kind == eventlog.FaultInjected && milliseconds(e) == lossAt })
-			r.events = append(r.events, eventlog.Event{At: (lossAt + 1_000_000) * int64(time.Millisecond), Kind: eventlog.FaultInjected, Detail: FaultCut, Class: TargetRegion, Target: "region:south", Region: "south"})
-			for at := int64(lossAt); at < lossAt+14_000; at += 100 {
+		{"callers of a partitioned region", func(r *run) {
+			r.remove(func(e eventlog.Event) bool { return e.Kind == eventlog.FaultInjected && milliseconds(e) == failureAt })
+			r.events = append(r.events, eventlog.Event{At: (failureAt + 1_000_000) * int64(time.Millisecond), Kind: eventlog.FaultInjected, Detail: FaultCut, Class: TargetRegion, Target: "region:south", Region: "south"})
+			for at := int64(failureAt); at < failureAt+14_000; at += 100 {
 				r.add(at, eventlog.Event{Kind: eventlog.CallerAnswered, Request: fmt.Sprintf("cut-%d", at), Region: "south", Outcome: "refused", Code: "no_lease"})
 			}
 		}, StatusKept},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r := healthy()
+			r := healthyRun()
 			r.remove(func(e eventlog.Event) bool {
 				return e.Kind == eventlog.FaultInjected && (e.Detail == FaultFreeze || e.Detail == FaultThaw)
 			})
--- a/internal/fleet/operator/operation.go
+++ b/internal/fleet/operator/operation.go
@@ -95,10 +95,10 @@
 func outcomeOf(answer Answer, definite bool) string {
 	switch {
 	case !definite:
-		return checker.OrderUnknown
+		return checker.OperationUnknown
 	case answer.Accepted:
-		return checker.OrderAccepted
+		return checker.OperationAccepted
 	default:
-		return checker.OrderRefused
+		return checker.OperationRefused
 	}
 }
--- a/internal/fleet/operator/operator.go
+++ b/internal/fleet/operator/operator.go
@@ -105,7 +105,7 @@
 	defer cancel()
 	status, text, err := o.post(ctx, address, operation)
 	if err != nil {
-		o.logAnswered(operation, address, checker.OrderUnknown, Answer{Message: err.Error()})
+		o.logAnswered(operation, address, checker.OperationUnknown, Answer{Message: err.Error()})
 		return Answer{}, err
 	}
 	answer, definite := parseAnswer(status, text)
@@ -125,7 +125,7 @@
 	if _, _, err := o.post(ctx, address, operation); err != nil {
 		message = err.Error()
 	}
-	o.logAnswered(operation, address, checker.OrderUnknown, Answer{Message: message})
+	o.logAnswered(operation, address, checker.OperationUnknown, Answer{Message: message})
 }
 
 func (o *Operator) logSent(operation Operation, address string) {
@@ -139,7 +139,7 @@
 	event.Kind, event.Source, event.Gateway = eventlog.OrderAnswered, o.name, address
 	event.Outcome, event.Version, event.Serial = outcome, answer.Version, answer.Serial
 	event.Code = string(answer.Code)
-	if outcome != checker.OrderAccepted {
+	if outcome != checker.OperationAccepted {
 		event.Class = answer.Message
 	}
 	o.log.Write(event)
--- a/internal/report/operations.go
+++ b/internal/report/operations.go
@@ -44,7 +44,7 @@
 			if _, ok := sent[event.Order]; !ok {
 				sent[event.Order] = event
 			}
-		case event.Kind == eventlog.OrderAnswered && event.Outcome == checker.OrderAccepted && !seen[event.Order]:
+		case event.Kind == eventlog.OrderAnswered && event.Outcome == checker.OperationAccepted && !seen[event.Order]:
 			seen[event.Order] = true
 			measured = append(measured, measureOperation(events, zones, sent[event.Order], event))
 		}
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -152,7 +152,7 @@
 	case eventlog.FaultInjected:
 		s.Faults = append(s.Faults, event)
 	case eventlog.OrderAnswered:
-		if event.Outcome == checker.OrderAccepted {
+		if event.Outcome == checker.OperationAccepted {
 			s.Acknowledgements = append(s.Acknowledgements, event)
 		}
 	}
