--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // healthTimeout bounds one health check.
@@ -38,9 +39,9 @@
 // WaitReplicas waits until every replica answers with its report.
 func (f *Fleet) WaitReplicas(ctx context.Context) error {
 	for _, replica := range f.Replicas() {
-		err := poll(ctx, func() error { return checkHealth(ctx, replica.Address, api.PathReplicaReport) })
+		err := wait.Poll(ctx, pollInterval, func() error { return checkHealth(ctx, replica.Address, api.PathReplicaReport) })
 		if err != nil {
-			return fmt.Errorf("replica %s is not up: %w\n%s", replica.ID, err, f.logTail(replica.ID))
+			return fmt.Errorf("replica %s is not up: %w: %w\n%s", replica.ID, ctx.Err(), err, f.logTail(replica.ID))
 		}
 	}
 	return nil
@@ -65,7 +66,7 @@
 func (f *Fleet) waitNode(ctx context.Context, node *Node, path string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	err := poll(ctx, func() error {
+	err := wait.Poll(ctx, pollInterval, func() error {
 		if !node.Running() {
 			cancel()
 			return fmt.Errorf("process ended: %w", errors.Join(errNotRunning, node.process.ExitError()))
@@ -73,7 +74,7 @@
 		return checkHealth(ctx, node.HealthAddress(), path)
 	})
 	if err != nil {
-		return fmt.Errorf("%s (%s): %w\n%s", node.Name, path, err, f.logTail(node.Name))
+		return fmt.Errorf("%s (%s): %w: %w\n%s", node.Name, path, ctx.Err(), err, f.logTail(node.Name))
 	}
 	return nil
 }
@@ -98,20 +99,3 @@
 
 // pollInterval is the pause between two checks of a condition.
 const pollInterval = 50 * time.Millisecond
-
-// poll calls condition until it returns nil, or until ctx ends.
-func poll(ctx context.Context, condition func() error) error {
-	for {
-		err := condition()
-		if err == nil {
-			return nil
-		}
-		timer := time.NewTimer(pollInterval)
-		select {
-		case <-timer.C:
-		case <-ctx.Done():
-			timer.Stop()
-			return fmt.Errorf("%w: %w", ctx.Err(), err)
-		}
-	}
-}
--- a/internal/fleet/operator/operator.go
+++ b/internal/fleet/operator/operator.go
@@ -13,6 +13,7 @@
 
 	"github.com/deckpulley/deckpulley/internal/checker"
 	"github.com/deckpulley/deckpulley/internal/eventlog"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // Operator is one person with a token. It is safe for concurrent use.
@@ -79,24 +80,12 @@
 				return fmt.Errorf("%w: %w", ctx.Err(), last)
 			}
 		}
-		if !sleep(ctx, retryInterval) {
+		if wait.Sleep(ctx, retryInterval) != nil {
 			return fmt.Errorf("%w: %w", ctx.Err(), last)
 		}
 	}
 }
 
-// sleep reports whether the time passed before ctx ended.
-func sleep(ctx context.Context, length time.Duration) bool {
-	timer := time.NewTimer(length)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // SendTo sends the operation once to one node. An error means that its result is
 // unknown.
 func (o *Operator) SendTo(ctx context.Context, address string, operation Operation) (Answer, error) {
--- a/internal/fleet/relay/forward.go
+++ b/internal/fleet/relay/forward.go
@@ -7,6 +7,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // forward serves one connection from its client to the target. It dials the target
@@ -127,18 +129,11 @@
 }
 
 func sleepUntil(ctx context.Context, due time.Time) error {
-	left := time.Until(due)
-	if left <= 0 {
+	remaining := time.Until(due)
+	if remaining <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(left)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return wait.Sleep(ctx, remaining)
 }
 
 // closeWrite closes one direction of a connection, or all of one that cannot.
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -6,6 +6,7 @@
 
 	"github.com/deckpulley/deckpulley/internal/checker"
 	"github.com/deckpulley/deckpulley/internal/fleet"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // performLink cuts, heals or delays the links between the target and another one, or
@@ -24,7 +25,7 @@
 	if step.For == 0 || step.Do == Heal {
 		return nil
 	}
-	sleep(ctx, time.Duration(step.For))
+	_ = wait.Sleep(ctx, time.Duration(step.For)) // healed also if ctx ends
 	r.logFault(checker.FaultHeal, labeled)
 	heal := step
 	heal.Do, heal.Delay = Heal, 0
--- a/internal/scenario/nodes.go
+++ b/internal/scenario/nodes.go
@@ -8,6 +8,7 @@
 
 	"github.com/deckpulley/deckpulley/internal/checker"
 	"github.com/deckpulley/deckpulley/internal/fleet"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // Details of faults in the event log that the checker does not read.
@@ -113,7 +114,7 @@
 	if step.For == 0 {
 		return nil
 	}
-	sleep(ctx, time.Duration(step.For))
+	_ = wait.Sleep(ctx, time.Duration(step.For)) // thawed also if ctx ends
 	return r.thaw(on)
 }
 
--- a/internal/scenario/operations.go
+++ b/internal/scenario/operations.go
@@ -8,6 +8,7 @@
 	"sync"
 
 	"github.com/deckpulley/deckpulley/internal/fleet/operator"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 func (r *runner) performOperation(ctx context.Context, step Step) error {
@@ -34,10 +35,15 @@
 	return fmt.Errorf("unknown action %q", step.Do)
 }
 
-// nextDocumentLocked returns a document that differs from all earlier ones.
-func (r *runner) nextDocumentLocked() (string, error) {
+// newConfigurationLocked returns an operation with a document that differs from all
+// earlier ones, based on a version.
+func (r *runner) newConfigurationLocked(by *operator.Operator, base uint64) (operator.Operation, error) {
 	r.addedRoutes++
-	return r.options.Deployment.WithRoute(fmt.Sprintf("extra-%d", r.addedRoutes))
+	document, err := r.options.Deployment.WithRoute(fmt.Sprintf("extra-%d", r.addedRoutes))
+	if err != nil {
+		return operator.Operation{}, err
+	}
+	return by.Configuration(base, document), nil
 }
 
 // configure sends a new configuration, first to the named node if there is one, then
@@ -45,12 +51,11 @@
 func (r *runner) configure(ctx context.Context, first string) error {
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
-	document, err := r.nextDocumentLocked()
+	by := r.operators[0]
+	operation, err := r.newConfigurationLocked(by, r.version)
 	if err != nil {
 		return err
 	}
-	by := r.operators[0]
-	operation := by.Configuration(r.version, document)
 	if first == "" {
 		answer, err := r.send(ctx, by, operation)
 		return r.acceptLocked(answer, err)
@@ -109,12 +114,12 @@
 	}
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
-	document, err := r.nextDocumentLocked()
+	by := r.operators[1]
+	outdated, err := r.newConfigurationLocked(by, r.version-1)
 	if err != nil {
 		return err
 	}
-	by := r.operators[1]
-	answer, err := r.send(ctx, by, by.Configuration(r.version-1, document))
+	answer, err := r.send(ctx, by, outdated)
 	if err == nil && answer.Accepted {
 		return errAccepted
 	}
@@ -128,11 +133,11 @@
 	defer r.configuring.Unlock()
 	var rivals []operator.Operation
 	for _, by := range r.operators {
-		document, err := r.nextDocumentLocked()
+		rival, err := r.newConfigurationLocked(by, r.version)
 		if err != nil {
 			return err
 		}
-		rivals = append(rivals, by.Configuration(r.version, document))
+		rivals = append(rivals, rival)
 	}
 	answers, err := r.sendAtOnce(ctx, rivals)
 	accepted := 0
@@ -172,12 +177,11 @@
 func (r *runner) loseAnswer(ctx context.Context) error {
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
-	document, err := r.nextDocumentLocked()
+	by := r.operators[0]
+	operation, err := r.newConfigurationLocked(by, r.version)
 	if err != nil {
 		return err
 	}
-	by := r.operators[0]
-	operation := by.Configuration(r.version, document)
 	by.SendAndLose(ctx, r.operatorAddresses(0)[0], operation)
 	answer, err := r.send(ctx, by, operation)
 	if err := r.acceptLocked(answer, err); err != nil {
@@ -217,15 +221,10 @@
 }
 
 func sendUntilAnswered(ctx context.Context, by *operator.Operator, address string, operation operator.Operation) error {
-	for {
+	return wait.Poll(ctx, conditionInterval, func() error {
 		_, err := by.SendTo(ctx, address, operation)
-		if err == nil {
-			return nil
-		}
-		if !sleep(ctx, conditionInterval) {
-			return err
-		}
-	}
+		return err
+	})
 }
 
 func (r *runner) evacuate(ctx context.Context, step Step) error {
--- a/internal/scenario/perform.go
+++ b/internal/scenario/perform.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/internal/checker"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
@@ -51,7 +52,7 @@
 		if length == 0 {
 			return nil
 		}
-		sleep(ctx, length)
+		_ = wait.Sleep(ctx, length) // ended also if ctx ends
 		fallthrough
 	case Calm:
 		r.fleet.LogFault(checker.FaultCalm, checker.TargetLoad, "load", "")
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/internal/checker"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // runner performs the steps of a scenario.
@@ -96,7 +97,7 @@
 		r.startStep(ctx, i, step)
 	}
 	r.background.Wait()
-	sleep(ctx, time.Duration(r.scenario.Tail))
+	_ = wait.Sleep(ctx, time.Duration(r.scenario.Tail)) // Run checks ctx
 }
 
 func stepError(index int, step Step, err error) error {
@@ -124,12 +125,7 @@
 
 // await waits for the time and then for the condition of a step.
 func (r *runner) await(ctx context.Context, step Step) error {
-	switch {
-	case step.At != nil:
-		sleep(ctx, time.Until(r.loadStart.Add(time.Duration(*step.At))))
-	case step.After != nil:
-		sleep(ctx, time.Duration(*step.After))
-	}
+	r.awaitTime(ctx, step)
 	if step.When == "" {
 		return nil
 	}
@@ -140,18 +136,23 @@
 	return r.awaitCondition(ctx, step.When, timeout)
 }
 
+// awaitTime returns early if ctx ends, which runSteps checks.
+func (r *runner) awaitTime(ctx context.Context, step Step) {
+	switch {
+	case step.At != nil:
+		_ = wait.Sleep(ctx, time.Until(r.loadStart.Add(time.Duration(*step.At))))
+	case step.After != nil:
+		_ = wait.Sleep(ctx, time.Duration(*step.After))
+	}
+}
+
 func (r *runner) awaitCondition(ctx context.Context, condition Condition, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	start := time.Now()
-	for {
-		err := r.check(ctx, condition)
-		if err == nil {
-			break
-		}
-		if !sleep(ctx, conditionInterval) {
-			return fmt.Errorf("not %s within %v: %w", condition, timeout, err)
-		}
+	err := wait.Poll(ctx, conditionInterval, func() error { return r.check(ctx, condition) })
+	if err != nil {
+		return fmt.Errorf("not %s within %v: %w", condition, timeout, err)
 	}
 	r.progress("%s after %.1f s", condition, time.Since(start).Seconds())
 	if condition == WhenRepaired {
--- a/internal/scenario/session.go
+++ b/internal/scenario/session.go
@@ -12,6 +12,7 @@
 	"github.com/deckpulley/deckpulley/internal/fleet"
 	"github.com/deckpulley/deckpulley/internal/fleet/caller"
 	"github.com/deckpulley/deckpulley/internal/fleet/operator"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
 // Timeouts of a fleet and its clients.
@@ -125,14 +126,19 @@
 func (s *session) waitListed(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listedTimeout)
 	defer cancel()
-	for ctx.Err() == nil {
+	err := wait.Poll(ctx, conditionInterval, func() error {
 		answer, err := s.operators[0].ReadReplicas(ctx)
-		if err == nil && len(answer.Replicas) == len(s.fleet.Replicas()) && allAvailable(answer.Replicas) {
-			return
+		if err != nil {
+			return err
 		}
-		sleep(ctx, conditionInterval)
+		if len(answer.Replicas) != len(s.fleet.Replicas()) || !allAvailable(answer.Replicas) {
+			return errNotYet
+		}
+		return nil
+	})
+	if err != nil {
+		s.progress("not every replica has a condition in the registry")
 	}
-	s.progress("not every replica has a condition in the registry")
 }
 
 // Conditions of a replica that can serve.
@@ -247,15 +253,3 @@
 
 // conditionInterval is the pause between two checks of a condition.
 const conditionInterval = 100 * time.Millisecond
-
-// sleep reports whether the time passed before ctx ended.
-func sleep(ctx context.Context, length time.Duration) bool {
-	timer := time.NewTimer(length)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/scenario/target.go
+++ b/internal/scenario/target.go
@@ -8,6 +8,7 @@
 
 	"github.com/deckpulley/deckpulley/internal/checker"
 	"github.com/deckpulley/deckpulley/internal/fleet"
+	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 	"github.com/deckpulley/deckpulley/settings"
 )
 
@@ -141,14 +142,18 @@
 func (r *runner) primary(ctx context.Context) (target, error) {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	for {
-		if node, ok := r.knownPrimary(ctx); ok {
-			return target{label: node.Name, class: checker.TargetControl, nodes: []*fleet.Node{node}}, nil
-		}
-		if !sleep(ctx, conditionInterval) {
-			return target{}, fmt.Errorf("target: no primary is known: %w", ctx.Err())
+	var primary *fleet.Node
+	err := wait.Poll(ctx, conditionInterval, func() error {
+		var ok bool
+		if primary, ok = r.knownPrimary(ctx); !ok {
+			return errNotYet
 		}
+		return nil
+	})
+	if err != nil {
+		return target{}, fmt.Errorf("target: no primary is known: %w", ctx.Err())
 	}
+	return target{label: primary.Name, class: checker.TargetControl, nodes: []*fleet.Node{primary}}, nil
 }
 
 // knownPrimary returns the primary of the highest term that any control node reports.
