--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -63,7 +63,7 @@
 }
 
 // validate reports the first field that is missing or wrong.
-func (s Step) validate(of *Scenario) error {
+func (s Step) validate(in *Scenario) error {
 	needs, ok := requirements[s.Do]
 	if !ok {
 		return fmt.Errorf("do: unknown action %q", s.Do)
@@ -79,7 +79,7 @@
 	if s.At != nil && s.After != nil {
 		return errors.New("at and after exclude each other")
 	}
-	if (s.Do == Cut || s.Do == Delay) && !of.Relays {
+	if (s.Do == Cut || s.Do == Delay) && !in.Relays {
 		return errors.New("needs relays: true")
 	}
 	return nil
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -76,23 +76,3 @@
 		t.Errorf("one seed gave two runs:\n%s", difference)
 	}
 }
-
-func TestDeploymentsHaveProfilesAndRoutes(t *testing.T) {
-	for _, name := range fleet.Deployments() {
-		deployment, err := fleet.LoadDeployment(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		profile, err := deployment.Profile()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(profile.Homes) == 0 || len(profile.Regions) != 3 || profile.Clients == "" {
-			t.Errorf("%s: %+v", name, profile)
-		}
-		changed, err := deployment.WithRoute("extra")
-		if err != nil || !strings.Contains(changed, "extra") {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-}
--- a/internal/scenario/session.go
+++ b/internal/scenario/session.go
@@ -52,10 +52,10 @@
 	if err != nil {
 		return nil, err
 	}
-	of := options.Scenario
+	scenario := options.Scenario
 	prepared, err := fleet.New(fleet.Options{
 		Deployment: options.Deployment, Programs: options.Programs, Folder: options.Folder, Seed: options.Seed,
-		Relays: of.Relays || of.ReplicaRelays, ReplicaRelays: of.ReplicaRelays, Cold: of.Cold, LogLevel: options.LogLevel,
+		Relays: scenario.Relays || scenario.ReplicaRelays, ReplicaRelays: scenario.ReplicaRelays, Cold: scenario.Cold, LogLevel: options.LogLevel,
 		Environment: options.Environment,
 	})
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	s := &session{
 		options: options, fleet: prepared, progress: options.Progress,
-		load: &load{profile: profile.Scale(of.Load), seed: options.Seed},
+		load: &load{profile: profile.Scale(scenario.Load), seed: options.Seed},
 	}
 	if err := s.start(ctx); err != nil {
 		return nil, errors.Join(err, s.close())
--- a/internal/scenario/suite/planted.go
+++ b/internal/scenario/suite/planted.go
@@ -42,7 +42,8 @@
 
 // caseOutcome is what became of one planted defect or control run.
 type caseOutcome struct {
-	of catalog.Case
+	// expected is what was to be run and seen.
+	expected catalog.Case
 	// result is nil if the scenario could not begin.
 	result *scenario.Result
 	broken []checker.Promise
@@ -66,33 +67,33 @@
 	return planted
 }
 
-func (c Config) runCase(ctx context.Context, of catalog.Case) caseOutcome {
-	done := caseOutcome{of: of}
-	done.result, done.err = c.startCase(ctx, of)
+func (c Config) runCase(ctx context.Context, expected catalog.Case) caseOutcome {
+	done := caseOutcome{expected: expected}
+	done.result, done.err = c.startCase(ctx, expected)
 	if done.err != nil {
 		done.evidence = firstLine(done.err)
 		return done
 	}
-	done.broken, done.caught = of.Judge(done.result.Report)
-	if of.Control() {
+	done.broken, done.caught = expected.Judge(done.result.Report)
+	if expected.Control() {
 		done.caught = done.result.Good()
 	}
-	if verdict, ok := done.result.Report.Verdict(of.Promise); ok && len(verdict.Violations) > 0 {
+	if verdict, ok := done.result.Report.Verdict(expected.Promise); ok && len(verdict.Violations) > 0 {
 		done.evidence = verdict.Violations[0].Summary
 	}
 	done.result.Events = nil // they are on disk
 	return done
 }
 
-func (c Config) startCase(ctx context.Context, of catalog.Case) (*scenario.Result, error) {
-	name := cmp.Or(string(of.Defect), "none-"+of.Scenario)
-	shown, err := loadPlanted(of.Scenario)
+func (c Config) startCase(ctx context.Context, expected catalog.Case) (*scenario.Result, error) {
+	name := cmp.Or(string(expected.Defect), "none-"+expected.Scenario)
+	shown, err := loadPlanted(expected.Scenario)
 	if err != nil {
 		return nil, err
 	}
 	result, _, err := c.start(ctx, run{
 		scenario: shown, folder: "planted-" + name, label: labelOf(name),
-		environment: []string{defectVariable + "=" + string(of.Defect)},
+		environment: []string{defectVariable + "=" + string(expected.Defect)},
 	})
 	return result, err
 }
@@ -107,14 +108,14 @@
 }
 
 // defect returns the name of the defect, "none" for a control run.
-func (o caseOutcome) defect() string { return cmp.Or(string(o.of.Defect), "none") }
+func (o caseOutcome) defect() string { return cmp.Or(string(o.expected.Defect), "none") }
 
 // verdict names the outcome in one or two words.
 func (o caseOutcome) verdict() string {
 	switch {
-	case o.of.Control() && o.caught:
+	case o.expected.Control() && o.caught:
 		return "clean"
-	case o.of.Control():
+	case o.expected.Control():
 		return "not clean"
 	case o.caught:
 		return "caught"
@@ -143,8 +144,8 @@
 
 func (o caseOutcome) record() results.Defect {
 	recorded := results.Defect{
-		Name: o.defect(), Scenario: o.of.Scenario, Promise: string(o.of.Promise), Also: texts(o.of.Also),
-		Because: o.of.Because, Reported: texts(o.broken), Caught: o.caught, Verdict: o.verdict(), First: o.evidence,
+		Name: o.defect(), Scenario: o.expected.Scenario, Promise: string(o.expected.Promise), Also: texts(o.expected.Also),
+		Because: o.expected.Because, Reported: texts(o.broken), Caught: o.caught, Verdict: o.verdict(), First: o.evidence,
 	}
 	if o.result != nil {
 		recorded.Seconds = o.result.Took.Seconds()
@@ -159,8 +160,8 @@
 		return fmt.Errorf("writing the table: %w", err)
 	}
 	for _, done := range p.outcomes {
-		if done.of.Because != "" {
-			fmt.Fprintf(out, "%s breaks %s too: %s\n", done.of.Defect, strings.Join(texts(done.of.Also), " "), done.of.Because)
+		if done.expected.Because != "" {
+			fmt.Fprintf(out, "%s breaks %s too: %s\n", done.expected.Defect, strings.Join(texts(done.expected.Also), " "), done.expected.Because)
 		}
 		if !done.caught && done.result != nil {
 			done.writeUnexpected(out)
@@ -177,15 +178,15 @@
 		if done.result != nil {
 			took = fmt.Sprintf("%.0f", done.result.Took.Seconds())
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", done.defect(), done.of.Scenario, took,
-			cmp.Or(string(done.of.Promise), "-"), joined(texts(done.of.Also)), joined(texts(done.broken)), done.verdict(), done.evidence)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", done.defect(), done.expected.Scenario, took,
+			cmp.Or(string(done.expected.Promise), "-"), joined(texts(done.expected.Also)), joined(texts(done.broken)), done.verdict(), done.evidence)
 	}
 	return table.Flush()
 }
 
 // writeUnexpected writes everything that a run reported.
 func (o caseOutcome) writeUnexpected(out io.Writer) {
-	fmt.Fprintf(out, "%s in %s: %s; logs in %s\n", o.defect(), o.of.Scenario, o.verdict(), o.result.Folder)
+	fmt.Fprintf(out, "%s in %s: %s; logs in %s\n", o.defect(), o.expected.Scenario, o.verdict(), o.result.Folder)
 	if unexercised := o.result.Unexercised(); len(unexercised) > 0 {
 		fmt.Fprintf(out, "  not exercised: %s\n", strings.Join(unexercised, " "))
 	}
--- a/internal/scenario/suite/suite_test.go
+++ b/internal/scenario/suite/suite_test.go
@@ -61,8 +61,8 @@
 
 // example returns the outcome of a scenario for P1 whose run reported the verdicts.
 func example(name string, verdicts ...checker.Verdict) outcome {
-	of := &scenario.Scenario{Name: name, Promises: []string{"P1"}}
-	return outcome{scenario: of, result: &scenario.Result{Scenario: of, Report: checker.Report{Verdicts: verdicts}}}
+	run := &scenario.Scenario{Name: name, Promises: []string{"P1"}}
+	return outcome{scenario: run, result: &scenario.Result{Scenario: run, Report: checker.Report{Verdicts: verdicts}}}
 }
 
 func TestFaultsCheckNamesTheReason(t *testing.T) {
@@ -123,8 +123,8 @@
 		verdict string
 		fails   bool
 	}{
-		{"caught", caseOutcome{of: defect, caught: true}, "caught", false},
-		{"not caught", caseOutcome{of: defect}, "not caught", true},
+		{"caught", caseOutcome{expected: defect, caught: true}, "caught", false},
+		{"not caught", caseOutcome{expected: defect}, "not caught", true},
 		{"control run", caseOutcome{caught: true}, "clean", false},
 		{"control run with a violation", caseOutcome{}, "not clean", true},
 	}
