--- a/client/client_test.go
+++ b/client/client_test.go
@@ -18,8 +18,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// script answers the requests of one server in turn and notes their bodies.
-type script struct {
+// scriptedServer gives its responses in turn and records the requests.
+type scriptedServer struct {
 	mutex   sync.Mutex
 	answers []func(http.ResponseWriter)
 	bodies  []string
@@ -27,7 +27,7 @@
 	queries []string
 }
 
-func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mutex.Lock()
 	index := min(len(s.bodies), len(s.answers)-1)
@@ -45,7 +45,7 @@
 	}
 }
 
-func refusal(problem api.Error) func(http.ResponseWriter) {
+func rejection(problem api.Error) func(http.ResponseWriter) {
 	return status(problem.Status(), api.ErrorBody{Error: &problem})
 }
 
@@ -53,10 +53,10 @@
 	return func(w http.ResponseWriter) { io.WriteString(w, text) }
 }
 
-func breakOff(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+func abortResponse(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// serve starts one server a script and returns their addresses.
-func serve(t *testing.T, scripts ...*script) []string {
+// serve starts the servers and returns their addresses.
+func serve(t *testing.T, scripts ...*scriptedServer) []string {
 	t.Helper()
 	var addresses []string
 	for _, s := range scripts {
@@ -67,8 +67,8 @@
 	return addresses
 }
 
-// nobody is an address that refuses connections.
-func nobody(t *testing.T) string {
+// unreachableAddress returns an address that refuses connections.
+func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
@@ -84,7 +84,7 @@
 	return c
 }
 
-func patient(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
@@ -93,26 +93,28 @@
 
 var accepted = api.OperationResult{OperationID: "o", Accepted: true, Version: 3, Serial: 9}
 
-func TestOrdersFailOverAndKeepTheirID(t *testing.T) {
-	first := &script{answers: []func(http.ResponseWriter){
-		refusal(api.Error{Code: api.CodeNoPrimary, Outcome: api.OutcomeUnknown, Retry: true}),
-		breakOff,
-		refusal(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown, Retry: true}),
+// TestOperationsFailOverWithSameID resends an operation after errors and aborted
+// responses until it is accepted.
+func TestOperationsFailOverWithSameID(t *testing.T) {
+	first := &scriptedServer{answers: []func(http.ResponseWriter){
+		rejection(api.Error{Code: api.CodeNoPrimary, Outcome: api.OutcomeUnknown, Retry: true}),
+		abortResponse,
+		rejection(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown, Retry: true}),
 		status(http.StatusOK, accepted),
 	}}
 	addresses := serve(t, first)
-	c := newClient(t, nobody(t), addresses[0])
-	order := api.ConfigurationOperation{BaseVersion: 2, Document: "x"}
-	answer, err := c.Apply(patient(t), &order)
+	c := newClient(t, unreachableAddress(t), addresses[0])
+	operation := api.ConfigurationOperation{BaseVersion: 2, Document: "x"}
+	answer, err := c.Apply(testContext(t), &operation)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(&accepted, answer); diff != "" {
 		t.Error(diff)
 	}
-	want := fmt.Sprintf(`{"order_id":%q,"base_version":2,"document":"x"}`, order.OperationID)
-	if order.OperationID == "" || len(first.bodies) != 4 {
-		t.Fatalf("order %q, %d attempts", order.OperationID, len(first.bodies))
+	want := fmt.Sprintf(`{"order_id":%q,"base_version":2,"document":"x"}`, operation.OperationID)
+	if operation.OperationID == "" || len(first.bodies) != 4 {
+		t.Fatalf("operation %q, %d attempts", operation.OperationID, len(first.bodies))
 	}
 	for i, body := range first.bodies {
 		if body != want || first.headers[i].Get("Authorization") != "Bearer secret" {
@@ -124,41 +126,42 @@
 	}
 }
 
-func TestErrorsAreTyped(t *testing.T) {
+// TestErrorsHaveCodeAndOutcome checks the error of each kind of failed operation.
+func TestErrorsHaveCodeAndOutcome(t *testing.T) {
 	conflict := api.Error{Code: api.CodeVersionConflict, Outcome: api.OutcomeRefused, Message: "version is 5"}
-	refused := api.OperationResult{OperationID: "o", Version: 5, Error: &conflict}
+	rejected := api.OperationResult{OperationID: "o", Version: 5, Error: &conflict}
 	cases := []struct {
 		name   string
 		answer func(http.ResponseWriter)
 		want   api.Code
 		run    api.Outcome
 	}{
-		{"refused order", status(http.StatusConflict, refused), api.CodeVersionConflict, api.OutcomeRefused},
-		{"error body", refusal(api.Error{Code: api.CodeUnauthorized, Outcome: api.OutcomeRefused}), api.CodeUnauthorized, api.OutcomeRefused},
-		{"pending until the end", refusal(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown}), api.CodePending, api.OutcomeUnknown},
+		{"rejected operation", status(http.StatusConflict, rejected), api.CodeVersionConflict, api.OutcomeRefused},
+		{"error body", rejection(api.Error{Code: api.CodeUnauthorized, Outcome: api.OutcomeRefused}), api.CodeUnauthorized, api.OutcomeRefused},
+		{"pending until the end", rejection(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown}), api.CodePending, api.OutcomeUnknown},
 		{"no typed error", status(http.StatusBadGateway, "what"), api.CodeNoPrimary, api.OutcomeUnknown},
 		{"malformed success", raw("{"), api.CodeNoPrimary, api.OutcomeUnknown},
-		{"broken off", breakOff, api.CodeNoPrimary, api.OutcomeUnknown},
+		{"broken off", abortResponse, api.CodeNoPrimary, api.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			addresses := serve(t, &script{answers: []func(http.ResponseWriter){c.answer}})
+			addresses := serve(t, &scriptedServer{answers: []func(http.ResponseWriter){c.answer}})
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			_, err := newClient(t, addresses...).Evacuate(ctx, &api.EvacuationOperation{Zone: "z"})
-			wantProblem(t, err, c.want, c.run)
+			wantError(t, err, c.want, c.run)
 		})
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err := newClient(t, nobody(t)).Status(ctx)
-	wantProblem(t, err, api.CodeNoPrimary, api.OutcomeRefused)
+	_, err := newClient(t, unreachableAddress(t)).Status(ctx)
+	wantError(t, err, api.CodeNoPrimary, api.OutcomeRefused)
 	if _, err := New(Config{}); err == nil {
 		t.Error("a client without addresses was made")
 	}
 }
 
-func wantProblem(t *testing.T, err error, code api.Code, outcome api.Outcome) {
+func wantError(t *testing.T, err error, code api.Code, outcome api.Outcome) {
 	t.Helper()
 	var problem *api.Error
 	if !errors.As(err, &problem) || problem.Code != code || problem.Outcome != outcome {
@@ -166,24 +169,26 @@
 	}
 }
 
-func TestGenerateResendsOnlyWhatMayBeResent(t *testing.T) {
+// TestGenerateResendsOnlyIdempotentRequests aborts or rejects a request at the first
+// gateway and checks whether the alternate gets it.
+func TestGenerateResendsOnlyIdempotentRequests(t *testing.T) {
 	cases := []struct {
 		name    string
 		request api.GenerateRequest
 		first   func(http.ResponseWriter)
 		again   bool
 	}{
-		{"with a ticket", api.GenerateRequest{Ticket: "t"}, breakOff, true},
-		{"repeatable", api.GenerateRequest{Repeatable: true}, breakOff, true},
-		{"neither", api.GenerateRequest{}, breakOff, false},
-		{"answered", api.GenerateRequest{Repeatable: true}, refusal(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, Retry: true}), false},
+		{"with a ticket", api.GenerateRequest{Ticket: "t"}, abortResponse, true},
+		{"repeatable", api.GenerateRequest{Repeatable: true}, abortResponse, true},
+		{"neither", api.GenerateRequest{}, abortResponse, false},
+		{"answered", api.GenerateRequest{Repeatable: true}, rejection(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, Retry: true}), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			first := &script{answers: []func(http.ResponseWriter){c.first}}
-			second := &script{answers: []func(http.ResponseWriter){status(http.StatusOK, api.GenerateAnswer{RunID: "run"})}}
+			first := &scriptedServer{answers: []func(http.ResponseWriter){c.first}}
+			second := &scriptedServer{answers: []func(http.ResponseWriter){status(http.StatusOK, api.GenerateAnswer{RunID: "run"})}}
 			addresses := serve(t, first, second)
-			answer, err := newClient(t, "unused").Generate(patient(t), c.request, addresses[0], addresses[1])
+			answer, err := newClient(t, "unused").Generate(testContext(t), c.request, addresses[0], addresses[1])
 			if resent := len(second.bodies) == 1; resent != c.again || (err == nil) != c.again {
 				t.Fatalf("resent %v, error %v", resent, err)
 			}
@@ -194,11 +199,11 @@
 	}
 }
 
-// TestGenerateRefusesOnlyWhatNeverRan breaks the first exchange off, which may
-// have run, and has the alternate refuse in one way or another.
-func TestGenerateRefusesOnlyWhatNeverRan(t *testing.T) {
-	overloaded := &script{answers: []func(http.ResponseWriter){refusal(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused})}}
-	addresses := serve(t, &script{answers: []func(http.ResponseWriter){breakOff}}, overloaded)
+// TestGenerateOutcomeUnknownAfterBrokenExchange aborts the first response, after
+// which the request may have run, and has the alternate reject the request.
+func TestGenerateOutcomeUnknownAfterBrokenExchange(t *testing.T) {
+	overloaded := &scriptedServer{answers: []func(http.ResponseWriter){rejection(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused})}}
+	addresses := serve(t, &scriptedServer{answers: []func(http.ResponseWriter){abortResponse}}, overloaded)
 	cases := []struct {
 		name      string
 		request   api.GenerateRequest
@@ -206,33 +211,33 @@
 		code      api.Code
 		outcome   api.Outcome
 	}{
-		{"nobody there", api.GenerateRequest{Ticket: "t"}, nobody(t), api.CodeNoPrimary, api.OutcomeUnknown},
-		{"the owner refused", api.GenerateRequest{Ticket: "t"}, addresses[1], api.CodeOverloaded, api.OutcomeRefused},
-		{"another gateway refused", api.GenerateRequest{Repeatable: true}, addresses[1], api.CodeOverloaded, api.OutcomeUnknown},
+		{"alternate unreachable", api.GenerateRequest{Ticket: "t"}, unreachableAddress(t), api.CodeNoPrimary, api.OutcomeUnknown},
+		{"rejected by the owner", api.GenerateRequest{Ticket: "t"}, addresses[1], api.CodeOverloaded, api.OutcomeRefused},
+		{"rejected by another gateway", api.GenerateRequest{Repeatable: true}, addresses[1], api.CodeOverloaded, api.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := newClient(t, "unused").Generate(patient(t), c.request, addresses[0], c.alternate)
-			wantProblem(t, err, c.code, c.outcome)
+			_, err := newClient(t, "unused").Generate(testContext(t), c.request, addresses[0], c.alternate)
+			wantError(t, err, c.code, c.outcome)
 		})
 	}
 }
 
-// TestWhereAsksTheNextGateway breaks the first gateway's answer off: the same
-// question goes to the second one.
-func TestWhereAsksTheNextGateway(t *testing.T) {
+// TestWhereFailsOver aborts the first gateway's response: the same request goes
+// to the second one.
+func TestWhereFailsOver(t *testing.T) {
 	want := api.WhereAnswer{RequestID: "q", Ticket: "t", Gateway: "owner:80", Alternates: []string{"other:80"}, Region: "north", ExpiresInMS: 900, ConfigurationVersion: 3}
-	first := &script{answers: []func(http.ResponseWriter){breakOff}}
-	second := &script{answers: []func(http.ResponseWriter){status(http.StatusOK, want)}}
+	first := &scriptedServer{answers: []func(http.ResponseWriter){abortResponse}}
+	second := &scriptedServer{answers: []func(http.ResponseWriter){status(http.StatusOK, want)}}
 	question := api.WhereRequest{RequestID: "q", Model: "m", WaitMS: 1000, Repeatable: true}
-	answer, err := newClient(t, serve(t, first, second)...).Where(patient(t), question)
+	answer, err := newClient(t, serve(t, first, second)...).Where(testContext(t), question)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(&want, answer); diff != "" {
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
-	for name, asked := range map[string]*script{"first": first, "second": second} {
+	for name, asked := range map[string]*scriptedServer{"first": first, "second": second} {
 		var got api.WhereRequest
 		if len(asked.bodies) != 1 || asked.queries[0] != "POST "+api.PathWhere+"?" {
 			t.Fatalf("the %s gateway was asked %q", name, asked.queries)
@@ -246,7 +251,8 @@
 	}
 }
 
-func TestStream(t *testing.T) {
+// TestStreamSequence reads streams that are complete, truncated or out of order.
+func TestStreamSequence(t *testing.T) {
 	const (
 		one   = "event: piece\ndata: {\"run_id\":\"r\",\"sequence\":1,\"text\":\"a\"}\n\n"
 		two   = "event: piece\ndata: {\"run_id\":\"r\",\"sequence\":2,\"text\":\"b\"}\n\n"
@@ -257,12 +263,12 @@
 	cases := []struct {
 		name   string
 		text   string
-		pieces int
+		chunks int
 		want   api.Code // empty is a clean end
 	}{
-		{"whole", one + two + end, 2, ""},
+		{"complete", one + two + end, 2, ""},
 		{"no end", one + two, 2, api.CodeReplicaBroken},
-		{"half an end", one + two + strings.TrimSpace(end), 2, api.CodeReplicaBroken},
+		{"truncated end", one + two + strings.TrimSpace(end), 2, api.CodeReplicaBroken},
 		{"skipped", two, 0, api.CodeReplicaBroken},
 		{"spliced", one + other, 1, api.CodeReplicaBroken},
 		{"early end", one + end, 1, api.CodeReplicaBroken},
@@ -272,21 +278,21 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			addresses := serve(t, &script{answers: []func(http.ResponseWriter){raw(c.text)}})
-			stream, err := newClient(t, "unused").OpenStream(patient(t), api.GenerateRequest{}, addresses[0])
+			addresses := serve(t, &scriptedServer{answers: []func(http.ResponseWriter){raw(c.text)}})
+			stream, err := newClient(t, "unused").OpenStream(testContext(t), api.GenerateRequest{}, addresses[0])
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer stream.Close()
-			pieces := 0
+			chunks := 0
 			for {
 				if _, err = stream.Next(); err != nil {
 					break
 				}
-				pieces++
+				chunks++
 			}
-			if pieces != c.pieces {
-				t.Errorf("%d pieces", pieces)
+			if chunks != c.chunks {
+				t.Errorf("%d chunks", chunks)
 			}
 			if c.want == "" {
 				if !errors.Is(err, io.EOF) || stream.End().Tokens != 2 {
@@ -302,31 +308,32 @@
 	}
 }
 
-// TestSilentNodes gives up on a node that takes requests and never answers.
-func TestSilentNodes(t *testing.T) {
+// TestResponseTimeout fails over from a node that accepts requests and never
+// responds.
+func TestResponseTimeout(t *testing.T) {
 	t.Parallel()
 	released := make(chan struct{})
 	var mutex sync.Mutex
 	var seen []string
-	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		var order api.EvacuationOperation
-		json.NewDecoder(r.Body).Decode(&order) // a read has no body
+	frozen := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		var operation api.EvacuationOperation
+		json.NewDecoder(r.Body).Decode(&operation) // a read has no body
 		mutex.Lock()
-		seen = append(seen, r.Method+" "+order.OperationID)
+		seen = append(seen, r.Method+" "+operation.OperationID)
 		mutex.Unlock()
 		<-released
 	}))
-	defer silent.Close()
+	defer frozen.Close()
 	defer close(released)
-	answering := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var order api.EvacuationOperation
-		json.NewDecoder(r.Body).Decode(&order)
-		json.NewEncoder(w).Encode(api.OperationResult{OperationID: order.OperationID, Accepted: true, Version: 7})
+	responding := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		var operation api.EvacuationOperation
+		json.NewDecoder(r.Body).Decode(&operation)
+		json.NewEncoder(w).Encode(api.OperationResult{OperationID: operation.OperationID, Accepted: true, Version: 7})
 	}))
-	defer answering.Close()
+	defer responding.Close()
 	connect := func() *Client {
 		connection, err := New(Config{
-			Addresses:       []string{silent.Listener.Addr().String(), answering.Listener.Addr().String()},
+			Addresses:       []string{frozen.Listener.Addr().String(), responding.Listener.Addr().String()},
 			ResponseTimeout: 50 * time.Millisecond,
 		})
 		if err != nil {
@@ -337,13 +344,13 @@
 	if answer, err := connect().Configuration(t.Context(), true); err != nil || answer.Version != 7 {
 		t.Errorf("read: %+v, %v", answer, err)
 	}
-	order := api.EvacuationOperation{Zone: "north-1"}
-	if answer, err := connect().Evacuate(t.Context(), &order); err != nil || answer.OperationID != order.OperationID {
-		t.Errorf("order: %+v, %v", answer, err)
+	operation := api.EvacuationOperation{Zone: "north-1"}
+	if answer, err := connect().Evacuate(t.Context(), &operation); err != nil || answer.OperationID != operation.OperationID {
+		t.Errorf("operation: %+v, %v", answer, err)
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
-	want := []string{"GET ", "POST " + order.OperationID}
+	want := []string{"GET ", "POST " + operation.OperationID}
 	if difference := cmp.Diff(want, seen); difference != "" {
 		t.Error(difference)
 	}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,20 +12,20 @@
 	"github.com/deckpulley/deckpulley/client"
 )
 
-// An order keeps its id over every attempt, so that a lost answer is safe to ask
-// for again.
+// An operation keeps its ID over every attempt, so that it is safe to resend after
+// a lost response.
 func Example() {
 	attempts := 0
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var order api.EvacuationOperation
-		if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+		var operation api.EvacuationOperation
+		if err := json.NewDecoder(r.Body).Decode(&operation); err != nil {
 			panic(err)
 		}
 		attempts++
 		if attempts == 1 {
-			panic(http.ErrAbortHandler) // the answer is lost
+			panic(http.ErrAbortHandler) // the response is lost
 		}
-		answer, _ := json.Marshal(api.OperationResult{OperationID: order.OperationID, Accepted: true, Version: 3})
+		answer, _ := json.Marshal(api.OperationResult{OperationID: operation.OperationID, Accepted: true, Version: 3})
 		w.Write(answer)
 	}))
 	defer node.Close()
@@ -34,12 +34,12 @@
 		fmt.Println(err)
 		return
 	}
-	order := api.EvacuationOperation{Zone: "north-1"}
-	answer, err := connection.Evacuate(context.Background(), &order)
+	operation := api.EvacuationOperation{Zone: "north-1"}
+	answer, err := connection.Evacuate(context.Background(), &operation)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(answer.Accepted, answer.OperationID == order.OperationID, attempts)
+	fmt.Println(answer.Accepted, answer.OperationID == operation.OperationID, attempts)
 	// Output: true true 2
 }
--- /dev/null
+++ b/client/response.go
@@ -0,0 +1,82 @@
+package client
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+
+	"github.com/deckpulley/deckpulley/api"
+)
+
+// attemptError describes a failed attempt.
+type attemptError struct {
+	cause *api.Error
+	// sent is set if the server may have acted on the request.
+	sent bool
+	// retryable is set if another attempt may succeed.
+	retryable bool
+	// typed is set if the server reported the cause.
+	typed bool
+}
+
+// indeterminateError describes an exchange that broke after it began, so that
+// the server may have acted on the request.
+func indeterminateError(address string, err error) *attemptError {
+	cause := unreachableError(address, err)
+	cause.Outcome = api.OutcomeUnknown
+	return &attemptError{cause: cause, sent: true, retryable: true}
+}
+
+// unreachableError describes a request that was not sent.
+func unreachableError(address string, err error) *api.Error {
+	return &api.Error{
+		Code:    api.CodeNoPrimary,
+		Outcome: api.OutcomeRefused,
+		Message: fmt.Sprintf("no answer from %s: %v", address, err),
+		Retry:   true,
+	}
+}
+
+// encodingError describes a body that cannot be encoded.
+func encodingError(subject string, err error) *api.Error {
+	return &api.Error{
+		Code:    api.CodeInvalid,
+		Outcome: api.OutcomeRefused,
+		Message: fmt.Sprintf("encoding the %s: %v", subject, err),
+	}
+}
+
+// readBody reads the bounded body of a response.
+func readBody(address string, response *http.Response) ([]byte, *attemptError) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil {
+		return nil, indeterminateError(address, err)
+	}
+	return body, nil
+}
+
+func decodeSuccess(address string, body []byte, into any) *attemptError {
+	if into == nil {
+		return nil
+	}
+	if err := json.Unmarshal(body, into); err != nil {
+		return indeterminateError(address, fmt.Errorf("malformed answer: %w", err))
+	}
+	return nil
+}
+
+// decodeFailure decodes an error body, or an operation's result with an error.
+func decodeFailure(address string, status int, body []byte) *attemptError {
+	var decoded api.ErrorBody
+	if err := json.Unmarshal(body, &decoded); err != nil || decoded.Error == nil {
+		return indeterminateError(address, fmt.Errorf("HTTP status %d without a typed error", status))
+	}
+	cause := decoded.Error
+	return &attemptError{
+		cause:     cause,
+		sent:      cause.Outcome != api.OutcomeRefused,
+		retryable: cause.Retry || cause.Code == api.CodePending,
+		typed:     true,
+	}
+}
--- a/gateway/agent/agent.go
+++ b/gateway/agent/agent.go
@@ -40,23 +40,23 @@
 // Agent keeps a lease and a copy of the registry. It is safe for concurrent use.
 type Agent struct {
 	options Options
-	log     *slog.Logger
+	logger     *slog.Logger
 	// wake asks the loop to renew at once.
 	wake chan struct{}
-	// validUntil is the end of the lease in nanoseconds of the clock.
-	validUntil atomic.Int64
+	// leaseExpiry is the end of the lease in nanoseconds of the clock.
+	leaseExpiry atomic.Int64
 	active     atomic.Pointer[catalog.State]
-	renewals   atomic.Uint64
-	refusals   atomic.Uint64
+	grantedRenewals   atomic.Uint64
+	rejectedRenewals   atomic.Uint64
 
 	mutex    sync.Mutex
-	contacts *contacts
-	// asking is the node that a renewal waits for; stopAsking ends that wait.
-	asking     string
-	stopAsking context.CancelFunc
+	control *controlNodes
+	// renewalAddress is the node that a renewal waits for; stopAsking ends that wait.
+	renewalAddress     string
+	cancelRenewal context.CancelFunc
 	holder     *lease.Holder
-	// unanswered counts the renewals in a row that a node did not answer, by address.
-	unanswered map[string]int
+	// consecutiveFailures counts the renewals in a row that a node did not answer, by address.
+	consecutiveFailures map[string]int
 	// leaseTerm is the term of the newest lease.
 	leaseTerm uint64
 	table     *registry.Table
@@ -76,14 +76,14 @@
 func New(options Options) *Agent {
 	a := &Agent{
 		options:  options,
-		log:      options.Logger,
+		logger:      options.Logger,
 		wake:     make(chan struct{}, 1),
-		contacts: newContacts(options.Seeds, options.Gateway.Name),
+		control: newControlNodes(options.Seeds, options.Gateway.Name),
 		holder:   lease.NewHolder(options.LeaseConfig),
 		table:    registry.NewSecondary(catalog.Apex, catalog.Schema()),
 		changed:  make(chan struct{}),
 
-		unanswered: make(map[string]int),
+		consecutiveFailures: make(map[string]int),
 	}
 	options.Network.Handle(peer.KindNotify, a.serveNotify)
 	options.Network.Handle(peer.KindRenew, a.serveRenew)
@@ -97,12 +97,12 @@
 	if planted.Active(planted.IgnoreLease) || planted.Active(planted.KeepOldConfiguration) {
 		return true
 	}
-	return a.options.Clock() < time.Duration(a.validUntil.Load())
+	return a.options.Clock() < time.Duration(a.leaseExpiry.Load())
 }
 
 // Remaining is the time left of the lease.
 func (a *Agent) Remaining() time.Duration {
-	return max(0, time.Duration(a.validUntil.Load())-a.options.Clock())
+	return max(0, time.Duration(a.leaseExpiry.Load())-a.options.Clock())
 }
 
 // Active is the contents that decides, nil before the first activation.
@@ -127,12 +127,12 @@
 	defer a.mutex.Unlock()
 	status := Status{
 		Cluster:          a.holder.Cluster(),
-		Primary:          a.contacts.primary,
+		Primary:          a.control.primary,
 		Term:             a.holder.Term(),
-		ReceivedSerial:   a.heldLocked(),
+		ReceivedSerial:   a.receivedSerialLocked(),
 		LeaseRemaining:   a.Remaining(),
-		GrantedRenewals:  a.renewals.Load(),
-		RejectedRenewals: a.refusals.Load(),
+		GrantedRenewals:  a.grantedRenewals.Load(),
+		RejectedRenewals: a.rejectedRenewals.Load(),
 	}
 	if active := a.active.Load(); active != nil {
 		status.ActiveSerial = active.Serial()
@@ -145,30 +145,30 @@
 func (a *Agent) ControlAddresses() []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.contacts.control()
+	return a.control.addresses()
 }
 
-func (a *Agent) heldLocked() uint32 {
+func (a *Agent) receivedSerialLocked() uint32 {
 	if a.newest == nil {
 		return 0
 	}
 	return a.newest.Serial()
 }
 
-// take brings the copy up to date. It reports whether there is a new serial.
-func (a *Agent) take(transfer registry.Transfer) (bool, error) {
+// applyTransfer brings the copy up to date. It reports whether there is a new serial.
+func (a *Agent) applyTransfer(transfer registry.Transfer) (bool, error) {
 	before := a.table.Serial()
 	if err := a.table.ApplyTransfer(transfer); err != nil {
-		a.forgetCopy()
+		a.discardCopy()
 		return false, fmt.Errorf("agent: applying a transfer: %w", err)
 	}
 	view := a.table.View()
 	if view.Serial() == before {
 		return false, nil
 	}
-	contents, err := a.read(view, transfer)
+	contents, err := a.readState(view, transfer)
 	if err != nil {
-		a.forgetCopy()
+		a.discardCopy()
 		return false, fmt.Errorf("agent: reading serial %d: %w", view.Serial(), err)
 	}
 	a.newest = contents
@@ -181,16 +181,16 @@
 	return true, nil
 }
 
-func (a *Agent) read(view registry.View, transfer registry.Transfer) (*catalog.State, error) {
+func (a *Agent) readState(view registry.View, transfer registry.Transfer) (*catalog.State, error) {
 	if a.newest == nil {
 		return catalog.Read(view)
 	}
 	return a.newest.Next(view, transfer)
 }
 
-// forgetCopy makes the next renewal ask for a full transfer. What is active
+// discardCopy makes the next renewal ask for a full transfer. What is active
 // stays so.
-func (a *Agent) forgetCopy() {
+func (a *Agent) discardCopy() {
 	a.table = registry.NewSecondary(catalog.Apex, catalog.Schema())
 	a.newest = nil
 }
@@ -224,7 +224,7 @@
 	a.active.Store(contents)
 	close(a.changed)
 	a.changed = make(chan struct{})
-	a.log.Debug("activated", "serial", contents.Serial(), "version", contents.Version())
+	a.logger.Debug("activated", "serial", contents.Serial(), "version", contents.Version())
 	return true
 }
 
@@ -240,14 +240,14 @@
 	for i, candidate := range a.pending {
 		if candidate.Version() == version {
 			a.activatePending(i)
-			a.renewSoon()
+			a.triggerRenewal()
 			break
 		}
 	}
 	active := a.active.Load()
 	caughtUp := active != nil && active.Version() >= version
 	if !caughtUp {
-		a.renewSoon()
+		a.triggerRenewal()
 	}
 	return caughtUp
 }
@@ -277,7 +277,7 @@
 	return a.changed
 }
 
-func (a *Agent) renewSoon() {
+func (a *Agent) triggerRenewal() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -243,7 +243,7 @@
 	const fourTrips = 4 * 70 * time.Millisecond
 	for i := range 30 {
 		name := fmt.Sprint("gateway-", i)
-		synctest.Test(t, func(t *testing.T) { startAfterPowerLoss(t, name, fourTrips, 2*fourTrips+2*searchPause) })
+		synctest.Test(t, func(t *testing.T) { startAfterPowerLoss(t, name, fourTrips, 2*fourTrips+2*searchInterval) })
 	}
 }
 
@@ -297,19 +297,19 @@
 	memory := transport.NewMemory()
 	a := New(Options{Network: memory.Node("g", "g"), LeaseConfig: lease.DefaultConfig(), Clock: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler)})
 	table := newTable(t)
-	if took, err := a.take(table.TransferSince(0)); err != nil || !took {
+	if took, err := a.applyTransfer(table.TransferSince(0)); err != nil || !took {
 		t.Fatal(took, err)
 	}
 	a.activate(10)
-	if _, err := a.take(registry.Transfer{From: 40, To: 41}); !errors.Is(err, registry.ErrGap) {
+	if _, err := a.applyTransfer(registry.Transfer{From: 40, To: 41}); !errors.Is(err, registry.ErrGap) {
 		t.Fatalf("got %v", err)
 	}
-	if a.heldLocked() != 0 || a.Active().Serial() != 10 {
+	if a.receivedSerialLocked() != 0 || a.Active().Serial() != 10 {
 		t.Fatal("the next renewal does not ask for everything")
 	}
 	for version := range uint64(2 * maxPending) {
 		addVersion(table, version+1)
-		if _, err := a.take(table.TransferSince(a.heldLocked())); err != nil {
+		if _, err := a.applyTransfer(table.TransferSince(a.receivedSerialLocked())); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/gateway/agent/contacts.go
+++ b/gateway/agent/contacts.go
@@ -8,34 +8,34 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// contacts chooses which control node to ask. It starts from the seeds and goes
+// controlNodes chooses which control node to ask. It starts from the seeds and goes
 // on with what control nodes tell of themselves, so that it survives the
 // replacement of every seed.
-type contacts struct {
+type controlNodes struct {
 	seeds   []string
 	members []string // as last told by a control node
 	primary string   // empty if unknown
 	cursor  int
-	// suspect did not answer; hints at it are not followed until suspectUntil.
-	suspect      string
+	// suspected did not answer; hints at it are not followed until suspectUntil.
+	suspected      string
 	suspectUntil time.Duration
 }
 
-// newContacts begins with a seed that the name of the gateway chooses, so that
+// newControlNodes begins with a seed that the name of the gateway chooses, so that
 // gateways that start together do not all wait for the same one.
-func newContacts(seeds []string, name string) *contacts {
-	return &contacts{seeds: slices.Clone(seeds), cursor: int(placement.Hash(name) % math.MaxInt32)}
+func newControlNodes(seeds []string, name string) *controlNodes {
+	return &controlNodes{seeds: slices.Clone(seeds), cursor: int(placement.Hash(name) % math.MaxInt32)}
 }
 
-// learn takes the addresses that a control node told.
-func (c *contacts) learn(members []string) {
+// setMembers takes the addresses that a control node told.
+func (c *controlNodes) setMembers(members []string) {
 	if len(members) > 0 {
 		c.members = slices.Clone(members)
 	}
 }
 
-// control lists what is known of the control nodes, best first.
-func (c *contacts) control() []string {
+// addresses lists what is known of the addresses nodes, best first.
+func (c *controlNodes) addresses() []string {
 	list := make([]string, 0, len(c.members)+len(c.seeds)+1)
 	add := func(address string) {
 		if address != "" && !slices.Contains(list, address) {
@@ -54,11 +54,11 @@
 
 // next is the address to ask: the primary if it is known, otherwise each in
 // turn; empty if there is none.
-func (c *contacts) next() string {
+func (c *controlNodes) next() string {
 	if c.primary != "" {
 		return c.primary
 	}
-	list := c.control()
+	list := c.addresses()
 	if len(list) == 0 {
 		return ""
 	}
@@ -66,14 +66,14 @@
 	return list[c.cursor%len(list)]
 }
 
-// answered notes what the asked node said about the primary. It reports whether
+// recordReply notes what the asked node said about the primary. It reports whether
 // there is a hint to follow at once.
-func (c *contacts) answered(now time.Duration, asked string, granted bool, hint string) bool {
+func (c *controlNodes) recordReply(now time.Duration, asked string, granted bool, hint string) bool {
 	if granted {
 		c.primary = asked
 		return false
 	}
-	suspected := hint == c.suspect && now < c.suspectUntil
+	suspected := hint == c.suspected && now < c.suspectUntil
 	if hint != "" && hint != asked && !suspected {
 		c.primary = hint
 		return true
@@ -82,10 +82,10 @@
 	return false
 }
 
-// failed notes that the asked node did not answer. Others may go on naming it
+// recordFailure notes that the asked node did not answer. Others may go on naming it
 // as primary for as long as an election takes.
-func (c *contacts) failed(asked string, until time.Duration) {
-	c.suspect = asked
+func (c *controlNodes) recordFailure(asked string, until time.Duration) {
+	c.suspected = asked
 	c.suspectUntil = until
 	if c.primary == asked {
 		c.primary = ""
--- a/gateway/agent/forward.go
+++ b/gateway/agent/forward.go
@@ -82,10 +82,10 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.holder.Cluster() == "" {
-		return nil, errNoControl
+		return nil, errControlUnknown
 	}
 	reply := &peer.HelloReply{Name: a.options.Gateway.Name, Cluster: a.holder.Cluster()}
-	for _, address := range a.contacts.members {
+	for _, address := range a.control.members {
 		reply.Members = append(reply.Members, consensus.Member{Address: address})
 	}
 	return reply, nil
@@ -100,10 +100,10 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.holder.Cluster() == "" {
-		return nil, errNoControl
+		return nil, errControlUnknown
 	}
-	reply := &peer.JoinReply{Cluster: a.holder.Cluster(), Primary: a.contacts.primary}
-	for _, address := range a.contacts.members {
+	reply := &peer.JoinReply{Cluster: a.holder.Cluster(), Primary: a.control.primary}
+	for _, address := range a.control.members {
 		reply.Members = append(reply.Members, consensus.Member{Address: address})
 	}
 	return reply, nil
--- a/routing/acquire.go
+++ b/routing/acquire.go
@@ -15,11 +15,11 @@
 	chain   []placement.Link
 	work    placement.Work
 	item    *admission.Item[*waiter]
-	since   time.Time     // when it was queued
+	queuedAt   time.Time     // when it was queued
 	done    chan struct{} // closed once slot or failure is set
-	slot    *Reservation
+	reservation    *Reservation
 	failure *api.Error
-	wants   *replica // the replica that it waits for
+	awaited   *replica // the replica that it waits for
 }
 
 func newWaiter(request Request) *waiter {
@@ -34,25 +34,25 @@
 }
 
 func (w *waiter) grant(slot *Reservation) {
-	w.want(nil)
-	w.slot = slot
+	w.setAwaited(nil)
+	w.reservation = slot
 	close(w.done)
 }
 
-func (w *waiter) refuse(failure *api.Error) {
-	w.want(nil)
+func (w *waiter) reject(failure *api.Error) {
+	w.setAwaited(nil)
 	w.failure = failure
 	close(w.done)
 }
 
-// want notes the replica that the waiter waits for; nil is none.
-func (w *waiter) want(target *replica) {
-	if w.wants != nil {
-		w.wants.wanted--
+// setAwaited notes the replica that the waiter waits for; nil is none.
+func (w *waiter) setAwaited(target *replica) {
+	if w.awaited != nil {
+		w.awaited.waiters--
 	}
-	w.wants = target
+	w.awaited = target
 	if target != nil {
-		target.wanted++
+		target.waiters++
 	}
 }
 
@@ -83,14 +83,14 @@
 	if failure != nil {
 		return nil, failure
 	}
-	if choice := target.place(now, w, false); choice.target != nil {
-		return target.newSlot(now, w, choice), nil
+	if choice := target.chooseReplica(now, w, false); choice.target != nil {
+		return target.newReservation(now, w, choice), nil
 	}
 	if !target.anyUsable(now) {
 		return nil, target.unusableError(&w.request)
 	}
-	retryAfter := target.queue.RetryAfter(target.rate(now))
-	return nil, refusal(&w.request, api.CodeOverloaded, retryAfter, "no replica of %q has room", target.name)
+	retryAfter := target.queue.RetryAfter(target.completionRate(now))
+	return nil, rejection(&w.request, api.CodeOverloaded, retryAfter, "no replica of %q has room", target.name)
 }
 
 func (r *Router) acquireOnce(ctx context.Context, w *waiter) (*Reservation, *api.Error) {
@@ -112,7 +112,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	w.slot, w.failure = nil, nil
+	w.reservation, w.failure = nil, nil
 	return service.enter(now, w)
 }
 
@@ -124,24 +124,24 @@
 	for {
 		select {
 		case <-w.done:
-			return w.slot, w.failure
+			return w.reservation, w.failure
 		case <-ctx.Done():
 			return nil, r.cancel(w)
 		case <-timer.C:
-			r.wake(w)
+			r.recheckQueue(w)
 			timer.Reset(tickInterval)
 		}
 	}
 }
 
-// wake judges the queue of a waiter again.
-func (r *Router) wake(w *waiter) {
+// recheckQueue judges the queue of a waiter again.
+func (r *Router) recheckQueue(w *waiter) {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.tick(now)
 	service := r.services[w.request.Service]
-	if service != nil && now.Sub(service.dispatched) >= tickInterval/2 {
+	if service != nil && now.Sub(service.lastDispatch) >= tickInterval/2 {
 		service.dispatch(now)
 	}
 }
@@ -150,14 +150,14 @@
 func (r *Router) cancel(w *waiter) *api.Error {
 	r.mutex.Lock()
 	if service := r.services[w.request.Service]; service != nil && service.queue.Remove(w.item) {
-		w.want(nil)
+		w.setAwaited(nil)
 	}
-	slot := w.slot
+	slot := w.reservation
 	r.mutex.Unlock()
 	if slot != nil {
 		slot.Finish(ResultCanceled, nil, time.Now())
 	}
-	return refusal(&w.request, api.CodeCanceled, 0, "the caller went away before a replica was found")
+	return rejection(&w.request, api.CodeCanceled, 0, "the caller went away before a replica was found")
 }
 
 // admit finds the service of a request, or the reason why it cannot be served
@@ -167,10 +167,10 @@
 		return nil, failure
 	}
 	if !now.Before(request.Deadline) {
-		return nil, refusal(request, api.CodeDeadline, 0, "the caller's time has run out")
+		return nil, rejection(request, api.CodeDeadline, 0, "the caller's time has run out")
 	}
 	target := r.services[request.Service]
-	if !target.possible() || target.exhausted(now, request) || target.unusableFor(now) >= unusableWait {
+	if !target.mayBecomeUsable() || target.exhausted(now, request) || target.unusableFor(now) >= unusableWait {
 		return nil, target.unusableError(request)
 	}
 	return target, nil
@@ -185,32 +185,32 @@
 	if request.resolved != r.plan {
 		route, ok := r.plan.Route(request.Model)
 		if !ok {
-			return refusal(request, api.CodeNotFound, 0, "no route for model %q", request.Model)
+			return rejection(request, api.CodeNotFound, 0, "no route for model %q", request.Model)
 		}
 		request.Service = route.Service
 	}
 	if r.services[request.Service] == nil {
-		return refusal(request, api.CodeNotFound, 0, "no service %q", request.Service)
+		return rejection(request, api.CodeNotFound, 0, "no service %q", request.Service)
 	}
 	if !mayRunIn(r.plan, request, r.config.Region) {
-		return refusal(request, api.CodeHomeUnavailable, unavailableRetry, "region %q is outside the request's home", r.config.Region)
+		return rejection(request, api.CodeHomeUnavailable, unavailableRetryAfter, "region %q is outside the request's home", r.config.Region)
 	}
 	return nil
 }
 
-// judgeAgain queues a waiter anew whose service has gone or changed.
-func (r *Router) judgeAgain(now time.Time, w *waiter) {
+// readmit queues a waiter anew whose service has gone or changed.
+func (r *Router) readmit(now time.Time, w *waiter) {
 	target, failure := r.admit(now, &w.request)
 	if failure != nil {
-		w.refuse(failure)
+		w.reject(failure)
 		return
 	}
-	w.want(nil)
+	w.setAwaited(nil)
 	slot, failure := target.enter(now, w)
 	switch {
 	case slot != nil:
 		w.grant(slot)
 	case failure != nil:
-		w.refuse(failure)
+		w.reject(failure)
 	}
 }
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -28,7 +28,7 @@
 		f.condition(catalog.ConditionWarmingUp, "g1")
 		router.SetPlan(f.plan())
 		wantRefused(t, router, request("too early"), api.CodeNoCapacity)
-		time.Sleep(feederChange)
+		time.Sleep(warmupHandoverDelay)
 		cold.Sequence, cold.Running = 2, 1
 		router.Observe("r1", cold, time.Now())
 		wantRefused(t, router, request("the old feeder's is still running"), api.CodeOverloaded)
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// upHold is how long a replica must be seen fit before it is written up
+	// upHoldTime is how long a replica must be seen fit before it is written up
 	// after another state: two reports at the default interval.
-	upHold = 750 * time.Millisecond
-	// downHold is how long it must be dead before it is written down.
-	downHold = 2 * time.Second
-	// startGrace is how long a replica may stay unheard after this gateway
+	upHoldTime = 750 * time.Millisecond
+	// downHoldTime is how long it must be dead before it is written down.
+	downHoldTime = 2 * time.Second
+	// startGracePeriod is how long a replica may stay unheard after this gateway
 	// learnt of it.
-	startGrace = 3 * time.Second
-	// emissionInterval is the time between two offers of the same change.
-	emissionInterval = 400 * time.Millisecond
-	// pauseGap between two calls of Conditions means that the process stood
+	startGracePeriod = 3 * time.Second
+	// proposalInterval is the time between two offers of the same change.
+	proposalInterval = 400 * time.Millisecond
+	// processPauseThreshold between two calls of Conditions means that the process stood
 	// still, and pauseRest is how long it then says nothing.
-	pauseGap  = 3 * time.Second
-	pauseRest = 2 * time.Second
+	processPauseThreshold  = 3 * time.Second
+	processPauseRecovery = 2 * time.Second
 )
 
 // ConditionChange is one slow fact to be written: a conditional update that
@@ -35,8 +35,8 @@
 	New     catalog.Condition
 }
 
-// emission is the last change offered for a replica.
-type emission struct {
+// proposal is the last change offered for a replica.
+type proposal struct {
 	condition catalog.Condition
 	at        time.Time
 }
@@ -56,7 +56,7 @@
 	}
 	var changes []ConditionChange
 	for _, target := range r.replicas {
-		if change, ok := target.change(now); ok {
+		if change, ok := target.proposeCondition(now); ok {
 			changes = append(changes, change)
 		}
 	}
@@ -71,38 +71,38 @@
 // nothing until the polls have had time to be answered again.
 func (r *Router) paused(now time.Time) bool {
 	gap := now.Sub(r.lastConditions)
-	if !r.lastConditions.IsZero() && gap >= pauseGap {
+	if !r.lastConditions.IsZero() && gap >= processPauseThreshold {
 		r.resumed = now
 	}
 	r.lastConditions = now
-	return !r.resumed.IsZero() && now.Sub(r.resumed) < pauseRest
+	return !r.resumed.IsZero() && now.Sub(r.resumed) < processPauseRecovery
 }
 
-// hearsAny reports whether any replica of the region is heard. A gateway that
+// anyReplicaAlive reports whether any replica of the region is heard. A gateway that
 // hears none of several may be cut off itself, and declares none down.
-func (r *Router) hearsAny(now time.Time) bool {
+func (r *Router) anyReplicaAlive(now time.Time) bool {
 	if len(r.replicas) == 1 {
 		return true
 	}
 	for _, target := range r.replicas {
-		if target.reported && target.watch.State(now) == failuredetector.Alive {
+		if target.reported && target.detector.State(now) == failuredetector.Alive {
 			return true
 		}
 	}
 	return false
 }
 
-// change compares the plan's condition with the one seen.
-func (t *replica) change(now time.Time) (ConditionChange, bool) {
-	seen, ok := t.seen(now)
-	if !t.watched || !ok || (t.conditioned && t.condition == seen) {
+// proposeCondition compares the plan's condition with the one seen.
+func (t *replica) proposeCondition(now time.Time) (ConditionChange, bool) {
+	seen, ok := t.observedCondition(now)
+	if !t.isWatcher || !ok || (t.conditioned && t.condition == seen) {
 		return ConditionChange{}, false
 	}
-	offered := t.emitted.condition == seen && now.Sub(t.emitted.at) < emissionInterval
-	if offered && !t.emitted.at.IsZero() {
+	offered := t.lastProposal.condition == seen && now.Sub(t.lastProposal.at) < proposalInterval
+	if offered && !t.lastProposal.at.IsZero() {
 		return ConditionChange{}, false
 	}
-	t.emitted = emission{condition: seen, at: now}
+	t.lastProposal = proposal{condition: seen, at: now}
 	change := ConditionChange{Replica: t.name, New: seen}
 	if t.conditioned {
 		old := t.condition
@@ -111,40 +111,40 @@
 	return change, true
 }
 
-// seen is the condition as this gateway sees it, with hysteresis; false while
+// observedCondition is the condition as this gateway sees it, with hysteresis; false while
 // nothing can be said.
-func (t *replica) seen(now time.Time) (catalog.Condition, bool) {
-	state, ok := t.stateSeen(now)
+func (t *replica) observedCondition(now time.Time) (catalog.Condition, bool) {
+	state, ok := t.observedState(now)
 	if !ok {
 		return catalog.Condition{}, false
 	}
-	state = t.fact.Observe(now, state, holdOf(state))
+	state = t.conditionHysteresis.Observe(now, state, holdTime(state))
 	if state == catalog.ConditionDown {
-		return t.seenDown(now)
+		return t.observedDown(now)
 	}
 	condition := catalog.Condition{State: state, Incarnation: t.report.Incarnation}
 	if state == catalog.ConditionWarmingUp {
-		condition.WarmupGateway = t.feeder()
+		condition.WarmupGateway = t.warmupGateway()
 		return condition, condition.WarmupGateway != ""
 	}
 	return condition, true
 }
 
-// seenDown keeps a condition that says down already as it is.
-func (t *replica) seenDown(now time.Time) (catalog.Condition, bool) {
+// observedDown keeps a condition that says down already as it is.
+func (t *replica) observedDown(now time.Time) (catalog.Condition, bool) {
 	if t.conditioned && t.condition.State == catalog.ConditionDown {
 		return t.condition, true
 	}
 	down := catalog.Condition{State: catalog.ConditionDown, Incarnation: t.report.Incarnation}
-	return down, t.service.router.hearsAny(now)
+	return down, t.service.router.anyReplicaAlive(now)
 }
 
-func (t *replica) stateSeen(now time.Time) (catalog.ConditionState, bool) {
-	dead := t.watch.State(now) == failuredetector.Dead
+func (t *replica) observedState(now time.Time) (catalog.ConditionState, bool) {
+	dead := t.detector.State(now) == failuredetector.Dead
 	switch {
-	case dead && (t.reported || now.Sub(t.created) >= startGrace):
+	case dead && (t.reported || now.Sub(t.created) >= startGracePeriod):
 		return catalog.ConditionDown, true
-	case !t.reported || t.unknown || dead:
+	case !t.reported || t.stateUnknown || dead:
 		return "", false
 	case t.report.Draining || t.service.router.plan.IsDraining(t.name):
 		return catalog.ConditionDraining, true
@@ -155,31 +155,31 @@
 	}
 }
 
-// holdOf is the time that a state must be seen before it replaces another.
+// holdTime is the time that a state must be seen before it replaces another.
 // States that take work away at once do no harm; those that give it back wait.
-func holdOf(state catalog.ConditionState) time.Duration {
+func holdTime(state catalog.ConditionState) time.Duration {
 	switch state {
 	case catalog.ConditionUp:
-		return upHold
+		return upHoldTime
 	case catalog.ConditionDown:
-		return downHold
+		return downHoldTime
 	default:
 		return 0
 	}
 }
 
-// feeder names the one gateway that may place on the replica while it is cold.
+// warmupGateway names the one gateway that may place on the replica while it is cold.
 // It stays as long as it may feed; else rendezvous names the next.
-func (t *replica) feeder() string {
-	feeders := t.service.router.feeders
+func (t *replica) warmupGateway() string {
+	feeders := t.service.router.warmupGateways
 	if t.conditioned && t.condition.WarmupGateway != "" && slices.Contains(feeders, t.condition.WarmupGateway) {
 		return t.condition.WarmupGateway
 	}
-	return placement.Owner(feederKey+t.name, feeders)
+	return placement.Owner(warmupOwnerKey+t.name, feeders)
 }
 
-// feederKey keeps the choice of the feeder apart from that of the watcher.
-const feederKey = "feeder/"
+// warmupOwnerKey keeps the choice of the feeder apart from that of the watcher.
+const warmupOwnerKey = "feeder/"
 
 // WarmupGateways names the other gateways of the own region that may place requests
 // for a service on cold replicas, sorted. A gateway whose region has nothing
@@ -194,7 +194,7 @@
 	var feeders []string
 	for _, replica := range target.replicas {
 		feeder := replica.condition.WarmupGateway
-		cold := replica.allowed && replica.conditioned && replica.condition.State == catalog.ConditionWarmingUp
+		cold := replica.admittedByPlan && replica.conditioned && replica.condition.State == catalog.ConditionWarmingUp
 		if !cold || feeder == r.config.Gateway || slices.Contains(feeders, feeder) {
 			continue
 		}
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -7,8 +7,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// refusal builds the error of a request that never ran and never will.
-func refusal(request *Request, code api.Code, retryAfter time.Duration, format string, arguments ...any) *api.Error {
+// rejection builds the error of a request that never ran and never will.
+func rejection(request *Request, code api.Code, retryAfter time.Duration, format string, arguments ...any) *api.Error {
 	return &api.Error{
 		Code:         code,
 		Outcome:      api.OutcomeRefused,
--- a/routing/queueing.go
+++ b/routing/queueing.go
@@ -11,38 +11,38 @@
 	// costUnit is the number of tokens that count as one unit of cost in fair
 	// shares.
 	costUnit = 1024
-	// youngQueue is the age up to which a queue is judged by what it should do.
-	youngQueue = 4 * time.Second
-	// leastStanding is the part of the queue's length that may always wait.
-	leastStanding = 0.125
-	// leastRate bounds the completions per second assumed, above zero.
-	leastRate = 0.01
+	// standingQueueAge is the age up to which a queue is judged by what it should do.
+	standingQueueAge = 4 * time.Second
+	// minStandingFraction is the part of the queue's length that may always wait.
+	minStandingFraction = 0.125
+	// minCompletionRate bounds the completions per second assumed, above zero.
+	minCompletionRate = 0.01
 )
 
 // enter grants the waiter a slot on its best replica, if that has room and
 // nobody waits for it; else it queues the waiter. One that finds no place in the
 // queue is granted any replica with room before it is refused.
 func (s *service) enter(now time.Time, w *waiter) (*Reservation, *api.Error) {
-	choice := s.place(now, w, true)
-	free := s.queue.ClassLen(w.request.Class) == 0 || (choice.target != nil && choice.target.wanted == 0)
-	if choice.room && free {
-		s.waited -= holdSmoothing * s.waited
-		return s.newSlot(now, w, choice), nil
+	choice := s.chooseReplica(now, w, true)
+	free := s.queue.ClassLen(w.request.Class) == 0 || (choice.target != nil && choice.target.waiters == 0)
+	if choice.hasCapacity && free {
+		s.queueWait -= serviceTimeSmoothing * s.queueWait
+		return s.newReservation(now, w, choice), nil
 	}
 	failure := s.enqueue(now, w)
 	if failure == nil {
-		w.want(choice.target)
+		w.setAwaited(choice.target)
 		return nil, nil
 	}
-	if choice = s.place(now, w, false); choice.target != nil {
-		return s.newSlot(now, w, choice), nil
+	if choice = s.chooseReplica(now, w, false); choice.target != nil {
+		return s.newReservation(now, w, choice), nil
 	}
 	return nil, failure
 }
 
 // enqueue gives the waiter a place in the queue, or says why not.
 func (s *service) enqueue(now time.Time, w *waiter) *api.Error {
-	w.since = now
+	w.queuedAt = now
 	if w.done == nil {
 		w.done = make(chan struct{})
 	}
@@ -52,16 +52,16 @@
 		Weight:             shareOf(s.router.plan, &w.request),
 		Cost:               1 + (w.work.Tokens+float64(w.request.MaxTokens))/costUnit,
 		Deadline:           w.request.Deadline,
-		ExpectedFirstToken: s.needs(w),
+		ExpectedFirstToken: s.expectedFirstToken(w),
 		Payload:            w,
 	}
 	if s.queue.Len() == 0 {
 		s.queuedSince = now
 	}
-	rate := s.rate(now)
+	rate := s.completionRate(now)
 	pushedOut, refused := s.queue.Enqueue(now, w.item, rate)
 	if pushedOut != nil {
-		s.lastChance(now, pushedOut.Payload, s.fullError(&pushedOut.Payload.request, rate))
+		s.grantOrReject(now, pushedOut.Payload, s.fullError(&pushedOut.Payload.request, rate))
 	}
 	switch refused {
 	case admission.RejectedFull:
@@ -76,20 +76,20 @@
 // dispatch grants slots to waiting requests in fair order while there is room.
 // A request whose prefix is worth the wait keeps waiting for its replica.
 func (s *service) dispatch(now time.Time) {
-	s.dispatched = now
+	s.lastDispatch = now
 	if s.queue.Len() == 0 {
 		s.queuedSince = time.Time{}
 		return
 	}
-	for s.anyRoom(now) && s.queue.Dequeue(func(item *admission.Item[*waiter]) bool { return s.tryGrant(now, item.Payload) }) != nil {
+	for s.anyCapacity(now) && s.queue.Dequeue(func(item *admission.Item[*waiter]) bool { return s.tryGrant(now, item.Payload) }) != nil {
 	}
-	s.sweep(now)
+	s.removeExpired(now)
 }
 
-// anyRoom reports whether some replica would take a request that is not long.
-func (s *service) anyRoom(now time.Time) bool {
+// anyCapacity reports whether some replica would take a request that is not long.
+func (s *service) anyCapacity(now time.Time) bool {
 	for _, target := range s.replicas {
-		if target.usable(now) && target.room(now, api.ClassQuick) {
+		if target.usable(now) && target.hasCapacity(now, api.ClassQuick) {
 			return true
 		}
 	}
@@ -98,42 +98,42 @@
 
 // tryGrant grants a waiting request its best replica if that has room.
 func (s *service) tryGrant(now time.Time, w *waiter) bool {
-	choice := s.place(now, w, true)
-	if choice.target == nil || !choice.room {
-		w.want(choice.target)
+	choice := s.chooseReplica(now, w, true)
+	if choice.target == nil || !choice.hasCapacity {
+		w.setAwaited(choice.target)
 		return false
 	}
-	s.waited = smoothed(s.waited, now.Sub(w.since).Seconds(), holdSmoothing)
-	w.grant(s.newSlot(now, w, choice))
+	s.queueWait = smoothed(s.queueWait, now.Sub(w.queuedAt).Seconds(), serviceTimeSmoothing)
+	w.grant(s.newReservation(now, w, choice))
 	return true
 }
 
-// lastChance grants a request that must leave the queue any replica with room;
+// grantOrReject grants a request that must leave the queue any replica with room;
 // else it is refused.
-func (s *service) lastChance(now time.Time, w *waiter, failure *api.Error) {
-	choice := s.place(now, w, false)
+func (s *service) grantOrReject(now time.Time, w *waiter, failure *api.Error) {
+	choice := s.chooseReplica(now, w, false)
 	if choice.target == nil {
-		w.refuse(failure)
+		w.reject(failure)
 		return
 	}
-	w.grant(s.newSlot(now, w, choice))
+	w.grant(s.newReservation(now, w, choice))
 }
 
-// sweep refuses the waiting requests that can no longer make their time, and
+// removeExpired refuses the waiting requests that can no longer make their time, and
 // all of them once no replica has been usable for a while.
-func (s *service) sweep(now time.Time) {
-	rate := s.rate(now)
+func (s *service) removeExpired(now time.Time) {
+	rate := s.completionRate(now)
 	for _, item := range s.queue.RemoveExpired(now, rate) {
-		s.lastChance(now, item.Payload, s.lateError(&item.Payload.request, rate))
+		s.grantOrReject(now, item.Payload, s.lateError(&item.Payload.request, rate))
 	}
 	if s.queue.Len() > 0 && s.unusableFor(now) >= unusableWait {
 		for _, item := range s.queue.Drain() {
-			item.Payload.refuse(s.unusableError(&item.Payload.request))
+			item.Payload.reject(s.unusableError(&item.Payload.request))
 		}
 	}
 	for _, item := range s.queue.Items() {
 		if s.exhausted(now, &item.Payload.request) && s.queue.Remove(item) {
-			item.Payload.refuse(s.unusableError(&item.Payload.request))
+			item.Payload.reject(s.unusableError(&item.Payload.request))
 		}
 	}
 }
@@ -151,27 +151,27 @@
 	return true
 }
 
-// judgeQueue refuses waiting requests that the present plan no longer admits.
-func (s *service) judgeQueue(now time.Time) {
+// rejectInadmissible refuses waiting requests that the present plan no longer admits.
+func (s *service) rejectInadmissible(now time.Time) {
 	if s.queue.Len() == 0 {
 		return
 	}
-	possible := s.possible()
+	possible := s.mayBecomeUsable()
 	for _, item := range s.queue.Items() {
 		failure := s.router.planError(&item.Payload.request)
 		if failure == nil && !possible {
 			failure = s.unusableError(&item.Payload.request)
 		}
 		if failure != nil && s.queue.Remove(item) {
-			item.Payload.refuse(failure)
+			item.Payload.reject(failure)
 		}
 	}
-	s.sweep(now)
+	s.removeExpired(now)
 }
 
-// takeRerouted removes the waiters whose model belongs to another service under
+// removeRerouted removes the waiters whose model belongs to another service under
 // a new plan.
-func (s *service) takeRerouted(plan *Plan) []*waiter {
+func (s *service) removeRerouted(plan *Plan) []*waiter {
 	var moved []*waiter
 	for _, item := range s.queue.Items() {
 		route, _ := plan.Route(item.Payload.request.Model)
@@ -182,37 +182,37 @@
 	return moved
 }
 
-// rate is the completions per second that the queue can count on, 0 if unknown.
+// completionRate is the completions per second that the queue can count on, 0 if unknown.
 // A queue that has stood for a while is judged by what was measured meanwhile;
 // a young one also by Little's law, since what was measured before it was the
 // demand and not the capacity.
-func (s *service) rate(now time.Time) float64 {
+func (s *service) completionRate(now time.Time) float64 {
 	measured := s.completions.PerSecond(now)
-	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < youngQueue {
+	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < standingQueueAge {
 		measured = max(measured, s.expectedRate())
 	}
 	if s.completed == 0 {
 		return 0
 	}
-	return max(measured, leastRate)
+	return max(measured, minCompletionRate)
 }
 
 // expectedRate is what the requests in flight complete per second if each takes
 // the usual time.
 func (s *service) expectedRate() float64 {
-	if s.hold <= 0 {
+	if s.serviceTime <= 0 {
 		return 0
 	}
 	inFlight := 0
 	for _, target := range s.replicas {
 		inFlight += target.inFlight
 	}
-	return float64(inFlight) / s.hold
+	return float64(inFlight) / s.serviceTime
 }
 
-// needs is the expected time from the start to the first token on the best
+// expectedFirstToken is the expected time from the start to the first token on the best
 // replica for it, without any queueing.
-func (s *service) needs(w *waiter) time.Duration {
+func (s *service) expectedFirstToken(w *waiter) time.Duration {
 	speed := 0.0
 	for _, target := range s.replicas {
 		if target.open {
@@ -230,24 +230,24 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// boundStanding keeps a queue that does not drain at the length that waits as
+// limitStandingQueue keeps a queue that does not drain at the length that waits as
 // long as the set point of the first token. A young queue may use all of it.
-func (s *service) boundStanding(now time.Time) {
-	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < youngQueue {
+func (s *service) limitStandingQueue(now time.Time) {
+	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < standingQueueAge {
 		s.queue.SetStandingQueueLimit(0)
 		return
 	}
-	length := s.rate(now) * s.firstToken.Seconds()
-	least := leastStanding * float64(s.queueLength)
+	length := s.completionRate(now) * s.firstTokenTarget.Seconds()
+	least := minStandingFraction * float64(s.queueLength)
 	s.queue.SetStandingQueueLimit(int(max(length, least, 1)))
 }
 
 func (s *service) fullError(request *Request, rate float64) *api.Error {
-	return refusal(request, api.CodeOverloaded, s.queue.RetryAfter(rate), "the queue of %q is full", s.name)
+	return rejection(request, api.CodeOverloaded, s.queue.RetryAfter(rate), "the queue of %q is full", s.name)
 }
 
 func (s *service) lateError(request *Request, rate float64) *api.Error {
-	return refusal(request, api.CodeDeadline, s.queue.RetryAfter(rate), "%q cannot begin the answer in the caller's time", s.name)
+	return rejection(request, api.CodeDeadline, s.queue.RetryAfter(rate), "%q cannot begin the answer in the caller's time", s.name)
 }
 
 func (s *service) unusableError(request *Request) *api.Error {
@@ -255,5 +255,5 @@
 	if len(request.Home) > 0 {
 		code = api.CodeHomeUnavailable
 	}
-	return refusal(request, code, unavailableRetry, "no replica of %q is usable in region %q", s.name, s.router.config.Region)
+	return rejection(request, code, unavailableRetryAfter, "no replica of %q is usable in region %q", s.name, s.router.config.Region)
 }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// loadAge is how long a region's load counts as known at the least;
+	// minLoadTimeout is how long a region's load counts as known at the least;
 	// loadIntervals messages may be missing where they are rarer.
-	loadAge       = 3 * time.Second
-	loadIntervals = 4
+	minLoadTimeout       = 3 * time.Second
+	loadTimeoutIntervals = 4
 	// loadSmoothing is the weight of one message about a region's load.
 	loadSmoothing = 0.5
-	// recoveryTime is how long a region that returns takes to its full traffic.
-	recoveryTime = 5 * time.Second
-	// leastRecovery is the part of its traffic that it has at once.
-	leastRecovery = 0.1
+	// recoveryDuration is how long a region that returns takes to its full traffic.
+	recoveryDuration = 5 * time.Second
+	// minRecoveryFraction is the part of its traffic that it has at once.
+	minRecoveryFraction = 0.1
 )
 
-// remote is what another region's gateways tell of it.
-type remote struct {
-	heard      time.Time
+// remoteRegion is what another region's gateways tell of it.
+type remoteRegion struct {
+	lastReport      time.Time
 	interval   time.Duration // between messages, smoothed
-	recovering time.Time     // when it was heard again after a silence
+	recoveringSince time.Time     // when it was heard again after a silence
 	loads      map[string]float64
 }
 
-// silent reports whether messages have stopped.
-func (k *remote) silent(now time.Time) bool {
-	return !k.heard.IsZero() && now.Sub(k.heard) >= max(loadAge, loadIntervals*k.interval)
+// stale reports whether messages have stopped.
+func (k *remoteRegion) stale(now time.Time) bool {
+	return !k.lastReport.IsZero() && now.Sub(k.lastReport) >= max(minLoadTimeout, loadTimeoutIntervals*k.interval)
 }
 
-// hear records a message at a time.
-func (k *remote) hear(at time.Time) {
-	if k.silent(at) {
-		k.recovering = at
+// recordReport records a message at a time.
+func (k *remoteRegion) recordReport(at time.Time) {
+	if k.stale(at) {
+		k.recoveringSince = at
 		clear(k.loads)
 	}
-	if elapsed := at.Sub(k.heard); !k.heard.IsZero() && elapsed > 0 {
-		sample := min(elapsed, loadAge)
-		k.interval += time.Duration(holdSmoothing * float64(sample-k.interval))
+	if elapsed := at.Sub(k.lastReport); !k.lastReport.IsZero() && elapsed > 0 {
+		sample := min(elapsed, minLoadTimeout)
+		k.interval += time.Duration(serviceTimeSmoothing * float64(sample-k.interval))
 	}
-	k.heard = later(k.heard, at)
+	k.lastReport = latest(k.lastReport, at)
 }
 
 // Regions lists the regions to try for a request, best first. A region outside
@@ -64,7 +64,7 @@
 	if service == nil {
 		return nil
 	}
-	home, ok := r.boundRegions(&request)
+	home, ok := r.homeRegions(&request)
 	if !ok {
 		return nil
 	}
@@ -96,12 +96,12 @@
 		return unconfiguredError(&request)
 	}
 	if r.services[request.Service] == nil {
-		return refusal(&request, api.CodeNotFound, 0, "no service %q", request.Service)
+		return rejection(&request, api.CodeNotFound, 0, "no service %q", request.Service)
 	}
 	if _, bound := homeOf(r.plan, &request); bound || len(request.Home) > 0 {
-		return refusal(&request, api.CodeHomeUnavailable, unavailableRetry, "no region of the request's home can serve %q now", request.Service)
+		return rejection(&request, api.CodeHomeUnavailable, unavailableRetryAfter, "no region of the request's home can serve %q now", request.Service)
 	}
-	return refusal(&request, api.CodeNoCapacity, unavailableRetry, "no region can serve %q now", request.Service)
+	return rejection(&request, api.CodeNoCapacity, unavailableRetryAfter, "no region can serve %q now", request.Service)
 }
 
 // Load is the utilization of each service in the own region, 1 is full, to be
@@ -127,24 +127,24 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.remotes[region]
+	known := r.remoteRegions[region]
 	if known == nil {
-		known = &remote{loads: make(map[string]float64)}
-		r.remotes[region] = known
+		known = &remoteRegion{loads: make(map[string]float64)}
+		r.remoteRegions[region] = known
 	}
-	known.hear(at)
+	known.recordReport(at)
 	for name, value := range load {
 		before, had := known.loads[name]
-		if had && before < fedElsewhere && value < fedElsewhere {
+		if had && before < warmupElsewhereUtilization && value < warmupElsewhereUtilization {
 			value = before + loadSmoothing*(value-before)
 		}
 		known.loads[name] = value
 	}
 }
 
-// boundRegions is the home that binds a request under the present plan and the
+// homeRegions is the home that binds a request under the present plan and the
 // one it was resolved under; nil is any. It is false if no region is left.
-func (r *Router) boundRegions(request *Request) (home []string, ok bool) {
+func (r *Router) homeRegions(request *Request) (home []string, ok bool) {
 	if request.resolved == r.plan {
 		return request.Home, true
 	}
@@ -236,17 +236,17 @@
 	own := s.router.config.Region
 	for name, region := range s.regions {
 		if name == own {
-			s.refreshOwn(now, region)
+			s.refreshLocal(now, region)
 		} else {
 			s.refreshRemote(now, region)
 		}
 	}
 	sharing := append([]string{own}, s.router.plan.Regions()[own].Spill...)
-	level := max(s.target, placement.CommonLoad(sharing, s.regions))
+	level := max(s.targetUtilization, placement.CommonLoad(sharing, s.regions))
 	s.spill.SetSetPoint(level)
 	for name, region := range s.regions {
 		if name == own {
-			region.AcceptsSpill = s.gates[name].Update(s.utilization, unservable, level)
+			region.AcceptsSpill = s.gates[name].Update(s.utilization, unservableUtilization, level)
 			continue
 		}
 		open := s.gates[name].Update(region.Load, s.utilization, level)
@@ -255,14 +255,14 @@
 }
 
 func (s *service) refreshRemote(now time.Time, region *placement.Region) {
-	known := s.router.remotes[region.Name]
+	known := s.router.remoteRegions[region.Name]
 	if known == nil {
 		region.LoadFreshness = placement.NeverReported
 		return
 	}
 	load, reported := known.loads[s.name]
 	switch {
-	case known.silent(now):
+	case known.stale(now):
 		region.LoadFreshness = placement.Stale
 	case !reported:
 		region.LoadFreshness = placement.NeverReported
@@ -270,25 +270,25 @@
 		region.LoadFreshness = placement.Fresh
 	}
 	region.Load = load
-	region.RecoveryFraction = recovered(now, known.recovering)
+	region.RecoveryFraction = recoveryFraction(now, known.recoveringSince)
 }
 
-// refreshOwn judges the own region by what this gateway sees itself. Without a
+// refreshLocal judges the own region by what this gateway sees itself. Without a
 // usable replica for a while it counts as silent and comes last.
-func (s *service) refreshOwn(now time.Time, region *placement.Region) {
+func (s *service) refreshLocal(now time.Time, region *placement.Region) {
 	region.Load = s.utilization
 	region.LoadFreshness = placement.Fresh
-	region.RecoveryFraction = recovered(now, s.recovering)
+	region.RecoveryFraction = recoveryFraction(now, s.recoveringSince)
 	if s.unusableFor(now) >= unusableWait {
 		region.LoadFreshness = placement.Stale
 	}
 }
 
-// recovered is the part of its traffic that a region may have at now.
-func recovered(now, since time.Time) float64 {
+// recoveryFraction is the part of its traffic that a region may have at now.
+func recoveryFraction(now, since time.Time) float64 {
 	if since.IsZero() {
 		return 1
 	}
-	part := now.Sub(since).Seconds() / recoveryTime.Seconds()
-	return min(1, max(leastRecovery, part))
+	part := now.Sub(since).Seconds() / recoveryDuration.Seconds()
+	return min(1, max(minRecoveryFraction, part))
 }
--- a/routing/resolve.go
+++ b/routing/resolve.go
@@ -12,8 +12,8 @@
 // kindWeb is the kind of services without prefill and decode.
 const kindWeb = "web"
 
-// unavailableRetry is told to callers whose region or home cannot serve now.
-const unavailableRetry = time.Second
+// unavailableRetryAfter is told to callers whose region or home cannot serve now.
+const unavailableRetryAfter = time.Second
 
 // Resolve turns a caller's request into what routing must know, under the
 // present plan. The homes of the request, its route and its tenant all bind.
@@ -27,14 +27,14 @@
 	}
 	route, ok := plan.Route(generate.Model)
 	if !ok {
-		failure := refusal(&request, api.CodeNotFound, 0, "no route for model %q", generate.Model)
+		failure := rejection(&request, api.CodeNotFound, 0, "no route for model %q", generate.Model)
 		failure.Field = "model"
 		return request, failure
 	}
 	request.Service = route.Service
 	service, ok := plan.Service(route.Service)
 	if !ok {
-		return request, refusal(&request, api.CodeNotFound, 0, "no service %q", route.Service)
+		return request, rejection(&request, api.CodeNotFound, 0, "no service %q", route.Service)
 	}
 	request.Class = classOf(generate, route.Class, service.Kind)
 	if generate.Home != "" {
@@ -44,7 +44,7 @@
 	}
 	home, bound := homeUnder(plan, &request, route)
 	if bound && len(home) == 0 {
-		return request, refusal(&request, api.CodeHomeUnavailable, 0, "the homes that bind the request have no region in common")
+		return request, rejection(&request, api.CodeHomeUnavailable, 0, "the homes that bind the request have no region in common")
 	}
 	request.Home = home
 	request.resolved = plan
@@ -57,7 +57,7 @@
 }
 
 func unconfiguredError(request *Request) *api.Error {
-	return refusal(request, api.CodeNotReady, unavailableRetry, "no configuration is active yet")
+	return rejection(request, api.CodeNotReady, unavailableRetryAfter, "no configuration is active yet")
 }
 
 func requestOf(generate api.GenerateRequest, now time.Time) Request {
--- a/routing/router.go
+++ b/routing/router.go
@@ -38,7 +38,7 @@
 type Router struct {
 	config   Config
 	logger   *slog.Logger
-	watching failuredetector.Config
+	detectorConfig failuredetector.Config
 
 	mutex    sync.Mutex
 	plan     *Plan
@@ -46,12 +46,12 @@
 	serial   uint32
 	services map[string]*service
 	replicas map[string]*replica
-	remotes  map[string]*remote
+	remoteRegions  map[string]*remoteRegion
 	// gateways are the up gateways of the own region, sorted; feeders those of
 	// them that may feed cold replicas.
 	gateways []string
-	feeders  []string
-	budget   *retry.Budget
+	warmupGateways  []string
+	retryBudget   *retry.Budget
 	lastTick time.Time
 	// lastConditions and resumed tell a pause of this process from silence.
 	lastConditions time.Time
@@ -72,11 +72,11 @@
 	return &Router{
 		config:   config,
 		logger:   logger,
-		watching: watching,
+		detectorConfig: watching,
 		services: make(map[string]*service),
 		replicas: make(map[string]*replica),
-		remotes:  make(map[string]*remote),
-		budget:   retry.NewBudget(retry.DefaultRatio),
+		remoteRegions:  make(map[string]*remoteRegion),
+		retryBudget:   retry.NewBudget(retry.DefaultRatio),
 	}
 }
 
@@ -89,16 +89,16 @@
 	r.plan = plan
 	r.version = plan.Version()
 	r.serial = plan.Serial()
-	r.budget.SetRatio(plan.Limits().RetryRatio)
+	r.retryBudget.SetRatio(plan.Limits().RetryRatio)
 	r.setGateways(plan)
 	waiting := r.setServices(plan)
 	r.setReplicas(plan, now)
 	r.setRegions(plan, now)
 	for _, waiter := range waiting {
-		r.judgeAgain(now, waiter)
+		r.readmit(now, waiter)
 	}
 	for _, service := range r.services {
-		service.judgeQueue(now)
+		service.rejectInadmissible(now)
 		service.dispatch(now)
 	}
 }
@@ -126,10 +126,10 @@
 	if target == nil {
 		return
 	}
-	target.unknown = true
+	target.stateUnknown = true
 	target.refresh(at)
 	r.tick(at)
-	target.service.judgeQueue(at)
+	target.service.rejectInadmissible(at)
 }
 
 // Suspect records that a replica's connection broke, or that it said to be of
@@ -143,9 +143,9 @@
 	if target == nil || target.report.Incarnation != incarnation {
 		return false
 	}
-	target.unknown = true
+	target.stateUnknown = true
 	target.refresh(at)
-	target.service.judgeQueue(at)
+	target.service.rejectInadmissible(at)
 	return true
 }
 
@@ -167,7 +167,7 @@
 func (r *Router) RecordAttempt() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.budget.RecordFirstAttempt(time.Now())
+	r.retryBudget.RecordFirstAttempt(time.Now())
 }
 
 // AllowRetry reports whether a request may be attempted again, and spends the
@@ -175,28 +175,28 @@
 func (r *Router) AllowRetry() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.budget.Allow(time.Now())
+	return r.retryBudget.Allow(time.Now())
 }
 
 // setGateways finds the up gateways of the own region and those that may feed:
 // the ones outside evacuated zones, or all if there is none.
 func (r *Router) setGateways(plan *Plan) {
 	r.gateways = r.gateways[:0]
-	r.feeders = r.feeders[:0]
+	r.warmupGateways = r.warmupGateways[:0]
 	for name, gateway := range plan.Gateways() {
 		if !gateway.Up || gateway.Region != r.config.Region {
 			continue
 		}
 		r.gateways = append(r.gateways, name)
 		if !plan.IsEvacuated(gateway.Zone) {
-			r.feeders = append(r.feeders, name)
+			r.warmupGateways = append(r.warmupGateways, name)
 		}
 	}
-	if len(r.feeders) == 0 {
-		r.feeders = append(r.feeders, r.gateways...)
+	if len(r.warmupGateways) == 0 {
+		r.warmupGateways = append(r.warmupGateways, r.gateways...)
 	}
 	slices.Sort(r.gateways)
-	slices.Sort(r.feeders)
+	slices.Sort(r.warmupGateways)
 }
 
 // setServices keeps, adds and removes services. It returns the waiters of
@@ -205,7 +205,7 @@
 	var moved []*waiter
 	for name, service := range r.services {
 		if _, ok := plan.Service(name); ok {
-			moved = append(moved, service.takeRerouted(plan)...)
+			moved = append(moved, service.removeRerouted(plan)...)
 			continue
 		}
 		for _, item := range service.queue.Drain() {
@@ -218,7 +218,7 @@
 		if r.services[name] == nil {
 			r.services[name] = newService(r, name, limits)
 		}
-		r.services[name].set(settings, limits)
+		r.services[name].configure(settings, limits)
 	}
 	return moved
 }
@@ -228,27 +228,27 @@
 	listed := plan.Replicas()
 	for name, target := range r.replicas {
 		entry, ok := listed[name]
-		if !ok || entry != target.listed || r.services[entry.Service] != target.service {
-			target.service.remove(target)
+		if !ok || entry != target.entry || r.services[entry.Service] != target.service {
+			target.service.removeReplica(target)
 			delete(r.replicas, name)
 		}
 	}
-	for _, name := range r.ownReplicas(listed) {
+	for _, name := range r.localReplicas(listed) {
 		entry := listed[name]
 		service := r.services[entry.Service]
 		if r.replicas[name] == nil {
-			r.replicas[name] = service.add(name, entry, now)
+			r.replicas[name] = service.addReplica(name, entry, now)
 		}
-		r.replicas[name].plan(now, plan)
+		r.replicas[name].applyPlan(now, plan)
 	}
 	for _, service := range r.services {
-		service.regroup()
+		service.updateMembers()
 	}
 }
 
-// ownReplicas names the listed replicas of the own region that belong to a
+// localReplicas names the listed replicas of the own region that belong to a
 // known service, sorted, so that equal plans are taken in alike.
-func (r *Router) ownReplicas(listed map[string]catalog.Replica) []string {
+func (r *Router) localReplicas(listed map[string]catalog.Replica) []string {
 	var names []string
 	for name, entry := range listed {
 		if entry.Region == r.config.Region && r.services[entry.Service] != nil {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -132,7 +132,7 @@
 				early.Finish(ResultNotStarted, nil, time.Now())
 				c.end(f, router)
 				router.SetPlan(f.plan())
-				time.Sleep(feederChange)
+				time.Sleep(warmupHandoverDelay)
 				mustReserve(t, router, request("after"))
 			})
 		})
--- a/routing/service.go
+++ b/routing/service.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// unservable is the utilization told of a service without a usable replica.
-	unservable = 100
-	// fedElsewhere is the utilization told of a service whose only replicas are
+	// unservableUtilization is the utilization told of a service without a usable replica.
+	unservableUtilization = 100
+	// warmupElsewhereUtilization is the utilization told of a service whose only replicas are
 	// cold ones that other gateways feed: it serves, and has nothing to spare.
-	fedElsewhere = unservable / 2
+	warmupElsewhereUtilization = unservableUtilization / 2
 	// expectedSmoothing is the weight of one answer in the expected durations.
 	expectedSmoothing = 0.05
 )
@@ -34,11 +34,11 @@
 	name     string
 	settings catalog.Service
 	replicas []*replica
-	numbers  []*replica // by number, nil if free
-	cached   []float64  // by number, scratch of place
+	replicasByNumber  []*replica // by number, nil if free
+	cachedTokens   []float64  // by number, scratch of place
 
-	firstToken      time.Duration
-	coldConcurrency int
+	firstTokenTarget      time.Duration
+	warmupConcurrency int
 	queueLength     int
 
 	group       *outlier.Group
@@ -46,20 +46,20 @@
 	queue       *admission.Queue[*waiter]
 	completions admission.Rate
 	completed   int
-	dispatched  time.Time
+	lastDispatch  time.Time
 	queuedSince time.Time // when the queue began to stand; zero if it is empty
-	hold        float64   // seconds a request takes, smoothed
-	perToken    float64   // of it, seconds per token asked for, smoothed
-	waited      float64   // seconds granted requests waited in the queue, smoothed
-	delay       float64   // seconds to the first token without own prefill, smoothed
+	serviceTime        float64   // seconds a request takes, smoothed
+	secondsPerToken    float64   // of it, seconds per token asked for, smoothed
+	queueWait      float64   // seconds granted requests waited in the queue, smoothed
+	firstTokenDelay       float64   // seconds to the first token without own prefill, smoothed
 
 	spill       *feedback.Controller
-	target      float64 // utilization to hold while all regions together can
+	targetUtilization      float64 // utilization to hold while all regions together can
 	utilization float64
 	regions     map[string]*placement.Region
 	gates       map[string]*placement.SpillGate
-	closedSince time.Time // no replica was usable since; zero if one is
-	recovering  time.Time // when the own region had a usable replica again
+	unusableSince time.Time // no replica was usable since; zero if one is
+	recoveringSince  time.Time // when the own region had a usable replica again
 
 	candidates []placement.Candidate
 }
@@ -85,40 +85,40 @@
 	}
 }
 
-func (s *service) set(settings catalog.Service, limits catalog.Limits) {
+func (s *service) configure(settings catalog.Service, limits catalog.Limits) {
 	s.settings = settings
-	s.firstToken = time.Duration(limits.FirstTokenMS) * time.Millisecond
-	s.coldConcurrency = limits.WarmupConcurrency
+	s.firstTokenTarget = time.Duration(limits.FirstTokenMS) * time.Millisecond
+	s.warmupConcurrency = limits.WarmupConcurrency
 	s.queueLength = limits.QueueLength
 	s.queue.SetLength(limits.QueueLength)
-	s.target = limits.TargetUtilization
+	s.targetUtilization = limits.TargetUtilization
 }
 
-func (s *service) add(name string, listed catalog.Replica, now time.Time) *replica {
+func (s *service) addReplica(name string, listed catalog.Replica, now time.Time) *replica {
 	number := 0
-	for number < len(s.numbers) && s.numbers[number] != nil {
+	for number < len(s.replicasByNumber) && s.replicasByNumber[number] != nil {
 		number++
 	}
 	target := newReplica(s, name, number, listed, now)
-	if number == len(s.numbers) {
-		s.numbers = append(s.numbers, target)
-		s.cached = append(s.cached, 0)
+	if number == len(s.replicasByNumber) {
+		s.replicasByNumber = append(s.replicasByNumber, target)
+		s.cachedTokens = append(s.cachedTokens, 0)
 	}
-	s.numbers[number] = target
+	s.replicasByNumber[number] = target
 	return target
 }
 
-func (s *service) remove(target *replica) {
+func (s *service) removeReplica(target *replica) {
 	s.index.Forget(target.number)
-	s.numbers[target.number] = nil
-	target.open, target.allowed, target.gone = false, false, true
+	s.replicasByNumber[target.number] = nil
+	target.open, target.admittedByPlan, target.removed = false, false, true
 }
 
-// regroup brings the list of replicas and the groups that judge them in line.
-func (s *service) regroup() {
+// updateMembers brings the list of replicas and the groups that judge them in line.
+func (s *service) updateMembers() {
 	s.replicas = s.replicas[:0]
-	names := make([]string, 0, len(s.numbers))
-	for _, target := range s.numbers {
+	names := make([]string, 0, len(s.replicasByNumber))
+	for _, target := range s.replicasByNumber {
 		if target != nil {
 			s.replicas = append(s.replicas, target)
 			names = append(names, target.name)
@@ -128,13 +128,13 @@
 	s.index.SetCount(len(names))
 }
 
-// possible reports whether the plan leaves a replica that may become usable
+// mayBecomeUsable reports whether the plan leaves a replica that may become usable
 // without another plan.
-func (s *service) possible() bool {
+func (s *service) mayBecomeUsable() bool {
 	for _, target := range s.replicas {
 		state := target.condition.State
 		shut := target.conditioned && (state == catalog.ConditionDown || state == catalog.ConditionDraining)
-		if target.allowed && !shut {
+		if target.admittedByPlan && !shut {
 			return true
 		}
 	}
@@ -153,16 +153,16 @@
 // unusableFor is the time since a replica was last usable, 0 if one is.
 func (s *service) unusableFor(now time.Time) time.Duration {
 	if s.anyUsable(now) {
-		if !s.closedSince.IsZero() && now.Sub(s.closedSince) >= unusableWait {
-			s.recovering = now
+		if !s.unusableSince.IsZero() && now.Sub(s.unusableSince) >= unusableWait {
+			s.recoveringSince = now
 		}
-		s.closedSince = time.Time{}
+		s.unusableSince = time.Time{}
 		return 0
 	}
-	if s.closedSince.IsZero() {
-		s.closedSince = now
+	if s.unusableSince.IsZero() {
+		s.unusableSince = now
 	}
-	return now.Sub(s.closedSince)
+	return now.Sub(s.unusableSince)
 }
 
 // tick updates the controllers and the knowledge of the regions.
@@ -171,8 +171,8 @@
 	s.utilization = s.measureUtilization(now)
 	s.refreshRegions(now)
 	s.spill.Update(now, s.utilization)
-	s.boundStanding(now)
-	s.sweep(now)
+	s.limitStandingQueue(now)
+	s.removeExpired(now)
 }
 
 // measureUtilization is the work on the usable replicas and in the queues over
@@ -186,24 +186,24 @@
 		if !target.usable(now) {
 			continue
 		}
-		busy += float64(target.busy())
-		ceilings += float64(target.ceiling())
+		busy += float64(target.totalInFlight())
+		ceilings += float64(target.concurrencyLimit())
 	}
 	if ceilings == 0 {
-		return unservable
+		return unservableUtilization
 	}
 	return min(busy/ceilings, placement.MaxComparedLoad)
 }
 
 // regionLoad is the utilization to be told to other regions.
 func (s *service) regionLoad() float64 {
-	if s.utilization < unservable {
+	if s.utilization < unservableUtilization {
 		return s.utilization
 	}
 	for _, target := range s.replicas {
-		if target.allowed && target.reported && !target.unknown && target.condition.State == catalog.ConditionWarmingUp {
-			return fedElsewhere
+		if target.admittedByPlan && target.reported && !target.stateUnknown && target.condition.State == catalog.ConditionWarmingUp {
+			return warmupElsewhereUtilization
 		}
 	}
-	return unservable
+	return unservableUtilization
 }
--- a/routing/slot.go
+++ b/routing/slot.go
@@ -8,9 +8,9 @@
 	"github.com/deckpulley/deckpulley/slowstart"
 )
 
-// toleratedRefusals is the number of refusals in a row by a replica that say
+// toleratedRejections is the number of refusals in a row by a replica that say
 // nothing against it.
-const toleratedRefusals = 10
+const toleratedRejections = 10
 
 // Reservation is the permission to send one request to one replica. Version and
 // Serial are those of the plan that decided it, for the stamp.
@@ -26,28 +26,28 @@
 	request        Request
 	chain          []placement.Link
 	expectedCached float64
-	prefill        float64 // own prefill, in seconds
-	uncached       float64 // own prefill, in tokens
+	prefillSeconds        float64 // own prefill, in seconds
+	uncachedTokens       float64 // own prefill, in tokens
 	inFlight       int     // on the replica when granted, this one included
 	epoch          uint64
-	granted        time.Time
-	firstToken     bool
+	grantedAt        time.Time
+	firstTokenSeen     bool
 	finished       bool
 }
 
-func (s *service) newSlot(now time.Time, w *waiter, choice chosen) *Reservation {
+func (s *service) newReservation(now time.Time, w *waiter, choice choice) *Reservation {
 	target := choice.target
 	target.inFlight++
-	target.fedAt = now
+	target.lastWarmup = now
 	if w.request.Class == api.ClassLong {
 		target.inFlightLong++
 	}
-	uncached := max(0, w.work.Tokens-choice.cached*target.trust)
+	uncached := max(0, w.work.Tokens-choice.cached*target.cacheAccuracy)
 	target.sentTokens += uncached
 	s.index.Record(target.number, w.chain)
 	slot := &Reservation{
 		Replica:        target.name,
-		Address:        target.listed.Address,
+		Address:        target.entry.Address,
 		Incarnation:    target.report.Incarnation,
 		Version:        s.router.version,
 		Serial:         s.router.serial,
@@ -56,13 +56,13 @@
 		request:        w.request,
 		chain:          w.chain,
 		expectedCached: choice.cached,
-		uncached:       uncached,
-		inFlight:       target.busy(),
+		uncachedTokens:       uncached,
+		inFlight:       target.totalInFlight(),
 		epoch:          target.epoch,
-		granted:        now,
+		grantedAt:        now,
 	}
 	if target.report.PrefillTokensPerSecond > 0 {
-		slot.prefill = uncached / target.report.PrefillTokensPerSecond
+		slot.prefillSeconds = uncached / target.report.PrefillTokensPerSecond
 	}
 	return slot
 }
@@ -91,12 +91,12 @@
 func (l *Reservation) RecordFirstToken(at time.Time) {
 	l.router.mutex.Lock()
 	defer l.router.mutex.Unlock()
-	if l.firstToken || l.finished || !l.request.Stream {
+	if l.firstTokenSeen || l.finished || !l.request.Stream {
 		return
 	}
-	l.firstToken = true
+	l.firstTokenSeen = true
 	l.prefillDone()
-	l.recordDelay(at, at.Sub(l.granted).Seconds()-l.prefill)
+	l.recordDelay(at, at.Sub(l.grantedAt).Seconds()-l.prefillSeconds)
 }
 
 // RecordCachedTokens records what the replica found in its KV cache, as its answer
@@ -108,7 +108,7 @@
 		return
 	}
 	share := min(1, float64(found)/l.expectedCached)
-	l.target.trust += trustSmoothing * (share - l.target.trust)
+	l.target.cacheAccuracy += cacheAccuracySmoothing * (share - l.target.cacheAccuracy)
 	l.target.service.index.Correct(l.target.number, int(l.expectedCached), found)
 }
 
@@ -128,9 +128,9 @@
 		target.inFlightLong--
 	}
 	if l.current() {
-		l.judge(result, at)
+		l.recordResult(result, at)
 	}
-	if report != nil && !target.gone {
+	if report != nil && !target.removed {
 		target.observe(at, *report)
 	}
 	target.service.dispatch(at)
@@ -138,26 +138,26 @@
 
 // current reports whether the replica is still listed and the same process.
 func (l *Reservation) current() bool {
-	return !l.target.gone && l.target.report.Incarnation == l.Incarnation
+	return !l.target.removed && l.target.report.Incarnation == l.Incarnation
 }
 
 // prefillDone takes the request's prefill off what was sent since the last
 // report, unless a report has counted it since.
 func (l *Reservation) prefillDone() {
 	if l.epoch == l.target.epoch {
-		l.target.sentTokens = max(0, l.target.sentTokens-l.uncached)
+		l.target.sentTokens = max(0, l.target.sentTokens-l.uncachedTokens)
 	}
-	l.uncached = 0
+	l.uncachedTokens = 0
 }
 
-func (l *Reservation) judge(result AttemptResult, at time.Time) {
+func (l *Reservation) recordResult(result AttemptResult, at time.Time) {
 	target := l.target
 	service := target.service
 	switch result {
 	case ResultSuccess:
-		l.succeeded(at)
+		l.recordSuccess(at)
 	case ResultNotStarted:
-		l.refused(at)
+		l.recordRejection(at)
 	case ResultFailed:
 		service.index.Undo(target.number, l.chain)
 		target.limit.RecordFailure(at)
@@ -165,42 +165,42 @@
 			target.slowStart.RecordFailure()
 		}
 		if service.group.RecordFailure(at, target.name) {
-			target.ejected("errors")
+			target.eject("errors")
 		}
 	case ResultCanceled:
 		// It says nothing about the replica.
 	}
 }
 
-// refused takes a replica's own refusal as a sign that its limit is too high. A
+// recordRejection takes a replica's own refusal as a sign that its limit is too high. A
 // few are usual when it drains or a configuration spreads; many without a
 // success between them are failures.
-func (l *Reservation) refused(at time.Time) {
+func (l *Reservation) recordRejection(at time.Time) {
 	target := l.target
 	service := target.service
 	service.index.Undo(target.number, l.chain)
 	target.limit.RecordFailure(at)
-	target.refusals++
-	if target.refusals <= toleratedRefusals {
+	target.consecutiveRejections++
+	if target.consecutiveRejections <= toleratedRejections {
 		service.group.RecordRejection(at, target.name)
 		return
 	}
 	if service.group.RecordFailure(at, target.name) {
-		target.ejected("refusals")
+		target.eject("refusals")
 	}
 }
 
-func (l *Reservation) succeeded(at time.Time) {
+func (l *Reservation) recordSuccess(at time.Time) {
 	target := l.target
 	service := target.service
-	duration := at.Sub(l.granted).Seconds()
-	if !l.request.Stream && !target.cold() {
-		l.recordDelay(at, l.wholeDelay(duration))
+	duration := at.Sub(l.grantedAt).Seconds()
+	if !l.request.Stream && !target.warmingUp() {
+		l.recordDelay(at, l.impliedDelay(duration))
 	}
-	target.hold = smoothed(target.hold, duration, holdSmoothing)
-	service.hold = smoothed(service.hold, duration, holdSmoothing)
+	target.serviceTime = smoothed(target.serviceTime, duration, serviceTimeSmoothing)
+	service.serviceTime = smoothed(service.serviceTime, duration, serviceTimeSmoothing)
 	service.group.RecordSuccess(at, target.name)
-	target.refusals = 0
+	target.consecutiveRejections = 0
 	service.completions.Record(at)
 	service.completed++
 	if target.slowStart != nil {
@@ -208,17 +208,17 @@
 	}
 }
 
-// wholeDelay stands in for the delay to the first token of a whole answer: at
+// impliedDelay stands in for the delay to the first token of a whole answer: at
 // twice the usual duration it is the set point.
-func (l *Reservation) wholeDelay(duration float64) float64 {
+func (l *Reservation) impliedDelay(duration float64) float64 {
 	service := l.target.service
 	tokens := float64(max(1, l.request.MaxTokens))
-	usual := l.prefill + service.perToken*tokens
-	service.perToken = smoothed(service.perToken, max(0, duration-l.prefill)/tokens, expectedSmoothing)
-	if usual <= l.prefill {
+	usual := l.prefillSeconds + service.secondsPerToken*tokens
+	service.secondsPerToken = smoothed(service.secondsPerToken, max(0, duration-l.prefillSeconds)/tokens, expectedSmoothing)
+	if usual <= l.prefillSeconds {
 		return 0
 	}
-	return (duration/usual - 1) * service.firstToken.Seconds()
+	return (duration/usual - 1) * service.firstTokenTarget.Seconds()
 }
 
 // recordDelay feeds the controllers with the delay to the first token that is
@@ -226,21 +226,21 @@
 func (l *Reservation) recordDelay(at time.Time, seconds float64) {
 	target := l.target
 	service := target.service
-	if !l.current() || target.cold() {
+	if !l.current() || target.warmingUp() {
 		return // a cold replica is slow: its ramp holds it, not its delay
 	}
 	delay := time.Duration(max(seconds, 0.001) * float64(time.Second))
-	service.delay = smoothed(service.delay, delay.Seconds(), holdSmoothing)
+	service.firstTokenDelay = smoothed(service.firstTokenDelay, delay.Seconds(), serviceTimeSmoothing)
 	target.limit.Observe(at, delay, l.inFlight)
 	if service.group.RecordLatency(at, target.name, delay) {
-		target.ejected("latency")
+		target.eject("latency")
 	}
 }
 
-// ejected closes the replica for the time of its ejection and ramps it after.
-func (t *replica) ejected(cause string) {
-	t.closedUntil = later(t.closedUntil, t.service.group.EjectedUntil(t.name))
-	t.slowStart = slowstart.New(slowstart.Doubling, 1, t.bound())
+// eject closes the replica for the time of its ejection and ramps it after.
+func (t *replica) eject(cause string) {
+	t.closedUntil = latest(t.closedUntil, t.service.group.EjectedUntil(t.name))
+	t.slowStart = slowstart.New(slowstart.Doubling, 1, t.maxConcurrency())
 	t.service.router.logger.Warn("replica ejected", "replica", t.name, "service", t.service.name, "cause", cause)
 }
 
--- a/routing/status.go
+++ b/routing/status.go
@@ -67,7 +67,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.tick(now)
-	aim, measured := r.budget.Status(now)
+	aim, measured := r.retryBudget.Status(now)
 	status := Status{
 		Version: r.version,
 		Serial:  r.serial,
@@ -114,14 +114,14 @@
 		s.spill.Status(),
 		{
 			Name:     "first_token_seconds",
-			SetPoint: s.firstToken.Seconds(),
-			Measured: s.delay,
+			SetPoint: s.firstTokenTarget.Seconds(),
+			Measured: s.firstTokenDelay,
 			Output:   float64(status.Limit),
 		},
 		{
 			Name:     "queue_wait_seconds",
-			SetPoint: s.firstToken.Seconds(),
-			Measured: s.waited,
+			SetPoint: s.firstTokenTarget.Seconds(),
+			Measured: s.queueWait,
 			Output:   float64(s.queue.StandingQueueLimit()),
 		},
 	}
@@ -133,14 +133,14 @@
 		Replica:           t.name,
 		Incarnation:       t.report.Incarnation,
 		Usable:            t.usable(now),
-		WarmingUp:         t.reported && t.cold(),
+		WarmingUp:         t.reported && t.warmingUp(),
 		Draining:          t.report.Draining || t.service.router.plan.IsDraining(t.name),
 		Ejected:           t.service.group.EjectedUntil(t.name).After(now),
-		StateUnknown:      !t.reported || t.unknown,
+		StateUnknown:      !t.reported || t.stateUnknown,
 		InFlight:          t.inFlight,
-		InFlightElsewhere: t.others,
-		Limit:             t.ceiling(),
-		Suspicion:         t.watch.Phi(now),
+		InFlightElsewhere: t.inFlightElsewhere,
+		Limit:             t.concurrencyLimit(),
+		Suspicion:         t.detector.Phi(now),
 		Delay:             t.limit.Delay(),
 		Expected:          t.candidate(0, 0),
 	}
