--- a/client/client_test.go
+++ b/client/client_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -20,8 +21,14 @@
 
 // scriptedServer gives its responses in turn and records the requests.
 type scriptedServer struct {
-	mutex   sync.Mutex
 	answers []func(http.ResponseWriter)
+
+	mutex    sync.Mutex
+	recorded recording
+}
+
+// recording holds the requests to a server, in the order of their arrival.
+type recording struct {
 	bodies  []string
 	headers []http.Header
 	queries []string
@@ -30,14 +37,26 @@
 func (s *scriptedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mutex.Lock()
-	index := min(len(s.bodies), len(s.answers)-1)
-	s.bodies = append(s.bodies, string(body))
-	s.headers = append(s.headers, r.Header)
-	s.queries = append(s.queries, r.Method+" "+r.URL.Path+"?"+r.URL.RawQuery)
+	index := min(len(s.recorded.bodies), len(s.answers)-1)
+	s.recorded.bodies = append(s.recorded.bodies, string(body))
+	s.recorded.headers = append(s.recorded.headers, r.Header)
+	s.recorded.queries = append(s.recorded.queries, r.Method+" "+r.URL.Path+"?"+r.URL.RawQuery)
 	s.mutex.Unlock()
 	s.answers[index](w)
 }
 
+// requests returns what the server has recorded. The handler of an aborted response
+// is not otherwise ordered before the client's return.
+func (s *scriptedServer) requests() recording {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return recording{
+		bodies:  slices.Clone(s.recorded.bodies),
+		headers: slices.Clone(s.recorded.headers),
+		queries: slices.Clone(s.recorded.queries),
+	}
+}
+
 func status(code int, body any) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		w.WriteHeader(code)
@@ -113,15 +132,16 @@
 		t.Error(diff)
 	}
 	want := fmt.Sprintf(`{"order_id":%q,"base_version":2,"document":"x"}`, operation.OperationID)
-	if operation.OperationID == "" || len(first.bodies) != 4 {
-		t.Fatalf("operation %q, %d attempts", operation.OperationID, len(first.bodies))
+	got := first.requests()
+	if operation.OperationID == "" || len(got.bodies) != 4 {
+		t.Fatalf("operation %q, %d attempts", operation.OperationID, len(got.bodies))
 	}
-	for i, body := range first.bodies {
-		if body != want || first.headers[i].Get("Authorization") != "Bearer secret" {
+	for i, body := range got.bodies {
+		if body != want || got.headers[i].Get("Authorization") != "Bearer secret" {
 			t.Errorf("attempt %d sent %s", i, body)
 		}
-		if !strings.HasPrefix(first.queries[i], "PUT /v1/configuration?wait_ms=") {
-			t.Errorf("attempt %d asked %s", i, first.queries[i])
+		if !strings.HasPrefix(got.queries[i], "PUT /v1/configuration?wait_ms=") {
+			t.Errorf("attempt %d asked %s", i, got.queries[i])
 		}
 	}
 }
@@ -189,7 +209,7 @@
 			second := &scriptedServer{answers: []func(http.ResponseWriter){status(http.StatusOK, api.GenerateAnswer{RunID: "run"})}}
 			addresses := serve(t, first, second)
 			answer, err := newClient(t, "unused").Generate(testContext(t), c.request, addresses[0], addresses[1])
-			if resent := len(second.bodies) == 1; resent != c.again || (err == nil) != c.again {
+			if resent := len(second.requests().bodies) == 1; resent != c.again || (err == nil) != c.again {
 				t.Fatalf("resent %v, error %v", resent, err)
 			}
 			if c.again && answer.RunID != "run" {
@@ -239,10 +259,11 @@
 	}
 	for name, asked := range map[string]*scriptedServer{"first": first, "second": second} {
 		var got api.WhereRequest
-		if len(asked.bodies) != 1 || asked.queries[0] != "POST "+api.PathWhere+"?" {
-			t.Fatalf("the %s gateway was asked %q", name, asked.queries)
+		requests := asked.requests()
+		if len(requests.bodies) != 1 || requests.queries[0] != "POST "+api.PathWhere+"?" {
+			t.Fatalf("the %s gateway was asked %q", name, requests.queries)
 		}
-		if err := json.Unmarshal([]byte(asked.bodies[0]), &got); err != nil {
+		if err := json.Unmarshal([]byte(requests.bodies[0]), &got); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(question, got); diff != "" {
