--- a/gateway/agent/agent.go
+++ b/gateway/agent/agent.go
@@ -1,12 +1,11 @@
-// Package agent is the control side of a gateway: its lease, its copy of the
-// registry and the one serial of it that decides. It carries no request, so that
-// many of them can run in one process to measure the control plane alone.
+// Package agent implements the control side of a gateway: it renews the
+// gateway's lease, replicates the registry and activates the serials that the
+// primary releases. It serves no requests, so that many agents can run in one
+// process to measure the control plane alone.
 package agent
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -20,68 +19,69 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Options sets up an Agent.
+// Options configures an Agent.
 type Options struct {
-	// Gateway is what the agent tells the primary of its gateway.
+	// Gateway describes the gateway to the primary.
 	Gateway peer.GatewayInfo
-	// Seeds are the peers' addresses of the first contact.
+	// Seeds lists the peer addresses that are contacted first.
 	Seeds []string
-	// LeaseConfig are the fleet's lease terms.
+	// LeaseConfig is the lease configuration, the same on all nodes.
 	LeaseConfig lease.Config
-	// Network carries the messages. New registers its handlers; the owner starts it.
+	// Network carries the messages. New registers handlers on it; the caller starts
+	// and closes it.
 	Network transport.Network
-	// Clock is monotonic and starts anywhere.
+	// Clock returns a monotonic time since an arbitrary start.
 	Clock func() time.Duration
-	// OnActivate is called, in order, for every contents that begins to decide.
+	// OnActivate is called, in order, with every state before it becomes active. It
+	// must not call the agent, whose mutex is held. Nil is allowed.
 	OnActivate func(*catalog.State)
 	Logger     *slog.Logger
 }
 
-// Agent keeps a lease and a copy of the registry. It is safe for concurrent use.
+// Agent holds a lease and a replica of the registry. It is safe for concurrent
+// use. Valid, Remaining and Active take no lock.
 type Agent struct {
 	options Options
-	logger     *slog.Logger
-	// wake asks the loop to renew at once.
+	logger  *slog.Logger
+	// wake makes Run renew at once.
 	wake chan struct{}
-	// leaseExpiry is the end of the lease in nanoseconds of the clock.
-	leaseExpiry atomic.Int64
-	active     atomic.Pointer[catalog.State]
-	grantedRenewals   atomic.Uint64
-	rejectedRenewals   atomic.Uint64
+	// leaseExpiry is the end of the lease, in nanoseconds of the clock.
+	leaseExpiry      atomic.Int64
+	active           atomic.Pointer[catalog.State]
+	grantedRenewals  atomic.Uint64
+	rejectedRenewals atomic.Uint64
 
-	mutex    sync.Mutex
+	mutex   sync.Mutex
 	control *controlNodes
-	// renewalAddress is the node that a renewal waits for; stopAsking ends that wait.
-	renewalAddress     string
-	cancelRenewal context.CancelFunc
-	holder     *lease.Holder
-	// consecutiveFailures counts the renewals in a row that a node did not answer, by address.
+	// renewalAddress is the node that the renewal in progress waits for, empty if
+	// there is none; cancelRenewal ends that wait.
+	renewalAddress string
+	cancelRenewal  context.CancelFunc
+	holder         *lease.Holder
+	// consecutiveFailures counts the failed renewals since the last response, by
+	// address.
 	consecutiveFailures map[string]int
-	// leaseTerm is the term of the newest lease.
+	// leaseTerm is the term of the latest lease.
 	leaseTerm uint64
 	table     *registry.Table
-	newest    *catalog.State
-	// pending are copies newer than the active one, oldest first.
+	// newest is the state of the table, nil if nothing has been received.
+	newest *catalog.State
+	// pending holds the received states that are newer than the active one, oldest
+	// first.
 	pending []*catalog.State
 	changed chan struct{} // closed and replaced at each activation
 }
 
-// maxPending bounds the copies that wait for activation.
-const maxPending = 64
-
-// ErrNotActive means that a version did not become active in time.
-var ErrNotActive = errors.New("agent: version is not active")
-
 // New returns an agent without a lease and registers its message handlers.
 func New(options Options) *Agent {
 	a := &Agent{
-		options:  options,
-		logger:      options.Logger,
-		wake:     make(chan struct{}, 1),
+		options: options,
+		logger:  options.Logger,
+		wake:    make(chan struct{}, 1),
 		control: newControlNodes(options.Seeds, options.Gateway.Name),
-		holder:   lease.NewHolder(options.LeaseConfig),
-		table:    registry.NewSecondary(catalog.Apex, catalog.Schema()),
-		changed:  make(chan struct{}),
+		holder:  lease.NewHolder(options.LeaseConfig),
+		table:   registry.NewSecondary(catalog.Apex, catalog.Schema()),
+		changed: make(chan struct{}),
 
 		consecutiveFailures: make(map[string]int),
 	}
@@ -92,7 +92,7 @@
 	return a
 }
 
-// Valid tells whether the gateway may act now.
+// Valid reports whether the lease is valid, so that the gateway may act.
 func (a *Agent) Valid() bool {
 	if planted.Active(planted.IgnoreLease) || planted.Active(planted.KeepOldConfiguration) {
 		return true
@@ -100,28 +100,28 @@
 	return a.options.Clock() < time.Duration(a.leaseExpiry.Load())
 }
 
-// Remaining is the time left of the lease.
+// Remaining returns the time until the lease expires, 0 if it has expired.
 func (a *Agent) Remaining() time.Duration {
 	return max(0, time.Duration(a.leaseExpiry.Load())-a.options.Clock())
 }
 
-// Active is the contents that decides, nil before the first activation.
+// Active returns the active state, nil before the first activation.
 func (a *Agent) Active() *catalog.State { return a.active.Load() }
 
-// Status describes an agent.
+// Status is a snapshot of an Agent.
 type Status struct {
 	Cluster          string
-	Primary          string // peers' address, empty if unknown
+	Primary          string // peer address, empty if unknown
 	Term             uint64
 	ReceivedSerial   uint32
 	ActiveSerial     uint32
 	ActiveVersion    uint64
 	LeaseRemaining   time.Duration
-	GrantedRenewals  uint64 // granted
-	RejectedRenewals uint64 // renewals without a grant
+	GrantedRenewals  uint64
+	RejectedRenewals uint64 // rejected, failed, or with a grant that was dropped
 }
 
-// Status returns a reading of the agent.
+// Status returns the present status.
 func (a *Agent) Status() Status {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -141,142 +141,15 @@
 	return status
 }
 
-// ControlAddresses lists the peers' addresses of the control nodes as last told.
+// ControlAddresses lists the peer addresses of the known control nodes: the
+// primary, the members as last reported, the seeds.
 func (a *Agent) ControlAddresses() []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.control.addresses()
 }
 
-func (a *Agent) receivedSerialLocked() uint32 {
-	if a.newest == nil {
-		return 0
-	}
-	return a.newest.Serial()
-}
-
-// applyTransfer brings the copy up to date. It reports whether there is a new serial.
-func (a *Agent) applyTransfer(transfer registry.Transfer) (bool, error) {
-	before := a.table.Serial()
-	if err := a.table.ApplyTransfer(transfer); err != nil {
-		a.discardCopy()
-		return false, fmt.Errorf("agent: applying a transfer: %w", err)
-	}
-	view := a.table.View()
-	if view.Serial() == before {
-		return false, nil
-	}
-	contents, err := a.readState(view, transfer)
-	if err != nil {
-		a.discardCopy()
-		return false, fmt.Errorf("agent: reading serial %d: %w", view.Serial(), err)
-	}
-	a.newest = contents
-	a.pending = append(a.pending, contents)
-	if len(a.pending) > maxPending {
-		// The oldest and the newest matter most; any one between may go.
-		middle := len(a.pending) / 2
-		a.pending = append(a.pending[:middle], a.pending[middle+1:]...)
-	}
-	return true, nil
-}
-
-func (a *Agent) readState(view registry.View, transfer registry.Transfer) (*catalog.State, error) {
-	if a.newest == nil {
-		return catalog.Read(view)
-	}
-	return a.newest.Next(view, transfer)
-}
-
-// discardCopy makes the next renewal ask for a full transfer. What is active
-// stays so.
-func (a *Agent) discardCopy() {
-	a.table = registry.NewSecondary(catalog.Apex, catalog.Schema())
-	a.newest = nil
-}
-
-// activate makes the newest copy up to the limit decide.
-func (a *Agent) activate(limit uint32) bool {
-	chosen := -1
-	for i, candidate := range a.pending {
-		if !registry.SerialLess(limit, candidate.Serial()) {
-			chosen = i
-		}
-	}
-	return a.activatePending(chosen)
-}
-
-// activatePending makes one of the pending copies decide, unless it is older
-// than the active one.
-func (a *Agent) activatePending(chosen int) bool {
-	if chosen < 0 {
-		return false
-	}
-	contents := a.pending[chosen]
-	a.pending = append(a.pending[:0:0], a.pending[chosen+1:]...)
-	active := a.active.Load()
-	if active != nil && !registry.SerialLess(active.Serial(), contents.Serial()) {
-		return false
-	}
-	if a.options.OnActivate != nil {
-		a.options.OnActivate(contents)
-	}
-	a.active.Store(contents)
-	close(a.changed)
-	a.changed = make(chan struct{})
-	a.logger.Debug("activated", "serial", contents.Serial(), "version", contents.Version())
-	return true
-}
-
-// ConfirmVersion tells that a replica has seen a configuration version. It has been
-// active somewhere, so a held copy of it may become active here at once. It
-// reports whether the active version is at least that one.
-func (a *Agent) ConfirmVersion(version uint64) bool {
-	if active := a.active.Load(); active != nil && active.Version() >= version {
-		return true
-	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	for i, candidate := range a.pending {
-		if candidate.Version() == version {
-			a.activatePending(i)
-			a.triggerRenewal()
-			break
-		}
-	}
-	active := a.active.Load()
-	caughtUp := active != nil && active.Version() >= version
-	if !caughtUp {
-		a.triggerRenewal()
-	}
-	return caughtUp
-}
-
-// AwaitVersion waits until a configuration version is active. The error is
-// ErrNotActive.
-func (a *Agent) AwaitVersion(ctx context.Context, version uint64) error {
-	for {
-		a.mutex.Lock()
-		changed := a.changed
-		a.mutex.Unlock()
-		if a.ConfirmVersion(version) {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return ErrNotActive
-		case <-changed:
-		}
-	}
-}
-
-// Changed returns a channel that is closed at the next activation.
-func (a *Agent) Changed() <-chan struct{} {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return a.changed
-}
-
+// triggerRenewal makes Run renew at once.
 func (a *Agent) triggerRenewal() {
 	select {
 	case a.wake <- struct{}{}:
--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -2,44 +2,43 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Pauses of the renewal loop.
+// Times and limits of the renewal loop.
 const (
-	// searchInterval is the wait between two nodes while no primary is known.
+	// searchInterval is the time between two renewals while no primary is known.
 	searchInterval = 50 * time.Millisecond
-	// maxRedirects bounds how often hints are followed without a pause.
+	// maxRedirects bounds how many redirects in a row are followed without a wait.
 	maxRedirects = 4
-	// fullTransferTimeout bounds a renewal that brings a whole table. It is reached by
-	// doubling from searchTimeout for each node by itself, so that one that does not
-	// answer is soon left for another. One without power is left sooner, since it
-	// cannot be dialled; searchTimeout has room for the four round trips of a first
-	// renewal to a node 100 ms away.
-	fullTransferTimeout  = 3 * time.Second
-	searchTimeout = 450 * time.Millisecond
-	// releaseTimeout bounds giving the lease up.
+	// fullTransferTimeout bounds a renewal that transfers a full table. The timeout
+	// starts at searchTimeout and doubles for each node separately, so that one that
+	// does not respond is soon left for another. A node without power is left sooner,
+	// since dialing it fails. searchTimeout allows for the four round trips of a first
+	// renewal at a round-trip time of 100 ms.
+	fullTransferTimeout = 3 * time.Second
+	searchTimeout       = 450 * time.Millisecond
+	// releaseTimeout bounds the message that releases the lease.
 	releaseTimeout = time.Second
-	// renewalTimeoutDivisor is the part of a lease that one renewal may take.
+	// renewalTimeoutDivisor divides the lease duration into the timeout of a renewal.
 	renewalTimeoutDivisor = 3
-	// maxDoublings bounds the doubling up to firstTimeout.
+	// maxDoublings bounds the doubling of searchTimeout.
 	maxDoublings = 4
 )
 
 // Run renews the lease until the context ends.
 func (a *Agent) Run(ctx context.Context) {
-	hints := 0
+	redirects := 0
 	for ctx.Err() == nil {
-		wait, hinted := a.renew(ctx)
-		if hinted && hints < maxRedirects {
-			hints++
+		wait, redirected := a.renew(ctx)
+		if redirected && redirects < maxRedirects {
+			redirects++
 			continue
 		}
-		hints = 0
+		redirects = 0
 		if wait == 0 {
 			continue
 		}
@@ -57,11 +56,11 @@
 	}
 }
 
-// renew asks one node. It returns the wait before the next renewal, or that
-// there is a hint to follow at once.
-func (a *Agent) renew(ctx context.Context) (wait time.Duration, hinted bool) {
-	// Read before the request is made: what it says of the lease, and the lease
-	// that answers it, must both be true of no later time.
+// renew sends a renewal to one node. It returns the time to wait before the next
+// one, or that there is a redirect to follow at once.
+func (a *Agent) renew(ctx context.Context) (wait time.Duration, redirected bool) {
+	// The clock is read before the request is made: neither the lease that the request
+	// reports nor the one that is granted may be counted from a later time.
 	sent := a.options.Clock()
 	address, request, timeout := a.nextRenewal()
 	if address == "" {
@@ -87,24 +86,25 @@
 		return searchInterval, false
 	}
 	if grant.Term < a.holder.Term() {
-		grant.Primary, grant.ControlAddresses = "", nil // a node that lags names the primary of the past
+		grant.Primary, grant.ControlAddresses = "", nil // a node that lags names a former primary
 	}
 	delete(a.consecutiveFailures, address)
 	a.control.setMembers(grant.ControlAddresses)
-	hinted = a.control.recordReply(now, address, grant.Granted, grant.Primary)
+	redirected = a.control.recordReply(now, address, grant.Granted, grant.Primary)
 	if !grant.Granted {
 		a.rejectedRenewals.Add(1)
 		if err := a.handleRedirect(&grant); err != nil {
-			a.logger.Debug("hint not taken", "address", address, "error", err)
+			a.logger.Debug("redirect ignored", "address", address, "error", err)
 		}
-		return searchInterval, hinted
+		return searchInterval, redirected
 	}
 	return a.handleGrant(sent, &grant), false
 }
 
-// handleRedirect takes what a node tells that names another one as the primary: the term, so
-// that the first renewal there already says that older grants are dropped, which the
-// primary waits for; and a whole table, to hold until the primary makes it active.
+// handleRedirect handles the response of a node that names another one as the
+// primary. It observes the term, so that the first renewal at the primary already
+// confirms that grants of earlier terms are ignored, which the primary waits for. It
+// applies a full transfer, whose serial stays pending until the primary releases it.
 func (a *Agent) handleRedirect(grant *peer.Grant) error {
 	if grant.Primary == "" || grant.Cluster == "" {
 		return nil
@@ -113,14 +113,14 @@
 		return err
 	}
 	if a.newest != nil {
-		return nil // what is held goes on with the primary's differences
+		return nil // the primary's incremental transfers continue from it
 	}
 	_, err := a.applyGrantTransfer(grant)
 	return err
 }
 
-// setRenewalInProgress notes which node is being asked, so that the news of another
-// primary can end the wait for its answer.
+// setRenewalInProgress records the node that is being called, so that a notification
+// of another primary can cancel the call.
 func (a *Agent) setRenewalInProgress(address string, cancel context.CancelFunc) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -128,7 +128,8 @@
 	a.cancelRenewal = cancel
 }
 
-// nextRenewal chooses whom to ask and what to say.
+// nextRenewal returns the address, the request and the timeout of the next renewal.
+// The address is empty if no control node is known.
 func (a *Agent) nextRenewal() (string, peer.Renew, time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -151,9 +152,10 @@
 	return address, request, timeout
 }
 
-// suspicionTime is how long others' word is not followed to a node that did not answer.
-// While nothing is held here it is short: after a loss of all power nodes come back
-// one after the other, and the first primary is one that was asked too early.
+// suspicionTime returns how long redirects to a node that did not respond are
+// ignored. It is short while nothing has been received: after a loss of all power the
+// nodes come back one after the other, and the first primary may be one that was
+// called too early.
 func (a *Agent) suspicionTime(request *peer.Renew) time.Duration {
 	if request.ReceivedSerial == 0 {
 		return searchTimeout / 2
@@ -161,50 +163,42 @@
 	return a.options.LeaseConfig.Duration / renewalTimeoutDivisor
 }
 
-// handleGrant takes a grant and returns the wait before the next renewal.
+// handleGrant applies a grant and returns the time to wait before the next renewal.
 func (a *Agent) handleGrant(sent time.Duration, grant *peer.Grant) time.Duration {
-	length := time.Duration(grant.LeaseMS) * time.Millisecond
+	duration := time.Duration(grant.LeaseMS) * time.Millisecond
 	now := a.options.Clock()
-	if err := a.holder.HandleGrant(now, sent, grant.Term, grant.Cluster, length); err != nil {
+	if err := a.holder.HandleGrant(now, sent, grant.Term, grant.Cluster, duration); err != nil {
 		a.rejectedRenewals.Add(1)
-		a.logger.Warn("grant dropped", "term", grant.Term, "error", err)
+		a.logger.Warn("lease grant rejected", "term", grant.Term, "error", err)
 		a.control.primary = ""
 		return searchInterval
 	}
 	a.grantedRenewals.Add(1)
-	if length > 0 {
+	if duration > 0 {
 		a.leaseTerm = grant.Term
 		a.publishExpiry(now)
 	}
-	took, err := a.applyGrantTransfer(grant)
+	received, err := a.applyGrantTransfer(grant)
 	if err != nil {
-		a.logger.Error("copy discarded", "error", err)
+		a.logger.Error("registry copy discarded", "error", err)
 		return searchInterval
 	}
 	activated := a.activate(grant.ActivationSerial)
-	if took || activated {
-		return 0 // the primary waits for the news
+	if received || activated {
+		return 0 // the primary waits for the report of it
 	}
 	return a.options.LeaseConfig.RenewalInterval
 }
 
-func (a *Agent) applyGrantTransfer(grant *peer.Grant) (bool, error) {
-	transfer, err := grant.UnpackTransfer()
-	if err != nil || transfer == nil {
-		return false, err
-	}
-	return a.applyTransfer(*transfer)
-}
-
-// publishExpiry publishes the end of the lease.
+// publishExpiry publishes the end of the lease to Valid. The caller holds the mutex.
 func (a *Agent) publishExpiry(now time.Duration) {
 	if remaining := a.holder.Remaining(now); remaining > 0 {
 		a.leaseExpiry.Store(int64(now + remaining))
 	}
 }
 
-// ReleaseLease gives the lease up: from the call on the gateway may not act. The
-// primary is told if it can be reached.
+// ReleaseLease releases the lease: from the call on the gateway may not act. It
+// notifies the primary if that can be reached.
 func (a *Agent) ReleaseLease(ctx context.Context) {
 	a.mutex.Lock()
 	a.holder.Release()
@@ -215,60 +209,10 @@
 	if address == "" {
 		return
 	}
-	leaveContext, cancel := context.WithTimeout(ctx, releaseTimeout)
+	callContext, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	var grant peer.Grant
-	if err := a.options.Network.Call(leaveContext, address, peer.KindRenew, &request, &grant); err != nil {
-		a.logger.Warn("the primary was not told of leaving", "address", address, "error", err)
-	}
-}
-
-// serveNotify renews at once, and activates at once if the notifying primary is
-// the one that granted the valid lease.
-func (a *Agent) serveNotify(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var notify peer.Notify
-	if err := decode(&notify); err != nil {
-		return nil, err
-	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if a.holder.Cluster() == "" || notify.Cluster == "" {
-		a.triggerRenewal()
-		return nil, nil
-	}
-	if err := a.holder.Observe(notify.Term, notify.Cluster); err != nil {
-		return nil, nil
-	}
-	if notify.Primary != "" {
-		a.control.primary = notify.Primary
-		if a.renewalAddress != "" && a.renewalAddress != notify.Primary {
-			a.cancelRenewal()
-		}
-	}
-	if notify.ActivationSerial != 0 && a.Valid() && a.leaseTerm == notify.Term {
-		a.activate(notify.ActivationSerial)
-	}
-	a.triggerRenewal()
-	return nil, nil
-}
-
-var errControlUnknown = errors.New("agent: no control node is known")
-
-// serveRenew tells a gateway that has this one as a seed where to go.
-func (a *Agent) serveRenew(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var renew peer.Renew
-	if err := decode(&renew); err != nil {
-		return nil, err
-	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if a.holder.Cluster() == "" {
-		return nil, errControlUnknown
+	if err := a.options.Network.Call(callContext, address, peer.KindRenew, &request, &grant); err != nil {
+		a.logger.Warn("lease release not acknowledged", "address", address, "error", err)
 	}
-	return &peer.Grant{
-		Cluster:          a.holder.Cluster(),
-		Term:             a.holder.Term(),
-		Primary:          a.control.primary,
-		ControlAddresses: a.control.members,
-	}, nil
 }
