--- a/routing/choose.go
+++ b/routing/choose.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// warmupInterval is the time between two requests that are sent to a cold
-	// replica for its own sake.
+	// warmupInterval is the time between two requests that are sent to a replica only
+	// to warm it up.
 	warmupInterval = 200 * time.Millisecond
-	// warmupTimeFraction of a request's remaining time may be spent to feed a cold replica.
+	// warmupTimeFraction of a request's remaining time may be spent to warm up a replica.
 	warmupTimeFraction = 0.25
-	// failurePenalty, in seconds, times the square of the part of attempts that
-	// fail is added to a replica's cost: one failure in ten hardly counts.
+	// failurePenalty, in seconds, times the square of its failure ratio is added to a
+	// replica's cost, so that one failure in ten hardly counts.
 	failurePenalty = 30
-	// maxWaitFraction of its remaining time a request may wait for one replica.
+	// maxWaitFraction of a request's remaining time may be spent waiting for one
+	// replica.
 	maxWaitFraction = 0.25
 )
 
-// promptTokens is the whole prompt of a request.
+// promptTokens returns the length of the prompt with its prefixes.
 func promptTokens(request *Request) float64 {
 	total := request.PromptTokens
 	for _, prefix := range request.Prefixes {
@@ -28,23 +29,23 @@
 	return float64(total)
 }
 
-// choice is a replica with what was expected of it.
+// choice is a chosen replica; target is nil if there is none.
 type choice struct {
-	target *replica
-	cached float64 // tokens, by the index
-	hasCapacity   bool
+	target      *replica
+	cached      float64 // tokens expected in its cache, by the index
+	hasCapacity bool
 }
 
-// chooseReplica chooses a replica for the waiter's request; its target is nil if there
-// is none. With patient set a replica without room may be chosen, if waiting
-// for it costs less than prefilling its prefix elsewhere.
-func (s *service) chooseReplica(now time.Time, w *waiter, patient bool) choice {
+// chooseReplica chooses a replica for the waiter's request. With mayWait set it may
+// choose a replica without capacity, if waiting for that one costs less than
+// prefilling the prefix on another.
+func (s *service) chooseReplica(now time.Time, w *waiter, mayWait bool) choice {
 	s.index.Cached(w.chain, func(number, tokens int) {
 		s.cachedTokens[number] = float64(tokens)
 	})
 	choice := s.chooseForWarmup(now, w)
 	if choice.target == nil {
-		choice = s.chooseByCost(now, w, patient)
+		choice = s.chooseByCost(now, w, mayWait)
 	}
 	for number := range s.cachedTokens {
 		s.cachedTokens[number] = 0
@@ -52,22 +53,23 @@
 	return choice
 }
 
-func (s *service) chooseByCost(now time.Time, w *waiter, patient bool) choice {
+// chooseByCost chooses the usable replica with the lowest expected cost.
+func (s *service) chooseByCost(now time.Time, w *waiter, mayWait bool) choice {
 	s.candidates = s.candidates[:0]
 	longest := maxWaitFraction * w.request.Deadline.Sub(now).Seconds()
 	for position, target := range s.replicas {
 		if !target.usable(now) || w.request.ExcludedReplicas[target.name] {
 			continue
 		}
-		room := target.hasCapacity(now, w.request.Class)
+		hasCapacity := target.hasCapacity(now, w.request.Class)
 		wait := target.expectedCapacityWait(w)
-		if !room && (!patient || wait > longest) {
+		if !hasCapacity && (!mayWait || wait > longest) {
 			continue
 		}
 		candidate := target.candidate(position, s.cachedTokens[target.number])
 		failing := s.group.FailureRatio(now, target.name)
 		candidate.Penalty = failurePenalty * failing * failing
-		if !room {
+		if !hasCapacity {
 			candidate.Wait = wait
 		}
 		s.candidates = append(s.candidates, candidate)
@@ -80,8 +82,9 @@
 	return choice{target: target, cached: s.cachedTokens[target.number], hasCapacity: s.candidates[best].Wait == 0}
 }
 
-// chooseForWarmup picks a cold replica that waits for work, if the request can bear it:
-// expected times alone would never choose a slow replica, and it would stay cold.
+// chooseForWarmup chooses a replica that is due for a warm-up request, if the request
+// has the time for it. By cost alone a slow replica would never be chosen, and would
+// never warm up.
 func (s *service) chooseForWarmup(now time.Time, w *waiter) choice {
 	for _, target := range s.replicas {
 		due := target.warmingUp() && now.Sub(target.lastWarmup) >= warmupInterval
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -7,51 +7,47 @@
 
 	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/failuredetector"
-	"github.com/deckpulley/deckpulley/placement"
 )
 
 const (
-	// upHoldTime is how long a replica must be seen fit before it is written up
-	// after another state: two reports at the default interval.
+	// upHoldTime is how long a replica must be observed up before that replaces another
+	// state: two reports at the default interval.
 	upHoldTime = 750 * time.Millisecond
-	// downHoldTime is how long it must be dead before it is written down.
+	// downHoldTime is how long a replica must be dead before it is declared down.
 	downHoldTime = 2 * time.Second
-	// startGracePeriod is how long a replica may stay unheard after this gateway
-	// learnt of it.
+	// startGracePeriod is how long a new replica may stay without a report before it
+	// can be declared down.
 	startGracePeriod = 3 * time.Second
-	// proposalInterval is the time between two offers of the same change.
+	// proposalInterval is the time between two proposals of the same change.
 	proposalInterval = 400 * time.Millisecond
-	// processPauseThreshold between two calls of Conditions means that the process stood
-	// still, and pauseRest is how long it then says nothing.
-	processPauseThreshold  = 3 * time.Second
-	processPauseRecovery = 2 * time.Second
+	// A gap of processPauseThreshold between two calls of Conditions counts as a pause of
+	// the process, which then proposes nothing for processPauseRecovery.
+	processPauseThreshold = 3 * time.Second
+	processPauseRecovery  = 2 * time.Second
 )
 
-// ConditionChange is one slow fact to be written: a conditional update that
-// requires Old (nil for absent) and sets New.
+// ConditionChange proposes a conditional update of a replica's condition in the
+// registry: it requires Old (nil for absent) and sets New.
 type ConditionChange struct {
 	Replica string
 	Old     *catalog.Condition
 	New     catalog.Condition
 }
 
-// proposal is the last change offered for a replica.
+// proposal is a condition that was proposed for a replica.
 type proposal struct {
 	condition catalog.Condition
 	at        time.Time
 }
 
-// Conditions lists the slow facts that this gateway, as the one watcher of a
-// replica, sees differently from the active plan. A change is offered again
-// until the plan shows it. It must be called about as often as replicas are
-// polled: a longer gap counts as a pause of this process.
+// Conditions proposes the conditions of the replicas watched by this gateway that
+// it observes to differ from the active plan, sorted by replica. A change is
+// proposed again until the plan has it. Conditions must be called about as often as
+// replicas are polled: a longer gap counts as a pause of this process.
 func (r *Router) Conditions(now time.Time) []ConditionChange {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.plan == nil {
-		return nil
-	}
-	if r.paused(now) {
+	if r.plan == nil || r.pauses.paused(now) {
 		return nil
 	}
 	var changes []ConditionChange
@@ -66,20 +62,27 @@
 	return changes
 }
 
-// paused reports whether this process did not run for a while, as when it was
-// frozen: what it then takes for the silence of replicas is its own. It says
-// nothing until the polls have had time to be answered again.
-func (r *Router) paused(now time.Time) bool {
-	gap := now.Sub(r.lastConditions)
-	if !r.lastConditions.IsZero() && gap >= processPauseThreshold {
-		r.resumed = now
+// pauseDetector tells a pause of this process, as when it was frozen, from the
+// replicas' failure to respond.
+type pauseDetector struct {
+	lastCall  time.Time
+	resumedAt time.Time // after the last pause; zero if there was none
+}
+
+// paused reports whether the process was paused recently, so that the replicas'
+// responses to its polls may still be missing. It must be called regularly.
+func (d *pauseDetector) paused(now time.Time) bool {
+	gap := now.Sub(d.lastCall)
+	if !d.lastCall.IsZero() && gap >= processPauseThreshold {
+		d.resumedAt = now
 	}
-	r.lastConditions = now
-	return !r.resumed.IsZero() && now.Sub(r.resumed) < processPauseRecovery
+	d.lastCall = now
+	return !d.resumedAt.IsZero() && now.Sub(d.resumedAt) < processPauseRecovery
 }
 
-// anyReplicaAlive reports whether any replica of the region is heard. A gateway that
-// hears none of several may be cut off itself, and declares none down.
+// anyReplicaAlive reports whether any replica of the region is alive. A gateway to
+// which all of several replicas look dead may be partitioned itself, and declares none
+// down.
 func (r *Router) anyReplicaAlive(now time.Time) bool {
 	if len(r.replicas) == 1 {
 		return true
@@ -92,18 +95,19 @@
 	return false
 }
 
-// proposeCondition compares the plan's condition with the one seen.
+// proposeCondition returns the change from the plan's condition to the observed one,
+// and false if there is none or if it was proposed recently.
 func (t *replica) proposeCondition(now time.Time) (ConditionChange, bool) {
-	seen, ok := t.observedCondition(now)
-	if !t.isWatcher || !ok || (t.conditioned && t.condition == seen) {
+	observed, ok := t.observedCondition(now)
+	if !t.isWatcher || !ok || (t.conditioned && t.condition == observed) {
 		return ConditionChange{}, false
 	}
-	offered := t.lastProposal.condition == seen && now.Sub(t.lastProposal.at) < proposalInterval
-	if offered && !t.lastProposal.at.IsZero() {
+	recent := t.lastProposal.condition == observed && now.Sub(t.lastProposal.at) < proposalInterval
+	if recent && !t.lastProposal.at.IsZero() {
 		return ConditionChange{}, false
 	}
-	t.lastProposal = proposal{condition: seen, at: now}
-	change := ConditionChange{Replica: t.name, New: seen}
+	t.lastProposal = proposal{condition: observed, at: now}
+	change := ConditionChange{Replica: t.name, New: observed}
 	if t.conditioned {
 		old := t.condition
 		change.Old = &old
@@ -111,8 +115,8 @@
 	return change, true
 }
 
-// observedCondition is the condition as this gateway sees it, with hysteresis; false while
-// nothing can be said.
+// observedCondition returns the condition that this gateway observes, with hysteresis,
+// and false while it is unknown.
 func (t *replica) observedCondition(now time.Time) (catalog.Condition, bool) {
 	state, ok := t.observedState(now)
 	if !ok {
@@ -130,7 +134,8 @@
 	return condition, true
 }
 
-// observedDown keeps a condition that says down already as it is.
+// observedDown returns the condition of a dead replica. One that is down already is
+// kept as it is.
 func (t *replica) observedDown(now time.Time) (catalog.Condition, bool) {
 	if t.conditioned && t.condition.State == catalog.ConditionDown {
 		return t.condition, true
@@ -139,6 +144,7 @@
 	return down, t.service.router.anyReplicaAlive(now)
 }
 
+// observedState returns the state before hysteresis, and false while it is unknown.
 func (t *replica) observedState(now time.Time) (catalog.ConditionState, bool) {
 	dead := t.detector.State(now) == failuredetector.Dead
 	switch {
@@ -155,8 +161,9 @@
 	}
 }
 
-// holdTime is the time that a state must be seen before it replaces another.
-// States that take work away at once do no harm; those that give it back wait.
+// holdTime returns how long a state must be observed before it replaces another.
+// States that only take requests away need no hold time; those that give them back,
+// and down, do.
 func holdTime(state catalog.ConditionState) time.Duration {
 	switch state {
 	case catalog.ConditionUp:
@@ -167,39 +174,3 @@
 		return 0
 	}
 }
-
-// warmupGateway names the one gateway that may place on the replica while it is cold.
-// It stays as long as it may feed; else rendezvous names the next.
-func (t *replica) warmupGateway() string {
-	feeders := t.service.router.warmupGateways
-	if t.conditioned && t.condition.WarmupGateway != "" && slices.Contains(feeders, t.condition.WarmupGateway) {
-		return t.condition.WarmupGateway
-	}
-	return placement.Owner(warmupOwnerKey+t.name, feeders)
-}
-
-// warmupOwnerKey keeps the choice of the feeder apart from that of the watcher.
-const warmupOwnerKey = "feeder/"
-
-// WarmupGateways names the other gateways of the own region that may place requests
-// for a service on cold replicas, sorted. A gateway whose region has nothing
-// but cold replicas of other feeders offers its requests to these.
-func (r *Router) WarmupGateways(name string) []string {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	target := r.services[name]
-	if target == nil {
-		return nil
-	}
-	var feeders []string
-	for _, replica := range target.replicas {
-		feeder := replica.condition.WarmupGateway
-		cold := replica.admittedByPlan && replica.conditioned && replica.condition.State == catalog.ConditionWarmingUp
-		if !cold || feeder == r.config.Gateway || slices.Contains(feeders, feeder) {
-			continue
-		}
-		feeders = append(feeders, feeder)
-	}
-	slices.Sort(feeders)
-	return feeders
-}
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// rejection builds the error of a request that never ran and never will.
+// rejection returns the error of a request that never ran and never will.
 func rejection(request *Request, code api.Code, retryAfter time.Duration, format string, arguments ...any) *api.Error {
 	return &api.Error{
 		Code:         code,
@@ -19,6 +19,7 @@
 	}
 }
 
+// invalid returns the error of a request with an invalid field.
 func invalid(requestID, field, format string, arguments ...any) *api.Error {
 	return &api.Error{
 		Code:      api.CodeInvalid,
--- a/routing/queueing.go
+++ b/routing/queue.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// costUnit is the number of tokens that count as one unit of cost in fair
-	// shares.
+	// costUnit is the number of tokens that cost one unit in fair queueing.
 	costUnit = 1024
-	// standingQueueAge is the age up to which a queue is judged by what it should do.
+	// standingQueueAge is the age from which a queue is a standing queue.
 	standingQueueAge = 4 * time.Second
-	// minStandingFraction is the part of the queue's length that may always wait.
+	// minStandingFraction is the least fraction of the queue length that a standing
+	// queue may have.
 	minStandingFraction = 0.125
-	// minCompletionRate bounds the completions per second assumed, above zero.
+	// minCompletionRate is the least rate that is assumed, in completions per second.
 	minCompletionRate = 0.01
 )
 
-// enter grants the waiter a slot on its best replica, if that has room and
-// nobody waits for it; else it queues the waiter. One that finds no place in the
-// queue is granted any replica with room before it is refused.
+// enter grants the waiter a reservation on its best replica if that has capacity and
+// no waiter is ahead; else it queues the waiter. If the queue rejects the waiter, it
+// gets any replica with capacity, and is rejected only if there is none.
 func (s *service) enter(now time.Time, w *waiter) (*Reservation, *api.Error) {
 	choice := s.chooseReplica(now, w, true)
 	free := s.queue.ClassLen(w.request.Class) == 0 || (choice.target != nil && choice.target.waiters == 0)
@@ -40,7 +40,7 @@
 	return nil, failure
 }
 
-// enqueue gives the waiter a place in the queue, or says why not.
+// enqueue adds the waiter to the queue, or returns the rejection.
 func (s *service) enqueue(now time.Time, w *waiter) *api.Error {
 	w.queuedAt = now
 	if w.done == nil {
@@ -59,11 +59,11 @@
 		s.queuedSince = now
 	}
 	rate := s.completionRate(now)
-	pushedOut, refused := s.queue.Enqueue(now, w.item, rate)
-	if pushedOut != nil {
-		s.grantOrReject(now, pushedOut.Payload, s.fullError(&pushedOut.Payload.request, rate))
+	evicted, rejected := s.queue.Enqueue(now, w.item, rate)
+	if evicted != nil {
+		s.grantOrReject(now, evicted.Payload, s.fullError(&evicted.Payload.request, rate))
 	}
-	switch refused {
+	switch rejected {
 	case admission.RejectedFull:
 		return s.fullError(&w.request, rate)
 	case admission.RejectedDeadline:
@@ -73,8 +73,8 @@
 	}
 }
 
-// dispatch grants slots to waiting requests in fair order while there is room.
-// A request whose prefix is worth the wait keeps waiting for its replica.
+// dispatch grants reservations to queued requests in fair order while there is
+// capacity. A request whose prefix is worth the wait keeps waiting for its replica.
 func (s *service) dispatch(now time.Time) {
 	s.lastDispatch = now
 	if s.queue.Len() == 0 {
@@ -86,7 +86,8 @@
 	s.removeExpired(now)
 }
 
-// anyCapacity reports whether some replica would take a request that is not long.
+// anyCapacity reports whether some replica has capacity for a request that is not
+// long.
 func (s *service) anyCapacity(now time.Time) bool {
 	for _, target := range s.replicas {
 		if target.usable(now) && target.hasCapacity(now, api.ClassQuick) {
@@ -96,7 +97,7 @@
 	return false
 }
 
-// tryGrant grants a waiting request its best replica if that has room.
+// tryGrant grants a queued request its best replica if that has capacity.
 func (s *service) tryGrant(now time.Time, w *waiter) bool {
 	choice := s.chooseReplica(now, w, true)
 	if choice.target == nil || !choice.hasCapacity {
@@ -108,8 +109,8 @@
 	return true
 }
 
-// grantOrReject grants a request that must leave the queue any replica with room;
-// else it is refused.
+// grantOrReject grants a request that must leave the queue any replica with capacity,
+// else rejects it.
 func (s *service) grantOrReject(now time.Time, w *waiter, failure *api.Error) {
 	choice := s.chooseReplica(now, w, false)
 	if choice.target == nil {
@@ -119,8 +120,9 @@
 	w.grant(s.newReservation(now, w, choice))
 }
 
-// removeExpired refuses the waiting requests that can no longer make their time, and
-// all of them once no replica has been usable for a while.
+// removeExpired removes the queued requests that can no longer meet their deadline or
+// have tried all usable replicas, and all of them once no replica has been usable for
+// unusableWait.
 func (s *service) removeExpired(now time.Time) {
 	rate := s.completionRate(now)
 	for _, item := range s.queue.RemoveExpired(now, rate) {
@@ -151,15 +153,15 @@
 	return true
 }
 
-// rejectInadmissible refuses waiting requests that the present plan no longer admits.
+// rejectInadmissible rejects the queued requests that the plan no longer admits.
 func (s *service) rejectInadmissible(now time.Time) {
 	if s.queue.Len() == 0 {
 		return
 	}
-	possible := s.mayBecomeUsable()
+	mayServe := s.mayBecomeUsable()
 	for _, item := range s.queue.Items() {
 		failure := s.router.planError(&item.Payload.request)
-		if failure == nil && !possible {
+		if failure == nil && !mayServe {
 			failure = s.unusableError(&item.Payload.request)
 		}
 		if failure != nil && s.queue.Remove(item) {
@@ -182,64 +184,16 @@
 	return moved
 }
 
-// completionRate is the completions per second that the queue can count on, 0 if unknown.
-// A queue that has stood for a while is judged by what was measured meanwhile;
-// a young one also by Little's law, since what was measured before it was the
-// demand and not the capacity.
-func (s *service) completionRate(now time.Time) float64 {
-	measured := s.completions.PerSecond(now)
-	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < standingQueueAge {
-		measured = max(measured, s.expectedRate())
-	}
-	if s.completed == 0 {
-		return 0
-	}
-	return max(measured, minCompletionRate)
-}
-
-// expectedRate is what the requests in flight complete per second if each takes
-// the usual time.
-func (s *service) expectedRate() float64 {
-	if s.serviceTime <= 0 {
-		return 0
-	}
-	inFlight := 0
-	for _, target := range s.replicas {
-		inFlight += target.inFlight
-	}
-	return float64(inFlight) / s.serviceTime
-}
-
-// expectedFirstToken is the expected time from the start to the first token on the best
-// replica for it, without any queueing.
-func (s *service) expectedFirstToken(w *waiter) time.Duration {
-	speed := 0.0
-	for _, target := range s.replicas {
-		if target.open {
-			speed = max(speed, target.report.PrefillTokensPerSecond)
-		}
-	}
-	if speed <= 0 {
-		return 0
-	}
-	most := 0
-	s.index.Cached(w.chain, func(_, tokens int) {
-		most = max(most, tokens)
-	})
-	seconds := max(0, w.work.Tokens-float64(most)) / speed
-	return time.Duration(seconds * float64(time.Second))
-}
-
-// limitStandingQueue keeps a queue that does not drain at the length that waits as
-// long as the set point of the first token. A young queue may use all of it.
+// limitStandingQueue limits a standing queue to the length that takes as long to
+// complete as the target of the first token. A younger queue may use its full length.
 func (s *service) limitStandingQueue(now time.Time) {
 	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < standingQueueAge {
 		s.queue.SetStandingQueueLimit(0)
 		return
 	}
 	length := s.completionRate(now) * s.firstTokenTarget.Seconds()
-	least := minStandingFraction * float64(s.queueLength)
-	s.queue.SetStandingQueueLimit(int(max(length, least, 1)))
+	minimum := minStandingFraction * float64(s.queueLength)
+	s.queue.SetStandingQueueLimit(int(max(length, minimum, 1)))
 }
 
 func (s *service) fullError(request *Request, rate float64) *api.Error {
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -13,71 +13,96 @@
 )
 
 const (
-	// defaultConcurrency bounds a replica when neither the service nor the
-	// replica says anything.
+	// defaultConcurrency bounds the requests on a replica if neither the service nor
+	// the replica gives a limit.
 	defaultConcurrency = 8
-	// slowStartFraction of its bound is a returning warm replica's first step.
+	// slowStartFraction of its concurrency is the first step of a replica that returns
+	// without having to warm up.
 	slowStartFraction = 0.25
-	// slowStartClosure is the time without work after which a replica is ramped again.
+	// slowStartClosure is how long a replica must be closed to get a slow start again.
 	slowStartClosure = 3 * time.Second
-	// warmupHandoverDelay is how long a new feeder of the same cold replica waits, so
-	// that what the feeder before it had under way is seen in a report.
+	// warmupHandoverDelay is how long a new warm-up gateway of a replica waits, so that
+	// the requests of the previous one are in a report.
 	warmupHandoverDelay = time.Second
-	// longWarmupDelay is how long a cold replica at its first step waits for
-	// something shorter before it is given a long request.
+	// longWarmupDelay is how long a replica at the first step of its warm-up waits for a
+	// shorter request before it gets a long one.
 	longWarmupDelay = 2 * time.Second
-	// minCapacityWait is the least time, in seconds, that a replica without room is
-	// expected to stay so.
+	// minCapacityWait is the least expected time, in seconds, until a full replica has
+	// capacity.
 	minCapacityWait = 0.001
-	// serviceTimeSmoothing is the weight of one request in the time a slot is held.
+	// serviceTimeSmoothing is the weight of one request in the service time.
 	serviceTimeSmoothing = 0.1
-	// cacheAccuracySmoothing is the weight of one answer in the trust in expected caches.
+	// cacheAccuracySmoothing is the weight of one answer in the cache accuracy.
 	cacheAccuracySmoothing = 0.1
-	// swingSeconds is half of the period of planted.SwingingLimit.
+	// swingSeconds is half of the period, in seconds, of planted.SwingingLimit.
 	swingSeconds = 4
 )
 
-// replica is what the gateway knows of one replica of its region.
+// replica is the state of one replica of the local region. Its parts are narrow
+// types by concern; the router's mutex guards all of them.
 type replica struct {
 	name    string
 	hash    uint64
 	number  int // in its service
-	entry  catalog.Replica
+	entry   catalog.Replica
 	service *service
-	isWatcher bool // this gateway is its watcher
-	removed    bool // no longer listed
-
-	admittedByPlan     bool // by list, drain record and zone
-	condition   catalog.Condition
-	conditioned bool
-
-	report   api.ReplicaReport
-	reported bool
-	stateUnknown  bool // the last poll failed
-	previousIncarnation   string
-	created  time.Time
-	detector    *failuredetector.Detector
-	conditionHysteresis     failuredetector.Hysteresis[catalog.ConditionState]
-	lastProposal  proposal
-
-	open        bool // everything but time admits new work
+	created time.Time
+	removed bool // no longer listed
+
+	plannedState
+	reportedState
+	availability
+	replicaLoad
+	slowStartState
+	conditionHysteresis failuredetector.Hysteresis[catalog.ConditionState]
+	lastProposal        proposal
+}
+
+// plannedState is what the active plan says of a replica.
+type plannedState struct {
+	admittedByPlan bool // neither drained nor in an evacuated zone
+	condition      catalog.Condition
+	conditioned    bool // the plan has a condition
+	isWatcher      bool // this gateway proposes the replica's condition
+}
+
+// reportedState is what the replica says of itself.
+type reportedState struct {
+	report              api.ReplicaReport // the newest
+	reported            bool              // there is a report
+	stateUnknown        bool              // the last poll failed
+	previousIncarnation string
+	epoch               uint64  // number of reports
+	inFlightElsewhere   int     // requests of other gateways, by the last report
+	sentTokens          float64 // prefill sent since the last report
+	detector            *failuredetector.Detector
+}
+
+// availability says when the replica gets new requests.
+type availability struct {
+	open        bool // all but the following times admit new requests
 	suspectedAt time.Time
-	closedUntil time.Time // ejection or change of feeder
+	closedUntil time.Time // end of an ejection or of a warm-up handover
 	closedAt    time.Time
+}
+
+// replicaLoad is this gateway's load on the replica, with its limit and what was
+// learned from its requests.
+type replicaLoad struct {
+	inFlight              int
+	inFlightLong          int
+	waiters               int // queued requests that wait for this replica
+	consecutiveRejections int
+	serviceTime           float64 // seconds that a request takes, smoothed
+	cacheAccuracy         float64 // found over expected cached tokens, smoothed
+	limit                 *admission.Limit
+}
 
-	inFlight     int
-	inFlightLong int
-	waiters       int     // waiting requests that wait for this replica
-	consecutiveRejections     int     // in a row
-	inFlightElsewhere       int     // requests of other gateways, by the last report
-	sentTokens   float64 // prefill sent since the last report
-	epoch        uint64  // counts reports
-	serviceTime         float64 // seconds a request holds a slot, smoothed
-	cacheAccuracy        float64 // found over expected cached tokens, smoothed
-	limit        *admission.Limit
-	slowStart    *slowstart.Limiter
-	slowStartIncarnation    string // incarnation the ramp belongs to
-	lastWarmup        time.Time
+// slowStartState is the slow start of the replica.
+type slowStartState struct {
+	slowStart            *slowstart.Limiter // nil before the first
+	slowStartIncarnation string             // the incarnation that it is of
+	lastWarmup           time.Time          // last request during warm-up
 }
 
 func newReplica(service *service, name string, number int, listed catalog.Replica, now time.Time) *replica {
@@ -85,20 +110,20 @@
 		name:    name,
 		hash:    placement.Hash(name),
 		number:  number,
-		entry:  listed,
+		entry:   listed,
 		service: service,
 		created: now,
-		detector:   failuredetector.New(service.router.detectorConfig, now),
-		cacheAccuracy:   1,
 	}
+	target.detector = failuredetector.New(service.router.detectorConfig, now)
+	target.cacheAccuracy = 1
 	target.limit = admission.NewLimit(target.maxConcurrency(), service.firstTokenTarget)
 	return target
 }
 
-// applyPlan takes over what the active applyPlan says of the replica.
+// applyPlan applies what a new plan says of the replica.
 func (t *replica) applyPlan(now time.Time, plan *Plan) {
 	router := t.service.router
-	t.isWatcher = placement.Owner(t.name, router.gateways) == router.config.Gateway
+	t.isWatcher = placement.Owner(t.name, router.gateways.up) == router.config.Gateway
 	t.admittedByPlan = !plan.IsDraining(t.name) && !plan.IsEvacuated(t.entry.Zone)
 	before, had := t.condition, t.conditioned
 	t.condition, t.conditioned = plan.Condition(t.name)
@@ -161,9 +186,9 @@
 	if count == 0 || count > placement.IndexEntries {
 		return
 	}
-	gateways := max(1, len(t.service.router.gateways))
-	part := (int(count) + gateways - 1) / gateways
-	t.service.index.Evicted(t.number, part)
+	gateways := t.service.router.gateways.count()
+	share := (int(count) + gateways - 1) / gateways
+	t.service.index.Evicted(t.number, share)
 }
 
 // refresh recomputes whether everything but time admits new work.
@@ -180,9 +205,9 @@
 	t.updateSlowStart(now, was)
 }
 
-// conditionAllows judges the condition record against the report. A cold replica is
-// open to the one feeder that the plan names for this incarnation, and to
-// nobody while the plan does not name one.
+// conditionAllows reports whether the condition record and the report together admit
+// new requests. A replica that is warming up is open only to the gateway that the
+// plan names for this incarnation.
 func (t *replica) conditionAllows() bool {
 	if !t.conditioned {
 		return !t.report.Cold
@@ -198,119 +223,6 @@
 	}
 }
 
-// warmingUp reports whether the replica counts as warmingUp: until both its own report
-// and the plan say otherwise.
-func (t *replica) warmingUp() bool {
-	return !planted.Active(planted.RampPerGateway) && (t.report.Cold || t.conditioned && t.condition.State == catalog.ConditionWarmingUp)
-}
-
-// updateSlowStart begins a ramp for a new incarnation, after a long closure, and when
-// a replica has become cold or warm.
-func (t *replica) updateSlowStart(now time.Time, was bool) {
-	fresh := t.slowStartIncarnation != t.report.Incarnation
-	long := !was && now.Sub(t.closedAt) >= slowStartClosure
-	bound := t.maxConcurrency()
-	additive := t.slowStart != nil && t.slowStart.Growth() == slowstart.Additive
-	if fresh || long || (t.warmingUp() && !additive) {
-		t.slowStartIncarnation = t.report.Incarnation
-		t.slowStart = t.newSlowStart(bound)
-		t.lastWarmup = now
-		return
-	}
-	if additive && !t.warmingUp() {
-		t.slowStart = slowstart.New(slowstart.Doubling, t.slowStart.Limit(), bound)
-	}
-}
-
-func (t *replica) newSlowStart(bound int) *slowstart.Limiter {
-	if t.warmingUp() {
-		return slowstart.New(slowstart.Additive, t.service.warmupConcurrency, bound)
-	}
-	return slowstart.New(slowstart.Doubling, int(slowStartFraction*float64(bound)), bound)
-}
-
-// maxConcurrency is the fixed upper limit of requests in flight.
-func (t *replica) maxConcurrency() int {
-	bound := t.service.settings.MaxConcurrency
-	if bound <= 0 {
-		bound = defaultConcurrency
-	}
-	if t.report.Slots > 0 {
-		bound = min(bound, t.report.Slots)
-	}
-	return bound
-}
-
-// usable reports whether the replica may get anything new at all.
-func (t *replica) usable(now time.Time) bool {
-	return t.open && now.Before(t.suspectedAt) && !now.Before(t.closedUntil)
-}
-
-// concurrencyLimit is the limit on the replica's requests from all gateways.
-func (t *replica) concurrencyLimit() int {
-	if planted.Active(planted.SwingingLimit) && time.Now().Unix()/swingSeconds%2 == 0 {
-		return 0
-	}
-	ceiling := min(t.limit.Value(), t.maxConcurrency())
-	if t.slowStart != nil {
-		ceiling = min(ceiling, t.slowStart.Limit())
-	}
-	return ceiling
-}
-
-// hasCapacity reports whether one more request of a class fits. A gateway may always
-// use its even part of the ceiling, and the rest as far as the last report
-// showed it free. Long requests have the same within their part of the ceiling,
-// and the others' requests all count as long. A cold replica has no such part:
-// its ceiling binds all.
-func (t *replica) hasCapacity(now time.Time, class api.Class) bool {
-	ceiling := t.concurrencyLimit()
-	if planted.Active(planted.RampPerGateway) {
-		return t.inFlight < ceiling
-	}
-	if t.warmingUp() {
-		return t.totalInFlight() < ceiling && (class != api.ClassLong || t.warmupAdmitsLong(now, ceiling))
-	}
-	gateways := max(1, len(t.service.router.gateways))
-	part := (ceiling + gateways - 1) / gateways
-	if t.inFlight >= max(part, ceiling-t.inFlightElsewhere) {
-		return false
-	}
-	if class != api.ClassLong {
-		return true
-	}
-	long := admission.ClassLimit(ceiling, class)
-	return t.inFlightLong < max(1, long/gateways) || t.totalInFlight() < long
-}
-
-// warmupAdmitsLong keeps the first step of a cold replica for short requests,
-// whose successes raise the ramp soonest, unless none has come for a while.
-func (t *replica) warmupAdmitsLong(now time.Time, ceiling int) bool {
-	if ceiling < 2 {
-		return now.Sub(t.lastWarmup) >= longWarmupDelay
-	}
-	return t.inFlightLong < admission.ClassLimit(ceiling, api.ClassLong)
-}
-
-// expectedCapacityWait is the expected time until the replica has room for a waiter, in
-// seconds, behind the others that wait for it.
-func (t *replica) expectedCapacityWait(w *waiter) float64 {
-	ahead := t.waiters
-	if w.awaited == t {
-		ahead--
-	}
-	hold := t.serviceTime
-	if hold <= 0 {
-		hold = t.service.serviceTime
-	}
-	return max(minCapacityWait, float64(ahead+1)*hold/float64(t.concurrencyLimit()))
-}
-
-// totalInFlight counts the requests on the replica, as far as known.
-func (t *replica) totalInFlight() int {
-	return t.inFlight + t.inFlightElsewhere
-}
-
 func (t *replica) candidate(position int, cached float64) placement.Candidate {
 	slots := t.report.Slots
 	if slots <= 0 {
--- a/routing/resolve.go
+++ b/routing/resolve.go
@@ -1,22 +1,20 @@
 package routing
 
 import (
-	"slices"
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/catalog"
-	"github.com/deckpulley/deckpulley/internal/planted"
 )
 
 // kindWeb is the kind of services without prefill and decode.
 const kindWeb = "web"
 
-// unavailableRetryAfter is told to callers whose region or home cannot serve now.
+// unavailableRetryAfter is the retry time of errors for which no region can serve.
 const unavailableRetryAfter = time.Second
 
-// Resolve turns a caller's request into what routing must know, under the
-// present plan. The homes of the request, its route and its tenant all bind.
+// Resolve translates a caller's request under the present plan: it finds the service,
+// the class and the home regions, which the home rules of the request, its route and
+// its tenant all restrict.
 func (r *Router) Resolve(generate api.GenerateRequest, now time.Time) (Request, *api.Error) {
 	r.mutex.Lock()
 	plan := r.plan
@@ -92,56 +90,7 @@
 	}
 }
 
-// homeOf is homeUnder with the route that the plan has for the request's model.
-func homeOf(plan *Plan, request *Request) (regions []string, bound bool) {
-	route, _ := plan.Route(request.Model)
-	return homeUnder(plan, request, route)
-}
-
-// homeUnder intersects the homes that bind a request: its own rule, its route's
-// and its tenant's. A rule that the plan does not know admits no region, so
-// that a rule removed in error binds rather than frees.
-func homeUnder(plan *Plan, request *Request, route catalog.Route) (regions []string, bound bool) {
-	rules := make([]string, 0, 3)
-	rules = append(rules, request.HomeRule, route.Home)
-	if request.Tenant != "" {
-		if tenant, ok := plan.Tenant(request.Tenant); ok {
-			rules = append(rules, tenant.Home)
-		}
-	}
-	for _, rule := range rules {
-		if rule == "" {
-			continue
-		}
-		home, _ := plan.Home(rule)
-		if !bound {
-			regions, bound = slices.Clone(home.Regions), true
-			continue
-		}
-		regions = slices.DeleteFunc(regions, func(region string) bool {
-			return !slices.Contains(home.Regions, region)
-		})
-	}
-	return regions, bound
-}
-
-// mayRunIn reports whether a request may run in a region: both under the homes
-// found when it was resolved and under those of the present plan.
-func mayRunIn(plan *Plan, request *Request, region string) bool {
-	if planted.Active(planted.IgnoreHome) {
-		return true
-	}
-	if len(request.Home) > 0 && !slices.Contains(request.Home, region) {
-		return false
-	}
-	if request.resolved == plan {
-		return true
-	}
-	home, bound := homeOf(plan, request)
-	return !bound || slices.Contains(home, region)
-}
-
-// shareOf is the weight of a request among others when short.
+// shareOf returns the weight of a request in fair queueing.
 func shareOf(plan *Plan, request *Request) float64 {
 	weight := 1.0
 	if tenant, ok := plan.Tenant(request.Tenant); ok && tenant.Weight > 0 {
--- a/routing/service.go
+++ b/routing/service.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// unservableUtilization is the utilization told of a service without a usable replica.
+	// unservableUtilization is the utilization of a service without a usable replica.
 	unservableUtilization = 100
-	// warmupElsewhereUtilization is the utilization told of a service whose only replicas are
-	// cold ones that other gateways feed: it serves, and has nothing to spare.
+	// warmupElsewhereUtilization is the utilization of a service whose only replicas are
+	// warmed up by other gateways: it can serve, but accepts no spill.
 	warmupElsewhereUtilization = unservableUtilization / 2
-	// expectedSmoothing is the weight of one answer in the expected durations.
+	// expectedSmoothing is the weight of one answer in the expected time per token.
 	expectedSmoothing = 0.05
 )
 
-// Gains of the spill controller, argued in docs/design/routing.md.
+// Gains of the spill controller; docs/design/routing.md gives the reasons.
 const (
 	spillProportional = 0.25
 	spillIntegral     = 0.35 // per second
@@ -28,54 +28,67 @@
 	spillMaximum      = 0.9
 )
 
-// service is the routing state of one service.
+// service is the routing state of one service. Its parts are narrow types by concern;
+// the router's mutex guards all of them.
 type service struct {
 	router   *Router
 	name     string
 	settings catalog.Service
-	replicas []*replica
-	replicasByNumber  []*replica // by number, nil if free
-	cachedTokens   []float64  // by number, scratch of place
 
-	firstTokenTarget      time.Duration
+	replicas         []*replica
+	replicasByNumber []*replica // by number, nil if the number is free
+	group            *outlier.Group
+	index            *placement.Index
+
+	firstTokenTarget  time.Duration
 	warmupConcurrency int
-	queueLength     int
-
-	group       *outlier.Group
-	index       *placement.Index
-	queue       *admission.Queue[*waiter]
-	completions admission.Rate
-	completed   int
-	lastDispatch  time.Time
-	queuedSince time.Time // when the queue began to stand; zero if it is empty
-	serviceTime        float64   // seconds a request takes, smoothed
-	secondsPerToken    float64   // of it, seconds per token asked for, smoothed
-	queueWait      float64   // seconds granted requests waited in the queue, smoothed
-	firstTokenDelay       float64   // seconds to the first token without own prefill, smoothed
-
-	spill       *feedback.Controller
-	targetUtilization      float64 // utilization to hold while all regions together can
-	utilization float64
-	regions     map[string]*placement.Region
-	gates       map[string]*placement.SpillGate
-	unusableSince time.Time // no replica was usable since; zero if one is
-	recoveringSince  time.Time // when the own region had a usable replica again
-
-	candidates []placement.Candidate
+
+	queueState
+	estimates
+	spillState
+
+	// Buffers of chooseReplica, kept to avoid allocations.
+	cachedTokens []float64 // by replica number
+	candidates   []placement.Candidate
 }
 
-func newService(router *Router, name string, limits catalog.Limits) *service {
-	return &service{
-		router:  router,
-		name:    name,
-		group:   outlier.NewGroup(outlier.DefaultConfig()),
-		index:   placement.NewIndex(0),
-		queue:   admission.NewQueue[*waiter](limits.QueueLength),
+// queueState is the queue of a service.
+type queueState struct {
+	queue        *admission.Queue[*waiter]
+	queueLength  int
+	queuedSince  time.Time // when the queue was last empty; zero if it is
+	lastDispatch time.Time
+}
+
+// estimates is what a service learned from its requests. All durations are in
+// seconds and smoothed.
+type estimates struct {
+	completions     admission.Rate
+	completed       int
+	serviceTime     float64 // of a request
+	secondsPerToken float64 // of a request without its prefill, per requested token
+	queueWait       float64 // of granted requests
+	firstTokenDelay float64 // time to the first token without the request's own prefill
+}
+
+// spillState decides which part of a service's requests other regions get.
+type spillState struct {
+	spill             *feedback.Controller
+	targetUtilization float64 // the set point while all regions together can hold it
+	utilization       float64
+	regions           map[string]*placement.Region
+	gates             map[string]*placement.SpillGate
+	unusableSince     time.Time // since when no replica is usable; zero if one is
+	recoveringSince   time.Time // when the local region had a usable replica again
+}
+
+func newSpillState(targetUtilization float64) spillState {
+	return spillState{
 		regions: make(map[string]*placement.Region),
 		gates:   make(map[string]*placement.SpillGate),
 		spill: feedback.New(feedback.Config{
 			Name:         "utilization",
-			SetPoint:     limits.TargetUtilization,
+			SetPoint:     targetUtilization,
 			Proportional: spillProportional,
 			Integral:     spillIntegral,
 			Reverse:      true,
@@ -85,6 +98,18 @@
 	}
 }
 
+func newService(router *Router, name string, limits catalog.Limits) *service {
+	return &service{
+		router:     router,
+		name:       name,
+		group:      outlier.NewGroup(outlier.DefaultConfig()),
+		index:      placement.NewIndex(0),
+		queueState: queueState{queue: admission.NewQueue[*waiter](limits.QueueLength)},
+		spillState: newSpillState(limits.TargetUtilization),
+	}
+}
+
+// configure applies the settings and limits of a new plan.
 func (s *service) configure(settings catalog.Service, limits catalog.Limits) {
 	s.settings = settings
 	s.firstTokenTarget = time.Duration(limits.FirstTokenMS) * time.Millisecond
@@ -94,6 +119,7 @@
 	s.targetUtilization = limits.TargetUtilization
 }
 
+// addReplica adds a replica under the lowest free number.
 func (s *service) addReplica(name string, listed catalog.Replica, now time.Time) *replica {
 	number := 0
 	for number < len(s.replicasByNumber) && s.replicasByNumber[number] != nil {
@@ -108,13 +134,15 @@
 	return target
 }
 
+// removeReplica removes a replica. Its reservations remain valid to finish.
 func (s *service) removeReplica(target *replica) {
 	s.index.Forget(target.number)
 	s.replicasByNumber[target.number] = nil
 	target.open, target.admittedByPlan, target.removed = false, false, true
 }
 
-// updateMembers brings the list of replicas and the groups that judge them in line.
+// updateMembers updates the list of replicas, the outlier group and the prefix index
+// after replicas were added or removed.
 func (s *service) updateMembers() {
 	s.replicas = s.replicas[:0]
 	names := make([]string, 0, len(s.replicasByNumber))
@@ -128,13 +156,13 @@
 	s.index.SetCount(len(names))
 }
 
-// mayBecomeUsable reports whether the plan leaves a replica that may become usable
-// without another plan.
+// mayBecomeUsable reports whether some replica is usable, or may become so without
+// another plan.
 func (s *service) mayBecomeUsable() bool {
 	for _, target := range s.replicas {
 		state := target.condition.State
-		shut := target.conditioned && (state == catalog.ConditionDown || state == catalog.ConditionDraining)
-		if target.admittedByPlan && !shut {
+		closed := target.conditioned && (state == catalog.ConditionDown || state == catalog.ConditionDraining)
+		if target.admittedByPlan && !closed {
 			return true
 		}
 	}
@@ -150,7 +178,7 @@
 	return false
 }
 
-// unusableFor is the time since a replica was last usable, 0 if one is.
+// unusableFor returns the time since a replica was last usable, 0 if one is.
 func (s *service) unusableFor(now time.Time) time.Duration {
 	if s.anyUsable(now) {
 		if !s.unusableSince.IsZero() && now.Sub(s.unusableSince) >= unusableWait {
@@ -165,7 +193,7 @@
 	return now.Sub(s.unusableSince)
 }
 
-// tick updates the controllers and the knowledge of the regions.
+// tick updates the controllers and the loads of the regions.
 func (s *service) tick(now time.Time) {
 	s.unusableFor(now)
 	s.utilization = s.measureUtilization(now)
@@ -174,36 +202,3 @@
 	s.limitStandingQueue(now)
 	s.removeExpired(now)
 }
-
-// measureUtilization is the work on the usable replicas and in the queues over
-// their ceilings; the other gateways of the region are taken to queue as much
-// as this one. It is bounded by placement.MaxComparedLoad unless nothing is usable, which
-// is unservable. A cold replica that another gateway feeds is left out.
-func (s *service) measureUtilization(now time.Time) float64 {
-	busy := float64(s.queue.Len() * max(1, len(s.router.gateways)))
-	ceilings := 0.0
-	for _, target := range s.replicas {
-		if !target.usable(now) {
-			continue
-		}
-		busy += float64(target.totalInFlight())
-		ceilings += float64(target.concurrencyLimit())
-	}
-	if ceilings == 0 {
-		return unservableUtilization
-	}
-	return min(busy/ceilings, placement.MaxComparedLoad)
-}
-
-// regionLoad is the utilization to be told to other regions.
-func (s *service) regionLoad() float64 {
-	if s.utilization < unservableUtilization {
-		return s.utilization
-	}
-	for _, target := range s.replicas {
-		if target.admittedByPlan && target.reported && !target.stateUnknown && target.condition.State == catalog.ConditionWarmingUp {
-			return warmupElsewhereUtilization
-		}
-	}
-	return unservableUtilization
-}
--- a/routing/status.go
+++ b/routing/status.go
@@ -9,40 +9,42 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Status is the state of a router for metrics and people.
+// Status is a copy of a router's state for metrics and operators.
 type Status struct {
 	Version  uint64
 	Serial   uint32
 	Services []ServiceStatus
-	// Retry is the retry ratio beside its aim over the last window.
+	// Retry is the retry ratio over the last window, and its set point.
 	Retry feedback.Status
 }
 
-// ServiceStatus is one service in the own region, as this gateway sees it.
+// ServiceStatus is the state of a service in the local region, as this gateway sees
+// it.
 type ServiceStatus struct {
 	Service string
-	// Limit is the sum of the replicas' ceilings, InFlight what this gateway has
-	// on them and Queued what waits here.
+	// Limit is the sum of the usable replicas' concurrency limits, InFlight the number
+	// of this gateway's requests on all replicas and Queued that of its queue.
 	Limit    int
 	InFlight int
 	Queued   int
-	// Utilization is work over limit, 1 is full.
+	// Utilization is the number of requests over the limit; 1 is full.
 	Utilization float64
-	// Replicas counts all, Usable those that may get new work from here.
+	// Replicas counts all replicas, Usable those that may get new requests from this
+	// gateway.
 	Replicas  int
 	Usable    int
 	Ejected   int
 	WarmingUp int
 	Draining  int
-	// Controllers show the set point beside the measured value.
+	// Controllers has the set points and the measured values.
 	Controllers []feedback.Status
-	// Members are the replicas one by one.
+	// Members has the replicas, sorted by name.
 	Members []ReplicaStatus
-	// Regions are all regions of the plan as known here, sorted by name.
+	// Regions has all regions of the plan as known to this gateway, sorted by name.
 	Regions []placement.Region
 }
 
-// ReplicaStatus is one replica.
+// ReplicaStatus is the state of a replica, as this gateway sees it.
 type ReplicaStatus struct {
 	Replica           string
 	Incarnation       string
@@ -57,7 +59,7 @@
 	// Suspicion is the phi of the failure detector.
 	Suspicion float64
 	Delay     time.Duration
-	// Expected is what is expected of it for a prompt of which it has nothing cached.
+	// Expected is the expected cost of a prompt without a cached prefix.
 	Expected placement.Candidate
 }
 
@@ -67,11 +69,11 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.tick(now)
-	aim, measured := r.retryBudget.Status(now)
+	setPoint, measured := r.retryBudget.Status(now)
 	status := Status{
 		Version: r.version,
 		Serial:  r.serial,
-		Retry:   feedback.Status{Name: "retry_ratio", SetPoint: aim, Measured: measured, Output: measured},
+		Retry:   feedback.Status{Name: "retry_ratio", SetPoint: setPoint, Measured: measured, Output: measured},
 	}
 	for _, service := range r.services {
 		status.Services = append(status.Services, service.status(now))
