--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// BenchmarkReserve places requests on 240 replicas with prefixes: one call is
-// one request from Acquire's fast path to Finish.
+// BenchmarkReserve reserves replicas for requests with prefixes in a region of 240:
+// one operation is one request from Reserve to Finish.
 func BenchmarkReserve(b *testing.B) {
 	f := newFleet(b)
 	f.set(catalog.ServiceRecord("large", catalog.Service{Kind: "model", MaxConcurrency: 64}))
@@ -22,9 +22,9 @@
 	refresh := func(sequence uint64) {
 		for index := range 240 {
 			name := fmt.Sprint("r", index)
-			told := report(name)
-			told.Slots, told.Sequence = 64, sequence
-			router.Observe(name, told, time.Now())
+			reported := report(name)
+			reported.Slots, reported.Sequence = 64, sequence
+			router.Observe(name, reported, time.Now())
 		}
 	}
 	refresh(1)
@@ -32,7 +32,7 @@
 	for index := range prefixes {
 		prefixes[index] = []api.Prefix{{ID: "system", Tokens: 200}, {ID: fmt.Sprint(index), Tokens: 4000}}
 	}
-	slots := make([]*Reservation, 0, 1000)
+	reservations := make([]*Reservation, 0, 1000)
 	b.ReportAllocs()
 	index := 0
 	for b.Loop() {
@@ -40,24 +40,24 @@
 		if index%5000 == 0 {
 			refresh(uint64(index))
 		}
-		asked := request("request")
-		asked.Prefixes = prefixes[index%len(prefixes)]
-		slot, failure := router.Reserve(asked)
+		incoming := request("request")
+		incoming.Prefixes = prefixes[index%len(prefixes)]
+		reservation, failure := router.Reserve(incoming)
 		if failure != nil {
 			b.Fatal(failure)
 		}
-		slots = append(slots, slot)
-		if len(slots) == cap(slots) { // a thousand in flight
-			for _, slot := range slots {
-				slot.Finish(ResultSuccess, nil, time.Now())
+		reservations = append(reservations, reservation)
+		if len(reservations) == cap(reservations) { // a thousand in flight
+			for _, reservation := range reservations {
+				reservation.Finish(ResultSuccess, nil, time.Now())
 			}
-			slots = slots[:0]
+			reservations = reservations[:0]
 		}
 	}
 }
 
 // BenchmarkSetPlan activates a plan of 12,000 replicas in 50 regions, of which
-// 240 are of the own region.
+// 240 are in the local region.
 func BenchmarkSetPlan(b *testing.B) {
 	f := newFleet(b)
 	for region := range 50 {
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -65,8 +65,8 @@
 }
 
 // condition sets the condition of replica r1.
-func (f *fleet) condition(state catalog.ConditionState, feeder string) {
-	f.set(catalog.ConditionRecord("r1", catalog.Condition{State: state, Incarnation: "r1-1", WarmupGateway: feeder}))
+func (f *fleet) condition(state catalog.ConditionState, warmupGateway string) {
+	f.set(catalog.ConditionRecord("r1", catalog.Condition{State: state, Incarnation: "r1-1", WarmupGateway: warmupGateway}))
 }
 
 func (f *fleet) plan() *Plan {
@@ -127,17 +127,17 @@
 
 func mustReserve(t *testing.T, router *Router, request Request) *Reservation {
 	t.Helper()
-	slot, failure := router.Reserve(request)
+	reservation, failure := router.Reserve(request)
 	if failure != nil {
 		t.Fatalf("reserve %s: %v", request.ID, failure)
 	}
-	return slot
+	return reservation
 }
 
-func wantRefused(t *testing.T, router *Router, request Request, code api.Code) {
+func wantRejected(t *testing.T, router *Router, request Request, code api.Code) {
 	t.Helper()
-	slot, failure := router.Reserve(request)
-	if slot != nil || failure == nil || failure.Code != code || failure.Outcome != api.OutcomeRefused {
-		t.Fatalf("reserve %s: slot %v, %v; want refused with %s", request.ID, slot, failure, code)
+	reservation, failure := router.Reserve(request)
+	if reservation != nil || failure == nil || failure.Code != code || failure.Outcome != api.OutcomeRefused {
+		t.Fatalf("reserve %s: reservation %v, %v; want rejected with %s", request.ID, reservation, failure, code)
 	}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -20,14 +20,14 @@
 	{
 		name: "report says draining",
 		begin: func(_ *fleet, r *Router) {
-			told := report("r1")
-			told.Draining, told.Sequence = true, 2
-			r.Observe("r1", told, time.Now())
+			reported := report("r1")
+			reported.Draining, reported.Sequence = true, 2
+			r.Observe("r1", reported, time.Now())
 		},
 		end: func(_ *fleet, r *Router) {
-			told := report("r1")
-			told.Sequence = 3
-			r.Observe("r1", told, time.Now())
+			reported := report("r1")
+			reported.Sequence = 3
+			r.Observe("r1", reported, time.Now())
 		},
 	},
 	{
@@ -53,7 +53,7 @@
 		end: func(f *fleet, _ *Router) { f.remove(catalog.ZoneName("east-a"), catalog.TypeEvacuation) },
 	},
 	{
-		name:  "cold with another feeder",
+		name:  "warmed up by another gateway",
 		begin: func(f *fleet, _ *Router) { f.condition(catalog.ConditionWarmingUp, "g9") },
 		end:   func(f *fleet, _ *Router) { f.condition(catalog.ConditionWarmingUp, "g1") },
 	},
@@ -70,9 +70,9 @@
 	{
 		name: "replica has seen a newer configuration",
 		begin: func(_ *fleet, r *Router) {
-			told := report("r1")
-			told.ConfigurationVersion, told.Sequence = 2, 2
-			r.Observe("r1", told, time.Now())
+			reported := report("r1")
+			reported.ConfigurationVersion, reported.Sequence = 2, 2
+			r.Observe("r1", reported, time.Now())
 		},
 		end: func(f *fleet, _ *Router) {
 			f.set(catalog.ConfigurationRecord(catalog.Configuration{Version: 2}))
@@ -81,9 +81,9 @@
 	{
 		name: "restarted and cold",
 		begin: func(_ *fleet, r *Router) {
-			told := report("r1")
-			told.Incarnation, told.Cold = "r1-2", true
-			r.Observe("r1", told, time.Now())
+			reported := report("r1")
+			reported.Incarnation, reported.Cold = "r1-2", true
+			r.Observe("r1", reported, time.Now())
 		},
 		end: func(f *fleet, _ *Router) {
 			f.set(catalog.ConditionRecord("r1", catalog.Condition{
@@ -92,7 +92,7 @@
 		},
 	},
 	{
-		name:  "silent",
+		name:  "unresponsive",
 		begin: func(_ *fleet, _ *Router) { time.Sleep(1500 * time.Millisecond) },
 		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
 	},
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestNothingNew goes through every reason why a replica gets nothing new, each
+// TestUnusableReplicas goes through every reason why a replica gets nothing new, each
 // alone, and sees it return once the reason is gone.
-func TestNothingNew(t *testing.T) {
+func TestUnusableReplicas(t *testing.T) {
 	for _, c := range nothingNew {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -125,9 +125,9 @@
 				early := mustReserve(t, router, request("early"))
 				c.begin(f, router)
 				router.SetPlan(f.plan())
-				wantRefused(t, router, request("during"), api.CodeNoCapacity)
+				wantRejected(t, router, request("during"), api.CodeNoCapacity)
 				if early.Usable(time.Now()) {
-					t.Fatal("a slot granted before is still usable")
+					t.Fatal("a reservation granted before is still usable")
 				}
 				early.Finish(ResultNotStarted, nil, time.Now())
 				c.end(f, router)
@@ -139,12 +139,12 @@
 	}
 }
 
-// TestQueuedRequestsAreJudgedAgain lets requests wait and takes their replica
-// away by a new plan: each gets its refusal at once, not at its deadline.
-func TestQueuedRequestsAreJudgedAgain(t *testing.T) {
+// TestQueuedRequestsAreReadmitted lets requests wait and takes their replica
+// away by a new plan: each gets its rejection at once, not at its deadline.
+func TestQueuedRequestsAreReadmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, router := oneReplica(t)
-		mustReserve(t, router, request("holds the first step of the ramp"))
+		mustReserve(t, router, request("holds the first step of the slow start"))
 		answers := make(chan *api.Error, 2)
 		for index := range 2 {
 			waiting := request(fmt.Sprint("waits", index))
@@ -164,13 +164,13 @@
 			}
 		}
 		if waited := time.Since(start); waited > 0 {
-			t.Fatalf("refusal held back for %v", waited)
+			t.Fatalf("rejection held back for %v", waited)
 		}
 	})
 }
 
-// TestAcquire checks the waiting: a grant when a slot is given back, the
-// refusal when no replica is left usable, and a caller that goes away.
+// TestAcquire checks the waiting: a grant when a reservation is finished, the
+// rejection when no replica is left usable, and a caller that goes away.
 func TestAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, router := oneReplica(t)
@@ -188,21 +188,21 @@
 		}
 		granted := make(chan *Reservation, 1)
 		go func() {
-			slot, failure := router.Acquire(t.Context(), request("waits"))
+			reservation, failure := router.Acquire(t.Context(), request("waits"))
 			if failure != nil {
 				t.Errorf("waits: %v", failure)
 			}
-			granted <- slot
+			granted <- reservation
 		}()
 		synctest.Wait()
 		held.Finish(ResultSuccess, nil, time.Now())
 		held.Finish(ResultSuccess, nil, time.Now())
-		slot := <-granted
+		reservation := <-granted
 		if got := router.Status().Services[0]; got.InFlight != 1 || got.Queued != 0 {
 			t.Fatalf("status %+v, want 1 in flight", got)
 		}
-		slot.Finish(ResultSuccess, nil, time.Now())
-		time.Sleep(1400 * time.Millisecond) // the replica falls silent
+		reservation.Finish(ResultSuccess, nil, time.Now())
+		time.Sleep(1400 * time.Millisecond) // the replica falls unresponsive
 		start := time.Now()
 		_, failure := router.Acquire(t.Context(), request("late"))
 		if failure == nil || failure.Code != api.CodeNoCapacity {
@@ -214,9 +214,9 @@
 	})
 }
 
-// TestHomes checks that a home binds from whatever rule it comes, under the
+// TestHomeRules checks that a home binds from whatever rule it comes, under the
 // plan of the moment.
-func TestHomes(t *testing.T) {
+func TestHomeRules(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
@@ -243,7 +243,7 @@
 			t.Fatalf("bound tenant: %v", got)
 		}
 		west := resolve(api.GenerateRequest{Home: "west-only"})
-		wantRefused(t, router, west, api.CodeHomeUnavailable)
+		wantRejected(t, router, west, api.CodeHomeUnavailable)
 		_, failure := router.Resolve(api.GenerateRequest{Model: "large-1", Tenant: "bound", Home: "west-only"}, time.Now())
 		if failure == nil || failure.Code != api.CodeHomeUnavailable {
 			t.Fatalf("homes without a common region: %v", failure)
@@ -254,36 +254,36 @@
 		if got := router.Regions(free); len(got) != 1 || got[0] != "west" {
 			t.Fatalf("bound by the new plan: %v", got)
 		}
-		wantRefused(t, router, free, api.CodeHomeUnavailable)
+		wantRejected(t, router, free, api.CodeHomeUnavailable)
 		f.set(catalog.EvacuationRecord("west-a", catalog.Evacuation{OperationID: "o"}))
 		router.SetPlan(f.plan())
 		if got := router.Regions(free); len(got) != 0 {
 			t.Fatalf("home evacuated: %v", got)
 		}
-		if refused := router.Rejection(free); refused.Code != api.CodeHomeUnavailable {
-			t.Fatalf("refusal: %v", refused)
+		if rejected := router.Rejection(free); rejected.Code != api.CodeHomeUnavailable {
+			t.Fatalf("rejection: %v", rejected)
 		}
 	})
 }
 
-// TestLongLeavesRoom fills a replica with long requests: a quick one still finds
+// TestLongRequestsLeaveCapacity fills a replica with long requests: a quick one still finds
 // room, also when another gateway has most of the slots.
-func TestLongLeavesRoom(t *testing.T) {
+func TestLongRequestsLeaveCapacity(t *testing.T) {
 	for others := range 4 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t)
 			f.replica("r1", "east-a", "east")
 			router := newRouter("east", "g1")
 			router.SetPlan(f.plan())
-			for sequence := range uint64(4) { // passes the ramp
-				told := report("r1")
-				told.Sequence = sequence + 1
-				router.Observe("r1", told, time.Now())
+			for sequence := range uint64(4) { // passes the slow start
+				reported := report("r1")
+				reported.Sequence = sequence + 1
+				router.Observe("r1", reported, time.Now())
 				mustReserve(t, router, request("warms")).Finish(ResultSuccess, nil, time.Now())
 			}
-			told := report("r1")
-			told.Sequence, told.Running = 9, others
-			router.Observe("r1", told, time.Now())
+			reported := report("r1")
+			reported.Sequence, reported.Running = 9, others
+			router.Observe("r1", reported, time.Now())
 			granted := 0
 			for range 8 {
 				long := request("long")
@@ -300,9 +300,9 @@
 	}
 }
 
-// TestExcludedEverywhere asks for another attempt when every usable replica was
-// tried: the refusal comes at once.
-func TestExcludedEverywhere(t *testing.T) {
+// TestAllReplicasExcluded asks for another attempt when every usable replica was
+// tried: the rejection comes at once.
+func TestAllReplicasExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, router := oneReplica(t)
 		again := request("again")
@@ -312,26 +312,26 @@
 			t.Fatalf("got %v", failure)
 		}
 		if waited := time.Since(start); waited > 0 {
-			t.Fatalf("refused after %v", waited)
+			t.Fatalf("rejected after %v", waited)
 		}
 	})
 }
 
-// TestWaitsForThePrefix fills the replica that holds a prefix while the other is
+// TestWaitsForCachedPrefix fills the replica that holds a prefix while the other is
 // busy with room: a request for the prefix waits for the holder, one that may
 // not wait takes the other.
-func TestWaitsForThePrefix(t *testing.T) {
+func TestWaitsForCachedPrefix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
 		f.replica("r2", "east-a", "east")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
-		for sequence := range uint64(8) { // passes the ramps
+		for sequence := range uint64(8) { // passes the slow start
 			for _, name := range []string{"r1", "r2"} {
-				told := report(name)
-				told.Sequence = sequence + 1
-				router.Observe(name, told, time.Now())
+				reported := report(name)
+				reported.Sequence = sequence + 1
+				router.Observe(name, reported, time.Now())
 			}
 			first, second := mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))
 			time.Sleep(100 * time.Millisecond)
@@ -346,29 +346,29 @@
 		}
 		holder := holders[0].Replica
 		other := map[string]string{"r1": "r2", "r2": "r1"}[holder]
-		for _, slot := range holders {
-			if slot.Replica != holder {
-				t.Fatalf("the prefix went to %s and %s", holder, slot.Replica)
+		for _, reservation := range holders {
+			if reservation.Replica != holder {
+				t.Fatalf("the prefix went to %s and %s", holder, reservation.Replica)
 			}
 		}
-		told := report(other)
-		told.Sequence, told.Running = 20, 3
-		router.Observe(other, told, time.Now())
+		reported := report(other)
+		reported.Sequence, reported.Running = 20, 3
+		router.Observe(other, reported, time.Now())
 		granted := make(chan *Reservation, 1)
 		go func() {
-			slot, _ := router.Acquire(t.Context(), shared)
-			granted <- slot
+			reservation, _ := router.Acquire(t.Context(), shared)
+			granted <- reservation
 		}()
 		synctest.Wait()
 		if queued := router.Status().Services[0].Queued; queued != 1 {
 			t.Fatalf("%d queued, want the request to wait", queued)
 		}
-		if slot := mustReserve(t, router, shared); slot.Replica != other {
-			t.Fatalf("reserved on the full %s", slot.Replica)
+		if reservation := mustReserve(t, router, shared); reservation.Replica != other {
+			t.Fatalf("reserved on the full %s", reservation.Replica)
 		}
 		holders[0].Finish(ResultSuccess, nil, time.Now())
-		if slot := <-granted; slot.Replica != holder {
-			t.Fatalf("granted on %s, want the holder", slot.Replica)
+		if reservation := <-granted; reservation.Replica != holder {
+			t.Fatalf("granted on %s, want the holder", reservation.Replica)
 		}
 	})
 }
--- a/routing/fleet_test.go
+++ b/routing/simulation_test.go
@@ -16,12 +16,12 @@
 // simulated is a replica in virtual time: cold until it has completed some
 // requests of its incarnation.
 type simulated struct {
-	name        string
-	incarnation int
-	sequence    uint64
-	completed   int
-	running     int
-	silent      bool
+	name         string
+	incarnation  int
+	sequence     uint64
+	completed    int
+	running      int
+	unresponsive bool
 }
 
 const warmAfter = 40
@@ -60,10 +60,10 @@
 	due      []event
 }
 
-// event is something that happens at a moment of the virtual time.
+// event is an action at a moment of the virtual time.
 type event struct {
 	at     time.Time
-	happen func()
+	action func()
 }
 
 func newSimulation(t *testing.T, seed uint64, replicas int) *simulation {
@@ -104,18 +104,18 @@
 	return slices.DeleteFunc(slices.Clone(s.names), func(name string) bool { return s.down[name] })
 }
 
-func (s *simulation) after(delay time.Duration, happen func()) {
-	s.due = append(s.due, event{at: time.Now().Add(delay), happen: happen})
+func (s *simulation) after(delay time.Duration, action func()) {
+	s.due = append(s.due, event{at: time.Now().Add(delay), action: action})
 }
 
-// elapse lets the virtual time pass and what falls due happen in order.
+// elapse lets the virtual time pass and what falls due action in order.
 func (s *simulation) elapse(step time.Duration) {
 	time.Sleep(step)
 	slices.SortStableFunc(s.due, func(a, b event) int { return a.at.Compare(b.at) })
 	for len(s.due) > 0 && !s.due[0].at.After(time.Now()) {
 		next := s.due[0]
 		s.due = s.due[1:]
-		next.happen()
+		next.action()
 	}
 }
 
@@ -127,14 +127,14 @@
 	for _, name := range s.up() {
 		router := s.gateways[name]
 		for _, replica := range s.replicas {
-			if replica.silent {
+			if replica.unresponsive {
 				router.RecordPollFailure(replica.name, now)
 				continue
 			}
 			router.Observe(replica.name, replica.report(), now)
 		}
 		for _, change := range router.Conditions(now) {
-			if !s.holds(change.Replica, change.Old) {
+			if !s.prerequisiteHolds(change.Replica, change.Old) {
 				continue
 			}
 			if other, twice := changed[change.Replica]; twice {
@@ -149,8 +149,8 @@
 	}
 }
 
-// holds is the prerequisite of a conditional update.
-func (s *simulation) holds(replica string, old *catalog.Condition) bool {
+// prerequisiteHolds checks the prerequisite of a conditional update.
+func (s *simulation) prerequisiteHolds(replica string, old *catalog.Condition) bool {
 	present, ok := s.fleet.plan().Condition(replica)
 	if old == nil {
 		return !ok
@@ -158,43 +158,43 @@
 	return ok && present == *old
 }
 
-// offer sends a request through a gateway if it finds a slot.
-func (s *simulation) offer(gateway string, id int) {
-	asked := request(fmt.Sprint(gateway, "-", id))
-	slot, failure := s.gateways[gateway].Reserve(asked)
+// sendRequest sends a request through a gateway if it gets a reservation.
+func (s *simulation) sendRequest(gateway string, id int) {
+	incoming := request(fmt.Sprint(gateway, "-", id))
+	reservation, failure := s.gateways[gateway].Reserve(incoming)
 	if failure != nil {
 		return
 	}
 	s.granted[gateway]++
-	index := slices.IndexFunc(s.replicas, func(r *simulated) bool { return r.name == slot.Replica })
+	index := slices.IndexFunc(s.replicas, func(r *simulated) bool { return r.name == reservation.Replica })
 	replica := s.replicas[index]
 	incarnation := replica.incarnation
 	replica.running++
-	s.checkRamp(replica, gateway)
-	hold := 300 * time.Millisecond
+	s.checkSlowStart(replica, gateway)
+	serviceTime := 300 * time.Millisecond
 	if replica.cold() {
-		hold = time.Second
+		serviceTime = time.Second
 	}
-	s.after(hold, func() { s.finish(slot, replica, incarnation) })
+	s.after(serviceTime, func() { s.finish(reservation, replica, incarnation) })
 }
 
-func (s *simulation) finish(slot *Reservation, replica *simulated, incarnation int) {
-	if replica.incarnation != incarnation || replica.silent {
-		slot.Finish(ResultFailed, nil, time.Now())
+func (s *simulation) finish(reservation *Reservation, replica *simulated, incarnation int) {
+	if replica.incarnation != incarnation || replica.unresponsive {
+		reservation.Finish(ResultFailed, nil, time.Now())
 		return
 	}
 	replica.running--
 	replica.completed++
-	told := replica.report()
-	slot.RecordFirstToken(time.Now())
-	slot.Finish(ResultSuccess, &told, time.Now())
+	reported := replica.report()
+	reservation.RecordFirstToken(time.Now())
+	reservation.Finish(ResultSuccess, &reported, time.Now())
 }
 
-// checkRamp is the promise: the work in flight on a cold replica, from all
-// gateways together, stays under the ramp that its completed requests allow.
-// Each step n of the ramp needs n completions, so after c of them it stands at
-// most at 1 + the largest n with n(n+1)/2 <= c; another may be under way.
-func (s *simulation) checkRamp(replica *simulated, gateway string) {
+// checkSlowStart checks that the requests in flight on a cold replica, from all
+// gateways together, stay within the slow start that its completions allow. Step n
+// needs n completions, so that after c of them the limit is at most 1 + the largest
+// n with n(n+1)/2 <= c; one more request may be in flight.
+func (s *simulation) checkSlowStart(replica *simulated, gateway string) {
 	if !replica.cold() {
 		return
 	}
@@ -205,12 +205,12 @@
 	}
 }
 
-// run offers requests from all gateways for a time, in rounds of 20 ms.
+// run sends requests from all gateways for a time, in rounds of 20 ms.
 func (s *simulation) run(seconds float64, perRound int) {
 	for round := range int(seconds * 50) {
 		for _, name := range s.up() {
 			for index := range perRound {
-				s.offer(name, s.random.Int()+index)
+				s.sendRequest(name, s.random.Int()+index)
 			}
 		}
 		if round%25 == 0 {
@@ -220,11 +220,11 @@
 	}
 }
 
-// TestColdReplicasAreNeverFlooded returns a whole region cold into a crowd,
-// restarts replicas in the middle of their ramps and takes feeders away, with
-// several seeds. No cold replica ever has more than its ramp, from all gateways
-// together, and all become warm and used by every gateway.
-func TestColdReplicasAreNeverFlooded(t *testing.T) {
+// TestWarmupLimitHoldsAcrossGateways starts a region with only cold replicas under
+// overload, restarts replicas during their slow start and removes a warm-up gateway,
+// with several seeds. No cold replica ever has more requests than its slow start
+// allows, from all gateways together, and all become warm and used by every gateway.
+func TestWarmupLimitHoldsAcrossGateways(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSimulation(t, seed, 3)
@@ -252,10 +252,10 @@
 	}
 }
 
-// TestConditionsAreSteady lets a load swing and a single lost poll pass without
-// a write, a death be written once the silence has lasted, and a gateway that
-// was frozen itself keep quiet.
-func TestConditionsAreSteady(t *testing.T) {
+// TestConditionHysteresis checks that a swing of the load and a single lost poll
+// change no condition, that a replica that stays unresponsive is declared down, and
+// that gateways that were frozen, or reach no replica, propose nothing.
+func TestConditionHysteresis(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 1, 3)
 		s.run(14, 2)
@@ -263,19 +263,19 @@
 			t.Fatalf("pending writes %v", changes)
 		}
 		s.run(3, 8)
-		s.replicas[0].silent = true
+		s.replicas[0].unresponsive = true
 		s.watch()
-		s.replicas[0].silent = false
+		s.replicas[0].unresponsive = false
 		s.run(2, 1)
 		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionUp {
 			t.Fatalf("one lost poll: %+v", condition)
 		}
-		s.replicas[0].silent = true
+		s.replicas[0].unresponsive = true
 		s.run(6, 1)
 		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionDown {
 			t.Fatalf("6 s of silence: %+v", condition)
 		}
-		s.replicas[0].silent = false
+		s.replicas[0].unresponsive = false
 		s.run(3, 1)
 		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionUp {
 			t.Fatalf("heard again: %+v", condition)
@@ -285,7 +285,7 @@
 			t.Fatalf("after a freeze: %v", changes)
 		}
 		for _, replica := range s.replicas {
-			replica.silent = true
+			replica.unresponsive = true
 		}
 		s.run(8, 1)
 		for _, replica := range s.replicas {
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -23,11 +23,11 @@
 	arrivals float64 // a second
 	credit   float64
 	sent     map[string]int // first choices by region
-	refused  int
+	rejected int
 	measured []float64
 }
 
-const spillHold = 400 * time.Millisecond
+const spillServiceTime = 400 * time.Millisecond
 
 // spillFleet makes three regions of five, four and three replicas of four slots
 // each, which carry 50, 40 and 30 requests a second at the most.
@@ -70,7 +70,7 @@
 		for _, name := range names {
 			region := regions[name]
 			if round%25 == 0 {
-				gossip(regions, names, name)
+				exchangeLoads(regions, names, name)
 			}
 			region.credit += region.arrivals / 50
 			for ; region.credit >= 1; region.credit-- {
@@ -82,14 +82,14 @@
 	}
 }
 
-// gossip polls a region's replicas and tells its load to the others.
-func gossip(regions map[string]*spillRegion, names []string, name string) {
+// exchangeLoads polls a region's replicas and tells its load to the others.
+func exchangeLoads(regions map[string]*spillRegion, names []string, name string) {
 	region := regions[name]
 	for _, id := range slices.Sorted(maps.Keys(region.replicas)) {
 		replica := region.replicas[id]
-		told := replica.report()
-		told.Slots = 4
-		region.router.Observe(replica.name, told, time.Now())
+		reported := replica.report()
+		reported.Slots = 4
+		region.router.Observe(replica.name, reported, time.Now())
 	}
 	for _, other := range names {
 		regions[other].router.SetRemoteLoad(name, region.router.Load(), time.Now())
@@ -99,29 +99,29 @@
 // arrive sends one request as a gateway does: to the listed regions in turn.
 func (s *simulation) arrive(regions map[string]*spillRegion, name string) {
 	region := regions[name]
-	asked := request(fmt.Sprint(name, s.random.Uint64()))
-	asked.Class = api.ClassQuick
-	for position, target := range region.router.Regions(asked) {
+	incoming := request(fmt.Sprint(name, s.random.Uint64()))
+	incoming.Class = api.ClassQuick
+	for position, target := range region.router.Regions(incoming) {
 		if position == 0 {
 			region.sent[target]++
 		}
-		slot, failure := regions[target].router.Reserve(asked)
+		reservation, failure := regions[target].router.Reserve(incoming)
 		if failure != nil {
 			continue
 		}
-		replica := regions[target].replicas[slot.Replica]
+		replica := regions[target].replicas[reservation.Replica]
 		replica.running++
-		s.after(spillHold, func() {
+		s.after(spillServiceTime, func() {
 			replica.running--
-			slot.Finish(ResultSuccess, nil, time.Now())
+			reservation.Finish(ResultSuccess, nil, time.Now())
 		})
 		return
 	}
-	region.refused++
+	region.rejected++
 }
 
-func (r *spillRegion) forget() {
-	r.sent, r.refused, r.measured = map[string]int{}, 0, nil
+func (r *spillRegion) reset() {
+	r.sent, r.rejected, r.measured = map[string]int{}, 0, nil
 }
 
 func mean(values []float64) float64 {
@@ -134,7 +134,7 @@
 
 // TestSpillStep triples one region's load beyond what it can serve. Its load
 // must settle near the set point with the rest spilled by capacity, nothing
-// refused; the others, busy themselves but with room, must not send back.
+// rejected; the others, busy themselves but with room, must not send back.
 func TestSpillStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		regions, names := spillFleet(t)
@@ -147,14 +147,14 @@
 			if away := len(regions[name].sent); away != 1 {
 				t.Errorf("%s spills at low load: %v", name, regions[name].sent)
 			}
-			regions[name].forget()
+			regions[name].reset()
 		}
 		regions["east"].arrivals = 60
 		runSpill(s, regions, names, 10)
 		settling := regions["east"]
-		t.Logf("first 10 s: load %.2f, first choices %v, refused %d", mean(settling.measured), settling.sent, settling.refused)
+		t.Logf("first 10 s: load %.2f, first choices %v, rejected %d", mean(settling.measured), settling.sent, settling.rejected)
 		for _, name := range names {
-			regions[name].forget()
+			regions[name].reset()
 		}
 		runSpill(s, regions, names, 30)
 		east := regions["east"]
@@ -163,8 +163,8 @@
 		if load := mean(east.measured); load < 0.7 || load > 0.9 {
 			t.Errorf("east settles at %.2f, want 0.8 within a tenth", load)
 		}
-		if east.refused > 0 {
-			t.Errorf("%d refused while others had room", east.refused)
+		if east.rejected > 0 {
+			t.Errorf("%d rejected while others had room", east.rejected)
 		}
 		for _, name := range []string{"west", "south"} {
 			if back := regions[name].sent["east"]; back > 0 {
@@ -176,7 +176,7 @@
 		}
 		east.arrivals = 20
 		runSpill(s, regions, names, 8)
-		east.forget()
+		east.reset()
 		runSpill(s, regions, names, 5)
 		if east.sent["west"]+east.sent["south"] > 0 {
 			t.Errorf("still spills %v after the load fell", east.sent)
@@ -184,9 +184,9 @@
 	})
 }
 
-// TestTwoFullRegionsDoNotTrade loads every region beyond its set point: none
+// TestFullRegionsDoNotExchangeSpill loads every region beyond its set point: none
 // may send its requests elsewhere as a first choice for long.
-func TestTwoFullRegionsDoNotTrade(t *testing.T) {
+func TestFullRegionsDoNotExchangeSpill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		regions, names := spillFleet(t)
 		s := newSimulation(t, 2, 0)
@@ -195,7 +195,7 @@
 		regions["south"].arrivals = 28
 		runSpill(s, regions, names, 10)
 		for _, name := range names {
-			regions[name].forget()
+			regions[name].reset()
 		}
 		runSpill(s, regions, names, 30)
 		for _, name := range names {
@@ -204,7 +204,7 @@
 				total += count
 			}
 			away := total - regions[name].sent[name]
-			t.Logf("%s: load %.2f, %d of %d first choices elsewhere, refused %d", name, mean(regions[name].measured), away, total, regions[name].refused)
+			t.Logf("%s: load %.2f, %d of %d first choices elsewhere, rejected %d", name, mean(regions[name].measured), away, total, regions[name].rejected)
 			if away*50 > total {
 				t.Errorf("%s sends %d of %d elsewhere while all are full", name, away, total)
 			}
@@ -232,13 +232,13 @@
 		for _, name := range q.names {
 			region := q.regions[name]
 			if round%10 == 0 {
-				q.locked(func() { gossip(q.regions, q.names, name) })
+				q.locked(func() { exchangeLoads(q.regions, q.names, name) })
 			}
 			region.credit += region.arrivals / 50
 			for ; region.credit >= 1; region.credit-- {
-				asked := request(fmt.Sprint(name, q.random.Uint64()))
-				asked.Class = api.ClassQuick
-				q.running.Go(func() { q.run(t.Context(), name, asked) })
+				incoming := request(fmt.Sprint(name, q.random.Uint64()))
+				incoming.Class = api.ClassQuick
+				q.running.Go(func() { q.run(t.Context(), name, incoming) })
 				synctest.Wait()
 			}
 			region.measured = append(region.measured, region.router.Load()["large"])
@@ -248,24 +248,24 @@
 	}
 }
 
-func (q *queueingRegions) run(ctx context.Context, name string, asked Request) {
-	regions := q.regions[name].router.Regions(asked)
+func (q *queueingRegions) run(ctx context.Context, name string, incoming Request) {
+	regions := q.regions[name].router.Regions(incoming)
 	for position, target := range regions {
-		slot := q.acquire(ctx, name, target, asked, position)
-		if slot == nil {
+		reservation := q.acquire(ctx, name, target, incoming, position)
+		if reservation == nil {
 			continue
 		}
-		replica := q.regions[target].replicas[slot.Replica]
+		replica := q.regions[target].replicas[reservation.Replica]
 		q.locked(func() {
 			replica.running++
 			q.ran[name][target]++
 		})
-		time.Sleep(spillHold)
+		time.Sleep(spillServiceTime)
 		q.locked(func() { replica.running-- })
-		slot.Finish(ResultSuccess, nil, time.Now())
+		reservation.Finish(ResultSuccess, nil, time.Now())
 		return
 	}
-	q.locked(func() { q.regions[name].refused++ })
+	q.locked(func() { q.regions[name].rejected++ })
 }
 
 func (q *queueingRegions) locked(work func()) {
@@ -274,19 +274,19 @@
 	work()
 }
 
-func (q *queueingRegions) acquire(ctx context.Context, name, target string, asked Request, position int) *Reservation {
+func (q *queueingRegions) acquire(ctx context.Context, name, target string, incoming Request, position int) *Reservation {
 	router := q.regions[target].router
 	if target != name && position > 0 {
-		slot, _ := router.Reserve(asked)
-		return slot
+		reservation, _ := router.Reserve(incoming)
+		return reservation
 	}
 	if target != name {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, spillWait)
 		defer cancel()
 	}
-	slot, _ := router.Acquire(ctx, asked)
-	return slot
+	reservation, _ := router.Acquire(ctx, incoming)
+	return reservation
 }
 
 // TestUnequalRegionsShareOverload gives every region the same load, 1.25 times
@@ -303,7 +303,7 @@
 		q.play(t, 10)
 		for _, name := range q.names {
 			q.locked(func() {
-				q.regions[name].forget()
+				q.regions[name].reset()
 				clear(q.ran[name])
 			})
 		}
@@ -313,7 +313,7 @@
 		for _, name := range q.names {
 			load := mean(q.regions[name].measured)
 			least, most = min(least, load), max(most, load)
-			t.Logf("%s: load %.2f, ran %v, refused %d", name, load, q.ran[name], q.regions[name].refused)
+			t.Logf("%s: load %.2f, ran %v, rejected %d", name, load, q.ran[name], q.regions[name].rejected)
 		}
 		if most > 1.25*least {
 			t.Errorf("utilizations from %.2f to %.2f", least, most)
