--- a/cmd/deckpulley-platform/main.go
+++ b/cmd/deckpulley-platform/main.go
@@ -11,6 +11,7 @@
 	"log/slog"
 	"os"
 	"os/signal"
+	"sync"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -23,7 +24,7 @@
 	exitUsage   = 2
 )
 
-// errUsage marks errors of the command line.
+// errUsage is wrapped by errors of the command line.
 var errUsage = errors.New("usage")
 
 func main() {
@@ -39,7 +40,7 @@
 	os.Exit(exitFailure)
 }
 
-// runner is one kind of process.
+// runner runs a process of one role until the context ends.
 type runner func(ctx context.Context, settings *platform.Settings, logger *slog.Logger) error
 
 func newCommand() *cobra.Command {
@@ -66,8 +67,8 @@
 		Short: short,
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			var least slog.Level
-			if err := least.UnmarshalText([]byte(*level)); err != nil {
+			var minimum slog.Level
+			if err := minimum.UnmarshalText([]byte(*level)); err != nil {
 				return fmt.Errorf("%w: --log-level: %w", errUsage, err)
 			}
 			settings, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
@@ -76,28 +77,33 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			logger := platform.NewLogger(settings, least)
-			defer followHangUps(logger)()
+			logger := platform.NewLogger(settings, minimum)
+			defer watchSettings(logger)()
 			return run(ctx, settings, logger)
 		},
 	}
 }
 
-// followHangUps checks the settings again when they have changed. All that may
-// change while a process runs is who to ask first, and a running process knows
-// better from the others.
-func followHangUps(logger *slog.Logger) (stop func()) {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
+// watchSettings validates the settings file on each SIGHUP. It applies nothing: only
+// the seeds may change while a process runs, and a running process has learned the
+// addresses of the other nodes. stop waits for the goroutine.
+func watchSettings(logger *slog.Logger) (stop func()) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
-	go func() {
-		for range hangUps {
+	var checks sync.WaitGroup
+	checks.Go(func() {
+		for range signals {
 			if _, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable)); err != nil {
-				logger.Error("changed settings are not usable", "error", err)
+				logger.Error("changed settings are invalid", "error", err)
 			}
 		}
-	}()
-	return func() { signal.Stop(hangUps) }
+	})
+	return func() {
+		signal.Stop(signals)
+		close(signals)
+		checks.Wait()
+	}
 }
 
 func newCheckCommand() *cobra.Command {
