--- a/api/caller.go
+++ b/api/caller.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// Paths of the callers' port of a gateway.
+// Paths of the caller port of a gateway.
 const (
 	PathWhere    = "/v1/where"    // POST WhereRequest, answered by WhereAnswer
 	PathRequests = "/v1/requests" // POST GenerateRequest, answered by GenerateAnswer or a stream
 )
 
-// Paths that every node serves on its callers' (gateway) or operators' (control) port.
+// Paths that every node serves, on the caller port of a gateway or the operator port of
+// a control node.
 const (
 	PathLive  = "/livez"  // 200 while the process runs its loops
-	PathReady = "/readyz" // 200 when the node may do its work, else 503 with an Error
+	PathReady = "/readyz" // 200 if the node is ready, else 503 with an Error
 )
 
-// Limits of the callers' port. A request beyond one is answered CodeTooLarge or CodeInvalid.
+// Limits of the caller port. A request that exceeds one is rejected with CodeTooLarge or
+// CodeInvalid.
 const (
 	MaxBodyBytes      = 1 << 20 // bytes of a request body
 	MaxNameBytes      = 128     // bytes of any id or name
 	MaxPrefixes       = 64      // entries of a prefix sequence
 	MaxPromptTokens   = 1 << 20 // tokens of a prompt, all prefixes included
 	MaxOutputTokens   = 1 << 16 // tokens to generate
-	MaxWaitMS         = 600_000 // longest time a caller may wait, in milliseconds
+	MaxWaitMS         = 600_000 // longest timeout of a caller, in milliseconds
 	MaxHeaderBytes    = 16 << 10
-	MaxReplicaAnswer  = 8 << 20 // bytes of a whole replica answer
+	MaxReplicaAnswer  = 8 << 20 // bytes of a complete replica answer
 	MaxStreamLine     = 64 << 10
 	DefaultWaitMillis = 30_000
 )
 
-// Wait is the time that a caller who says waitMS will wait; zero or less stands
-// for the default.
+// Wait returns the timeout of a caller that sets waitMS, in milliseconds; zero or less
+// stands for the default.
 func Wait(waitMS int64) time.Duration {
 	if waitMS <= 0 {
 		waitMS = DefaultWaitMillis
@@ -41,7 +43,7 @@
 type Class string
 
 const (
-	// ClassQuick is an inline question: small, latency bound.
+	// ClassQuick is a short, latency-sensitive request.
 	ClassQuick Class = "quick"
 	// ClassLong is a long streamed answer.
 	ClassLong Class = "long"
@@ -49,9 +51,9 @@
 	ClassFetch Class = "fetch"
 )
 
-// Prefix is one element of the sequence of shared prompt prefixes, outermost first.
+// Prefix is an element of the sequence of shared prompt prefixes, outermost first.
 type Prefix struct {
-	// ID names the prefix's content; equal ids mean equal tokens.
+	// ID identifies the content of the prefix: equal IDs mean equal tokens.
 	ID string `json:"id"`
 	// Tokens is its length in tokens.
 	Tokens int `json:"tokens"`
@@ -69,17 +71,17 @@
 	Repeatable bool     `json:"repeatable"`
 }
 
-// WhereAnswer names the gateway that owns the request.
+// WhereAnswer names the gateway that owns a request.
 type WhereAnswer struct {
 	RequestID string `json:"request_id"`
-	// Ticket is opaque, authenticated and good for this request id alone.
+	// Ticket is opaque, authenticated and valid only for this request ID.
 	Ticket string `json:"ticket"`
-	// Gateway is the callers' address (host:port) of the owner.
+	// Gateway is the address (host:port) of the owner's caller port.
 	Gateway string `json:"gateway"`
-	// Alternates are gateways that pass the request to the owner.
+	// Alternates are gateways that forward the request to the owner.
 	Alternates []string `json:"alternates,omitempty"`
 	Region     string   `json:"region"`
-	// ExpiresInMS is the time left to use the ticket, in milliseconds.
+	// ExpiresInMS is the time until the ticket expires, in milliseconds.
 	ExpiresInMS          int64  `json:"expires_in_ms"`
 	ConfigurationVersion uint64 `json:"configuration_version"`
 }
@@ -104,32 +106,33 @@
 	Repeatable bool   `json:"repeatable"`
 }
 
-// GenerateAnswer is a whole answer, to a caller and from a replica alike.
+// GenerateAnswer is a complete answer, of a replica and to a caller.
 type GenerateAnswer struct {
 	RequestID string `json:"request_id"`
-	// RunID names the one run on one replica that made every piece.
+	// RunID identifies the single run, on one replica, that generated the answer.
 	RunID string `json:"run_id"`
-	// Tokens is the count generated.
+	// Tokens is the number of generated tokens.
 	Tokens int    `json:"tokens"`
 	Text   string `json:"text"`
-	// CachedTokens is the part of the prompt found in the replica's KV cache.
+	// CachedTokens is the number of prompt tokens found in the replica's KV cache.
 	CachedTokens int `json:"cached_tokens"`
-	// Replica, Region and ConfigurationVersion are filled in by the gateway.
+	// Replica, Region and ConfigurationVersion are set by the gateway.
 	Replica              string `json:"replica,omitempty"`
 	Region               string `json:"region,omitempty"`
 	ConfigurationVersion uint64 `json:"configuration_version,omitempty"`
-	// Report piggybacks the replica's state; the gateway removes it.
+	// Report is the replica's report, sent with the answer; the gateway removes it.
 	Report *ReplicaReport `json:"report,omitempty"`
 }
 
 // Names of server-sent events in a stream.
 const (
-	EventPiece = "piece" // StreamPiece
+	EventPiece = "piece" // StreamChunk
 	EventEnd   = "end"   // StreamEnd; present only if the replica sent it
 	EventError = "error" // Error; the connection is then aborted, never ended cleanly
 )
 
-// StreamChunk is one event of a stream. Sequence starts at 1 and rises by 1.
+// StreamChunk is the data of a chunk event of a stream. Sequence starts at 1 and
+// increases by 1.
 type StreamChunk struct {
 	RequestID string `json:"request_id"`
 	RunID     string `json:"run_id"`
@@ -138,15 +141,15 @@
 	Tokens    int    `json:"tokens"`
 }
 
-// StreamEnd closes a stream that is whole. Sequence is that of the last piece
-// plus 1.
+// StreamEnd is the data of the event that ends a complete stream. Sequence is that of
+// the last chunk plus 1.
 type StreamEnd struct {
 	RequestID    string `json:"request_id"`
 	RunID        string `json:"run_id"`
 	Sequence     int    `json:"sequence"`
 	Tokens       int    `json:"tokens"`
 	CachedTokens int    `json:"cached_tokens"`
-	// Replica, Region and ConfigurationVersion are filled in by the gateway.
+	// Replica, Region and ConfigurationVersion are set by the gateway.
 	Replica              string         `json:"replica,omitempty"`
 	Region               string         `json:"region,omitempty"`
 	ConfigurationVersion uint64         `json:"configuration_version,omitempty"`
--- a/api/error.go
+++ b/api/error.go
@@ -1,6 +1,9 @@
 // Package api defines the JSON documents that deckpulley exchanges over
-// HTTP/1.1 with callers, replicas, operators and the platform. It holds types
-// and constants alone: no handler and no client.
+// HTTP/1.1 with callers, replicas, operators and the platform. It contains only
+// types and constants, no handlers and no client.
+//
+// The JSON fields are the stable interface; the Go names follow the current terms, so
+// that some differ from their tags.
 package api
 
 import (
@@ -12,13 +15,13 @@
 type Outcome string
 
 const (
-	// OutcomeSuccess means the answer is whole and belongs to the request.
+	// OutcomeSuccess means the answer is complete and belongs to the request.
 	OutcomeSuccess Outcome = "success"
 	// OutcomeRefused means the request never ran and never will.
 	OutcomeRefused Outcome = "refused"
 	// OutcomeFailed means the request ran, at least in part, and failed.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeUnknown means nobody can tell whether the request ran.
+	// OutcomeUnknown means it cannot be determined whether the request ran.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -26,53 +29,53 @@
 type Code string
 
 const (
-	CodeInvalid           Code = "invalid"             // malformed or out of limits
-	CodeTooLarge          Code = "too_large"           // a stated size limit was passed
+	CodeInvalid           Code = "invalid"             // malformed or outside the limits
+	CodeTooLarge          Code = "too_large"           // a size limit was exceeded
 	CodeUnauthorized      Code = "unauthorized"        // missing or wrong operator token
 	CodeNotFound          Code = "not_found"           // unknown path, model, route or object
-	CodeTicketRequired    Code = "ticket_required"     // not repeatable and without a ticket
+	CodeTicketRequired    Code = "ticket_required"     // not idempotent and without a ticket
 	CodeTicketInvalid     Code = "ticket_invalid"      // not authentic, or for another request
 	CodeTicketExpired     Code = "ticket_expired"      // used after its deadline
-	CodeTicketOrphaned    Code = "ticket_orphaned"     // the owner is gone or was restarted
+	CodeTicketOrphaned    Code = "ticket_orphaned"     // the owner was removed or restarted
 	CodeDuplicate         Code = "duplicate"           // a stream for this request already runs elsewhere
-	CodeOverloaded        Code = "overloaded"          // the queue is full or the share is used up
-	CodeDeadline          Code = "deadline"            // cannot be, or was not, done in the caller's time
-	CodeNoCapacity        Code = "no_capacity"         // no replica that may serve is available
+	CodeOverloaded        Code = "overloaded"          // the queue is full or the quota share is exhausted
+	CodeDeadline          Code = "deadline"            // not completed, or not possible, by the caller's deadline
+	CodeNoCapacity        Code = "no_capacity"         // no replica that may serve the request is available
 	CodeHomeUnavailable   Code = "home_unavailable"    // the home regions cannot serve now
-	CodeNoLease           Code = "no_lease"            // the gateway may not place requests now
+	CodeNoLease           Code = "no_lease"            // the gateway has no valid lease
 	CodeNotReady          Code = "not_ready"           // the node is starting or draining
 	CodeStale             Code = "stale_configuration" // the replica has seen a newer configuration
-	CodeRestarted         Code = "replica_restarted"   // the replica is of another incarnation than was placed on
-	CodeReplicaDraining   Code = "replica_draining"    // the replica takes nothing new
-	CodeReplicaError      Code = "replica_error"       // the replica answered an error
+	CodeRestarted         Code = "replica_restarted"   // the replica is of another incarnation than the request is for
+	CodeReplicaDraining   Code = "replica_draining"    // the replica accepts no new requests
+	CodeReplicaError      Code = "replica_error"       // the replica responded with an error
 	CodeReplicaBroken     Code = "replica_broken"      // the connection or stream broke
 	CodeReplicaMismatch   Code = "replica_mismatch"    // the answer belongs to another request
-	CodeReplicaIncomplete Code = "replica_incomplete"  // the answer is shorter than announced
-	CodeReplicaStalled    Code = "replica_stalled"     // no event within the allowed gap
+	CodeReplicaIncomplete Code = "replica_incomplete"  // the answer is truncated
+	CodeReplicaStalled    Code = "replica_stalled"     // no event within the idle timeout
 	CodeVersionConflict   Code = "version_conflict"    // the base version is not the current one
-	CodeOperationConflict Code = "order_conflict"      // the order id was used for another order
+	CodeOperationConflict Code = "order_conflict"      // the operation ID was used for another operation
 	CodeNoPrimary         Code = "no_primary"          // no primary can be reached
-	CodePending           Code = "pending"             // stored, not yet known to be in force everywhere
-	CodeCanceled          Code = "canceled"            // the caller went away
-	CodeInternal          Code = "internal"            // a defect on our side
+	CodePending           Code = "pending"             // committed, not yet known to be in force everywhere
+	CodeCanceled          Code = "canceled"            // the caller canceled the request
+	CodeInternal          Code = "internal"            // a defect in deckpulley
 )
 
-// Error is the body of every answer that is not a success, and the data of a
+// Error is in the body of every response that is not a success, and the data of a
 // stream's error event.
 type Error struct {
 	// Code names the cause.
 	Code Code `json:"code"`
 	// Outcome says whether the request ran.
 	Outcome Outcome `json:"outcome"`
-	// Message is one sentence for a person.
+	// Message describes the error in one sentence.
 	Message string `json:"message"`
-	// Field names the offending field, as a dotted path, for CodeInvalid.
+	// Field is the dotted path of the invalid field, for CodeInvalid.
 	Field string `json:"field,omitempty"`
 	// Retry says whether sending the same request again may succeed.
 	Retry bool `json:"retry"`
-	// RetryAfterMS is the time in milliseconds to wait before that; 0 is none.
+	// RetryAfterMS is the time to wait before that, in milliseconds; 0 is none.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// RequestID repeats the request this error answers, if any.
+	// RequestID is the ID of the request that failed, if any.
 	RequestID string `json:"request_id,omitempty"`
 }
 
@@ -84,12 +87,12 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code, e.Outcome, e.Message)
 }
 
-// ErrorBody wraps an Error in every JSON answer that carries one.
+// ErrorBody is the JSON body of a response with an Error.
 type ErrorBody struct {
 	Error *Error `json:"error"`
 }
 
-// Status is the HTTP status that carries the error.
+// Status returns the HTTP status of a response with the error.
 func (e *Error) Status() int {
 	switch e.Code {
 	case CodeInvalid, CodeTicketRequired, CodeTicketInvalid:
--- a/api/http.go
+++ b/api/http.go
@@ -1,32 +1,33 @@
 package api
 
-// PathHTTPReplicas of a gateway's operators' port: GET HTTPReplicasAnswer.
+// PathHTTPReplicas is served by gateways on the operator port: GET
+// HTTPReplicasAnswer.
 const PathHTTPReplicas = "/v1/http/replicas"
 
-// HTTPReplicasAnswer lists the replicas of services that are reached by host and
-// path, as one gateway holds them.
+// HTTPReplicasAnswer lists the replicas of services that are routed by host and
+// path, as one gateway sees them.
 type HTTPReplicasAnswer struct {
 	Gateway  string              `json:"gateway"`
 	Replicas []HTTPReplicaStatus `json:"replicas"`
 }
 
-// HTTPReplicaState says whether a replica gets new requests from a gateway, and
-// why not.
+// HTTPReplicaState says whether a replica gets new requests from a gateway and, if
+// not, why.
 type HTTPReplicaState string
 
-// States of replicas, the first that holds.
+// States of replicas. If several apply, the first in this order is reported.
 const (
-	HTTPReplicaReplaced  HTTPReplicaState = "replaced"  // another replica answered at its address
+	HTTPReplicaReplaced  HTTPReplicaState = "replaced"  // another replica responded at its address
 	HTTPReplicaEvacuated HTTPReplicaState = "evacuated" // operators evacuated its zone
-	HTTPReplicaDraining  HTTPReplicaState = "draining"  // it is about to leave
+	HTTPReplicaDraining  HTTPReplicaState = "draining"  // it is about to stop
 	HTTPReplicaEjected   HTTPReplicaState = "ejected"   // too many of its answers failed
-	HTTPReplicaAvoided   HTTPReplicaState = "avoided"   // it could not be reached lately, or is silent
-	HTTPReplicaFull      HTTPReplicaState = "full"      // it said that it takes no more
-	HTTPReplicaCold      HTTPReplicaState = "cold"      // it has started and bears little
+	HTTPReplicaAvoided   HTTPReplicaState = "avoided"   // it was unreachable recently, or does not respond
+	HTTPReplicaFull      HTTPReplicaState = "full"      // it reported that it accepts no more requests
+	HTTPReplicaCold      HTTPReplicaState = "cold"      // it is warming up
 	HTTPReplicaUsable    HTTPReplicaState = "usable"
 )
 
-// HTTPReplicaStatus is what a gateway holds of one replica.
+// HTTPReplicaStatus is the state of a replica as a gateway sees it.
 type HTTPReplicaStatus struct {
 	ID      string           `json:"id"`
 	Service string           `json:"service"`
@@ -34,10 +35,10 @@
 	Region  string           `json:"region"`
 	Address string           `json:"address"`
 	State   HTTPReplicaState `json:"state"`
-	// Requests are the gateway's own attempts under way.
+	// Requests counts the gateway's own attempts in flight.
 	Requests int `json:"requests"`
-	// PrefillMS is the reading of prompts that it has before it, by all gateways.
+	// PrefillMS is the pending prefill of all gateways' requests, in milliseconds.
 	PrefillMS int64 `json:"reading_ms"`
-	// Slowness is its measured time to read over the expected one.
+	// Slowness is the ratio of its measured to its expected prefill time.
 	Slowness float64 `json:"slowness"`
 }
--- a/api/operator.go
+++ b/api/operator.go
@@ -1,46 +1,46 @@
 package api
 
-// Paths of the operators' port of a control node. Every node of the control
-// role answers; one that is not the primary forwards toward it.
+// Paths of the operator port of a control node. Every control node serves them; one
+// that is not the primary forwards requests to it.
 const (
-	PathConfiguration = "/v1/configuration" // GET ConfigurationAnswer; PUT ConfigurationOrder; PATCH ConfigurationChangeOrder
+	PathConfiguration = "/v1/configuration" // GET ConfigurationAnswer; PUT ConfigurationOperation; PATCH ConfigurationPatchOperation
 	PathZones         = "/v1/zones"         // GET ZonesAnswer
-	PathEvacuations   = "/v1/evacuations"   // POST EvacuationOrder
+	PathEvacuations   = "/v1/evacuations"   // POST EvacuationOperation
 	PathStatus        = "/v1/status"        // GET StatusAnswer
 	PathMembers       = "/v1/members"       // GET MembersAnswer
 	PathReplicas      = "/v1/replicas"      // GET ReplicasAnswer; PUT ReplicaList (platform)
-	PathOperations    = "/v1/orders"        // GET OrdersAnswer
+	PathOperations    = "/v1/orders"        // GET OperationsAnswer
 	PathMetrics       = "/metrics"
 )
 
-// PathExplain of a gateway's operators' port: POST GenerateRequest, answered by
-// ExplainAnswer. Nothing is decided or sent.
+// PathExplain is served by gateways on the operator port: POST GenerateRequest, answered
+// by ExplainAnswer. The request is not run.
 const PathExplain = "/v1/explain"
 
-// ConfigurationOperation hands over a whole configuration document.
+// ConfigurationOperation replaces the configuration document.
 type ConfigurationOperation struct {
-	// OperationID makes a resend safe: the first answer is repeated.
+	// OperationID makes the operation idempotent: a resend gets the first result.
 	OperationID string `json:"order_id"`
-	// BaseVersion is the version the document was built on; 0 is none yet.
+	// BaseVersion is the version that the document is based on; 0 if there is none yet.
 	BaseVersion uint64 `json:"base_version"`
 	Author      string `json:"author,omitempty"`
-	// Document is the configuration file's text (YAML or JSON).
+	// Document is the text of the configuration file, in YAML or JSON.
 	Document string `json:"document"`
 }
 
 // ConfigurationPatchOperation changes named items of the configuration document and
 // leaves the rest of its text.
 type ConfigurationPatchOperation struct {
-	// OperationID makes a resend safe: the first answer is repeated.
+	// OperationID makes the operation idempotent: a resend gets the first result.
 	OperationID string `json:"order_id"`
-	// BaseVersion is the version that the change is made to, and no other.
+	// BaseVersion is the only version to which the change applies.
 	BaseVersion uint64 `json:"base_version"`
 	Author      string `json:"author,omitempty"`
-	// Change is the text of the change (YAML or JSON).
+	// Change is the text of the change, in YAML or JSON.
 	Change string `json:"change"`
 }
 
-// EvacuationOperation empties a zone, or withdraws that.
+// EvacuationOperation evacuates a zone, or withdraws an evacuation.
 type EvacuationOperation struct {
 	OperationID string `json:"order_id"`
 	Zone        string `json:"zone"`
@@ -48,20 +48,20 @@
 	Author      string `json:"author,omitempty"`
 }
 
-// OperationResult acknowledges an order. It is stored with the order's effect and
-// repeated to every resend.
+// OperationResult is the result of an operation. It is stored with the operation's
+// effect and returned to every resend.
 type OperationResult struct {
 	OperationID string `json:"order_id"`
-	// Accepted is false for a refused order; Error then says why.
+	// Accepted is false for a rejected operation; Error then has the reason.
 	Accepted bool `json:"accepted"`
-	// Version is the configuration version after the order.
+	// Version is the configuration version after the operation.
 	Version uint64 `json:"version"`
-	// Serial is the registry serial that made the order visible.
+	// Serial is the registry serial at which the operation took effect.
 	Serial uint32 `json:"serial"`
 	Error  *Error `json:"error,omitempty"`
 }
 
-// ConfigurationAnswer reads the configuration back.
+// ConfigurationAnswer is the current configuration.
 type ConfigurationAnswer struct {
 	Version  uint64 `json:"version"`
 	Serial   uint32 `json:"serial"`
@@ -69,7 +69,7 @@
 	Document string `json:"document"`
 }
 
-// ZoneStatus is one zone and whether it is evacuated.
+// ZoneStatus is a zone and whether it is evacuated.
 type ZoneStatus struct {
 	Zone      string `json:"zone"`
 	Region    string `json:"region"`
@@ -81,7 +81,7 @@
 	Zones []ZoneStatus `json:"zones"`
 }
 
-// ReplicaEntry is one replica as the platform lists it.
+// ReplicaEntry is an entry of the platform's list of replicas.
 type ReplicaEntry struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
@@ -89,10 +89,10 @@
 	// Address is host:port of the replica's HTTP server.
 	Address  string `json:"address"`
 	Draining bool   `json:"draining,omitempty"`
-	// Slots is the number of requests that it runs side by side, 0 if not told.
+	// Slots is the number of requests that it runs concurrently, 0 if unknown.
 	Slots int `json:"slots,omitempty"`
-	// ColdMS is how long it stays cold, in milliseconds; nil leaves that to the
-	// gateway that watches the replica.
+	// ColdMS is the remaining warm-up time, in milliseconds; nil if only the gateway that
+	// watches the replica knows it.
 	ColdMS *int64 `json:"cold_ms,omitempty"`
 }
 
@@ -101,23 +101,23 @@
 	Replicas []ReplicaEntry `json:"replicas"`
 }
 
-// ReplicasAnswer lists the replicas with what the registry holds of them.
+// ReplicasAnswer lists the replicas with their entries in the registry.
 type ReplicasAnswer struct {
 	Serial   uint32          `json:"serial"`
 	Replicas []ReplicaStatus `json:"replicas"`
 }
 
-// ReplicaStatus is one replica with its slow facts.
+// ReplicaStatus is a replica with its condition.
 type ReplicaStatus struct {
 	ReplicaEntry
 	Region string `json:"region"`
 	// Condition is "up", "cold", "draining" or "down".
 	Condition string `json:"condition"`
-	// Feeder is the one gateway that may place on it while it is cold.
+	// Feeder is the one gateway that may send requests to it while it is warming up.
 	Feeder string `json:"feeder,omitempty"`
 }
 
-// MemberStatus is one node of ours.
+// MemberStatus is the status of one of deckpulley's nodes.
 type MemberStatus struct {
 	Name        string `json:"name"`
 	Role        string `json:"role"` // "control" or "gateway"
@@ -125,7 +125,8 @@
 	Region      string `json:"region"`
 	Incarnation string `json:"incarnation"`
 	PeerAddress string `json:"peer_address"`
-	// HTTPAddress is the callers' port of a gateway, the operators' of a control node.
+	// HTTPAddress is the address of a gateway's caller port, or of a control node's
+	// operator port.
 	HTTPAddress string `json:"http_address"`
 	Up          bool   `json:"up"`
 	// Identity, Voter, Learner and MatchIndex are set for control nodes.
@@ -133,53 +134,55 @@
 	Voter      bool   `json:"voter,omitempty"`
 	Learner    bool   `json:"learner,omitempty"`
 	MatchIndex uint64 `json:"match_index,omitempty"`
-	// LeaseMS, HeldSerial, ActiveSerial and ActiveVersion are set for gateways, at the primary.
+	// LeaseMS, ReceivedSerial, ActiveSerial and ActiveVersion are set for gateways, by the
+	// primary. LeaseMS is the remaining time of the lease, in milliseconds.
 	LeaseMS        int64  `json:"lease_ms,omitempty"`
 	ReceivedSerial uint32 `json:"held_serial,omitempty"`
 	ActiveSerial   uint32 `json:"active_serial,omitempty"`
 	ActiveVersion  uint64 `json:"active_version,omitempty"`
 }
 
-// MembersAnswer lists the nodes.
+// MembersAnswer lists deckpulley's nodes.
 type MembersAnswer struct {
 	Members []MemberStatus `json:"members"`
-	// RepairDone is true when every voter is reachable and holds everything committed.
+	// RepairDone is true if every voter is reachable and has all committed entries.
 	RepairDone bool `json:"repair_done"`
 }
 
-// StatusAnswer is one screen about the control plane.
+// StatusAnswer summarizes the state of the control plane.
 type StatusAnswer struct {
 	Node           string `json:"node"`
 	Primary        string `json:"primary"`
-	PrimaryAddress string `json:"primary_address"` // operators' address
+	PrimaryAddress string `json:"primary_address"` // of the operator port
 	Term           uint64 `json:"term"`
 	CommitIndex    uint64 `json:"commit_index"`
 	AppliedIndex   uint64 `json:"applied_index"`
 	Serial         uint32 `json:"serial"`
-	// InForceSerial is the newest serial known to be active at every lease holder.
+	// InForceSerial is the highest serial known to be active at every lease holder.
 	InForceSerial uint32         `json:"in_force_serial"`
 	Version       uint64         `json:"version"`
 	Leases        int            `json:"leases"`
 	Members       []MemberStatus `json:"members"`
 	Degraded      []string       `json:"degraded,omitempty"`
-	// Services are those of a gateway's own region; only a gateway fills them in.
+	// Services are those of a gateway's region; only gateways set them.
 	Services []ServiceLoad `json:"services,omitempty"`
 }
 
-// ServiceLoad is one service in one region as a gateway of that region sees it.
+// ServiceLoad is the load of a service in a region as a gateway of that region sees it.
 type ServiceLoad struct {
 	Service string `json:"service"`
 	Region  string `json:"region"`
-	// Utilization is work over limit, 1 is full; SetPoint is what is aimed at.
+	// Utilization is the number of requests over the limit, 1 is full; SetPoint is its
+	// target.
 	Utilization float64 `json:"utilization"`
 	SetPoint    float64 `json:"set_point"`
-	// Spill is the part of the region's own requests that is sent elsewhere.
+	// Spill is the fraction of the region's requests that is sent to other regions.
 	Spill float64 `json:"spill"`
 	// Limit, InFlight and Queued count requests.
 	Limit    int `json:"limit"`
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
-	// Replicas counts all that are listed, the others those in that state.
+	// Replicas counts all listed replicas, the other fields those in a state.
 	Replicas int `json:"replicas"`
 	Usable   int `json:"usable"`
 	Cold     int `json:"cold"`
@@ -187,64 +190,65 @@
 	Ejected  int `json:"ejected"`
 }
 
-// OperationStatus is one order's answer that is still kept.
+// OperationStatus is a retained operation result.
 type OperationStatus struct {
-	// Number orders the answers by age, newer is larger.
+	// Number orders the results by age: a newer one has a larger number.
 	Number      uint64 `json:"number"`
 	OperationID string `json:"order_id"`
 	Accepted    bool   `json:"accepted"`
-	// Version is the configuration version after the order.
+	// Version is the configuration version after the operation.
 	Version uint64 `json:"version"`
-	// Code, Field and Reason say why an order was refused.
+	// Code, Field and Reason say why an operation was rejected.
 	Code   Code   `json:"code,omitempty"`
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// OperationsAnswer lists kept orders, newest first.
+// OperationsAnswer lists the retained operation results, newest first.
 type OperationsAnswer struct {
 	Serial uint32            `json:"serial"`
 	Orders []OperationStatus `json:"orders"`
 }
 
-// ExplainStep is one step of the decision about a request.
+// ExplainStep is a step of a routing decision.
 type ExplainStep struct {
-	// Step is what was decided, Result what came out, Reason where it comes from.
+	// Step names the decision, Result is its result and Reason the cause.
 	Step   string `json:"step"`
 	Result string `json:"result"`
 	Reason string `json:"reason"`
 }
 
-// ExplainRegion is one region as the explaining gateway knows it.
+// ExplainRegion is a region as the responding gateway sees it.
 type ExplainRegion struct {
 	Region string `json:"region"`
-	// Rank is the place in the order of attempts, 1 first; 0 is not a candidate.
+	// Rank is the position in the order of attempts, starting at 1; 0 if the region is no
+	// candidate.
 	Rank int `json:"rank"`
-	// Load is its utilization, 1 is full, and Knowledge how that is known:
-	// "fresh", "stale" (reports have stopped) or "unheard" (there never was one).
+	// Load is its utilization, 1 is full. Knowledge is the freshness of the load:
+	// "fresh", "stale" (reports have stopped) or "unheard" (never reported).
 	Load      float64 `json:"load"`
 	Knowledge string  `json:"knowledge"`
-	// Usable is false if the plan leaves it no replica or no gateway.
+	// Usable is false if it has no admitted replica or no gateway in the plan.
 	Usable     bool `json:"usable"`
 	TakesSpill bool `json:"takes_spill"`
 }
 
-// ExplainReplica is one replica of the explaining gateway's region.
+// ExplainReplica is a replica of the responding gateway's region.
 type ExplainReplica struct {
 	Replica string `json:"replica"`
-	// State is "usable", or why it gets nothing new from this gateway.
+	// State is "usable", or the reason why it gets no new requests from this gateway.
 	State string `json:"state"`
-	// InFlight counts this gateway's requests, Others the rest; Limit is this
-	// gateway's bound.
+	// InFlight counts this gateway's requests, Others those of other gateways; Limit is
+	// the concurrency limit.
 	InFlight int `json:"in_flight"`
 	Others   int `json:"others"`
 	Limit    int `json:"limit"`
-	// FirstTokenMS is the expected time to the first token of this request, in
-	// milliseconds, with nothing of its prompt cached.
+	// FirstTokenMS is the expected time to the first token of this request without a
+	// cached prefix, in milliseconds.
 	FirstTokenMS int64 `json:"first_token_ms"`
 }
 
-// ExplainAnswer says where a request would go at this moment, and why.
+// ExplainAnswer says where a request would be sent now, and why.
 type ExplainAnswer struct {
 	Gateway              string           `json:"gateway"`
 	Region               string           `json:"region"`
@@ -253,6 +257,6 @@
 	Steps                []ExplainStep    `json:"steps"`
 	Regions              []ExplainRegion  `json:"regions"`
 	Replicas             []ExplainReplica `json:"replicas"`
-	// Error is the answer that the request would get if it would be refused.
+	// Error is what the request would be rejected with, nil if it would not be.
 	Error *Error `json:"error,omitempty"`
 }
--- a/api/replica.go
+++ b/api/replica.go
@@ -6,53 +6,54 @@
 	PathReplicaGenerate = "/v1/generate" // POST ReplicaRequest
 )
 
-// ReplicaReport is what a replica says of itself.
+// ReplicaReport is a replica's report of its own state.
 type ReplicaReport struct {
 	Replica string `json:"replica"`
 	// Incarnation changes with every start of the replica process.
 	Incarnation string `json:"incarnation"`
 	Service     string `json:"service"`
-	// Running and Queued count requests.
+	// Running and Queued count the replica's requests.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Slots is the number of requests it decodes side by side at full speed.
+	// Slots is the number of requests that it decodes concurrently at full speed.
 	Slots int `json:"slots"`
-	// PendingPrefillTokens is the prefill work queued, in tokens.
+	// PendingPrefillTokens is the queued prefill work, in tokens.
 	PendingPrefillTokens int `json:"pending_prefill_tokens"`
-	// PrefillTokensPerSecond is its present prefill speed.
+	// PrefillTokensPerSecond is its present prefill rate.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
-	// CacheUsed is the used part of the KV cache, 0 to 1.
+	// CacheUsed is the used fraction of the KV cache, 0 to 1.
 	CacheUsed float64 `json:"cache_used"`
 	// CacheEvictions counts prefixes evicted since the start.
 	CacheEvictions uint64 `json:"cache_evictions"`
 	WeightVersion  string `json:"weight_version"`
 	Cold           bool   `json:"cold"`
 	Draining       bool   `json:"draining"`
-	// ConfigurationVersion is the newest stamp the replica has seen.
+	// ConfigurationVersion is the highest version in a stamp that the replica has seen.
 	ConfigurationVersion uint64 `json:"configuration_version"`
-	// Sequence rises with every report of one incarnation.
+	// Sequence increases with every report of an incarnation.
 	Sequence uint64 `json:"sequence"`
 }
 
-// Stamp is attached to every request to a replica.
+// Stamp is the part of every request to a replica that identifies the decision to send
+// it there.
 type Stamp struct {
-	// ConfigurationVersion is the version that decided the placement. A replica
-	// that has seen a newer one answers CodeStale and runs nothing.
+	// ConfigurationVersion is the version under which the replica was chosen. A replica
+	// that has seen a newer one responds with CodeStale and runs nothing.
 	ConfigurationVersion uint64 `json:"configuration_version"`
 	// Serial is the registry serial that was active at the gateway.
 	Serial uint32 `json:"serial"`
-	// Gateway and Incarnation name the process that placed the request.
+	// Gateway and Incarnation identify the process that sent the request.
 	Gateway     string `json:"gateway"`
 	Incarnation string `json:"incarnation"`
-	// ReplicaIncarnation is the incarnation of the replica that the placement was
-	// decided for. A replica of another one answers CodeRestarted and runs
-	// nothing; an empty one is not checked.
+	// ReplicaIncarnation is the incarnation of the replica that was chosen. A replica of
+	// another incarnation responds with CodeRestarted and runs nothing; an empty one is
+	// not checked.
 	ReplicaIncarnation string `json:"replica_incarnation,omitempty"`
 	Attempt            int    `json:"attempt"`
 }
 
-// ReplicaRequest is what a gateway sends to a replica. A replica that answers
-// an Error with OutcomeRefused has not started the request and never will.
+// ReplicaRequest is a request from a gateway to a replica. A replica that responds with
+// an Error of OutcomeRefused has not run the request and never will.
 type ReplicaRequest struct {
 	RequestID    string   `json:"request_id"`
 	Model        string   `json:"model"`
@@ -61,7 +62,7 @@
 	PromptTokens int      `json:"prompt_tokens"`
 	MaxTokens    int      `json:"max_tokens"`
 	Stream       bool     `json:"stream"`
-	// TimeLeftMS is the caller's remaining time.
+	// TimeLeftMS is the time to the caller's deadline, in milliseconds.
 	TimeLeftMS int64 `json:"time_left_ms"`
 	Stamp      Stamp `json:"stamp"`
 }
