--- /dev/null
+++ b/control/laterenewal_test.go
@@ -0,0 +1,122 @@
+package control
+
+import (
+	"testing"
+	"time"
+
+	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/lease"
+	"github.com/deckpulley/deckpulley/registry"
+	"github.com/deckpulley/deckpulley/storage"
+)
+
+// settledCrowd is a lone primary that has granted leases to gateways and recorded them.
+func settledCrowd(t *testing.T, count int) (*machine, crowd, time.Duration) {
+	t.Helper()
+	m := loneMachine(t)
+	now := time.Duration(0)
+	m.advance(t, &now, 5*time.Second)
+	gateways := newCrowd(count, "1")
+	for range 4 {
+		gateways.renew(t, m, now)
+		m.advance(t, &now, 50*time.Millisecond)
+	}
+	if leased := gateways.renew(t, m, now); leased != count {
+		t.Fatalf("%d of %d gateways have a lease", leased, count)
+	}
+	return m, gateways, now
+}
+
+// TestLateRenewalOfAnEndedProcessChangesNoRecord: renewals may overtake one another and
+// outlive their process. Whoever was replaced, and whoever doesn't know this term and
+// isn't the one recorded, takes no record back.
+func TestLateRenewalOfAnEndedProcessChangesNoRecord(t *testing.T) {
+	m, ended, now := settledCrowd(t, 1)
+	incarnation := func() string { return m.contents.Gateways()["gateway-0"].Incarnation }
+
+	unknown := newCrowd(1, "0")
+	unknown.renew(t, m, now) // without the term
+	if got := incarnation(); got != "1" {
+		t.Errorf("a renewal without this term made the record that of incarnation %q, want 1", got)
+	}
+	restarted := newCrowd(1, "2")
+	restarted[0].Term = m.leadership.term
+	restarted.renew(t, m, now)
+	if got := incarnation(); got != "2" {
+		t.Fatalf("the record is that of incarnation %q after the restart, want 2", got)
+	}
+	ended.renew(t, m, now) // late, and with this term
+	if got := incarnation(); got != "2" {
+		t.Errorf("a replaced process took the record back: incarnation %q, want 2", got)
+	}
+}
+
+// TestNoLeaseWhileItsEndIsBeingRecorded: a record that says that a gateway may hold no
+// lease is on its way, and the old one is still there. A lease granted now would be
+// unknown to the next primary.
+func TestNoLeaseWhileItsEndIsBeingRecorded(t *testing.T) {
+	m, gateways, now := settledCrowd(t, 1)
+	for !m.leadership.gateways["gateway-0"].ending {
+		m.advance(t, &now, defaultTickInterval)
+		m.tick(now)
+		m.maintain(now) // proposes the record and doesn't carry it out
+		if now > time.Minute {
+			t.Fatal("the lease of a gateway that is gone does not end")
+		}
+	}
+	back := gateways[0]
+	back.ReceivedSerial, back.ActiveSerial = m.table.Serial(), m.table.Serial()
+	if grant := m.renew(now, back); !grant.Granted || grant.LeaseMS != 0 {
+		t.Errorf("answered %+v while the end of the lease is being recorded", grant)
+	}
+	if err := m.settle(now); err != nil {
+		t.Fatal(err)
+	}
+	if m.contents.Gateways()["gateway-0"].MayHoldLease {
+		t.Error("the end of the lease is not recorded")
+	}
+}
+
+// TestGatewayAheadOfThePrimaryIsNotGranted: a serial that the primary doesn't have comes
+// from another history.
+func TestGatewayAheadOfThePrimaryIsNotGranted(t *testing.T) {
+	m, gateways, now := settledCrowd(t, 1)
+	ahead := gateways[0]
+	ahead.ReceivedSerial = m.table.Serial() + 1
+	if grant := m.renew(now, ahead); grant.Granted || grant.LeaseMS != 0 {
+		t.Errorf("a gateway ahead of the primary was answered %+v", grant)
+	}
+}
+
+// TestNewPrimaryWaitsForGatewaysOfOlderRecords: a record written before MayHoldLease
+// existed says by Up alone that the gateway may have a lease.
+func TestNewPrimaryWaitsForGatewaysOfOlderRecords(t *testing.T) {
+	store := storage.NewMemory("disk-1")
+	m := loneMachineOn(t, store)
+	now := time.Duration(0)
+	m.advance(t, &now, 5*time.Second)
+	older := catalog.Gateway{Incarnation: "1", Zone: "north-1", Region: "north", PeerAddress: "gateway-1:1", Up: true}
+	update := m.ownUpdate(nil, []registry.Record{registry.Add(catalog.GatewayRecord("gateway-1", older))})
+	m.propose(now, update, func(result registry.Result, err error) {
+		if err != nil || result.Code != registry.NoError {
+			t.Errorf("the older record was not written: %v %v", result.Code, err)
+		}
+	})
+	if err := m.settle(now); err != nil {
+		t.Fatal(err)
+	}
+
+	m = loneMachineOn(t, store)
+	now = 0
+	for m.leadership == nil || !m.leadership.ready {
+		m.advance(t, &now, defaultTickInterval)
+	}
+	m.advance(t, &now, 200*time.Millisecond)
+	if m.leadership.grantor.GracePeriodOver() {
+		t.Error("a new primary does not wait for the lease of a gateway with an older record")
+	}
+	m.advance(t, &now, lease.DefaultConfig().GracePeriod())
+	if !m.leadership.grantor.GracePeriodOver() {
+		t.Error("the wait for the older record does not end")
+	}
+}
