--- /dev/null
+++ b/storage/persistcrash_test.go
@@ -0,0 +1,32 @@
+package storage
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/deckpulley/deckpulley/consensus"
+)
+
+// TestCrashWithinPersistLeavesNoGap: entries that follow a snapshot are on the disk only
+// with that snapshot, wherever the power goes.
+func TestCrashWithinPersistLeavesNoGap(t *testing.T) {
+	snapshot := consensus.Snapshot{Index: 9, Term: 2, Data: []byte("state")}
+	ready := consensus.Ready{
+		Snapshot:  &snapshot,
+		HardState: &consensus.HardState{Term: 2, Commit: 9},
+		Entries:   entries(10, 12, 2),
+	}
+	for write := 1; write <= 2; write++ {
+		for _, after := range []bool{false, true} {
+			memory := NewMemory("disk")
+			memory.ScheduleCrash(CrashPlan{Write: write, AfterWrite: after})
+			if err := Persist(memory, ready); !errors.Is(err, ErrCrash) {
+				t.Fatalf("write %d, after it %t: the crash returned %v", write, after, err)
+			}
+			memory.Reopen()
+			if _, err := memory.Load(); err != nil {
+				t.Errorf("write %d, after it %t: %v", write, after, err)
+			}
+		}
+	}
+}
