--- a/consensus/stalemessage_test.go
+++ b/consensus/stalemessage_test.go
@@ -124,3 +124,27 @@
 		t.Errorf("the former leader was given %q at last", texts)
 	}
 }
+
+// TestOverwrittenBatchIsNotTakenForTheNewOne: while a batch is being written, another
+// leader's entries may replace it. They still have to be written.
+func TestOverwrittenBatchIsNotTakenForTheNewOne(t *testing.T) {
+	node := newMember(t, "a")
+	appendOf := func(from ID, term uint64) Message {
+		return Message{
+			Kind: MessageAppend, From: from, To: "a", Term: term, Index: 1, LogTerm: 1,
+			Entries: []Entry{{Term: term, Index: 2}, {Term: term, Index: 3}},
+		}
+	}
+	if err := node.Step(0, appendOf("b", 2)); err != nil {
+		t.Fatal(err)
+	}
+	overwritten := node.Ready()
+	if err := node.Step(0, appendOf("c", 3)); err != nil {
+		t.Fatal(err)
+	}
+	node.Advance(overwritten)
+	ready := node.Ready()
+	if len(ready.Entries) != 2 || ready.Entries[0].Term != 3 {
+		t.Errorf("to be written are %+v, want both entries of term 3", ready.Entries)
+	}
+}
--- a/control/formationcrash_test.go
+++ b/control/formationcrash_test.go
@@ -72,3 +72,11 @@
 		})
 	}
 }
+
+// TestSnapshotOfAnotherGroupIsNotInstalled: whoever sends it, a node keeps to its group.
+func TestSnapshotOfAnotherGroupIsNotInstalled(t *testing.T) {
+	m := loneMachine(t)
+	if err := m.install(groupOf(t, "another", "disk-1")); err == nil {
+		t.Error("a snapshot of another group was installed")
+	}
+}
--- a/control/laterenewal_test.go
+++ b/control/laterenewal_test.go
@@ -120,3 +120,25 @@
 		t.Error("the wait for the older record does not end")
 	}
 }
+
+// TestGatewayThatReturnsIsNamedAfterAWhile: one that missed renewals and renews again
+// gets its lease at once. Clients are sent to it only once it has renewed for the grace.
+func TestGatewayThatReturnsIsNamedAfterAWhile(t *testing.T) {
+	m, gateways, now := settledCrowd(t, 1)
+	record := func() catalog.Gateway { return m.contents.Gateways()["gateway-0"] }
+	m.advance(t, &now, m.options.Lease.Duration+200*time.Millisecond)
+	if record().Up {
+		t.Fatal("a quiet gateway is still recorded as up")
+	}
+	for returned := now; !record().Up; {
+		gateways.renew(t, m, now)
+		m.advance(t, &now, 100*time.Millisecond)
+		waited := now - returned
+		if record().Up && waited < m.options.GatewayGrace {
+			t.Errorf("up %v after its return, want %v", waited, m.options.GatewayGrace)
+		}
+		if waited > m.options.GatewayGrace+time.Second {
+			t.Fatalf("not up %v after its return", waited)
+		}
+	}
+}
--- a/transport/brokenpeers_test.go
+++ b/transport/brokenpeers_test.go
@@ -131,3 +131,34 @@
 		}
 	})
 }
+
+// TestCallThatWasGivenUpIsNotWritten: its caller was told that the peer hasn't seen it.
+func TestCallThatWasGivenUpIsNotWritten(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		_, a, b, _ := memoryPair(t, Config{})
+		connection, err := a.connect(t.Context(), "b", purposeMessages, time.Second)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer a.release(connection.raw)
+		frame, err := encodeMessage(envelope{Type: frameRequest, ID: 1, Kind: kindEcho}, text{}, DefaultMaxFrameBytes)
+		if err != nil {
+			t.Fatal(err)
+		}
+		l := newLink(a, "b")
+		waiting := &pendingCall{id: 1, done: make(chan struct{})}
+		l.begin(waiting, kindEcho, frame)
+		if l.abandon(waiting) {
+			t.Error("a call in the queue counts as written")
+		}
+		probe := newProbe(connection)
+		defer probe.stop()
+		if err := l.writeQueued(connection, probe); err != nil {
+			t.Fatal(err)
+		}
+		synctest.Wait()
+		if got := b.Counters()[kindEcho].ReceivedMessages; got != 0 {
+			t.Errorf("the peer got the call %d times after it was given up", got)
+		}
+	})
+}
