--- a/client/client_test.go
+++ b/client/client_test.go
@@ -69,6 +69,7 @@
 
 // nobody is an address that refuses connections.
 func nobody(t *testing.T) string {
+	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
 	return strings.TrimPrefix(server.URL, "http://")
@@ -76,7 +77,7 @@
 
 func newClient(t *testing.T, addresses ...string) *Client {
 	t.Helper()
-	c, err := New(Config{Addresses: addresses, Token: "secret", Pause: time.Millisecond})
+	c, err := New(Config{Addresses: addresses, Token: "secret", RetryInterval: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +86,7 @@
 
 func patient(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -142,13 +143,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			addresses := serve(t, &script{answers: []func(http.ResponseWriter){c.answer}})
-			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			_, err := newClient(t, addresses...).Evacuate(ctx, &api.EvacuationOperation{Zone: "z"})
 			wantProblem(t, err, c.want, c.run)
 		})
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := newClient(t, nobody(t)).Status(ctx)
 	wantProblem(t, err, api.CodeNoPrimary, api.OutcomeRefused)
@@ -217,6 +218,34 @@
 	}
 }
 
+// TestWhereAsksTheNextGateway breaks the first gateway's answer off: the same
+// question goes to the second one.
+func TestWhereAsksTheNextGateway(t *testing.T) {
+	want := api.WhereAnswer{RequestID: "q", Ticket: "t", Gateway: "owner:80", Alternates: []string{"other:80"}, Region: "north", ExpiresInMS: 900, ConfigurationVersion: 3}
+	first := &script{answers: []func(http.ResponseWriter){breakOff}}
+	second := &script{answers: []func(http.ResponseWriter){status(http.StatusOK, want)}}
+	question := api.WhereRequest{RequestID: "q", Model: "m", WaitMS: 1000, Repeatable: true}
+	answer, err := newClient(t, serve(t, first, second)...).Where(patient(t), question)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(&want, answer); diff != "" {
+		t.Errorf("answer (-want +got):\n%s", diff)
+	}
+	for name, asked := range map[string]*script{"first": first, "second": second} {
+		var got api.WhereRequest
+		if len(asked.bodies) != 1 || asked.queries[0] != "POST "+api.PathWhere+"?" {
+			t.Fatalf("the %s gateway was asked %q", name, asked.queries)
+		}
+		if err := json.Unmarshal([]byte(asked.bodies[0]), &got); err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(question, got); diff != "" {
+			t.Errorf("question to the %s gateway (-want +got):\n%s", name, diff)
+		}
+	}
+}
+
 func TestStream(t *testing.T) {
 	const (
 		one   = "event: piece\ndata: {\"run_id\":\"r\",\"sequence\":1,\"text\":\"a\"}\n\n"
@@ -297,8 +326,8 @@
 	defer answering.Close()
 	connect := func() *Client {
 		connection, err := New(Config{
-			Addresses:     []string{silent.Listener.Addr().String(), answering.Listener.Addr().String()},
-			AnswerTimeout: 50 * time.Millisecond,
+			Addresses:       []string{silent.Listener.Addr().String(), answering.Listener.Addr().String()},
+			ResponseTimeout: 50 * time.Millisecond,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -2,82 +2,24 @@
 
 import "time"
 
-// Replication. Invariants:
-//   - match <= what the member has synced, since its answer follows its write
-//   - next > match
-//   - an entry counts as committed only when a majority of voters holds it and
-//     it belongs to the leader's own term (Raft, section 5.4.2)
+// Replication. Invariant: the leader commits an entry only when a quorum of voters has
+// it on disk and it belongs to the leader's own term. An entry of an earlier term is
+// committed by one of the own term after it (Raft, section 5.4.2).
 
-// progressState says how entries are sent to a member.
-type progressState uint8
-
-const (
-	progressProbe     progressState = iota // one append at a time, looking for the match
-	progressReplicate                      // pipelined
-	progressSnapshot                       // a snapshot is on its way
-)
-
-// progress is what the leader knows of one other member.
-type progress struct {
-	state progressState
-	match uint64
-	next  uint64
-	// inflight holds the last index of every append not yet answered.
-	inflight []uint64
-	// probing is true while the answer to a probe is awaited.
-	probing      bool
-	sentCommit   uint64
-	snapshotSent time.Duration
-
-	answered   bool
-	lastAnswer time.Duration
-	round      uint64
-	roundSent  time.Duration
-}
-
-func newProgress(next uint64) *progress {
-	return &progress{next: next}
-}
-
-// resume permits one more message after a sign of life: an append or its answer
-// may have been lost.
-func (p *progress) resume() {
-	p.probing = false
-	if len(p.inflight) > 0 {
-		p.inflight = p.inflight[1:]
-	}
-}
-
-func (p *progress) probe(next uint64) {
-	p.state = progressProbe
-	p.next = max(next, p.match+1)
-	p.inflight = nil
-	p.probing = false
-}
-
-// acknowledge notes that the member holds the log up to index. It reports
-// whether that is news.
-func (p *progress) acknowledge(index uint64) bool {
-	for len(p.inflight) > 0 && p.inflight[0] <= index {
-		p.inflight = p.inflight[1:]
-	}
-	news := index > p.match
-	p.match = max(p.match, index)
-	p.next = max(p.next, p.match+1)
-	return news
-}
-
-// Propose appends data to the log. The entry is committed if, and only if, the
-// entry that is later handed out at this index carries this term.
+// Propose appends an entry with data to the log and returns its index and term. The
+// entry is committed if, and only if, Ready.CommittedEntries later has an entry of this
+// index with this term. It returns ErrNotLeader or ErrLeadershipTransfer.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.advanceClock(now)
-	if err := n.acceptsProposals(); err != nil {
+	if err := n.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	return n.appendOwn(EntryNormal, data), n.term, nil
+	return n.appendEntry(EntryNormal, data), n.term, nil
 }
 
-func (n *Node) acceptsProposals() error {
+// checkCanPropose returns nil if the member leads and no leadership transfer is in
+// progress. A leader that has lost its quorum steps down first.
+func (n *Node) checkCanPropose() error {
 	if n.role == Leader {
 		n.checkQuorum()
 	}
@@ -91,13 +33,16 @@
 	return nil
 }
 
-func (n *Node) appendOwn(kind EntryKind, data []byte) uint64 {
-	entry := Entry{Term: n.term, Index: n.log.last() + 1, Kind: kind, Data: data}
+// appendEntry appends an entry to the leader's own log. The next Ready sends it.
+func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
+	entry := Entry{Term: n.term, Index: n.log.lastIndex() + 1, Kind: kind, Data: data}
 	n.log.append(entry)
-	n.flush = true
+	n.replicatePending = true
 	return entry.Index
 }
 
+// replicateToAll sends every other member what it lacks. It does nothing unless the
+// member leads: it may have been deposed since replicatePending was set.
 func (n *Node) replicateToAll() {
 	if n.role != Leader {
 		return
@@ -109,19 +54,21 @@
 	}
 }
 
-// replicate sends a member what it lacks, as far as its window permits.
+// replicate sends a member the entries and the commit index that it lacks, as far as
+// flow control permits.
 func (n *Node) replicate(to ID, member *progress) {
-	for member.next <= n.log.last() && n.sendAppend(to, member, false) {
+	for member.next <= n.log.lastIndex() && n.sendAppend(to, member, false) {
 	}
 	if member.state == progressReplicate && member.sentCommit < n.commit {
 		n.sendAppend(to, member, true)
 	}
 }
 
-// sendAppend sends one append, empty only if permitted. It reports whether
-// another one may follow.
+// sendAppend sends a member one append from its next index on, or a snapshot if that is
+// compacted. Without entries to send it does so only if permitEmpty. It reports whether
+// another append may follow at once.
 func (n *Node) sendAppend(to ID, member *progress, permitEmpty bool) bool {
-	if n.blocked(member) {
+	if n.isPaused(member) {
 		return false
 	}
 	previousTerm, known := n.log.term(member.next - 1)
@@ -129,7 +76,7 @@
 		n.sendSnapshot(to, member)
 		return false
 	}
-	entries := n.log.slice(member.next, n.log.last(), n.config.MaxAppendBytes)
+	entries := n.log.slice(member.next, n.log.lastIndex(), n.config.MaxAppendBytes)
 	if len(entries) == 0 && !permitEmpty {
 		return false
 	}
@@ -144,7 +91,7 @@
 	})
 	member.sentCommit = n.commit
 	if member.state == progressProbe {
-		member.probing = true
+		member.probeInFlight = true
 		return false
 	}
 	if len(entries) > 0 {
@@ -155,22 +102,13 @@
 	return true
 }
 
-func (n *Node) blocked(member *progress) bool {
-	switch member.state {
-	case progressProbe:
-		return member.probing
-	case progressSnapshot:
-		return n.now-member.snapshotSent < snapshotResendTimeouts*n.config.ElectionTimeout
-	default:
-		return len(member.inflight) >= n.config.MaxInflight
-	}
-}
-
+// handleAppend takes in a leader's entries if the log matches the message's position,
+// and rejects it with a hint otherwise (Raft, section 5.3).
 func (n *Node) handleAppend(message Message) {
-	n.followLeader(message.From)
+	n.recordLeaderContact(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	if message.Index < n.commit {
-		// What is committed here is the same everywhere.
+		// Committed entries are the same in every log: it matches up to there.
 		reply.Index = n.commit
 		n.send(reply)
 		return
@@ -178,7 +116,7 @@
 	if !n.log.matches(message.Index, message.LogTerm) {
 		reply.Index = message.Index
 		reply.Reject = true
-		reply.RejectHint = n.log.conflictHint(message.Index, message.LogTerm)
+		reply.RejectHint = n.log.findConflictByTerm(message.Index, message.LogTerm)
 		reply.LogTerm, _ = n.log.term(reply.RejectHint)
 		n.send(reply)
 		return
@@ -189,33 +127,33 @@
 	n.send(reply)
 }
 
-// acceptEntries takes a leader's entries in. Only a real conflict truncates: a
-// late message must not drop what a newer one has brought.
+// acceptEntries appends a leader's entries that the log lacks. Only a conflict
+// truncates the log: a delayed append must not remove what a newer one has added.
 func (n *Node) acceptEntries(entries []Entry) {
 	for position, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
-		if entry.Index <= n.log.last() {
+		if entry.Index <= n.log.lastIndex() {
 			n.log.truncate(entry.Index)
-			n.forgetConfigurations(entry.Index)
+			n.truncateConfigurations(entry.Index)
 		}
 		n.log.append(entries[position:]...)
-		n.noteConfigurations(entries[position:])
+		n.appendConfigurations(entries[position:])
 		return
 	}
 }
 
-// commitTo raises the commit of a follower.
+// commitTo raises the commit index of a follower, at most to the end of its log.
 func (n *Node) commitTo(index uint64) {
-	n.commit = max(n.commit, min(index, n.log.last()))
+	n.commit = max(n.commit, min(index, n.log.lastIndex()))
 }
 
 func (n *Node) handleAppendReply(message Message) {
 	if n.role != Leader {
 		return
 	}
-	member := n.noteAnswer(message.From, message.HeartbeatRound)
+	member := n.recordResponse(message.From, message.HeartbeatRound)
 	if member == nil {
 		return
 	}
@@ -223,40 +161,41 @@
 		n.handleRejection(message, member)
 		return
 	}
-	if message.Index > n.log.last() {
+	if message.Index > n.log.lastIndex() {
 		return
 	}
-	news := member.acknowledge(message.Index)
-	if member.state == progressProbe || member.state == progressSnapshot && member.match >= n.log.boundaryIndex {
-		member.probe(member.match + 1)
-		member.state = progressReplicate
+	advanced := member.acknowledge(message.Index)
+	snapshotArrived := member.state == progressSnapshot && member.match >= n.log.boundaryIndex
+	if member.state == progressProbe || snapshotArrived {
+		member.becomeReplicate()
 	}
-	n.flush = true
-	if news {
+	n.replicatePending = true
+	if advanced {
 		n.advanceCommit()
 		n.finishTransfer(message.From)
 	}
 }
 
-// handleRejection looks for the match further back, past whole terms.
+// handleRejection probes for the match index further back, skipping whole terms by the
+// follower's hint and by the leader's own log.
 func (n *Node) handleRejection(message Message, member *progress) {
 	if message.Index <= member.match || member.state == progressSnapshot {
-		return
+		return // delayed
 	}
 	if member.state == progressProbe && message.Index != member.next-1 {
-		return
+		return // the reply to an earlier probe
 	}
 	hint := message.RejectHint
 	if message.LogTerm > 0 {
-		hint = n.log.conflictHint(hint, message.LogTerm)
+		hint = n.log.findConflictByTerm(hint, message.LogTerm)
 	}
-	member.probe(min(message.Index, hint+1))
+	member.becomeProbe(min(message.Index, hint+1))
 	n.sendAppend(message.From, member, true)
 }
 
-// advanceCommit commits what a majority of voters has on disk.
+// advanceCommit commits what a quorum of voters has on disk, see the invariant above.
 func (n *Node) advanceCommit() {
-	index := n.majorityMatch()
+	index := n.quorumMatch()
 	if index <= n.commit {
 		return
 	}
@@ -265,12 +204,12 @@
 		return
 	}
 	n.commit = index
-	n.flush = true
-	n.leaveIfRemoved()
+	n.replicatePending = true
+	n.stepDownIfRemoved()
 }
 
-// majorityMatch returns the highest index that a majority of voters holds.
-func (n *Node) majorityMatch() uint64 {
+// quorumMatch returns the highest index that a quorum of voters has on disk.
+func (n *Node) quorumMatch() uint64 {
 	var matches []uint64
 	for _, member := range n.membership().Members {
 		if member.Learner {
@@ -282,5 +221,6 @@
 			matches = append(matches, n.leadership.progress[member.ID].match)
 		}
 	}
-	return quorumValue(matches)
+	index, _ := quorumValue(matches, len(matches))
+	return index
 }
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -10,12 +10,15 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/configuration"
+	"github.com/deckpulley/deckpulley/control/membership"
+	"github.com/deckpulley/deckpulley/control/permission"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-func TestThreeNodesFormElectAndApply(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestThreeNodesBootstrapElectAndApply(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
@@ -26,30 +29,44 @@
 		if answer.Version != 1 {
 			t.Errorf("version is %d, want 1", answer.Version)
 		}
-		for name, gateway := range f.gateways {
-			if active := gateway.activeSerial(); gateway.valid() && registry.SerialLess(active, answer.Serial) {
-				t.Errorf("%s has serial %d active at the acknowledgement of %d", name, active, answer.Serial)
-			}
-			if surplus := gateway.surplusRecords(); surplus != 0 {
-				t.Errorf("%s holds %d records of documents and orders", name, surplus)
-			}
-		}
-		for _, node := range f.nodes {
-			var read api.ConfigurationAnswer
-			status := f.request(node, http.MethodGet, api.PathConfiguration+"?linearizable=true", nil, &read)
-			if status != http.StatusOK || read.Version != 1 || read.Document != document(t) {
-				t.Errorf("%s reads version %d with status %d", node.options.Name, read.Version, status)
-			}
-		}
-		f.await("a whole group", func() bool { return f.members(f.follower()).RepairDone })
+		f.checkActive(answer.Serial)
+		f.checkLinearizableReads()
+		f.await("a complete group", func() bool { return f.members(f.follower()).RepairDone })
 		if members := f.members(f.primary()).Members; len(members) != 5 {
 			t.Errorf("%d members, want 3 control nodes and 2 gateways: %+v", len(members), members)
 		}
 	})
 }
 
+// checkActive verifies that every gateway with a lease has a serial active, and that
+// gateways have no records which they have no use for.
+func (f *fleet) checkActive(serial uint32) {
+	f.t.Helper()
+	for name, gateway := range f.gateways {
+		if active := gateway.activeSerial(); gateway.valid() && registry.SerialLess(active, serial) {
+			f.t.Errorf("%s has serial %d active at the acknowledgement of %d", name, active, serial)
+		}
+		if surplus := gateway.surplusRecords(); surplus != 0 {
+			f.t.Errorf("%s has %d records of documents and operations", name, surplus)
+		}
+	}
+}
+
+// checkLinearizableReads verifies that every node reads the first version.
+func (f *fleet) checkLinearizableReads() {
+	f.t.Helper()
+	for _, node := range f.nodes {
+		var read api.ConfigurationAnswer
+		status := f.request(node, http.MethodGet, api.PathConfiguration+"?linearizable=true", nil, &read)
+		if status != http.StatusOK || read.Version != 1 || read.Document != document(f.t) {
+			f.t.Errorf("%s reads version %d with status %d", node.options.Name, read.Version, status)
+		}
+	}
+}
+
 func TestReplicasAndEvacuations(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -68,11 +85,11 @@
 			t.Errorf("replicas (-want +got):\n%s", difference)
 		}
 		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOperation{OperationID: "empty", Zone: "north-1"})
-		if !f.primary().observe().contents.IsEvacuated("north-1") {
+		if !f.primary().engine.Observe().Catalog.IsEvacuated("north-1") {
 			t.Error("the zone is not evacuated after the acknowledgement")
 		}
 		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOperation{OperationID: "refill", Zone: "north-1", Withdraw: true})
-		if f.primary().observe().contents.IsEvacuated("north-1") {
+		if f.primary().engine.Observe().Catalog.IsEvacuated("north-1") {
 			t.Error("the zone is evacuated after the withdrawal's acknowledgement")
 		}
 		var refused api.OperationResult
@@ -91,37 +108,22 @@
 	}
 }
 
-func TestResentOrderGetsTheFirstAnswer(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestResentOperationGetsTheFirstAnswer(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		first := f.mustSend(f.follower(), "order-1", 0)
 		_, refused := f.send(f.primary(), "order-2", 7, document(t))
 		if refused.Accepted || refused.Error.Code != api.CodeVersionConflict {
-			t.Fatalf("an order on version 7 answered %+v", refused)
+			t.Fatalf("an operation on version 7 answered %+v", refused)
 		}
 		f.mustSend(f.primary(), "order-3", 1)
-		check := func(when string) {
-			for name, node := range f.nodes {
-				_, again := f.send(node, "order-1", 0, document(t))
-				if difference := cmp.Diff(first, again); difference != "" {
-					t.Errorf("%s, %s repeats the acceptance otherwise:\n%s", when, name, difference)
-				}
-				_, again = f.send(node, "order-2", 7, document(t))
-				if difference := cmp.Diff(refused, again); difference != "" {
-					t.Errorf("%s, %s repeats the refusal otherwise:\n%s", when, name, difference)
-				}
-				status, _ := f.send(node, "order-1", 1, document(t))
-				if status != http.StatusConflict {
-					t.Errorf("%s, the id with another order answered %d", when, status)
-				}
-			}
-		}
-		check("at first")
+		f.checkRepeatedAnswers("at first", first, refused)
 		old := f.primary().options.Name
 		f.stop(old)
 		f.primary()
-		check("after the loss of the primary")
+		f.checkRepeatedAnswers("after the loss of the primary", first, refused)
 		f.start(old)
 		f.fillLog(testSnapshotInterval + 16)
 		for _, name := range controlNames {
@@ -129,29 +131,44 @@
 		}
 		f.start(controlNames...)
 		f.primary()
-		check("after a snapshot and a restart of all")
+		f.checkRepeatedAnswers("after a snapshot and a restart of all", first, refused)
 	})
 }
 
-// TestAChangeLeavesTheRestOfTheDocument: items come and go by name, under the terms
+// checkRepeatedAnswers sends the accepted order-1 and the refused order-2 again to
+// every node.
+func (f *fleet) checkRepeatedAnswers(when string, accepted, refused api.OperationResult) {
+	f.t.Helper()
+	for name, node := range f.nodes {
+		_, again := f.send(node, "order-1", 0, document(f.t))
+		if difference := cmp.Diff(accepted, again); difference != "" {
+			f.t.Errorf("%s, %s repeats the acceptance otherwise:\n%s", when, name, difference)
+		}
+		_, again = f.send(node, "order-2", 7, document(f.t))
+		if difference := cmp.Diff(refused, again); difference != "" {
+			f.t.Errorf("%s, %s repeats the refusal otherwise:\n%s", when, name, difference)
+		}
+		status, _ := f.send(node, "order-1", 1, document(f.t))
+		if status != http.StatusConflict {
+			f.t.Errorf("%s, the id with another operation answered %d", when, status)
+		}
+	}
+}
+
+// TestPatchKeepsTheRestOfTheDocument: items come and go by name, under the terms
 // of whole documents, and what is refused leaves everything as it was.
-func TestAChangeLeavesTheRestOfTheDocument(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestPatchKeepsTheRestOfTheDocument(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
-		change := func(node *Node, id string, base uint64, text string) (int, api.OperationResult) {
-			var answer api.OperationResult
-			order := api.ConfigurationPatchOperation{OperationID: id, BaseVersion: base, Change: text}
-			status := f.request(node, http.MethodPatch, api.PathConfiguration, order, &answer)
-			return status, answer
-		}
 		const added = "upsert: {tenants: {added: {weight: 7}}}\nremove: {tenants: [unknown]}"
-		if status, answer := change(f.follower(), "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
+		if status, answer := f.patch(f.follower(), "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
 			t.Fatalf("answered %d %+v", status, answer)
 		}
 		for name, node := range f.nodes {
-			if status, answer := change(node, "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
+			if status, answer := f.patch(node, "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
 				t.Errorf("sent again to %s: %d %+v", name, status, answer)
 			}
 		}
@@ -165,29 +182,44 @@
 			"unreadable":  {2, "upsert: {tenants: {added: {unknown: 1}}}", api.CodeInvalid},
 		}
 		for id, test := range refused {
-			if _, answer := change(f.primary(), id, test.base, test.text); answer.Accepted || answer.Error == nil || answer.Error.Code != test.code {
+			if _, answer := f.patch(f.primary(), id, test.base, test.text); answer.Accepted || answer.Error == nil || answer.Error.Code != test.code {
 				t.Errorf("%s answered %+v", id, answer)
 			}
 		}
-		contents := f.primary().observe().contents
-		if tenant, known := contents.Tenant("added"); !known || tenant.Weight != 7 || contents.Version() != 2 {
-			t.Errorf("version %d, tenant %+v", contents.Version(), tenant)
-		}
-		current, _ := contents.Configuration()
-		read, err := configuration.Load(current.Document)
-		if err != nil {
-			t.Fatal(err)
-		}
-		before, err := configuration.Load(document(t))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(read.Tenants) != len(before.Tenants)+1 || len(read.Routes) != len(before.Routes) {
-			t.Errorf("the document is now %s", current.Document)
-		}
+		f.checkOneTenantAdded()
 	})
 }
 
+// patch changes the configuration and returns the status and the answer.
+func (f *fleet) patch(node *Node, id string, base uint64, text string) (int, api.OperationResult) {
+	f.t.Helper()
+	var answer api.OperationResult
+	request := api.ConfigurationPatchOperation{OperationID: id, BaseVersion: base, Change: text}
+	status := f.request(node, http.MethodPatch, api.PathConfiguration, request, &answer)
+	return status, answer
+}
+
+// checkOneTenantAdded compares the second version with the first document.
+func (f *fleet) checkOneTenantAdded() {
+	f.t.Helper()
+	state := f.primary().engine.Observe().Catalog
+	if tenant, known := state.Tenant("added"); !known || tenant.Weight != 7 || state.Version() != 2 {
+		f.t.Errorf("version %d, tenant %+v", state.Version(), tenant)
+	}
+	current, _ := state.Configuration()
+	read, err := configuration.Load(current.Document)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	before, err := configuration.Load(document(f.t))
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	if len(read.Tenants) != len(before.Tenants)+1 || len(read.Routes) != len(before.Routes) {
+		f.t.Errorf("the document is now %s", current.Document)
+	}
+}
+
 // fillLog puts so many updates through the log.
 func (f *fleet) fillLog(count int) {
 	f.t.Helper()
@@ -197,8 +229,8 @@
 		proposals.Go(func() {
 			for range count / 16 {
 				update := registry.NewUpdate("places.", nil, nil)
-				update.Requestor = requestorControl + "test"
-				if _, err := primary.propose(f.t.Context(), update); err != nil {
+				update.Requestor = permission.Control("test")
+				if _, err := primary.engine.Propose(f.t.Context(), update); err != nil {
 					f.t.Errorf("worker %d: %v", worker, err)
 					return
 				}
@@ -208,8 +240,9 @@
 	proposals.Wait()
 }
 
-func TestOfTwoWritersOnOneBaseOneWins(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestOneOfConcurrentWritersOnOneBaseWins(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-0", 0)
@@ -228,24 +261,25 @@
 				continue
 			}
 			if answer.Error == nil || answer.Error.Code != api.CodeVersionConflict || answer.Error.Outcome != api.OutcomeRefused {
-				t.Errorf("the loser was told %+v", answer)
+				t.Errorf("the loser was answered %+v", answer)
 			}
 		}
-		if version := f.primary().observe().contents.Version(); accepted != 1 || version != 2 {
+		if version := f.primary().engine.Observe().Catalog.Version(); accepted != 1 || version != 2 {
 			t.Errorf("%d of 3 writers won, the version is %d", accepted, version)
 		}
 	})
 }
 
 func TestWipedDisksAreReplacedOneByOne(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		base := uint64(0)
-		cluster := f.primary().observe().cluster
+		cluster := f.primary().engine.Observe().Cluster
 		for round, name := range append(controlNames, controlNames[0]) {
-			f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
-			time.Sleep(2 * learnerPatience) // a primary long leading counts a newcomer's time from its coming
+			f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
+			time.Sleep(2 * membership.LearnerTimeout) // a primary long leading counts a newcomer's time from its coming
 			f.mustSend(f.primary(), "order-"+string(rune('a'+round)), base)
 			base++
 			f.stop(name)
@@ -263,35 +297,36 @@
 				t.Fatalf("round %d: repair is reported done before %s can be a voter", round, name)
 			}
 			f.await("the repair", func() bool { return f.members(f.primary()).RepairDone })
-			f.checkWhole(cluster, base)
+			f.checkComplete(cluster, base)
 		}
 	})
 }
 
-// checkWhole verifies that three voters, each with the disk that it has now, hold
+// checkComplete verifies that three voters, each with the disk that it has now, hold
 // the version.
-func (f *fleet) checkWhole(cluster string, version uint64) {
+func (f *fleet) checkComplete(cluster string, version uint64) {
 	f.t.Helper()
-	membership := f.primary().observe().status.Membership
-	if len(membership.Members) != len(controlNames) {
-		f.t.Fatalf("members are %+v", membership.Members)
+	current := f.primary().engine.Observe().Status.Membership
+	if len(current.Members) != len(controlNames) {
+		f.t.Fatalf("members are %+v", current.Members)
 	}
 	for name, node := range f.nodes {
-		member, found := findMember(membership, node.observe().identity)
+		member, found := membership.Find(current, node.engine.Observe().Identity)
 		if !found || member.Learner {
-			f.t.Errorf("%s with disk %s does not vote", name, node.observe().identity)
+			f.t.Errorf("%s with disk %s does not vote", name, node.engine.Observe().Identity)
 		}
 		f.await(name+" to apply the configuration", func() bool {
-			o := node.observe()
-			return o.cluster == cluster && o.contents != nil && o.contents.Version() == version
+			o := node.engine.Observe()
+			return o.Cluster == cluster && o.Catalog != nil && o.Catalog.Version() == version
 		})
 	}
 }
 
-func TestFreshNodeNeverFormsBesideAGroup(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestNodeWithoutGroupNeverBootstrapsBesideAGroup(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
-		cluster := f.primary().observe().cluster
+		cluster := f.primary().engine.Observe().Cluster
 		// The node with the lowest name comes back wiped and meets one survivor
 		// without a majority, and one node that is wiped too.
 		for _, name := range controlNames {
@@ -300,24 +335,25 @@
 		f.wipe(controlNames[0])
 		f.wipe(controlNames[2])
 		f.start(controlNames...)
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		for _, name := range []string{controlNames[0], controlNames[2]} {
-			if got := f.nodes[name].observe().cluster; got != "" {
+			if got := f.nodes[name].engine.Observe().Cluster; got != "" {
 				t.Errorf("%s formed or joined %s beside a group that has no majority", name, got)
 			}
 		}
-		if got := f.nodes[controlNames[1]].observe().cluster; got != cluster {
+		if got := f.nodes[controlNames[1]].engine.Observe().Cluster; got != cluster {
 			t.Errorf("the survivor belongs to %q, want %q", got, cluster)
 		}
 	})
 }
 
-func TestFormationWaitsForEveryNode(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestBootstrapWaitsForEveryNode(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames[0], controlNames[1])
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		for name, node := range f.nodes {
-			if node.observe().cluster != "" {
+			if node.engine.Observe().Cluster != "" {
 				t.Errorf("%s formed a group without %s", name, controlNames[2])
 			}
 		}
@@ -331,13 +367,14 @@
 func (f *fleet) timeToInForce() time.Duration {
 	f.stop(f.primary().options.Name)
 	primary := f.primary()
-	elected := primary.observe().at
-	f.await("the first serial in force", func() bool { return primary.observe().inForceKnown })
-	return primary.observe().at - elected
+	elected := primary.engine.Observe().At
+	f.await("the first serial in force", func() bool { return primary.engine.Observe().InForceKnown })
+	return primary.engine.Observe().At - elected
 }
 
-func TestLeaveHandsLeadershipOver(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestLeaveTransfersLeadership(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		old := f.primary()
 		started := time.Now()
@@ -354,9 +391,10 @@
 }
 
 func TestReplacedDiskComesBackAsAStranger(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
-		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
+		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
 		replaced := f.follower().options.Name
 		f.stop(replaced)
 		f.options["control-4"] = f.replacement(replaced, "control-4")
@@ -364,20 +402,20 @@
 		f.start("control-4")
 		f.await("the replacement", func() bool { return f.members(f.primary()).RepairDone })
 		f.mustSend(f.primary(), "order-1", 0)
-		before := f.primary().observe().status
+		before := f.primary().engine.Observe().Status
 		f.start(replaced)
-		time.Sleep(patience)
-		after := f.primary().observe().status
+		time.Sleep(waitTimeout)
+		after := f.primary().engine.Observe().Status
 		if after.Term != before.Term || !cmp.Equal(after.Membership, before.Membership) {
 			t.Errorf("the replaced disk's return changed term %d to %d, or members %v to %v", before.Term, after.Term, before.Membership, after.Membership)
 		}
-		if f.nodes[replaced].observe().ready() == nil {
+		if f.nodes[replaced].engine.Observe().Ready() == nil {
 			t.Error("a node that the group does not count says that it is ready")
 		}
 		f.stop("control-4")
-		f.await("the old disk to be taken in", func() bool {
-			o := f.nodes[replaced].observe()
-			return f.members(f.primary()).RepairDone && o.contents.Version() == 1
+		f.await("the old disk to be admitted", func() bool {
+			o := f.nodes[replaced].engine.Observe()
+			return f.members(f.primary()).RepairDone && o.Catalog.Version() == 1
 		})
 	})
 }
@@ -390,40 +428,41 @@
 	return options
 }
 
-func TestMembersAreToldWithOneCutOff(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestMembersAreListedWithOnePartitioned(t *testing.T) {
+	inFleet(t, func(f *fleet) {
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		f.await("a lease", gateway.valid)
-		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
-		primary, cutOff := f.primary(), f.follower()
-		for _, name := range controlNames {
-			if name != cutOff.options.Name {
-				f.cut(cutOff.options.PeerAddress, f.options[name].PeerAddress)
-			}
-		}
-		time.Sleep(2 * reachableWithin)
-		for _, name := range controlNames {
-			if name == cutOff.options.Name {
-				continue
-			}
-			answer := f.members(f.nodes[name])
-			if answer.RepairDone {
-				t.Errorf("%s says that the group is whole", name)
-			}
-			up := make(map[string]bool)
-			for _, member := range answer.Members {
-				up[member.Name] = member.Up
-			}
-			if len(up) != 4 || up[cutOff.options.Name] || !up[primary.options.Name] || !up["gateway-1"] {
-				t.Errorf("%s lists as up: %v", name, up)
+		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
+		primary, partitioned := f.primary(), f.follower()
+		f.partition(partitioned.options.PeerAddress, controlAddressesBut(f, partitioned)...)
+		time.Sleep(2 * membership.ReachableTimeout)
+		for name, node := range f.nodes {
+			if node != partitioned {
+				f.checkOneDown(name, f.members(node), primary, partitioned)
 			}
 		}
 	})
 }
 
-func TestOrderLeavesAFrozenPrimary(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+// checkOneDown verifies what a node lists while another one is partitioned.
+func (f *fleet) checkOneDown(name string, answer api.MembersAnswer, primary, partitioned *Node) {
+	f.t.Helper()
+	if answer.RepairDone {
+		f.t.Errorf("%s says that the group is complete", name)
+	}
+	up := make(map[string]bool)
+	for _, member := range answer.Members {
+		up[member.Name] = member.Up
+	}
+	if len(up) != 4 || up[partitioned.options.Name] || !up[primary.options.Name] || !up["gateway-1"] {
+		f.t.Errorf("%s lists as up: %v", name, up)
+	}
+}
+
+func TestOperationLeavesAFrozenPrimary(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.mustSend(f.primary(), "order-1", 0)
 		old, through := f.primary(), f.follower()
@@ -432,9 +471,9 @@
 		f.mustSend(through, "order-2", 1)
 		// An election takes up to two time-outs of 600 ms, then older leases run out.
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
-			t.Errorf("the order took %v", took)
+			t.Errorf("the operation took %v", took)
 		}
-		time.Sleep(patience)
+		time.Sleep(waitTimeout)
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
 			t.Errorf("the thawed node repeats %+v", again)
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -41,7 +41,7 @@
 	state    offerState
 	request  api.GenerateRequest
 	route    routing.Request
-	slot     *routing.Slot
+	slot     *routing.Reservation
 	before   int
 	reply    peer.OfferReply
 	deadline time.Time
@@ -115,12 +115,12 @@
 	o, ok := b.offers[id]
 	switch {
 	case !ok:
-		return nil, refusedLater(api.CodeNoCapacity, comeBack, "the reservation is gone")
+		return nil, refusedLater(api.CodeNoCapacity, "the reservation is gone")
 	case o.state == offerRun:
 		return nil, failed(api.CodeDuplicate, api.OutcomeUnknown, "the offer was run before")
 	case o.state == offerDead || now >= o.expires:
 		b.kill(o)
-		return nil, refusedLater(api.CodeNoCapacity, comeBack, "the reservation ran out")
+		return nil, refusedLater(api.CodeNoCapacity, "the reservation ran out")
 	}
 	o.state = offerRun
 	return o, nil
@@ -188,7 +188,7 @@
 	}
 	reply, failure := g.grant(ctx, &asked)
 	if failure != nil {
-		return &peer.OfferReply{Error: failure, Incarnation: g.options.Info.Incarnation}, nil
+		reply = &peer.OfferReply{Error: failure, Incarnation: g.options.Info.Incarnation}
 	}
 	return reply, nil
 }
@@ -205,8 +205,8 @@
 		return nil, failed(api.CodeHomeUnavailable, api.OutcomeRefused, "region %s is not a home of the request", g.region())
 	}
 	active := g.agent.Active()
-	if active.Version() < asked.ConfigurationVersion && !g.agent.Proven(asked.ConfigurationVersion) {
-		return nil, refusedLater(api.CodeNoLease, comeBack, "configuration %d is not active here yet", asked.ConfigurationVersion)
+	if active.Version() < asked.ConfigurationVersion && !g.agent.ConfirmVersion(asked.ConfigurationVersion) {
+		return nil, refusedLater(api.CodeNoLease, "configuration %d is not active here yet", asked.ConfigurationVersion)
 	}
 	route, failure := g.router.Resolve(asked.Request, time.Now())
 	if failure != nil {
@@ -221,7 +221,7 @@
 
 // reserve finds room for an offer, at once or, if it asks for that and not too
 // many do, by a place in the queue.
-func (g *Gateway) reserve(ctx context.Context, asked *peer.Offer, route routing.Request) (*routing.Slot, *api.Error) {
+func (g *Gateway) reserve(ctx context.Context, asked *peer.Offer, route routing.Request) (*routing.Reservation, *api.Error) {
 	wait := min(time.Duration(asked.WaitMS)*time.Millisecond, maxOfferWait)
 	if wait <= 0 {
 		return g.router.Reserve(route)
@@ -237,12 +237,12 @@
 		return nil, failed(api.CodeCanceled, api.OutcomeRefused, "the offer was withdrawn")
 	}
 	if failure != nil && failure.Code == api.CodeCanceled {
-		return nil, refusedLater(api.CodeOverloaded, comeBack, "region %s had no room in time", g.region())
+		return nil, refusedLater(api.CodeOverloaded, "region %s had no room in time", g.region())
 	}
 	return slot, failure
 }
 
-func (g *Gateway) remember(asked *peer.Offer, route routing.Request, slot *routing.Slot) (*peer.OfferReply, *api.Error) {
+func (g *Gateway) remember(asked *peer.Offer, route routing.Request, slot *routing.Reservation) (*peer.OfferReply, *api.Error) {
 	now := g.options.Clock()
 	left := time.Duration(asked.RemainingMS) * time.Millisecond
 	life := min(grantLife, left)
@@ -260,7 +260,7 @@
 	}
 	if !g.offers.add(asked.OfferID, reserved) {
 		slot.Finish(routing.ResultCanceled, nil, time.Now())
-		return nil, refusedLater(api.CodeOverloaded, comeBack, "the gateway remembers as many offers as it can")
+		return nil, refusedLater(api.CodeOverloaded, "the gateway remembers as many offers as it can")
 	}
 	return &reply, nil
 }
@@ -283,7 +283,7 @@
 		return err
 	}
 	if asked.Incarnation != g.options.Info.Incarnation {
-		return send(&peer.RunEvent{Error: refusedLater(api.CodeNoCapacity, comeBack, "the gateway that granted was restarted")})
+		return send(&peer.RunEvent{Error: refusedLater(api.CodeNoCapacity, "the gateway that granted was restarted")})
 	}
 	granted, failure := g.offers.take(asked.OfferID, g.options.Clock())
 	if failure != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -103,7 +103,7 @@
 // acknowledged must be active at every hollow gateway, also after the primary was
 // lost.
 func TestSmallFleet(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	g, err := startGroup(ctx, replicaList(20))
 	if err != nil {
@@ -111,30 +111,30 @@
 	}
 	defer g.stop()
 	const gateways = 3
-	child, err := g.startHollow(gateways)
+	child, err := g.startHollow(ctx, gateways)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer child.stop()
-	primary, err := g.primary()
+	primary, err := g.primary(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := &measurement{group: g, hollow: child, primary: primary, follower: (primary + 1) % controlCount}
 	result := reading{gateways: gateways}
-	if err := m.underChanges(&result); err != nil {
+	if err := m.underChanges(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
 	if len(result.everywhere) != changes || result.perChange <= 0 || result.perGateway <= 0 {
 		t.Errorf("changes left no trace: %+v", result)
 	}
-	if err := m.afterRestarts(&result); err != nil {
+	if err := m.afterRestarts(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.activatedAt(gateways); err != nil {
 		t.Errorf("after the restart: %v", err)
 	}
-	if err := m.afterLoss(&result); err != nil {
+	if err := m.afterLoss(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.activatedAt(gateways); err != nil {
@@ -166,7 +166,7 @@
 }
 
 func TestPollIsMeasured(t *testing.T) {
-	poll, err := measurePoll(context.Background())
+	poll, err := measurePoll(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/registry/schema.go
+++ b/registry/schema.go
@@ -9,14 +9,34 @@
 // ErrSchema is wrapped by the errors of NewSchema.
 var ErrSchema = errors.New("registry: invalid schema")
 
+// Kind declares one record type.
+type Kind struct {
+	Type Type
+	Name string // mnemonic, e.g. "ROUTE"
+	// Singleton types have at most one record at a name: adding one replaces it, as
+	// with SOA and CNAME (section 1.1.5).
+	Singleton bool
+	// Key, if set, extracts the part of the data by which records replace each
+	// other: adding one replaces that with an equal key, as with WKS (section 1.1.5).
+	Key func(data []byte) []byte
+	// Check, if set, validates added data during the prescan (section 7.14). An
+	// error is answered as FormErr.
+	Check func(data []byte) error
+}
+
+// Schema is the set of record types that a table recognizes; others are
+// unrecognized types (section 3.4.1.2).
+type Schema struct {
+	kinds map[Type]Kind
+}
+
 // wksKeyBytes are the address and the protocol that lead the data of a WKS record.
 const wksKeyBytes = 5
 
-// NewSchema returns a schema with the source's own NS, CNAME, SOA and WKS and
-// the kinds given. It fails on a type below FirstOwnType and on a type or name
-// declared twice.
+// NewSchema returns a schema with NS, CNAME, SOA and WKS and the kinds given. It
+// fails on a type below FirstPrivateType and on a type or name declared twice.
 func NewSchema(kinds ...Kind) (*Schema, error) {
-	schema := &Schema{kinds: sourceKinds()}
+	schema := &Schema{kinds: standardKinds()}
 	names := map[string]bool{}
 	for _, kind := range schema.kinds {
 		names[kind.Name] = true
@@ -43,12 +63,12 @@
 	return kind, known
 }
 
-// sourceKinds declares the types that the source gives rules for (1.1.5).
-func sourceKinds() map[Type]Kind {
+// standardKinds declares the types that the draft gives rules for (section 1.1.5).
+func standardKinds() map[Type]Kind {
 	return map[Type]Kind{
 		TypeNS:    {Type: TypeNS, Name: "NS"},
 		TypeCNAME: {Type: TypeCNAME, Name: "CNAME", Singleton: true},
-		TypeSOA:   {Type: TypeSOA, Name: "SOA", Singleton: true, Check: checkHead},
+		TypeSOA:   {Type: TypeSOA, Name: "SOA", Singleton: true, Check: checkSOAData},
 		TypeWKS:   {Type: TypeWKS, Name: "WKS", Key: wksKey, Check: checkWKS},
 	}
 }
@@ -64,12 +84,12 @@
 	return nil
 }
 
-func checkHead(data []byte) error {
-	_, err := decodeHead(data)
+func checkSOAData(data []byte) error {
+	_, err := decodeSOA(data)
 	return err
 }
 
-// replaces reports whether adding data replaces existing (section 1.1.5).
+// replaces reports whether added data replaces existing data (section 1.1.5).
 func (k Kind) replaces(existing, data []byte) bool {
 	if k.Singleton {
 		return true
--- a/registry/view.go
+++ b/registry/view.go
@@ -1,81 +1,57 @@
 package registry
 
 import (
-	"bytes"
-	"sort"
 	"strings"
 
 	"github.com/google/btree"
 )
 
-// treeDegree balances the nodes copied by a change against the depth of a search.
-const treeDegree = 16
-
-// recordSet is all records of one name and type, sorted by data. It is never
-// changed once it is in a tree.
-type recordSet struct {
-	key     string
-	kind    Type
-	records []Record
-}
-
-// content is the whole of a table at one serial. It is never changed once published.
-type content struct {
+// tableState is the state of a table at one serial. It is immutable once published.
+type tableState struct {
 	apex  Name
-	head  SOA
-	tree  *btree.BTreeG[recordSet]
-	count int
+	soa   SOA
+	tree  *btree.BTreeG[rrset]
+	count int // records
 }
 
-// View is an immutable reading of a table at one serial. Taking one costs O(1).
-// It may be used by any number of goroutines while the table goes on changing.
-// The zero View is empty. Data of the records it returns must not be changed.
+// View is an immutable snapshot of a table at one serial. Taking one costs O(1).
+// Any number of goroutines may use it while the table goes on changing. The zero
+// View is empty. The Data of the records it returns must not be modified.
 type View struct {
-	content *content
-}
-
-func lessSet(a, b recordSet) bool {
-	if a.key != b.key {
-		return a.key < b.key
-	}
-	return a.kind < b.kind
+	state *tableState
 }
 
-func newTree() *btree.BTreeG[recordSet] {
-	return btree.NewG(treeDegree, lessSet)
-}
-
-// Serial returns the serial that the view shows, zero for an empty view.
+// Serial returns the serial of the view, 0 for an empty one.
 func (v View) Serial() uint32 { return v.SOA().Serial }
 
-// SOA returns the data of the head record.
+// SOA returns the data of the SOA record, the zero SOA for an empty view.
 func (v View) SOA() SOA {
-	if v.content == nil {
+	if v.state == nil {
 		return SOA{}
 	}
-	return v.content.head
+	return v.state.soa
 }
 
-// Apex returns the name of the table.
+// Apex returns the name of the table, "" for an empty view.
 func (v View) Apex() Name {
-	if v.content == nil {
+	if v.state == nil {
 		return ""
 	}
-	return v.content.apex
+	return v.state.apex
 }
 
 // Len returns the number of records.
 func (v View) Len() int {
-	if v.content == nil {
+	if v.state == nil {
 		return 0
 	}
-	return v.content.count
+	return v.state.count
 }
 
-// Lookup returns the records of the type at the name, ordered by data. TypeANY
-// matches every type.
+// Lookup returns a copy of the records of the type at the name, sorted by data.
+// TypeANY matches every type. A malformed name has no records.
 func (v View) Lookup(name Name, recordType Type) []Record {
-	if v.content == nil {
+	if v.state == nil {
 		return nil
 	}
 	name, err := canonicalName(name)
@@ -83,30 +59,30 @@
 		return nil
 	}
 	if recordType != TypeANY {
-		set := findSet(v.content.tree, name.key(), recordType)
+		set := findRRset(v.state.tree, name.key(), recordType)
 		return append([]Record(nil), set.records...)
 	}
 	var records []Record
-	eachSetAt(v.content.tree, name.key(), func(set recordSet) bool {
+	eachRRsetAt(v.state.tree, name.key(), func(set rrset) bool {
 		records = append(records, set.records...)
 		return true
 	})
 	return records
 }
 
-// InUse reports whether any record is at the name itself (2.4.4).
+// InUse reports whether any record is at the name itself (section 2.4.4).
 func (v View) InUse(name Name) bool {
-	if v.content == nil {
+	if v.state == nil {
 		return false
 	}
 	name, err := canonicalName(name)
-	return err == nil && nameInUse(v.content.tree, name.key())
+	return err == nil && nameInUse(v.state.tree, name.key())
 }
 
 // Walk calls visit for the records of the type (TypeANY for all) at and below
 // the name, each name before those below it, until visit returns false.
 func (v View) Walk(under Name, recordType Type, visit func(Record) bool) {
-	if v.content == nil {
+	if v.state == nil {
 		return
 	}
 	under, err := canonicalName(under)
@@ -114,11 +90,11 @@
 		return
 	}
 	prefix := under.key()
-	v.content.tree.AscendGreaterOrEqual(recordSet{key: prefix}, func(set recordSet) bool {
+	v.state.tree.AscendGreaterOrEqual(rrset{key: prefix}, func(set rrset) bool {
 		if !strings.HasPrefix(set.key, prefix) {
 			return false
 		}
-		if recordType != TypeANY && set.kind != recordType {
+		if recordType != TypeANY && set.recordType != recordType {
 			return true
 		}
 		for _, record := range set.records {
@@ -129,47 +105,3 @@
 		return true
 	})
 }
-
-func findSet(tree *btree.BTreeG[recordSet], key string, recordType Type) recordSet {
-	set, _ := tree.Get(recordSet{key: key, kind: recordType})
-	return set
-}
-
-// eachSetAt visits the sets at exactly one name, in the order of their types.
-func eachSetAt(tree *btree.BTreeG[recordSet], key string, visit func(recordSet) bool) {
-	tree.AscendGreaterOrEqual(recordSet{key: key}, func(set recordSet) bool {
-		return set.key == key && visit(set)
-	})
-}
-
-func nameInUse(tree *btree.BTreeG[recordSet], key string) bool {
-	found := false
-	eachSetAt(tree, key, func(recordSet) bool {
-		found = true
-		return false
-	})
-	return found
-}
-
-// with returns the records with one more, in order of data. The record must not
-// be among them.
-func with(records []Record, record Record) []Record {
-	at := sort.Search(len(records), func(i int) bool {
-		return bytes.Compare(records[i].Data, record.Data) >= 0
-	})
-	grown := make([]Record, 0, len(records)+1)
-	grown = append(grown, records[:at]...)
-	grown = append(grown, record)
-	return append(grown, records[at:]...)
-}
-
-// without returns the records that drop does not pick.
-func without(records []Record, drop func(Record) bool) []Record {
-	var kept []Record
-	for _, record := range records {
-		if !drop(record) {
-			kept = append(kept, record)
-		}
-	}
-	return kept
-}
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -15,17 +15,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
-		f.condition("r1", catalog.ConditionWarmingUp, "g9")
+		f.condition(catalog.ConditionWarmingUp, "g9")
 		router := newRouter("east", "g1")
 		cold := report("r1")
 		cold.Cold = true
 		router.SetPlan(f.plan())
 		router.Observe("r1", cold, time.Now())
 		wantRefused(t, router, request("another feeds"), api.CodeNoCapacity)
-		if feeders := router.Feeders("large"); len(feeders) != 1 || feeders[0] != "g9" {
+		if feeders := router.WarmupGateways("large"); len(feeders) != 1 || feeders[0] != "g9" {
 			t.Fatalf("feeders %v", feeders)
 		}
-		f.condition("r1", catalog.ConditionWarmingUp, "g1")
+		f.condition(catalog.ConditionWarmingUp, "g1")
 		router.SetPlan(f.plan())
 		wantRefused(t, router, request("too early"), api.CodeNoCapacity)
 		time.Sleep(feederChange)
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
-		f.condition("r1", catalog.ConditionUp, "")
+		f.condition(catalog.ConditionUp, "")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
 		told := report("r1")
@@ -53,11 +53,11 @@
 			router.Observe("r1", told, time.Now())
 			mustReserve(t, router, request("warms")).Finish(ResultSuccess, nil, time.Now())
 		}
-		early := []*Slot{mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))}
+		early := []*Reservation{mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))}
 		told.Cold, told.Running = true, 2
 		router.Observe("r1", told, time.Now())
 		wantRefused(t, router, request("no feeder yet"), api.CodeNoCapacity)
-		f.condition("r1", catalog.ConditionWarmingUp, "g1")
+		f.condition(catalog.ConditionWarmingUp, "g1")
 		router.SetPlan(f.plan())
 		wantRefused(t, router, request("earlier work is under way"), api.CodeOverloaded)
 		for _, slot := range early {
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.replica("r1", "east-a", "east")
-		f.condition("r1", catalog.ConditionWarmingUp, "g1")
+		f.condition(catalog.ConditionWarmingUp, "g1")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
 		told := report("r1")
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, c.explain(ctx, err)
 	}
-	limit, keep := reuse(response, c.pool.config.IdleLimit)
+	limit, keep := reuse(response, c.pool.config.IdleTimeout)
 	response.Body = &answerBody{conn: c, ctx: ctx, inner: response.Body, limit: limit, keep: keep}
 	return response, nil
 }
@@ -177,7 +177,7 @@
 // answerBody gives the connection back at the end of the answer.
 type answerBody struct {
 	conn  *connection
-	ctx   context.Context
+	ctx   context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
 	inner io.ReadCloser
 	limit time.Duration
 	keep  bool
