--- a/consensus/stalemessage_test.go
+++ b/consensus/stalemessage_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// newMember returns a member of a group of three that hears of no leader, at term 1.
-func newMember(t *testing.T, id ID) *Node {
+// newMember returns member a of a group of three that hears of no leader, at term 1.
+func newMember(t *testing.T) *Node {
 	t.Helper()
 	node, err := New(Config{
-		ID: id, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
+		ID: "a", ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
 		HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: membersOf("a", "b", "c")},
 	})
 	if err != nil {
@@ -33,7 +33,7 @@
 // TestLateAppendDropsNothing: messages overtake one another. An append that comes after
 // a longer one holds entries that are there already, and truncates nothing.
 func TestLateAppendDropsNothing(t *testing.T) {
-	node := newMember(t, "a")
+	node := newMember(t)
 	entries := []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
 	appendOf := func(count int) Message {
 		return Message{Kind: MessageAppend, From: "b", To: "a", Term: 2, Index: 1, LogTerm: 1, Entries: entries[:count]}
@@ -57,7 +57,7 @@
 	c.run(10 * testElection)
 	c.propose(c.leader(), "x")
 	c.run(testElection)
-	if texts := c.texts(id); len(texts) != 1 {
+	if texts := c.appliedTexts(id); len(texts) != 1 {
 		t.Errorf("the member of a newer term was given %q", texts)
 	}
 }
@@ -65,7 +65,7 @@
 // TestAppendBelowTheCommitIsNotRejected: what is committed is the same everywhere. A late
 // append from before it is answered by the commit, also where the log begins later.
 func TestAppendBelowTheCommitIsNotRejected(t *testing.T) {
-	node := newMember(t, "a")
+	node := newMember(t)
 	message := Message{
 		Kind: MessageAppend, From: "b", To: "a", Term: 2, Index: 1, LogTerm: 1, Commit: 4,
 		Entries: []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}},
@@ -84,7 +84,7 @@
 // TestSnapshotThatTheLogLeadsThroughDropsNothing: a member that holds the snapshot's last
 // entry already commits up to it, and keeps what comes after.
 func TestSnapshotThatTheLogLeadsThroughDropsNothing(t *testing.T) {
-	node := newMember(t, "a")
+	node := newMember(t)
 	mustStep(t, node, 0, Message{
 		Kind: MessageAppend, From: "b", To: "a", Term: 2, Index: 1, LogTerm: 1,
 		Entries: []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}},
@@ -102,9 +102,9 @@
 	c := newCluster(t, "a", "b", "c")
 	former := c.leader()
 	id := former.Status().ID
-	c.cut(id)
+	c.isolate(id)
 	c.propose(former, "never committed")
-	c.settle()
+	c.deliverAll()
 	for former.Status().Role == Leader {
 		c.run(testStep)
 	}
@@ -112,15 +112,15 @@
 	for _, text := range numbered("update", 3) {
 		c.propose(successor, text)
 	}
-	c.settle()
-	c.block = func(message Message) bool { return message.To == id && message.Kind == MessageAppend }
+	c.deliverAll()
+	c.drop = func(message Message) bool { return message.To == id && message.Kind == MessageAppend }
 	c.run(2 * testElection)
-	if texts := c.texts(id); len(texts) != 0 {
+	if texts := c.appliedTexts(id); len(texts) != 0 {
 		t.Errorf("heartbeats alone committed %q", texts)
 	}
 	c.heal()
 	c.run(2 * testElection)
-	if texts := c.texts(id); len(texts) != 3 {
+	if texts := c.appliedTexts(id); len(texts) != 3 {
 		t.Errorf("the former leader was given %q at last", texts)
 	}
 }
@@ -128,7 +128,7 @@
 // TestOverwrittenBatchIsNotTakenForTheNewOne: while a batch is being written, another
 // leader's entries may replace it. They still have to be written.
 func TestOverwrittenBatchIsNotTakenForTheNewOne(t *testing.T) {
-	node := newMember(t, "a")
+	node := newMember(t)
 	appendOf := func(from ID, term uint64) Message {
 		return Message{
 			Kind: MessageAppend, From: from, To: "a", Term: term, Index: 1, LogTerm: 1,
--- a/consensus/votebacking_test.go
+++ b/consensus/votebacking_test.go
@@ -8,7 +8,7 @@
 // TestVoterBacksItsCandidateForAMoment: the candidate that got the vote may lead without
 // having been heard. Another one is not helped until the first could have been heard.
 func TestVoterBacksItsCandidateForAMoment(t *testing.T) {
-	node := newMember(t, "a")
+	node := newMember(t)
 	preVote := Message{Kind: MessagePreVote, From: "c", To: "a", Term: 3, Index: 1, LogTerm: 1}
 	vote := mustStep(t, node, 0, Message{Kind: MessageVote, From: "b", To: "a", Term: 2, Index: 1, LogTerm: 1})
 	if len(vote) != 1 || vote[0].Reject {
--- a/control/formationcrash_test.go
+++ b/control/engine/groupentry_test.go
@@ -1,10 +1,12 @@
-package control
+package engine
 
 import (
 	"log/slog"
 	"testing"
 
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/metrics"
+	"github.com/deckpulley/deckpulley/control/statemachine"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/storage"
 	"github.com/deckpulley/deckpulley/transport"
@@ -17,7 +19,7 @@
 	for _, disk := range disks {
 		members = append(members, consensus.Member{ID: disk, Name: "node-of-" + string(disk), Address: string(disk) + ":1"})
 	}
-	snapshot, err := firstSnapshot(cluster, members[0].Name, members)
+	snapshot, err := statemachine.First(cluster, members[0].Name, members)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,13 +33,13 @@
 	if err := store.SaveSnapshot(groupOf(t, "cut short", "disk-1"), 2); err != nil {
 		t.Fatal(err)
 	}
-	m := loneMachineOn(t, store)
+	m := newSingleNodeOn(t, store)
 	loaded, err := store.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.cluster != "cut short" || loaded.Cluster != m.cluster {
-		t.Errorf("the node belongs to %q and its disk to %q, want the group of the snapshot", m.cluster, loaded.Cluster)
+	if m.driver.Cluster() != "cut short" || loaded.Cluster != m.driver.Cluster() {
+		t.Errorf("the node belongs to %q and its disk to %q, want the group of the snapshot", m.driver.Cluster(), loaded.Cluster)
 	}
 }
 
@@ -54,29 +56,42 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			options := Options{
+			config := Config{
 				Name:        "control-1",
 				PeerAddress: "control-1:1",
 				Network:     transport.NewMemory().Node("control-1", "control-1:1"),
 				Store:       storage.NewMemory("disk-1"),
 				Logger:      slog.New(slog.DiscardHandler),
 			}.withDefaults()
-			m, err := newMachine(options, options.Logger, newMetrics(), 0)
+			m, err := newMachine(config, metrics.New(), 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			form := peer.Bootstrap{Cluster: "new", Snapshot: groupOf(t, "new", "disk-0", "disk-1")}
-			if got := m.form(0, form, c.promised); got != c.want {
+			if got := m.driver.AcceptBootstrap(0, form, c.promised); got != c.want {
 				t.Errorf("adopted: %t, want %t", got, c.want)
 			}
 		})
 	}
 }
 
-// TestSnapshotOfAnotherGroupIsNotInstalled: whoever sends it, a node keeps to its group.
-func TestSnapshotOfAnotherGroupIsNotInstalled(t *testing.T) {
-	m := loneMachine(t)
-	if err := m.install(groupOf(t, "another", "disk-1")); err == nil {
-		t.Error("a snapshot of another group was installed")
+// TestSnapshotOfAnotherGroupIsNotRestored: a node keeps to the group on its disk.
+func TestSnapshotOfAnotherGroupIsNotRestored(t *testing.T) {
+	store := storage.NewMemory("disk-1")
+	if err := store.SetCluster("own"); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.SaveSnapshot(groupOf(t, "another", "disk-1"), 2); err != nil {
+		t.Fatal(err)
+	}
+	config := Config{
+		Name:        "control-1",
+		PeerAddress: "control-1:1",
+		Network:     transport.NewMemory().Node("control-1", "control-1:1"),
+		Store:       store,
+		Logger:      slog.New(slog.DiscardHandler),
+	}.withDefaults()
+	if _, err := newMachine(config, metrics.New(), 0); err == nil {
+		t.Error("a node started from a snapshot of another group")
 	}
 }
--- a/control/memberrecords_test.go
+++ b/control/engine/memberrecords_test.go
@@ -1,4 +1,4 @@
-package control
+package engine
 
 import (
 	"testing"
@@ -12,41 +12,42 @@
 // TestMemberRecordsAreReplacedByOneUpdate: the registry keeps its last member record
 // whatever an update says. Where all of them change, the new ones come first.
 func TestMemberRecordsAreReplacedByOneUpdate(t *testing.T) {
-	m := loneMachine(t)
+	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
 	settled := func(records ...registry.Record) {
 		t.Helper()
 		m.propose(now, m.ownUpdate(nil, records), func(registry.Result, error) {})
-		if err := m.settle(now); err != nil {
+		if err := m.process(now); err != nil {
 			t.Fatal(err)
 		}
 	}
 	settled(registry.Add(registry.NSRecord(catalog.Apex, "former")),
-		registry.DeleteRecord(registry.NSRecord(catalog.Apex, m.options.Name)))
-	m.recordMembers(now)
-	if err := m.settle(now); err != nil {
+		registry.DeleteRecord(registry.NSRecord(catalog.Apex, m.config.Name)))
+	m.recordMembers(now, m.leadership)
+	if err := m.process(now); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for _, record := range m.table.View().Lookup(catalog.Apex, registry.TypeNS) {
+	for _, record := range m.table().View().Lookup(catalog.Apex, registry.TypeNS) {
 		names = append(names, string(record.Data))
 	}
-	if len(names) != 1 || names[0] != m.options.Name {
-		t.Errorf("the member records are %q after one update, want %q alone", names, m.options.Name)
+	if len(names) != 1 || names[0] != m.config.Name {
+		t.Errorf("the member records are %q after one update, want %q alone", names, m.config.Name)
 	}
 }
 
 // TestNewestDiskOfAnAddressAsksToJoin: a request from an earlier disk of the address
 // would bring in a node that is no longer there.
 func TestNewestDiskOfAnAddressAsksToJoin(t *testing.T) {
-	m := loneMachine(t)
+	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
 	for _, disk := range []consensus.ID{"disk-2", "disk-2-replaced"} {
 		m.join(now, consensus.Member{ID: disk, Name: "control-2", Address: "control-2:1"})
 	}
-	if _, found := m.leadership.joins["disk-2-replaced"]; !found || len(m.leadership.joins) != 1 {
-		t.Errorf("%d disks of one address ask to join, want the newest alone", len(m.leadership.joins))
+	joins := m.leadership.members.Joins()
+	if len(joins) != 1 || joins[0].Member.ID != "disk-2-replaced" {
+		t.Errorf("%+v ask to join, want the newest disk alone", joins)
 	}
 }
--- a/control/replacedlearner_test.go
+++ b/control/membership/replacedlearner_test.go
@@ -1,4 +1,4 @@
-package control
+package membership
 
 import (
 	"testing"
@@ -17,30 +17,30 @@
 	cases := []struct {
 		name    string
 		contact time.Duration
-		joins   []joinRequest
+		joins   []JoinRequest
 		removed bool
 	}{
-		{name: "silent and replaced", contact: now - 2*reachableWithin, joins: []joinRequest{{member: next, asked: now}}, removed: true},
-		{name: "replaced and heard", contact: now, joins: []joinRequest{{member: next, asked: now}}},
-		{name: "silent only", contact: now - 2*reachableWithin},
+		{name: "silent and replaced", contact: now - 2*ReachableTimeout, joins: []JoinRequest{{Member: next, ReceivedAt: now}}, removed: true},
+		{name: "replaced and heard", contact: now, joins: []JoinRequest{{Member: next, ReceivedAt: now}}},
+		{name: "silent only", contact: now - 2*ReachableTimeout},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := repair{
-				now: now,
-				status: consensus.Status{
+			r := Repair{
+				Now: now,
+				Status: consensus.Status{
 					ID: "a", Commit: 900, MembershipCommitted: true,
 					Match:       map[consensus.ID]uint64{"a": 900, "b": 900},
 					LastContact: map[consensus.ID]time.Duration{"b": now, "c2": c.contact},
 					Membership:  consensus.Membership{Members: members},
 				},
-				joins:        c.joins,
-				voters:       3,
-				replaceAfter: defaultReplaceAfter,
+				Joins:        c.joins,
+				Voters:       3,
+				ReplaceAfter: 3 * time.Second,
 			}
-			_, reason := r.next()
-			if removed := reason != ""; removed != c.removed {
-				t.Errorf("next step %q, removed: %t, want %t", reason, removed, c.removed)
+			next, needed := r.Next()
+			if needed != c.removed {
+				t.Errorf("next step %q, needed: %t, want %t", next.Reason, needed, c.removed)
 			}
 		})
 	}
--- a/lease/proof_test.go
+++ b/lease/proof_test.go
@@ -6,11 +6,11 @@
 // newest proof of leadership, and may have let a holder in that is behind. What is
 // reported since is not in force.
 func TestReportCountsOnlyWithALaterProof(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
 	grantor.SetSerial(6)
 	later := now + 100*ms
-	grantor.Renew(later, now, true, ask("a", 6, 6))
+	grantor.Renew(later, now, true, renewalRequest("a", 6, 6))
 	if serial, _ := grantor.SerialInForce(); serial != 5 {
 		t.Fatalf("in force %d on a proof from before the report, want 5", serial)
 	}
@@ -20,14 +20,14 @@
 // TestReleaseCountsOnlyWithALaterProof: the holder that gives its lease up may get
 // another one from a primary that was elected after the newest proof of leadership.
 func TestReleaseCountsOnlyWithALaterProof(t *testing.T) {
-	grantor, now := settled()
-	grantor.Renew(now, now, true, ask("a", 5, 5))
-	grantor.Renew(now, now, true, ask("b", 5, 5))
+	grantor, now := grantorAfterGracePeriod()
+	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
+	grantor.Renew(now, now, true, renewalRequest("b", 5, 5))
 	grantor.SetSerial(6)
-	grantor.Renew(now, now, true, ask("a", 6, 6))
+	grantor.Renew(now, now, true, renewalRequest("a", 6, 6))
 	wantInForce(t, grantor, now, 5, true)
 	later := now + 100*ms
-	release := ask("b", 5, 5)
+	release := renewalRequest("b", 5, 5)
 	release.Release = true
 	grantor.Renew(later, now, true, release)
 	if serial, _ := grantor.SerialInForce(); serial != 5 {
--- a/transport/brokenpeers_test.go
+++ b/transport/brokenpeers_test.go
@@ -67,22 +67,22 @@
 			t.Fatal(err)
 		}
 		defer stream.Close()
-		time.Sleep(4 * streamPing) // the handler fills the connection
+		time.Sleep(4 * streamPingInterval) // the handler fills the connection
 		network.Partition("a", "b")
 		select {
 		case got := <-notes:
 			if got != "stream stopped" {
 				t.Errorf("the handler says %q", got)
 			}
-		case <-time.After(2 * streamSilence):
-			t.Errorf("the handler goes on %v after the last ping", 2*streamSilence)
+		case <-time.After(2 * streamTimeout):
+			t.Errorf("the handler goes on %v after the last ping", 2*streamTimeout)
 		}
 	})
 }
 
-// TestLongFrameIsNotTakenForSilence: a peer that is being sent a long frame can't answer
+// TestLongFrameCountsAsSignOfLife: a peer that is being sent a long frame can't answer
 // what came before it. The frame's progress counts as a sign of life.
-func TestLongFrameIsNotTakenForSilence(t *testing.T) {
+func TestLongFrameCountsAsSignOfLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, _, _ := memoryPair(t, Config{})
 		connection, err := a.connect(t.Context(), "b", purposeMessages, time.Second)
@@ -90,18 +90,18 @@
 			t.Fatal(err)
 		}
 		defer a.release(connection.raw)
-		probe := newProbe(connection)
-		defer probe.stop()
+		monitor := newLivenessMonitor(connection)
+		defer monitor.stop()
 		time.Sleep(time.Millisecond)
-		probe.wrote()
-		time.Sleep(2 * silenceLimit)
-		connection.progress.Store(connection.now())
-		if err := probe.check(); err != nil {
+		monitor.wrote()
+		time.Sleep(2 * unresponsiveTimeout)
+		connection.lastChunkWritten.Store(connection.now())
+		if err := monitor.check(); err != nil {
 			t.Errorf("right after a part of a frame was written: %v", err)
 		}
-		time.Sleep(silenceLimit)
-		if err := probe.check(); err == nil {
-			t.Errorf("no silence is reported %v after the last progress", silenceLimit)
+		time.Sleep(unresponsiveTimeout)
+		if err := monitor.check(); err == nil {
+			t.Errorf("no silence is reported %v after the last progress", unresponsiveTimeout)
 		}
 	})
 }
@@ -111,7 +111,7 @@
 func TestMessageForARetiredLinkIsSentByTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, _, notes := memoryPair(t, Config{})
-		frame, err := encodeMessage(envelope{Type: frameOneWay, Kind: kindNote}, text{Text: "hello"}, DefaultMaxFrameBytes)
+		frame, err := encodeMessage(envelope{Type: frameOneWay, Kind: kindOneWay}, text{Text: "hello"}, DefaultMaxFrameBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +121,7 @@
 			if tries == 1 && !a.retire(l) {
 				t.Error("an empty link was not retired")
 			}
-			return l.queue.push(outgoing{kind: kindNote, frame: frame})
+			return l.queue.push(outgoing{kind: kindOneWay, frame: frame})
 		})
 		if err != nil || tries != 2 {
 			t.Fatalf("%v after %d tries", err, tries)
@@ -145,15 +145,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := newLink(a, "b")
+		l := newLink(a, "b", func() {})
 		waiting := &pendingCall{id: 1, done: make(chan struct{})}
-		l.begin(waiting, kindEcho, frame)
-		if l.abandon(waiting) {
+		l.enqueueCall(waiting, kindEcho, frame)
+		if l.removeCall(waiting) {
 			t.Error("a call in the queue counts as written")
 		}
-		probe := newProbe(connection)
-		defer probe.stop()
-		if err := l.writeQueued(connection, probe); err != nil {
+		monitor := newLivenessMonitor(connection)
+		defer monitor.stop()
+		if err := l.writeQueued(connection, monitor); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
