--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,4 +1,6 @@
-// Package directory decides which gateways a client should use. It is pure.
+// Package directory selects the gateway addresses that a client is given when
+// it asks a node where to send its requests. It is pure: it does no I/O and
+// reads no clock.
 package directory
 
 import (
@@ -9,51 +11,57 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Query is a client's question, and what the answer depends on beside the
-// gateways.
+// Query is a client's request for gateways, together with the state of the node
+// that answers it.
 type Query struct {
-	// Region is the client's.
+	// Region is the client's region.
 	Region string
-	// Limit bounds the addresses of an answer.
+	// Limit is the maximum number of addresses in the answer.
 	Limit int
-	// Node is the name of the node that is asked. Gateways are listed in an order
-	// that differs from one asked node to another.
+	// Node is the name of the answering node. The order of an answer depends on
+	// it, so that the clients of different nodes prefer different gateways.
 	Node string
-	// Draining says that the asked node is a gateway that ends.
+	// Draining is set if the answering node is a gateway that shuts down; it
+	// leaves itself out of the answer.
 	Draining bool
-	// Partitioned says that the asked node has lost touch with the primary. It may be cut
-	// off together with its region, while clients reach the others.
+	// Partitioned is set if the answering node has lost contact with the primary.
+	// It may be partitioned together with its whole region while clients still
+	// reach the other regions.
 	Partitioned bool
 }
 
-// Answer returns the addresses of the gateways to use: those of the client's
-// region, or of all regions if none is up there or the asked node is cut off, so
-// that what the region cannot serve is served elsewhere.
+// Answer returns the HTTP addresses of the gateways to use, at most Limit of
+// them: the gateways of the client's region, or those of all regions if the
+// client's region has none up or the answering node is partitioned. Gateways of
+// other regions then serve what the client's region cannot.
 func (q *Query) Answer(gateways map[string]catalog.Gateway) []string {
-	names := q.usable(gateways, func(other catalog.Gateway) bool { return other.Region == q.Region })
+	inRegion := func(gateway catalog.Gateway) bool { return gateway.Region == q.Region }
+	inAnyRegion := func(catalog.Gateway) bool { return true }
+	names := q.usable(gateways, inRegion)
 	if len(names) == 0 || q.Partitioned {
-		names = q.usable(gateways, func(catalog.Gateway) bool { return true })
+		names = q.usable(gateways, inAnyRegion)
 	}
 	names = names[:min(q.Limit, len(names))]
-	list := make([]string, 0, len(names))
+	addresses := make([]string, 0, len(names))
 	for _, name := range names {
-		list = append(list, gateways[name].HTTPAddress)
+		addresses = append(addresses, gateways[name].HTTPAddress)
 	}
-	return list
+	return addresses
 }
 
-// usable lists the gateways that are up.
-func (q *Query) usable(gateways map[string]catalog.Gateway, wanted func(catalog.Gateway) bool) []string {
+// usable returns the names of the matching gateways that are up, in the
+// answering node's order.
+func (q *Query) usable(gateways map[string]catalog.Gateway, matches func(catalog.Gateway) bool) []string {
 	var names []string
-	for name, other := range gateways {
-		leaving := name == q.Node && q.Draining
-		if other.Up && wanted(other) && !leaving {
+	for name, gateway := range gateways {
+		draining := name == q.Node && q.Draining
+		if gateway.Up && matches(gateway) && !draining {
 			names = append(names, name)
 		}
 	}
-	asked := placement.Hash(q.Node)
+	node := placement.Hash(q.Node)
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Compare(placement.Score(asked, placement.Hash(a)), placement.Score(asked, placement.Hash(b)))
+		return cmp.Compare(placement.Score(node, placement.Hash(a)), placement.Score(node, placement.Hash(b)))
 	})
 	return names
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -8,39 +8,45 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-func TestAnswer(t *testing.T) {
-	gateways := map[string]catalog.Gateway{
+func testGateways() map[string]catalog.Gateway {
+	return map[string]catalog.Gateway{
 		"a1": {Region: "a", HTTPAddress: "a1:1", Up: true},
 		"a2": {Region: "a", HTTPAddress: "a2:1", Up: true},
 		"a3": {Region: "a", HTTPAddress: "a3:1"},
 		"b1": {Region: "b", HTTPAddress: "b1:1", Up: true},
 		"c1": {Region: "c", HTTPAddress: "c1:1"},
 	}
+}
+
+func TestAnswer(t *testing.T) {
 	tests := map[string]struct {
-		question Query
-		want     string
+		query Query
+		want  string
 	}{
-		"own region":                     {Query{Region: "a", Limit: 9, Node: "b1"}, "a1:1 a2:1"},
-		"nobody up there":                {Query{Region: "c", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
-		"unknown region":                 {Query{Region: "x", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
-		"asked while leaving":            {Query{Region: "a", Limit: 9, Node: "a1", Draining: true}, "a2:1"},
-		"the last one of its region":     {Query{Region: "b", Limit: 9, Node: "b1", Draining: true}, "a1:1 a2:1"},
-		"cut off, the others may not be": {Query{Region: "b", Limit: 9, Node: "b1", Partitioned: true}, "a1:1 a2:1 b1:1"},
+		"own region":                             {Query{Region: "a", Limit: 9, Node: "b1"}, "a1:1 a2:1"},
+		"no gateway up in the region":            {Query{Region: "c", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
+		"unknown region":                         {Query{Region: "x", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
+		"node is draining":                       {Query{Region: "a", Limit: 9, Node: "a1", Draining: true}, "a2:1"},
+		"node is draining, last one of a region": {Query{Region: "b", Limit: 9, Node: "b1", Draining: true}, "a1:1 a2:1"},
+		"node is partitioned":                    {Query{Region: "b", Limit: 9, Node: "b1", Partitioned: true}, "a1:1 a2:1 b1:1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := test.question.Answer(gateways)
+			got := test.query.Answer(testGateways())
 			slices.Sort(got)
 			if joined := strings.Join(got, " "); joined != test.want {
 				t.Errorf("got %q, want %q", joined, test.want)
 			}
 		})
 	}
-	limited := Query{Region: "a", Limit: 1, Node: "b1"}
-	if got := limited.Answer(gateways); len(got) != 1 {
-		t.Errorf("got %v, want one", got)
+}
+
+func TestAnswerLimit(t *testing.T) {
+	query := Query{Region: "a", Limit: 1, Node: "b1"}
+	if got := query.Answer(testGateways()); len(got) != 1 {
+		t.Errorf("got %v, want one address", got)
 	}
-	if got := limited.Answer(nil); len(got) != 0 {
-		t.Errorf("got %v of no gateways", got)
+	if got := query.Answer(nil); len(got) != 0 {
+		t.Errorf("got %v without any gateways", got)
 	}
 }
--- a/directory/example_test.go
+++ b/directory/example_test.go
@@ -13,10 +13,10 @@
 		"b": {Region: "north", HTTPAddress: "10.0.0.2:80"}, // down
 		"c": {Region: "south", HTTPAddress: "10.1.0.1:80", Up: true},
 	}
-	question := directory.Query{Region: "north", Limit: 8}
-	fmt.Println(question.Answer(gateways))
-	question.Partitioned = true // whoever answers hears no leader: clients may reach what it cannot
-	fmt.Println(len(question.Answer(gateways)), "addresses")
+	query := directory.Query{Region: "north", Limit: 8}
+	fmt.Println(query.Answer(gateways))
+	query.Partitioned = true // the answering node has lost contact with the primary; clients may not have
+	fmt.Println(len(query.Answer(gateways)), "addresses")
 	// Output:
 	// [10.0.0.1:80]
 	// 2 addresses
--- a/slowstart/example_test.go
+++ b/slowstart/example_test.go
@@ -6,16 +6,17 @@
 	"github.com/deckpulley/deckpulley/slowstart"
 )
 
-// A cold replica is given one request more after a round of successes.
+// The limit of a replica that is warming up rises by one after as many successes
+// as the limit.
 func Example() {
-	cold := slowstart.New(slowstart.Additive, 1, 8)
+	limiter := slowstart.New(slowstart.Additive, 1, 8)
 	for range 3 {
-		fmt.Print(cold.Limit(), " ")
-		for range cold.Limit() {
-			cold.RecordSuccess()
+		fmt.Print(limiter.Limit(), " ")
+		for range limiter.Limit() {
+			limiter.RecordSuccess()
 		}
 	}
-	cold.RecordFailure()
-	fmt.Println(cold.Limit(), cold.Done())
+	limiter.RecordFailure()
+	fmt.Println(limiter.Limit(), limiter.Done())
 	// Output: 1 2 3 2 false
 }
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -1,69 +1,73 @@
-// Package slowstart raises what one replica is given step by step, and only on
-// successes: for a cold replica slowly, for a returning one faster. It is pure
-// and keeps no time at all: without successes nothing grows.
+// Package slowstart raises the concurrency limit of one replica step by step,
+// and only on successes: slowly for a replica that is warming up, faster for one
+// that returns to service. It is pure and keeps no time: without successes the
+// limit does not grow.
 package slowstart
 
-// Growth says how a ramp rises.
+// Growth is the way in which a limit rises.
 type Growth uint8
 
 const (
-	// Additive adds one after as many successes as the present limit. It is
-	// meant for cold replicas, whose speed rises with what they have done.
+	// Additive adds one after as many successes as the present limit. It is meant
+	// for replicas that are warming up, whose speed rises with the work they have
+	// done.
 	Additive Growth = iota
-	// Doubling doubles after as many successes as the present limit. It is meant
-	// for warm replicas that return.
+	// Doubling doubles the limit after as many successes as the present limit. It
+	// is meant for warm replicas that return to service.
 	Doubling
 )
 
-// Limiter bounds the requests in flight on one replica.
+// Limiter bounds the requests in flight on one replica. It is not safe for
+// concurrent use.
 type Limiter struct {
 	growth    Growth
 	initial   int
 	limit     int
-	full      int
-	successes int
+	maximum   int
+	successes int // since the limit last changed or a request failed
 }
 
-// New starts a ramp at initial that is done at full. Both are at least 1.
-func New(growth Growth, initial, full int) *Limiter {
+// New returns a limiter that starts at initial and is done at maximum. Both are
+// raised to 1 if lower.
+func New(growth Growth, initial, maximum int) *Limiter {
 	initial = max(1, initial)
-	full = max(1, full)
-	return &Limiter{growth: growth, initial: initial, limit: min(initial, full), full: full}
+	maximum = max(1, maximum)
+	return &Limiter{growth: growth, initial: initial, limit: min(initial, maximum), maximum: maximum}
 }
 
-// Limit is the number of requests that may be in flight now.
-func (r *Limiter) Limit() int {
-	return r.limit
+// Limit returns the number of requests that may be in flight now, at least 1.
+func (l *Limiter) Limit() int {
+	return l.limit
 }
 
-// Growth is how the ramp rises.
-func (r *Limiter) Growth() Growth {
-	return r.growth
+// Growth returns the way in which the limit rises.
+func (l *Limiter) Growth() Growth {
+	return l.growth
 }
 
-// Done reports whether the ramp has reached its end.
-func (r *Limiter) Done() bool {
-	return r.limit >= r.full
+// Done reports whether the limit has reached its maximum.
+func (l *Limiter) Done() bool {
+	return l.limit >= l.maximum
 }
 
 // RecordSuccess records a request that the replica completed.
-func (r *Limiter) RecordSuccess() {
-	r.successes++
-	if r.successes < r.limit {
+func (l *Limiter) RecordSuccess() {
+	l.successes++
+	if l.successes < l.limit {
 		return
 	}
-	r.successes = 0
-	switch r.growth {
+	l.successes = 0
+	switch l.growth {
 	case Additive:
-		r.limit = min(r.full, r.limit+1)
+		l.limit = min(l.maximum, l.limit+1)
 	case Doubling:
-		r.limit = min(r.full, r.limit*2)
+		l.limit = min(l.maximum, l.limit*2)
 	}
 }
 
-// RecordFailure records a request that the replica failed: the limit halves, to its
-// first step at the least.
-func (r *Limiter) RecordFailure() {
-	r.successes = 0
-	r.limit = max(min(r.initial, r.full), r.limit/2)
+// RecordFailure records a request that the replica failed. It halves the limit,
+// but not below the initial one.
+func (l *Limiter) RecordFailure() {
+	l.successes = 0
+	l.limit = max(min(l.initial, l.maximum), l.limit/2)
 }
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -14,54 +14,55 @@
 	}
 }
 
-// TestRampProperties plays random results: the limit stays within its bounds,
-// grows only by as many successes as it was high, and falls on failures.
-func TestRampProperties(t *testing.T) {
+// TestLimiterProperties records random results: the limit stays within its
+// bounds, grows only after as many successes as its value, and never grows on a
+// failure.
+func TestLimiterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		growth := rapid.SampledFrom([]Growth{Additive, Doubling}).Draw(t, "growth")
-		full := rapid.IntRange(1, 40).Draw(t, "full")
-		r := New(growth, rapid.IntRange(-1, 8).Draw(t, "initial"), full)
-		since := 0
+		maximum := rapid.IntRange(1, 40).Draw(t, "maximum")
+		limiter := New(growth, rapid.IntRange(-1, 8).Draw(t, "initial"), maximum)
+		successes := 0
 		for _, success := range rapid.SliceOf(rapid.Bool()).Draw(t, "results") {
-			before := r.Limit()
+			before := limiter.Limit()
 			if success {
-				since++
-				r.RecordSuccess()
+				successes++
+				limiter.RecordSuccess()
 			} else {
-				since = 0
-				r.RecordFailure()
+				successes = 0
+				limiter.RecordFailure()
 			}
-			after := r.Limit()
-			if after < 1 || after > full {
-				t.Fatalf("limit %d outside 1..%d", after, full)
+			after := limiter.Limit()
+			if after < 1 || after > maximum {
+				t.Fatalf("limit %d outside 1..%d", after, maximum)
 			}
 			if after > before {
-				most := before + 1
+				largest := before + 1
 				if growth == Doubling {
-					most = 2 * before
+					largest = 2 * before
 				}
-				if !success || since < before || after > most {
-					t.Fatalf("grew from %d to %d after %d successes", before, after, since)
+				if !success || successes < before || after > largest {
+					t.Fatalf("limit grew from %d to %d after %d successes", before, after, successes)
 				}
-				since = 0
+				successes = 0
 			}
 			if !success && after > before {
-				t.Fatalf("grew on a failure")
+				t.Fatalf("limit grew on a failure")
 			}
 		}
 	})
 }
 
-func TestRampReachesItsEnd(t *testing.T) {
-	for growth, most := range map[Growth]int{Additive: 28, Doubling: 7} {
-		r := New(growth, 1, 8)
+func TestLimiterReachesMaximum(t *testing.T) {
+	for growth, want := range map[Growth]int{Additive: 28, Doubling: 7} {
+		limiter := New(growth, 1, 8)
 		count := 0
-		for !r.Done() {
-			r.RecordSuccess()
+		for !limiter.Done() {
+			limiter.RecordSuccess()
 			count++
 		}
-		if count != most {
-			t.Errorf("growth %d: %d successes to 8, want %d", growth, count, most)
+		if count != want {
+			t.Errorf("growth %d: %d successes to 8, want %d", growth, count, want)
 		}
 	}
 }
