--- a/feedback/example_test.go
+++ b/feedback/example_test.go
@@ -8,12 +8,13 @@
 	"github.com/deckpulley/deckpulley/feedback"
 )
 
-// The part of the work that is sent elsewhere settles where the load is at its aim.
+// The fraction of the work that spills to other regions converges to where the
+// load is at its set point.
 func Example() {
 	controller := feedback.New(feedback.Config{
 		Name: "utilization", SetPoint: 0.8, Proportional: 0.25, Integral: 0.35, Reverse: true, Maximum: 0.9,
 	})
-	offered := 1.2 // of what the region can carry
+	offered := 1.2 // offered load as a multiple of the region's capacity
 	now := time.Unix(0, 0)
 	for range 600 {
 		controller.Update(now, offered*(1-controller.Output()))
--- a/feedback/feedback.go
+++ b/feedback/feedback.go
@@ -1,8 +1,8 @@
-// Package feedback provides small proportional-integral controllers that hold a
-// measured value near a named set point. A controller is pure: the caller
-// passes the time and the measurement and applies the output. Output is
-// clamped, and the integral stops growing while the output is clamped, so that
-// a long saturation is not paid back as an overshoot.
+// Package feedback provides a proportional-integral (PI) controller that keeps a
+// measured value near a set point. It is pure: the caller passes the time and
+// the measurement and applies the output. The output is clamped, and the
+// integral does not grow further into a clamp (anti-windup), so that a long
+// saturation causes no overshoot afterwards.
 package feedback
 
 import (
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// longestStep bounds the time one update may integrate over, so that a pause
-// of the process does not act as one large correction.
-const longestStep = time.Second
+// maxStep bounds the time over which one update integrates, so that a pause of
+// the process does not act as one large correction.
+const maxStep = time.Second
 
 // Config describes one controller.
 type Config struct {
-	// Name names the set point for people and metrics.
+	// Name identifies the set point in metrics and to operators.
 	Name string
-	// SetPoint is the aim, in the unit of the measurement.
+	// SetPoint is the desired value, in the unit of the measurement.
 	SetPoint float64
-	// Proportional is output per unit of error.
+	// Proportional is the gain of the proportional term: output per unit of error.
 	Proportional float64
-	// Integral is output per unit of error and second.
+	// Integral is the gain of the integral term: output per unit of error and
+	// second.
 	Integral float64
 	// Reverse is set when a higher output lowers the measurement: the output
 	// then rises while the measurement is above the set point.
@@ -31,23 +32,27 @@
 	Minimum, Maximum float64
 	// Initial is the output before the first measurement.
 	Initial float64
-	// Smoothing is the time constant of the filter on the measurement; 0 is none.
+	// Smoothing is the time constant of the low-pass filter on the measurement; 0
+	// disables it.
 	Smoothing time.Duration
 }
 
-// Controller is one loop. Its zero value is not usable; use New.
+// Controller is one control loop. Its zero value is not usable; use New. It is
+// not safe for concurrent use.
 type Controller struct {
 	config   Config
 	integral float64
-	measured float64
+	measured float64 // filtered; NaN before the first update
 	output   float64
-	last     time.Time
+	updated  time.Time // the last update; zero before the first
 }
 
 // Status is the state of a controller for metrics.
 type Status struct {
 	Name     string
 	SetPoint float64
+	// Measured is the filtered measurement, in the unit of the set point; 0 before
+	// the first update.
 	Measured float64
 	Output   float64
 }
@@ -58,7 +63,8 @@
 	return &Controller{config: config, integral: initial, output: initial, measured: math.NaN()}
 }
 
-// SetSetPoint changes the aim; the output moves on from where it is.
+// SetSetPoint changes the set point. The output continues from its present
+// value.
 func (c *Controller) SetSetPoint(value float64) {
 	c.config.SetPoint = value
 }
@@ -69,24 +75,25 @@
 }
 
 // Update takes a measurement and returns the new output. The first update only
-// starts the clock.
+// initializes the time and the filter, and one that is not later than the one
+// before it changes nothing.
 func (c *Controller) Update(now time.Time, measurement float64) float64 {
-	if c.last.IsZero() {
-		c.last = now
+	if c.updated.IsZero() {
+		c.updated = now
 		c.measured = measurement
 		return c.output
 	}
-	step := min(now.Sub(c.last), longestStep)
+	step := min(now.Sub(c.updated), maxStep)
 	if step <= 0 {
 		return c.output
 	}
-	c.last = now
+	c.updated = now
 	c.filter(step, measurement)
 	c.correct(step)
 	return c.output
 }
 
-// Status reports the set point beside the measured value.
+// Status returns the set point, the filtered measurement and the output.
 func (c *Controller) Status() Status {
 	measured := c.measured
 	if math.IsNaN(measured) {
@@ -95,15 +102,19 @@
 	return Status{Name: c.config.Name, SetPoint: c.config.SetPoint, Measured: measured, Output: c.output}
 }
 
+// filter updates the measured value with one measurement, by a first-order
+// low-pass filter.
 func (c *Controller) filter(step time.Duration, measurement float64) {
 	if c.config.Smoothing <= 0 {
 		c.measured = measurement
 		return
 	}
-	share := 1 - math.Exp(-step.Seconds()/c.config.Smoothing.Seconds())
-	c.measured += share * (measurement - c.measured)
+	weight := 1 - math.Exp(-step.Seconds()/c.config.Smoothing.Seconds())
+	c.measured += weight * (measurement - c.measured)
 }
 
+// correct computes the output from the measured value and integrates the error
+// over step, unless that would drive a clamped output further into its clamp.
 func (c *Controller) correct(step time.Duration) {
 	deviation := c.config.SetPoint - c.measured
 	if c.config.Reverse {
@@ -112,12 +123,12 @@
 	integral := c.integral + c.config.Integral*deviation*step.Seconds()
 	output := c.config.Proportional*deviation + integral
 	c.output = clamp(output, c.config.Minimum, c.config.Maximum)
-	windsUp := (output > c.config.Maximum && deviation > 0) || (output < c.config.Minimum && deviation < 0)
-	if !windsUp {
+	windup := (output > c.config.Maximum && deviation > 0) || (output < c.config.Minimum && deviation < 0)
+	if !windup {
 		c.integral = clamp(integral, c.config.Minimum, c.config.Maximum)
 	}
 }
 
-func clamp(value, low, high float64) float64 {
-	return max(low, min(high, value))
+func clamp(value, minimum, maximum float64) float64 {
+	return max(minimum, min(maximum, value))
 }
--- a/feedback/feedback_test.go
+++ b/feedback/feedback_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// spillConfig has the gains of the spill controller, the only one in use.
+// spillConfig returns the gains of the spill controller, the only one in use.
 func spillConfig() Config {
 	return Config{
 		Name: "utilization", SetPoint: 0.8, Proportional: 0.25, Integral: 0.35,
@@ -14,55 +14,55 @@
 	}
 }
 
-// plant is a region whose load follows what is sent to it with a lag of one
-// holding time.
-type plant struct {
+// simulatedRegion is the controlled process: a region whose load follows the
+// work sent to it with a first-order lag.
+type simulatedRegion struct {
 	load float64
 }
 
-func (p *plant) step(offered, spilled float64, step, lag time.Duration) float64 {
+func (r *simulatedRegion) advance(offered, spilled float64, step, lag time.Duration) float64 {
 	target := offered * (1 - spilled)
-	p.load += (target - p.load) * (1 - math.Exp(-step.Seconds()/lag.Seconds()))
-	return p.load
+	r.load += (target - r.load) * (1 - math.Exp(-step.Seconds()/lag.Seconds()))
+	return r.load
 }
 
-// TestStepResponse triples the load and takes it back: the controller must
-// settle at the set point with a bounded overshoot, and let go again.
+// TestStepResponse triples the offered load and restores it: the controller must
+// converge to the set point, and its output must return to zero.
 func TestStepResponse(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for _, lag := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second} {
 		controller := New(spillConfig())
-		region := &plant{load: 0.5}
+		region := &simulatedRegion{load: 0.5}
 		now := time.Unix(0, 0)
-		run := func(offered float64, seconds int) (largest, smallest float64) {
-			largest, smallest = 0, math.Inf(1)
+		run := func(offered float64, seconds int) (highest, lowest float64) {
+			highest, lowest = 0, math.Inf(1)
 			for range seconds * 10 {
 				now = now.Add(step)
-				load := region.step(offered, controller.Output(), step, lag)
+				load := region.advance(offered, controller.Output(), step, lag)
 				controller.Update(now, load)
-				largest, smallest = max(largest, load), min(smallest, load)
+				highest, lowest = max(highest, load), min(lowest, load)
 			}
-			return largest, smallest
+			return highest, lowest
 		}
 		run(0.5, 5)
 		if controller.Output() != 0 {
 			t.Fatalf("lag %v: spills %v below the set point", lag, controller.Output())
 		}
-		largest, _ := run(1.5, 8)
-		settledHigh, settledLow := run(1.5, 20)
-		t.Logf("lag %v: peak %.2f, after 8 s between %.3f and %.3f", lag, largest, settledLow, settledHigh)
-		if settledHigh > 0.8*1.1 || settledLow < 0.8*0.9 {
-			t.Errorf("lag %v: load between %.2f and %.2f 8 s after the step, want 0.8 within a tenth", lag, settledLow, settledHigh)
+		peak, _ := run(1.5, 8)
+		steadyHigh, steadyLow := run(1.5, 20)
+		t.Logf("lag %v: peak %.2f, after 8 s between %.3f and %.3f", lag, peak, steadyLow, steadyHigh)
+		if steadyHigh > 0.8*1.1 || steadyLow < 0.8*0.9 {
+			t.Errorf("lag %v: load between %.2f and %.2f 8 s after the step, want 0.8 within a tenth", lag, steadyLow, steadyHigh)
 		}
 		run(0.5, 8)
 		if controller.Output() > 0.02 {
-			t.Errorf("lag %v: still spills %.2f 8 s after the load fell", lag, controller.Output())
+			t.Errorf("lag %v: still spilling %.2f 8 s after the load fell", lag, controller.Output())
 		}
 	}
 }
 
-// TestNoWindup saturates the output for a long time: it must leave the clamp
-// within the time that the gains alone need.
+// TestNoWindup saturates the output for a long time: it must leave
+// its clamp within the time that the gains alone need.
 func TestNoWindup(t *testing.T) {
 	controller := New(spillConfig())
 	now := time.Unix(0, 0)
@@ -73,14 +73,14 @@
 	if controller.Output() != 0.9 {
 		t.Fatalf("output %v, want it clamped at 0.9", controller.Output())
 	}
-	left := 0
-	for controller.Output() > 0.1 && left < 200 {
-		left++
+	steps := 0
+	for controller.Output() > 0.1 && steps < 200 {
+		steps++
 		now = now.Add(100 * time.Millisecond)
 		controller.Update(now, 0.3)
 	}
-	if left > 80 {
-		t.Fatalf("took %d steps of 100 ms to let go", left)
+	if steps > 80 {
+		t.Fatalf("took %d steps of 100 ms to return below 0.1", steps)
 	}
 	status := controller.Status()
 	if status.SetPoint != 0.8 || math.Abs(status.Measured-0.3) > 0.05 {
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/retry"
 )
 
-// However many requests fail, retries stay a tenth of the first attempts.
+// However many requests fail, there is at most one retry per ten first attempts.
 func Example() {
 	now := time.Unix(0, 0)
 	budget := retry.NewBudget(0.1)
@@ -19,8 +19,8 @@
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	aim, measured := budget.Status(now)
-	fmt.Println(retries, aim, measured)
+	ratio, measured := budget.Status(now)
+	fmt.Println(retries, ratio, measured)
 	fmt.Println(retry.Backoff(1, 0), retry.Backoff(1, 0.5))
 	// Output:
 	// 10 0.1 0.1
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry bounds repeated attempts: a budget as a ratio of first attempts
-// over a sliding window, and a backoff with jitter. It is pure: time and
-// randomness are inputs.
+// Package retry bounds retries: by a budget, which is a ratio of retries to first
+// attempts over a sliding window, and by a backoff with jitter. It is pure: time
+// and randomness are inputs.
 package retry
 
 import (
@@ -10,43 +10,49 @@
 )
 
 const (
-	// DefaultRatio is the aim for retries over first attempts.
+	// DefaultRatio is the default ratio of retries to first attempts.
 	DefaultRatio = 0.1
-	// MaximumRatio is the ratio that no setting can pass.
+	// MaximumRatio is the highest ratio that can be set.
 	MaximumRatio = 0.2
-	// Window is the time over which the ratio is kept.
+	// Window is the length of the sliding window over which the ratio holds.
 	Window = 10 * time.Second
-	// MaximumAttempts bounds the attempts of one request: a first one and one
-	// retry, which is never retried.
+	// MaximumAttempts bounds the attempts of one request: the first one and one
+	// retry.
 	MaximumAttempts = 2
-	// BaseBackoff is the longest wait before the first retry.
+	// BaseBackoff is the maximum wait before the first retry.
 	BaseBackoff = 50 * time.Millisecond
-	// MaximumBackoff bounds every wait.
+	// MaximumBackoff is the maximum wait before any retry.
 	MaximumBackoff = 400 * time.Millisecond
+)
 
+const (
+	// bucketLength is the time that one bucket of the window counts.
 	bucketLength = 500 * time.Millisecond
-	buckets      = int(Window/bucketLength) + 1
+	// bucketCount is one more than the window has, since the oldest bucket is only
+	// partly within the window.
+	bucketCount = int(Window/bucketLength) + 1
 )
 
-// Budget counts first attempts and retries of one process. The fleet keeps the
-// ratio because each of its processes does.
+// Budget counts the first attempts and the retries of one process. The ratio
+// holds for the whole fleet because it holds in each process. It is not safe for
+// concurrent use.
 type Budget struct {
-	ratio   float64
-	origin  time.Time
-	current int64 // number of the newest bucket since origin
-	firsts  [buckets]int
-	retries [buckets]int
+	ratio         float64
+	origin        time.Time // when bucket 0 begins
+	current       int64     // number of the newest bucket since origin
+	firstAttempts [bucketCount]int
+	retries       [bucketCount]int
 }
 
-// NewBudget returns a budget with a ratio; 0 or less is DefaultRatio, and more
-// than HardCap is HardCap.
+// NewBudget returns a budget with the given ratio: DefaultRatio if it is 0 or
+// less, MaximumRatio if it is more than that.
 func NewBudget(ratio float64) *Budget {
 	budget := &Budget{}
 	budget.SetRatio(ratio)
 	return budget
 }
 
-// SetRatio changes the ratio, with the bounds of NewBudget.
+// SetRatio changes the ratio, within the bounds of NewBudget.
 func (b *Budget) SetRatio(ratio float64) {
 	if ratio <= 0 {
 		ratio = DefaultRatio
@@ -54,80 +60,84 @@
 	b.ratio = min(ratio, MaximumRatio)
 }
 
-// RecordFirstAttempt counts a first attempt.
+// RecordFirstAttempt counts the first attempt of a request.
 func (b *Budget) RecordFirstAttempt(now time.Time) {
 	b.advance(now)
-	b.firsts[b.slot()]++
+	b.firstAttempts[b.slot()]++
 }
 
-// Allow reports whether a retry may be sent now, and counts it if so. A single
-// retry in the window passes as soon as HardCap admits it, so that a process
-// with little traffic has one at all.
+// Allow reports whether a retry may be sent now, and counts it if so. The first
+// retry in the window needs only MaximumRatio, so that a process with little
+// traffic can retry at all.
 func (b *Budget) Allow(now time.Time) bool {
 	b.advance(now)
-	firsts, retries := b.sums()
-	wanted := float64(retries + 1)
-	within := wanted <= b.ratio*float64(firsts)
-	single := retries == 0 && wanted <= MaximumRatio*float64(firsts)
-	if !within && !single && !planted.Active(planted.UnboundedRetries) {
+	firstAttempts, retries := b.totals()
+	requested := float64(retries + 1)
+	withinRatio := requested <= b.ratio*float64(firstAttempts)
+	onlyRetry := retries == 0 && requested <= MaximumRatio*float64(firstAttempts)
+	if !withinRatio && !onlyRetry && !planted.Active(planted.UnboundedRetries) {
 		return false
 	}
 	b.retries[b.slot()]++
 	return true
 }
 
-// Status returns the aimed ratio and the measured one over the window.
-func (b *Budget) Status(now time.Time) (aim, measured float64) {
+// Status returns the ratio that is set and the one measured over the window,
+// which is 0 without first attempts.
+func (b *Budget) Status(now time.Time) (ratio, measured float64) {
 	b.advance(now)
-	firsts, retries := b.sums()
-	if firsts == 0 {
+	firstAttempts, retries := b.totals()
+	if firstAttempts == 0 {
 		return b.ratio, 0
 	}
-	return b.ratio, float64(retries) / float64(firsts)
+	return b.ratio, float64(retries) / float64(firstAttempts)
 }
 
-// sums counts first attempts over at most Window and retries over at least
+// totals counts first attempts over at most Window and retries over at least
 // Window, so that the ratio holds over every window that ends at a retry.
-func (b *Budget) sums() (firsts, retries int) {
-	oldest := (b.slot() + 1) % buckets
-	for index := range buckets {
+func (b *Budget) totals() (firstAttempts, retries int) {
+	oldest := (b.slot() + 1) % bucketCount
+	for index := range bucketCount {
 		retries += b.retries[index]
 		if index != oldest {
-			firsts += b.firsts[index]
+			firstAttempts += b.firstAttempts[index]
 		}
 	}
-	return firsts, retries
+	return firstAttempts, retries
 }
 
+// slot returns the index of the newest bucket.
 func (b *Budget) slot() int {
-	return int(b.current % int64(buckets))
+	return int(b.current % int64(bucketCount))
 }
 
-// advance clears the buckets that have left the window.
+// advance makes the bucket of now the newest one and clears the buckets that have
+// left the window.
 func (b *Budget) advance(now time.Time) {
 	if b.origin.IsZero() {
 		b.origin = now
 	}
 	target := int64(now.Sub(b.origin) / bucketLength)
-	if target-b.current >= int64(buckets) {
-		b.firsts = [buckets]int{}
-		b.retries = [buckets]int{}
+	if target-b.current >= int64(bucketCount) {
+		b.firstAttempts = [bucketCount]int{}
+		b.retries = [bucketCount]int{}
 		b.current = target
 		return
 	}
 	for b.current < target {
 		b.current++
-		b.firsts[b.slot()] = 0
+		b.firstAttempts[b.slot()] = 0
 		b.retries[b.slot()] = 0
 	}
 }
 
-// Backoff is the wait before the given retry (1 is the first), with random in
-// [0, 1) spreading it over the upper half of the range.
+// Backoff returns the wait before the given retry; 1 is the first. Its maximum
+// doubles with each retry, from BaseBackoff to MaximumBackoff. The random number,
+// in [0, 1), is the jitter: it spreads the wait over the upper half of the range.
 func Backoff(retry int, random float64) time.Duration {
-	longest := BaseBackoff
+	maximum := BaseBackoff
 	for range retry - 1 {
-		longest = min(2*longest, MaximumBackoff)
+		maximum = min(2*maximum, MaximumBackoff)
 	}
-	return longest/2 + time.Duration(random*float64(longest/2))
+	return maximum/2 + time.Duration(random*float64(maximum/2))
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -15,16 +15,16 @@
 	}
 }
 
-// TestNeverMoreThanCap plays random traffic and checks every window of 10 s
-// that ends at a retry against the hard cap.
-func TestNeverMoreThanCap(t *testing.T) {
+// TestBudgetNeverExceedsMaximumRatio records random traffic and checks every
+// window of 10 s that ends at a retry.
+func TestBudgetNeverExceedsMaximumRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewBudget(rapid.Float64Range(-1, 2).Draw(t, "ratio"))
-		steps := rapid.SliceOfN(rapid.IntRange(0, 900), 1, 400).Draw(t, "gaps")
-		asks := rapid.SliceOfN(rapid.Bool(), len(steps), len(steps)).Draw(t, "asks")
+		gaps := rapid.SliceOfN(rapid.IntRange(0, 900), 1, 400).Draw(t, "gaps")
+		wantsRetry := rapid.SliceOfN(rapid.Bool(), len(gaps), len(gaps)).Draw(t, "wants retry")
 		now := time.Unix(0, 0)
-		var firsts, retries []time.Time
-		within := func(times []time.Time) int {
+		var firstAttempts, retries []time.Time
+		inWindow := func(times []time.Time) int {
 			count := 0
 			for _, at := range times {
 				if now.Sub(at) < Window {
@@ -33,23 +33,24 @@
 			}
 			return count
 		}
-		for index, gap := range steps {
+		for index, gap := range gaps {
 			now = now.Add(time.Duration(gap) * time.Millisecond)
 			budget.RecordFirstAttempt(now)
-			firsts = append(firsts, now)
-			if !asks[index] || !budget.Allow(now) {
+			firstAttempts = append(firstAttempts, now)
+			if !wantsRetry[index] || !budget.Allow(now) {
 				continue
 			}
 			retries = append(retries, now)
-			if got, most := within(retries), MaximumRatio*float64(within(firsts)); float64(got) > most {
-				t.Fatalf("%d retries over %d first attempts", got, within(firsts))
+			if got, most := inWindow(retries), MaximumRatio*float64(inWindow(firstAttempts)); float64(got) > most {
+				t.Fatalf("%d retries over %d first attempts", got, inWindow(firstAttempts))
 			}
 		}
 	})
 }
 
-// TestAim checks that the budget is usable up to the aim, not only safe.
-func TestAim(t *testing.T) {
+// TestBudgetIsUsableUpToItsRatio checks that the budget is not only safe: almost
+// the whole ratio can be used.
+func TestBudgetIsUsableUpToItsRatio(t *testing.T) {
 	budget := NewBudget(0)
 	now := time.Unix(0, 0)
 	allowed := 0
@@ -63,8 +64,8 @@
 	if ratio := float64(allowed) / 6000; ratio < 0.08 || ratio > 0.1 {
 		t.Fatalf("ratio %.3f, want close below 0.1", ratio)
 	}
-	if aim, measured := budget.Status(now); aim != DefaultRatio || measured < 0.08 {
-		t.Fatalf("status %v %v", aim, measured)
+	if ratio, measured := budget.Status(now); ratio != DefaultRatio || measured < 0.08 {
+		t.Fatalf("status: ratio %v, measured %v", ratio, measured)
 	}
 	if budget.Allow(now.Add(time.Minute)) {
 		t.Fatal("allowed a retry without any first attempt in the window")
