--- a/failuredetector/example_test.go
+++ b/failuredetector/example_test.go
@@ -7,16 +7,16 @@
 	"github.com/deckpulley/deckpulley/failuredetector"
 )
 
-// Silence raises the suspicion by degrees.
+// The longer the last heartbeat lies back, the stronger the suspicion.
 func Example() {
 	now := time.Unix(0, 0)
-	watch := failuredetector.New(failuredetector.DefaultConfig(), now)
+	detector := failuredetector.New(failuredetector.DefaultConfig(), now)
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
-		watch.Heartbeat(now)
+		detector.Heartbeat(now)
 	}
-	for _, silence := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
-		state := watch.State(now.Add(silence))
+	for _, elapsed := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
+		state := detector.State(now.Add(elapsed))
 		fmt.Println(state == failuredetector.Alive, state == failuredetector.Suspected, state == failuredetector.Dead)
 	}
 	// Output:
--- a/failuredetector/failuredetector.go
+++ b/failuredetector/failuredetector.go
@@ -1,11 +1,12 @@
-// Package failuredetector judges from missing time whether a watched process is alive,
-// after "The phi Accrual Failure Detector" (Hayashibara et al., 2004), and
-// keeps slow facts steady by hysteresis. It is pure: time is an input.
+// Package failuredetector decides from the time since the last heartbeat whether a
+// monitored process is alive, after "The phi Accrual Failure Detector"
+// (Hayashibara et al., 2004), and damps values that change slowly by hysteresis.
+// It is pure: time is an input.
 //
-// Model: the intervals between two signs of life are taken as normally
-// distributed. Suspicion phi after an elapsed time t is -log10 of the
-// probability that a living process is silent for longer than t, so phi 3 is
-// wrong once in a thousand intervals and phi 8 once in a hundred million.
+// The model takes the intervals between heartbeats as normally distributed. The
+// suspicion level phi after an elapsed time t is -log10 of the probability that
+// the next heartbeat of a living process takes longer than t, so phi 3 is wrong
+// once in a thousand intervals and phi 8 once in a hundred million.
 package failuredetector
 
 import (
@@ -13,23 +14,28 @@
 	"time"
 )
 
+// maxIntervals bounds one sample, in expected intervals, so that a single long
+// gap does not delay the detection of the next failure for a whole window.
+const maxIntervals = 4
+
 // Config holds the constants of the model.
 type Config struct {
-	// ExpectedInterval is the expected time between signs of life; the mean is never
-	// taken below it, so that a burst of signs does not make the detector hasty.
+	// ExpectedInterval is the expected time between heartbeats. The mean is never
+	// taken below it, so that a burst of heartbeats does not shorten the detection.
 	ExpectedInterval time.Duration
-	// MinStdDeviation is the least standard deviation assumed.
+	// MinStdDeviation is a lower bound on the standard deviation.
 	MinStdDeviation time.Duration
-	// Window is the number of intervals remembered.
+	// Window is the number of intervals that the model is computed from.
 	Window int
-	// SuspectThreshold is the phi from which nothing new is placed.
+	// SuspectThreshold is the phi from which the process is Suspected.
 	SuspectThreshold float64
-	// DeadThreshold is the phi from which the process counts as down.
+	// DeadThreshold is the phi from which the process is Dead.
 	DeadThreshold float64
 }
 
-// DefaultConfig suits polls every 500 ms: with steady polls a process is
-// suspected after about 1.3 s of silence and dead after about 1.9 s.
+// DefaultConfig returns constants for heartbeats every 500 ms: after a series of
+// regular ones a process is suspected about 1.3 s after the last heartbeat and
+// dead after about 1.9 s.
 func DefaultConfig() Config {
 	return Config{
 		ExpectedInterval: 500 * time.Millisecond,
@@ -40,65 +46,66 @@
 	}
 }
 
-// State is the verdict at one moment.
+// State is what the detector takes a process for at one moment.
 type State uint8
 
 const (
-	// Alive means that the silence is nothing unusual.
+	// Alive means that the time since the last heartbeat is not unusual.
 	Alive State = iota
-	// Suspected means that nothing new should depend on the process.
+	// Suspected means that no new work should be placed on the process.
 	Suspected
-	// Dead means that the process should be given up until it is heard again.
+	// Dead means that the process is taken as failed until its next heartbeat.
 	Dead
 )
 
-// Detector watches one process.
+// Detector monitors one process. It is not safe for concurrent use.
 type Detector struct {
-	config    Config
-	intervals []float64 // seconds, a ring
-	next      int
-	last      time.Time
+	config        Config
+	intervals     []float64 // seconds; a ring buffer once it has config.Window
+	oldest        int       // index of the oldest interval in the ring buffer
+	lastHeartbeat time.Time
 }
 
-// New starts watching at now, which counts as a first sign of life.
+// New returns a detector that takes now as the first heartbeat.
 func New(config Config, now time.Time) *Detector {
-	return &Detector{config: config, last: now}
+	return &Detector{config: config, lastHeartbeat: now}
 }
 
-// Heartbeat records a sign of life. One that follows within half of the expected
-// interval moves the last time but is no sample, since it is an extra one.
+// Heartbeat records a heartbeat. One that follows within half of the expected
+// interval is an extra one: it counts as the last heartbeat, but its interval is
+// not a sample. One that is earlier than the last is ignored.
 func (d *Detector) Heartbeat(now time.Time) {
-	elapsed := now.Sub(d.last)
+	elapsed := now.Sub(d.lastHeartbeat)
 	if elapsed < 0 {
 		return
 	}
-	d.last = now
+	d.lastHeartbeat = now
 	if elapsed < d.config.ExpectedInterval/2 {
 		return
 	}
-	sample := min(elapsed, 4*d.config.ExpectedInterval).Seconds()
+	sample := min(elapsed, maxIntervals*d.config.ExpectedInterval).Seconds()
 	if len(d.intervals) < d.config.Window {
 		d.intervals = append(d.intervals, sample)
 		return
 	}
-	d.intervals[d.next] = sample
-	d.next = (d.next + 1) % len(d.intervals)
+	d.intervals[d.oldest] = sample
+	d.oldest = (d.oldest + 1) % len(d.intervals)
 }
 
-// LastHeartbeat is the time of the last sign of life.
+// LastHeartbeat returns the time of the last heartbeat.
 func (d *Detector) LastHeartbeat() time.Time {
-	return d.last
+	return d.lastHeartbeat
 }
 
-// Phi is the suspicion at now.
+// Phi returns the suspicion level at now.
 func (d *Detector) Phi(now time.Time) float64 {
 	mean, deviation := d.model()
-	silence := now.Sub(d.last).Seconds()
-	tail := 0.5 * math.Erfc((silence-mean)/(deviation*math.Sqrt2))
+	elapsed := now.Sub(d.lastHeartbeat).Seconds()
+	tail := 0.5 * math.Erfc((elapsed-mean)/(deviation*math.Sqrt2))
 	return -math.Log10(max(tail, math.SmallestNonzeroFloat64))
 }
 
-// State is the verdict at now.
+// State returns the state at now.
 func (d *Detector) State(now time.Time) State {
 	phi := d.Phi(now)
 	switch {
@@ -111,29 +118,30 @@
 	}
 }
 
-// SuspectedAt is the moment at which the process becomes suspected if it stays
-// silent.
+// SuspectedAt returns the time at which the process becomes suspected if no
+// heartbeat follows.
 func (d *Detector) SuspectedAt() time.Time {
 	mean, deviation := d.model()
 	tail := math.Pow(10, -d.config.SuspectThreshold)
-	silence := mean + deviation*math.Sqrt2*math.Erfcinv(2*tail)
-	return d.last.Add(time.Duration(silence * float64(time.Second)))
+	elapsed := mean + deviation*math.Sqrt2*math.Erfcinv(2*tail)
+	return d.lastHeartbeat.Add(time.Duration(elapsed * float64(time.Second)))
 }
 
-// model returns the mean and the standard deviation of the intervals, in seconds.
+// model returns the mean and the standard deviation of the intervals, in seconds,
+// with their lower bounds.
 func (d *Detector) model() (mean, deviation float64) {
-	floorMean := d.config.ExpectedInterval.Seconds()
-	floorDeviation := d.config.MinStdDeviation.Seconds()
+	minMean := d.config.ExpectedInterval.Seconds()
+	minDeviation := d.config.MinStdDeviation.Seconds()
 	if len(d.intervals) == 0 {
-		return floorMean, floorDeviation
+		return minMean, minDeviation
 	}
-	var sum, squares float64
+	var sum, sumOfSquares float64
 	for _, interval := range d.intervals {
 		sum += interval
-		squares += interval * interval
+		sumOfSquares += interval * interval
 	}
 	count := float64(len(d.intervals))
 	mean = sum / count
-	variance := max(0, squares/count-mean*mean)
-	return max(mean, floorMean), max(math.Sqrt(variance), floorDeviation)
+	variance := max(0, sumOfSquares/count-mean*mean)
+	return max(mean, minMean), max(math.Sqrt(variance), minDeviation)
 }
