--- a/outlier/example_test.go
+++ b/outlier/example_test.go
@@ -7,7 +7,8 @@
 	"github.com/deckpulley/deckpulley/outlier"
 )
 
-// A replica that fails again and again is left alone for a while; not all are.
+// A replica that fails repeatedly is ejected for a while; a fraction of the group
+// never is.
 func Example() {
 	now := time.Unix(0, 0)
 	config := outlier.DefaultConfig()
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,6 +1,6 @@
-// Package outlier ejects replicas that do clearly worse than their peers, for a
-// bounded time, and never more than a stated part of a group. It is pure: time
-// is an input.
+// Package outlier ejects replicas that perform clearly worse than the others of
+// their group, for a bounded time, and never more than a given fraction of the
+// group. It is pure: time is an input.
 package outlier
 
 import (
@@ -11,21 +11,27 @@
 
 // Config holds the constants of ejection.
 type Config struct {
-	// ConsecutiveFailures in a row eject.
+	// ConsecutiveFailures is the number of failures in a row that eject a replica.
 	ConsecutiveFailures int
-	// ErrorRate over the recent requests ejects, once there are MinimumRequests.
-	ErrorRate       float64
+	// ErrorRate is the smoothed fraction of failed requests, 0 to 1, that ejects a
+	// replica once it has MinimumRequests.
+	ErrorRate float64
+	// MinimumRequests is the number of requests from which ErrorRate applies, and
+	// the number of latency samples from which SlowLatencyRatio applies.
 	MinimumRequests float64
-	// SlowLatencyRatio ejects a replica whose smoothed latency is this many times the
-	// median of the group.
+	// SlowLatencyRatio ejects a replica whose smoothed latency is more than this
+	// many times the median of the group.
 	SlowLatencyRatio float64
-	// MinSlowLatency is the latency below which nothing counts as slow.
+	// MinSlowLatency is the latency below which no replica counts as slow.
 	MinSlowLatency time.Duration
-	// MaxEjectionFraction of the group that may be ejected at a time, rounded down.
+	// MaxEjectionFraction is the fraction of the group that may be ejected at a
+	// time; the number of replicas is rounded down.
 	MaxEjectionFraction float64
-	// BaseEjectionTime and MaxEjectionTime bound the time of an ejection, which doubles with
-	// each ejection that follows within MaxEjectionTime of the one before.
-	BaseEjectionTime, MaxEjectionTime time.Duration
+	// BaseEjectionTime is the duration of a first ejection. It doubles with each
+	// ejection that follows within MaxEjectionTime of the end of the one before.
+	BaseEjectionTime time.Duration
+	// MaxEjectionTime bounds the duration of an ejection.
+	MaxEjectionTime time.Duration
 }
 
 // DefaultConfig returns the documented constants.
@@ -42,42 +48,51 @@
 	}
 }
 
-// smoothing is the weight of one request in the moving figures.
+// smoothing is the weight of one request in the exponential moving averages.
 const smoothing = 0.1
 
-// FailureHalfLife is the time in which the memory of failures halves while a
-// replica gets no attempts.
+// FailureHalfLife is the time in which a replica's failure ratio halves while it
+// gets no attempts.
 const FailureHalfLife = 5 * time.Second
 
-// leastFailing is what counts as none, and forgetting the time after which the
-// memory of any failure has come down to it.
 const (
-	leastFailing = 0.01
-	forgetting   = 7 * FailureHalfLife
+	// minFailureRatio is the failure ratio below which a replica counts as not
+	// failing.
+	minFailureRatio = 0.01
+	// failureMemory is the time after which any failure ratio has decayed below
+	// minFailureRatio.
+	failureMemory = 7 * FailureHalfLife
+	// medianLifetime is how long a computed median is used.
+	medianLifetime = 200 * time.Millisecond
+	// minMedianMembers is the number of members from which there is a median: of
+	// two one cannot tell which is the outlier.
+	minMedianMembers = 3
+	// maxDoublings bounds the doublings of the ejection time, so that the shift
+	// does not overflow.
+	maxDoublings = 16
 )
 
-// medianAge is how long a computed median is used.
-const medianAge = 200 * time.Millisecond
-
+// member is what is known of one replica.
 type member struct {
-	failuresInRow int
-	errorRate     float64
-	requests      float64
-	failing       float64 // part of the attempts that failed or were refused, smoothed
-	failingAt     time.Time
-	latency       float64 // seconds, smoothed
-	samples       float64 // of latency
-	ejectedUntil  time.Time
-	ejections     int
-}
-
-// Group judges the replicas of one service in one region.
+	consecutiveFailures int
+	errorRate           float64 // fraction of the requests that failed, smoothed
+	requests            float64 // since the last ejection
+	failureRatio        float64 // fraction of the attempts that failed or were rejected, smoothed
+	lastAttempt         time.Time
+	latency             float64 // seconds, smoothed
+	latencySamples      float64
+	ejectedUntil        time.Time
+	ejections           int // in close succession
+}
+
+// Group detects outliers among the replicas of one service in one region. It is
+// not safe for concurrent use.
 type Group struct {
-	config   Config
-	members  map[string]*member
-	trouble  time.Time // of the last failure or refusal
-	median   float64   // of the members' latency, seconds; 0 is unknown
-	medianAt time.Time
+	config      Config
+	members     map[string]*member
+	lastFailure time.Time // of any member, including rejections
+	median      float64   // of the members' latency, seconds; 0 is unknown
+	medianAt    time.Time
 }
 
 // NewGroup returns an empty group.
@@ -85,19 +100,20 @@
 	return &Group{config: config, members: make(map[string]*member)}
 }
 
-// SetMembers makes the group consist of the named replicas. The others are forgotten.
+// SetMembers makes the named replicas the members of the group. What is known of
+// other replicas is dropped.
 func (g *Group) SetMembers(names []string) {
-	kept := make(map[string]*member, len(names))
+	members := make(map[string]*member, len(names))
 	for _, name := range names {
-		kept[name] = g.members[name]
-		if kept[name] == nil {
-			kept[name] = &member{}
+		members[name] = g.members[name]
+		if members[name] == nil {
+			members[name] = &member{}
 		}
 	}
-	g.members = kept
+	g.members = members
 }
 
-// Forget clears what is known of a replica, as when it was started anew.
+// Forget drops what is known of a replica, for instance when it was restarted.
 func (g *Group) Forget(name string) {
 	if _, ok := g.members[name]; ok {
 		g.members[name] = &member{}
@@ -110,79 +126,81 @@
 	if m == nil {
 		return
 	}
-	m.noteAttempt(now, 0)
-	m.failuresInRow = 0
+	m.recordAttempt(now, 0)
+	m.consecutiveFailures = 0
 	m.requests++
 	m.errorRate -= smoothing * m.errorRate
 }
 
-// RecordLatency records how long a request waited for its first token. It reports
-// whether the replica was ejected by it.
+// RecordLatency records the time to the first token of a request. It reports
+// whether that ejected the replica.
 func (g *Group) RecordLatency(now time.Time, name string, latency time.Duration) bool {
 	m := g.members[name]
 	if m == nil {
 		return false
 	}
-	m.samples++
+	m.latencySamples++
 	if m.latency == 0 {
 		m.latency = latency.Seconds()
 	}
 	m.latency += smoothing * (latency.Seconds() - m.latency)
-	if !g.slow(now, m) {
+	if !g.isSlow(now, m) {
 		return false
 	}
 	return g.eject(now, m)
 }
 
-// RecordFailure records a failed request. It reports whether the replica was ejected
-// by it.
+// RecordFailure records a failed request. It reports whether that ejected the
+// replica.
 func (g *Group) RecordFailure(now time.Time, name string) bool {
 	m := g.members[name]
 	if m == nil {
 		return false
 	}
-	g.trouble = now
-	m.noteAttempt(now, 1)
-	m.failuresInRow++
+	g.lastFailure = now
+	m.recordAttempt(now, 1)
+	m.consecutiveFailures++
 	m.requests++
 	m.errorRate += smoothing * (1 - m.errorRate)
-	inRow := m.failuresInRow >= g.config.ConsecutiveFailures
-	rate := m.requests >= g.config.MinimumRequests && m.errorRate >= g.config.ErrorRate
-	if !inRow && !rate {
+	tooManyInRow := m.consecutiveFailures >= g.config.ConsecutiveFailures
+	rateTooHigh := m.requests >= g.config.MinimumRequests && m.errorRate >= g.config.ErrorRate
+	if !tooManyInRow && !rateTooHigh {
 		return false
 	}
 	return g.eject(now, m)
 }
 
-// RecordRejection records an attempt that the replica itself refused. It never ejects.
+// RecordRejection records an attempt that the replica itself rejected. It never
+// ejects the replica.
 func (g *Group) RecordRejection(now time.Time, name string) {
 	if m := g.members[name]; m != nil {
-		g.trouble = now
-		m.noteAttempt(now, 1)
+		g.lastFailure = now
+		m.recordAttempt(now, 1)
 	}
 }
 
-// FailureRatio is the part of the recent attempts on a replica that failed or were
-// refused, 0 to 1. It halves with every FailingHalf without an attempt, so that
-// a replica that is avoided for it is tried again.
+// FailureRatio returns the fraction of the recent attempts on a replica that
+// failed or were rejected, 0 to 1. It halves with every FailureHalfLife without
+// an attempt, so that a replica that is avoided because of it is tried again.
 func (g *Group) FailureRatio(now time.Time, name string) float64 {
-	if now.Sub(g.trouble) > forgetting {
+	if now.Sub(g.lastFailure) > failureMemory {
 		return 0
 	}
 	m := g.members[name]
-	if m == nil || m.failing < leastFailing {
+	if m == nil || m.failureRatio < minFailureRatio {
 		return 0
 	}
-	return m.failing * math.Exp2(-float64(now.Sub(m.failingAt))/float64(FailureHalfLife))
+	return m.failureRatio * math.Exp2(-float64(now.Sub(m.lastAttempt))/float64(FailureHalfLife))
 }
 
-func (m *member) noteAttempt(now time.Time, outcome float64) {
-	m.failing += smoothing * (outcome - m.failing)
-	m.failingAt = now
+// recordAttempt records an attempt that failed (1) or succeeded (0).
+func (m *member) recordAttempt(now time.Time, failure float64) {
+	m.failureRatio += smoothing * (failure - m.failureRatio)
+	m.lastAttempt = now
 }
 
-// EjectedUntil is the end of the replica's ejection; the zero time or a past
-// one means that it is not ejected.
+// EjectedUntil returns the end of the replica's last ejection. The zero time or
+// one in the past means that the replica is not ejected.
 func (g *Group) EjectedUntil(name string) time.Time {
 	if m := g.members[name]; m != nil {
 		return m.ejectedUntil
@@ -190,7 +208,7 @@
 	return time.Time{}
 }
 
-// Ejected counts the replicas ejected at now.
+// Ejected returns the number of replicas that are ejected at now.
 func (g *Group) Ejected(now time.Time) int {
 	count := 0
 	for _, m := range g.members {
@@ -201,11 +219,14 @@
 	return count
 }
 
-// MaxEjected is the largest number of replicas that may be ejected at a time.
+// MaxEjected returns the largest number of replicas that may be ejected at a time.
 func (g *Group) MaxEjected() int {
 	return int(g.config.MaxEjectionFraction * float64(len(g.members)))
 }
 
+// eject ejects a member unless it is ejected already or the group allows no more
+// ejections, and reports whether it did. The member's averages start over, so
+// that a returning replica is judged by what it does from then on.
 func (g *Group) eject(now time.Time, m *member) bool {
 	if m.ejectedUntil.After(now) || g.Ejected(now) >= g.MaxEjected() {
 		return false
@@ -213,35 +234,35 @@
 	if now.Sub(m.ejectedUntil) > g.config.MaxEjectionTime {
 		m.ejections = 0
 	}
-	length := min(g.config.BaseEjectionTime<<min(m.ejections, 16), g.config.MaxEjectionTime)
+	duration := min(g.config.BaseEjectionTime<<min(m.ejections, maxDoublings), g.config.MaxEjectionTime)
 	m.ejections++
-	m.ejectedUntil = now.Add(length)
-	m.failuresInRow, m.errorRate, m.requests = 0, 0, 0
-	m.latency, m.samples = 0, 0
+	m.ejectedUntil = now.Add(duration)
+	m.consecutiveFailures, m.errorRate, m.requests = 0, 0, 0
+	m.latency, m.latencySamples = 0, 0
 	return true
 }
 
-// slow compares a replica with the median of the group.
-func (g *Group) slow(now time.Time, m *member) bool {
-	if m.samples < g.config.MinimumRequests || m.latency < g.config.MinSlowLatency.Seconds() {
+// isSlow reports whether a member is slow compared with the median of the group.
+func (g *Group) isSlow(now time.Time, m *member) bool {
+	if m.latencySamples < g.config.MinimumRequests || m.latency < g.config.MinSlowLatency.Seconds() {
 		return false
 	}
-	if now.Sub(g.medianAt) >= medianAge {
+	if now.Sub(g.medianAt) >= medianLifetime {
 		g.median, g.medianAt = g.medianLatency(), now
 	}
 	return g.median > 0 && m.latency > g.config.SlowLatencyRatio*g.median
 }
 
-// medianLatency is the median of the members with enough requests, 0 if there
-// are fewer than three: of two nobody can say which is the outlier.
+// medianLatency returns the median latency of the members with enough samples, in
+// seconds; 0 if there are fewer than minMedianMembers of them.
 func (g *Group) medianLatency() float64 {
 	latencies := make([]float64, 0, len(g.members))
-	for _, peer := range g.members {
-		if peer.samples >= g.config.MinimumRequests {
-			latencies = append(latencies, peer.latency)
+	for _, m := range g.members {
+		if m.latencySamples >= g.config.MinimumRequests {
+			latencies = append(latencies, m.latency)
 		}
 	}
-	if len(latencies) < 3 {
+	if len(latencies) < minMedianMembers {
 		return 0
 	}
 	slices.Sort(latencies)
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// TestNeverMoreThanPart lets random replicas fail or be slow, all of them at
-// times: the ejected part never passes the stated one.
-func TestNeverMoreThanPart(t *testing.T) {
+// TestEjectionsNeverExceedMaxFraction lets random replicas fail or be slow, all of
+// them at times: the ejected fraction of the group stays within its bound.
+func TestEjectionsNeverExceedMaxFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 12).Draw(t, "size")
 		group := NewGroup(DefaultConfig())
@@ -44,62 +44,85 @@
 	})
 }
 
-// TestEjects checks each cause, the return, and the doubling of the time.
-func TestEjects(t *testing.T) {
+// TestEjection checks each cause of an ejection, its end and the doubling of its
+// duration, on one group.
+func TestEjection(t *testing.T) {
 	group := NewGroup(DefaultConfig())
 	group.SetMembers([]string{"a", "b", "c", "d", "e"})
 	now := time.Unix(0, 0)
-	first := ejectByFailures(t, group, now)
-	if first != 2*time.Second {
+	if first := ejectByConsecutiveFailures(t, group, now); first != 2*time.Second {
 		t.Fatalf("first ejection of %v", first)
 	}
 	now = now.Add(3 * time.Second)
 	if group.Ejected(now) != 0 {
-		t.Fatal("did not return")
+		t.Fatal("still ejected after its ejection time")
 	}
-	if second := ejectByFailures(t, group, now); second != 4*time.Second {
+	if second := ejectByConsecutiveFailures(t, group, now); second != 4*time.Second {
 		t.Fatalf("second ejection of %v", second)
 	}
-	slow := false
+	now = ejectByLatency(t, group, now)
+	if ratio := group.FailureRatio(now, "a"); ratio > 0.5 {
+		t.Fatalf("failure ratio %v long after the last failure", ratio)
+	}
+	recordRejections(t, group, now)
+	ejectByErrorRate(t, group, now)
+}
+
+// ejectByConsecutiveFailures ejects replica a and returns for how long.
+func ejectByConsecutiveFailures(t *testing.T, group *Group, now time.Time) time.Duration {
+	t.Helper()
+	for count := range 5 {
+		if group.RecordFailure(now, "a") != (count == 4) {
+			t.Fatalf("failure %d", count+1)
+		}
+	}
+	return group.EjectedUntil("a").Sub(now)
+}
+
+// ejectByLatency makes replica e fifteen times as slow as the others and returns
+// the time after that.
+func ejectByLatency(t *testing.T, group *Group, now time.Time) time.Time {
+	t.Helper()
+	ejected := false
 	for range 20 {
 		now = now.Add(time.Second)
 		for _, name := range []string{"b", "c", "d"} {
 			group.RecordLatency(now, name, 200*time.Millisecond)
 		}
-		slow = slow || group.RecordLatency(now, "e", 3*time.Second)
-	}
-	if !slow {
-		t.Fatal("a replica fifteen times as slow as the others stayed")
+		ejected = ejected || group.RecordLatency(now, "e", 3*time.Second)
 	}
-	if failing := group.FailureRatio(now, "a"); failing > 0.5 {
-		t.Fatalf("failing %v long after the last failure", failing)
+	if !ejected {
+		t.Fatal("a replica fifteen times as slow as the others was not ejected")
 	}
+	return now
+}
+
+// recordRejections lets replica c reject attempts: that raises its failure ratio,
+// which decays with its half-life, but does not eject it.
+func recordRejections(t *testing.T, group *Group, now time.Time) {
+	t.Helper()
 	for range 20 {
 		group.RecordRejection(now, "c")
 	}
 	recent, later := group.FailureRatio(now, "c"), group.FailureRatio(now.Add(FailureHalfLife), "c")
 	if recent < 0.8 || later > recent*0.51 || later < recent*0.49 || group.EjectedUntil("c").After(now) {
-		t.Fatalf("failing %v by refusals, %v a half life later", recent, later)
+		t.Fatalf("failure ratio %v after rejections, %v a half-life later", recent, later)
 	}
-	broken := false
-	for range 30 { // first tokens arrive in time, and every other stream breaks twice
+}
+
+// ejectByErrorRate lets two of three requests on replica b fail. First tokens
+// arrive in time, and there are never many failures in a row.
+func ejectByErrorRate(t *testing.T, group *Group, now time.Time) {
+	t.Helper()
+	ejected := false
+	for range 30 {
 		now = now.Add(2 * time.Second)
 		group.RecordSuccess(now, "b")
 		for range 2 {
-			broken = group.RecordFailure(now, "b") || broken
+			ejected = group.RecordFailure(now, "b") || ejected
 		}
 	}
-	if !broken {
-		t.Fatal("a replica that breaks two of three requests stayed")
-	}
-}
-
-func ejectByFailures(t *testing.T, group *Group, now time.Time) time.Duration {
-	t.Helper()
-	for count := range 5 {
-		if group.RecordFailure(now, "a") != (count == 4) {
-			t.Fatalf("failure %d", count+1)
-		}
+	if !ejected {
+		t.Fatal("a replica that fails two of three requests was not ejected")
 	}
-	return group.EjectedUntil("a").Sub(now)
 }
