--- a/ticket/example_test.go
+++ b/ticket/example_test.go
@@ -8,21 +8,21 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// output is a run without any.
+// output is a run without retained output.
 type output struct{}
 
 func (output) RetainedBytes() int { return 0 }
 func (output) Release()           {}
 
-// A ticket is asked to run once; whoever presents it again joins that run.
+// The first use of a ticket starts the run; later ones join it.
 func Example() {
 	sealer, err := ticket.NewSealer([][]byte{bytes.Repeat([]byte{1}, ticket.MinKeyBytes)})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	ledger := ticket.NewTable[output](ticket.TableConfig{MaxTickets: 8, MaxRetainedBytes: 1 << 10, Slack: time.Second})
-	issued, err := ledger.Issue(0, ticket.Ticket{RequestID: "request-1", Owner: "gateway-1", Incarnation: "1", Expires: time.Minute})
+	table := ticket.NewTable[output](ticket.TableConfig{MaxTickets: 8, MaxRetainedBytes: 1 << 10, Slack: time.Second})
+	issued, err := table.Issue(0, ticket.Ticket{RequestID: "request-1", Owner: "gateway-1", Incarnation: "1", Expires: time.Minute})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -38,8 +38,8 @@
 			fmt.Println(err)
 			return
 		}
-		standing, _ := ledger.Use(time.Second, presented, 7, func() output { return output{} })
-		fmt.Println(standing == ticket.UseStart, standing == ticket.UseJoin)
+		result, _ := table.Use(time.Second, presented, 7, func() output { return output{} })
+		fmt.Println(result == ticket.UseStart, result == ticket.UseJoin)
 	}
 	// Output:
 	// true false
--- /dev/null
+++ b/ticket/sealer_test.go
@@ -0,0 +1,93 @@
+package ticket
+
+import (
+	"bytes"
+	"encoding/base64"
+	"errors"
+	"strings"
+	"testing"
+	"time"
+)
+
+func testKey(fill byte) []byte { return bytes.Repeat([]byte{fill}, 32) }
+
+func testTicket() Ticket {
+	return Ticket{RequestID: "r1", Owner: "gateway-1", Incarnation: "abc", HomeRule: "eu", IssuedAt: 1, Expires: time.Minute}
+}
+
+func newTestSealer(t *testing.T, keys ...[]byte) *Sealer {
+	t.Helper()
+	sealer, err := NewSealer(keys)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return sealer
+}
+
+func sealTicket(t *testing.T, sealer *Sealer, ticket Ticket) string {
+	t.Helper()
+	text, err := sealer.Seal(ticket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestOpenAcceptsEveryKeyOfTheSealer(t *testing.T) {
+	older := newTestSealer(t, testKey(1))
+	newer := newTestSealer(t, testKey(2), testKey(1))
+	text := sealTicket(t, older, testTicket())
+	if got, err := newer.Open(text); err != nil || got != testTicket() {
+		t.Fatalf("second key: got %+v, %v", got, err)
+	}
+	text = sealTicket(t, newer, testTicket())
+	if _, err := older.Open(text); !errors.Is(err, ErrNotAuthentic) {
+		t.Fatalf("unknown key: got %v", err)
+	}
+}
+
+func TestOpenRejectsChangedBytes(t *testing.T) {
+	newer := newTestSealer(t, testKey(2), testKey(1))
+	text := sealTicket(t, newTestSealer(t, testKey(1)), testTicket())
+	sealed, err := base64.RawURLEncoding.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range sealed {
+		changed := bytes.Clone(sealed)
+		changed[i] ^= 0x10
+		if _, err := newer.Open(base64.RawURLEncoding.EncodeToString(changed)); !errors.Is(err, ErrNotAuthentic) {
+			t.Fatalf("byte %d changed: got %v", i, err)
+		}
+	}
+}
+
+func TestOpenRejectsMalformedText(t *testing.T) {
+	newer := newTestSealer(t, testKey(2), testKey(1))
+	text := sealTicket(t, newTestSealer(t, testKey(1)), testTicket())
+	for _, malformed := range []string{"", "!", text[:10], text + "=", strings.Repeat("A", MaxEncodedBytes+1)} {
+		if _, err := newer.Open(malformed); err == nil {
+			t.Fatalf("opened %.20q", malformed)
+		}
+	}
+}
+
+func TestSealRejectsLongRequestID(t *testing.T) {
+	ticket := testTicket()
+	ticket.RequestID = strings.Repeat("x", 129)
+	if _, err := newTestSealer(t, testKey(1)).Seal(ticket); !errors.Is(err, ErrMalformed) {
+		t.Fatalf("long id: got %v", err)
+	}
+}
+
+func TestNewSealerRejectsUnusableKeys(t *testing.T) {
+	var tooMany [][]byte
+	for i := range MaxKeys + 1 {
+		tooMany = append(tooMany, testKey(byte(i)))
+	}
+	for _, keys := range [][][]byte{nil, {testKey(1)[:8]}, tooMany} {
+		if _, err := NewSealer(keys); !errors.Is(err, ErrKeys) {
+			t.Fatalf("keys %d: got %v", len(keys), err)
+		}
+	}
+}
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,67 +1,64 @@
-// Package ticket makes a request that cannot safely be repeated run at most
-// once. A ticket names the one gateway process that may run the request; that
-// process remembers every ticket it issued in a Ledger until the ticket can no
-// longer be used. The package does no I/O and reads no clock: the owner's
-// monotonic time is passed in.
+// Package ticket makes sure that a request that is not idempotent runs at most
+// once. A ticket names its owner, the one gateway process that may run the
+// request. The owner keeps each ticket that it issued in a Table until the ticket
+// can no longer be used. The package does no I/O and reads no clock: the owner's
+// monotonic time is an input.
 package ticket
 
 import (
-	"crypto/hmac"
-	"crypto/sha256"
-	"encoding/base64"
 	"errors"
-	"fmt"
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/internal/canonical"
 )
 
-// Sizes of a ticket, in bytes.
 const (
-	// MaxEncodedBytes bounds the text form; a longer one is not looked at.
+	// MaxEncodedBytes is the maximum size of a sealed ticket; a longer text is
+	// rejected without decoding it.
 	MaxEncodedBytes = 1024
-	macBytes        = sha256.Size
-	// MinKeyBytes is the shortest key accepted.
+	// MinKeyBytes is the minimum size of a key.
 	MinKeyBytes = 16
-	// MaxKeys is the number of keys that may be valid at once. Two suffice for a
-	// change of keys; the bound is that of the fleet's key file.
+	// MaxKeys is the maximum number of keys that are valid at once. Two suffice for
+	// a key rotation; the bound is that of the fleet's key file.
 	MaxKeys = 8
 )
 
-// macDomain keeps ticket codes apart from every other use of the fleet's keys.
-const macDomain = "deckpulley ticket 1\x00"
-
-// Errors of Open and NewSealer.
+// Errors of Sealer.Open and NewSealer.
 var (
 	// ErrMalformed means that the text is not a ticket at all.
 	ErrMalformed = errors.New("ticket: malformed")
-	// ErrNotAuthentic means that no accepted key made the ticket.
+	// ErrNotAuthentic means that the ticket was not sealed with an accepted key.
 	ErrNotAuthentic = errors.New("ticket: not authentic")
-	// ErrKeys means that the set of keys cannot be used.
+	// ErrKeys means that there are too few, too many or too short keys.
 	ErrKeys = errors.New("ticket: unusable keys")
 )
 
 // Ticket is the right to run one request at one gateway process.
 type Ticket struct {
+	// RequestID identifies the request.
 	RequestID string `cbor:"1,keyasint"`
-	// Owner is the name of the gateway that remembers the ticket.
+	// Owner is the name of the gateway that issued the ticket and may run the
+	// request.
 	Owner string `cbor:"2,keyasint"`
-	// Incarnation is the owner's process; another one knows nothing of the ticket.
+	// Incarnation identifies the owner's process. A restarted owner has another one
+	// and does not know the ticket.
 	Incarnation string `cbor:"3,keyasint"`
-	// HomeRule is the home rule the request was asked with; empty is none.
+	// HomeRule is the home rule of the request; empty if it has none.
 	HomeRule string `cbor:"4,keyasint,omitempty"`
-	// Idempotent is what the caller said of the request.
+	// Idempotent is set if the caller declared the request safe to repeat.
 	Idempotent bool `cbor:"5,keyasint,omitempty"`
-	// IssuedAt and Expires are on the owner's monotonic clock, in nanoseconds.
+	// IssuedAt is the time of issue on the owner's monotonic clock.
 	IssuedAt time.Duration `cbor:"6,keyasint"`
-	Expires  time.Duration `cbor:"7,keyasint"`
+	// Expires is the time on the owner's monotonic clock from which the ticket
+	// cannot start a run.
+	Expires time.Duration `cbor:"7,keyasint"`
 }
 
-// Validate tells whether the ticket's fields are within their limits.
+// Validate returns ErrMalformed unless the ticket's fields are within their
+// limits.
 func (t *Ticket) Validate() error {
-	names := []string{t.RequestID, t.Owner, t.Incarnation}
-	for _, name := range names {
+	required := []string{t.RequestID, t.Owner, t.Incarnation}
+	for _, name := range required {
 		if name == "" || len(name) > api.MaxNameBytes {
 			return ErrMalformed
 		}
@@ -74,83 +71,3 @@
 	}
 	return nil
 }
-
-var (
-	encoding = canonical.Encoding()
-	decoding = canonical.Decoding(canonical.Bounds{})
-)
-
-// Sealer turns tickets into authenticated text and back. It is immutable and
-// safe for concurrent use.
-type Sealer struct {
-	keys [][]byte
-}
-
-// NewSealer uses the keys, newest first: the first one seals, all open.
-func NewSealer(keys [][]byte) (*Sealer, error) {
-	if len(keys) == 0 || len(keys) > MaxKeys {
-		return nil, fmt.Errorf("%w: %d keys, want 1 to %d", ErrKeys, len(keys), MaxKeys)
-	}
-	for i, key := range keys {
-		if len(key) < MinKeyBytes {
-			return nil, fmt.Errorf("%w: key %d is shorter than %d bytes", ErrKeys, i+1, MinKeyBytes)
-		}
-	}
-	return &Sealer{keys: keys}, nil
-}
-
-// Seal returns the text form of the ticket.
-func (s *Sealer) Seal(t Ticket) (string, error) {
-	if err := t.Validate(); err != nil {
-		return "", err
-	}
-	token, err := encoding.Marshal(&t)
-	if err != nil {
-		return "", fmt.Errorf("ticket: encoding: %w", err)
-	}
-	token = append(token, code(s.keys[0], token)...)
-	if base64.RawURLEncoding.EncodedLen(len(token)) > MaxEncodedBytes {
-		return "", ErrMalformed
-	}
-	return base64.RawURLEncoding.EncodeToString(token), nil
-}
-
-// Open checks the text and returns the ticket in it. The error is ErrMalformed
-// or ErrNotAuthentic.
-func (s *Sealer) Open(text string) (Ticket, error) {
-	if text == "" || len(text) > MaxEncodedBytes {
-		return Ticket{}, ErrMalformed
-	}
-	sealed, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(sealed) <= macBytes {
-		return Ticket{}, ErrMalformed
-	}
-	body := sealed[:len(sealed)-macBytes]
-	if !s.authentic(body, sealed[len(body):]) {
-		return Ticket{}, ErrNotAuthentic
-	}
-	var t Ticket
-	if err := decoding.Unmarshal(body, &t); err != nil {
-		return Ticket{}, ErrMalformed
-	}
-	if err := t.Validate(); err != nil {
-		return Ticket{}, err
-	}
-	return t, nil
-}
-
-func (s *Sealer) authentic(body, given []byte) bool {
-	for _, key := range s.keys {
-		if hmac.Equal(code(key, body), given) {
-			return true
-		}
-	}
-	return false
-}
-
-func code(key, body []byte) []byte {
-	mac := hmac.New(sha256.New, key)
-	mac.Write([]byte(macDomain))
-	mac.Write(body)
-	return mac.Sum(nil)
-}
