--- a/stream/example_test.go
+++ b/stream/example_test.go
@@ -9,7 +9,8 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// A stream that stops before its end is a fault, however clean the stop.
+// A stream that stops before its end marker is an error, also if the connection
+// was closed in order.
 func Example() {
 	var body []byte
 	body = stream.AppendFrame(body, api.EventPiece, []byte(`{"request_id":"q","run_id":"r","sequence":1,"text":"a","tokens":1}`))
@@ -17,9 +18,9 @@
 	defer reader.Close()
 	for {
 		event, err := reader.Next()
-		var fault *stream.ReadError
-		if errors.As(err, &fault) {
-			fmt.Println(fault.Code)
+		var failure *stream.ReadError
+		if errors.As(err, &failure) {
+			fmt.Println(failure.Code)
 			return
 		}
 		fmt.Println(len(event.Chunk) > 0, reader.RunID())
--- a/stream/fuzz_test.go
+++ b/stream/fuzz_test.go
@@ -9,28 +9,29 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// FuzzReader feeds bytes to a Reader. Pieces come in sequence from one run, the
-// end comes once and last, and everything else is a *ReadError with a code.
+// FuzzReader passes bytes to a Reader. The chunks it returns are in sequence and of
+// one run, the end marker comes once and last, and everything else is a *ReadError
+// with a code.
 func FuzzReader(f *testing.F) {
-	whole := "event: piece\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":1,\"text\":\"x\",\"tokens\":1}\n\n" +
+	complete := "event: piece\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":1,\"text\":\"x\",\"tokens\":1}\n\n" +
 		"event: end\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":2,\"tokens\":1,\"cached_tokens\":0}\n\n"
-	f.Add([]byte(whole))
-	f.Add([]byte(whole[:40]))
-	f.Add([]byte(whole + whole))
+	f.Add([]byte(complete))
+	f.Add([]byte(complete[:40]))
+	f.Add([]byte(complete + complete))
 	f.Add([]byte("event: error\ndata: {\"code\":\"internal\"}\n\n"))
 	f.Add([]byte("data: {}\r\n\r\n: comment\nevent:end\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		reader := NewReader(bytes.NewReader(data), Options{RequestID: "r"})
 		defer reader.Close()
-		run := ""
+		runID := ""
 		tokens := 0
 		ended := false
-		for pieces := 1; ; pieces++ {
+		for sequence := 1; ; sequence++ {
 			event, err := reader.Next()
 			if err != nil {
-				var known *ReadError
-				if !errors.As(err, &known) || known.Code == "" {
-					t.Fatalf("not a fault: %v", err)
+				var failure *ReadError
+				if !errors.As(err, &failure) || failure.Code == "" {
+					t.Fatalf("not a *ReadError with a code: %v", err)
 				}
 				return
 			}
@@ -38,22 +39,22 @@
 				t.Fatal("an event after the last one")
 			}
 			ended = event.Chunk == nil
-			if end := event.End; end != nil && (end.Sequence != pieces || end.RunID != run || end.Tokens != tokens || tokens <= 0) {
-				t.Fatalf("ended with %+v after %d pieces of run %q with %d tokens", end, pieces-1, run, tokens)
+			if end := event.End; end != nil && (end.Sequence != sequence || end.RunID != runID || end.Tokens != tokens || tokens <= 0) {
+				t.Fatalf("ended with %+v after %d chunks of run %q with %d tokens", end, sequence-1, runID, tokens)
 			}
 			if ended {
 				continue
 			}
-			var piece api.StreamChunk
-			if err := json.Unmarshal(event.Chunk, &piece); err != nil {
-				t.Fatalf("passed on a piece that is not JSON: %v", err)
+			var chunk api.StreamChunk
+			if err := json.Unmarshal(event.Chunk, &chunk); err != nil {
+				t.Fatalf("passed on a chunk that is not JSON: %v", err)
 			}
-			tokens += piece.Tokens
-			if run == "" {
-				run = piece.RunID
+			tokens += chunk.Tokens
+			if runID == "" {
+				runID = chunk.RunID
 			}
-			if piece.Sequence != pieces || piece.RequestID != "r" || piece.RunID != run {
-				t.Fatalf("piece %d passed on as %+v of run %q", pieces, piece, run)
+			if chunk.Sequence != sequence || chunk.RequestID != "r" || chunk.RunID != runID {
+				t.Fatalf("chunk %d passed on as %+v of run %q", sequence, chunk, runID)
 			}
 		}
 	})
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -1,7 +1,7 @@
-// Package stream reads the server-sent events of a replica with strict checks
-// and writes events toward callers. A stream that is not whole never looks
-// whole: its reader returns a ReadError and its writer ends with an error event and
-// an aborted connection.
+// Package stream reads the server-sent events of a replica with strict checks and
+// writes events to callers. An incomplete stream can never be taken for a complete
+// one: the Reader returns a ReadError, and the Writer ends the stream with an error
+// event and an aborted connection.
 package stream
 
 import (
@@ -9,7 +9,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"sync"
 	"sync/atomic"
@@ -19,154 +18,54 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// ReadError says why a stream is not whole.
-type ReadError struct {
-	// Code is one of api.CodeReplicaBroken, CodeReplicaMismatch,
-	// CodeReplicaIncomplete and CodeReplicaStalled.
-	Code   api.Code
-	Reason string
-	// Cause is the read error, if there is one.
-	Cause error
-}
-
-// Error implements the error interface.
-func (f *ReadError) Error() string {
-	if f.Cause != nil {
-		return fmt.Sprintf("stream: %s: %s: %v", f.Code, f.Reason, f.Cause)
-	}
-	return fmt.Sprintf("stream: %s: %s", f.Code, f.Reason)
-}
-
-// Unwrap returns the read error.
-func (f *ReadError) Unwrap() error { return f.Cause }
-
-func fault(code api.Code, format string, arguments ...any) *ReadError {
-	return &ReadError{Code: code, Reason: fmt.Sprintf(format, arguments...)}
-}
-
-// SequenceChecker checks that the events of one stream belong together: one request, one
-// run, sequence numbers from 1 without a gap, and tokens that add up.
-type SequenceChecker struct {
-	// RequestID is the request that the stream must answer.
-	RequestID string
-	runID     string
-	last      int
-	tokens    int
-	ended     bool
-}
-
-// RunID is the run that made the events so far; empty before the first.
-func (o *SequenceChecker) RunID() string { return o.runID }
-
-// Chunks is the number of pieces seen.
-func (o *SequenceChecker) Chunks() int { return o.last }
-
-// CheckChunk checks the next piece.
-func (o *SequenceChecker) CheckChunk(piece *api.StreamChunk) error {
-	if piece.RequestID != o.RequestID {
-		return fault(api.CodeReplicaMismatch, "a piece of another request")
-	}
-	return o.next(piece.RunID, piece.Sequence, piece.Tokens)
-}
-
-func (o *SequenceChecker) scanned(fields *pieceFields) error {
-	if string(fields.requestID) != o.RequestID {
-		return fault(api.CodeReplicaMismatch, "a piece of another request")
-	}
-	if string(fields.runID) == o.runID {
-		return o.next(o.runID, fields.sequence, fields.tokens)
-	}
-	return o.next(string(fields.runID), fields.sequence, fields.tokens)
-}
-
-func (o *SequenceChecker) next(runID string, sequence, tokens int) error {
-	if err := o.belongs(runID, sequence); err != nil {
-		return err
-	}
-	if tokens < 0 {
-		return fault(api.CodeReplicaBroken, "a piece of %d tokens", tokens)
-	}
-	o.last = sequence
-	o.tokens += tokens
-	return nil
-}
-
-func (o *SequenceChecker) belongs(runID string, sequence int) error {
-	if o.ended {
-		return fault(api.CodeReplicaMismatch, "an event after the end")
-	}
-	if runID == "" || len(runID) > api.MaxNameBytes {
-		return fault(api.CodeReplicaMismatch, "an event without a run")
-	}
-	if o.runID == "" {
-		o.runID = runID
-	}
-	if runID != o.runID {
-		return fault(api.CodeReplicaMismatch, "an event of another run")
-	}
-	if sequence != o.last+1 {
-		return fault(api.CodeReplicaMismatch, "event %d follows event %d", sequence, o.last)
-	}
-	return nil
-}
-
-// CheckEnd checks the end marker.
-func (o *SequenceChecker) CheckEnd(end *api.StreamEnd) error {
-	if end.RequestID != o.RequestID {
-		return fault(api.CodeReplicaMismatch, "the end of another request")
-	}
-	if err := o.belongs(end.RunID, end.Sequence); err != nil {
-		return err
-	}
-	if end.Tokens <= 0 || end.Tokens != o.tokens {
-		return fault(api.CodeReplicaIncomplete, "the end counts %d tokens, the pieces %d", end.Tokens, o.tokens)
-	}
-	o.ended = true
-	return nil
-}
-
-// Event is one checked event. Exactly one of Piece, End and Error is set.
+// Event is one checked event. Exactly one of Chunk, End and Error is set.
 type Event struct {
-	// Chunk is the JSON of a piece, valid until the next call of Next.
+	// Chunk is the JSON of a chunk, valid until the next call of Next.
 	Chunk []byte
-	End   *api.StreamEnd
+	// End is the end marker of a complete stream.
+	End *api.StreamEnd
+	// Error is the error with which the replica ended the stream.
 	Error *api.Error
 }
 
-// Options sets up a Reader.
+// Options configures a Reader.
 type Options struct {
 	// RequestID is the request that the stream must answer.
 	RequestID string
-	// IdleTimeout is the longest wait for an event; 0 is no bound. The time that the
-	// events' user takes between two calls of Next is not a part of it.
+	// IdleTimeout is the longest wait for an event within Next; 0 disables it. The
+	// time between two calls of Next does not count.
 	IdleTimeout time.Duration
-	// Interrupt is called once when the gap is over. It must make the source's
-	// Read return, for instance by canceling the request.
+	// Interrupt is called once, from another goroutine, when the idle timeout is
+	// over. It must make the source's Read return, for instance by canceling the
+	// request.
 	Interrupt func()
 }
 
 // Reader reads one stream. It is not safe for concurrent use.
 type Reader struct {
-	order   SequenceChecker
-	lines   *bufio.Reader
+	sequence SequenceChecker
+	lines    *bufio.Reader
+	// kind, data and hasData are the fields of the event that is being read.
 	kind    []byte
 	data    []byte
 	hasData bool
-	gap     time.Duration
-	timer   *time.Timer
-	paused  bool // the timer stands still until the next wait
-	stalled atomic.Bool
+
+	idleTimeout time.Duration
+	idleTimer   *time.Timer // nil without an idle timeout
+	paused      bool        // the timer is stopped until the next call of Next
+	stalled     atomic.Bool // the idle timeout is over
 }
 
+// lineReaders reuses the buffers of closed readers.
 var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, api.MaxStreamLine) }}
 
-// NewReader reads from source. Close gives its buffers back.
+// NewReader returns a reader of the stream in source. It must be closed.
 func NewReader(source io.Reader, options Options) *Reader {
-	r := &Reader{order: SequenceChecker{RequestID: options.RequestID}, gap: options.IdleTimeout}
+	r := &Reader{sequence: SequenceChecker{RequestID: options.RequestID}, idleTimeout: options.IdleTimeout}
 	r.lines = lineReaders.Get().(*bufio.Reader) //nolint:forcetypeassert // New of the pool makes nothing else
 	r.lines.Reset(source)
 	if options.IdleTimeout > 0 {
-		r.timer = time.AfterFunc(options.IdleTimeout, func() {
+		r.idleTimer = time.AfterFunc(options.IdleTimeout, func() {
 			r.stalled.Store(true)
 			options.Interrupt()
 		})
@@ -174,10 +73,10 @@
 	return r
 }
 
-// Close stops the gap timer and returns the buffers. The source stays open.
+// Close stops the idle timer and gives the buffers back. The source stays open.
 func (r *Reader) Close() {
-	if r.timer != nil {
-		r.timer.Stop()
+	if r.idleTimer != nil {
+		r.idleTimer.Stop()
 	}
 	if r.lines != nil {
 		r.lines.Reset(nil)
@@ -186,45 +85,48 @@
 	}
 }
 
-// Chunks is the number of pieces read.
-func (r *Reader) Chunks() int { return r.order.Chunks() }
+// Chunks returns the number of chunks read.
+func (r *Reader) Chunks() int { return r.sequence.Chunks() }
 
-// RunID is the run of the pieces read; empty before the first.
-func (r *Reader) RunID() string { return r.order.RunID() }
+// RunID returns the run of the chunks read; empty before the first.
+func (r *Reader) RunID() string { return r.sequence.RunID() }
 
-// Next returns the next event. After an End or an Error there are no more. Its
-// error is always a *ReadError.
+// Next returns the next event. None follows an End or an Error. Its error is always
+// a *ReadError.
 func (r *Reader) Next() (Event, error) {
 	r.resumeTimer()
 	for {
-		done, err := r.line()
+		complete, err := r.readLine()
 		if err != nil {
-			return Event{}, r.readFault(err)
+			return Event{}, r.readError(err)
 		}
-		if !done {
+		if !complete {
 			continue
 		}
-		event, err := r.event()
+		event, err := r.takeEvent()
 		r.pauseTimer()
 		return event, err
 	}
 }
 
+// pauseTimer stops the idle timer between two calls of Next.
 func (r *Reader) pauseTimer() {
-	if r.timer != nil {
-		r.timer.Stop()
+	if r.idleTimer != nil {
+		r.idleTimer.Stop()
 		r.paused = true
 	}
 }
 
+// resumeTimer restarts the idle timer if it is paused.
 func (r *Reader) resumeTimer() {
 	if r.paused {
-		r.timer.Reset(r.gap)
+		r.idleTimer.Reset(r.idleTimeout)
 		r.paused = false
 	}
 }
 
-func (r *Reader) readFault(err error) error {
+// readError turns an error of readLine into a *ReadError.
+func (r *Reader) readError(err error) error {
 	var known *ReadError
 	if errors.As(err, &known) {
 		return known
@@ -238,11 +140,11 @@
 	return &ReadError{Code: api.CodeReplicaBroken, Reason: "the stream cannot be read", Cause: err}
 }
 
-// line reads one line; done means that it closed an event.
-func (r *Reader) line() (done bool, err error) {
+// readLine reads one line and reports whether it completed an event.
+func (r *Reader) readLine() (complete bool, err error) {
 	line, err := r.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return false, fault(api.CodeReplicaBroken, "a line is longer than %d bytes", api.MaxStreamLine)
+		return false, readErrorf(api.CodeReplicaBroken, "a line is longer than %d bytes", api.MaxStreamLine)
 	}
 	if err != nil {
 		return false, err
@@ -254,71 +156,73 @@
 	if line[0] == ':' {
 		return false, nil // a comment
 	}
-	return false, r.field(line)
+	return false, r.readField(line)
 }
 
-func (r *Reader) field(line []byte) error {
+// readField takes one field of an event. An event has one kind and one data line;
+// other fields are not allowed.
+func (r *Reader) readField(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
 	case "event":
 		if len(r.kind) > 0 {
-			return fault(api.CodeReplicaBroken, "an event with two kinds")
+			return readErrorf(api.CodeReplicaBroken, "an event with two kinds")
 		}
 		r.kind = append(r.kind[:0], value...)
 		return nil
 	case "data":
 		if r.hasData {
-			return fault(api.CodeReplicaBroken, "an event with two data lines")
+			return readErrorf(api.CodeReplicaBroken, "an event with two data lines")
 		}
 		r.data = append(r.data[:0], value...)
 		r.hasData = true
 		return nil
 	}
-	return fault(api.CodeReplicaBroken, "an unknown field in an event")
+	return readErrorf(api.CodeReplicaBroken, "an unknown field in an event")
 }
 
-// event interprets the collected lines.
-func (r *Reader) event() (Event, error) {
+// takeEvent checks and returns the event that the lines read so far make up.
+func (r *Reader) takeEvent() (Event, error) {
 	kind := r.kind
 	r.kind, r.hasData = r.kind[:0], false
 	switch string(kind) {
 	case api.EventPiece:
-		return r.piece()
+		return r.takeChunk()
 	case api.EventEnd:
-		return r.end()
+		return r.takeEnd()
 	case api.EventError:
-		return r.failure()
+		return r.takeError()
 	}
-	return Event{}, fault(api.CodeReplicaBroken, "an event of an unknown kind")
+	return Event{}, readErrorf(api.CodeReplicaBroken, "an event of an unknown kind")
 }
 
-func (r *Reader) piece() (Event, error) {
-	if fields, ok := scanPiece(r.data); ok {
-		return Event{Chunk: r.data}, r.order.scanned(&fields)
+func (r *Reader) takeChunk() (Event, error) {
+	if fields, ok := scanChunk(r.data); ok {
+		return Event{Chunk: r.data}, r.sequence.checkScanned(&fields)
 	}
-	piece, canonical, ok := parsePiece(r.data)
+	chunk, canonical, ok := parseChunk(r.data)
 	if !ok {
-		return Event{}, fault(api.CodeReplicaBroken, "a piece that is not valid JSON")
+		return Event{}, readErrorf(api.CodeReplicaBroken, "a piece that is not valid JSON")
 	}
-	return Event{Chunk: canonical}, r.order.CheckChunk(&piece)
+	return Event{Chunk: canonical}, r.sequence.CheckChunk(&chunk)
 }
 
-func (r *Reader) end() (Event, error) {
+func (r *Reader) takeEnd() (Event, error) {
 	end := new(api.StreamEnd)
 	if !utf8.Valid(r.data) || json.Unmarshal(r.data, end) != nil {
-		return Event{}, fault(api.CodeReplicaBroken, "an end marker that is not valid JSON")
+		return Event{}, readErrorf(api.CodeReplicaBroken, "an end marker that is not valid JSON")
 	}
-	return Event{End: end}, r.order.CheckEnd(end)
+	return Event{End: end}, r.sequence.CheckEnd(end)
 }
 
-func (r *Reader) failure() (Event, error) {
+func (r *Reader) takeError() (Event, error) {
 	failure := new(api.Error)
 	if json.Unmarshal(r.data, failure) != nil || failure.Code == "" {
-		return Event{}, fault(api.CodeReplicaBroken, "an error event that is not valid JSON")
+		return Event{}, readErrorf(api.CodeReplicaBroken, "an error event that is not valid JSON")
 	}
-	if failure.RequestID != "" && failure.RequestID != r.order.RequestID {
-		return Event{}, fault(api.CodeReplicaMismatch, "the error of another request")
+	if failure.RequestID != "" && failure.RequestID != r.sequence.RequestID {
+		return Event{}, readErrorf(api.CodeReplicaMismatch, "the error of another request")
 	}
 	return Event{Error: failure}, nil
 }
--- a/stream/writer.go
+++ b/stream/writer.go
@@ -12,13 +12,15 @@
 // ContentType is the media type of a stream.
 const ContentType = "text/event-stream"
 
+// The parts of an event around its kind and its data.
 const (
 	frameKind = "event: "
 	frameData = "\ndata: "
 	frameEnd  = "\n\n"
 )
 
-// AppendFrame appends one event in its wire form. data must hold no line break.
+// AppendFrame appends one event in its wire form to buffer and returns the extended
+// buffer. data must not contain a line break.
 func AppendFrame(buffer []byte, kind string, data []byte) []byte {
 	buffer = append(buffer, frameKind...)
 	buffer = append(buffer, kind...)
@@ -27,7 +29,8 @@
 	return append(buffer, frameEnd...)
 }
 
-// FrameData returns the data of one frame made by AppendFrame.
+// FrameData returns the data of a frame that AppendFrame made with the given kind.
+// It is a part of the frame, not a copy.
 func FrameData(frame []byte, kind string) []byte {
 	return frame[len(frameKind)+len(kind)+len(frameData) : len(frame)-len(frameEnd)]
 }
@@ -39,8 +42,8 @@
 	timeout    time.Duration
 }
 
-// NewWriter writes the header of a stream. A write that the caller does not
-// take within timeout fails.
+// NewWriter writes the header of a stream and returns a writer of its events. A
+// write that the caller does not accept within timeout fails.
 func NewWriter(response http.ResponseWriter, timeout time.Duration) *Writer {
 	response.Header().Set("Content-Type", ContentType)
 	response.Header().Set("Cache-Control", "no-store")
@@ -48,7 +51,7 @@
 	return &Writer{response: response, controller: http.NewResponseController(response), timeout: timeout}
 }
 
-// Frames sends events that are in their wire form, at once.
+// Frames sends events that are in their wire form and flushes them.
 func (w *Writer) Frames(frames []byte) error {
 	if err := w.controller.SetWriteDeadline(time.Now().Add(w.timeout)); err != nil {
 		return fmt.Errorf("stream: setting the write deadline: %w", err)
@@ -62,7 +65,7 @@
 	return nil
 }
 
-// Event sends one event.
+// Event sends one event with the JSON form of the message as its data.
 func (w *Writer) Event(kind string, message any) error {
 	data, err := json.Marshal(message)
 	if err != nil {
@@ -71,9 +74,9 @@
 	return w.Frames(AppendFrame(nil, kind, data))
 }
 
-// Abort sends the error as the last event and breaks the connection off, so
-// that the stream cannot be taken for a whole one. It does not return.
+// Abort sends the error as the last event and aborts the connection, so that the
+// stream cannot be taken for a complete one. It panics with http.ErrAbortHandler.
 func (w *Writer) Abort(failure *api.Error) {
-	_ = w.Event(api.EventError, failure) // the connection goes either way
+	_ = w.Event(api.EventError, failure) // the connection is aborted either way
 	panic(http.ErrAbortHandler)
 }
--- /dev/null
+++ b/stream/writer_test.go
@@ -0,0 +1,37 @@
+package stream
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/deckpulley/deckpulley/api"
+)
+
+func TestWriterAbortBreaksTheConnection(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		writer := NewWriter(w, time.Second)
+		if err := writer.Frames([]byte(chunkFrame("r", "run", 1, 1, "a"))); err != nil {
+			t.Error(err)
+		}
+		writer.Abort(&api.Error{Code: api.CodeReplicaBroken, Outcome: api.OutcomeFailed})
+	}))
+	server.Config.ErrorLog = nil
+	defer server.Close()
+	response, err := http.Get(server.URL)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Fatalf("the connection ended with %v", err)
+	}
+	if !bytes.Contains(body, []byte("event: error\ndata: {\"code\":\"replica_broken\"")) {
+		t.Fatalf("body %q", body)
+	}
+}
