--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -15,70 +15,81 @@
 )
 
 const (
-	// readBuffer is the size of a connection's buffer in bytes.
-	readBuffer = 4 << 10
-	// inlineBody is the largest request in bytes that is written before the
-	// answer is awaited. The rest of a longer one is written beside it, since a
-	// replica may answer first and read on.
-	inlineBody = 32 << 10
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4 << 10
+	// maxInlineBytes is the size of the largest request that is written before the
+	// response is awaited. A larger one is written concurrently, since a replica may
+	// respond before it has read the whole request.
+	maxInlineBytes = 32 << 10
+	// announcedTimeoutFraction is the fraction of the idle timeout announced by a
+	// replica for which a connection is used again: the replica may close it at the
+	// announced time, while a request is on its way.
+	announcedTimeoutFraction = 0.6
 )
 
-// connection is one TCP connection with at most one request under way.
+// connection is one TCP connection with at most one request in flight.
 type connection struct {
-	pool        *Pool
-	address     string
-	raw         net.Conn
-	reader      *bufio.Reader
-	usableUntil time.Time // while idle
-
-	finished sync.Once
-	stop     func() bool   // ends the watch of the request's context
-	written  chan struct{} // closed when the request was written
-	writeErr error         // set before written is closed
+	pool         *Pool
+	address      string
+	raw          net.Conn
+	reader       *bufio.Reader
+	idleDeadline time.Time // when an idle connection must not be used any more
+
+	// The fields below belong to the request in flight.
+
+	finished    sync.Once     // release or discard
+	stopContext func() bool   // unregisters from the request's context; false if that has ended
+	written     chan struct{} // closed once the request was written or writing failed
+	writeErr    error         // set before written is closed
 }
 
 func newConnection(pool *Pool, address string, raw net.Conn) *connection {
 	c := &connection{pool: pool, address: address, raw: raw}
-	c.reader = bufio.NewReaderSize(noting{c}, readBuffer)
+	c.reader = bufio.NewReaderSize(receiveRecorder{c}, readBufferBytes)
 	return c
 }
 
-// noting notes when bytes came.
-type noting struct{ conn *connection }
+// receiveRecorder reads from a connection and records in its pool when bytes were
+// received.
+type receiveRecorder struct{ conn *connection }
 
-func (n noting) Read(into []byte) (int, error) {
-	count, err := n.conn.raw.Read(into)
+func (r receiveRecorder) Read(buffer []byte) (int, error) {
+	count, err := r.conn.raw.Read(buffer)
 	if count > 0 {
-		n.conn.pool.note(n.conn.address)
+		r.conn.pool.recordReceived(r.conn.address)
 	}
 	return count, err
 }
 
-// exchange writes a request and reads the head of its answer.
-func (c *connection) exchange(ctx context.Context, request *http.Request, body []byte) (*http.Response, error) {
+// roundTrip writes a request and reads the header of its response. The body of the
+// response releases the connection when it was read to its end, and discards it
+// otherwise.
+func (c *connection) roundTrip(ctx context.Context, request *http.Request, body []byte) (*http.Response, error) {
 	c.finished = sync.Once{}
-	c.stop = context.AfterFunc(ctx, func() { _ = c.raw.Close() })
+	c.stopContext = context.AfterFunc(ctx, func() { _ = c.raw.Close() })
 	if err := c.write(request, body); err != nil {
-		return nil, c.explain(ctx, err)
+		return nil, withContextError(ctx, err)
 	}
-	response, err := c.readHead(request)
+	response, err := c.readHeader(request)
 	if err != nil {
-		return nil, c.explain(ctx, err)
+		return nil, withContextError(ctx, err)
 	}
-	limit, keep := reuse(response, c.pool.config.IdleTimeout)
-	response.Body = &answerBody{conn: c, ctx: ctx, inner: response.Body, limit: limit, keep: keep}
+	idleTimeout, reusable := reuse(response, c.pool.config.IdleTimeout)
+	response.Body = &responseBody{conn: c, ctx: ctx, inner: response.Body, idleTimeout: idleTimeout, reusable: reusable}
 	return response, nil
 }
 
-// explain names the end of the context where that was the cause.
-func (c *connection) explain(ctx context.Context, err error) error {
-	if cause := ctx.Err(); cause != nil {
-		return errors.Join(cause, err)
+// withContextError adds the context's error if the context has ended, since that
+// closes the connection and so causes the other error.
+func withContextError(ctx context.Context, err error) error {
+	if contextErr := ctx.Err(); contextErr != nil {
+		return errors.Join(contextErr, err)
 	}
 	return err
 }
 
-// write sends the request, a long one beside the reading of the answer.
+// write sends the request. It returns before a large one is written; the writing
+// ends with the connection at the latest, and written tells when.
 func (c *connection) write(request *http.Request, body []byte) error {
 	var message bytes.Buffer
 	outgoing := request.Clone(request.Context())
@@ -96,15 +107,15 @@
 		close(c.written)
 		return c.writeErr
 	}
-	if message.Len() <= inlineBody {
+	if message.Len() <= maxInlineBytes {
 		return send()
 	}
 	go func() { _ = send() }()
 	return nil
 }
 
-// readHead reads the head of the final answer.
-func (c *connection) readHead(request *http.Request) (*http.Response, error) {
+// readHeader reads the header of the final response and skips informational ones.
+func (c *connection) readHeader(request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
@@ -116,8 +127,8 @@
 	}
 }
 
-// writtenWhole says that the whole request has been written.
-func (c *connection) writtenWhole() bool {
+// requestWritten reports whether the whole request was written.
+func (c *connection) requestWritten() bool {
 	select {
 	case <-c.written:
 		return c.writeErr == nil
@@ -126,43 +137,46 @@
 	}
 }
 
-// release ends the request and keeps the connection if nothing is left on it.
-func (c *connection) release(limit time.Duration) {
+// release ends the request. The connection becomes idle if the request's context
+// has not ended, the whole request was written and no bytes follow the response;
+// otherwise it is closed.
+func (c *connection) release(idleTimeout time.Duration) {
 	c.finished.Do(func() {
-		if c.stop() && c.writtenWhole() && c.reader.Buffered() == 0 {
-			c.pool.keep(c, limit)
+		if c.stopContext() && c.requestWritten() && c.reader.Buffered() == 0 {
+			c.pool.putIdle(c, idleTimeout)
 			return
 		}
 		c.pool.close(c)
 	})
 }
 
-// discard ends the request and the connection.
+// discard ends the request and closes the connection.
 func (c *connection) discard() {
 	c.finished.Do(func() {
-		c.stop()
+		c.stopContext()
 		c.pool.close(c)
 	})
 }
 
-// reuse returns how long a connection may be idle after an answer, and whether
-// it may be used again at all.
-func reuse(response *http.Response, usual time.Duration) (time.Duration, bool) {
+// reuse returns how long a connection may be idle after a response, and whether it
+// may be used again at all.
+func reuse(response *http.Response, defaultTimeout time.Duration) (idleTimeout time.Duration, reusable bool) {
 	if response.Close || response.StatusCode == http.StatusSwitchingProtocols {
 		return 0, false
 	}
-	announced, found := announcedIdle(response.Header.Get("Keep-Alive"))
+	announced, found := announcedTimeout(response.Header.Get("Keep-Alive"))
 	if !found {
-		return usual, true
+		return defaultTimeout, true
 	}
-	limit := time.Duration(idlePart * float64(announced))
-	return limit, limit > 0
+	idleTimeout = time.Duration(announcedTimeoutFraction * float64(announced))
+	return idleTimeout, idleTimeout > 0
 }
 
-// announcedIdle reads the time-out of a Keep-Alive header.
-func announcedIdle(header string) (time.Duration, bool) {
-	for part := range strings.SplitSeq(header, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+// announcedTimeout returns the timeout parameter of a Keep-Alive header, and whether
+// there is a valid one.
+func announcedTimeout(header string) (time.Duration, bool) {
+	for parameter := range strings.SplitSeq(header, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
@@ -174,32 +188,34 @@
 	return 0, false
 }
 
-// answerBody gives the connection back at the end of the answer.
-type answerBody struct {
-	conn  *connection
-	ctx   context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
-	inner io.ReadCloser
-	limit time.Duration
-	keep  bool
+// responseBody is the body of a response. It gives the connection back to the pool
+// at its end.
+type responseBody struct {
+	conn        *connection
+	ctx         context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
+	inner       io.ReadCloser
+	idleTimeout time.Duration
+	reusable    bool
 }
 
-func (b *answerBody) Read(into []byte) (int, error) {
-	count, err := b.inner.Read(into)
+// Read reads the body. An error other than io.EOF closes the connection.
+func (b *responseBody) Read(buffer []byte) (int, error) {
+	count, err := b.inner.Read(buffer)
 	switch {
 	case err == nil:
-	case errors.Is(err, io.EOF) && b.keep:
-		b.conn.release(b.limit)
+	case errors.Is(err, io.EOF) && b.reusable:
+		b.conn.release(b.idleTimeout)
 	case errors.Is(err, io.EOF):
 		b.conn.discard()
 	default:
-		err = b.conn.explain(b.ctx, err)
+		err = withContextError(b.ctx, err)
 		b.conn.discard()
 	}
 	return count, err
 }
 
-// Close breaks an answer off that was not read to its end.
-func (b *answerBody) Close() error {
+// Close closes the connection if the body was not read to its end.
+func (b *responseBody) Close() error {
 	b.conn.discard()
 	return nil
 }
--- a/upstream/example_test.go
+++ b/upstream/example_test.go
@@ -34,8 +34,8 @@
 	if response, err = pool.Do(ctx, address, request, nil); err == nil {
 		response.Body.Close()
 	}
-	var unanswered *upstream.RequestError
-	fmt.Println("may have run:", errors.As(err, &unanswered) && unanswered.Sent)
+	var failure *upstream.RequestError
+	fmt.Println("may have run:", errors.As(err, &failure) && failure.Sent)
 	// Output:
 	// 200 hello
 	// may have run: false
--- a/upstream/upstream.go
+++ b/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream keeps HTTP/1.1 connections to replicas and sends one request
-// at a time on each. Unlike a general client it never sends a request twice, and
-// its errors say whether the replica may have seen any of it.
+// Package upstream keeps HTTP/1.1 connections to replicas and sends one request at
+// a time on each of them. Unlike a general HTTP client it never sends a request
+// twice, and its errors say whether the replica may have received any of it.
 package upstream
 
 import (
@@ -14,70 +14,25 @@
 	"github.com/deckpulley/deckpulley/internal/sockets"
 )
 
-// Defaults of Config.
-const (
-	DefaultDialTimeout           = 300 * time.Millisecond
-	DefaultUnacknowledgedTimeout = 1500 * time.Millisecond
-	DefaultIdleTimeout           = 4 * time.Second
-)
-
-// idlePart is the part of the idle time that a replica announces for which a
-// connection is used again: it may be closed at the announced time.
-const idlePart = 0.6
-
-// Probes of a connection on which nothing is sent.
+// Keep-alive probes of a connection on which nothing is sent.
 const (
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// Config sets up a Pool. Every zero field stands for its default.
-type Config struct {
-	// DialTimeout bounds making a connection.
-	DialTimeout time.Duration
-	// UnacknowledgedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection is given up.
-	UnacknowledgedTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept when its replica does not
-	// announce a time.
-	IdleTimeout time.Duration
-	// OnConnect, if set, is told how long each connection took to make. It must not
-	// block.
-	OnConnect func(address string, took time.Duration)
-	// Dial replaces the dialling of TCP, for tests.
-	Dial func(ctx context.Context, address string) (net.Conn, error)
-}
-
-// RequestError is a request that got no answer.
-type RequestError struct {
-	// Sent says that the replica may have seen a part of the request, and may
-	// have carried it out.
-	Sent bool
-	Err  error
-}
-
-func (e *RequestError) Error() string {
-	if e.Sent {
-		return "upstream: no answer: " + e.Err.Error()
-	}
-	return "upstream: not sent: " + e.Err.Error()
-}
-
-func (e *RequestError) Unwrap() error { return e.Err }
-
 // Pool holds the connections of one process. It is safe for concurrent use.
 type Pool struct {
 	config Config
 	mutex  sync.Mutex
-	peers  map[string]*peer
+	peers  map[string]*peer // by address
 }
 
-// peer is what is kept of one address.
+// peer is the state of one address. Pool.mutex guards it.
 type peer struct {
-	idle  []*connection // the most recently used last
-	open  int
-	heard time.Time
+	idle         []*connection // the most recently used last
+	open         int           // connections in use and idle
+	lastReceived time.Time
 }
 
 // NewPool returns an empty pool.
@@ -92,41 +47,42 @@
 	return pool
 }
 
-func setDefault(field *time.Duration, value time.Duration) {
-	if *field == 0 {
-		*field = value
-	}
-}
-
-// dialTCP connects so that a dead peer is noticed on the connection itself.
-func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+// Do sends one request to an address and returns once the header of the response
+// was read. The request must have no body; the given one is sent with its length.
+// The error is a *RequestError. The end of ctx aborts the request, also while the
+// body of the response is read.
+func (p *Pool) Do(ctx context.Context, address string, request *http.Request, body []byte) (*http.Response, error) {
+	conn, err := p.acquire(ctx, address)
+	if err != nil {
+		return nil, &RequestError{Err: err}
 	}
-	raw, err := dialer.DialContext(ctx, "tcp", address)
+	response, err := conn.roundTrip(ctx, request, body)
 	if err != nil {
-		return nil, err
+		conn.discard()
+		return nil, &RequestError{Sent: true, Err: err}
 	}
-	sockets.BoundUnacknowledged(raw, p.config.UnacknowledgedTimeout)
-	return raw, nil
+	return response, nil
 }
 
-// LastReceived returns when bytes last came from an address, the zero time for never.
+// LastReceived returns when bytes were last received from an address; the zero
+// time if the pool knows of none. It is dropped when CloseIdleConnections or
+// CloseExpired leaves the address without connections.
 func (p *Pool) LastReceived(address string) time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if known, found := p.peers[address]; found {
-		return known.heard
+		return known.lastReceived
 	}
 	return time.Time{}
 }
 
-// HasIdleConnection says whether a connection to an address is open and free.
+// HasIdleConnection reports whether there is an idle connection to an address that
+// can be used.
 func (p *Pool) HasIdleConnection(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known, found := p.peers[address]
-	return found && len(known.idle) > 0 && time.Now().Before(known.idle[len(known.idle)-1].usableUntil)
+	return found && len(known.idle) > 0 && time.Now().Before(known.idle[len(known.idle)-1].idleDeadline)
 }
 
 // CloseIdleConnections closes the idle connections to an address.
@@ -141,48 +97,36 @@
 		p.closeLocked(idle)
 	}
 	known.idle = nil
-	if known.open == 0 {
-		delete(p.peers, address)
-	}
+	p.removeUnusedLocked(address, known)
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes the connections whose idle timeout is over at now.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address, known := range p.peers {
 		kept := known.idle[:0]
 		for _, idle := range known.idle {
-			if now.Before(idle.usableUntil) {
+			if now.Before(idle.idleDeadline) {
 				kept = append(kept, idle)
 				continue
 			}
 			p.closeLocked(idle)
 		}
 		known.idle = kept
-		if known.open == 0 {
-			delete(p.peers, address)
-		}
+		p.removeUnusedLocked(address, known)
 	}
 }
 
-// Do sends one request to an address and returns when the head of the answer is
-// here. request has no body; body is sent with its length. The error is an
-// *Error. The end of ctx breaks the request off, also while the answer is read.
-func (p *Pool) Do(ctx context.Context, address string, request *http.Request, body []byte) (*http.Response, error) {
-	conn, err := p.acquire(ctx, address)
-	if err != nil {
-		return nil, &RequestError{Err: err}
-	}
-	response, err := conn.exchange(ctx, request, body)
-	if err != nil {
-		conn.discard()
-		return nil, &RequestError{Sent: true, Err: err}
+// removeUnusedLocked drops the state of an address without connections.
+func (p *Pool) removeUnusedLocked(address string, known *peer) {
+	if known.open == 0 {
+		delete(p.peers, address)
 	}
-	return response, nil
 }
 
-// acquire takes the connection that was used last, or makes one.
+// acquire returns the most recently used idle connection that is still intact, or
+// a new one.
 func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
 		idle := p.takeIdle(address)
@@ -196,6 +140,8 @@
 	}
 }
 
+// takeIdle removes the most recently used idle connection that has not expired from
+// the pool and returns it; nil if there is none.
 func (p *Pool) takeIdle(address string) *connection {
 	now := time.Now()
 	p.mutex.Lock()
@@ -207,7 +153,7 @@
 	for len(known.idle) > 0 {
 		last := known.idle[len(known.idle)-1]
 		known.idle = known.idle[:len(known.idle)-1]
-		if now.Before(last.usableUntil) {
+		if now.Before(last.idleDeadline) {
 			return last
 		}
 		p.closeLocked(last)
@@ -215,16 +161,17 @@
 	return nil
 }
 
+// connect establishes a connection and counts it as open.
 func (p *Pool) connect(ctx context.Context, address string) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.DialTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	raw, err := p.config.Dial(ctx, address)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
 	if p.config.OnConnect != nil {
-		p.config.OnConnect(address, time.Since(began))
+		p.config.OnConnect(address, time.Since(start))
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -237,17 +184,32 @@
 	return newConnection(p, address, raw), nil
 }
 
-func (p *Pool) note(address string) {
+// dialTCP connects with keep-alive probes and a bound on unacknowledged data, so
+// that the failure of a replica's host fails the connection.
+func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+	}
+	raw, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	sockets.BoundUnacknowledged(raw, p.config.UnacknowledgedTimeout)
+	return raw, nil
+}
+
+// recordReceived records that bytes were received from an address now.
+func (p *Pool) recordReceived(address string) {
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if known, found := p.peers[address]; found {
-		known.heard = now
+		known.lastReceived = now
 	}
 }
 
-// keep makes a connection idle.
-func (p *Pool) keep(conn *connection, limit time.Duration) {
+// putIdle makes a connection available to other requests for idleTimeout.
+func (p *Pool) putIdle(conn *connection, idleTimeout time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known, found := p.peers[conn.address]
@@ -255,10 +217,11 @@
 		_ = conn.raw.Close()
 		return
 	}
-	conn.usableUntil = time.Now().Add(limit)
+	conn.idleDeadline = time.Now().Add(idleTimeout)
 	known.idle = append(known.idle, conn)
 }
 
+// close closes a connection that is not idle.
 func (p *Pool) close(conn *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/upstream/upstream_test.go
+++ b/upstream/pool_test.go
@@ -15,11 +15,11 @@
 	"github.com/deckpulley/deckpulley/internal/sockets"
 )
 
-// script answers the requests of one connection after another.
-type script func(conn net.Conn, reader *bufio.Reader)
+// connectionHandler serves one connection of a test server.
+type connectionHandler func(conn net.Conn, reader *bufio.Reader)
 
-// listen serves each connection by the script and counts them.
-func listen(t *testing.T, serve script) (address string, connections *atomic.Int32) {
+// listen starts a server that passes each connection to serve, and counts them.
+func listen(t *testing.T, serve connectionHandler) (address string, connections *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,8 +43,8 @@
 	return listener.Addr().String(), connections
 }
 
-// exchange sends a request without a body and closes the answer, if there is one.
-func exchange(ctx context.Context, pool *Pool, address string, request *http.Request) error {
+// doAndClose sends a request without a body and closes the body of the response.
+func doAndClose(ctx context.Context, pool *Pool, address string, request *http.Request) error {
 	response, err := pool.Do(ctx, address, request, nil)
 	if err == nil {
 		response.Body.Close()
@@ -52,8 +52,8 @@
 	return err
 }
 
-// answerAll answers every request of a connection with the text.
-func answerAll(text string) script {
+// respondWith responds to each request on a connection with the text.
+func respondWith(text string) connectionHandler {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(reader)
@@ -77,6 +77,7 @@
 	return request
 }
 
+// fetch sends a request with a body and returns the body of the response.
 func fetch(t *testing.T, pool *Pool, address string) (string, error) {
 	t.Helper()
 	response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), []byte("body"))
@@ -88,21 +89,21 @@
 	return string(text), err
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
+func TestConnectionsAreReused(t *testing.T) {
+	const header = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 	tests := map[string]struct {
-		answer string
-		want   int32 // connections for three requests
+		response string
+		want     int32 // connections for three requests
 	}{
-		"kept":                  {whole + "\r\nok", 1},
-		"kept by announcement":  {whole + "Keep-Alive: timeout=5\r\n\r\nok", 1},
-		"announced not to last": {whole + "Keep-Alive: timeout=0\r\n\r\nok", 3},
-		"closed by its answer":  {whole + "Connection: close\r\n\r\nok", 3},
-		"surplus bytes":         {whole + "\r\nokHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", 3},
+		"reused":                    {header + "\r\nok", 1},
+		"announced timeout":         {header + "Keep-Alive: timeout=5\r\n\r\nok", 1},
+		"announced timeout of zero": {header + "Keep-Alive: timeout=0\r\n\r\nok", 3},
+		"Connection: close":         {header + "Connection: close\r\n\r\nok", 3},
+		"bytes after the response":  {header + "\r\nokHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", 3},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			address, connections := listen(t, answerAll(test.answer))
+			address, connections := listen(t, respondWith(test.response))
 			pool := NewPool(Config{})
 			for range 3 {
 				if text, err := fetch(t, pool, address); err != nil || text != "ok" {
@@ -116,7 +117,7 @@
 	}
 }
 
-func TestSurplusThatArrivesLaterEndsAnIdleConnection(t *testing.T) {
+func TestUnsolicitedResponseEndsIdleConnection(t *testing.T) {
 	written := make(chan struct{})
 	address, connections := listen(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
@@ -134,20 +135,21 @@
 	<-written
 	idle := pool.takeIdle(address)
 	if idle != nil && sockets.Quiet(idle.raw) && idle.reader.Buffered() == 0 {
-		t.Error("a connection with an answer nobody asked for is taken as quiet")
+		t.Error("a connection with an unsolicited response counts as idle")
 	}
 	if connections.Load() != 1 {
 		t.Errorf("%d connections", connections.Load())
 	}
 }
 
-// TestErrorsTellWhatWasSent is what at most once rests on.
-func TestErrorsTellWhatWasSent(t *testing.T) {
+// TestErrorsReportWhetherRequestWasSent: that requests run at most once depends on
+// it.
+func TestErrorsReportWhetherRequestWasSent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusing := closed.Addr().String()
+	refused := closed.Addr().String()
 	closed.Close()
 	reset, _ := listen(t, func(_ net.Conn, reader *bufio.Reader) { _, _ = http.ReadRequest(reader) })
 	garbage, _ := listen(t, func(conn net.Conn, _ *bufio.Reader) { _, _ = io.WriteString(conn, "no answer at all\r\n\r\n") })
@@ -155,9 +157,9 @@
 		address string
 		sent    bool
 	}{
-		"nobody listens":    {refusing, false},
-		"closed unanswered": {reset, true},
-		"garbage":           {garbage, true},
+		"connection refused":        {refused, false},
+		"closed without a response": {reset, true},
+		"malformed response":        {garbage, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -170,7 +172,7 @@
 	}
 }
 
-func TestARequestIsSentOnceOnly(t *testing.T) {
+func TestRequestIsNeverSentTwice(t *testing.T) {
 	var requests atomic.Int32
 	address, connections := listen(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -178,7 +180,7 @@
 				return
 			}
 			if requests.Add(1) > 1 {
-				return // a kept connection that breaks under its second request
+				return // closes a reused connection on its second request
 			}
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
@@ -188,7 +190,7 @@
 		t.Fatal(err)
 	}
 	for _, method := range []string{http.MethodGet} {
-		err := exchange(t.Context(), pool, address, newRequest(t, method))
+		err := doAndClose(t.Context(), pool, address, newRequest(t, method))
 		var failure *RequestError
 		if !errors.As(err, &failure) || !failure.Sent {
 			t.Errorf("got %v", err)
@@ -199,11 +201,11 @@
 	}
 }
 
-func TestAnswersThatBreakOffAreErrors(t *testing.T) {
+func TestTruncatedResponsesAreErrors(t *testing.T) {
 	tests := map[string]string{
-		"short of its length":  "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort",
-		"within a chunk":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-		"without a last chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+		"shorter than its length": "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort",
+		"inside a chunk":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+		"without a last chunk":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
 	}
 	for name, text := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -212,31 +214,31 @@
 				_, _ = io.WriteString(conn, text)
 			})
 			if got, err := fetch(t, NewPool(Config{}), address); err == nil {
-				t.Errorf("%q passes as whole", got)
+				t.Errorf("%q passes as complete", got)
 			}
 		})
 	}
 }
 
-func TestTheEndOfTheContextBreaksOff(t *testing.T) {
-	gone := make(chan struct{})
+func TestContextCancellationAbortsRequest(t *testing.T) {
+	closed := make(chan struct{})
 	address, _ := listen(t, func(_ net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
 		_, _ = reader.ReadByte() // returns when the connection is closed
-		close(gone)
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	err := exchange(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
+	err := doAndClose(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
-	<-gone
+	<-closed
 }
 
-// TestAnEarlyAnswerEndsTheConnection: the replica still waits for the rest of the
-// body, so nothing else may be sent there.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// TestEarlyResponseEndsConnection: after a response to an incomplete request the
+// replica still waits for the rest of the body, so the connection is not reused.
+func TestEarlyResponseEndsConnection(t *testing.T) {
 	address, connections := listen(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
@@ -245,7 +247,7 @@
 		time.Sleep(200 * time.Millisecond)
 	})
 	pool := NewPool(Config{})
-	body := []byte(strings.Repeat("x", 32<<20)) // more than the buffers on the way take
+	body := []byte(strings.Repeat("x", 32<<20)) // more than the socket buffers hold
 	for range 2 {
 		response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), body)
 		if err != nil {
@@ -261,31 +263,31 @@
 	}
 }
 
-func TestReapAndForgetCloseIdleConnections(t *testing.T) {
-	address, _ := listen(t, answerAll("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
+func TestCloseIdleConnections(t *testing.T) {
+	address, _ := listen(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	pool := NewPool(Config{IdleTimeout: time.Minute})
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
-	if pool.CloseExpired(time.Now()); openTo(pool, address) != 1 {
-		t.Error("a fresh connection was reaped")
+	if pool.CloseExpired(time.Now()); openConnections(pool, address) != 1 {
+		t.Error("a fresh connection was closed")
 	}
 	if pool.LastReceived(address).IsZero() {
-		t.Error("nothing was heard")
+		t.Error("nothing was received")
 	}
-	if pool.CloseExpired(time.Now().Add(time.Hour)); openTo(pool, address) != 0 {
-		t.Error("an old connection was kept")
+	if pool.CloseExpired(time.Now().Add(time.Hour)); openConnections(pool, address) != 0 {
+		t.Error("an expired connection was kept")
 	}
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
-	if pool.CloseIdleConnections(address); openTo(pool, address) != 0 {
-		t.Error("a connection to a forgotten address was kept")
+	if pool.CloseIdleConnections(address); openConnections(pool, address) != 0 {
+		t.Error("an idle connection was kept")
 	}
 }
 
-// openTo counts the connections to an address, idle and in use.
-func openTo(pool *Pool, address string) int {
+// openConnections counts the connections to an address, idle and in use.
+func openConnections(pool *Pool, address string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	if known, found := pool.peers[address]; found {
