--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -8,19 +8,20 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// A request that cannot make its time is refused when it comes, not when it is late.
+// A request that cannot meet its deadline is rejected on arrival, not when it is
+// late.
 func Example() {
 	now := time.Unix(0, 0)
 	queue := admission.NewQueue[string](2)
-	offer := func(name string, patience time.Duration) admission.Rejection {
-		item := &admission.Item[string]{Tenant: "t", Class: api.ClassQuick, Weight: 1, Cost: 1, Deadline: now.Add(patience), ExpectedFirstToken: 500 * time.Millisecond, Payload: name}
-		_, refusal := queue.Enqueue(now, item, 1)
-		return refusal
+	enqueue := func(name string, timeout time.Duration) admission.Rejection {
+		item := &admission.Item[string]{Tenant: "t", Class: api.ClassQuick, Weight: 1, Cost: 1, Deadline: now.Add(timeout), ExpectedFirstToken: 500 * time.Millisecond, Payload: name}
+		_, rejection := queue.Enqueue(now, item, 1)
+		return rejection
 	}
-	fmt.Println(offer("a", time.Minute) == admission.Admitted)
-	fmt.Println(offer("b", 100*time.Millisecond) == admission.RejectedDeadline)
-	fmt.Println(offer("c", time.Minute) == admission.Admitted)
-	fmt.Println(offer("d", time.Minute) == admission.RejectedFull)
+	fmt.Println(enqueue("a", time.Minute) == admission.Admitted)
+	fmt.Println(enqueue("b", 100*time.Millisecond) == admission.RejectedDeadline)
+	fmt.Println(enqueue("c", time.Minute) == admission.Admitted)
+	fmt.Println(enqueue("d", time.Minute) == admission.RejectedFull)
 	fmt.Println(queue.Dequeue(func(*admission.Item[string]) bool { return true }).Payload)
 	// Output:
 	// true
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -5,42 +5,48 @@
 	"time"
 )
 
-// rateMemory is the time constant of Rate.
-const rateMemory = 3 * time.Second
+const (
+	// rateTimeConstant is the time constant of the decay of Rate.
+	rateTimeConstant = 3 * time.Second
+	// minCoverage bounds the correction of Rate for a short time of measurement.
+	minCoverage = 0.1
+)
 
-// Rate measures events per second with exponential forgetting.
+// Rate measures events per second with exponential decay. Its zero value is ready to
+// use. It is not safe for concurrent use.
 type Rate struct {
-	value float64
-	last  time.Time
-	first time.Time
+	value   float64   // per second, uncorrected
+	decayed time.Time // up to when value has decayed
+	first   time.Time // the first event; zero without any
 }
 
-// Record records one event.
+// Record records an event at now.
 func (r *Rate) Record(now time.Time) {
 	r.decay(now)
-	r.value += 1 / rateMemory.Seconds()
+	r.value += 1 / rateTimeConstant.Seconds()
 }
 
-// PerSecond is the rate at now, corrected for the time since the first event
-// being short.
+// PerSecond returns the rate at now, 0 without any event. It is corrected for the
+// short time of measurement after the first event.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	if r.first.IsZero() {
 		return 0
 	}
 	r.decay(now)
-	covered := 1 - math.Exp(-now.Sub(r.first).Seconds()/rateMemory.Seconds())
-	return r.value / max(covered, 0.1)
+	coverage := 1 - math.Exp(-now.Sub(r.first).Seconds()/rateTimeConstant.Seconds())
+	return r.value / max(coverage, minCoverage)
 }
 
+// decay decays the value up to now.
 func (r *Rate) decay(now time.Time) {
 	if r.first.IsZero() {
-		r.first, r.last = now, now
+		r.first, r.decayed = now, now
 		return
 	}
-	elapsed := now.Sub(r.last)
+	elapsed := now.Sub(r.decayed)
 	if elapsed <= 0 {
 		return
 	}
-	r.value *= math.Exp(-elapsed.Seconds() / rateMemory.Seconds())
-	r.last = now
+	r.value *= math.Exp(-elapsed.Seconds() / rateTimeConstant.Seconds())
+	r.decayed = now
 }
