--- a/placement/chain.go
+++ b/placement/chain.go
@@ -2,16 +2,16 @@
 
 import "github.com/deckpulley/deckpulley/api"
 
-// Link is one step of a prefix chain.
+// Link is one prefix in a chain of prefixes.
 type Link struct {
-	// Hash names the whole chain up to and including this prefix.
+	// Hash identifies the chain up to and including this prefix.
 	Hash uint64
-	// Tokens is the length of the chain up to here.
+	// Tokens is the length of the chain up to and including this prefix.
 	Tokens int
 }
 
-// Chain turns a sequence of prefixes, outermost first, into links. Two requests
-// share a link exactly if they share all prefixes up to it.
+// Chain returns the links of a sequence of prefixes, outermost first. Two requests
+// share a link if and only if they share all prefixes up to it.
 func Chain(prefixes []api.Prefix) []Link {
 	if len(prefixes) == 0 {
 		return nil
@@ -27,7 +27,7 @@
 	return chain
 }
 
-// Hashes returns the hashes of a chain's links, in their order.
+// Hashes returns the hashes of a chain's links, in the same order.
 func Hashes(chain []Link) []uint64 {
 	hashes := make([]uint64, 0, len(chain))
 	for _, link := range chain {
@@ -36,10 +36,11 @@
 	return hashes
 }
 
-// Affinity is the link that decides which replica a chain belongs to: the
-// outermost one that holds at least half of the chain's tokens. A short common
-// preamble does not draw everything to one replica, and a small last file does
-// not scatter the requests about one repository.
+// Affinity returns the link that decides to which replica a chain belongs: the
+// outermost one with at least half of the chain's tokens. So a short preamble that
+// all requests share does not send them all to one replica, and a small last file
+// does not spread the requests about one repository. It reports false for an empty
+// chain.
 func Affinity(chain []Link) (Link, bool) {
 	if len(chain) == 0 {
 		return Link{}, false
--- /dev/null
+++ b/placement/chain_test.go
@@ -0,0 +1,29 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/deckpulley/deckpulley/api"
+)
+
+func TestChainAndAffinity(t *testing.T) {
+	chain := func(ids ...string) []Link {
+		prefixes := make([]api.Prefix, 0, len(ids))
+		for index, id := range ids {
+			prefixes = append(prefixes, api.Prefix{ID: id, Tokens: []int{100, 4000, 900}[index]})
+		}
+		return Chain(prefixes)
+	}
+	a, b := chain("system", "repository", "file-1"), chain("system", "repository", "file-2")
+	if a[1] != b[1] || a[2].Hash == b[2].Hash || a[2].Tokens != 5000 {
+		t.Fatalf("chains %v and %v", a, b)
+	}
+	if chain("x", "y")[1].Hash == chain("y", "x")[1].Hash {
+		t.Fatal("the hash does not depend on the order of the prefixes")
+	}
+	affinityA, _ := Affinity(a)
+	affinityB, _ := Affinity(b)
+	if affinityA != a[1] || affinityA != affinityB {
+		t.Fatalf("affinity %v and %v, want the repository", affinityA, affinityB)
+	}
+}
--- /dev/null
+++ b/placement/index_test.go
@@ -0,0 +1,62 @@
+package placement
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/deckpulley/deckpulley/api"
+	"pgregory.net/rapid"
+)
+
+// TestIndexProperties applies random operations: what the index reports as cached was
+// recorded and not dropped since, and its size is bounded.
+func TestIndexProperties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		index := NewIndex(IndexEntries)
+		recorded := map[int]map[uint64]bool{0: {}, 1: {}, 2: {}}
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			replica := rapid.IntRange(0, 2).Draw(t, "replica")
+			chain := Chain([]api.Prefix{
+				{ID: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "outer")), Tokens: 10},
+				{ID: fmt.Sprint(rapid.IntRange(0, 99).Draw(t, "inner")), Tokens: 5},
+			})
+			switch rapid.IntRange(0, 5).Draw(t, "operation") {
+			default:
+				index.Record(replica, chain)
+				for _, link := range chain {
+					recorded[replica][link.Hash] = true
+				}
+				found := 0
+				index.Cached(chain, func(cachedBy, tokens int) {
+					if cachedBy == replica {
+						found = tokens
+					}
+				})
+				if found != 15 {
+					t.Fatalf("just recorded, found %d tokens", found)
+				}
+			case 3:
+				index.Undo(replica, chain)
+				delete(recorded[replica], chain[0].Hash)
+				delete(recorded[replica], chain[1].Hash)
+			case 4:
+				index.Forget(replica)
+				recorded[replica] = map[uint64]bool{}
+			case 5:
+				before := index.Len(replica)
+				index.Correct(replica, 15, 10)
+				if before > 0 && index.Len(replica) >= before {
+					t.Fatal("a miss dropped nothing")
+				}
+			}
+			index.Cached(chain, func(cachedBy, tokens int) {
+				if tokens == 15 && !recorded[cachedBy][chain[1].Hash] {
+					t.Fatalf("reports a chain that was not recorded for %d", cachedBy)
+				}
+			})
+			if index.Len(replica) > minReplicaEntries {
+				t.Fatalf("%d entries", index.Len(replica))
+			}
+		}
+	})
+}
--- a/placement/region.go
+++ b/placement/region.go
@@ -5,68 +5,76 @@
 	"slices"
 )
 
-// LoadFreshness says how good the known load of a region is.
+// LoadFreshness is the age of what is known of a region's load.
 type LoadFreshness uint8
 
 const (
-	// NeverReported means that no load was ever reported.
+	// NeverReported means that the region has not reported its load yet.
 	NeverReported LoadFreshness = iota
-	// Fresh means that the load is recent.
+	// Fresh means that the last report is recent.
 	Fresh
-	// Stale means that reports have stopped: the region may be cut off or lost.
+	// Stale means that reports have stopped: the region may be partitioned or lost.
 	Stale
 )
 
 const (
-	// leastHeadroom keeps a full region's weight above zero, so that it stays last.
-	leastHeadroom = 0.02
-	// unheardLoad is assumed of a region that has not reported yet.
-	unheardLoad = 0.5
-	// MaxComparedLoad is the highest load that is compared with others. One above it says
-	// that the region cannot serve, not how much it has to do.
+	// minHeadroom keeps the weight of a full region above zero, so that it is ranked
+	// last instead of not at all.
+	minHeadroom = 0.02
+	// minRegionWeight keeps the weight of each region above zero.
+	minRegionWeight = 1e-9
+	// unknownLoad is the assumed load of a region without a recent report.
+	unknownLoad = 0.5
+	// MaxComparedLoad is the highest load that is compared with others. A higher one
+	// means that the region cannot serve, and not how much work it has.
 	MaxComparedLoad = 10
 )
 
 // Region is what is known of one region for one service.
 type Region struct {
+	// Name is the name of the region.
 	Name string
+	// Hash is the hash of the name.
 	Hash uint64
-	// Capacity is its weight relative to others.
+	// Capacity is the region's weight relative to others.
 	Capacity float64
-	// Usable is false if the plan leaves it no replica or no gateway.
+	// Usable is false if the plan has no replica or no gateway there.
 	Usable bool
-	// Load is its utilization, 1 is full.
-	Load          float64
+	// Load is the region's utilization; 1 is full.
+	Load float64
+	// LoadFreshness tells how far Load can be relied on.
 	LoadFreshness LoadFreshness
-	// AcceptsSpill is the state of its Gate.
+	// AcceptsSpill is the state of the region's SpillGate.
 	AcceptsSpill bool
-	// RecoveryFraction is the part of its traffic that a region may have again after it
-	// was lost, 1 for all.
+	// RecoveryFraction is the fraction of its traffic that a region may get again
+	// after it was lost; 1 is all of it.
 	RecoveryFraction float64
 }
 
-// RegionWork is what the choice of a region must know of a request.
+// RegionWork is what the ranking of regions needs to know of a request.
 type RegionWork struct {
-	// Key is a hash of the request's id: the same request is decided alike.
+	// Key is a hash of the request's ID. The same request gets the same random draws.
 	Key uint64
 	// Preferred is the region that serves the client.
 	Preferred string
-	// Spill lists the regions after it, in the order of the configuration.
+	// Spill lists the overflow regions, in the order of the configuration.
 	Spill []string
-	// Home, if not nil, lists the only regions that may run it.
+	// Home, if not nil, lists the only regions that may run the request.
 	Home []string
-	// SpillFraction of the preferred region's requests that should go elsewhere.
+	// SpillFraction is the fraction of the preferred region's requests that should
+	// run elsewhere.
 	SpillFraction float64
 }
 
-// RankRegions lists the regions to try, best first; it never has one outside the home.
+// RankRegions returns the names of the regions to try, best first. It never returns
+// one outside the home.
 //
-// The preferred region comes first unless the request is drawn to be spilled or
-// the region is recovering. Overflow regions follow, drawn in proportion to
-// capacity and headroom, which is counted up to full or, if that is more, up to
-// the preferred region's load; regions that fell silent come last.
+// The preferred region is first unless the request is drawn to be spilled or the
+// region is recovering. Overflow regions follow, drawn in proportion to capacity and
+// headroom. Headroom counts up to full or, if that is more, up to the preferred
+// region's load. Regions whose load is stale are last.
 func RankRegions(work RegionWork, regions map[string]*Region) []string {
-	candidates := candidatesOf(work, regions)
+	candidates := candidateRegions(work, regions)
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -75,24 +83,24 @@
 	if hasPreferred {
 		overflow = candidates[1:]
 	}
-	full := 1.0
+	fullLoad := 1.0
 	if hasPreferred && candidates[0].Load <= MaxComparedLoad {
-		full = max(full, candidates[0].Load)
+		fullLoad = max(fullLoad, candidates[0].Load)
 	}
-	sortOverflow(work.Key, full, overflow)
-	order := make([]string, 0, len(candidates))
+	sortOverflow(work.Key, fullLoad, overflow)
+	ranked := make([]string, 0, len(candidates))
 	for _, region := range overflow {
-		order = append(order, region.Name)
+		ranked = append(ranked, region.Name)
 	}
 	if !hasPreferred {
-		return order
+		return ranked
 	}
-	return slices.Insert(order, preferredPlace(work, candidates[0], overflow), work.Preferred)
+	return slices.Insert(ranked, preferredPosition(work, candidates[0], overflow), work.Preferred)
 }
 
-// candidatesOf lists the usable regions that the request may use, the preferred
-// one first, without doubles.
-func candidatesOf(work RegionWork, regions map[string]*Region) []*Region {
+// candidateRegions returns the usable regions in which the request may run, without
+// duplicates, the preferred one first.
+func candidateRegions(work RegionWork, regions map[string]*Region) []*Region {
 	names := make([]string, 0, 1+len(work.Spill)+len(work.Home))
 	names = append(names, work.Preferred)
 	names = append(names, work.Spill...)
@@ -111,78 +119,83 @@
 	return candidates
 }
 
-func sortOverflow(key uint64, full float64, overflow []*Region) {
+// sortOverflow sorts overflow regions by their tier, and within a tier by a draw in
+// proportion to their weights. fullLoad is the load without headroom.
+func sortOverflow(key uint64, fullLoad float64, overflow []*Region) {
 	score := func(region *Region) float64 {
-		load := region.Load
-		if region.LoadFreshness != Fresh {
-			load = unheardLoad
-		}
-		weight := max(region.Capacity, leastHeadroom) * max(full-load, leastHeadroom) * region.RecoveryFraction
-		return weightedScore(Score(key, region.Hash), max(weight, 1e-9))
+		return weightedScore(Score(key, region.Hash), region.overflowWeight(fullLoad))
 	}
 	slices.SortStableFunc(overflow, func(a, b *Region) int {
-		if stale := cmp.Compare(rank(a), rank(b)); stale != 0 {
-			return stale
+		if order := cmp.Compare(a.overflowTier(), b.overflowTier()); order != 0 {
+			return order
 		}
 		return cmp.Compare(score(a), score(b))
 	})
 }
 
-// rank puts regions that take spill before the full ones, and silent ones last.
-func rank(region *Region) int {
+// overflowWeight is the region's weight among the overflow regions, by capacity and
+// headroom.
+func (r *Region) overflowWeight(fullLoad float64) float64 {
+	load := r.Load
+	if r.LoadFreshness != Fresh {
+		load = unknownLoad
+	}
+	weight := max(r.Capacity, minHeadroom) * max(fullLoad-load, minHeadroom) * r.RecoveryFraction
+	return max(weight, minRegionWeight)
+}
+
+// Tiers of overflow regions, best first.
+const (
+	tierAcceptsSpill = iota // or has not reported yet
+	tierFull
+	tierStale
+)
+
+func (r *Region) overflowTier() int {
 	switch {
-	case region.LoadFreshness == Stale:
-		return 2
-	case region.LoadFreshness == Fresh && !region.AcceptsSpill:
-		return 1
+	case r.LoadFreshness == Stale:
+		return tierStale
+	case r.LoadFreshness == Fresh && !r.AcceptsSpill:
+		return tierFull
 	default:
-		return 0
+		return tierAcceptsSpill
 	}
 }
 
-// preferredPlace is the place of the preferred region in the order: 0 as a
-// rule, 1 behind one overflow region if the request is drawn to go there, the
-// last before silent regions if the preferred one is silent itself.
-func preferredPlace(work RegionWork, preferred *Region, overflow []*Region) int {
+// preferredPosition returns the position of the preferred region in the ranking: 0
+// normally; 1, behind the best overflow region, if the request is drawn to go there;
+// and the position before the stale regions if the preferred one is stale too.
+func preferredPosition(work RegionWork, preferred *Region, overflow []*Region) int {
 	if len(overflow) == 0 {
 		return 0
 	}
 	if preferred.LoadFreshness == Stale {
-		place := 0
-		for place < len(overflow) && overflow[place].LoadFreshness != Stale {
-			place++
+		position := 0
+		for position < len(overflow) && overflow[position].LoadFreshness != Stale {
+			position++
 		}
-		return place
+		return position
 	}
 	if first := overflow[0]; first.LoadFreshness != Fresh || !first.AcceptsSpill {
 		return 0
 	}
-	held := Uniform(Score(work.Key, recoverySalt)) >= preferred.RecoveryFraction
+	withheld := Uniform(Score(work.Key, recoverySalt)) >= preferred.RecoveryFraction
 	spilled := Uniform(Score(work.Key, spillSalt)) < work.SpillFraction
-	if held || spilled {
+	if withheld || spilled {
 		return 1
 	}
 	return 0
 }
 
-// Salts keep independent draws from one key apart.
+// Salts make the draws from one key independent of each other.
 const (
 	recoverySalt = 0x6a09e667f3bcc908
 	spillSalt    = 0xbb67ae8584caa73b
 )
 
-const (
-	// gateMargin is how far below the level a region's load must be before
-	// it starts to take spill.
-	gateMargin = 0.15
-	// gateLead is how far below the sender's load it must be as well, so that
-	// two loaded regions do not trade load back and forth.
-	gateLead = 0.1
-)
-
-// CommonLoad is the mean load of the named regions, by capacity: what each would
-// have if they shared all work. Regions whose load is not known count as absent;
-// it is 0 if none is left.
+// CommonLoad returns the mean load of the named regions, weighted by capacity: the
+// load of each if they shared all work. Regions whose load is not known do not
+// count; it is 0 if none is left.
 func CommonLoad(names []string, regions map[string]*Region) float64 {
 	work, capacity := 0.0, 0.0
 	for _, name := range names {
@@ -190,7 +203,7 @@
 		if region == nil || !region.Usable || region.LoadFreshness != Fresh || region.Load > MaxComparedLoad {
 			continue
 		}
-		weight := max(region.Capacity, leastHeadroom) * region.RecoveryFraction
+		weight := max(region.Capacity, minHeadroom) * region.RecoveryFraction
 		work += weight * region.Load
 		capacity += weight
 	}
@@ -199,23 +212,3 @@
 	}
 	return work / capacity
 }
-
-// SpillGate says with hysteresis whether a region takes spill from this one.
-type SpillGate struct {
-	open bool
-}
-
-// Update takes the remote and the own load and the level that loads are held
-// at: the set point of utilization or, once all regions together are beyond it,
-// their common load. The gate opens when the remote load is clearly below the
-// level and the own load, and closes when it has reached either. So a region at
-// or above the common load takes no spill, and of two regions at most the one
-// with the lower load does.
-func (g *SpillGate) Update(remote, own, level float64) bool {
-	if g.open {
-		g.open = remote < level && remote < own
-		return g.open
-	}
-	g.open = remote < level-gateMargin && remote < own-gateLead
-	return g.open
-}
--- a/placement/rendezvous.go
+++ b/placement/rendezvous.go
@@ -1,6 +1,7 @@
-// Package placement chooses where a request runs: the order of the regions,
-// and within a region the replica with the earliest expected first token. It is
-// pure: what is known of replicas and regions is an input.
+// Package placement chooses where a request runs: the order in which regions are
+// tried, and within a region the replica with the lowest cost, which is mostly the
+// expected time to the first token. It is pure: what is known of replicas and
+// regions is an input.
 package placement
 
 import (
@@ -14,15 +15,16 @@
 	return xxhash.Sum64String(name)
 }
 
-// Score ranks a member for a key by rendezvous (highest random weight): the
-// member with the highest score owns the key. Both are hashes.
+// Score returns the score of a member for a key in rendezvous hashing (highest
+// random weight): the member with the highest score owns the key. Both arguments
+// are hashes.
 func Score(key, member uint64) uint64 {
 	return mix(key ^ mix(member))
 }
 
-// Owner is the member with the highest score for the key, "" if there is none.
-// Every process that knows the same members names the same owner, and a member
-// that goes moves only the keys it owned.
+// Owner returns the member with the highest score for the key, "" if there are no
+// members. Processes that know the same members agree on the owner, and removing a
+// member moves only the keys that it owned.
 func Owner(key string, members []string) string {
 	owner := ""
 	var highest uint64
@@ -36,23 +38,27 @@
 	return owner
 }
 
-// Uniform maps a hash to [0, 1).
+// Uniform maps a hash to a number in [0, 1).
 func Uniform(hash uint64) float64 {
 	return float64(hash>>11) / (1 << 53)
 }
 
-// weightedScore orders members by weighted rendezvous; the smallest comes
-// first, and a member comes first in proportion to its weight.
+// minUniform keeps the logarithm of a uniform number finite.
+const minUniform = 1e-18
+
+// weightedScore returns the score of a member in weighted rendezvous hashing. The
+// member with the lowest score is chosen; the chance of it is in proportion to the
+// member's weight.
 func weightedScore(hash uint64, weight float64) float64 {
 	if weight <= 0 {
 		return math.Inf(1)
 	}
-	uniform := max(Uniform(hash), 1e-18)
+	uniform := max(Uniform(hash), minUniform)
 	return -math.Log(uniform) / weight
 }
 
-// mix is the finalizer of splitmix64: every input bit changes every output bit
-// with a chance of one half.
+// mix is the finalizer of splitmix64: each input bit changes each output bit with a
+// probability of one half.
 func mix(value uint64) uint64 {
 	value += 0x9e3779b97f4a7c15
 	value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9
