--- /dev/null
+++ b/control/driver/snapshot.go
@@ -0,0 +1,62 @@
+package driver
+
+import (
+	"fmt"
+
+	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/statemachine"
+)
+
+// retainedEntries is the number of entries before a snapshot that stay in the
+// log, so that a member a little behind is sent entries and no snapshot.
+const retainedEntries = 1024
+
+// restore replaces the state by a snapshot's.
+func (d *Driver) restore(snapshot consensus.Snapshot) error {
+	content, err := statemachine.Decode(snapshot.Data)
+	if err != nil {
+		return err
+	}
+	if content.Cluster != d.cluster {
+		return fmt.Errorf("control: snapshot %d belongs to group %s, this node to %s", snapshot.Index, content.Cluster, d.cluster)
+	}
+	state, err := statemachine.Restore(content)
+	if err != nil {
+		return fmt.Errorf("control: restoring snapshot %d: %w", snapshot.Index, err)
+	}
+	state.Voters = max(state.Voters, d.config.Voters)
+	d.state = state
+	d.catalog = nil
+	d.applied = snapshot.Index
+	d.snapshotIndex = snapshot.Index
+	return d.updateCatalog()
+}
+
+// install takes a snapshot that the leader sent; persist has stored it.
+func (d *Driver) install(snapshot consensus.Snapshot) error {
+	d.log.Info("snapshot installed", "index", snapshot.Index, "term", snapshot.Term)
+	d.FailWaiters(ErrLeadershipLost)
+	return d.restore(snapshot)
+}
+
+// compact stores a snapshot when enough was applied since the last one.
+func (d *Driver) compact() error {
+	if d.state == nil || d.applied < d.snapshotIndex+d.config.SnapshotInterval {
+		return nil
+	}
+	data, err := d.state.Encode(d.cluster)
+	if err != nil {
+		return err
+	}
+	snapshot, err := d.group.Compact(d.applied, data, retainedEntries)
+	if err != nil {
+		return fmt.Errorf("control: compacting the log: %w", err)
+	}
+	if err := d.config.Store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, retainedEntries)); err != nil {
+		return fmt.Errorf("control: writing a snapshot: %w", err)
+	}
+	d.snapshotIndex = snapshot.Index
+	d.config.Metrics.Snapshots.Inc()
+	d.log.Info("snapshot written", "index", snapshot.Index, "term", snapshot.Term, "bytes", len(data))
+	return nil
+}
