--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -6,21 +6,25 @@
 
 	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/consensus"
+	"github.com/deckpulley/deckpulley/control/engine"
+	"github.com/deckpulley/deckpulley/control/leases"
 	"github.com/deckpulley/deckpulley/lease"
 	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/transport"
 )
 
 // A gateway that the new primary does not hear of may go on under its lease: the
 // primary waits that out.
 func TestNewPrimaryWaitsOutOlderLeases(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		lost := f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", gateway.valid)
 		f.await("the other lease", lost.valid)
-		f.cut(lost.address, lost.control...)
+		f.partition(lost.address, lost.control...)
 		waited := f.timeToInForce()
 		// The time of the election is read up to one poll after it.
 		if window := lease.DefaultConfig().GracePeriod(); waited < window-50*time.Millisecond {
@@ -32,10 +36,11 @@
 	})
 }
 
-// Once every gateway that may have a lease has told a new primary what it has
+// Once every gateway that may have a lease has reported to a new primary what it has
 // active, there is nothing to wait out.
-func TestNewPrimaryWaitsForNobodyWhoIsAccountedFor(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestNewPrimaryWaitsForNoGatewayThatReported(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		first, second := f.startGateway("gateway-1"), f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -49,7 +54,8 @@
 
 // A gateway that ends without leaving and starts again has no lease any more.
 func TestNewPrimaryKnowsThatARestartEndsALease(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -65,61 +71,70 @@
 // A control node that is not the primary gives its table to a gateway that holds none,
 // and never a lease or the right to make it active.
 func TestOtherControlNodesGiveTheTable(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.mustSend(f.primary(), "order-1", 0)
 		primary := f.primary()
-		asking := f.network.Node("gateway-9", "gateway-9:1")
-		if err := asking.Start(); err != nil {
+		network := f.network.Node("gateway-9", "gateway-9:1")
+		if err := network.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer asking.Close()
-		given := func(node *Node, renew peer.Renew) bool {
-			var grant peer.Grant
-			renew.Gateway = peer.GatewayInfo{Name: "gateway-9", Incarnation: "1", Region: "region-1", PeerAddress: "gateway-9:1"}
-			if err := asking.Call(t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
-				t.Fatal(err)
-			}
-			if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
-				t.Errorf("%s answers %+v", node.options.Name, grant)
-			}
-			transfer, err := grant.UnpackTransfer()
-			if err != nil {
-				t.Fatal(err)
-			}
-			return transfer != nil
-		}
-		f.await("the other nodes to have the order", func() bool {
-			for _, name := range controlNames {
-				if f.nodes[name].observe().contents.Version() == 0 {
-					return false
-				}
-			}
-			return true
+		defer network.Close()
+		f.await("the other nodes to apply the operation", func() bool {
+			return f.everyNode(func(node *Node) bool { return node.engine.Observe().Catalog.Version() != 0 })
 		})
-		for _, name := range controlNames {
-			node := f.nodes[name]
+		for name, node := range f.nodes {
 			if node == primary {
 				continue
 			}
-			if !given(node, peer.Renew{}) {
+			if !f.givesTable(network, node, peer.Renew{}) {
 				t.Errorf("%s gives no table", name)
 			}
-			if given(node, peer.Renew{ReceivedSerial: 1}) || given(node, peer.Renew{Cluster: "another"}) {
-				t.Errorf("%s gives a table to one that holds one, or of another group", name)
+			if f.givesTable(network, node, peer.Renew{ReceivedSerial: 1}) || f.givesTable(network, node, peer.Renew{Cluster: "another"}) {
+				t.Errorf("%s gives a table to one that has one, or of another group", name)
 			}
 		}
 	})
 }
 
-func TestCutOffGatewayDelaysAnAcknowledgementOnce(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func (f *fleet) everyNode(condition func(*Node) bool) bool {
+	for _, node := range f.nodes {
+		if !condition(node) {
+			return false
+		}
+	}
+	return true
+}
+
+// givesTable renews at a node that is not the primary, and says whether it answers
+// with the table. It must give no lease.
+func (f *fleet) givesTable(network transport.Network, node *Node, renew peer.Renew) bool {
+	f.t.Helper()
+	var grant peer.Grant
+	renew.Gateway = peer.GatewayInfo{Name: "gateway-9", Incarnation: "1", Region: "region-1", PeerAddress: "gateway-9:1"}
+	if err := network.Call(f.t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
+		f.t.Fatal(err)
+	}
+	if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != f.primary().options.PeerAddress {
+		f.t.Errorf("%s answers %+v", node.options.Name, grant)
+	}
+	transfer, err := grant.UnpackTransfer()
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return transfer != nil
+}
+
+func TestPartitionedGatewayDelaysAnAcknowledgementOnce(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		gateway := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.await("a lease", gateway.valid)
-		f.cut(gateway.address, gateway.control...)
+		f.partition(gateway.address, gateway.control...)
 		f.mustSend(f.primary(), "order-2", 1)
 		if gateway.valid() {
 			t.Error("acknowledged while a gateway with the older version may place requests")
@@ -127,7 +142,7 @@
 		started := time.Now()
 		f.mustSend(f.primary(), "order-3", 2)
 		if took := time.Since(started); took > time.Second {
-			t.Errorf("the second order waited %v for a gateway without a lease", took)
+			t.Errorf("the second operation waited %v for a gateway without a lease", took)
 		}
 		f.heal(gateway.address, gateway.control...)
 		f.await("the gateway to catch up", gateway.valid)
@@ -135,26 +150,27 @@
 }
 
 func TestThawedPrimaryGrantsNothing(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
 		old := f.primary()
-		term := old.observe().status.Term
+		term := old.engine.Observe().Status.Term
 		// A gateway that knows the old primary alone, and waits for its answer.
-		lonely := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
-		f.await("a lease", lonely.valid)
+		isolated := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
+		f.await("a lease", isolated.valid)
 		f.freeze(old, 25*time.Second)
 		time.Sleep(10 * time.Second)
-		before := lonely.leases(term)
+		before := isolated.leases(term)
 		f.mustSend(f.primary(old.options.Name), "order-2", 1)
 		time.Sleep(20 * time.Second) // past the thaw
-		if after := lonely.leases(term); after != before {
+		if after := isolated.leases(term); after != before {
 			t.Errorf("the thawed primary granted %d leases", after-before)
 		}
 		f.await("the thawed node to follow", func() bool {
-			o := old.observe()
-			return o.status.Role == consensus.Follower && o.contents.Version() == 2
+			o := old.engine.Observe()
+			return o.Status.Role == consensus.Follower && o.Catalog.Version() == 2
 		})
 	})
 }
@@ -162,38 +178,40 @@
 // TestAQuietGatewayIsNotNamed: whoever misses several renewals is marked down long
 // before its lease has run out, which is waited for all the same.
 func TestAQuietGatewayIsNotNamed(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
-		quiet := f.startGateway("gateway-1")
+		silent := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
-		f.await("a lease", quiet.valid)
-		record := func() catalog.Gateway { return f.primary().observe().contents.Gateways()["gateway-1"] }
+		f.await("a lease", silent.valid)
+		record := func() catalog.Gateway { return f.primary().engine.Observe().Catalog.Gateways()["gateway-1"] }
 
-		f.cut(quiet.address, quiet.control...)
-		cut := time.Now()
+		f.partition(silent.address, silent.control...)
+		partitionedAt := time.Now()
 		f.await("the record to say down", func() bool { return !record().Up })
 		renewal := lease.DefaultConfig().RenewalInterval
-		if took := time.Since(cut); took < (quietRenewals-1)*renewal || took > (quietRenewals+2)*renewal {
-			t.Errorf("marked down after %v, want about %v", took, quietRenewals*renewal)
+		if took := time.Since(partitionedAt); took < (leases.MissedRenewals-1)*renewal || took > (leases.MissedRenewals+2)*renewal {
+			t.Errorf("marked down after %v, want about %v", took, leases.MissedRenewals*renewal)
 		}
 		if !record().MayHoldLease {
-			t.Error("the record says that it holds no lease while it may")
+			t.Error("the record says that it has no lease while it may")
 		}
 		f.mustSend(f.primary(), "order-2", 1)
-		if quiet.valid() {
+		if silent.valid() {
 			t.Error("acknowledged while a gateway with the older version may place requests")
 		}
 		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
-		f.heal(quiet.address, quiet.control...)
-		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHoldLease && quiet.valid() })
+		f.heal(silent.address, silent.control...)
+		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHoldLease && silent.valid() })
 	})
 }
 
 // TestANewPrimaryForgetsGatewaysThatWentWithTheOld: their leases have ended with
 // the window that it waits for; a second lease's length is not waited for.
 func TestANewPrimaryForgetsGatewaysThatWentWithTheOld(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		lost := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
@@ -201,17 +219,17 @@
 		f.await("a lease", lost.valid)
 		old := f.primary()
 		f.stopGateway("gateway-1")
-		f.cut(old.options.PeerAddress, controlAddressesBut(f, old)...)
+		f.partition(old.options.PeerAddress, controlAddressesBut(f, old)...)
 		successor := f.primary(old.options.Name)
 		elected := time.Now()
-		record := func() catalog.Gateway { return successor.observe().contents.Gateways()["gateway-1"] }
+		record := func() catalog.Gateway { return successor.engine.Observe().Catalog.Gateways()["gateway-1"] }
 
 		f.await("the record to say down", func() bool { return !record().Up })
-		if took := time.Since(elected); took > (quietRenewals+2)*lease.DefaultConfig().RenewalInterval {
+		if took := time.Since(elected); took > (leases.MissedRenewals+2)*lease.DefaultConfig().RenewalInterval {
 			t.Errorf("still named %v after the election", took)
 		}
 		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
-		longest := lease.DefaultConfig().GracePeriod() + defaultGatewayGrace + time.Second
+		longest := lease.DefaultConfig().GracePeriod() + engine.DefaultGatewayGrace + time.Second
 		if took := time.Since(elected); took > longest {
 			t.Errorf("a lease of the old primary was waited for during %v", took)
 		}
--- /dev/null
+++ b/control/membership/replacedlearner_test.go
@@ -0,0 +1,47 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"github.com/deckpulley/deckpulley/consensus"
+)
+
+// TestSilentLearnerMakesWayForTheNextDisk: a learner whose disk was replaced in turn is
+// removed as soon as it is silent, and not only when its patience is over.
+func TestSilentLearnerMakesWayForTheNextDisk(t *testing.T) {
+	const now = 100 * time.Second
+	learner := consensus.Member{ID: "c2", Name: "three", Address: "3", Learner: true}
+	next := consensus.Member{ID: "c3", Name: "three", Address: "3"}
+	members := []consensus.Member{{ID: "a", Name: "one", Address: "1"}, {ID: "b", Name: "two", Address: "2"}, learner}
+	cases := []struct {
+		name    string
+		contact time.Duration
+		joins   []JoinRequest
+		removed bool
+	}{
+		{name: "silent and replaced", contact: now - 2*ReachableTimeout, joins: []JoinRequest{{Member: next, ReceivedAt: now}}, removed: true},
+		{name: "replaced and heard", contact: now, joins: []JoinRequest{{Member: next, ReceivedAt: now}}},
+		{name: "silent only", contact: now - 2*ReachableTimeout},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			r := Repair{
+				Now: now,
+				Status: consensus.Status{
+					ID: "a", Commit: 900, MembershipCommitted: true,
+					Match:       map[consensus.ID]uint64{"a": 900, "b": 900},
+					LastContact: map[consensus.ID]time.Duration{"b": now, "c2": c.contact},
+					Membership:  consensus.Membership{Members: members},
+				},
+				Joins:        c.joins,
+				Voters:       3,
+				ReplaceAfter: 3 * time.Second,
+			}
+			next, needed := r.Next()
+			if needed != c.removed {
+				t.Errorf("next step %q, needed: %t, want %t", next.Reason, needed, c.removed)
+			}
+		})
+	}
+}
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -15,9 +14,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/deckpulley/deckpulley/api"
-	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
-	"github.com/deckpulley/deckpulley/registry"
+	"github.com/deckpulley/deckpulley/control/httpapi"
+	"github.com/deckpulley/deckpulley/control/recovery"
 	"github.com/deckpulley/deckpulley/settings"
 	"github.com/deckpulley/deckpulley/storage"
 )
@@ -38,7 +37,7 @@
 	return func() settings.Tokens { return read }
 }
 
-func TestOperatorsPortRejectsWhatIsMalformed(t *testing.T) {
+func TestOperatorsPortRejectsMalformedRequests(t *testing.T) {
 	configurationOrder := func(document string) string {
 		encoded, _ := json.Marshal(api.ConfigurationOperation{OperationID: "order", Document: document})
 		return string(encoded)
@@ -56,7 +55,7 @@
 		{"unknown field", "POST", "/v1/evacuations", `{"order_id":"a","zone":"b","when":"now"}`, testToken, 400, api.CodeInvalid, "when"},
 		{"wrong type", "POST", "/v1/evacuations", `{"order_id":"a","zone":7}`, testToken, 400, api.CodeInvalid, "zone"},
 		{"two documents", "POST", "/v1/evacuations", `{"order_id":"a","zone":"b"}{}`, testToken, 400, api.CodeInvalid, ""},
-		{"body too large", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", maxSmallBody) + `"}`, testToken, 413, api.CodeTooLarge, ""},
+		{"body too large", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", httpapi.MaxSmallBody) + `"}`, testToken, 413, api.CodeTooLarge, ""},
 		{"document too large", "PUT", "/v1/configuration", configurationOrder(strings.Repeat("a", configuration.MaxDocumentBytes+1)), testToken, 413, api.CodeTooLarge, "document"},
 		{"no order id", "POST", "/v1/evacuations", `{"zone":"b"}`, testToken, 400, api.CodeInvalid, "order_id"},
 		{"order id too long", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", 129) + `","zone":"b"}`, testToken, 400, api.CodeInvalid, "order_id"},
@@ -67,7 +66,8 @@
 		{"replica of an unknown zone", "PUT", "/v1/replicas", `{"replicas":[{"id":"a","service":"s","zone":"z","address":"h:1"}]}`, testToken, 400, api.CodeInvalid, "replicas[0].zone"},
 	}
 	permitted := tokens(t)
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		for _, name := range controlNames {
 			options := f.options[name]
 			options.Tokens = permitted
@@ -77,10 +77,10 @@
 		handler := f.primary().Handler()
 		f.await("the head to name the primary", func() bool {
 			primary := f.primary()
-			contents := primary.observe().contents
+			contents := primary.engine.Observe().Catalog
 			return contents != nil && contents.View().SOA().Primary == primary.options.Name
 		})
-		serial := f.primary().observe().serial
+		serial := f.primary().engine.Observe().Serial
 		for _, c := range cases {
 			request := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
 			request.Header.Set("Authorization", "Bearer "+c.token)
@@ -96,14 +96,15 @@
 				t.Errorf("%s: %s\n%s", c.name, answer.Error.Message, difference)
 			}
 		}
-		if got := f.primary().observe().serial; got != serial {
+		if got := f.primary().engine.Observe().Serial; got != serial {
 			t.Errorf("the serial went from %d to %d", serial, got)
 		}
 	})
 }
 
-func TestOrdersWithoutPrimaryAreRefusedOrUnknown(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestOperationsWithoutPrimaryAreRefusedOrUnknown(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.mustSend(f.primary(), "order-1", 0)
 		old := f.primary().options.Name
@@ -113,7 +114,7 @@
 				f.stop(name)
 			}
 		}
-		f.await("the survivor to miss its primary", func() bool { return survivor.observe().leaderAddress() == "" })
+		f.await("the survivor to miss its primary", func() bool { return survivor.engine.Observe().LeaderAddress() == "" })
 		var answer api.ErrorBody
 		order := api.ConfigurationOperation{OperationID: "order-2", BaseVersion: 1, Document: document(t)}
 		status := f.request(survivor, http.MethodPut, api.PathConfiguration+"?wait_ms=500", order, &answer)
@@ -126,7 +127,8 @@
 }
 
 func TestFailedWriteEndsTheNode(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
@@ -145,23 +147,24 @@
 		f.disks[name].Reopen()
 		f.start(name)
 		f.await("the node to catch up", func() bool {
-			o := f.nodes[name].observe()
-			return o.contents != nil && o.contents.Version() == 2
+			o := f.nodes[name].engine.Observe()
+			return o.Catalog != nil && o.Catalog.Version() == 2
 		})
 	})
 }
 
-func TestForcedRecoveryKeepsTheSurvivingCopy(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestForcedRecoveryKeepsTheSurvivingDisk(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		first := f.mustSend(f.primary(), "order-1", 0)
-		f.await("a whole group", func() bool { return f.members(f.primary()).RepairDone })
-		cluster := f.primary().observe().cluster
+		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
+		cluster := f.primary().engine.Observe().Cluster
 		for _, name := range controlNames {
 			f.stop(name)
 		}
 		survivor := f.options[controlNames[0]]
-		recovered, err := Recover(RecoverOptions{
+		recovered, err := recovery.Run(recovery.Options{
 			Name:        survivor.Name,
 			Zone:        survivor.Zone,
 			PeerAddress: survivor.PeerAddress,
@@ -175,86 +178,62 @@
 		f.wipe(controlNames[1])
 		f.start(controlNames...)
 		f.await("the new disk to vote", func() bool {
-			o := f.nodes[controlNames[1]].observe()
-			return o.cluster == recovered.Cluster && o.voter()
+			o := f.nodes[controlNames[1]].engine.Observe()
+			return o.Cluster == recovered.Cluster && o.Voter()
 		})
-		if got := f.nodes[controlNames[2]].observe().cluster; got != cluster {
+		if got := f.nodes[controlNames[2]].engine.Observe().Cluster; got != cluster {
 			t.Errorf("the old disk went over to %s", got)
 		}
 		_, again := f.send(f.primary(), "order-1", 0, document(t))
 		if difference := cmp.Diff(first, again); difference != "" {
 			t.Errorf("the order's answer is not kept (-first +again):\n%s", difference)
 		}
-		_, next := f.send(f.primary(), "order-2", 1+recoveredVersionStep, document(t))
-		if !next.Accepted || next.Version != 2+recoveredVersionStep {
+		_, next := f.send(f.primary(), "order-2", 1+recovery.VersionStep, document(t))
+		if !next.Accepted || next.Version != 2+recovery.VersionStep {
 			t.Errorf("the next order was answered %+v", next)
 		}
 	})
 }
 
-func TestOldestOrdersMakeRoom(t *testing.T) {
-	const limit = 3
-	var book orderBook
-	follow := func(serial uint32, changes ...registry.Record) {
-		update := registry.NewUpdate(catalog.Apex, nil, changes)
-		book.follow(&update, registry.Result{Changed: true, Serial: serial})
-	}
-	for i := range 5 {
-		order := fmt.Sprintf("order-%d", i)
-		changes := []registry.Record{registry.Add(catalog.OperationResultRecord(order, catalog.OperationResult{}))}
-		for _, name := range book.surplus(limit) {
-			changes = append(changes, registry.DeleteSet(name, catalog.TypeOperation))
-		}
-		follow(uint32(10+i), changes...)
-		if len(book.serials) > limit {
-			t.Fatalf("%d orders are kept, at most %d may be", len(book.serials), limit)
-		}
-	}
-	refused := registry.NewUpdate(catalog.Apex, nil, []registry.Record{registry.Add(catalog.OperationResultRecord("order-9", catalog.OperationResult{}))})
-	book.follow(&refused, registry.Result{Code: registry.YXRRSet})
-	want := []orderEntry{{catalog.OperationName("order-2"), 12}, {catalog.OperationName("order-3"), 13}, {catalog.OperationName("order-4"), 14}}
-	if difference := cmp.Diff(want, book.entries()); difference != "" {
-		t.Errorf("kept orders (-want +got):\n%s", difference)
-	}
-	var copied orderBook
-	copied.restore(book.entries())
-	if difference := cmp.Diff(book.entries(), copied.entries()); difference != "" {
-		t.Errorf("restored orders (-want +got):\n%s", difference)
-	}
-}
-
-func TestHistoryListsTheNewestOrders(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+func TestHistoryListsTheNewestOperations(t *testing.T) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
 		f.mustSend(f.primary(), "order-1", 0)
 		f.mustSend(f.primary(), "order-2", 1)
-		f.send(f.primary(), "order-3", 1, document(t)) // outraced
-		f.send(f.primary(), "order-2", 1, document(t)) // resent
+		f.send(f.primary(), "order-3", 1, document(t)) // on an old version
+		f.send(f.primary(), "order-2", 1, document(t)) // sent again
 		var answer api.OperationsAnswer
 		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=2", nil, &answer); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
-		want := []api.OperationStatus{
+		f.checkHistory(answer.Orders, []api.OperationStatus{
 			{OperationID: "order-3", Version: 2, Code: api.CodeVersionConflict},
 			{OperationID: "order-2", Version: 2, Accepted: true},
-		}
-		got := slices.Clone(answer.Orders)
-		for i := range got {
-			if got[i].Number == 0 || i > 0 && got[i].Number >= answer.Orders[i-1].Number {
-				t.Errorf("numbers out of order: %+v", answer.Orders)
-			}
-			if got[i].Accepted == (got[i].Reason != "") {
-				t.Errorf("accepted and a reason: %+v", got[i])
-			}
-			got[i].Number, got[i].Reason, got[i].Field = 0, "", ""
-		}
-		if difference := cmp.Diff(want, got); difference != "" {
-			t.Error(difference)
-		}
+		})
 		var problem api.ErrorBody
 		if status := f.request(f.primary(), http.MethodGet, api.PathOperations+"?limit=none", nil, &problem); status != http.StatusBadRequest || problem.Error.Field != "limit" {
 			t.Errorf("limit not a number: %d %+v", status, problem.Error)
 		}
 	})
 }
+
+// checkHistory compares a list of operations, newest first, with what is wanted but
+// for numbers, fields and reasons.
+func (f *fleet) checkHistory(listed, want []api.OperationStatus) {
+	f.t.Helper()
+	got := slices.Clone(listed)
+	for i := range got {
+		if got[i].Number == 0 || i > 0 && got[i].Number >= listed[i-1].Number {
+			f.t.Errorf("numbers out of order: %+v", listed)
+		}
+		if got[i].Accepted == (got[i].Reason != "") {
+			f.t.Errorf("accepted and a reason: %+v", got[i])
+		}
+		got[i].Number, got[i].Reason, got[i].Field = 0, "", ""
+	}
+	if difference := cmp.Diff(want, got); difference != "" {
+		f.t.Error(difference)
+	}
+}
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -123,7 +123,9 @@
 	return a, func() {
 		cancel()
 		loop.Wait()
-		_ = network.Close()
+		if err := network.Close(); err != nil {
+			t.Errorf("closing the agent's network: %v", err)
+		}
 	}
 }
 
@@ -287,7 +289,9 @@
 	}
 	stop()
 	for _, node := range nodes {
-		_ = node.network.Close()
+		if err := node.network.Close(); err != nil {
+			t.Errorf("closing a control node's network: %v", err)
+		}
 	}
 }
 
