--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -76,13 +76,7 @@
 	defer a.mutex.Unlock()
 	now := a.options.Clock()
 	if err != nil {
-		if planted.Active(planted.GiveUpLease) && a.grantedRenewals.Load() > 0 {
-			a.holder.Release()
-		}
-		a.rejectedRenewals.Add(1)
-		a.consecutiveFailures[address]++
-		a.control.recordFailure(address, now+a.suspicionTime(&request))
-		a.logger.Debug("renewal failed", "address", address, "error", err)
+		a.handleFailure(now, address, &request, err)
 		return searchInterval, false
 	}
 	if grant.Term < a.holder.Term() {
@@ -101,6 +95,17 @@
 	return a.handleGrant(sent, &grant), false
 }
 
+// handleFailure records that a node did not respond to a renewal.
+func (a *Agent) handleFailure(now time.Duration, address string, request *peer.Renew, err error) {
+	if planted.Active(planted.GiveUpLease) && a.grantedRenewals.Load() > 0 {
+		a.holder.Release()
+	}
+	a.rejectedRenewals.Add(1)
+	a.consecutiveFailures[address]++
+	a.control.recordFailure(address, now+a.suspicionTime(request))
+	a.logger.Debug("renewal failed", "address", address, "error", err)
+}
+
 // handleRedirect handles the response of a node that names another one as the
 // primary. It observes the term, so that the first renewal at the primary already
 // confirms that grants of earlier terms are ignored, which the primary waits for. It
