--- a/loadexchange/node.go
+++ b/loadexchange/node.go
@@ -8,39 +8,42 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Config sets up a Node. All fields are required.
+// Config configures a Node. All fields are required.
 type Config struct {
-	// Name and Region are the own gateway's.
-	Name       string
-	Region     string
+	// Name and Region are those of the own gateway.
+	Name   string
+	Region string
+	// LoadSource gives the load of the own gateway. It is called with the Node's lock
+	// held and must not call the Node.
 	LoadSource LoadSource
-	// SendReport and SendDigest send one message to a peers' address. They must not
-	// block, and may lose it.
+	// SendReport and SendDigest send one message to the address of another gateway.
+	// They must not block, and may lose the message.
 	SendReport func(address string, report *peer.ReplicaLoads)
 	SendDigest func(address string, digest *peer.LoadDigest)
-	// Observe is told what the own gateway has learnt of others.
+	// Observe is called with what the own gateway has learned of the load of others.
 	Observe func(loads *peer.RegionLoads)
 }
 
 // Node runs an Exchange. It is safe for concurrent use.
 type Node struct {
 	config Config
-	// wake asks for a step now.
+	// wake makes Run step at once.
 	wake chan struct{}
 
-	// inbox has what was placed and measured since the last step. Its lock is taken
-	// by callers that hold locks of their own, and never while another one is.
+	// inbox has what was recorded since the last step. Its lock is a leaf: callers of
+	// the Record methods may hold locks of their own, and no other lock is taken while
+	// it is held.
 	inbox struct {
 		sync.Mutex
-		placed []peer.PlacedPrompt
-		read   []peer.PrefillSample
+		placed  []peer.PlacedPrompt
+		samples []peer.PrefillSample
 	}
 
 	mutex    sync.Mutex
 	exchange *Exchange
 }
 
-// NewNode returns a node that knows no other gateways yet.
+// NewNode returns a Node that knows no other gateways until SetGateways is called.
 func NewNode(config Config) *Node {
 	return &Node{
 		config:   config,
@@ -49,8 +52,9 @@
 	}
 }
 
-// leastPause keeps the loop from turning without pause.
-const leastPause = time.Millisecond
+// minStepInterval is the shortest time that Run waits for the next step, unless it is
+// woken.
+const minStepInterval = time.Millisecond
 
 // Run takes part in the exchange until ctx ends.
 func (n *Node) Run(ctx context.Context) {
@@ -63,35 +67,36 @@
 		case <-n.wake:
 		case <-timer.C:
 		}
-		timer.Reset(max(time.Until(n.step()), leastPause))
+		timer.Reset(max(time.Until(n.step()), minStepInterval))
 	}
 }
 
-// step does what is due and returns when to step again.
+// step does what is due and returns the latest time for the next step.
 func (n *Node) step() time.Time {
 	n.mutex.Lock()
-	n.empty()
+	n.drainInbox()
 	effects, next := n.exchange.Step(time.Now())
 	n.mutex.Unlock()
 	n.carryOut(effects)
 	return next
 }
 
-// empty hands the inbox over to the exchange.
-func (n *Node) empty() {
+// drainInbox moves the inbox to the exchange. The caller holds the mutex.
+func (n *Node) drainInbox() {
 	n.inbox.Lock()
-	placed, read := n.inbox.placed, n.inbox.read
-	n.inbox.placed, n.inbox.read = nil, nil
+	placed, samples := n.inbox.placed, n.inbox.samples
+	n.inbox.placed, n.inbox.samples = nil, nil
 	n.inbox.Unlock()
 	for _, prompt := range placed {
 		n.exchange.RecordPlacement(prompt)
 	}
-	for _, prompt := range read {
-		n.exchange.RecordPrefill(prompt)
+	for _, sample := range samples {
+		n.exchange.RecordPrefill(sample)
 	}
 }
 
-// carryOut sends what is to be sent and tells what was learnt.
+// carryOut sends the messages and passes on what was learned. It is called without the
+// mutex, as both leave the package.
 func (n *Node) carryOut(effects Effects) {
 	for _, message := range effects.Outgoing {
 		if message.Report != nil {
@@ -105,6 +110,7 @@
 	}
 }
 
+// signal makes Run step at once. It does not block.
 func (n *Node) signal() {
 	select {
 	case n.wake <- struct{}{}:
@@ -112,7 +118,8 @@
 	}
 }
 
-// RecordPlacement notes a prompt that the own gateway gave to a replica. It does not block.
+// RecordPlacement records a prompt that the own gateway placed at a replica. It does
+// not wait for a step.
 func (n *Node) RecordPlacement(prompt peer.PlacedPrompt) {
 	n.inbox.Lock()
 	n.inbox.placed = append(n.inbox.placed, prompt)
@@ -120,11 +127,12 @@
 	n.signal()
 }
 
-// RecordPrefill notes what a prompt told of a replica's speed. It does not block.
-func (n *Node) RecordPrefill(prompt peer.PrefillSample) {
+// RecordPrefill records a measurement of a replica's prefill speed. It does not wait
+// for a step.
+func (n *Node) RecordPrefill(sample peer.PrefillSample) {
 	n.inbox.Lock()
 	defer n.inbox.Unlock()
-	n.inbox.read = append(n.inbox.read, prompt)
+	n.inbox.samples = append(n.inbox.samples, sample)
 }
 
 // Status returns the gateway's part in the exchange.
@@ -134,14 +142,14 @@
 	return n.exchange.Status(time.Now())
 }
 
-// SetGateways takes over which gateways are up.
+// SetGateways replaces the set of gateways that are up.
 func (n *Node) SetGateways(gateways map[string]Gateway) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.exchange.SetGateways(gateways)
 }
 
-// HandleReport takes another gateway's report in.
+// HandleReport processes a report from another gateway.
 func (n *Node) HandleReport(report *peer.ReplicaLoads) {
 	n.mutex.Lock()
 	n.exchange.HandleReport(time.Now(), report)
@@ -149,7 +157,7 @@
 	n.signal()
 }
 
-// HandleDigest takes an aggregator's digest in.
+// HandleDigest processes a digest from an aggregator.
 func (n *Node) HandleDigest(digest *peer.LoadDigest) {
 	n.mutex.Lock()
 	effects := n.exchange.HandleDigest(time.Now(), digest)
--- a/loadexchange/reporter.go
+++ b/loadexchange/reporter.go
@@ -6,106 +6,140 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
+const (
+	// maxReportInterval is the longest time between two reports to the aggregator. A
+	// report also renews the gateway's membership.
+	maxReportInterval = 200 * time.Millisecond
+	// minReportInterval is the shortest time between two reports, unless one of the
+	// prompts to report is urgent.
+	minReportInterval = 10 * time.Millisecond
+	// aggregatorTimeout is how long an aggregator may send nothing before it is
+	// suspected, and firstContactTimeout is the same for one that was just chosen and
+	// has not been heard from.
+	aggregatorTimeout   = 700 * time.Millisecond
+	firstContactTimeout = 400 * time.Millisecond
+	// minSuspicion is how long an aggregator is excluded when it is suspected. The time
+	// doubles up to maxSuspicion as long as nothing is received from it. It is longer
+	// than trying several owners that have all failed takes.
+	minSuspicion = 4 * time.Second
+	maxSuspicion = 16 * time.Second
+)
+
 // reporter is a gateway's side towards its aggregator.
 type reporter struct {
-	// placed and read are what the aggregator has yet to be told.
-	placed   []peer.PlacedPrompt
-	read     []peer.PrefillSample
-	urgent   bool
-	reported time.Time
+	// placed and samples are to go into the next report. If urgent is set, that report
+	// is due at once.
+	placed  []peer.PlacedPrompt
+	samples []peer.PrefillSample
+	urgent  bool
+	// lastReport is when the last report was made.
+	lastReport time.Time
 
+	// aggregator is the gateway that this one reports to, "" before the first report.
 	aggregator string
-	// answered says that the aggregator was heard since it was chosen, and heardAt
-	// when it was chosen or heard the last time.
-	answered bool
-	heardAt  time.Time
-	suspects map[string]*suspicion
+	// responded says that the aggregator has sent a digest since it was chosen, and
+	// lastContact when it was chosen or last sent one.
+	responded   bool
+	lastContact time.Time
+	// suspicions are by name of the suspected gateway.
+	suspicions map[string]*suspicion
 }
 
-// suspicion is an aggregator that fell silent.
+// suspicion excludes an aggregator that timed out from being chosen.
 type suspicion struct {
-	until time.Time
-	wait  time.Duration
+	expiry   time.Time
+	duration time.Duration
 }
 
-// report tells the aggregator what is new, or that this gateway is there.
+// report sends the aggregator the report that is due.
 func (x *Exchange) report(now time.Time, effects *Effects) {
-	own := &x.own
-	if now.Before(own.due(now)) {
+	r := &x.reporter
+	if now.Before(r.due(now)) {
 		return
 	}
 	if len(x.gateways) == 0 {
-		own.placed, own.read, own.urgent = nil, nil, false
-		own.reported = now
+		r.reset(now)
 		return
 	}
 	x.chooseAggregator(now)
-	report := &peer.ReplicaLoads{Gateway: x.name, Loads: x.loads.Loads(), PlacedPrompts: own.placed, PrefillSamples: own.read}
-	own.placed, own.read, own.urgent = nil, nil, false
-	own.reported = now
-	if own.aggregator == x.name {
-		x.sum.take(now, report)
+	report := &peer.ReplicaLoads{
+		Gateway:        x.name,
+		Loads:          x.loads.Loads(),
+		PlacedPrompts:  r.placed,
+		PrefillSamples: r.samples,
+	}
+	r.reset(now)
+	if r.aggregator == x.name {
+		x.aggregator.addReport(now, report)
 		return
 	}
-	address := x.gateways[own.aggregator].Address
+	address := x.gateways[r.aggregator].Address
 	effects.Outgoing = append(effects.Outgoing, Outgoing{Address: address, Report: report})
 }
 
-// due is when the next report is to be sent.
+// reset clears what was to be reported.
+func (r *reporter) reset(now time.Time) {
+	r.placed, r.samples, r.urgent = nil, nil, false
+	r.lastReport = now
+}
+
+// due returns the time of the next report.
 func (r *reporter) due(now time.Time) time.Time {
 	switch {
 	case r.urgent:
 		return now
-	case len(r.placed)+len(r.read) > 0:
-		return r.reported.Add(reportPause)
+	case len(r.placed)+len(r.samples) > 0:
+		return r.lastReport.Add(minReportInterval)
 	default:
-		return r.reported.Add(reportInterval)
+		return r.lastReport.Add(maxReportInterval)
 	}
 }
 
-// chooseAggregator suspects one that is silent, and names the first owner of the
-// group who is not suspected.
+// chooseAggregator suspects an aggregator that has timed out, and chooses the owner of
+// the group among the gateways that are not suspected.
 func (x *Exchange) chooseAggregator(now time.Time) {
-	own := &x.own
-	if own.aggregator != "" && own.aggregator != x.name && now.Sub(own.heardAt) > own.patience() {
-		own.suspect(now)
+	r := &x.reporter
+	remote := r.aggregator != "" && r.aggregator != x.name
+	if remote && now.Sub(r.lastContact) > r.timeout() {
+		r.suspect(now)
 		x.counts.Suspicions++
 	}
-	passed := func(name string) bool {
-		known, suspected := own.suspects[name]
-		return suspected && now.Before(known.until)
+	suspected := func(name string) bool {
+		known, found := r.suspicions[name]
+		return found && now.Before(known.expiry)
 	}
-	chosen := x.owner(x.region, x.near(), passed)
+	chosen := x.owner(x.region, x.ownGroup(), suspected)
 	if chosen == "" {
-		chosen = x.name // the registry does not name this gateway yet
+		chosen = x.name // the registry does not have this gateway yet
 	}
-	if chosen != own.aggregator {
-		own.aggregator, own.heardAt, own.answered = chosen, now, false
+	if chosen != r.aggregator {
+		r.aggregator, r.lastContact, r.responded = chosen, now, false
 	}
 }
 
-// patience is how long the aggregator may be silent.
-func (r *reporter) patience() time.Duration {
-	if r.answered {
-		return silence
+// timeout returns how long the aggregator may send nothing.
+func (r *reporter) timeout() time.Duration {
+	if r.responded {
+		return aggregatorTimeout
 	}
-	return firstSilence
+	return firstContactTimeout
 }
 
-// suspect passes the silent aggregator over for a time that doubles.
+// suspect excludes the aggregator for a time that doubles with each suspicion.
 func (r *reporter) suspect(now time.Time) {
-	known, before := r.suspects[r.aggregator]
-	if !before {
-		known = &suspicion{wait: firstSuspicion}
-		r.suspects[r.aggregator] = known
+	known, found := r.suspicions[r.aggregator]
+	if found {
+		known.duration = min(2*known.duration, maxSuspicion)
 	} else {
-		known.wait = min(2*known.wait, longestSuspicion)
+		known = &suspicion{duration: minSuspicion}
+		r.suspicions[r.aggregator] = known
 	}
-	known.until = now.Add(known.wait)
+	known.expiry = now.Add(known.duration)
 }
 
-// heard notes a digest of the aggregator.
-func (r *reporter) heard(now time.Time) {
-	r.heardAt, r.answered = now, true
-	delete(r.suspects, r.aggregator)
+// contacted records that a digest of the aggregator was received.
+func (r *reporter) contacted(now time.Time) {
+	r.lastContact = now
+	r.responded = true
+	delete(r.suspicions, r.aggregator)
 }
