--- a/httpgateway/backend.go
+++ b/httpgateway/backend.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// leastUrgent ends the priorities that replicas know; 0 is the most urgent.
-	leastUrgent = 9
-	// reapInterval is the time between two looks for idle connections.
+	// lowestPriority is the largest value of the priority header; 0 is the most urgent.
+	lowestPriority = 9
+	// reapInterval is the time between two sweeps for expired idle connections.
 	reapInterval = time.Second
 )
 
-// errOtherRequest is an answer to another request, or to none.
-var errOtherRequest = errors.New("the answer belongs to another request")
-
-// errRefused is a replica's word that the request has not run.
-var errRefused = errors.New("the replica refused the request")
+var (
+	// errMismatchedResponse is a response to another request, or to none.
+	errMismatchedResponse = errors.New("response belongs to another request")
+	// errRejected is a replica's statement that the request has not run.
+	errRejected = errors.New("replica rejected the request")
+)
 
 // backend sends attempts to replicas over HTTP/1.1. It implements dispatch.Backend.
 type backend struct {
@@ -33,29 +34,28 @@
 	headers Headers
 }
 
-func newBackend(headers Headers, connected func(address string, took time.Duration)) *backend {
-	return &backend{pool: upstream.NewPool(upstream.Config{OnConnect: connected}), headers: headers}
+// newBackend returns a backend that calls onConnect with the duration of each
+// connection's setup.
+func newBackend(headers Headers, onConnect func(address string, took time.Duration)) *backend {
+	return &backend{pool: upstream.NewPool(upstream.Config{OnConnect: onConnect}), headers: headers}
 }
 
+// LastReceived implements dispatch.Backend.
 func (b *backend) LastReceived(address string) time.Time { return b.pool.LastReceived(address) }
 
+// HasIdleConnection implements dispatch.Backend.
 func (b *backend) HasIdleConnection(address string) bool { return b.pool.HasIdleConnection(address) }
 
+// CloseIdleConnections implements dispatch.Backend.
 func (b *backend) CloseIdleConnections(address string) { b.pool.CloseIdleConnections(address) }
 
+// Send implements dispatch.Backend.
 func (b *backend) Send(ctx context.Context, attempt *dispatch.Attempt) (*dispatch.Response, error) {
-	response, err := b.pool.Do(ctx, attempt.Replica.Address, b.outgoing(attempt), attempt.Request.Body)
+	response, err := b.pool.Do(ctx, attempt.Replica.Address, b.newRequest(attempt), attempt.Request.Body)
 	if err != nil {
-		failure := dispatch.FailureIndeterminate
-		var unanswered *upstream.RequestError
-		if errors.As(err, &unanswered) && !unanswered.Sent {
-			failure = dispatch.FailureUnsent
-		}
-		var network net.Error
-		silent := errors.As(err, &network) && network.Timeout()
-		return nil, &dispatch.AttemptError{Reason: failure, NoResponse: silent, Err: err}
+		return nil, attemptError(err)
 	}
-	if err := b.judge(response, attempt.Request.ID); err != nil {
+	if err := b.checkResponse(response, attempt.Request.ID); err != nil {
 		response.Body.Close()
 		return nil, err
 	}
@@ -67,18 +67,30 @@
 	}, nil
 }
 
-// outgoing is the request as the replica gets it.
-func (b *backend) outgoing(attempt *dispatch.Attempt) *http.Request {
+// attemptError classifies an error of the connection pool.
+func attemptError(err error) *dispatch.AttemptError {
+	reason := dispatch.FailureIndeterminate
+	var requestErr *upstream.RequestError
+	if errors.As(err, &requestErr) && !requestErr.Sent {
+		reason = dispatch.FailureUnsent
+	}
+	var networkErr net.Error
+	noResponse := errors.As(err, &networkErr) && networkErr.Timeout()
+	return &dispatch.AttemptError{Reason: reason, NoResponse: noResponse, Err: err}
+}
+
+// newRequest returns the request as it is sent to the replica.
+func (b *backend) newRequest(attempt *dispatch.Attempt) *http.Request {
 	header := attempt.Request.Header.Clone()
-	left := max(1, time.Until(attempt.Deadline).Milliseconds())
-	header.Set(b.headers.Deadline, strconv.FormatInt(left, 10))
+	remaining := max(1, time.Until(attempt.Deadline).Milliseconds())
+	header.Set(b.headers.Deadline, strconv.FormatInt(remaining, 10))
 	header.Set(b.headers.Replica, attempt.Replica.ID)
-	header.Set(b.headers.Priority, strconv.Itoa(min(max(attempt.Priority, 0), leastUrgent)))
+	header.Set(b.headers.Priority, strconv.Itoa(min(max(attempt.Priority, 0), lowestPriority)))
 	if attempt.LastEventID != "" {
-		header.Set(headerLastEvent, attempt.LastEventID)
+		header.Set(headerLastEventID, attempt.LastEventID)
 	}
-	if _, named := header["User-Agent"]; !named {
-		header["User-Agent"] = nil // none is added
+	if _, set := header["User-Agent"]; !set {
+		header["User-Agent"] = nil // keeps net/http from adding one
 	}
 	return &http.Request{
 		Method: attempt.Request.Method,
@@ -88,25 +100,29 @@
 	}
 }
 
-// judge tells an answer to this request from a refusal and from another's answer.
-func (b *backend) judge(response *http.Response, id string) error {
+// checkResponse returns an error if a response is a rejection of the request, or not a
+// response to the request with this id. The id is compared first, so that the rejection
+// of another request does not count as that of this one, which may have run.
+func (b *backend) checkResponse(response *http.Response, id string) error {
 	echoed := response.Header.Get(b.headers.RequestID)
 	if echoed != "" && echoed != id {
-		return &dispatch.AttemptError{Reason: dispatch.FailureIndeterminate, Err: errOtherRequest}
+		return &dispatch.AttemptError{Reason: dispatch.FailureIndeterminate, Err: errMismatchedResponse}
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		return &dispatch.AttemptError{Reason: dispatch.FailureReplaced, Err: errRefused}
+		return &dispatch.AttemptError{Reason: dispatch.FailureReplaced, Err: errRejected}
 	}
-	refused := response.Header.Get(b.headers.NotExecuted) != "" && response.StatusCode != http.StatusBadRequest
-	if refused {
-		return &dispatch.AttemptError{Reason: dispatch.FailureRejected, RetryAfter: retryAfter(response.Header), Err: errRefused}
+	rejected := response.Header.Get(b.headers.NotExecuted) != "" && response.StatusCode != http.StatusBadRequest
+	if rejected {
+		return &dispatch.AttemptError{Reason: dispatch.FailureRejected, RetryAfter: retryAfter(response.Header), Err: errRejected}
 	}
 	if echoed == "" && response.StatusCode < http.StatusMultipleChoices {
-		return &dispatch.AttemptError{Reason: dispatch.FailureIndeterminate, Err: errOtherRequest}
+		return &dispatch.AttemptError{Reason: dispatch.FailureIndeterminate, Err: errMismatchedResponse}
 	}
 	return nil
 }
 
+// retryAfter returns the Retry-After of a response, 0 if it has none that is valid.
+// Unlike in HTTP, the seconds may have a fraction.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get(headerRetryAfter), 64)
 	if err != nil || seconds < 0 {
@@ -115,7 +131,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// reap closes connections that have been idle for too long until ctx ends.
+// reap closes expired idle connections until ctx ends.
 func (b *backend) reap(ctx context.Context) {
 	ticker := time.NewTicker(reapInterval)
 	defer ticker.Stop()
--- a/httpgateway/backend_test.go
+++ b/httpgateway/backend_test.go
@@ -9,16 +9,16 @@
 	"github.com/deckpulley/deckpulley/dispatch"
 )
 
-// TestPromptHeadersStayTheClients: what a client says of model, usage and prompt
-// reaches the replica as it was sent, and is not added where the client said nothing.
-func TestPromptHeadersStayTheClients(t *testing.T) {
+// TestClientHeadersAreForwardedUnchanged checks that a client's headers about model,
+// usage and prompt reach the replica unchanged, and that none of them is added.
+func TestClientHeadersAreForwardedUnchanged(t *testing.T) {
 	headers := DefaultHeaders()
-	const model = "Deckpulley-Model" // of which the gateway knows nothing
-	own := []string{headers.Deadline, headers.Replica, headers.Priority, "User-Agent"}
+	const model = "Deckpulley-Model" // not known to the gateway
+	added := []string{headers.Deadline, headers.Replica, headers.Priority, "User-Agent"}
 	tests := map[string]http.Header{
-		"said":     {model: {"m"}, headers.TokenUsage: {"1460,80"}, headers.PromptPrefix: {"5c1e07a2:800,91bd3f06:410"}, headers.RequestID: {"q"}},
-		"in parts": {headers.PromptPrefix: {"5c1e07a2:800", "91bd3f06:410"}, headers.RequestID: {"q"}},
-		"not said": {headers.RequestID: {"q"}},
+		"set":               {model: {"m"}, headers.TokenUsage: {"1460,80"}, headers.PromptPrefix: {"5c1e07a2:800,91bd3f06:410"}, headers.RequestID: {"q"}},
+		"in several fields": {headers.PromptPrefix: {"5c1e07a2:800", "91bd3f06:410"}, headers.RequestID: {"q"}},
+		"not set":           {headers.RequestID: {"q"}},
 	}
 	for name, sent := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -27,14 +27,14 @@
 				Replica:  dispatch.Endpoint{ID: "r1"},
 				Deadline: time.Now().Add(time.Second),
 			}
-			got := newBackend(headers, nil).outgoing(attempt).Header
+			got := newBackend(headers, nil).newRequest(attempt).Header
 			for field, values := range sent {
 				if !slices.Equal(got[field], values) {
 					t.Errorf("%s: got %q, want %q", field, got[field], values)
 				}
 			}
 			for field := range got {
-				if _, known := sent[field]; !known && !slices.Contains(own, field) {
+				if _, known := sent[field]; !known && !slices.Contains(added, field) {
 					t.Errorf("%s was added", field)
 				}
 			}
--- a/httpgateway/example_test.go
+++ b/httpgateway/example_test.go
@@ -24,9 +24,9 @@
     site: {host: example.test, path_prefix: /, kind: repeatable, timeout_ms: 1000, targets: [{service: pages, weight: 1}]}
 `
 
-// exampleContents is a registry with the document and one replica. In a fleet it
-// comes from the primary, by an agent.
-func exampleContents(replica string) (*catalog.State, error) {
+// exampleState returns the state of a registry with the document and one replica. In a
+// fleet an agent receives it from the primary.
+func exampleState(replica string) (*catalog.State, error) {
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 func ExampleProxy() {
 	headers := httpgateway.DefaultHeaders()
 	replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(headers.RequestID, r.Header.Get(headers.RequestID)) // whose answer it is
+		w.Header().Set(headers.RequestID, r.Header.Get(headers.RequestID)) // identifies the request that is responded to
 		fmt.Fprint(w, "served by ", r.Header.Get(headers.Replica))
 	}))
 	defer replica.Close()
@@ -58,16 +58,16 @@
 		Info:    peer.GatewayInfo{Name: "gateway-1", Zone: "north-1", Region: "north"},
 		Network: network.Node("gateway-1", "gateway-1:1"),
 	})
-	contents, err := exampleContents(replica.Listener.Addr().String())
+	state, err := exampleState(replica.Listener.Addr().String())
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	proxy.Update(contents)
-	door := httptest.NewServer(proxy)
-	defer door.Close()
+	proxy.Update(state)
+	gateway := httptest.NewServer(proxy)
+	defer gateway.Close()
 
-	request, _ := http.NewRequest(http.MethodGet, door.URL+"/index", nil)
+	request, _ := http.NewRequest(http.MethodGet, gateway.URL+"/index", nil)
 	request.Host = "example.test"
 	request.Header.Set(headers.RequestID, "q-1")
 	response, err := http.DefaultClient.Do(request)
--- a/httpgateway/gateway.go
+++ b/httpgateway/gateway.go
@@ -1,12 +1,12 @@
-// Package httpgateway is the gateway for services that are reached by host and
-// path: it keeps a copy of the registry, carries requests by it, tells clients
-// where to go, and shares its load with the other gateways.
+// Package httpgateway is the gateway for services that are routed by host and path. It
+// keeps a copy of the registry, forwards requests by it, directs clients to gateways,
+// and exchanges loads with the other gateways.
 //
-// It goes on with the newest configuration it has when the primary cannot be
-// reached: a gateway that is cut off cannot tell that from a loss of all control
-// nodes, and refusing would end the service in both cases. An acknowledgement
-// waits until every gateway with a lease has the change in force or its lease
-// has run out, so a gateway that is in touch is never behind.
+// If the primary cannot be reached, a gateway goes on with the newest configuration
+// that it has: it cannot tell a partition from the loss of all control nodes, and
+// rejecting requests would end the service in both cases. The primary acknowledges a
+// change only when each gateway with a lease has it in force or its lease has expired,
+// so a gateway that can reach the primary is never behind an acknowledged change.
 package httpgateway
 
 import (
@@ -26,33 +26,35 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Options sets up a Gateway. All fields but Headers and Bounds are required.
+// Options configure a Gateway. All fields but Headers and Bounds are required.
 type Options struct {
 	// Info is what the primary and the other gateways learn of this one.
-	Info        peer.GatewayInfo
+	Info peer.GatewayInfo
+	// Seeds are the addresses of control nodes that are contacted first.
 	Seeds       []string
 	LeaseConfig lease.Config
-	// Network carries the messages; the gateway starts it and closes it.
+	// Network carries the messages. The Gateway starts and closes it.
 	Network transport.Network
-	// Headers name the headers of requests. Default DefaultHeaders.
+	// Headers are the names of the headers of requests. Default DefaultHeaders.
 	Headers Headers
-	// Bounds are what all gateways together are granted. Default dispatch.Bounds.
+	// Bounds limit all gateways together. A zero field stands for its default.
 	Bounds dispatch.Bounds
 	Logger *slog.Logger
 }
 
-// Gateway is safe for concurrent use.
+// Gateway follows the registry and serves clients by it. It is safe for concurrent use.
 type Gateway struct {
 	options Options
 	agent   *agent.Agent
 	proxy   *Proxy
-	leaving atomic.Bool
+	// deregistered is set by Deregister.
+	deregistered atomic.Bool
 
 	cancel  context.CancelFunc
 	workers sync.WaitGroup
 }
 
-// New prepares a gateway and registers its message handlers.
+// New returns a Gateway and registers its message handlers. Start starts it.
 func New(options Options) *Gateway {
 	g := &Gateway{options: options}
 	g.proxy = NewProxy(ProxyOptions{
@@ -75,7 +77,8 @@
 	return g
 }
 
-// Start begins to follow the registry.
+// Start starts the network and the goroutines that follow the registry. Close ends
+// them.
 func (g *Gateway) Start() error {
 	if err := g.options.Network.Start(); err != nil {
 		return fmt.Errorf("httpgateway: starting the network: %w", err)
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// Counts returns the totals of requests since the start.
+// Counts returns the totals of requests and attempts since the start.
 func (g *Gateway) Counts() dispatch.Counts { return g.proxy.Counts() }
 
 // Server returns a server for clients, ready to serve a listener.
@@ -96,31 +99,37 @@
 // Status describes the gateway's lease and its copy of the registry.
 func (g *Gateway) Status() agent.Status { return g.agent.Status() }
 
-// Ready says whether clients should come here.
-func (g *Gateway) Ready() bool { return g.proxy.Ready() && !g.leaving.Load() }
+// Ready reports whether clients should use this gateway.
+func (g *Gateway) Ready() bool { return g.proxy.Ready() && !g.deregistered.Load() }
 
 // Where returns the addresses of the gateways that a client of a region should
 // use, at most limit. It is empty when none is known.
 func (g *Gateway) Where(region string, limit int) []string {
-	contents := g.agent.Active()
-	if contents == nil {
+	state := g.agent.Active()
+	if state == nil {
 		return nil
 	}
-	question := directory.Query{Region: region, Limit: limit, Node: g.options.Info.Name, Draining: g.leaving.Load()}
-	question.Partitioned = !question.Draining && !g.agent.Valid()
-	return question.Answer(contents.Gateways())
+	query := directory.Query{
+		Region:   region,
+		Limit:    limit,
+		Node:     g.options.Info.Name,
+		Draining: g.deregistered.Load(),
+	}
+	query.Partitioned = !query.Draining && !g.agent.Valid()
+	return query.Answer(state.Gateways())
 }
 
-// Deregister takes the gateway out of the answers to clients and gives its lease up.
-// Requests that still come are served.
+// Deregister releases the gateway's lease and makes Where direct clients to other
+// gateways. Requests that still arrive are served. Calls after the first do nothing.
 func (g *Gateway) Deregister(ctx context.Context) {
-	if g.leaving.Swap(true) {
+	if g.deregistered.Swap(true) {
 		return
 	}
 	g.agent.ReleaseLease(ctx)
 }
 
-// Close ends everything but requests that are under way.
+// Close closes the network and waits for the goroutines of Start. Requests in flight
+// are not affected.
 func (g *Gateway) Close() error {
 	g.cancel()
 	err := g.options.Network.Close()
--- a/httpgateway/loads.go
+++ b/httpgateway/load_exchange.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// newExchange returns the proxy's part in the exchange of loads.
-func (p *Proxy) newExchange() *loadexchange.Node {
+// newLoadExchange returns the Proxy's part in the exchange of loads between gateways.
+func (p *Proxy) newLoadExchange() *loadexchange.Node {
 	network := p.options.Network
 	return loadexchange.NewNode(loadexchange.Config{
 		Name:       p.options.Info.Name,
@@ -25,10 +25,10 @@
 	})
 }
 
-// gatewaysUp are the gateways that take part in the exchange.
-func gatewaysUp(contents *catalog.State) map[string]loadexchange.Gateway {
+// gatewaysUp returns the gateways that take part in the exchange, by name.
+func gatewaysUp(state *catalog.State) map[string]loadexchange.Gateway {
 	up := make(map[string]loadexchange.Gateway)
-	for name, gateway := range contents.Gateways() {
+	for name, gateway := range state.Gateways() {
 		if gateway.Up {
 			up[name] = loadexchange.Gateway{Region: gateway.Region, Address: gateway.PeerAddress, LinkMbps: gateway.LinkMbps}
 		}
@@ -36,20 +36,22 @@
 	return up
 }
 
-func (p *Proxy) serveReport(_ context.Context, _ string, decode func(any) error) (any, error) {
+// handleReport handles a load report from another gateway. There is no reply.
+func (p *Proxy) handleReport(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var report peer.ReplicaLoads
 	if err := decode(&report); err != nil {
 		return nil, err
 	}
-	p.exchange.HandleReport(&report)
+	p.loadExchange.HandleReport(&report)
 	return nil, nil
 }
 
-func (p *Proxy) serveDigest(_ context.Context, _ string, decode func(any) error) (any, error) {
+// handleDigest handles a digest from another gateway. There is no reply.
+func (p *Proxy) handleDigest(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var digest peer.LoadDigest
 	if err := decode(&digest); err != nil {
 		return nil, err
 	}
-	p.exchange.HandleDigest(&digest)
+	p.loadExchange.HandleDigest(&digest)
 	return nil, nil
 }
--- a/httpgateway/metrics.go
+++ b/httpgateway/metrics.go
@@ -8,22 +8,22 @@
 	"github.com/deckpulley/deckpulley/loadexchange"
 )
 
-// metricsNamespace begins every metric's name.
+// metricsNamespace is the prefix of the names of all metrics.
 const metricsNamespace = "deckpulley_http"
 
-// codeServed labels requests whose answer was relayed.
+// codeServed is the code label of requests whose response was relayed.
 const codeServed = "served"
 
-// figures are what a collector reads.
-type figures interface {
+// metricsSource provides the values of a collector.
+type metricsSource interface {
 	Counts() dispatch.Counts
 	Replicas() []api.HTTPReplicaStatus
 	LoadExchangeStatus() loadexchange.Status
 }
 
-// collector gives the figures of a proxy out as metrics.
+// collector implements prometheus.Collector for a Proxy.
 type collector struct {
-	figures  figures
+	source   metricsSource
 	requests *prometheus.Desc
 	attempts *prometheus.Desc
 	failures *prometheus.Desc
@@ -31,15 +31,15 @@
 	resumed  *prometheus.Desc
 	replicas *prometheus.Desc
 	running  *prometheus.Desc
-	exchange exchangeDescriptions
+	exchange loadExchangeDescriptions
 }
 
-func newCollector(source figures) *collector {
+func newCollector(source metricsSource) *collector {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(metricsNamespace, "", name), help, labels, nil)
 	}
 	return &collector{
-		figures:  source,
+		source:   source,
 		requests: describe("requests_total", "Requests answered: served, or why not.", "code"),
 		attempts: describe("attempts_total", "Attempts at replicas, retries included."),
 		failures: describe("attempt_failures_total", "Attempts without a whole answer, by failure.", "failure"),
@@ -47,7 +47,7 @@
 		resumed:  describe("resumed_total", "Streams that went on at another replica."),
 		replicas: describe("replicas", "Replicas by service and state.", "service", "state"),
 		running:  describe("running_requests", "Attempts of this gateway under way, by service.", "service"),
-		exchange: newExchangeDescriptions(describe),
+		exchange: newLoadExchangeDescriptions(describe),
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
-	counts := c.figures.Counts()
+	counts := c.source.Counts()
 	count := func(description *prometheus.Desc, value uint64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
 	}
@@ -73,14 +73,14 @@
 	for code, value := range counts.Rejected {
 		count(c.requests, value, string(code))
 	}
-	for failure, value := range counts.FailedAttempts {
-		count(c.failures, value, string(failure))
+	for reason, value := range counts.FailedAttempts {
+		count(c.failures, value, string(reason))
 	}
 	count(c.attempts, counts.Attempts)
 	count(c.retries, counts.Retries)
 	count(c.resumed, counts.Resumed)
 	c.collectReplicas(metrics)
-	c.exchange.collect(c.figures.LoadExchangeStatus(), metrics)
+	c.exchange.collect(c.source.LoadExchangeStatus(), metrics)
 }
 
 func (c *collector) collectReplicas(metrics chan<- prometheus.Metric) {
@@ -90,12 +90,12 @@
 	}
 	states := make(map[group]int)
 	running := make(map[string]int)
-	for _, replica := range c.figures.Replicas() {
+	for _, replica := range c.source.Replicas() {
 		states[group{replica.Service, replica.State}]++
 		running[replica.Service] += replica.Requests
 	}
-	for of, number := range states {
-		metrics <- prometheus.MustNewConstMetric(c.replicas, prometheus.GaugeValue, float64(number), of.service, string(of.state))
+	for group, number := range states {
+		metrics <- prometheus.MustNewConstMetric(c.replicas, prometheus.GaugeValue, float64(number), group.service, string(group.state))
 	}
 	for service, number := range running {
 		metrics <- prometheus.MustNewConstMetric(c.running, prometheus.GaugeValue, float64(number), service)
--- a/httpgateway/metrics_test.go
+++ b/httpgateway/metrics_test.go
@@ -12,10 +12,10 @@
 	"github.com/deckpulley/deckpulley/loadexchange"
 )
 
-// fixedFigures is a source of figures that do not move.
-type fixedFigures struct{}
+// fixedMetrics is a metricsSource with constant values.
+type fixedMetrics struct{}
 
-func (fixedFigures) Counts() dispatch.Counts {
+func (fixedMetrics) Counts() dispatch.Counts {
 	return dispatch.Counts{
 		Served:         7,
 		Attempts:       9,
@@ -26,7 +26,7 @@
 	}
 }
 
-func (fixedFigures) Replicas() []api.HTTPReplicaStatus {
+func (fixedMetrics) Replicas() []api.HTTPReplicaStatus {
 	return []api.HTTPReplicaStatus{
 		{ID: "a", Service: "s", State: api.HTTPReplicaUsable, Requests: 2},
 		{ID: "b", Service: "s", State: api.HTTPReplicaUsable, Requests: 1},
@@ -34,12 +34,14 @@
 	}
 }
 
-func (fixedFigures) LoadExchangeStatus() loadexchange.Status {
+func (fixedMetrics) LoadExchangeStatus() loadexchange.Status {
 	return loadexchange.Status{Aggregator: "gateway-1", SinceLastContact: 200 * time.Millisecond}
 }
 
+// TestCollector checks that the collector describes all its metrics and that
+// docs/METRICS.md lists them.
 func TestCollector(t *testing.T) {
-	collector := newCollector(fixedFigures{})
+	collector := newCollector(fixedMetrics{})
 	metricspage.Compare(t, "../docs/METRICS.md", "deckpulley_http_", collector)
 	registry := prometheus.NewPedanticRegistry()
 	registry.MustRegister(collector)
--- a/httpgateway/proxy.go
+++ b/httpgateway/proxy.go
@@ -17,31 +17,34 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// ProxyOptions sets up a Proxy.
+// ProxyOptions configure a Proxy. Info and Network are required.
 type ProxyOptions struct {
-	// Info names the gateway and its place.
+	// Info has the name and the location of the gateway.
 	Info peer.GatewayInfo
 	// Network carries the load reports between gateways. The proxy neither starts
 	// nor closes it.
 	Network transport.Network
-	// Headers name the headers of requests. Default DefaultHeaders.
+	// Headers are the names of the headers of requests. Default DefaultHeaders.
 	Headers Headers
-	// Bounds are what all gateways together are granted. Default dispatch.Bounds.
+	// Bounds limit all gateways together. A zero field stands for its default.
 	Bounds dispatch.Bounds
+	// Logger defaults to slog.Default.
 	Logger *slog.Logger
 }
 
-// Proxy carries HTTP requests to replicas by the registry's map of routes. What
-// it goes by comes in through Update; it implements http.Handler.
+// Proxy is an http.Handler that forwards requests to replicas by the registry's route
+// map, which it receives through Update. It is safe for concurrent use.
 type Proxy struct {
-	options    ProxyOptions
-	dispatcher *dispatch.Dispatcher
-	backend    *backend
-	contents   atomic.Pointer[catalog.State]
-	exchange   *loadexchange.Node
+	options      ProxyOptions
+	dispatcher   *dispatch.Dispatcher
+	backend      *backend
+	loadExchange *loadexchange.Node
+	// state is the newest state of the registry; nil before the first Update.
+	state atomic.Pointer[catalog.State]
 }
 
-// NewProxy returns a proxy that refuses requests until the first Update.
+// NewProxy returns a Proxy and registers its message handlers. It rejects requests
+// until the first Update.
 func NewProxy(options ProxyOptions) *Proxy {
 	if options.Headers == (Headers{}) {
 		options.Headers = DefaultHeaders()
@@ -54,42 +57,43 @@
 		Region:    options.Info.Region,
 		Backend:   p.backend,
 		Bounds:    options.Bounds,
-		OnPlaced:  func(prompt peer.PlacedPrompt) { p.exchange.RecordPlacement(prompt) },
-		OnPrefill: func(prompt peer.PrefillSample) { p.exchange.RecordPrefill(prompt) },
+		OnPlaced:  func(prompt peer.PlacedPrompt) { p.loadExchange.RecordPlacement(prompt) },
+		OnPrefill: func(prompt peer.PrefillSample) { p.loadExchange.RecordPrefill(prompt) },
 		Logger:    options.Logger,
 	})
-	p.exchange = p.newExchange()
-	options.Network.Handle(peer.KindReplicaLoads, p.serveReport)
-	options.Network.Handle(peer.KindLoadDigest, p.serveDigest)
+	p.loadExchange = p.newLoadExchange()
+	options.Network.Handle(peer.KindReplicaLoads, p.handleReport)
+	options.Network.Handle(peer.KindLoadDigest, p.handleDigest)
 	return p
 }
 
-// Update makes a newer reading of the registry decide.
-func (p *Proxy) Update(contents *catalog.State) {
-	p.contents.Store(contents)
-	p.dispatcher.Update(contents)
-	p.exchange.SetGateways(gatewaysUp(contents))
+// Update makes a state of the registry the one by which requests are forwarded.
+func (p *Proxy) Update(state *catalog.State) {
+	p.state.Store(state)
+	p.dispatcher.Update(state)
+	p.loadExchange.SetGateways(gatewaysUp(state))
 }
 
-// Run tells other gateways of the load and closes idle connections until ctx ends.
+// Run exchanges loads with other gateways and closes expired idle connections until ctx
+// ends.
 func (p *Proxy) Run(ctx context.Context) {
 	var workers sync.WaitGroup
-	workers.Go(func() { p.exchange.Run(ctx) })
+	workers.Go(func() { p.loadExchange.Run(ctx) })
 	workers.Go(func() { p.backend.reap(ctx) })
 	workers.Wait()
 }
 
-// Ready says whether a configuration is known.
+// Ready reports whether a configuration is known.
 func (p *Proxy) Ready() bool { return p.dispatcher.Ready() }
 
-// Counts returns the totals since the start.
+// Counts returns the totals of requests and attempts since the start.
 func (p *Proxy) Counts() dispatch.Counts { return p.dispatcher.Counts() }
 
 // LoadExchangeStatus returns the gateway's part in the exchange of loads.
-func (p *Proxy) LoadExchangeStatus() loadexchange.Status { return p.exchange.Status() }
+func (p *Proxy) LoadExchangeStatus() loadexchange.Status { return p.loadExchange.Status() }
 
-// Replicas returns what this gateway holds of every replica.
+// Replicas returns the status of each replica as this gateway sees it.
 func (p *Proxy) Replicas() []api.HTTPReplicaStatus { return p.dispatcher.Replicas() }
 
-// Collector gives the proxy's figures out as metrics.
+// Collector returns a collector of the Proxy's metrics.
 func (p *Proxy) Collector() prometheus.Collector { return newCollector(p) }
--- /dev/null
+++ b/httpgateway/response.go
@@ -0,0 +1,85 @@
+package httpgateway
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
+	"github.com/deckpulley/deckpulley/dispatch"
+)
+
+// responseWriter implements dispatch.ResponseWriter.
+type responseWriter struct {
+	writer     http.ResponseWriter
+	controller *http.ResponseController
+}
+
+// WriteHead implements dispatch.ResponseWriter. The Content-Length of the replica is
+// kept, as the body is forwarded unchanged.
+func (w *responseWriter) WriteHead(status int, header http.Header) {
+	target := w.writer.Header()
+	for name, values := range endToEndHeaders(header) {
+		target[name] = values
+	}
+	if length := header.Get("Content-Length"); length != "" {
+		target.Set("Content-Length", length)
+	}
+	if _, set := target["Content-Type"]; !set {
+		target["Content-Type"] = nil // keeps net/http from guessing one
+	}
+	w.writer.WriteHeader(status)
+}
+
+// Write implements dispatch.ResponseWriter.
+func (w *responseWriter) Write(part []byte) (int, error) { return w.writer.Write(part) }
+
+// Flush implements dispatch.ResponseWriter. Its error is dropped: the request's context
+// ends when the client closes its connection.
+func (w *responseWriter) Flush() { _ = w.controller.Flush() }
+
+// writeError responds to a request that was not served. If a part of a response was
+// sent already, it aborts the connection, so that the client sees that the response is
+// truncated.
+func (p *Proxy) writeError(w http.ResponseWriter, id string, requestErr *dispatch.RequestError) {
+	if requestErr.ResponseStarted || requestErr.Code == dispatch.CodeClientClosed {
+		panic(http.ErrAbortHandler)
+	}
+	if id != "" {
+		w.Header().Set(p.options.Headers.RequestID, id)
+	}
+	if requestErr.RetryAfter > 0 {
+		w.Header().Set(headerRetryAfter, strconv.FormatFloat(requestErr.RetryAfter.Seconds(), 'f', 3, 64))
+	}
+	WriteProblem(w, statusOf(requestErr.Code), requestProblem(string(requestErr.Code)))
+}
+
+// statusOf returns the HTTP status for a code. Only a request that has not run and may
+// be retried gets 503.
+func statusOf(code dispatch.Code) int {
+	switch code {
+	case dispatch.CodeNoRoute:
+		return http.StatusNotFound
+	case dispatch.CodeOutcomeUnknown:
+		return http.StatusBadGateway
+	case dispatch.CodeTimedOut:
+		return http.StatusGatewayTimeout
+	default:
+		return http.StatusServiceUnavailable
+	}
+}
+
+// Problem is the body of a response that the gateway itself makes.
+type Problem struct {
+	// Field names what the problem is with.
+	Field  string `json:"field"`
+	Reason string `json:"reason"`
+}
+
+func requestProblem(reason string) Problem { return Problem{Field: "request", Reason: reason} }
+
+// WriteProblem responds with an HTTP status and a Problem as JSON.
+func WriteProblem(w http.ResponseWriter, status int, problem Problem) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(problem) // fails only if the client is gone
+}
