--- a/dispatch/bounds.go
+++ b/dispatch/bounds.go
@@ -1,12 +1,12 @@
 package dispatch
 
-// Bounds are what the operators grant all gateways together. A zero field stands
-// for its default.
+// Bounds limit what all gateways together do. A zero field stands for its default.
 type Bounds struct {
-	// RetryRatio bounds the attempts that arrive at replicas beyond the first of each
-	// request, over the requests.
+	// RetryRatio limits the attempts that arrive at replicas beyond the first of each
+	// request, as a ratio of the requests.
 	RetryRatio float64
-	// WarmupOvershoot is the factor by which a cold replica may get more than it bears.
+	// WarmupOvershoot is the factor by which a replica that is warming up may receive
+	// more than its slow-start rate.
 	WarmupOvershoot float64
 }
 
@@ -17,17 +17,18 @@
 )
 
 const (
-	// retryPart is the part of the granted retries that each gateway aims at. Replicas
-	// count arrivals a little later than gateways, and by other windows.
-	retryPart = 0.6
-	// coldFeeders is how many gateways may take themselves for the feeder of one cold
-	// replica, as on both sides of a cut.
-	coldFeeders = 2
-	// coldPart leaves room for requests that come closer together than they were sent.
-	coldPart = 14.0 / 15
+	// retryShare is the share of the retry ratio that each gateway aims at. Replicas
+	// count arrivals a little later than gateways, and in other windows.
+	retryShare = 0.6
+	// maxSlowStartOwners is how many gateways may consider themselves the slow-start
+	// owner of one replica, as on both sides of a partition.
+	maxSlowStartOwners = 2
+	// slowStartShare leaves room for requests that arrive closer together than they
+	// were sent.
+	slowStartShare = 14.0 / 15
 )
 
-// withDefaults fills the zero fields.
+// withDefaults returns the bounds with their zero fields set.
 func (b Bounds) withDefaults() Bounds {
 	if b.RetryRatio == 0 {
 		b.RetryRatio = DefaultRetryRatio
@@ -38,8 +39,10 @@
 	return b
 }
 
-// retryRatio is a gateway's aim for retries over first attempts.
-func (b Bounds) retryRatio() float64 { return retryPart * b.RetryRatio }
+// retryRatio returns the ratio of retries to first attempts that one gateway aims at.
+func (b Bounds) retryRatio() float64 { return retryShare * b.RetryRatio }
 
-// coldShare is the part of what a cold replica bears that its feeder sends.
-func (b Bounds) coldShare() float64 { return min(1, coldPart*b.WarmupOvershoot/coldFeeders) }
+// slowStartRatio returns the ratio of a replica's slow-start rate that its owner sends.
+func (b Bounds) slowStartRatio() float64 {
+	return min(1, slowStartShare*b.WarmupOvershoot/maxSlowStartOwners)
+}
--- a/dispatch/bounds_test.go
+++ b/dispatch/bounds_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
+// TestBounds checks the ratios that one gateway derives from the bounds.
 func TestBounds(t *testing.T) {
 	tests := map[string]struct {
-		granted          Bounds
-		retries, feeding float64
+		bounds                     Bounds
+		retryRatio, slowStartRatio float64
 	}{
 		"defaults": {Bounds{}, 0.12, 0.7},
 		"strict":   {Bounds{RetryRatio: 0.05, WarmupOvershoot: 1}, 0.03, 7.0 / 15},
@@ -16,15 +17,15 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			bounds := test.granted.withDefaults()
-			if got := bounds.retryRatio(); math.Abs(got-test.retries) > 1e-9 {
-				t.Errorf("retries: %v, want %v", got, test.retries)
+			bounds := test.bounds.withDefaults()
+			if got := bounds.retryRatio(); math.Abs(got-test.retryRatio) > 1e-9 {
+				t.Errorf("retry ratio: %v, want %v", got, test.retryRatio)
 			}
-			if got := bounds.coldShare(); math.Abs(got-test.feeding) > 1e-9 {
-				t.Errorf("cold share: %v, want %v", got, test.feeding)
+			if got := bounds.slowStartRatio(); math.Abs(got-test.slowStartRatio) > 1e-9 {
+				t.Errorf("slow-start ratio: %v, want %v", got, test.slowStartRatio)
 			}
-			if bounds.coldShare()*coldFeeders > bounds.WarmupOvershoot {
-				t.Error("two feeders exceed the overshoot")
+			if bounds.slowStartRatio()*maxSlowStartOwners > bounds.WarmupOvershoot {
+				t.Error("the owners exceed the overshoot")
 			}
 		})
 	}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -26,26 +26,27 @@
 	otherRegion = "west"
 )
 
-// fixture is a dispatcher on a registry of its own, with replicas that are functions.
+// fixture is a dispatcher on a registry of its own, and the Backend of its replicas.
 type fixture struct {
 	t          *testing.T
 	table      *registry.Table
 	dispatcher *Dispatcher
 
-	mutex   sync.Mutex
-	sent    []Attempt
-	answer  func(ctx context.Context, attempt *Attempt) (*Response, error)
-	heardAt time.Time
+	mutex        sync.Mutex
+	sent         []Attempt
+	respond      func(ctx context.Context, attempt *Attempt) (*Response, error)
+	lastReceived time.Time
 	// connected are the addresses with an idle connection; nil is all.
 	connected map[string]bool
 }
 
+// newFixture returns the fixture of a gateway called g1.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	return newFixtureOf(t, "g1")
 }
 
-// newTable is an empty registry.
+// newTable returns an empty registry.
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "c", Serial: 1}, []string{"c"})
@@ -55,11 +56,11 @@
 	return table
 }
 
-// newFixtureOf is the fixture of a gateway with this name.
+// newFixtureOf returns the fixture of a gateway with the given name.
 func newFixtureOf(t *testing.T, gateway string) *fixture {
 	t.Helper()
 	f := &fixture{t: t, table: newTable(t)}
-	f.answer = func(context.Context, *Attempt) (*Response, error) { return whole(200, "ok"), nil }
+	f.respond = func(context.Context, *Attempt) (*Response, error) { return fullResponse(200, "ok"), nil }
 	f.dispatcher = New(Options{
 		Gateway: gateway, Zone: "east-1", Region: ownRegion, Backend: f,
 		Random: func() float64 { return 0 }, Logger: slog.New(slog.DiscardHandler),
@@ -72,13 +73,13 @@
 	f.mutex.Lock()
 	f.sent = append(f.sent, *attempt)
 	f.mutex.Unlock()
-	return f.answer(ctx, attempt)
+	return f.respond(ctx, attempt)
 }
 
 func (f *fixture) LastReceived(string) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.heardAt
+	return f.lastReceived
 }
 
 func (f *fixture) HasIdleConnection(address string) bool {
@@ -89,26 +90,26 @@
 
 func (f *fixture) CloseIdleConnections(string) {}
 
-// apply changes the registry and makes it decide.
+// apply applies changes to the registry and updates the dispatcher.
 func (f *fixture) apply(changes ...registry.Record) {
 	f.t.Helper()
 	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := f.table.Apply(&update, nil); result.Code != registry.NoError {
-		f.t.Fatalf("update answered %v: %s", result.Code, result.Reason)
+		f.t.Fatalf("update failed: %v: %s", result.Code, result.Reason)
 	}
-	contents, err := catalog.Read(f.table.View())
+	state, err := catalog.Read(f.table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.dispatcher.Update(contents)
+	f.dispatcher.Update(state)
 }
 
 var zones = map[string]string{"east-1": ownRegion, "east-2": ownRegion, "west-1": otherRegion}
 
-// configure makes a map with one route of the given kind decide.
+// configure publishes a route map with one route and one service, changed as given.
 func (f *fixture) configure(change func(*routemap.Route, *routemap.Service)) {
 	f.t.Helper()
-	contents, err := catalog.Read(f.table.View())
+	state, err := catalog.Read(f.table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -120,7 +121,7 @@
 	if change != nil {
 		change(&route, &service)
 	}
-	routes := &routemap.Map{Version: contents.Version() + 1, Routes: []routemap.Route{route}, Services: []routemap.Service{service}}
+	routes := &routemap.Map{Version: state.Version() + 1, Routes: []routemap.Route{route}, Services: []routemap.Service{service}}
 	changes, err := configuration.RouteMapChanges(f.table.View(), routes, zones, fmt.Sprint("text ", routes.Version))
 	if err != nil {
 		f.t.Fatal(err)
@@ -144,7 +145,7 @@
 	return client, f.dispatcher.Serve(context.Background(), request, client)
 }
 
-// fillRetryBudget serves enough requests for a retry, and forgets them.
+// fillRetryBudget serves enough requests for the retry budget to allow a retry.
 func (f *fixture) fillRetryBudget() {
 	f.t.Helper()
 	for range 20 {
@@ -155,8 +156,8 @@
 	f.sent = nil
 }
 
-// replicasAsked lists the replicas of all attempts so far.
-func (f *fixture) replicasAsked() []string {
+// attemptedReplicas returns the ids of the replicas of all attempts so far.
+func (f *fixture) attemptedReplicas() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var ids []string
@@ -166,7 +167,7 @@
 	return ids
 }
 
-// recorder is a client that keeps its answer.
+// recorder is a ResponseWriter that records the response.
 type recorder struct {
 	status int
 	header http.Header
@@ -179,11 +180,12 @@
 
 func (r *recorder) Flush() {}
 
-func whole(status int, text string) *Response {
+// fullResponse returns a response that is not an event stream.
+func fullResponse(status int, text string) *Response {
 	return &Response{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// events is a stream that ends with an error, nil for a whole one.
+// events returns an event stream that ends with an error, or completely if that is nil.
 func events(text string, err error) *Response {
 	var reader io.Reader = strings.NewReader(text)
 	if err != nil {
@@ -197,37 +199,38 @@
 func (f failing) Read([]byte) (int, error) { return 0, f.err }
 
 func attemptError(failure FailureReason) error {
-	return &AttemptError{Reason: failure, Err: errors.New("as the test wants")}
+	return &AttemptError{Reason: failure, Err: errors.New("injected failure")}
 }
 
 var errReset = errors.New("connection reset")
 
-func TestRefusalsBeforeAnythingIsSent(t *testing.T) {
+// TestRequestErrorsBeforeFirstAttempt checks the errors of requests that were not sent.
+func TestRequestErrorsBeforeFirstAttempt(t *testing.T) {
 	f := newFixture(t)
-	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeNotReady || refusal.RetryAfter == 0 {
-		t.Errorf("without a configuration: %v", refusal)
+	if _, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeNotReady || requestErr.RetryAfter == 0 {
+		t.Errorf("without a configuration: %v", requestErr)
 	}
 	f.configure(nil)
-	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeNoReplica || refusal.RetryAfter == 0 {
-		t.Errorf("without replicas: %v", refusal)
+	if _, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeNoReplica || requestErr.RetryAfter == 0 {
+		t.Errorf("without replicas: %v", requestErr)
 	}
-	if _, refusal := f.serve(func(r *Request) { r.Host = "other" }); refusal == nil || refusal.Code != CodeNoRoute {
-		t.Errorf("without a route: %v", refusal)
+	if _, requestErr := f.serve(func(r *Request) { r.Host = "other" }); requestErr == nil || requestErr.Code != CodeNoRoute {
+		t.Errorf("without a route: %v", requestErr)
 	}
 	f.addReplica("a", "east-1")
-	if _, refusal := f.serve(func(r *Request) { r.Arrived = time.Now().Add(-time.Minute) }); refusal == nil || refusal.Code != CodeExpiredUnsent {
-		t.Errorf("without time: %v", refusal)
+	if _, requestErr := f.serve(func(r *Request) { r.Arrived = time.Now().Add(-time.Minute) }); requestErr == nil || requestErr.Code != CodeExpiredUnsent {
+		t.Errorf("without time: %v", requestErr)
 	}
-	if asked := f.replicasAsked(); len(asked) != 0 {
-		t.Errorf("sent to %v", asked)
+	if attempted := f.attemptedReplicas(); len(attempted) != 0 {
+		t.Errorf("sent to %v", attempted)
 	}
-	if client, refusal := f.serve(nil); refusal != nil || client.status != 200 || client.body.String() != "ok" {
-		t.Errorf("got %v, %d", refusal, client.status)
+	if client, requestErr := f.serve(nil); requestErr != nil || client.status != 200 || client.body.String() != "ok" {
+		t.Errorf("got %v, %d", requestErr, client.status)
 	}
 }
 
-// TestTheRegistryDecides removes and adds records and watches where requests go.
-func TestTheRegistryDecides(t *testing.T) {
+// TestRegistryChangesTakeEffect adds and removes records and checks where requests go.
+func TestRegistryChangesTakeEffect(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("near", "east-1")
@@ -235,22 +238,22 @@
 	expect := func(what, want string) {
 		t.Helper()
 		f.sent = nil
-		_, refusal := f.serve(nil)
-		if got := strings.Join(f.replicasAsked(), ","); got != want || (refusal != nil) != (want == "") {
-			t.Errorf("%s: sent to %q (%v), want %q", what, got, refusal, want)
+		_, requestErr := f.serve(nil)
+		if got := strings.Join(f.attemptedReplicas(), ","); got != want || (requestErr != nil) != (want == "") {
+			t.Errorf("%s: sent to %q (%v), want %q", what, got, requestErr, want)
 		}
 	}
 	expect("at first", "near")
 	f.apply(registry.Add(catalog.DrainRecord("near", catalog.Drain{})))
 	expect("drained", "far")
 	f.apply(registry.DeleteSet(catalog.ReplicaName("near"), catalog.TypeDrain))
-	expect("not drained any more", "near")
+	expect("drain ended", "near")
 	f.apply(registry.Add(catalog.EvacuationRecord("east-1", catalog.Evacuation{OperationID: "o"})))
 	expect("evacuated", "far")
 	f.apply(registry.DeleteSet(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
-	expect("taken back", "near")
+	expect("evacuation ended", "near")
 	f.apply(registry.DeleteName(catalog.ReplicaName("near")))
-	expect("not listed", "far")
+	expect("removed", "far")
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.HomeRegions = []string{ownRegion} })
 	expect("bound to a region without replicas", "")
 	f.addReplica("new", "east-2")
@@ -260,25 +263,25 @@
 	expect("without the route", "")
 }
 
-// TestAtMostOnce: after a byte was sent, only the replica's word lets a request go
-// to another one, unless its route permits repetition.
+// TestAtMostOnce checks that a request of which a byte was sent goes to another replica
+// only if the first one rejected it or its route permits repetition.
 func TestAtMostOnce(t *testing.T) {
 	tests := map[string]struct {
 		kind      routemap.Kind
 		resumable bool
 		failure   FailureReason
 		attempts  int
-		code      Code // of the refusal, empty if it is served
+		code      Code // of the error, "" if the request is served
 	}{
-		"once, unsent":          {routemap.AtMostOnce, false, FailureUnsent, 2, ""},
-		"once, full":            {routemap.AtMostOnce, false, FailureRejected, 2, ""},
-		"once, replaced":        {routemap.AtMostOnce, false, FailureReplaced, 2, ""},
-		"once, broken":          {routemap.AtMostOnce, false, FailureIndeterminate, 1, CodeOutcomeUnknown},
-		"stream, broken":        {routemap.Stream, false, FailureIndeterminate, 1, CodeOutcomeUnknown},
-		"resumable, broken":     {routemap.Stream, true, FailureIndeterminate, 2, ""},
-		"repeatable, broken":    {routemap.Idempotent, false, FailureIndeterminate, 2, ""},
-		"repeatable, refused":   {routemap.Idempotent, false, FailureRejected, 2, ""},
-		"stream, nothing there": {routemap.Stream, false, FailureUnsent, 2, ""},
+		"at most once, unsent":        {routemap.AtMostOnce, false, FailureUnsent, 2, ""},
+		"at most once, rejected":      {routemap.AtMostOnce, false, FailureRejected, 2, ""},
+		"at most once, replaced":      {routemap.AtMostOnce, false, FailureReplaced, 2, ""},
+		"at most once, indeterminate": {routemap.AtMostOnce, false, FailureIndeterminate, 1, CodeOutcomeUnknown},
+		"stream, indeterminate":       {routemap.Stream, false, FailureIndeterminate, 1, CodeOutcomeUnknown},
+		"resumable, indeterminate":    {routemap.Stream, true, FailureIndeterminate, 2, ""},
+		"idempotent, indeterminate":   {routemap.Idempotent, false, FailureIndeterminate, 2, ""},
+		"idempotent, rejected":        {routemap.Idempotent, false, FailureRejected, 2, ""},
+		"stream, unsent":              {routemap.Stream, false, FailureUnsent, 2, ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -289,42 +292,43 @@
 			f.addReplica("a", "east-1")
 			f.addReplica("b", "east-1")
 			f.fillRetryBudget()
-			f.answer = func(_ context.Context, attempt *Attempt) (*Response, error) {
-				if len(f.replicasAsked()) == 1 {
+			f.respond = func(_ context.Context, attempt *Attempt) (*Response, error) {
+				if len(f.attemptedReplicas()) == 1 {
 					return nil, attemptError(test.failure)
 				}
-				return whole(200, "second"), nil
+				return fullResponse(200, "second"), nil
 			}
-			client, refusal := f.serve(nil)
-			asked := f.replicasAsked()
-			if len(asked) != test.attempts || len(asked) == 2 && asked[0] == asked[1] {
-				t.Errorf("sent to %v, want %d replicas", asked, test.attempts)
+			client, requestErr := f.serve(nil)
+			attempted := f.attemptedReplicas()
+			if len(attempted) != test.attempts || len(attempted) == 2 && attempted[0] == attempted[1] {
+				t.Errorf("sent to %v, want %d replicas", attempted, test.attempts)
 			}
 			switch {
-			case test.code == "" && (refusal != nil || client.body.String() != "second"):
-				t.Errorf("got %v, %q", refusal, client.body.String())
-			case test.code != "" && (refusal == nil || refusal.Code != test.code || client.status != 0):
-				t.Errorf("got %v, want %s", refusal, test.code)
+			case test.code == "" && (requestErr != nil || client.body.String() != "second"):
+				t.Errorf("got %v, %q", requestErr, client.body.String())
+			case test.code != "" && (requestErr == nil || requestErr.Code != test.code || client.status != 0):
+				t.Errorf("got %v, want %s", requestErr, test.code)
 			}
 		})
 	}
 }
 
-// TestOpenConnectionsAreKeptTo: among replicas that are about as good, a gateway keeps
-// to those it has a connection to, and leaves them for one that is clearly better.
-func TestOpenConnectionsAreKeptTo(t *testing.T) {
-	synctest.Test(t, checkOpenConnections)
+// TestIdleConnectionsArePreferred checks that among replicas that are about equally good, a
+// gateway uses those to which it has a connection, but not if another one is clearly
+// better.
+func TestIdleConnectionsArePreferred(t *testing.T) {
+	synctest.Test(t, checkIdleConnections)
 }
 
-func checkOpenConnections(t *testing.T) {
+func checkIdleConnections(t *testing.T) {
 	f := newFixture(t)
 	f.configure(withPrompts)
 	for i := range 12 {
 		f.addReplica(fmt.Sprint("r", i), "east-1")
 	}
-	f.answer = func(context.Context, *Attempt) (*Response, error) { return events("id: 1\ndata: x\n\n", nil), nil }
+	f.respond = func(context.Context, *Attempt) (*Response, error) { return events("id: 1\ndata: x\n\n", nil), nil }
 	f.connected = map[string]bool{"r3:1": true}
-	ask := func(i int) {
+	send := func(i int) {
 		f.serve(func(r *Request) {
 			r.ID = fmt.Sprint("id-", i)
 			r.PrefixChain, r.PromptTokens = chainOf(fmt.Sprint("part-", i), 10), 20
@@ -332,77 +336,76 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	for i := range 20 {
-		ask(i)
+		send(i)
 	}
-	for _, name := range f.replicasAsked() {
+	for _, name := range f.attemptedReplicas() {
 		if name != "r3" {
-			t.Fatalf("asked %v", f.replicasAsked())
+			t.Fatalf("attempted %v", f.attemptedReplicas())
 		}
 	}
 	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
 	f.sent = nil
-	ask(20)
-	if asked := f.replicasAsked(); len(asked) != 1 || asked[0] == "r3" {
-		t.Errorf("a busy replica is kept to: %v", asked)
+	send(20)
+	if attempted := f.attemptedReplicas(); len(attempted) != 1 || attempted[0] == "r3" {
+		t.Errorf("a busy replica is used: %v", attempted)
 	}
 }
 
-// TestASilentZoneIsAvoided: after three of its replicas gave no sign the others are
-// left alone while another zone has some, until one of them answers or a second has
-// passed.
-func TestASilentZoneIsAvoided(t *testing.T) {
-	synctest.Test(t, checkSilentZone)
+// TestUnresponsiveZoneIsAvoided checks that a zone is avoided after connections to several
+// of its replicas timed out, until one of them responds or some time has passed.
+func TestUnresponsiveZoneIsAvoided(t *testing.T) {
+	synctest.Test(t, checkUnresponsiveZone)
 }
 
-func checkSilentZone(t *testing.T) {
+func checkUnresponsiveZone(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(_ *routemap.Route, service *routemap.Service) { service.Slots = 1 })
 	for i := range 8 {
 		f.addReplica(fmt.Sprint("cut", i), "east-1")
 		f.addReplica(fmt.Sprint("far", i), "west-1")
 	}
-	const hanging = 300 * time.Millisecond
-	hung := 0
-	cut := true
-	f.answer = func(_ context.Context, attempt *Attempt) (*Response, error) {
-		if cut && strings.HasPrefix(attempt.Replica.ID, "cut") {
-			hung++
-			time.Sleep(hanging)
+	const connectTimeout = 300 * time.Millisecond
+	timeouts := 0
+	partitioned := true
+	f.respond = func(_ context.Context, attempt *Attempt) (*Response, error) {
+		if partitioned && strings.HasPrefix(attempt.Replica.ID, "cut") {
+			timeouts++
+			time.Sleep(connectTimeout)
 			return nil, &AttemptError{Reason: FailureUnsent, NoResponse: true, Err: errors.New("i/o timeout")}
 		}
-		return whole(200, "served"), nil
+		return fullResponse(200, "served"), nil
 	}
 	began := time.Now()
 	for i := range 12 {
-		if _, refusal := f.serve(func(r *Request) { r.ID = fmt.Sprint("id-", i) }); refusal != nil {
-			t.Errorf("request %d: %v", i, refusal)
+		if _, requestErr := f.serve(func(r *Request) { r.ID = fmt.Sprint("id-", i) }); requestErr != nil {
+			t.Errorf("request %d: %v", i, requestErr)
 		}
 	}
-	if hung != silentReplicas || time.Since(began) > silentReplicas*hanging {
-		t.Errorf("%d connections hung, for %v", hung, time.Since(began))
+	if timeouts != unresponsiveReplicas || time.Since(began) > unresponsiveReplicas*connectTimeout {
+		t.Errorf("%d connections timed out, in %v", timeouts, time.Since(began))
 	}
 	time.Sleep(zoneAvoidance)
-	cut = false
+	partitioned = false
 	f.sent = nil
 	f.serve(nil)
-	if asked := f.replicasAsked(); len(asked) != 1 || !strings.HasPrefix(asked[0], "cut") {
-		t.Errorf("after the cut: asked %v", asked)
+	if attempted := f.attemptedReplicas(); len(attempted) != 1 || !strings.HasPrefix(attempted[0], "cut") {
+		t.Errorf("after the partition: attempted %v", attempted)
 	}
 	for _, id := range []string{"cut0", "cut1", "cut2"} {
-		f.dispatcher.zone("east-1").noteSilent(time.Now(), id)
+		f.dispatcher.zone("east-1").recordNoResponse(time.Now(), id)
 	}
-	f.dispatcher.zone("east-1").noteHeard()
+	f.dispatcher.zone("east-1").recordResponse()
 	f.sent = nil
 	f.serve(nil)
-	if asked := f.replicasAsked(); len(asked) != 1 || !strings.HasPrefix(asked[0], "cut") {
-		t.Errorf("after one was heard: asked %v", asked)
+	if attempted := f.attemptedReplicas(); len(attempted) != 1 || !strings.HasPrefix(attempted[0], "cut") {
+		t.Errorf("after a response: attempted %v", attempted)
 	}
 }
 
-// TestReplicasThatWereReplacedTogetherArePassedOver: when many replicas are replaced
-// at once, the list is late, and several in a row may be others by now. They did not
-// run the request, and answer at once.
-func TestReplicasThatWereReplacedTogetherArePassedOver(t *testing.T) {
+// TestReplacedReplicasAreSkipped checks that several replaced replicas in a row are
+// skipped, as when many are replaced at once and the registry is behind. They reject at
+// once; replicas that reject because of load are skipped less often.
+func TestReplacedReplicasAreSkipped(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -412,106 +415,112 @@
 		f.serve(nil)
 	}
 	f.sent = nil
-	f.answer = func(context.Context, *Attempt) (*Response, error) {
-		if len(f.replicasAsked()) < 4 {
+	f.respond = func(context.Context, *Attempt) (*Response, error) {
+		if len(f.attemptedReplicas()) < 4 {
 			return nil, attemptError(FailureReplaced)
 		}
-		return whole(200, "served"), nil
+		return fullResponse(200, "served"), nil
 	}
-	client, refusal := f.serve(nil)
-	if refusal != nil || client.body.String() != "served" {
-		t.Errorf("got %v, %q after %v", refusal, client.body.String(), f.replicasAsked())
+	client, requestErr := f.serve(nil)
+	if requestErr != nil || client.body.String() != "served" {
+		t.Errorf("got %v, %q after %v", requestErr, client.body.String(), f.attemptedReplicas())
 	}
 	f.sent = nil
-	f.answer = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureRejected) }
-	if _, refusal := f.serve(nil); refusal == nil || len(f.replicasAsked()) > mostRefused {
-		t.Errorf("full replicas: %v after %v", refusal, f.replicasAsked())
+	f.respond = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureRejected) }
+	if _, requestErr := f.serve(nil); requestErr == nil || len(f.attemptedReplicas()) > maxRejections {
+		t.Errorf("replicas that reject: %v after %v", requestErr, f.attemptedReplicas())
 	}
 }
 
-// TestARefusalAfterABreakDoesNotSayNotRun: once something may have run, no refusal
-// promises the contrary.
-func TestARefusalAfterABreakDoesNotSayNotRun(t *testing.T) {
+// TestIndeterminateAttemptMakesOutcomeUnknown checks that no later error says of a request
+// that may have run that it has not.
+func TestIndeterminateAttemptMakesOutcomeUnknown(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Idempotent })
 	f.addReplica("a", "east-1")
 	for range 20 {
 		f.serve(nil)
 	}
-	f.answer = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
-	if _, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeOutcomeUnknown || refusal.RetryAfter != 0 {
-		t.Errorf("got %v", refusal)
+	f.respond = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
+	if _, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeOutcomeUnknown || requestErr.RetryAfter != 0 {
+		t.Errorf("got %v", requestErr)
 	}
 }
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+// TestRetryBudget checks that retries stay within their ratio.
+func TestRetryBudget(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Idempotent })
 	for i := range 6 {
 		f.addReplica(fmt.Sprint("r", i), "east-1")
 	}
-	f.answer = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
+	f.respond = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
 	const requests = 200
 	for range requests {
 		f.serve(nil)
 	}
-	if repeated := len(f.replicasAsked()) - requests; repeated > requests/5 || repeated == 0 {
-		t.Errorf("%d repeats of %d requests", repeated, requests)
+	if retries := len(f.attemptedReplicas()) - requests; retries > requests/5 || retries == 0 {
+		t.Errorf("%d retries of %d requests", retries, requests)
 	}
 }
 
-func TestAReplicasOwnErrorIsPassedOn(t *testing.T) {
+// TestReplicaErrorIsRelayed checks that a replica's own error is the response.
+func TestReplicaErrorIsRelayed(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
-	f.answer = func(context.Context, *Attempt) (*Response, error) { return whole(500, "failed"), nil }
-	if client, refusal := f.serve(nil); refusal != nil || client.status != 500 || client.body.String() != "failed" {
-		t.Errorf("got %v, %d", refusal, client.status)
+	f.respond = func(context.Context, *Attempt) (*Response, error) { return fullResponse(500, "failed"), nil }
+	if client, requestErr := f.serve(nil); requestErr != nil || client.status != 500 || client.body.String() != "failed" {
+		t.Errorf("got %v, %d", requestErr, client.status)
 	}
 }
 
-func TestAnAnswerThatBreaksOffIsNotBegun(t *testing.T) {
+// TestInterruptedBodyIsNotStarted checks that nothing of a short body is sent before it is
+// complete.
+func TestInterruptedBodyIsNotStarted(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
-	f.answer = func(context.Context, *Attempt) (*Response, error) {
+	f.respond = func(context.Context, *Attempt) (*Response, error) {
 		return &Response{Status: 200, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(strings.NewReader("part"), failing{errReset}))}, nil
 	}
-	if client, refusal := f.serve(nil); refusal == nil || refusal.Code != CodeOutcomeUnknown || refusal.ResponseStarted || client.status != 0 {
-		t.Errorf("got %v, status %d", refusal, client.status)
+	if client, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeOutcomeUnknown || requestErr.ResponseStarted || client.status != 0 {
+		t.Errorf("got %v, status %d", requestErr, client.status)
 	}
 }
 
-func TestTimeEndsWithAnAnswerAtOnce(t *testing.T) {
+// TestRouteTimeout checks that a request ends at its route's timeout.
+func TestRouteTimeout(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Timeout = 50 * time.Millisecond })
 	f.addReplica("a", "east-1")
-	f.answer = func(ctx context.Context, _ *Attempt) (*Response, error) {
+	f.respond = func(ctx context.Context, _ *Attempt) (*Response, error) {
 		<-ctx.Done()
 		return nil, attemptError(FailureIndeterminate)
 	}
 	started := time.Now()
-	_, refusal := f.serve(func(r *Request) { r.ClientTimeout = time.Minute })
-	if took := time.Since(started); refusal == nil || refusal.Code != CodeTimedOut || took > time.Second {
-		t.Errorf("got %v after %v", refusal, took)
+	_, requestErr := f.serve(func(r *Request) { r.ClientTimeout = time.Minute })
+	if took := time.Since(started); requestErr == nil || requestErr.Code != CodeTimedOut || took > time.Second {
+		t.Errorf("got %v after %v", requestErr, took)
 	}
 	if deadline := f.sent[0].Deadline; time.Until(deadline) > 50*time.Millisecond {
-		t.Errorf("the replica was given until %v", deadline)
+		t.Errorf("the replica got the deadline %v", deadline)
 	}
 }
 
-func TestAClientThatLeavesEndsTheAttempt(t *testing.T) {
+// TestClientDisconnectAbortsAttempt checks that an attempt ends with its client.
+func TestClientDisconnectAbortsAttempt(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
 	ctx, cancel := context.WithCancel(t.Context())
-	f.answer = func(sending context.Context, _ *Attempt) (*Response, error) {
+	f.respond = func(sending context.Context, _ *Attempt) (*Response, error) {
 		cancel()
 		<-sending.Done()
 		return nil, attemptError(FailureIndeterminate)
 	}
 	request := &Request{ID: "id", Method: http.MethodPost, Host: "h", Path: "/", Arrived: time.Now()}
-	if refusal := f.dispatcher.Serve(ctx, request, &recorder{}); refusal == nil || refusal.Code != CodeClientClosed {
-		t.Errorf("got %v", refusal)
+	if requestErr := f.dispatcher.Serve(ctx, request, &recorder{}); requestErr == nil || requestErr.Code != CodeClientClosed {
+		t.Errorf("got %v", requestErr)
 	}
 }
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -8,25 +8,24 @@
 )
 
 const (
-	// eventBuffer is the size of a stream's buffer in bytes.
+	// eventBuffer is the size of a stream's read buffer in bytes.
 	eventBuffer = 2 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
 )
 
-// errEventTooLong and errEventCut are streams that cannot be passed on.
 var (
-	errEventTooLong = errors.New("event is too long")
-	errEventCut     = errors.New("stream ended within an event")
+	errEventTooLong   = errors.New("event is too long")
+	errTruncatedEvent = errors.New("stream ended within an event")
 )
 
-// event is one event of a stream, with the empty line that ends it.
+// event is one event of a stream, with the empty line that terminates it.
 type event struct {
-	text []byte // valid until the next one is read
+	text []byte // valid until the next event is read
 	id   string
 }
 
-// eventReader cuts a text/event-stream into events.
+// eventReader splits a text/event-stream into events, and changes no byte of them.
 type eventReader struct {
 	reader *bufio.Reader
 	text   []byte
@@ -38,8 +37,8 @@
 
 var idField = []byte("id:")
 
-// next returns the next whole event, io.EOF at the end of the stream, or why
-// the stream broke off.
+// next returns the next whole event, io.EOF at the end of the stream, or why the stream
+// was interrupted.
 func (e *eventReader) next() (event, error) {
 	e.text = e.text[:0]
 	id := ""
@@ -54,7 +53,7 @@
 			continue
 		}
 		if err != nil {
-			return event{}, e.ended(err)
+			return event{}, e.endError(err)
 		}
 		line := bytes.TrimRight(e.text[start:], "\r\n")
 		start = len(e.text)
@@ -70,10 +69,11 @@
 	}
 }
 
-// ended tells the end of a stream from one within an event.
-func (e *eventReader) ended(err error) error {
+// endError returns the error of a stream that ended: errTruncatedEvent if it ended
+// within an event.
+func (e *eventReader) endError(err error) error {
 	if errors.Is(err, io.EOF) && len(e.text) > 0 {
-		return errEventCut
+		return errTruncatedEvent
 	}
 	return err
 }
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -16,7 +16,7 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// exampleBackend is two replicas as functions: the first cannot be reached.
+// exampleBackend has two replicas, the first of which cannot be reached.
 type exampleBackend struct{}
 
 func (exampleBackend) Send(_ context.Context, attempt *dispatch.Attempt) (*dispatch.Response, error) {
@@ -33,7 +33,7 @@
 
 func (exampleBackend) CloseIdleConnections(string) {}
 
-// exampleClient prints the answer.
+// exampleClient prints the response.
 type exampleClient struct{}
 
 func (exampleClient) WriteHead(status int, _ http.Header) { fmt.Print(status, " ") }
@@ -42,7 +42,8 @@
 
 func (exampleClient) Flush() {}
 
-func exampleContents() (*catalog.State, error) {
+// exampleState returns the state of a registry with one route and two replicas.
+func exampleState() (*catalog.State, error) {
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
 		return nil, err
@@ -67,20 +68,20 @@
 	return catalog.Read(table.View())
 }
 
-// A request that may run once only is sent to another replica as long as no byte
-// of it has left.
+// A request that may run at most once is sent to another replica as long as no byte of it
+// was sent.
 func Example() {
-	contents, err := exampleContents()
+	state, err := exampleState()
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	dispatcher := dispatch.New(dispatch.Options{Gateway: "gateway-1", Zone: "north-1", Region: "north", Backend: exampleBackend{}})
-	dispatcher.Update(contents)
+	dispatcher.Update(state)
 	request := &dispatch.Request{ID: "q-1", Method: http.MethodPost, Host: "example.test", Path: "/index", Target: "/index", Arrived: time.Now()}
-	refusal := dispatcher.Serve(context.Background(), request, exampleClient{})
-	fmt.Println("\nrefused:", refusal != nil)
+	requestErr := dispatcher.Serve(context.Background(), request, exampleClient{})
+	fmt.Println("\nrejected:", requestErr != nil)
 	// Output:
 	// 200 served by r2
-	// refused: false
+	// rejected: false
 }
--- /dev/null
+++ b/dispatch/load.go
@@ -0,0 +1,140 @@
+package dispatch
+
+import (
+	"time"
+
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+// loadReportTTL is how long a report of other gateways' loads counts.
+const loadReportTTL = 2500 * time.Millisecond
+
+// loadTable has the loads of all other gateways.
+type loadTable struct {
+	// reports are by the aggregator that sent them.
+	reports map[string]loadReport
+	// sums adds up the reports, until the first of them expires at expiry.
+	sums   map[peer.ReplicaKey]peer.Load
+	expiry time.Time
+}
+
+type loadReport struct {
+	receivedAt time.Time
+	loads      map[peer.ReplicaKey]peer.Load
+}
+
+func newLoadTable() loadTable { return loadTable{reports: make(map[string]loadReport)} }
+
+// update replaces the report of one aggregator.
+func (t *loadTable) update(now time.Time, aggregator string, loads map[peer.ReplicaKey]peer.Load) {
+	t.reports[aggregator] = loadReport{receivedAt: now, loads: loads}
+	t.sum(now)
+}
+
+// sum removes expired reports and adds up the others.
+func (t *loadTable) sum(now time.Time) {
+	t.sums = make(map[peer.ReplicaKey]peer.Load)
+	t.expiry = now.Add(loadReportTTL)
+	for aggregator, report := range t.reports {
+		expiry := report.receivedAt.Add(loadReportTTL)
+		if now.After(expiry) {
+			delete(t.reports, aggregator)
+			continue
+		}
+		if expiry.Before(t.expiry) {
+			t.expiry = expiry
+		}
+		for replica, load := range report.loads {
+			t.sums[replica] = t.sums[replica].Add(load)
+		}
+	}
+}
+
+// at returns what all other gateways have in flight at a replica.
+func (t *loadTable) at(replica peer.ReplicaKey, now time.Time) peer.Load {
+	if now.After(t.expiry) {
+		t.sum(now)
+	}
+	return t.sums[replica]
+}
+
+// Observe processes what other gateways have in flight, placed and measured. Their
+// prompts are added to the backlogs here too, and their measurements count like those
+// of this gateway.
+func (d *Dispatcher) Observe(loads *peer.RegionLoads) {
+	now := time.Now()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if loads.Complete {
+		d.loads.update(now, loads.Aggregator, loads.Loads)
+	}
+	for _, total := range loads.PrefillTotals {
+		if r, known := d.byKey[total.Replica]; known {
+			r.addPrompt(now, time.Duration(total.PrefillMS)*time.Millisecond)
+		}
+	}
+	for _, prompt := range loads.PlacedPrompts {
+		if r, known := d.byKey[prompt.Replica]; known {
+			prefill := time.Duration(prompt.PrefillMS) * time.Millisecond
+			r.addPrompt(now, prefill)
+			r.addReservation(now, prompt.Gateway, prefill)
+			d.recordPrefixes(r, prompt.Prefixes)
+		}
+	}
+	for _, sample := range loads.PrefillSamples {
+		if r, known := d.byKey[sample.Replica]; known {
+			d.observePrefill(r, secondsOf(sample.ReferenceUS), secondsOf(sample.MeasuredUS))
+		}
+	}
+}
+
+// microsecondsPerSecond converts the times of prefill samples.
+const microsecondsPerSecond = 1e6
+
+// secondsOf converts microseconds to seconds.
+func secondsOf(microseconds uint32) float64 { return float64(microseconds) / microsecondsPerSecond }
+
+// microsecondsOf converts seconds to microseconds.
+func microsecondsOf(seconds float64) uint32 { return uint32(microsecondsPerSecond * seconds) }
+
+// recordPrefixes records the shared prefixes that a replica will have in its cache.
+func (d *Dispatcher) recordPrefixes(r *replica, prefixes []uint64) {
+	if known, found := d.services[r.service]; found && len(prefixes) > 0 {
+		known.index.RecordHashes(r.number, prefixes)
+	}
+}
+
+// observePrefill learns from a sample of any gateway: a prefill that a replica did
+// alone. The work is in seconds of the reference replica, took in seconds.
+func (d *Dispatcher) observePrefill(r *replica, work, took float64) {
+	known, found := d.services[r.service]
+	if !found || work <= 0 {
+		return
+	}
+	known.prefill.observe(work, took)
+	model := known.prefill.model
+	r.observeSlowdown((took - model.overhead) / (model.factor * work))
+}
+
+// Loads returns this gateway's own load by replica.
+func (d *Dispatcher) Loads() map[peer.ReplicaKey]peer.Load {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	loads := make(map[peer.ReplicaKey]peer.Load)
+	for key, r := range d.byKey {
+		if r.inFlight > 0 {
+			loads[key] = peer.Load{Requests: r.inFlight, Tokens: int(r.inFlightTokens)}
+		}
+	}
+	return loads
+}
+
+// RegionOf returns the region of a replica, "" if it is not known.
+func (d *Dispatcher) RegionOf(replica peer.ReplicaKey) string {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if r, known := d.byKey[replica]; known {
+		return r.region
+	}
+	return ""
+}
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -11,144 +11,139 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// wholeLimit is the largest answer in bytes that is read before any of it is
-// passed on, so that one that breaks off is not begun.
-const wholeLimit = 256 << 10
+// maxBufferedBody is the size in bytes up to which a body is read whole before any of
+// it is relayed, so that the request can be retried if the body is interrupted.
+const maxBufferedBody = 256 << 10
 
-// relayWhole passes on an answer that is no series of events.
-func (r *run) relayWhole(ctx context.Context, at *placed, answer *Response) (again bool, refusal *RequestError) {
-	first, err := io.ReadAll(io.LimitReader(answer.Body, wholeLimit+1))
+// relayBody relays a response that is not an event stream.
+func (t *transaction) relayBody(ctx context.Context, attempt *placedAttempt, response *Response) (retry bool, requestErr *RequestError) {
+	buffered, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
 	if err != nil {
-		return r.broken(ctx, at, err)
+		return t.handleInterruption(ctx, attempt, err)
 	}
-	if len(first) <= wholeLimit {
-		if r.request.Method != http.MethodHead {
-			answer.Header.Set("Content-Length", strconv.Itoa(len(first)))
+	if len(buffered) <= maxBufferedBody {
+		if t.request.Method != http.MethodHead {
+			response.Header.Set("Content-Length", strconv.Itoa(len(buffered)))
 		}
-		r.begin(answer)
-		_, _ = r.client.Write(first)
-		r.dispatcher.succeeded(at, answer.Status)
+		t.writeHead(response)
+		_, _ = t.client.Write(buffered) // the replica has served the request, whoever receives the response
+		t.dispatcher.recordSuccess(attempt, response.Status)
 		return false, nil
 	}
-	r.begin(answer)
-	if _, err := r.client.Write(first); err != nil {
+	t.writeHead(response)
+	if _, err := t.client.Write(buffered); err != nil {
 		return false, &RequestError{Code: CodeClientClosed, ResponseStarted: true}
 	}
-	if _, err := io.Copy(r.client, answer.Body); err != nil {
-		return r.broken(ctx, at, err)
+	if _, err := io.Copy(t.client, response.Body); err != nil {
+		return t.handleInterruption(ctx, attempt, err)
 	}
-	r.dispatcher.succeeded(at, answer.Status)
+	t.dispatcher.recordSuccess(attempt, response.Status)
 	return false, nil
 }
 
-// begin sends the head of the first answer; a resumed one keeps it.
-func (r *run) begin(answer *Response) {
-	if r.begun {
+// writeHead sends the head of the first response. A resumed one continues it.
+func (t *transaction) writeHead(response *Response) {
+	if t.responseStarted {
 		return
 	}
-	r.begun = true
-	r.client.WriteHead(answer.Status, answer.Header)
+	t.responseStarted = true
+	t.client.WriteHead(response.Status, response.Header)
 }
 
-// relayEvents passes events on one by one, whole events only. The head of the
-// answer waits for the first event, so that an attempt which breaks off before
-// it has begun nothing.
-func (r *run) relayEvents(ctx context.Context, at *placed, answer *Response, watch *silenceWatch) (again bool, refusal *RequestError) {
-	events := newEventReader(answer.Body)
+// relayEvents relays an event stream, whole events only. The head of the response waits
+// for the first event, so that an attempt that is interrupted before it can be retried.
+func (t *transaction) relayEvents(ctx context.Context, attempt *placedAttempt, response *Response, watchdog *idleWatchdog) (retry bool, requestErr *RequestError) {
+	events := newEventReader(response.Body)
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
-			r.begin(answer)
-			r.client.Flush()
-			r.dispatcher.succeeded(at, answer.Status)
+			t.writeHead(response)
+			t.client.Flush()
+			t.dispatcher.recordSuccess(attempt, response.Status)
 			return false, nil
 		}
 		if err != nil {
-			watch.stop()
-			return r.broken(ctx, at, err)
+			watchdog.stop()
+			return t.handleInterruption(ctx, attempt, err)
 		}
-		r.dispatcher.opened(at)
-		if seen(event.id, r.after) {
+		t.dispatcher.recordFirstEvent(attempt)
+		if isDuplicate(event.id, t.lastEventID) {
 			continue
 		}
-		r.begin(answer)
-		if _, err := r.client.Write(event.text); err != nil {
+		t.writeHead(response)
+		if _, err := t.client.Write(event.text); err != nil {
 			return false, &RequestError{Code: CodeClientClosed}
 		}
-		r.client.Flush()
+		t.client.Flush()
 		if event.id != "" {
-			r.after = event.id
+			t.lastEventID = event.id
 		}
 	}
 }
 
-// seen says that the client has an event already: ids rise within a stream.
-func seen(id, after string) bool {
-	if id == "" || after == "" {
+// isDuplicate reports whether the client already has an event. It compares ids that are
+// numbers, which rise within a stream; an event with any other id is no duplicate.
+func isDuplicate(id, lastEventID string) bool {
+	if id == "" || lastEventID == "" {
 		return false
 	}
 	number, err := strconv.ParseInt(id, 10, 64)
-	last, lastErr := strconv.ParseInt(after, 10, 64)
+	last, lastErr := strconv.ParseInt(lastEventID, 10, 64)
 	return err == nil && lastErr == nil && number <= last
 }
 
-// broken decides what follows an answer that broke off.
-func (r *run) broken(ctx context.Context, at *placed, err error) (again bool, refusal *RequestError) {
-	if refusal := r.timeLeft(ctx); refusal != nil {
-		return false, refusal
+// handleInterruption decides what follows a response that was interrupted.
+func (t *transaction) handleInterruption(ctx context.Context, attempt *placedAttempt, err error) (retry bool, requestErr *RequestError) {
+	if requestErr := t.checkDone(ctx); requestErr != nil {
+		return false, requestErr
 	}
-	d := r.dispatcher
+	d := t.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
 	d.counts.FailedAttempts[FailureIndeterminate]++
-	d.log.Debug("answer broke off", "request", r.request.ID, "replica", at.endpoint.ID, "error", err)
-	return r.afterBreak(at, now)
+	d.log.Debug("response interrupted", "request", t.request.ID, "replica", attempt.endpoint.ID, "error", err)
+	return t.afterIndeterminate(attempt, now)
 }
 
-// opened notes the first event of an attempt.
-func (d *Dispatcher) opened(at *placed) {
-	if at.work.opened {
+// recordFirstEvent records the first event of an attempt. Only samples of the own
+// region are learned from and announced: the network has too large a share in others.
+func (d *Dispatcher) recordFirstEvent(attempt *placedAttempt) {
+	if attempt.use.firstEvent {
 		return
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	if took, measured := at.work.open(now); measured && at.replica.region == d.options.Region {
-		d.learn(at.replica, at.work.own.work, took)
+	r, use := attempt.replica, attempt.use
+	if took, sampled := use.recordFirstEvent(now); sampled && r.region == d.options.Region {
+		d.observePrefill(r, use.estimate.work, took)
 		if d.options.OnPrefill != nil {
-			d.options.OnPrefill(peer.PrefillSample{Replica: at.replica.key, ReferenceUS: uint32(1e6 * at.work.own.work), MeasuredUS: uint32(1e6 * took)})
+			d.options.OnPrefill(peer.PrefillSample{
+				Replica:     r.key,
+				ReferenceUS: microsecondsOf(use.estimate.work),
+				MeasuredUS:  microsecondsOf(took),
+			})
 		}
 	}
-	at.replica.reached()
-	d.zone(at.replica.zone).noteHeard()
-	d.log.Debug("first event", "replica", at.endpoint.ID, "took", now.Sub(at.work.began), "expected", at.expected, "tokens", at.work.held, "reading", at.work.reading, "ahead", at.work.ahead, "running", at.replica.inFlight, "slowness", at.replica.slowness)
+	r.recordResponse()
+	d.zone(r.zone).recordResponse()
+	d.log.Debug("first event received", "replica", attempt.endpoint.ID, "took", now.Sub(use.began), "expected", attempt.expected, "tokens", use.tokens, "prefill", use.prefill, "backlog", use.backlog, "in_flight", r.inFlight, "slowdown", r.slowdown)
 }
 
-// learn takes in how long a prompt took that a replica read alone, whoever measured
-// it.
-func (d *Dispatcher) learn(r *replica, work, took float64) {
-	known, found := d.services[r.service]
-	if !found || work <= 0 {
-		return
-	}
-	known.pace.learn(work, took)
-	line := known.pace.now
-	r.learn((took - line.start) / (line.factor * work))
-}
-
-// succeeded notes a whole answer.
-func (d *Dispatcher) succeeded(at *placed, status int) {
+// recordSuccess records a whole response. An error of the replica counts as a failure
+// in outlier detection only.
+func (d *Dispatcher) recordSuccess(attempt *placedAttempt, status int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	at.replica.reached()
-	d.zone(at.replica.zone).noteHeard()
+	attempt.replica.recordResponse()
+	d.zone(attempt.replica.zone).recordResponse()
 	if status >= http.StatusInternalServerError {
-		at.service.outliers.RecordFailure(now, at.replica.id)
+		attempt.service.outliers.RecordFailure(now, attempt.replica.id)
 		return
 	}
-	at.service.outliers.RecordSuccess(now, at.replica.id)
-	took := now.Sub(at.work.began).Seconds()
-	at.service.hold += holdSmoothing * (took - at.service.hold)
+	attempt.service.outliers.RecordSuccess(now, attempt.replica.id)
+	took := now.Sub(attempt.use.began).Seconds()
+	attempt.service.serviceTime += serviceTimeWeight * (took - attempt.service.serviceTime)
 }
--- a/dispatch/simulation_checks_test.go
+++ b/dispatch/simulation_checks_test.go
@@ -11,42 +11,44 @@
 )
 
 const (
-	// holdSlack is how long a request may be held past its time.
-	holdSlack = 50 * time.Millisecond
+	// timeoutSlack is how long after its deadline a request may get its response.
+	timeoutSlack = 50 * time.Millisecond
 	// budgetWindow, budgetShare and budgetSlack bound the arrivals beyond the first.
 	budgetWindow = 10 * time.Second
 	budgetShare  = 0.2
 	budgetSlack  = 62
-	// coldWindow, coldFactor and coldSlack bound what a cold replica gets.
-	coldWindow = time.Second
-	coldFactor = 1.5
-	coldSlack  = 5
-	coldRate   = 10
-	// settledShare of the requests must be served once the trouble is over.
-	settledShare = 0.95
+	// slowStartWindow, slowStartFactor and slowStartSlack bound what a replica receives
+	// while it is warming up, by its slowStartRate.
+	slowStartWindow = time.Second
+	slowStartFactor = 1.5
+	slowStartSlack  = 5
+	slowStartRate   = 10
+	// recoveredShare of the requests must be served after the recovery.
+	recoveredShare = 0.95
 )
 
-// simulatedTry is one sending of a request to one gateway.
-type simulatedTry struct {
-	request *Request
-	began   time.Duration // into the day
-	took    time.Duration
-	wait    time.Duration
-	refusal *RequestError
-	text    string
-	ran     []string // replicas
-	arrived int
+// clientAttempt is one sending of a request by a client to one gateway.
+type clientAttempt struct {
+	request    *Request
+	began      time.Duration // into the run
+	took       time.Duration
+	wait       time.Duration
+	requestErr *RequestError
+	text       string
+	ran        []string // the replicas that ran it
+	arrived    int
 }
 
-func (t *simulatedTry) retryAfter() time.Duration {
-	if t.refusal == nil {
+// retryAfter returns when the client may retry, 0 if it may not.
+func (t *clientAttempt) retryAfter() time.Duration {
+	if t.requestErr == nil {
 		return 0
 	}
-	return t.refusal.RetryAfter
+	return t.requestErr.RetryAfter
 }
 
-// coldSpan is the cold time of one replica.
-type coldSpan struct {
+// warmupPeriod is the time from which one replica is warming up.
+type warmupPeriod struct {
 	replica string
 	from    time.Time
 }
@@ -57,146 +59,146 @@
 	from time.Time
 }
 
-// simulatedRecord keeps what happened on a day.
+// simulatedRecord records what happened in one run of the simulation.
 type simulatedRecord struct {
-	mutex       sync.Mutex
-	tries       map[string]*simulatedTry
-	arrivals    map[string][]time.Time // by replica
-	extra       []time.Time            // arrivals beyond the first of a try
-	firsts      []time.Time
-	colds       []coldSpan
-	evacuations []evacuation
-	settled     time.Duration // when the trouble is over, 0 for never
-	wrong       []string
+	mutex        sync.Mutex
+	attempts     map[string]*clientAttempt
+	arrivals     map[string][]time.Time // by replica
+	extra        []time.Time            // arrivals beyond the first of a client attempt
+	firsts       []time.Time
+	warmups      []warmupPeriod
+	evacuations  []evacuation
+	recoveryTime time.Duration // into the run; 0 if there is no recovery
+	violations   []string
 }
 
 func newSimulatedRecord() *simulatedRecord {
-	return &simulatedRecord{tries: make(map[string]*simulatedTry), arrivals: make(map[string][]time.Time)}
+	return &simulatedRecord{attempts: make(map[string]*clientAttempt), arrivals: make(map[string][]time.Time)}
 }
 
-func (r *simulatedRecord) begin(name string, request *Request, day time.Time) *simulatedTry {
+func (r *simulatedRecord) begin(name string, request *Request, start time.Time) *clientAttempt {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	try := &simulatedTry{request: request, began: time.Since(day)}
-	r.tries[name] = try
+	attempt := &clientAttempt{request: request, began: time.Since(start)}
+	r.attempts[name] = attempt
 	r.firsts = append(r.firsts, time.Now())
-	return try
+	return attempt
 }
 
-func (r *simulatedRecord) end(try *simulatedTry, refusal *RequestError, text string, wait time.Duration) {
+func (r *simulatedRecord) end(attempt *clientAttempt, requestErr *RequestError, text string, wait time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	try.refusal = refusal
-	try.text = text
-	try.wait = wait
+	attempt.requestErr = requestErr
+	attempt.text = text
+	attempt.wait = wait
 }
 
-func (r *simulatedRecord) took(try *simulatedTry, took time.Duration) {
+func (r *simulatedRecord) took(attempt *clientAttempt, took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	try.took = took
+	attempt.took = took
 }
 
-// arrived notes an attempt at a replica.
+// arrived records the arrival of an attempt at a replica.
 func (r *simulatedRecord) arrived(name string, replica *simulatedReplica, from *simulatedGateway) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
 	r.arrivals[replica.id] = append(r.arrivals[replica.id], now)
-	try := r.tries[name]
-	try.arrived++
-	if try.arrived > 1 {
+	attempt := r.attempts[name]
+	attempt.arrived++
+	if attempt.arrived > 1 {
 		r.extra = append(r.extra, now)
 	}
 	for _, zone := range r.evacuations {
-		if zone.zone == replica.zone && now.After(zone.from) && !from.cutOff.Load() {
-			r.wrong = append(r.wrong, fmt.Sprintf("EVACUATION: %s reaches %s %v after the acknowledgement", name, replica.id, now.Sub(zone.from)))
+		if zone.zone == replica.zone && now.After(zone.from) && !from.partitioned.Load() {
+			r.violations = append(r.violations, fmt.Sprintf("EVACUATION: %s reaches %s %v after the acknowledgement", name, replica.id, now.Sub(zone.from)))
 		}
 	}
 }
 
-// ran notes that a replica runs a request.
+// ran records that a replica runs a request.
 func (r *simulatedRecord) ran(name string, replica *simulatedReplica) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	try := r.tries[name]
-	try.ran = append(try.ran, replica.id)
-	route := trueRoute(try.request.Path)
+	attempt := r.attempts[name]
+	attempt.ran = append(attempt.ran, replica.id)
+	route := trueRoute(attempt.request.Path)
 	if region := simulatedZones[replica.zone]; len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, region) {
-		r.wrong = append(r.wrong, fmt.Sprintf("HOME: %s runs in %s", name, region))
+		r.violations = append(r.violations, fmt.Sprintf("HOME: %s runs in %s", name, region))
 	}
 }
 
-func (r *simulatedRecord) cold(replica *simulatedReplica) {
+func (r *simulatedRecord) warmingUp(replica *simulatedReplica) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.colds = append(r.colds, coldSpan{replica: replica.id, from: time.Now().Add(updateDelay)})
+	r.warmups = append(r.warmups, warmupPeriod{replica: replica.id, from: time.Now().Add(updateDelay)})
 }
 
 func (r *simulatedRecord) evacuated(zone string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	// What was placed before the change was active is still on its way.
-	r.evacuations = append(r.evacuations, evacuation{zone: zone, from: time.Now().Add(updateDelay + claimTime + farDelay + nearDelay)})
+	// Attempts that were placed before the change was active are still in flight.
+	r.evacuations = append(r.evacuations, evacuation{zone: zone, from: time.Now().Add(updateDelay + reservationDelay + crossZoneDelay + localDelay)})
 }
 
-func (r *simulatedRecord) takenBack(zone string) {
+func (r *simulatedRecord) evacuationEnded(zone string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.evacuations = slices.DeleteFunc(r.evacuations, func(e evacuation) bool { return e.zone == zone })
 }
 
-func (r *simulatedRecord) settledAt(at time.Duration) {
+func (r *simulatedRecord) recoveredAt(at time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.settled = at
+	r.recoveryTime = at
 }
 
-// check returns what was wrong on the day.
+// check returns the violations of the run.
 func (r *simulatedRecord) check() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	runs := make(map[string]int)
-	for name, try := range r.tries {
-		runs[try.request.ID] += len(try.ran)
-		r.checkTry(name, try)
+	for name, attempt := range r.attempts {
+		runs[attempt.request.ID] += len(attempt.ran)
+		r.checkAttempt(name, attempt)
 	}
-	for name, try := range r.tries {
-		route := trueRoute(try.request.Path)
-		if !route.Retryable() && runs[try.request.ID] > 1 {
-			r.wrong = append(r.wrong, fmt.Sprintf("TWICE: %s ran %d times", name, runs[try.request.ID]))
+	for name, attempt := range r.attempts {
+		route := trueRoute(attempt.request.Path)
+		if !route.Retryable() && runs[attempt.request.ID] > 1 {
+			r.violations = append(r.violations, fmt.Sprintf("TWICE: %s ran %d times", name, runs[attempt.request.ID]))
 		}
 	}
 	r.checkBudget()
-	r.checkCold()
-	r.checkSettled()
-	slices.Sort(r.wrong)
-	return r.wrong
+	r.checkSlowStart()
+	r.checkRecovery()
+	slices.Sort(r.violations)
+	return r.violations
 }
 
-func (r *simulatedRecord) checkTry(name string, try *simulatedTry) {
-	route := trueRoute(try.request.Path)
+func (r *simulatedRecord) checkAttempt(name string, attempt *clientAttempt) {
+	route := trueRoute(attempt.request.Path)
 	report := func(rule, format string, values ...any) {
-		r.wrong = append(r.wrong, fmt.Sprintf("%s: %s %s", rule, name, fmt.Sprintf(format, values...)))
+		r.violations = append(r.violations, fmt.Sprintf("%s: %s %s", rule, name, fmt.Sprintf(format, values...)))
 	}
-	if len(try.ran) > route.MaxAttempts {
-		report("ATTEMPTS", "ran at %v", try.ran)
+	if len(attempt.ran) > route.MaxAttempts {
+		report("ATTEMPTS", "ran at %v", attempt.ran)
 	}
-	if try.took > min(route.Timeout, try.wait)+holdSlack {
-		report("TIME", "was held for %v of %v", try.took, try.wait)
+	if attempt.took > min(route.Timeout, attempt.wait)+timeoutSlack {
+		report("TIME", "took %v of %v", attempt.took, attempt.wait)
 	}
-	if refusal := try.refusal; refusal != nil && refusal.RetryAfter > 0 && len(try.ran) > 0 {
-		report("REFUSED", "was promised not to run and ran at %v", try.ran)
+	if requestErr := attempt.requestErr; requestErr != nil && requestErr.RetryAfter > 0 && len(attempt.ran) > 0 {
+		report("REFUSED", "was rejected as not run and ran at %v", attempt.ran)
 	}
-	if try.refusal == nil && try.text != wholeText(route, try.request.ID) {
-		report("ANSWER", "got %q", try.text)
+	if attempt.requestErr == nil && attempt.text != wholeText(route, attempt.request.ID) {
+		report("ANSWER", "got %q", attempt.text)
 	}
-	if try.refusal != nil && !strings.HasPrefix(wholeText(route, try.request.ID), try.text) {
-		report("ANSWER", "broke off after %q", try.text)
+	if attempt.requestErr != nil && !strings.HasPrefix(wholeText(route, attempt.request.ID), attempt.text) {
+		report("ANSWER", "was interrupted after %q", attempt.text)
 	}
 }
 
-// wholeText is the right answer to a request.
+// wholeText returns the correct response body to a request.
 func wholeText(route *routemap.Route, request string) string {
 	if route.Kind != routemap.Stream {
 		return pageText(request)
@@ -213,48 +215,49 @@
 		extra := countBetween(r.extra, at, at.Add(budgetWindow))
 		firsts := countBetween(r.firsts, at, at.Add(budgetWindow))
 		if float64(extra) > budgetShare*float64(firsts)+budgetSlack {
-			r.wrong = append(r.wrong, fmt.Sprintf("BUDGET: %d arrivals beyond the first in a window with %d requests", extra, firsts))
+			r.violations = append(r.violations, fmt.Sprintf("BUDGET: %d arrivals beyond the first in a window with %d requests", extra, firsts))
 			return
 		}
 	}
 }
 
-func (r *simulatedRecord) checkCold() {
-	const cold = 3 * time.Second
-	for _, span := range r.colds {
-		for _, at := range r.arrivals[span.replica] {
-			if at.Before(span.from) || at.Add(coldWindow).After(span.from.Add(cold)) {
+func (r *simulatedRecord) checkSlowStart() {
+	const warmup = 3 * time.Second
+	for _, period := range r.warmups {
+		for _, at := range r.arrivals[period.replica] {
+			if at.Before(period.from) || at.Add(slowStartWindow).After(period.from.Add(warmup)) {
 				continue
 			}
-			count := countBetween(r.arrivals[span.replica], at, at.Add(coldWindow))
-			if float64(count) > coldFactor*coldRate+coldSlack {
-				r.wrong = append(r.wrong, fmt.Sprintf("COLD: %s gets %d requests in a second", span.replica, count))
+			count := countBetween(r.arrivals[period.replica], at, at.Add(slowStartWindow))
+			if float64(count) > slowStartFactor*slowStartRate+slowStartSlack {
+				r.violations = append(r.violations, fmt.Sprintf("COLD: %s gets %d requests in a second", period.replica, count))
 				break
 			}
 		}
 	}
 }
 
-// checkSettled wants nearly everything served after the trouble.
-func (r *simulatedRecord) checkSettled() {
-	if r.settled == 0 {
+// checkRecovery checks that nearly all requests are served after the recovery.
+func (r *simulatedRecord) checkRecovery() {
+	if r.recoveryTime == 0 {
 		return
 	}
-	asked, served := 0, 0
-	for _, try := range r.tries {
-		if try.began < r.settled {
+	attempted, served := 0, 0
+	for _, attempt := range r.attempts {
+		if attempt.began < r.recoveryTime {
 			continue
 		}
-		asked++
-		if try.refusal == nil {
+		attempted++
+		if attempt.requestErr == nil {
 			served++
 		}
 	}
-	if asked == 0 || float64(served) < settledShare*float64(asked) {
-		r.wrong = append(r.wrong, fmt.Sprintf("SETTLED: %d of %d served after the trouble", served, asked))
+	if attempted == 0 || float64(served) < recoveredShare*float64(attempted) {
+		r.violations = append(r.violations, fmt.Sprintf("SETTLED: %d of %d served after the recovery", served, attempted))
 	}
 }
 
+// countBetween counts the times from one time up to another.
 func countBetween(times []time.Time, from, to time.Time) int {
 	count := 0
 	for _, at := range times {
--- a/dispatch/simulation_replica_test.go
+++ b/dispatch/simulation_replica_test.go
@@ -18,48 +18,48 @@
 )
 
 const (
-	// simulatedEvents is the number of events in a stream, and simulatedGap the
-	// pause between two.
+	// simulatedEvents is the number of events of a stream, and simulatedGap the time
+	// between two.
 	simulatedEvents = 5
 	simulatedGap    = 8 * time.Millisecond
 	// pageTime is the time that a request without a prompt takes.
 	pageTime = 30 * time.Millisecond
-	// longestQueue is the reading before a replica that refuses more.
-	longestQueue = 4 * time.Second
-	// dialRefused is the time to learn that nobody listens.
+	// maxQueuedPrefill is the queued prefill beyond which a replica rejects requests.
+	maxQueuedPrefill = 4 * time.Second
+	// dialRefused is the time until a connection is refused.
 	dialRefused = time.Millisecond
 )
 
 var errSimulatedReset = errors.New("connection reset")
 
-// simulatedReplica reads prompts one after another and streams then.
+// simulatedReplica prefills prompts one after another and then streams its responses.
 type simulatedReplica struct {
 	fleet   *simulatedFleet
 	id      string
 	zone    string
 	service string
 	address string
-	// slowness is its time to read over the usual one.
-	slowness float64
-	// enginePace is the pace of its service's engines against the reference.
-	enginePace float64
+	// slowdown is its prefill time as a ratio of the usual one.
+	slowdown float64
+	// prefillFactor compares its service's engines with the reference replica.
+	prefillFactor float64
 
-	mutex     sync.Mutex
-	readUntil time.Time
-	heard     time.Time
-	known     map[uint64]bool // shared parts that it holds
-	dark      bool            // accepts and says nothing
-	crashed   chan struct{}   // closed when it ends
+	mutex        sync.Mutex
+	prefillEnd   time.Time
+	received     time.Time
+	cached       map[uint64]bool // shared prefixes in its cache
+	unresponsive bool            // accepts attempts and sends nothing
+	crashed      chan struct{}   // closed when it ends
 }
 
 func (f *simulatedFleet) addReplica(id, zone, service string) {
-	f.place(&simulatedReplica{id: id, zone: zone, service: service, address: id + ":80", slowness: 1, enginePace: 0.5})
+	f.place(&simulatedReplica{id: id, zone: zone, service: service, address: id + ":80", slowdown: 1, prefillFactor: 0.5})
 }
 
-// place starts a replica at its address, in the place of one that was there.
+// place starts a replica at its address, in the place of any other one there.
 func (f *simulatedFleet) place(r *simulatedReplica) {
 	r.fleet = f
-	r.known = make(map[uint64]bool)
+	r.cached = make(map[uint64]bool)
 	r.crashed = make(chan struct{})
 	f.mutex.Lock()
 	f.replicas[r.address] = r
@@ -73,8 +73,8 @@
 	return f.replicas[address]
 }
 
-// replicasOf lists the replicas of a service in a zone, of all zones if it is
-// empty, by their names.
+// replicasOf returns the replicas of a service in a zone, or in all zones if it is empty,
+// sorted by id.
 func (f *simulatedFleet) replicasOf(service, zone string) []*simulatedReplica {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -98,28 +98,28 @@
 	close(r.crashed)
 }
 
-func (r *simulatedReplica) setDark(dark bool) {
+func (r *simulatedReplica) setUnresponsive(unresponsive bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.dark = dark
+	r.unresponsive = unresponsive
 }
 
-func (r *simulatedReplica) heardAt() time.Time {
+func (r *simulatedReplica) lastReceived() time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.heard
+	return r.received
 }
 
-// accept queues an attempt's prompt and returns when it will be read; false is a
-// full queue.
+// accept queues an attempt's prompt and returns when it will be prefilled, and false if
+// the queue is full.
 func (r *simulatedReplica) accept(attempt *Attempt) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := time.Now()
-	if r.readUntil.Before(now) {
-		r.readUntil = now
+	if r.prefillEnd.Before(now) {
+		r.prefillEnd = now
 	}
-	if r.readUntil.Sub(now) > longestQueue {
+	if r.prefillEnd.Sub(now) > maxQueuedPrefill {
 		return now, false
 	}
 	if r.service != "model" {
@@ -127,18 +127,18 @@
 	}
 	cached := 0.0
 	for _, link := range attempt.Request.PrefixChain {
-		if r.known[link.Hash] {
+		if r.cached[link.Hash] {
 			cached = float64(link.Tokens)
 		}
-		r.known[link.Hash] = true
+		r.cached[link.Hash] = true
 	}
-	reading := r.slowness * (firstStart + r.enginePace*readingWork(attempt.Request.PromptTokens, cached))
-	r.readUntil = r.readUntil.Add(time.Duration(reading * float64(time.Second)))
-	return r.readUntil, true
+	prefill := r.slowdown * (initialOverhead + r.prefillFactor*prefillWork(attempt.Request.PromptTokens, cached))
+	r.prefillEnd = r.prefillEnd.Add(time.Duration(prefill * float64(time.Second)))
+	return r.prefillEnd, true
 }
 
-// wait sleeps until a time, unless the replica ends or falls silent or the
-// attempt is broken off.
+// wait sleeps until a time, and returns early if the replica ends or the attempt is
+// aborted. While the replica does not respond, it waits for one of these.
 func (r *simulatedReplica) wait(ctx context.Context, until time.Time) error {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -150,12 +150,12 @@
 		return ctx.Err()
 	}
 	r.mutex.Lock()
-	dark := r.dark
-	if !dark {
-		r.heard = time.Now()
+	unresponsive := r.unresponsive
+	if !unresponsive {
+		r.received = time.Now()
 	}
 	r.mutex.Unlock()
-	if !dark {
+	if !unresponsive {
 		return nil
 	}
 	select {
@@ -168,8 +168,8 @@
 
 // Send implements Backend.
 func (g *simulatedGateway) Send(ctx context.Context, attempt *Attempt) (*Response, error) {
-	answer, err := g.send(ctx, attempt)
-	return answer, g.told(err)
+	response, err := g.send(ctx, attempt)
+	return response, g.reported(err)
 }
 
 func (g *simulatedGateway) send(ctx context.Context, attempt *Attempt) (*Response, error) {
@@ -188,29 +188,29 @@
 	if r.id != attempt.Replica.ID {
 		return fail(FailureReplaced, errors.New("another replica"))
 	}
-	try := attempt.Request.Header.Get(headerTry)
-	g.fleet.record.arrived(try, r, g)
-	read, room := r.accept(attempt)
-	if !room {
+	name := attempt.Request.Header.Get(headerAttempt)
+	g.fleet.record.arrived(name, r, g)
+	prefilled, accepted := r.accept(attempt)
+	if !accepted {
 		return fail(FailureRejected, errors.New("full"))
 	}
-	g.fleet.record.ran(try, r)
-	if err := r.wait(ctx, read); err != nil {
+	g.fleet.record.ran(name, r)
+	if err := r.wait(ctx, prefilled); err != nil {
 		return fail(FailureIndeterminate, err)
 	}
-	return r.answer(ctx, attempt), nil
+	return r.response(ctx, attempt), nil
 }
 
-func (r *simulatedReplica) answer(ctx context.Context, attempt *Attempt) *Response {
-	answer := &Response{Status: http.StatusOK, Header: http.Header{}}
+func (r *simulatedReplica) response(ctx context.Context, attempt *Attempt) *Response {
+	response := &Response{Status: http.StatusOK, Header: http.Header{}}
 	if r.service != "model" {
-		answer.Body = io.NopCloser(strings.NewReader(pageText(attempt.Request.ID)))
-		return answer
+		response.Body = io.NopCloser(strings.NewReader(pageText(attempt.Request.ID)))
+		return response
 	}
-	after, _ := strconv.Atoi(attempt.LastEventID) // 0 to begin
-	answer.EventStream = true
-	answer.Body = &simulatedStream{ctx: ctx, replica: r, request: attempt.Request.ID, next: after + 1}
-	return answer
+	after, _ := strconv.Atoi(attempt.LastEventID) // 0 to start from the beginning
+	response.EventStream = true
+	response.Body = &simulatedStream{ctx: ctx, replica: r, request: attempt.Request.ID, next: after + 1}
+	return response
 }
 
 func pageText(request string) string { return "page of " + request }
@@ -219,7 +219,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", number, request, number)
 }
 
-// simulatedStream sends one event at each reading.
+// simulatedStream returns one event with each Read.
 type simulatedStream struct {
 	ctx     context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
 	replica *simulatedReplica
@@ -246,13 +246,12 @@
 
 func (s *simulatedStream) Close() error { return nil }
 
-// makeCold starts the cold time of a replica: the list says so, and the checks
-// hold it.
-func (f *simulatedFleet) makeCold(r *simulatedReplica, cold bool) {
+// setWarmingUp publishes whether a replica is warming up, and has the checks watch it.
+func (f *simulatedFleet) setWarmingUp(r *simulatedReplica, warmingUp bool) {
 	state := catalog.ConditionUp
-	if cold {
+	if warmingUp {
 		state = catalog.ConditionWarmingUp
-		f.record.cold(r)
+		f.record.warmingUp(r)
 	}
 	f.change(registry.Add(catalog.ConditionRecord(r.id, catalog.Condition{State: state})))
 }
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -21,29 +21,29 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// The simulation plays requests through several gateways' dispatchers in virtual
-// time, with replicas that read prompts one after another, and holds what ran
-// against what clients were told. Days are in simulation_days_test.go, the checks
-// in simulation_checks_test.go.
+// The simulation sends requests through the dispatchers of several gateways in virtual
+// time, to replicas that prefill prompts one after another, and compares what ran with
+// the responses to the clients. The faults are in simulation_faults_test.go, the checks in
+// simulation_checks_test.go.
 
 const (
-	simulatedDay = 14 * time.Second
-	// clumpGap is the mean time between two clumps of requests in a zone, and
-	// largestClump the most requests in one.
-	clumpGap     = 120 * time.Millisecond
-	largestClump = 3
+	simulatedDuration = 14 * time.Second
+	// burstInterval is the mean time between two bursts of requests in a zone, and maxBurst
+	// the largest number of requests in one.
+	burstInterval = 120 * time.Millisecond
+	maxBurst      = 3
 	// Delays between machines.
-	nearDelay = 200 * time.Microsecond
-	farDelay  = 10 * time.Millisecond
-	// updateDelay is how long a change of the registry takes to a gateway.
+	localDelay     = 200 * time.Microsecond
+	crossZoneDelay = 10 * time.Millisecond
+	// updateDelay is how long a change of the registry takes to reach a gateway.
 	updateDelay = 60 * time.Millisecond
-	// patientTries is how often a client comes back when it is told to.
-	patientTries = 2
+	// maxClientAttempts is how often a client sends a request.
+	maxClientAttempts = 2
 )
 
 var simulatedZones = map[string]string{"north-1": "north", "east-1": "east", "south-1": "south"}
 
-// simulatedRoutes are one of each kind.
+// simulatedRoutes returns a route of each kind.
 func simulatedRoutes(version uint64, pages string) *routemap.Map {
 	to := func(service string) []routemap.Target { return []routemap.Target{{Service: service, Weight: 1}} }
 	return &routemap.Map{
@@ -62,12 +62,12 @@
 	}
 }
 
-// trueRoute is the route of a path as the operators wrote it.
+// trueRoute returns the route of a path as the operators configured it.
 func trueRoute(path string) *routemap.Route {
 	return routemap.NewTable(simulatedRoutes(1, "web").Routes).Lookup("h", path)
 }
 
-// simulatedFleet is the whole world of one day.
+// simulatedFleet is the fleet of one run of the simulation.
 type simulatedFleet struct {
 	t      *testing.T
 	record *simulatedRecord
@@ -79,63 +79,63 @@
 	version  uint64
 	gateways []*simulatedGateway
 	replicas map[string]*simulatedReplica // by address
-	// controlLost says that no change reaches any gateway.
-	controlLost bool
-	// distort, if set, changes every map of routes on its way: a planted defect.
+	// controlDown says that no change reaches any gateway.
+	controlDown bool
+	// distort, if set, changes each route map before it is published: an injected defect.
 	distort func(*routemap.Map)
-	// untold says that gateways do not hear how long clients wait: a planted defect.
-	untold atomic.Bool
+	// hideTimeouts hides from gateways how long clients wait: an injected defect.
+	hideTimeouts atomic.Bool
 }
 
-// simulatedGateway is one dispatcher with its machine.
+// simulatedGateway is a gateway with the dispatcher of its current process.
 type simulatedGateway struct {
 	fleet      *simulatedFleet
 	name       string
 	zone       string
 	dispatcher *Dispatcher
 	exchange   *loadexchange.Node
-	alive      context.Context //nolint:containedctx // the life of the machine, which ends with kill
+	alive      context.Context //nolint:containedctx // the life of the current process, which ends with kill
 	kill       context.CancelFunc
-	// cutOff gateways hear nothing of the registry and of other gateways.
-	cutOff atomic.Bool
-	serial uint32
-	mutex  sync.Mutex
-	// lies, if set, changes the error of an attempt: a planted defect.
-	lies func(err error) error
-	// deaf gateways miss every change from now on: a planted defect.
-	deaf atomic.Bool
+	// partitioned gateways receive nothing from the registry and from other gateways.
+	partitioned atomic.Bool
+	serial      uint32
+	mutex       sync.Mutex
+	// misreport, if set, changes the error of an attempt: an injected defect.
+	misreport func(err error) error
+	// missesUpdates makes the gateway miss all further changes: an injected defect.
+	missesUpdates atomic.Bool
 }
 
 func (g *simulatedGateway) region() string { return simulatedZones[g.zone] }
 
-// simulatedTrouble is what happens on a day. distort, if set, changes every map of
-// routes on its way: a planted defect.
-type simulatedTrouble struct {
+// scenario is what happens in a run. distort, if set, changes each route map before it is
+// published: an injected defect.
+type scenario struct {
 	play    func(*simulatedFleet)
 	distort func(*routemap.Map)
 }
 
-// simulate plays one day in virtual time and returns what was wrong.
-func simulate(t *testing.T, seed uint64, day simulatedTrouble) []string {
+// simulate runs a scenario in virtual time and returns the violations.
+func simulate(t *testing.T, seed uint64, scenario scenario) []string {
 	t.Helper()
-	var wrong []string
+	var violations []string
 	synctest.Test(t, func(t *testing.T) {
-		f := newSimulatedFleet(t, seed, day.distort)
-		ctx, cancel := context.WithTimeout(t.Context(), simulatedDay)
+		f := newSimulatedFleet(t, seed, scenario.distort)
+		ctx, cancel := context.WithTimeout(t.Context(), simulatedDuration)
 		defer cancel()
 		var clients sync.WaitGroup
 		for zone := range simulatedZones {
 			clients.Go(func() { f.sendFrom(ctx, zone, &clients) })
 		}
-		day.play(f)
+		scenario.play(f)
 		clients.Wait()
 		for _, g := range f.gateways {
 			g.end()
 		}
 		time.Sleep(updateDelay)
-		wrong = f.record.check()
+		violations = f.record.check()
 	})
-	return wrong
+	return violations
 }
 
 func newSimulatedFleet(t *testing.T, seed uint64, distort func(*routemap.Map)) *simulatedFleet {
@@ -168,7 +168,7 @@
 	f.change(registry.Add(catalog.GatewayRecord(name, catalog.Gateway{Region: simulatedZones[zone], Zone: zone, Up: true})))
 }
 
-// start begins a process without any knowledge.
+// start starts a process without any state.
 func (g *simulatedGateway) start() {
 	f := g.fleet
 	g.mutex.Lock()
@@ -183,10 +183,10 @@
 	g.exchange = loadexchange.NewNode(loadexchange.Config{
 		Name: g.name, Region: g.region(), LoadSource: g.dispatcher, Observe: g.dispatcher.Observe,
 		SendReport: func(address string, report *peer.ReplicaLoads) {
-			g.tell(address, func(other *loadexchange.Node) { other.HandleReport(report) })
+			g.deliver(address, func(other *loadexchange.Node) { other.HandleReport(report) })
 		},
 		SendDigest: func(address string, digest *peer.LoadDigest) {
-			g.tell(address, func(other *loadexchange.Node) { other.HandleDigest(digest) })
+			g.deliver(address, func(other *loadexchange.Node) { other.HandleDigest(digest) })
 		},
 	})
 	go g.exchange.Run(g.alive)
@@ -198,7 +198,7 @@
 	return f.random.Float64()
 }
 
-// configure makes a new map of routes current.
+// configure publishes a new route map, which routes pages to the given service.
 func (f *simulatedFleet) configure(pages string) {
 	f.t.Helper()
 	f.version++
@@ -213,42 +213,42 @@
 	f.change(changes...)
 }
 
-// change brings a change into the registry and on its way to the gateways.
+// change applies a change to the registry and publishes it.
 func (f *simulatedFleet) change(changes ...registry.Record) {
 	f.t.Helper()
 	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := f.table.Apply(&update, nil); result.Code != registry.NoError {
-		f.t.Fatalf("update answered %v", result.Code)
+		f.t.Fatalf("update failed: %v", result.Code)
 	}
-	f.spread()
+	f.publish()
 }
 
-// spread sends the newest reading of the registry to all gateways in touch.
-func (f *simulatedFleet) spread() {
+// publish sends the current state of the registry to all gateways that it reaches.
+func (f *simulatedFleet) publish() {
 	f.t.Helper()
-	contents, err := catalog.Read(f.table.View())
+	state, err := catalog.Read(f.table.View())
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	for _, g := range f.gateways {
-		if f.controlLost || g.cutOff.Load() || g.deaf.Load() {
+		if f.controlDown || g.partitioned.Load() || g.missesUpdates.Load() {
 			continue
 		}
-		time.AfterFunc(updateDelay, func() { g.take(contents) })
+		time.AfterFunc(updateDelay, func() { g.update(state) })
 	}
 }
 
-// take makes a reading decide unless a newer one does.
-func (g *simulatedGateway) take(contents *catalog.State) {
+// update makes a state of the registry current unless a newer one is.
+func (g *simulatedGateway) update(state *catalog.State) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.alive.Err() != nil || g.serial != 0 && !registry.SerialLess(g.serial, contents.Serial()) {
+	if g.alive.Err() != nil || g.serial != 0 && !registry.SerialLess(g.serial, state.Serial()) {
 		return
 	}
-	g.serial = contents.Serial()
-	g.dispatcher.Update(contents)
+	g.serial = state.Serial()
+	g.dispatcher.Update(state)
 	up := make(map[string]loadexchange.Gateway)
-	for name, gateway := range contents.Gateways() {
+	for name, gateway := range state.Gateways() {
 		if gateway.Up {
 			up[name] = loadexchange.Gateway{Region: gateway.Region, Address: name}
 		}
@@ -263,31 +263,31 @@
 	g.kill()
 }
 
-// lie plants a wrong report of failed attempts.
-func (g *simulatedGateway) lie(lies func(error) error) {
+// setMisreport injects a wrong report of failed attempts.
+func (g *simulatedGateway) setMisreport(misreport func(error) error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.lies = lies
+	g.misreport = misreport
 }
 
-// told is the error of an attempt as the dispatcher hears it.
-func (g *simulatedGateway) told(err error) error {
+// reported returns the error of an attempt as it is reported to the dispatcher.
+func (g *simulatedGateway) reported(err error) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if err == nil || g.lies == nil {
+	if err == nil || g.misreport == nil {
 		return err
 	}
-	return g.lies(err)
+	return g.misreport(err)
 }
 
-// current is the dispatcher of the running process.
+// current returns the dispatcher of the current process, and the context of its life.
 func (g *simulatedGateway) current() (*Dispatcher, context.Context) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.dispatcher, g.alive
 }
 
-// currentExchange is the exchange of loads of the running process, nil if it ended.
+// currentExchange returns the load exchange of the current process, nil if it has ended.
 func (g *simulatedGateway) currentExchange() *loadexchange.Node {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -297,15 +297,15 @@
 	return g.exchange
 }
 
-// tell sends a message to another gateway, whose address is its name.
-func (g *simulatedGateway) tell(address string, take func(*loadexchange.Node)) {
+// deliver sends a message to another gateway, whose address is its name.
+func (g *simulatedGateway) deliver(address string, handle func(*loadexchange.Node)) {
 	for _, other := range g.fleet.gateways {
-		if other.name != address || other.cutOff.Load() != g.cutOff.Load() {
+		if other.name != address || other.partitioned.Load() != g.partitioned.Load() {
 			continue
 		}
 		time.AfterFunc(delayBetween(g.zone, other.zone), func() {
 			if exchange := other.currentExchange(); exchange != nil {
-				take(exchange)
+				handle(exchange)
 			}
 		})
 	}
@@ -313,45 +313,46 @@
 
 func delayBetween(zone, other string) time.Duration {
 	if zone == other {
-		return nearDelay
+		return localDelay
 	}
-	return farDelay
+	return crossZoneDelay
 }
 
-// Heard implements Backend.
+// HasIdleConnection implements Backend.
 func (g *simulatedGateway) HasIdleConnection(string) bool { return true }
 
+// LastReceived implements Backend.
 func (g *simulatedGateway) LastReceived(address string) time.Time {
 	r := g.fleet.replicaAt(address)
 	if r == nil {
 		return time.Time{}
 	}
-	return r.heardAt()
+	return r.lastReceived()
 }
 
 // CloseIdleConnections implements Backend.
 func (g *simulatedGateway) CloseIdleConnections(string) {}
 
-// sendFrom is the clients of one zone.
+// sendFrom sends the requests of the clients in one zone.
 func (f *simulatedFleet) sendFrom(ctx context.Context, zone string, clients *sync.WaitGroup) {
 	for count := 0; ; {
 		f.mutex.Lock()
-		pause := time.Duration(f.random.ExpFloat64() * float64(clumpGap))
-		clump := 1 + f.random.IntN(largestClump)
+		pause := time.Duration(f.random.ExpFloat64() * float64(burstInterval))
+		burst := 1 + f.random.IntN(maxBurst)
 		f.mutex.Unlock()
 		time.Sleep(pause)
 		if ctx.Err() != nil {
 			return
 		}
-		for range clump {
+		for range burst {
 			request := f.newRequest(fmt.Sprint(zone, "-", count))
 			count++
-			clients.Go(func() { f.ask(zone, request) })
+			clients.Go(func() { f.send(zone, request) })
 		}
 	}
 }
 
-// simulatedSizes are the tokens of prompts by kind of request.
+// simulatedSizes are the smallest and largest prompts in tokens, by kind of request.
 var simulatedSizes = map[string][2]int{"review": {1500, 40_000}, "ask": {300, 3000}}
 
 func (f *simulatedFleet) newRequest(id string) *Request {
@@ -368,49 +369,49 @@
 	return request
 }
 
-// ask sends a request as a client does: again after a promise that it has not run,
-// and, if it may be repeated, after a gateway that ended.
-func (f *simulatedFleet) ask(zone string, request *Request) {
+// send sends a request as a client does: again after an error that says that it has not
+// run, and, if it may be repeated, after the gateway has ended.
+func (f *simulatedFleet) send(zone string, request *Request) {
 	route := trueRoute(request.Path)
 	end := time.Now().Add(route.Timeout)
-	for try := 0; try < patientTries && time.Until(end) > 0; try++ {
+	for try := 0; try < maxClientAttempts && time.Until(end) > 0; try++ {
 		g := f.gatewayFor(zone)
 		if g == nil {
 			return
 		}
-		outcome := f.try(g, request, try, end)
-		promised := outcome.refusal != nil && outcome.refusal.RetryAfter > 0
-		lost := outcome.refusal != nil && outcome.refusal.Code == CodeClientClosed
-		if !promised && (!lost || !route.Retryable()) {
+		attempt := f.sendOnce(g, request, try, end)
+		notRun := attempt.requestErr != nil && attempt.requestErr.RetryAfter > 0
+		lost := attempt.requestErr != nil && attempt.requestErr.Code == CodeClientClosed
+		if !notRun && (!lost || !route.Retryable()) {
 			return
 		}
-		time.Sleep(max(outcome.retryAfter(), nearDelay))
+		time.Sleep(max(attempt.retryAfter(), localDelay))
 	}
 }
 
-// try is one sending of a request to one gateway.
-func (f *simulatedFleet) try(g *simulatedGateway, request *Request, try int, end time.Time) *simulatedTry {
+// sendOnce sends a request to one gateway.
+func (f *simulatedFleet) sendOnce(g *simulatedGateway, request *Request, try int, end time.Time) *clientAttempt {
 	dispatcher, alive := g.current()
 	sent := *request
 	sent.Arrived = time.Now()
 	sent.ClientTimeout = time.Until(end)
-	sent.Header = http.Header{headerTry: []string{fmt.Sprint(request.ID, "/", try)}}
+	sent.Header = http.Header{headerAttempt: []string{fmt.Sprint(request.ID, "/", try)}}
 	client := &recorder{}
-	outcome := f.record.begin(sent.Header.Get(headerTry), request, f.began)
+	attempt := f.record.begin(sent.Header.Get(headerAttempt), request, f.began)
 	wait := sent.ClientTimeout
-	if f.untold.Load() {
+	if f.hideTimeouts.Load() {
 		sent.ClientTimeout = 0
 	}
-	refusal := dispatcher.Serve(alive, &sent, client)
-	f.record.took(outcome, time.Since(sent.Arrived))
-	f.record.end(outcome, refusal, client.body.String(), wait)
-	return outcome
+	requestErr := dispatcher.Serve(alive, &sent, client)
+	f.record.took(attempt, time.Since(sent.Arrived))
+	f.record.end(attempt, requestErr, client.body.String(), wait)
+	return attempt
 }
 
-// headerTry tells replicas which try of a client an attempt belongs to.
-const headerTry = "Try"
+// headerAttempt identifies to the replicas which attempt of a client a request belongs to.
+const headerAttempt = "Try"
 
-// gatewayFor is a running gateway of a client's zone, or of any.
+// gatewayFor returns a running gateway of a client's zone, or of any other if there is none.
 func (f *simulatedFleet) gatewayFor(zone string) *simulatedGateway {
 	var near, all []*simulatedGateway
 	for _, g := range f.gateways {
--- /dev/null
+++ b/dispatch/snapshot.go
@@ -0,0 +1,238 @@
+package dispatch
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/outlier"
+	"github.com/deckpulley/deckpulley/placement"
+	"github.com/deckpulley/deckpulley/routemap"
+)
+
+const (
+	// snapshotTimeout is how long a request waits for the first snapshot.
+	snapshotTimeout = 400 * time.Millisecond
+	// slowStartMargin is added to the time for which the replicas of a zone are taken to
+	// be warming up after its evacuation ended: the delay of the registry's updates on
+	// those that are warm.
+	slowStartMargin = 1500 * time.Millisecond
+)
+
+// snapshot is what the registry says of routes and gateways at one serial. It is
+// immutable.
+type snapshot struct {
+	// version is the configuration version.
+	version uint64
+	routes  *routemap.Table
+	// gateways are the names of the gateways that are up.
+	gateways         []string
+	gatewaysByRegion map[string][]string
+}
+
+// slowStartOwner returns the one gateway that sends to a replica while it is warming
+// up: one of its region, or of all regions if none is up there.
+func (s *snapshot) slowStartOwner(r *replica) string {
+	if local := s.gatewaysByRegion[r.region]; len(local) > 0 {
+		return placement.Owner(r.id, local)
+	}
+	return placement.Owner(r.id, s.gateways)
+}
+
+// service is one service with its replicas. The Dispatcher's mutex guards it.
+type service struct {
+	spec     routemap.Service
+	replicas []*replica // sorted by id
+	outliers *outlier.Group
+	// index has the shared prefixes that each replica has in its cache.
+	index *placement.Index
+	// serviceTime is the smoothed time in seconds for which a request occupies a slot.
+	serviceTime float64
+	prefill     prefillEstimator
+}
+
+// Update makes a state of the registry the one by which requests are forwarded.
+func (d *Dispatcher) Update(state *catalog.State) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.updateServices(state)
+	d.updateReplicas(state, time.Now())
+	if state.Version() == 0 {
+		return
+	}
+	next := &snapshot{version: state.Version()}
+	next.gateways, next.gatewaysByRegion = gatewaysUp(state)
+	previous := d.snapshot.Load()
+	if previous != nil && previous.version == next.version {
+		next.routes = previous.routes
+	} else {
+		next.routes = newRouteTable(state)
+	}
+	d.snapshot.Store(next)
+	if previous == nil {
+		close(d.ready)
+	}
+}
+
+// awaitSnapshot returns the current snapshot, nil if there is none. It waits for the
+// first one for a moment: it is about to arrive, and clients retry only a few times.
+func (d *Dispatcher) awaitSnapshot(ctx context.Context) *snapshot {
+	if current := d.snapshot.Load(); current != nil {
+		return current
+	}
+	timer := time.NewTimer(snapshotTimeout)
+	defer timer.Stop()
+	select {
+	case <-d.ready:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return d.snapshot.Load()
+}
+
+func newRouteTable(state *catalog.State) *routemap.Table {
+	routes := make([]routemap.Route, 0, len(state.PathRoutes()))
+	for _, route := range state.PathRoutes() {
+		routes = append(routes, route)
+	}
+	return routemap.NewTable(routes)
+}
+
+// gatewaysUp returns the names of the gateways that are up.
+func gatewaysUp(state *catalog.State) (all []string, byRegion map[string][]string) {
+	byRegion = make(map[string][]string)
+	for name, gateway := range state.Gateways() {
+		if gateway.Up {
+			all = append(all, name)
+			byRegion[gateway.Region] = append(byRegion[gateway.Region], name)
+		}
+	}
+	return all, byRegion
+}
+
+// updateServices adds and removes services. It keeps what was learned of the others.
+func (d *Dispatcher) updateServices(state *catalog.State) {
+	for name, spec := range state.Pools() {
+		known, found := d.services[name]
+		if !found {
+			known = newService()
+			d.services[name] = known
+		}
+		known.spec = spec
+	}
+	for name := range d.services {
+		if _, listed := state.Pools()[name]; !listed {
+			delete(d.services, name)
+		}
+	}
+}
+
+func newService() *service {
+	return &service{
+		outliers:    outlier.NewGroup(outlier.DefaultConfig()),
+		index:       placement.NewIndex(0),
+		serviceTime: initialServiceTime,
+		prefill:     newPrefillEstimator(),
+	}
+}
+
+// updateReplicas adds and removes replicas. It keeps what was learned of the others.
+func (d *Dispatcher) updateReplicas(state *catalog.State, now time.Time) {
+	for id := range d.replicas {
+		if _, listed := state.Replicas()[id]; !listed {
+			d.removeReplica(id)
+		}
+	}
+	for id, listed := range state.Replicas() {
+		known, found := d.replicas[id]
+		if !found {
+			known = newReplica(id)
+			d.replicas[id] = known
+			d.byKey[known.key] = known
+		}
+		d.updateReplica(known, listed, state, now)
+	}
+	d.groupReplicas()
+}
+
+// removeReplica removes a replica, and closes the idle connections to its address unless
+// another replica has that.
+func (d *Dispatcher) removeReplica(id string) {
+	address := d.replicas[id].address
+	delete(d.byKey, d.replicas[id].key)
+	delete(d.replicas, id)
+	for _, other := range d.replicas {
+		if other.address == address {
+			return
+		}
+	}
+	d.options.Backend.CloseIdleConnections(address)
+}
+
+// updateReplica copies the registry's records of a replica.
+func (d *Dispatcher) updateReplica(r *replica, listed catalog.Replica, state *catalog.State, now time.Time) {
+	r.service = listed.Service
+	r.zone = listed.Zone
+	r.region = listed.Region
+	r.address = listed.Address
+	r.slots = listed.Slots
+	r.draining = state.IsDraining(r.id)
+	condition, _ := state.Condition(r.id)
+	r.warmingUp = condition.State == catalog.ConditionWarmingUp
+	evacuated := state.IsEvacuated(listed.Zone)
+	if r.evacuated && !evacuated {
+		if known, found := d.services[r.service]; found {
+			r.warmingUpUntil = now.Add(known.spec.SlowStartDuration + slowStartMargin)
+		}
+	}
+	r.evacuated = evacuated
+}
+
+// groupReplicas lists the replicas of each service anew.
+func (d *Dispatcher) groupReplicas() {
+	for _, known := range d.services {
+		known.replicas = known.replicas[:0:0]
+	}
+	for _, r := range d.replicas {
+		if known, found := d.services[r.service]; found {
+			known.replicas = append(known.replicas, r)
+		}
+	}
+	for _, known := range d.services {
+		known.numberReplicas()
+	}
+}
+
+// numberReplicas sorts the replicas, and gives new ones the lowest free numbers in the
+// prefix index.
+func (s *service) numberReplicas() {
+	slices.SortFunc(s.replicas, func(a, b *replica) int { return cmp.Compare(a.id, b.id) })
+	ids := make([]string, 0, len(s.replicas))
+	used := make(map[int]bool, len(s.replicas))
+	for _, r := range s.replicas {
+		ids = append(ids, r.id)
+		if r.number >= 0 {
+			used[r.number] = true
+		}
+	}
+	s.outliers.SetMembers(ids)
+	for _, r := range s.replicas {
+		if r.number < 0 {
+			r.number = lowestFree(used)
+			used[r.number] = true
+			s.index.Forget(r.number)
+		}
+	}
+	s.index.SetCount(len(s.replicas))
+}
+
+// lowestFree returns the lowest number that is not used.
+func lowestFree(used map[int]bool) int {
+	number := 0
+	for used[number] {
+		number++
+	}
+	return number
+}
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -1,13 +1,15 @@
 package dispatch
 
 import (
-	"sort"
+	"cmp"
+	"slices"
+	"strings"
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Replicas returns what is held of every replica, by service and id.
+// Replicas returns the status of each replica, sorted by service and id.
 func (d *Dispatcher) Replicas() []api.HTTPReplicaStatus {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -16,15 +18,13 @@
 	for _, r := range d.replicas {
 		all = append(all, d.status(r, now))
 	}
-	sort.Slice(all, func(i, j int) bool {
-		if all[i].Service != all[j].Service {
-			return all[i].Service < all[j].Service
-		}
-		return all[i].ID < all[j].ID
+	slices.SortFunc(all, func(a, b api.HTTPReplicaStatus) int {
+		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.ID, b.ID))
 	})
 	return all
 }
 
+// status returns the status of one replica. The caller holds the mutex.
 func (d *Dispatcher) status(r *replica, now time.Time) api.HTTPReplicaStatus {
 	return api.HTTPReplicaStatus{
 		ID:        r.id,
@@ -34,13 +34,14 @@
 		Address:   r.address,
 		State:     d.state(r, now),
 		Requests:  r.inFlight,
-		PrefillMS: r.backlog.left(now).Milliseconds(),
-		Slowness:  r.slowness,
+		PrefillMS: r.backlog.remaining(now).Milliseconds(),
+		Slowness:  r.slowdown,
 	}
 }
 
+// state returns the state of a replica: the first one listed here that applies.
 func (d *Dispatcher) state(r *replica, now time.Time) api.HTTPReplicaState {
-	known, served := d.services[r.service]
+	known, found := d.services[r.service]
 	switch {
 	case r.replaced:
 		return api.HTTPReplicaReplaced
@@ -48,13 +49,13 @@
 		return api.HTTPReplicaEvacuated
 	case r.draining:
 		return api.HTTPReplicaDraining
-	case served && now.Before(known.outliers.EjectedUntil(r.id)):
+	case found && now.Before(known.outliers.EjectedUntil(r.id)):
 		return api.HTTPReplicaEjected
-	case now.Before(r.avoidedUntil) || r.silent(now, d.options.Backend.LastReceived(r.address)):
+	case now.Before(r.avoidedUntil) || r.isIdle(now, d.options.Backend.LastReceived(r.address)):
 		return api.HTTPReplicaAvoided
-	case now.Before(r.fullUntil):
+	case now.Before(r.rejectedUntil):
 		return api.HTTPReplicaFull
-	case r.isCold(now):
+	case r.isWarmingUp(now):
 		return api.HTTPReplicaCold
 	default:
 		return api.HTTPReplicaUsable
