--- a/cmd/deckpulley-control/daemon.go
+++ b/cmd/deckpulley-control/daemon.go
@@ -147,7 +147,7 @@
 func (d *daemon) shutDown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	d.node.HandOver(ctx)
+	d.node.TransferLeadership(ctx)
 	if err := d.server.Shutdown(ctx); err != nil {
 		d.logger.Warn("answers aborted by the shutdown", "error", err)
 		_ = d.server.Close()
