--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,28 +14,28 @@
 )
 
 // attempt sends the request to one replica and judges what comes back.
-func (r *runner) attempt(ctx context.Context, slot *routing.Reservation) verdict {
+func (r *runner) attempt(ctx context.Context, reservation *routing.Reservation) attemptResult {
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	body, err := json.Marshal(r.replicaRequest(slot))
+	body, err := json.Marshal(r.replicaRequest(reservation))
 	if err != nil {
-		slot.Finish(routing.ResultCanceled, nil, time.Now())
-		return broken(failed(api.CodeInternal, api.OutcomeRefused, "encoding the request: %v", err))
+		reservation.Finish(routing.ResultCanceled, nil, time.Now())
+		return indeterminate(newError(api.CodeInternal, api.OutcomeRefused, "encoding the request: %v", err))
 	}
-	version := slot.Version
-	guard := &sendGuard{gate: func() error { return r.gateway.maySend(slot, version) }}
-	response, err := r.gateway.replicas.generate(attemptContext, slot.Address, body, !r.request.Repeatable, guard)
+	version := reservation.Version
+	guard := &sendGuard{check: func() error { return r.gateway.checkSend(reservation, version) }}
+	response, err := r.gateway.replicas.generate(attemptContext, reservation.Address, body, !r.request.Repeatable, guard)
 	if err != nil {
-		return r.sendFailed(ctx, slot, guard)
+		return r.classifySendError(ctx, reservation, guard)
 	}
 	defer response.Body.Close()
-	r.noteSent()
-	return r.receive(attemptContext, cancel, slot, response)
+	r.recordSent()
+	return r.receive(attemptContext, cancel, reservation, response)
 }
 
-func (r *runner) replicaRequest(slot *routing.Reservation) *api.ReplicaRequest {
-	version := slot.Version
-	if planted.Active(planted.StepBack) && r.stale == 0 && version > 1 && r.request.PromptTokens%16 == 0 {
+func (r *runner) replicaRequest(reservation *routing.Reservation) *api.ReplicaRequest {
+	version := reservation.Version
+	if planted.Active(planted.StepBack) && r.staleRefusals == 0 && version > 1 && r.request.PromptTokens%16 == 0 {
 		version--
 	}
 	return &api.ReplicaRequest{
@@ -49,180 +49,180 @@
 		TimeLeftMS:   max(1, time.Until(r.route.Deadline).Milliseconds()),
 		Stamp: api.Stamp{
 			ConfigurationVersion: version,
-			Serial:               slot.Serial,
+			Serial:               reservation.Serial,
 			Gateway:              r.gateway.options.Info.Name,
 			Incarnation:          r.gateway.options.Info.Incarnation,
-			ReplicaIncarnation:   slot.Incarnation,
-			Attempt:              r.made() + 1,
+			ReplicaIncarnation:   reservation.Incarnation,
+			Attempt:              r.attemptsMade() + 1,
 		},
 	}
 }
 
-func (r *runner) noteSent() {
-	r.sent++
-	r.spare = false
-	r.route.Attempt = r.made() + 1
-	if r.made() == 1 {
+func (r *runner) recordSent() {
+	r.attemptsSent++
+	r.retryAvailable = false
+	r.route.Attempt = r.attemptsMade() + 1
+	if r.attemptsMade() == 1 {
 		r.gateway.router.RecordAttempt()
 	}
 	r.gateway.metrics.attempts.Inc()
 }
 
-// sendFailed judges an attempt without an answer.
-func (r *runner) sendFailed(ctx context.Context, slot *routing.Reservation, guard *sendGuard) verdict {
-	sent, denied := guard.settle()
+// classifySendError judges an attempt without an answer.
+func (r *runner) classifySendError(ctx context.Context, reservation *routing.Reservation, guard *sendGuard) attemptResult {
+	sent, denied := guard.close()
 	if denied != nil {
-		slot.Finish(routing.ResultNotStarted, nil, time.Now())
-		failure := refusedLater(api.CodeNoLease, "%v", denied)
-		return verdict{standing: stoodNotStarted, failure: failure, local: true, unsent: true}
+		reservation.Finish(routing.ResultNotStarted, nil, time.Now())
+		failure := newRetryableError(api.CodeNoLease, "%v", denied)
+		return attemptResult{status: statusNotStarted, failure: failure, denied: true, unsent: true}
 	}
 	if sent {
-		r.noteSent()
-		return r.unanswered(ctx, slot)
+		r.recordSent()
+		return r.classifyMissingAnswer(ctx, reservation)
 	}
-	verdictResult := routing.ResultFailed
+	recorded := routing.ResultFailed
 	if ctx.Err() != nil {
-		verdictResult = routing.ResultCanceled
+		recorded = routing.ResultCanceled
 	} else {
-		r.gateway.suspect(slot)
+		r.gateway.suspectReplica(reservation)
 	}
-	slot.Finish(verdictResult, nil, time.Now())
-	failure := refusedLater(api.CodeNoCapacity, "no replica could be reached")
-	return verdict{standing: stoodNotStarted, failure: failure, unsent: true}
+	reservation.Finish(recorded, nil, time.Now())
+	failure := newRetryableError(api.CodeNoCapacity, "no replica could be reached")
+	return attemptResult{status: statusNotStarted, failure: failure, unsent: true}
 }
 
-// unanswered judges an attempt whose request left, at least in part.
-func (r *runner) unanswered(ctx context.Context, slot *routing.Reservation) verdict {
+// classifyMissingAnswer judges an attempt whose request left, at least in part.
+func (r *runner) classifyMissingAnswer(ctx context.Context, reservation *routing.Reservation) attemptResult {
 	if ctx.Err() != nil {
-		slot.Finish(routing.ResultCanceled, nil, time.Now())
-		return r.broken(failed(api.CodeDeadline, api.OutcomeUnknown, "the replica did not answer in time"))
+		reservation.Finish(routing.ResultCanceled, nil, time.Now())
+		return r.recordIndeterminate(newError(api.CodeDeadline, api.OutcomeUnknown, "the replica did not answer in time"))
 	}
-	r.gateway.suspect(slot)
-	slot.Finish(routing.ResultFailed, nil, time.Now())
-	return r.broken(failed(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke before its answer"))
+	r.gateway.suspectReplica(reservation)
+	reservation.Finish(routing.ResultFailed, nil, time.Now())
+	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke before its answer"))
 }
 
-// broken notes that an attempt may have run.
-func (r *runner) broken(failure *api.Error) verdict {
-	r.ran = true
-	r.broke = failure
-	return broken(failure)
+// recordIndeterminate notes that an attempt may have run.
+func (r *runner) recordIndeterminate(failure *api.Error) attemptResult {
+	r.mayHaveRun = true
+	r.indeterminateFailure = failure
+	return indeterminate(failure)
 }
 
 // receive judges an answer and delivers it if it is whole and this request's.
-func (r *runner) receive(ctx context.Context, cancel context.CancelCauseFunc, slot *routing.Reservation, response *http.Response) verdict {
+func (r *runner) receive(ctx context.Context, cancel context.CancelCauseFunc, reservation *routing.Reservation, response *http.Response) attemptResult {
 	if response.StatusCode != http.StatusOK {
-		return r.settle(ctx, slot, checkError(response, r.request.RequestID))
+		return r.recordFailure(ctx, reservation, classifyErrorResponse(response, r.request.RequestID))
 	}
 	if !r.request.Stream {
-		return r.receiveWhole(ctx, slot, response)
+		return r.receiveAnswer(ctx, reservation, response)
 	}
-	if !isStream(response) {
-		_, failure := checkAnswer(response, r.request.RequestID)
+	if !isEventStream(response) {
+		_, failure := readAnswer(response, r.request.RequestID)
 		if failure == nil {
-			failure = failed(api.CodeReplicaError, api.OutcomeFailed, "the replica did not answer with a stream")
+			failure = newError(api.CodeReplicaError, api.OutcomeFailed, "the replica did not answer with a stream")
 		}
-		return r.settle(ctx, slot, broken(failure))
+		return r.recordFailure(ctx, reservation, indeterminate(failure))
 	}
-	return r.receiveStream(ctx, cancel, slot, response)
+	return r.receiveStream(ctx, cancel, reservation, response)
 }
 
-// settle accounts for an attempt that brought no answer.
-func (r *runner) settle(ctx context.Context, slot *routing.Reservation, outcome verdict) verdict {
-	accounted := routing.ResultFailed
+// recordFailure accounts for an attempt that brought no answer.
+func (r *runner) recordFailure(ctx context.Context, reservation *routing.Reservation, outcome attemptResult) attemptResult {
+	recorded := routing.ResultFailed
 	switch {
-	case outcome.standing == stoodStale || outcome.standing == stoodRestarted:
-		accounted = routing.ResultNotStarted
-		r.voided++
-	case outcome.standing == stoodNotStarted:
-		accounted = routing.ResultNotStarted
+	case outcome.status == statusStaleConfiguration || outcome.status == statusReplicaRestarted:
+		recorded = routing.ResultNotStarted
+		r.attemptsVoided++
+	case outcome.status == statusNotStarted:
+		recorded = routing.ResultNotStarted
 	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStalled):
-		accounted = routing.ResultCanceled
+		recorded = routing.ResultCanceled
 	}
-	if outcome.standing == stoodBroken {
-		outcome = r.broken(outcome.failure)
+	if outcome.status == statusIndeterminate {
+		outcome = r.recordIndeterminate(outcome.failure)
 	}
-	if outcome.standing == stoodRestarted || (ctx.Err() == nil && connectionBroke(outcome)) {
-		r.gateway.suspect(slot)
+	if outcome.status == statusReplicaRestarted || (ctx.Err() == nil && isConnectionFailure(outcome)) {
+		r.gateway.suspectReplica(reservation)
 	}
-	slot.Finish(accounted, nil, time.Now())
+	reservation.Finish(recorded, nil, time.Now())
 	if outcome.failure.Code == api.CodeReplicaDraining {
-		r.gateway.pollNow(slot.Replica) // so that nobody else is sent there
+		r.gateway.pollNow(reservation.Replica) // so that nobody else is sent there
 	}
-	r.gateway.metrics.noteAttempt(outcome.failure)
+	r.gateway.metrics.observeAttemptFailure(outcome.failure)
 	return outcome
 }
 
-func (r *runner) receiveWhole(ctx context.Context, slot *routing.Reservation, response *http.Response) verdict {
-	answer, failure := checkAnswer(response, r.request.RequestID)
+func (r *runner) receiveAnswer(ctx context.Context, reservation *routing.Reservation, response *http.Response) attemptResult {
+	answer, failure := readAnswer(response, r.request.RequestID)
 	if failure != nil {
-		return r.settle(ctx, slot, broken(failure))
+		return r.recordFailure(ctx, reservation, indeterminate(failure))
 	}
 	now := time.Now()
 	report := answer.Report
 	answer.Report = nil
-	slot.RecordCachedTokens(answer.CachedTokens)
-	slot.Finish(routing.ResultSuccess, report, now)
-	r.gateway.noteReport(r.route.Service, report)
-	answer.Replica = slot.Replica
+	reservation.RecordCachedTokens(answer.CachedTokens)
+	reservation.Finish(routing.ResultSuccess, report, now)
+	r.gateway.recordReport(r.route.Service, report)
+	answer.Replica = reservation.Replica
 	answer.Region = r.gateway.region()
-	answer.ConfigurationVersion = slot.Version
+	answer.ConfigurationVersion = reservation.Version
 	r.deliver(&result{answer: answer})
-	return verdict{standing: stoodDone}
+	return attemptResult{status: statusDelivered}
 }
 
 // receiveStream relays a stream event by event. From the first event on there is
 // no other attempt.
-func (r *runner) receiveStream(ctx context.Context, cancel context.CancelCauseFunc, slot *routing.Reservation, response *http.Response) verdict {
+func (r *runner) receiveStream(ctx context.Context, cancel context.CancelCauseFunc, reservation *routing.Reservation, response *http.Response) attemptResult {
 	reader := stream.NewReader(response.Body, stream.Options{
 		RequestID:   r.request.RequestID,
-		IdleTimeout: r.gateway.streamGap(),
+		IdleTimeout: r.gateway.streamIdleTimeout(),
 		Interrupt:   func() { cancel(errStalled) },
 	})
 	defer reader.Close()
 	for {
 		event, err := reader.Next()
 		if err != nil {
-			return r.streamBroke(ctx, slot, streamFailure(err, reader.Chunks()))
+			return r.failStream(ctx, reservation, classifyStreamError(err, reader.Chunks()))
 		}
 		switch {
 		case event.Error != nil:
-			return r.streamBroke(ctx, slot, failed(api.CodeReplicaError, api.OutcomeFailed, "the replica ended its stream with an error"))
+			return r.failStream(ctx, reservation, newError(api.CodeReplicaError, api.OutcomeFailed, "the replica ended its stream with an error"))
 		case event.End != nil:
-			r.streamEnded(slot, event.End)
-			return verdict{standing: stoodDone}
+			r.completeStream(reservation, event.End)
+			return attemptResult{status: statusDelivered}
 		}
 		if reader.Chunks() == 1 {
-			slot.RecordFirstToken(time.Now())
+			reservation.RecordFirstToken(time.Now())
 		}
-		if err := r.execution.piece(ctx, event.Chunk); err != nil {
-			return r.streamBroke(ctx, slot, streamFailure(err, reader.Chunks()))
+		if err := r.execution.appendChunk(ctx, event.Chunk); err != nil {
+			return r.failStream(ctx, reservation, classifyStreamError(err, reader.Chunks()))
 		}
 	}
 }
 
-// streamBroke ends a stream that is not whole. Once the caller may have seen a
+// failStream ends a stream that is not whole. Once the caller may have seen a
 // piece, the failure is its result.
-func (r *runner) streamBroke(ctx context.Context, slot *routing.Reservation, failure *api.Error) verdict {
-	outcome := r.settle(ctx, slot, broken(failure))
-	if !r.execution.pieces() || planted.Active(planted.JoinRuns) {
+func (r *runner) failStream(ctx context.Context, reservation *routing.Reservation, failure *api.Error) attemptResult {
+	outcome := r.recordFailure(ctx, reservation, indeterminate(failure))
+	if !r.execution.hasOutput() || planted.Active(planted.JoinRuns) {
 		return outcome
 	}
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		outcome.failure = failed(api.CodeDeadline, api.OutcomeFailed, "the stream was not whole in the caller's time")
+		outcome.failure = newError(api.CodeDeadline, api.OutcomeFailed, "the stream was not whole in the caller's time")
 	}
 	r.deliver(&result{failure: outcome.failure})
-	return verdict{standing: stoodDone}
+	return attemptResult{status: statusDelivered}
 }
 
-func (r *runner) streamEnded(slot *routing.Reservation, end *api.StreamEnd) {
+func (r *runner) completeStream(reservation *routing.Reservation, end *api.StreamEnd) {
 	report := end.Report
 	end.Report = nil
-	slot.RecordCachedTokens(end.CachedTokens)
-	slot.Finish(routing.ResultSuccess, report, time.Now())
-	r.gateway.noteReport(r.route.Service, report)
-	end.Replica = slot.Replica
+	reservation.RecordCachedTokens(end.CachedTokens)
+	reservation.Finish(routing.ResultSuccess, report, time.Now())
+	r.gateway.recordReport(r.route.Service, report)
+	end.Replica = reservation.Replica
 	end.Region = r.gateway.region()
-	end.ConfigurationVersion = slot.Version
+	end.ConfigurationVersion = reservation.Version
 	r.deliver(&result{end: end})
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -36,7 +36,7 @@
 	request := &api.ReplicaRequest{RequestID: "request-1"}
 	var source bytes.Buffer
 	for i := range pieces {
-		source.Write(pieceFrame(request, i+1))
+		source.Write(chunkFrame(request, i+1))
 	}
 	data, _ := json.Marshal(api.StreamEnd{RequestID: "request-1", RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
 	source.Write(stream.AppendFrame(nil, api.EventEnd, data))
@@ -61,7 +61,7 @@
 				b.Fatal(err)
 			}
 		}
-		reader.leave()
+		reader.close()
 	}
 	b.ReportMetric(float64(b.N)*pieces/b.Elapsed().Seconds(), "events/s")
 }
@@ -72,14 +72,14 @@
 	for {
 		event, err := events.Next()
 		if err != nil {
-			run.finish(&result{failure: streamFailure(err, 0)})
+			run.finish(&result{failure: classifyStreamError(err, 0)})
 			return
 		}
 		if event.End != nil {
 			run.finish(&result{end: event.End})
 			return
 		}
-		if err := run.piece(ctx, event.Chunk); err != nil {
+		if err := run.appendChunk(ctx, event.Chunk); err != nil {
 			return
 		}
 	}
@@ -105,7 +105,7 @@
 		}
 		return nil
 	}
-	request := question("bench")
+	request := newRequest("bench")
 	request.Repeatable = true
 	b.Run("direct", func(b *testing.B) {
 		url := replica.server.URL + api.PathReplicaGenerate
@@ -138,7 +138,7 @@
 		count := 0
 		for b.Loop() {
 			count++
-			ticketed, _ := g.where(b, question(fmt.Sprintf("bench-%d", count)))
+			ticketed, _ := g.where(b, newRequest(fmt.Sprintf("bench-%d", count)))
 			if err := send(g.url+api.PathRequests, ticketed); err != nil {
 				b.Error(err)
 			}
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -11,15 +11,15 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// keptStreamBytes bounds the events of one stream that are kept for those who
+// maxRetainedStreamBytes bounds the events of one stream that are kept for those who
 // join late, and how far its slowest reader may lag behind.
-const keptStreamBytes = 256 << 10
+const maxRetainedStreamBytes = 256 << 10
 
 // The first room for a stream's events, in bytes: enough for most streams, so
 // that they never grow it.
 const (
-	typicalFrame = 160
-	firstFrames  = 32 << 10
+	typicalFrameBytes     = 160
+	maxInitialBufferBytes = 32 << 10
 )
 
 // errAbandoned is the cause of a cancellation after the last reader left.
@@ -34,8 +34,8 @@
 	attempts int
 }
 
-// state is what the owner's ledger keeps of the result.
-func (r *result) state() ticket.State {
+// ticketState is what the owner's ledger keeps of the result.
+func (r *result) ticketState() ticket.State {
 	if r.failure == nil {
 		return ticket.StateCompleted
 	}
@@ -55,12 +55,12 @@
 	requestID string
 	stream    bool
 	cancel    context.CancelCauseFunc
-	// drained wakes the producer when a follower has read.
-	drained chan struct{}
+	// consumed wakes the producer when a follower has read.
+	consumed chan struct{}
 
 	mutex     sync.Mutex
 	frames    []byte // events in wire form
-	first     int64  // position of frames[0] in the whole stream
+	offset    int64  // position of frames[0] in the whole stream
 	result    *result
 	released  bool
 	followers map[*follower]struct{}
@@ -72,14 +72,14 @@
 func newExecution(requestID string, streamed bool, maxTokens int, cancel context.CancelCauseFunc) *execution {
 	var frames []byte
 	if streamed {
-		frames = make([]byte, 0, min(maxTokens*typicalFrame, firstFrames))
+		frames = make([]byte, 0, min(maxTokens*typicalFrameBytes, maxInitialBufferBytes))
 	}
 	return &execution{
 		requestID: requestID,
 		stream:    streamed,
 		frames:    frames,
 		cancel:    cancel,
-		drained:   make(chan struct{}, 1),
+		consumed:  make(chan struct{}, 1),
 		followers: make(map[*follower]struct{}, 1),
 	}
 }
@@ -101,15 +101,15 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.released = true
-	e.first += int64(len(e.frames))
+	e.offset += int64(len(e.frames))
 	e.frames = nil
 	if e.result != nil && e.result.failure == nil {
-		e.result = &result{failure: beyondKept(e.requestID)}
+		e.result = &result{failure: outputDiscarded(e.requestID)}
 	}
 }
 
-// beyondKept answers a reader who comes after the output was let go.
-func beyondKept(requestID string) *api.Error {
+// outputDiscarded answers a reader who comes after the output was let go.
+func outputDiscarded(requestID string) *api.Error {
 	return &api.Error{
 		Code:      api.CodeDuplicate,
 		Outcome:   api.OutcomeUnknown,
@@ -118,16 +118,16 @@
 	}
 }
 
-// piece appends one event. It waits while the slowest follower lags too far
+// appendChunk appends one event. It waits while the slowest follower lags too far
 // behind.
-func (e *execution) piece(ctx context.Context, data []byte) error {
+func (e *execution) appendChunk(ctx context.Context, data []byte) error {
 	e.mutex.Lock()
 	e.frames = stream.AppendFrame(e.frames, api.EventPiece, data)
-	e.notify()
-	for len(e.frames) > keptStreamBytes && !e.trim() {
+	e.notifyFollowers()
+	for len(e.frames) > maxRetainedStreamBytes && !e.trim() {
 		e.mutex.Unlock()
 		select {
-		case <-e.drained:
+		case <-e.consumed:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
@@ -140,23 +140,23 @@
 // trim lets go of events that every follower has read, down to half of what may
 // be kept. It reports false if there is nothing to let go.
 func (e *execution) trim() bool {
-	cut := len(e.frames) - keptStreamBytes/2
+	size := len(e.frames) - maxRetainedStreamBytes/2
 	for reader := range e.followers {
-		cut = min(cut, int(reader.position-e.first))
+		size = min(size, int(reader.offset-e.offset))
 	}
-	if cut <= 0 {
+	if size <= 0 {
 		return false
 	}
-	e.first += int64(cut)
-	e.frames = append(e.frames[:0], e.frames[cut:]...)
+	e.offset += int64(size)
+	e.frames = append(e.frames[:0], e.frames[size:]...)
 	return true
 }
 
-// pieces tells whether any event has been appended.
-func (e *execution) pieces() bool {
+// hasOutput tells whether any event has been appended.
+func (e *execution) hasOutput() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.first > 0 || len(e.frames) > 0
+	return e.offset > 0 || len(e.frames) > 0
 }
 
 // finish sets the result, once.
@@ -165,14 +165,14 @@
 	defer e.mutex.Unlock()
 	if e.result == nil {
 		e.result = r
-		e.notify()
+		e.notifyFollowers()
 	}
 }
 
-func (e *execution) notify() {
+func (e *execution) notifyFollowers() {
 	for reader := range e.followers {
 		select {
-		case reader.news <- struct{}{}:
+		case reader.updated <- struct{}{}:
 		default:
 		}
 	}
@@ -183,12 +183,12 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	failed := e.result != nil && e.result.failure != nil
-	if e.stream != streamed || (e.first > 0 && !failed) {
-		return nil, beyondKept(e.requestID)
+	if e.stream != streamed || (e.offset > 0 && !failed) {
+		return nil, outputDiscarded(e.requestID)
 	}
-	reader := &follower{execution: e, news: make(chan struct{}, 1)}
-	if e.first > 0 {
-		reader.position = e.first + int64(len(e.frames))
+	reader := &follower{execution: e, updated: make(chan struct{}, 1)}
+	if e.offset > 0 {
+		reader.offset = e.offset + int64(len(e.frames))
 	}
 	e.followers[reader] = struct{}{}
 	return reader, nil
@@ -197,8 +197,8 @@
 // follower reads an execution's output. It is not safe for concurrent use.
 type follower struct {
 	execution *execution
-	news      chan struct{}
-	position  int64
+	updated   chan struct{}
+	offset    int64
 	buffer    []byte
 }
 
@@ -211,7 +211,7 @@
 			return frames, ended, nil
 		}
 		select {
-		case <-f.news:
+		case <-f.updated:
 		case <-ctx.Done():
 			return nil, nil, context.Cause(ctx)
 		}
@@ -222,25 +222,25 @@
 	e := f.execution
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.released && e.first > f.position {
-		return nil, &result{failure: beyondKept(e.requestID)}
+	if e.released && e.offset > f.offset {
+		return nil, &result{failure: outputDiscarded(e.requestID)}
 	}
-	unread := e.frames[f.position-e.first:]
+	unread := e.frames[f.offset-e.offset:]
 	if len(unread) == 0 {
 		return nil, e.result
 	}
 	f.buffer = append(f.buffer[:0], unread...)
-	f.position += int64(len(unread))
+	f.offset += int64(len(unread))
 	select {
-	case e.drained <- struct{}{}:
+	case e.consumed <- struct{}{}:
 	default:
 	}
 	return f.buffer, nil
 }
 
-// leave ends the reading. The execution is canceled when the last reader of an
+// close ends the reading. The execution is canceled when the last reader of an
 // unfinished one leaves.
-func (f *follower) leave() {
+func (f *follower) close() {
 	e := f.execution
 	e.mutex.Lock()
 	delete(e.followers, f)
@@ -250,17 +250,17 @@
 		e.cancel(errAbandoned)
 	}
 	select {
-	case e.drained <- struct{}{}:
+	case e.consumed <- struct{}{}:
 	default:
 	}
 }
 
-var frameBreak = []byte("\n\n")
+var frameSeparator = []byte("\n\n")
 
-// eachPiece calls visit with the JSON of every piece in the frames.
-func eachPiece(frames []byte, visit func(data []byte) error) error {
+// forEachChunk calls visit with the JSON of every piece in the frames.
+func forEachChunk(frames []byte, visit func(data []byte) error) error {
 	for len(frames) > 0 {
-		size := bytes.Index(frames, frameBreak) + len(frameBreak)
+		size := bytes.Index(frames, frameSeparator) + len(frameSeparator)
 		if err := visit(stream.FrameData(frames[:size], api.EventPiece)); err != nil {
 			return err
 		}
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -13,9 +13,9 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// explainedRequest is the id of a request that names none. The id decides which
+// defaultExplainRequestID is the id of a request that names none. The id decides which
 // requests spill, so it is part of the explanation.
-const explainedRequest = "explained"
+const defaultExplainRequestID = "explained"
 
 // explanation gathers the steps of one decision.
 type explanation struct {
@@ -34,7 +34,7 @@
 		return
 	}
 	if request.RequestID == "" {
-		request.RequestID = explainedRequest
+		request.RequestID = defaultExplainRequestID
 	}
 	if failure := checkGenerate(&request); failure != nil {
 		writeError(w, failure)
@@ -42,14 +42,14 @@
 	}
 	active := g.agent.Active()
 	if active == nil {
-		writeError(w, refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet"))
+		writeError(w, newRetryableError(api.CodeNotReady, "the gateway has no copy of the registry yet"))
 		return
 	}
 	writeJSON(w, http.StatusOK, g.explain(active, &request))
 }
 
 func (g *Gateway) explain(active *catalog.State, request *api.GenerateRequest) *api.ExplainAnswer {
-	e := &explanation{
+	explanation := &explanation{
 		gateway: g,
 		active:  active,
 		request: request,
@@ -63,17 +63,17 @@
 		},
 	}
 	resolved, failure := g.router.Resolve(*request, time.Now())
-	e.lease()
-	e.route(&resolved)
-	e.home(&resolved)
-	e.client()
-	e.ticket()
+	explanation.lease()
+	explanation.route(&resolved)
+	explanation.home(&resolved)
+	explanation.client()
+	explanation.ticket()
 	if failure != nil {
-		e.refuse(failure)
-		return e.answer
+		explanation.refuse(failure)
+		return explanation.answer
 	}
-	e.regions(&resolved)
-	return e.answer
+	explanation.regions(&resolved)
+	return explanation.answer
 }
 
 func (e *explanation) step(step, result, reason string, arguments ...any) {
@@ -88,13 +88,13 @@
 }
 
 func (e *explanation) lease() {
-	if failure := e.gateway.mayPlace(); failure != nil {
+	if failure := e.gateway.checkServing(); failure != nil {
 		e.step("lease", "refused", "%s", failure.Message)
 		e.refuse(failure)
 		return
 	}
-	left := e.gateway.agent.Remaining().Milliseconds()
-	e.step("lease", "valid", "%d ms left; configuration version %d, serial %d decide", left, e.active.Version(), e.active.Serial())
+	remainingMS := e.gateway.agent.Remaining().Milliseconds()
+	e.step("lease", "valid", "%d ms left; configuration version %d, serial %d decide", remainingMS, e.active.Version(), e.active.Serial())
 }
 
 func (e *explanation) route(resolved *routing.Request) {
@@ -143,11 +143,11 @@
 		e.step("home", "any region", "neither request, route nor tenant names a home rule")
 		return
 	}
-	left := strings.Join(resolved.Home, ", ")
-	if left == "" {
-		left = "no region"
+	remaining := strings.Join(resolved.Home, ", ")
+	if remaining == "" {
+		remaining = "no region"
 	}
-	e.step("home", left, "regions in common of %s", strings.Join(rules, "; "))
+	e.step("home", remaining, "regions in common of %s", strings.Join(rules, "; "))
 }
 
 func (e *explanation) client() {
@@ -181,7 +181,7 @@
 			Region:     region.Name,
 			Rank:       slices.Index(order, region.Name) + 1,
 			Load:       region.Load,
-			Knowledge:  knowledgeName(region.LoadFreshness),
+			Knowledge:  freshnessName(region.LoadFreshness),
 			Usable:     region.Usable,
 			TakesSpill: region.AcceptsSpill,
 		})
@@ -191,7 +191,7 @@
 		e.step("regions", "none", "%s", failure.Message)
 		e.refuse(failure)
 	} else {
-		e.step("regions", strings.Join(order, ", "), "order of attempts; %.0f%% of this region's own requests are sent elsewhere now", 100*spillOf(&service))
+		e.step("regions", strings.Join(order, ", "), "order of attempts; %.0f%% of this region's own requests are sent elsewhere now", 100*spillFraction(&service))
 	}
 	e.replicas(resolved, &service, order)
 }
@@ -252,8 +252,8 @@
 	}
 }
 
-func knowledgeName(knowledge placement.LoadFreshness) string {
-	switch knowledge {
+func freshnessName(freshness placement.LoadFreshness) string {
+	switch freshness {
 	case placement.Fresh:
 		return "fresh"
 	case placement.Stale:
@@ -267,7 +267,7 @@
 // region's own requests that is sent elsewhere.
 const spillController = "utilization"
 
-func spillOf(service *routing.ServiceStatus) float64 {
+func spillFraction(service *routing.ServiceStatus) float64 {
 	for _, controller := range service.Controllers {
 		if controller.Name == spillController {
 			return controller.Output
@@ -275,31 +275,3 @@
 	}
 	return 0
 }
-
-// serviceLoads describes the services of the own region.
-func (g *Gateway) serviceLoads() []api.ServiceLoad {
-	var loads []api.ServiceLoad
-	for _, service := range g.router.Status().Services {
-		load := api.ServiceLoad{
-			Service:     service.Service,
-			Region:      g.options.Info.Region,
-			Utilization: service.Utilization,
-			Spill:       spillOf(&service),
-			Limit:       service.Limit,
-			InFlight:    service.InFlight,
-			Queued:      service.Queued,
-			Replicas:    service.Replicas,
-			Usable:      service.Usable,
-			Cold:        service.WarmingUp,
-			Draining:    service.Draining,
-			Ejected:     service.Ejected,
-		}
-		for _, controller := range service.Controllers {
-			if controller.Name == spillController {
-				load.SetPoint = controller.SetPoint
-			}
-		}
-		loads = append(loads, load)
-	}
-	return loads
-}
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -14,8 +14,8 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// explained asks the operators' port of a gateway.
-func explained(t *testing.T, n *node, request api.GenerateRequest) (int, api.ExplainAnswer) {
+// postExplain asks the operators' port of a gateway.
+func postExplain(t *testing.T, n *node, request api.GenerateRequest) (int, api.ExplainAnswer) {
 	t.Helper()
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -72,11 +72,11 @@
 		{"unknown model", func(r *api.GenerateRequest) { r.Model = "x" }, "", map[string]string{"route": "none"}, api.CodeNotFound},
 	}
 	for _, c := range cases {
-		request := question("q-" + c.name)
+		request := newRequest("q-" + c.name)
 		request.Repeatable = true
 		c.change(&request)
 		before := len(replicas[0].requests()) + len(replicas[1].requests())
-		status, answer := explained(t, north, request)
+		status, answer := postExplain(t, north, request)
 		if after := len(replicas[0].requests()) + len(replicas[1].requests()); status != http.StatusOK || after != before {
 			t.Fatalf("%s: status %d, %d requests sent by explaining", c.name, status, after-before)
 		}
@@ -106,14 +106,14 @@
 			t.Errorf("%s: explained %v, answered %v", c.name, answer.Error, ran.failure)
 		}
 	}
-	if status, _ := explained(t, north, api.GenerateRequest{Model: "m"}); status != http.StatusBadRequest {
+	if status, _ := postExplain(t, north, api.GenerateRequest{Model: "m"}); status != http.StatusBadRequest {
 		t.Errorf("without max_tokens: status %d", status)
 	}
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.DrainRecord("r1", catalog.Drain{})))
 	})
 	waitFor(t, "the drained replica", func() bool {
-		_, answer := explained(t, north, question("drained"))
+		_, answer := postExplain(t, north, newRequest("drained"))
 		return len(answer.Replicas) == 1 && answer.Replicas[0].State == "draining"
 	})
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -24,16 +24,16 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// patience bounds waiting for something that must happen; a passing test never
+// testTimeout bounds waiting for something that must happen; a passing test never
 // waits that long.
-const patience = 15 * time.Second
+const testTimeout = 15 * time.Second
 
-// testTerms renew often and last long, so that a busy machine takes no lease away.
-var testTerms = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
+// testLeaseConfig renew often and last long, so that a busy machine takes no lease away.
+var testLeaseConfig = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
 
 func waitFor(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if condition() {
 			return
 		}
@@ -43,11 +43,11 @@
 
 // primary grants leases to everyone and holds the table.
 type primary struct {
-	mutex    sync.Mutex
-	table    *registry.Table
-	silent   bool   // grants nothing
-	activate uint32 // limit of activation; 0 is the newest serial
-	orders   []peer.OperationRequest
+	mutex           sync.Mutex
+	table           *registry.Table
+	rejectRenewals  bool   // grants nothing
+	activationLimit uint32 // limit of activation; 0 is the newest serial
+	operations      []peer.OperationRequest
 }
 
 func newPrimary(tb testing.TB, network transport.Network) *primary {
@@ -59,7 +59,7 @@
 	p := &primary{table: table}
 	network.Handle(peer.KindRenew, p.renew)
 	network.Handle(peer.KindUpdate, p.update)
-	network.Handle(peer.KindOperation, p.order)
+	network.Handle(peer.KindOperation, p.submitOperation)
 	if err := network.Start(); err != nil {
 		tb.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.silent {
+	if p.rejectRenewals {
 		return &peer.Grant{Cluster: "cluster", Term: 1}, nil
 	}
 	info := renew.Gateway
@@ -83,11 +83,11 @@
 		PeerAddress: info.PeerAddress, HTTPAddress: info.HTTPAddress, Up: !info.Draining,
 	})))
 	grant := &peer.Grant{Granted: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
-	if p.activate != 0 {
-		grant.ActivationSerial = p.activate
+	if p.activationLimit != 0 {
+		grant.ActivationSerial = p.activationLimit
 	}
 	if renew.ActiveSerial != 0 {
-		grant.LeaseMS = testTerms.Duration.Milliseconds()
+		grant.LeaseMS = testLeaseConfig.Duration.Milliseconds()
 	}
 	if renew.ReceivedSerial != p.table.Serial() {
 		transfer := p.table.TransferSince(renew.ReceivedSerial)
@@ -107,14 +107,14 @@
 	return &peer.UpdateReply{Code: result.Code, Serial: result.Serial}, nil
 }
 
-func (p *primary) order(_ context.Context, _ string, decode func(any) error) (any, error) {
+func (p *primary) submitOperation(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var order peer.OperationRequest
 	if err := decode(&order); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.orders = append(p.orders, order)
+	p.operations = append(p.operations, order)
 	return &peer.OperationReply{Answer: &api.OperationResult{Accepted: true}}, nil
 }
 
@@ -143,27 +143,27 @@
 	// draining is reported.
 	draining atomic.Bool
 
-	mutex       sync.Mutex
-	received    []api.ReplicaRequest
-	incarnation string
-	reports     chan struct{} // reports wait until it is closed, if it is set
+	mutex        sync.Mutex
+	received     []api.ReplicaRequest
+	incarnation  string
+	blockReports chan struct{} // reports wait until it is closed, if it is set
 }
 
 func newFakeReplica(tb testing.TB, name string) *fakeReplica {
 	tb.Helper()
 	f := &fakeReplica{name: name, incarnation: "1"}
-	f.behave(answerWhole)
+	f.setAnswer(writeAnswer)
 	f.server = httptest.NewServer(f)
 	tb.Cleanup(f.server.Close)
 	return f
 }
 
-func (f *fakeReplica) behave(answer answerFunc) { f.answer.Store(&answer) }
+func (f *fakeReplica) setAnswer(answer answerFunc) { f.answer.Store(&answer) }
 
 func (f *fakeReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == api.PathReplicaReport {
 		f.mutex.Lock()
-		incarnation, held := f.incarnation, f.reports
+		incarnation, held := f.incarnation, f.blockReports
 		f.mutex.Unlock()
 		if held != nil {
 			<-held
@@ -190,23 +190,23 @@
 	return append([]api.ReplicaRequest(nil), f.received...)
 }
 
-func answerWhole(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+func writeAnswer(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 	if request.Stream {
-		answerStream(w, request, 5)
+		writeStream(w, request, 5)
 		return
 	}
 	writeJSON(w, http.StatusOK, api.GenerateAnswer{RequestID: request.RequestID, RunID: "run-1", Tokens: 3, Text: "abc"})
 }
 
-func pieceFrame(request *api.ReplicaRequest, sequence int) []byte {
+func chunkFrame(request *api.ReplicaRequest, sequence int) []byte {
 	data, _ := json.Marshal(api.StreamChunk{RequestID: request.RequestID, RunID: "run-1", Sequence: sequence, Text: "word ", Tokens: 1})
 	return stream.AppendFrame(nil, api.EventPiece, data)
 }
 
-func answerStream(w http.ResponseWriter, request *api.ReplicaRequest, pieces int) {
+func writeStream(w http.ResponseWriter, request *api.ReplicaRequest, pieces int) {
 	w.Header().Set("Content-Type", stream.ContentType)
 	for i := range pieces {
-		w.Write(pieceFrame(request, i+1))
+		w.Write(chunkFrame(request, i+1))
 	}
 	data, _ := json.Marshal(api.StreamEnd{RequestID: request.RequestID, RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
 	w.Write(stream.AppendFrame(nil, api.EventEnd, data))
@@ -272,11 +272,11 @@
 		},
 		Seeds:           []string{"control"},
 		TicketKeys:      [][]byte{bytes.Repeat([]byte{7}, 32)},
-		LeaseConfig:     testTerms,
+		LeaseConfig:     testLeaseConfig,
 		Network:         network,
 		Clock:           func() time.Duration { return time.Since(started) + time.Duration(f.skew.Load()) },
 		PollInterval:    20 * time.Millisecond,
-		PollTimeout:     patience,
+		PollTimeout:     testTimeout,
 		ShutdownTimeout: 10 * time.Millisecond,
 		Seed:            1,
 	}
@@ -306,7 +306,7 @@
 	f.t.Helper()
 	waitFor(f.t, "ready gateways", func() bool {
 		for _, n := range nodes {
-			if n.mayPlace() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
+			if n.checkServing() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
 				return false
 			}
 			watched := n.router.Watched()
@@ -324,7 +324,7 @@
 	status  int
 	answer  api.GenerateAnswer
 	failure *api.Error
-	pieces  int
+	chunks  int
 	ended   *api.StreamEnd
 	broken  error // of reading the body
 	header  http.Header
@@ -367,7 +367,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	got := &reply{status: response.StatusCode, broken: err, header: response.Header}
-	if !isStream(response) {
+	if !isEventStream(response) {
 		var wrapped struct {
 			api.GenerateAnswer
 			Error *api.Error `json:"error"`
@@ -382,7 +382,7 @@
 		kind, data, _ := strings.Cut(strings.TrimPrefix(event, "event: "), "\ndata: ")
 		switch kind {
 		case api.EventPiece:
-			got.pieces++
+			got.chunks++
 		case api.EventEnd:
 			got.ended = new(api.StreamEnd)
 			err = json.Unmarshal([]byte(data), got.ended)
@@ -415,9 +415,9 @@
 	return request, &answer
 }
 
-// owned asks until an id is found that this gateway owns, and returns the
+// requestOwnedBy asks until an id is found that this gateway owns, and returns the
 // request with its ticket.
-func (n *node) owned(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
+func (n *node) requestOwnedBy(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
 	tb.Helper()
 	for try := range 64 {
 		candidate := request
@@ -431,6 +431,6 @@
 	return request
 }
 
-func question(id string) api.GenerateRequest {
+func newRequest(id string) api.GenerateRequest {
 	return api.GenerateRequest{RequestID: id, Model: "m", PromptTokens: 10, MaxTokens: 5, WaitMS: 10_000}
 }
--- a/gateway/hop_test.go
+++ b/gateway/forward_test.go
@@ -20,8 +20,8 @@
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
 	spilled := func(id string) api.GenerateRequest {
-		request := question(id)
-		answer, failure := north.mint(&api.WhereRequest{RequestID: id, Model: "m", WaitMS: request.WaitMS})
+		request := newRequest(id)
+		answer, failure := north.issueTicket(&api.WhereRequest{RequestID: id, Model: "m", WaitMS: request.WaitMS})
 		if failure != nil {
 			t.Fatal(failure)
 		}
@@ -33,14 +33,14 @@
 	}
 	streamed := spilled("streamed")
 	streamed.Stream = true
-	if got := north.send(t, streamed); got.outcome() != "success" || got.pieces != 5 || got.ended.Replica != "r1" {
-		t.Fatalf("got %s with %d pieces", got.outcome(), got.pieces)
+	if got := north.send(t, streamed); got.outcome() != "success" || got.chunks != 5 || got.ended.Replica != "r1" {
+		t.Fatalf("got %s with %d pieces", got.outcome(), got.chunks)
 	}
-	if _, where := north.where(t, question("asked")); where.Region != "south" || "http://"+where.Gateway != south.url {
+	if _, where := north.where(t, newRequest("asked")); where.Region != "south" || "http://"+where.Gateway != south.url {
 		t.Fatalf("sent to %s in %s", where.Gateway, where.Region)
 	}
 	started := make(chan struct{})
-	replica.behave(func(_ http.ResponseWriter, r *http.Request, _ *api.ReplicaRequest) {
+	replica.setAnswer(func(_ http.ResponseWriter, r *http.Request, _ *api.ReplicaRequest) {
 		close(started)
 		<-r.Context().Done()
 	})
@@ -61,10 +61,10 @@
 	}
 }
 
-// TestRefusedHopCountsAsAttempt has a replica of another region refuse what was
+// TestRefusedForwardCountsAsAttempt has a replica of another region refuse what was
 // sent to it. Trying the own region next is a retry: it needs budget for one,
 // and its stamp is the second attempt's.
-func TestRefusedHopCountsAsAttempt(t *testing.T) {
+func TestRefusedForwardCountsAsAttempt(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.ClientRecord("southerner", catalog.Client{Region: "south"})))
@@ -73,11 +73,11 @@
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	far.behave(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+	far.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 	})
 	ask := func(id, client string) *reply {
-		request := question(id)
+		request := newRequest(id)
 		request.Repeatable, request.Client = true, client
 		return north.send(t, request)
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestDisplacedRequestsWaitForRoom sends a request to a gateway whose region
+// TestOverflowRequestsWaitForCapacity sends a request to a gateway whose region
 // takes nothing while the other region's one replica is full.
-func TestDisplacedRequestsWaitForRoom(t *testing.T) {
+func TestOverflowRequestsWaitForCapacity(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
@@ -114,19 +114,19 @@
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
 	room := make(chan struct{})
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		select {
 		case <-room:
 		case <-r.Context().Done():
 		}
-		answerWhole(w, r, request)
+		writeAnswer(w, r, request)
 	})
-	first, _ := south.where(t, question("first"))
+	first, _ := south.where(t, newRequest("first"))
 	done := make(chan *reply, 2)
 	go func() { done <- south.send(t, first) }()
 	waitFor(t, "the full replica", func() bool { return len(replica.requests()) == 1 })
-	displaced := question("displaced")
-	answer, failure := north.mint(&api.WhereRequest{RequestID: displaced.RequestID, Model: "m", WaitMS: displaced.WaitMS})
+	displaced := newRequest("displaced")
+	answer, failure := north.issueTicket(&api.WhereRequest{RequestID: displaced.RequestID, Model: "m", WaitMS: displaced.WaitMS})
 	if failure != nil {
 		t.Fatal(failure)
 	}
@@ -142,20 +142,20 @@
 	if reached := len(replica.requests()); reached != 2 {
 		t.Errorf("reached the replica %d times", reached)
 	}
-	if declined := counted(t, north.metrics.spills.WithLabelValues("declined")); declined != 1 {
+	if declined := counterValue(t, north.metrics.spills.WithLabelValues("declined")); declined != 1 {
 		t.Errorf("%v offers were declined, want the one that did not wait", declined)
 	}
 }
 
-// fill keeps the one slot of a replica taken until the returned function is called.
-func (n *node) fill(t *testing.T, replica *fakeReplica) func() {
+// occupy keeps the one slot of a replica taken until the returned function is called.
+func (n *node) occupy(t *testing.T, replica *fakeReplica) func() {
 	t.Helper()
 	room := make(chan struct{})
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		<-room
-		answerWhole(w, r, request)
+		writeAnswer(w, r, request)
 	})
-	first, _ := n.where(t, question("first"))
+	first, _ := n.where(t, newRequest("first"))
 	done := make(chan *reply, 1)
 	go func() { done <- n.send(t, first) }()
 	waitFor(t, "the full replica", func() bool { return len(replica.requests()) == 1 })
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestWaitingOffers fills a region and lets offers wait for it: one whose time
+// TestQueuedOffers fills a region and lets offers wait for it: one whose time
 // runs out, one that is withdrawn, and one more than may wait.
-func TestWaitingOffers(t *testing.T) {
+func TestQueuedOffers(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
@@ -178,9 +178,9 @@
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	defer south.fill(t, replica)()
+	defer south.occupy(t, replica)()
 	offer := func(id string, wait time.Duration) peer.OfferReply {
-		request := question(id)
+		request := newRequest(id)
 		request.Repeatable = true
 		asked := peer.Offer{OfferID: id, From: "g1", Request: request, RemainingMS: 10_000, ConfigurationVersion: 1, Attempt: 1, WaitMS: wait.Milliseconds()}
 		var reply peer.OfferReply
@@ -201,28 +201,28 @@
 		t.Error("no time to come back")
 	}
 	replies := make(chan peer.OfferReply, 1)
-	go func() { replies <- offer("withdrawn", patience) }()
+	go func() { replies <- offer("withdrawn", testTimeout) }()
 	queued := func() int { return south.router.Status().Services[0].Queued }
 	waitFor(t, "the offer in the queue", func() bool { return queued() == 1 })
-	if !north.withdraw(t.Context(), "g2", "withdrawn", "b") {
+	if !north.cancelReservation(t.Context(), "g2", "withdrawn", "b") {
 		t.Error("the withdrawal is not confirmed")
 	}
 	wantDeclined(<-replies, api.CodeOverloaded)
 	if queued() != 0 {
 		t.Errorf("%d still queued", queued())
 	}
-	for range maxWaitingOffers {
-		south.offers.wait(fmt.Sprint("other ", len(south.offers.waiting)), func() {})
+	for range maxQueuedOffers {
+		south.reservations.beginWait(fmt.Sprint("other ", len(south.reservations.queued)), func() {})
 	}
-	wantDeclined(offer("one more", patience), api.CodeOverloaded)
+	wantDeclined(offer("one more", testTimeout), api.CodeOverloaded)
 	if queued() != 0 {
 		t.Errorf("%d queued beyond the bound", queued())
 	}
 }
 
-// TestDisplacedRequestIsGivenUpAtOnce sends displaced requests while as many as
+// TestOverflowRequestIsRefusedAtLimit sends displaced requests while as many as
 // may wait do: the answer does not wait for the caller's deadline.
-func TestDisplacedRequestIsGivenUpAtOnce(t *testing.T) {
+func TestOverflowRequestIsRefusedAtLimit(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
@@ -231,12 +231,12 @@
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	defer south.fill(t, replica)()
-	for north.displaced.enter() {
+	defer south.occupy(t, replica)()
+	for north.overflowWaiters.tryAcquire() {
 	}
-	request := question("given up")
+	request := newRequest("given up")
 	request.Repeatable = true
-	request.WaitMS = (2 * patience).Milliseconds()
+	request.WaitMS = (2 * testTimeout).Milliseconds()
 	done := make(chan *reply, 1)
 	go func() { done <- north.send(t, request) }()
 	select {
@@ -244,7 +244,7 @@
 		if got.outcome() != "overloaded/refused" || got.failure.RetryAfterMS == 0 || got.header.Get("Retry-After") == "" {
 			t.Errorf("got %s, %+v", got.outcome(), got.failure)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no answer")
 	}
 	if reached := len(replica.requests()); reached != 1 {
@@ -252,14 +252,14 @@
 	}
 }
 
-// TestWithdraw shows which offers are confirmed never to run.
-func TestWithdraw(t *testing.T) {
+// TestCancelReservation shows which offers are confirmed never to run.
+func TestCancelReservation(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	request := question("offered")
+	request := newRequest("offered")
 	request.Repeatable = true
 	offer := peer.Offer{OfferID: "o1", From: "g1", Request: request, RemainingMS: 5000, ConfigurationVersion: 1, Attempt: 1}
 	var reply peer.OfferReply
@@ -285,7 +285,7 @@
 		id  string
 		yes bool
 	}{{"o1", true}, {"o1", true}, {"never heard of", false}} {
-		if got := north.withdraw(t.Context(), "g2", want.id, "b"); got != want.yes {
+		if got := north.cancelReservation(t.Context(), "g2", want.id, "b"); got != want.yes {
 			t.Errorf("withdraw %s: %v", want.id, got)
 		}
 	}
@@ -302,7 +302,7 @@
 	if got := run("o2"); got != api.OutcomeUnknown {
 		t.Errorf("second run of an offer: %s", got)
 	}
-	if north.withdraw(t.Context(), "g2", "o2", "b") || north.withdraw(t.Context(), "g2", "o2", "another") {
+	if north.cancelReservation(t.Context(), "g2", "o2", "b") || north.cancelReservation(t.Context(), "g2", "o2", "another") {
 		t.Error("withdrew an offer that ran")
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -15,9 +15,9 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// TestResendRunsOnce sends one request to its owner and through another gateway
+// TestResentRequestRunsOnce sends one request to its owner and through another gateway
 // at the same time, and again after it is over.
-func TestResendRunsOnce(t *testing.T) {
+func TestResentRequestRunsOnce(t *testing.T) {
 	for _, streamed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stream=%v", streamed), func(t *testing.T) {
 			f := newFleet(t)
@@ -26,25 +26,25 @@
 			second := f.gateway("g2", "north", "b", nil)
 			f.ready(first, second)
 			release := make(chan struct{})
-			replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+			replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 				select {
 				case <-release:
-					answerWhole(w, r, request)
+					writeAnswer(w, r, request)
 				case <-r.Context().Done():
 				}
 			})
-			request := question("once")
+			request := newRequest("once")
 			request.Stream = streamed
-			request = first.owned(t, request)
+			request = first.requestOwnedBy(t, request)
 			replies := make([]*reply, 6)
 			var senders sync.WaitGroup
 			for i := range replies {
 				senders.Go(func() { replies[i] = []*node{first, second}[i%2].send(t, request) })
 			}
 			waitFor(t, "all senders to join", func() bool {
-				first.owner.mutex.Lock()
-				run, known := first.owner.ledger.Run(request.RequestID)
-				first.owner.mutex.Unlock()
+				first.tickets.mutex.Lock()
+				run, known := first.tickets.table.Run(request.RequestID)
+				first.tickets.mutex.Unlock()
 				if !known {
 					return false
 				}
@@ -56,8 +56,8 @@
 			senders.Wait()
 			replies = append(replies, first.send(t, request), second.send(t, request))
 			for i, got := range replies {
-				if got.outcome() != "success" || (streamed && got.pieces != 5) {
-					t.Errorf("sender %d: %s with %d pieces", i, got.outcome(), got.pieces)
+				if got.outcome() != "success" || (streamed && got.chunks != 5) {
+					t.Errorf("sender %d: %s with %d pieces", i, got.outcome(), got.chunks)
 				}
 			}
 			if ran := len(replica.requests()); ran != 1 {
@@ -75,19 +75,19 @@
 	}
 }
 
-// TestJoinerHasItsOwnTime lets a caller join a run that was given more time.
-func TestJoinerHasItsOwnTime(t *testing.T) {
+// TestJoiningCallerKeepsItsDeadline lets a caller join a run that was given more time.
+func TestJoiningCallerKeepsItsDeadline(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
 	started, release := make(chan struct{}), make(chan struct{})
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		close(started)
 		<-release
-		answerWhole(w, r, request)
+		writeAnswer(w, r, request)
 	})
-	patient, _ := g.where(t, question("joined"))
+	patient, _ := g.where(t, newRequest("joined"))
 	done := make(chan *reply, 1)
 	go func() { done <- g.send(t, patient) }()
 	<-started
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestAskedTwice asks two gateways where the same request should go. Both name
+// TestOneOwnerPerRequestID asks two gateways where the same request should go. Both name
 // one owner and its one ticket.
-func TestAskedTwice(t *testing.T) {
+func TestOneOwnerPerRequestID(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	first := f.gateway("g1", "north", "a", nil)
@@ -113,8 +113,8 @@
 	owners := make(map[string]bool)
 	for i := range 16 {
 		id := fmt.Sprintf("asked-%d", i)
-		_, one := first.where(t, question(id))
-		_, other := second.where(t, question(id))
+		_, one := first.where(t, newRequest(id))
+		_, other := second.where(t, newRequest(id))
 		if one.Ticket != other.Ticket || one.Gateway != other.Gateway {
 			t.Fatalf("%s: two tickets, of %s and %s", id, one.Gateway, other.Gateway)
 		}
@@ -132,7 +132,7 @@
 	owner := f.gateway("g1", "north", "a", nil)
 	other := f.gateway("g2", "north", "b", nil)
 	f.ready(owner, other)
-	request := owner.owned(t, question("orphan"))
+	request := owner.requestOwnedBy(t, newRequest("orphan"))
 	owner.stop()
 	restarted := f.gateway("g1", "north", "a2", nil)
 	f.ready(restarted, other)
@@ -144,7 +144,7 @@
 	if ran := len(replica.requests()); ran != 0 {
 		t.Fatalf("ran %d times", ran)
 	}
-	repeatable, refused := question("again"), question("refused")
+	repeatable, refused := newRequest("again"), newRequest("refused")
 	repeatable.Repeatable, refused.Repeatable = true, true
 	repeatable, _ = restarted.where(t, repeatable)
 	refused, _ = restarted.where(t, refused)
@@ -152,7 +152,7 @@
 	if got := other.send(t, repeatable); got.outcome() != "success" {
 		t.Fatalf("repeatable with a dead owner: %s", got.outcome())
 	}
-	replica.behave(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 	})
 	if got := other.send(t, refused); got.failure == nil || got.failure.Outcome != api.OutcomeUnknown {
@@ -160,17 +160,17 @@
 	}
 }
 
-// TestDrainingIsLearntFromARefusal has a replica drain between two polls.
-func TestDrainingIsLearntFromARefusal(t *testing.T) {
+// TestDrainingRefusalTriggersPoll has a replica drain between two polls.
+func TestDrainingRefusalTriggersPoll(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) { options.PollInterval = time.Hour })
 	f.ready(g)
 	replica.draining.Store(true)
-	replica.behave(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeReplicaDraining, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 	})
-	request, _ := g.where(t, question("drained"))
+	request, _ := g.where(t, newRequest("drained"))
 	if got := g.send(t, request); got.failure == nil || got.failure.Outcome != api.OutcomeRefused {
 		t.Fatalf("got %s", got.outcome())
 	}
@@ -183,10 +183,10 @@
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
-	replica.behave(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID, Retry: true, RetryAfterMS: 1200})
 	})
-	request, _ := g.where(t, question("refused"))
+	request, _ := g.where(t, newRequest("refused"))
 	got := g.send(t, request)
 	if got.failure == nil || got.failure.Outcome != api.OutcomeRefused {
 		t.Fatalf("got %s", got.outcome())
@@ -195,7 +195,7 @@
 		t.Error("no Retry-After")
 	}
 	reached := len(replica.requests())
-	replica.behave(answerWhole)
+	replica.setAnswer(writeAnswer)
 	for range 3 {
 		if again := g.send(t, request); again.outcome() != got.outcome() {
 			t.Fatalf("resent: %s, before: %s", again.outcome(), got.outcome())
@@ -214,9 +214,9 @@
 	}
 }
 
-// TestReplicaMisbehaves sends a request that must not be repeated to a replica
+// TestInvalidReplicaAnswers sends a request that must not be repeated to a replica
 // that answers wrongly in one way or another.
-func TestReplicaMisbehaves(t *testing.T) {
+func TestInvalidReplicaAnswers(t *testing.T) {
 	whole := func(w http.ResponseWriter, answer api.GenerateAnswer) { writeJSON(w, http.StatusOK, answer) }
 	tests := []struct {
 		name   string
@@ -258,28 +258,28 @@
 		}, "replica_broken/unknown", 0},
 		{"broken inside an event", true, func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", stream.ContentType)
-			frame := pieceFrame(request, 2)
-			w.Write(append(pieceFrame(request, 1), frame[:len(frame)/2]...))
+			frame := chunkFrame(request, 2)
+			w.Write(append(chunkFrame(request, 1), frame[:len(frame)/2]...))
 			http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}, "replica_incomplete/failed", 1},
 		{"clean end without the marker", true, func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", stream.ContentType)
-			w.Write(pieceFrame(request, 1))
+			w.Write(chunkFrame(request, 1))
 		}, "replica_incomplete/failed", 1},
 		{"skipped piece", true, func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", stream.ContentType)
-			w.Write(append(pieceFrame(request, 1), pieceFrame(request, 3)...))
+			w.Write(append(chunkFrame(request, 1), chunkFrame(request, 3)...))
 		}, "replica_mismatch/failed", 1},
 		{"stalled", true, func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", stream.ContentType)
-			w.Write(pieceFrame(request, 1))
+			w.Write(chunkFrame(request, 1))
 			http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}, "replica_stalled/failed", 1},
 		{"error event", true, func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", stream.ContentType)
-			w.Write(pieceFrame(request, 1))
+			w.Write(chunkFrame(request, 1))
 			w.Write(stream.AppendFrame(nil, api.EventError, []byte(`{"code":"replica_error","outcome":"refused"}`)))
 		}, "replica_error/failed", 1},
 		{"whole answer to a stream", true, func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
@@ -293,14 +293,14 @@
 	for i, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			waitFor(t, "a usable replica", func() bool { return g.router.Status().Services[0].Usable == 1 })
-			replica.behave(test.answer)
+			replica.setAnswer(test.answer)
 			before := len(replica.requests())
-			request := question(fmt.Sprintf("wrong-%d", i))
+			request := newRequest(fmt.Sprintf("wrong-%d", i))
 			request.Stream = test.stream
 			request, _ = g.where(t, request)
 			got := g.send(t, request)
-			if got.outcome() != test.want || got.pieces != test.pieces {
-				t.Errorf("got %s with %d pieces (%v)", got.outcome(), got.pieces, got.failure)
+			if got.outcome() != test.want || got.chunks != test.pieces {
+				t.Errorf("got %s with %d pieces (%v)", got.outcome(), got.chunks, got.failure)
 			}
 			if test.pieces > 0 && got.broken == nil {
 				t.Error("the connection ended cleanly")
@@ -319,7 +319,7 @@
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
 	for range 60 { // earns budget
-		request := question("warm")
+		request := newRequest("warm")
 		request.Repeatable = true
 		if got := g.send(t, request); got.outcome() != "success" {
 			t.Fatal(got.outcome())
@@ -334,7 +334,7 @@
 		mutex.Unlock()
 		if request.RequestID == "after a piece" {
 			w.Header().Set("Content-Type", stream.ContentType)
-			w.Write(pieceFrame(request, 1))
+			w.Write(chunkFrame(request, 1))
 			http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -345,10 +345,10 @@
 			writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 			return
 		}
-		answerWhole(w, r, request)
+		writeAnswer(w, r, request)
 	}
 	for _, replica := range replicas {
-		replica.behave(misbehave)
+		replica.setAnswer(misbehave)
 	}
 	tests := []struct {
 		id         string
@@ -364,7 +364,7 @@
 		{"then refused", true, false, 2, "replica_broken/unknown"},
 	}
 	for _, test := range tests {
-		request := question(test.id)
+		request := newRequest(test.id)
 		request.Repeatable, request.Stream = test.repeatable, test.stream
 		request, _ = g.where(t, request)
 		got := g.send(t, request)
@@ -397,14 +397,14 @@
 		}
 	})
 	f.ready(g)
-	request, _ := g.where(t, question("late"))
+	request, _ := g.where(t, newRequest("late"))
 	mutex.Lock()
 	hold = true
 	mutex.Unlock()
 	done := make(chan *reply, 1)
 	go func() { done <- g.send(t, request) }()
 	<-dialing
-	f.primary.set(func(p *primary) { p.silent = true })
+	f.primary.set(func(p *primary) { p.rejectRenewals = true })
 	f.skew.Add(int64(time.Minute))
 	close(release)
 	if got := <-done; got.outcome() != "no_lease/refused" {
@@ -423,27 +423,27 @@
 	}
 }
 
-// TestStaleConfigurationIsCaughtUp has a replica that has seen a version that
+// TestStaleConfigurationIsUpdated has a replica that has seen a version that
 // is held here and not active yet.
-func TestStaleConfigurationIsCaughtUp(t *testing.T) {
+func TestStaleConfigurationIsUpdated(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
 	f.primary.set(func(p *primary) {
-		p.activate = p.table.Serial()
+		p.activationLimit = p.table.Serial()
 		p.apply(registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: 2})))
 	})
 	waitFor(t, "the new serial to be held", func() bool { return g.agent.Status().ReceivedSerial > g.agent.Status().ActiveSerial })
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		if request.Stamp.ConfigurationVersion < 2 {
 			replica.version.Store(2)
 			writeError(w, &api.Error{Code: api.CodeStale, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 			return
 		}
-		answerWhole(w, r, request)
+		writeAnswer(w, r, request)
 	})
-	request, _ := g.where(t, question("stale"))
+	request, _ := g.where(t, newRequest("stale"))
 	if got := g.send(t, request); got.outcome() != "success" || got.answer.ConfigurationVersion != 2 {
 		t.Fatalf("got %s, version %d", got.outcome(), got.answer.ConfigurationVersion)
 	}
--- a/gateway/ports_test.go
+++ b/gateway/http_test.go
@@ -19,15 +19,15 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// TestLeavingGatewayRefers asks a gateway that is leaving where to go.
-func TestLeavingGatewayRefers(t *testing.T) {
+// TestDrainingGatewayRefersToPeers asks a gateway that is leaving where to go.
+func TestDrainingGatewayRefersToPeers(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	leaving := f.gateway("g1", "north", "a", nil)
 	staying := f.gateway("g2", "north", "b", nil)
 	f.ready(leaving, staying)
 	leaving.Drain()
-	request, where := leaving.where(t, question("asked"))
+	request, where := leaving.where(t, newRequest("asked"))
 	if "http://"+where.Gateway != staying.url {
 		t.Fatalf("sent to %s, not to %s", where.Gateway, staying.url)
 	}
@@ -45,26 +45,26 @@
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) {
-		options.ShutdownTimeout, options.TicketGracePeriod = patience, patience
+		options.ShutdownTimeout, options.TicketGracePeriod = testTimeout, testTimeout
 	})
 	f.ready(g)
 	started, release := make(chan struct{}), make(chan struct{})
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		if request.RequestID != "running" {
-			answerWhole(w, r, request)
+			writeAnswer(w, r, request)
 			return
 		}
 		close(started)
 		select {
 		case <-release:
-			answerStream(w, request, 5)
+			writeStream(w, request, 5)
 		case <-r.Context().Done():
 		}
 	})
-	running := question("running")
+	running := newRequest("running")
 	running.Stream = true
 	running, _ = g.where(t, running)
-	issued, _ := g.where(t, question("issued"))
+	issued, _ := g.where(t, newRequest("issued"))
 	done := make(chan *reply, 1)
 	go func() { done <- g.send(t, running) }()
 	<-started
@@ -74,7 +74,7 @@
 		close(stopped)
 	}()
 	waitFor(t, "the gateway to leave", g.draining.Load)
-	fresh := question("fresh")
+	fresh := newRequest("fresh")
 	fresh.Repeatable = true
 	if got := g.send(t, fresh); got.outcome() != "not_ready/refused" {
 		t.Errorf("new request: %s", got.outcome())
@@ -85,15 +85,15 @@
 	select {
 	case <-stopped:
 		t.Error("stopped beside a running stream")
-	case <-time.After(10 * honorPause): // a gateway that does not wait is gone by then
+	case <-time.After(10 * ticketCheckInterval): // a gateway that does not wait is gone by then
 	}
 	close(release)
-	if got := <-done; got.outcome() != "success" || got.pieces != 5 {
-		t.Errorf("running stream: %s with %d pieces", got.outcome(), got.pieces)
+	if got := <-done; got.outcome() != "success" || got.chunks != 5 {
+		t.Errorf("running stream: %s with %d pieces", got.outcome(), got.chunks)
 	}
 	select {
 	case <-stopped:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("does not stop")
 	}
 	f.primary.mutex.Lock()
@@ -104,10 +104,10 @@
 	}
 }
 
-// tokenOf accepts one Authorization header.
-type tokenOf string
+// authorizationHeader accepts one Authorization header.
+type authorizationHeader string
 
-func (token tokenOf) Authenticate(header string) (string, bool) {
+func (token authorizationHeader) Authenticate(header string) (string, bool) {
 	return "platform", header == string(token)
 }
 
@@ -117,7 +117,7 @@
 	f := newFleet(t)
 	f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) {
-		options.Tokens = func() Authenticator { return tokenOf("Bearer secret") }
+		options.Tokens = func() Authenticator { return authorizationHeader("Bearer secret") }
 	})
 	f.ready(g)
 	server := httptest.NewServer(g.OperatorsServer().Handler)
@@ -165,29 +165,29 @@
 	}
 	f.primary.mutex.Lock()
 	defer f.primary.mutex.Unlock()
-	if len(f.primary.orders) != 1 || f.primary.orders[0].Replicas.Replicas[0].ID != "r9" {
-		t.Errorf("orders %+v", f.primary.orders)
+	if len(f.primary.operations) != 1 || f.primary.operations[0].Replicas.Replicas[0].ID != "r9" {
+		t.Errorf("orders %+v", f.primary.operations)
 	}
 }
 
-// TestCallerHangUpCancels checks that the replica's work ends with the caller.
-func TestCallerHangUpCancels(t *testing.T) {
+// TestCallerDisconnectCancels checks that the replica's work ends with the caller.
+func TestCallerDisconnectCancels(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
 	started, canceled := make(chan struct{}), make(chan struct{})
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		w.Header().Set("Content-Type", stream.ContentType)
-		w.Write(pieceFrame(request, 1))
+		w.Write(chunkFrame(request, 1))
 		http.NewResponseController(w).Flush()
 		close(started)
 		<-r.Context().Done()
 		close(canceled)
 	})
 	f.primary.set(func(p *primary) { p.apply(registry.Add(catalog.LimitsRecord(catalog.Limits{StreamGapMS: 60_000}))) })
-	waitFor(t, "a long gap", func() bool { return g.streamGap() == time.Minute })
-	request := question("hang-up")
+	waitFor(t, "a long gap", func() bool { return g.streamIdleTimeout() == time.Minute })
+	request := newRequest("hang-up")
 	request.Stream, request.WaitMS = true, 60_000
 	request, _ = g.where(t, request)
 	ctx, hangUp := context.WithCancel(t.Context())
@@ -200,7 +200,7 @@
 	hangUp()
 	select {
 	case <-canceled:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the replica goes on")
 	}
 }
@@ -247,7 +247,7 @@
 			defer response.Body.Close()
 			var wrapped api.ErrorBody
 			body, _ := readBounded(response.Body, 1<<20)
-			if err := decodeOne(body, &wrapped); err != nil {
+			if err := decodeSingle(body, &wrapped); err != nil {
 				t.Fatalf("%s: %v", body, err)
 			}
 			if wrapped.Error == nil {
@@ -260,33 +260,33 @@
 	}
 }
 
-// TestUnreadResendIsNotCalledRefused resends a request that has run while the
+// TestUnreadResendHasUnknownOutcome resends a request that has run while the
 // gateway has no room for another body: nobody has looked whose request it is.
-func TestUnreadResendIsNotCalledRefused(t *testing.T) {
+func TestUnreadResendHasUnknownOutcome(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
-	request, _ := g.where(t, question("ran"))
+	request, _ := g.where(t, newRequest("ran"))
 	if got := g.send(t, request); got.outcome() != "success" {
 		t.Fatal(got.outcome())
 	}
-	if !g.bodies.take(maxBodyBytesInFlight) {
+	if !g.bodyBudget.acquire(maxBodyBytesInFlight) {
 		t.Fatal("room is taken already")
 	}
 	got := g.send(t, request)
 	if got.outcome() != "overloaded/unknown" || !got.failure.Retry {
 		t.Errorf("without room: %s", got.outcome())
 	}
-	g.bodies.give(maxBodyBytesInFlight)
+	g.bodyBudget.release(maxBodyBytesInFlight)
 	if got := g.send(t, request); got.outcome() != "success" {
 		t.Errorf("with room again: %s", got.outcome())
 	}
 }
 
-// TestConnectionsGiveWay opens more connections than are allowed: silent ones,
+// TestConnectionEviction opens more connections than are allowed: silent ones,
 // ones that never end their header and ones that never end their body.
-func TestConnectionsGiveWay(t *testing.T) {
+func TestConnectionEviction(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) { options.MaxConnections = 4 })
@@ -302,12 +302,12 @@
 		fmt.Fprint(conn, beginnings[i%len(beginnings)])
 		hostile = append(hostile, conn)
 	}
-	request := question("served")
+	request := newRequest("served")
 	request.Repeatable = true
 	if got := g.send(t, request); got.outcome() != "success" {
 		t.Fatalf("got %s", got.outcome())
 	}
-	hostile[0].SetReadDeadline(time.Now().Add(patience))
+	hostile[0].SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := hostile[0].Read(make([]byte, 1)); err == nil || n != 0 {
 		t.Fatalf("the oldest silent connection is still open: %d %v", n, err)
 	}
@@ -319,7 +319,7 @@
 	f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
-	g.metrics.touch()
+	g.metrics.createAllSeries()
 	families, err := g.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -344,17 +344,17 @@
 	}
 }
 
-// touch gives every family a member, since empty ones are not served.
-func (m *metrics) touch() {
+// createAllSeries gives every family a member, since empty ones are not served.
+func (m *metrics) createAllSeries() {
 	for _, vector := range []*prometheus.CounterVec{m.requests, m.where, m.failures, m.retries, m.spills, m.tickets, m.polls, m.updates} {
-		vector.WithLabelValues(make([]string, labelsOf(vector))...)
+		vector.WithLabelValues(make([]string, labelCount(vector))...)
 	}
 	m.latency.WithLabelValues("")
 	m.firstEvent.WithLabelValues("")
 }
 
-// labelsOf finds the number of labels of a vector.
-func labelsOf(vector *prometheus.CounterVec) int {
+// labelCount finds the number of labels of a vector.
+func labelCount(vector *prometheus.CounterVec) int {
 	for count := range 5 {
 		if _, err := vector.GetMetricWithLabelValues(make([]string, count)...); err == nil {
 			return count
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -1,9 +1,6 @@
 package gateway
 
 import (
-	"log"
-	"log/slog"
-	"strings"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -85,8 +82,8 @@
 		{"active_serial", "Registry serial that decides.", func() float64 { return float64(g.agent.Status().ActiveSerial) }},
 		{"active_version", "Configuration version that decides.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
 		{"primary_term", "Newest term seen of a primary.", func() float64 { return float64(g.agent.Status().Term) }},
-		{"running_requests", "Requests in progress.", func() float64 { return float64(g.running.count()) }},
-		{"ledger_tickets", "Tickets remembered.", func() float64 { return float64(g.ledgerSize()) }},
+		{"running_requests", "Requests in progress.", func() float64 { return float64(g.active.current()) }},
+		{"ledger_tickets", "Tickets remembered.", func() float64 { return float64(g.ticketCount()) }},
 	}
 	for _, gauge := range gauges {
 		options := prometheus.GaugeOpts{Namespace: metricsNamespace, Name: gauge.name, Help: gauge.help}
@@ -104,19 +101,6 @@
 	)
 }
 
-func (g *Gateway) ledgerSize() int {
-	g.owner.mutex.Lock()
-	defer g.owner.mutex.Unlock()
-	return g.owner.ledger.Len()
-}
-
-// unusedTickets counts the tickets that may still be used for the first time.
-func (g *Gateway) unusedTickets() int {
-	g.owner.mutex.Lock()
-	defer g.owner.mutex.Unlock()
-	return g.owner.ledger.Unused(g.options.Clock())
-}
-
 func classLabel(class api.Class) string {
 	if class == "" {
 		return "default"
@@ -124,7 +108,7 @@
 	return string(class)
 }
 
-func (m *metrics) noteRequest(request *api.GenerateRequest, failure *api.Error, started time.Time) {
+func (m *metrics) observeRequest(request *api.GenerateRequest, failure *api.Error, started time.Time) {
 	class := classLabel(request.Class)
 	if checkClass(request.Class) != nil {
 		class = "invalid"
@@ -137,11 +121,11 @@
 	m.latency.WithLabelValues(class).Observe(time.Since(started).Seconds())
 }
 
-func (m *metrics) noteFirstEvent(request *api.GenerateRequest, started time.Time) {
+func (m *metrics) observeFirstEvent(request *api.GenerateRequest, started time.Time) {
 	m.firstEvent.WithLabelValues(classLabel(request.Class)).Observe(time.Since(started).Seconds())
 }
 
-func (m *metrics) noteWhere(failure *api.Error) {
+func (m *metrics) observeWhere(failure *api.Error) {
 	if failure == nil {
 		m.where.WithLabelValues(codeNone).Inc()
 		return
@@ -149,9 +133,9 @@
 	m.where.WithLabelValues(string(failure.Code)).Inc()
 }
 
-// noteAttempt counts the failure of an attempt. A replica's own code is counted
+// observeAttemptFailure counts the failure of an attempt. A replica's own code is counted
 // by its outcome alone, so that replicas cannot make up labels.
-func (m *metrics) noteAttempt(failure *api.Error) {
+func (m *metrics) observeAttemptFailure(failure *api.Error) {
 	code := string(failure.Code)
 	if failure.Outcome == api.OutcomeRefused {
 		code = "replica_refused"
@@ -159,7 +143,7 @@
 	m.failures.WithLabelValues(code, string(failure.Outcome)).Inc()
 }
 
-func (m *metrics) noteStanding(standing ticket.UseResult) {
+func (m *metrics) observeTicketUse(result ticket.UseResult) {
 	events := map[ticket.UseResult]string{
 		ticket.UseStart:    "run",
 		ticket.UseJoin:     "joined",
@@ -167,19 +151,5 @@
 		ticket.UseUnknown:  "forgotten",
 		ticket.UseConflict: "conflict",
 	}
-	m.tickets.WithLabelValues(events[standing]).Inc()
-}
-
-// quietLog sends what net/http complains about to the debug level: most of it
-// is callers that went away.
-func quietLog(logger *slog.Logger) *log.Logger {
-	return log.New(debugWriter{logger}, "", 0)
-}
-
-type debugWriter struct{ logger *slog.Logger }
-
-// Write implements io.Writer.
-func (w debugWriter) Write(line []byte) (int, error) {
-	w.logger.Debug("http server", "message", strings.TrimSpace(string(line)))
-	return len(line), nil
+	m.tickets.WithLabelValues(events[result]).Inc()
 }
--- a/gateway/operator.go
+++ b/gateway/operators_http.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// orderWait bounds the wait for the answer to a forwarded order.
-	orderWait = 10 * time.Second
+	// operationTimeout bounds the wait for the answer to a forwarded order.
+	operationTimeout = 10 * time.Second
 	// operatorWriteTimeout leaves time for a profile of 30 s.
 	operatorWriteTimeout = time.Minute
 	// maxOperatorConnections bounds the connections of the operators' port.
@@ -27,10 +27,10 @@
 // OperatorsServer returns the server of the operators' port.
 func (g *Gateway) OperatorsServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc(api.PathStatus, g.only(http.MethodGet, g.serveStatus))
+	mux.HandleFunc(api.PathStatus, g.requireMethod(http.MethodGet, g.serveStatus))
 	mux.HandleFunc(api.PathReplicas, g.serveReplicas)
-	mux.HandleFunc(api.PathExplain, g.only(http.MethodPost, g.serveExplain))
-	mux.HandleFunc(api.PathHTTPReplicas, g.only(http.MethodGet, g.serveHTTPReplicas))
+	mux.HandleFunc(api.PathExplain, g.requireMethod(http.MethodPost, g.serveExplain))
+	mux.HandleFunc(api.PathHTTPReplicas, g.requireMethod(http.MethodGet, g.serveHTTPReplicas))
 	mux.Handle(api.PathMetrics, promhttp.HandlerFor(g.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/cmdline", pprof.Cmdline)
@@ -38,12 +38,12 @@
 	mux.HandleFunc("/debug/pprof/symbol", pprof.Symbol)
 	mux.HandleFunc("/debug/pprof/trace", pprof.Trace)
 	g.addHealth(mux)
-	return g.newServer(bounded(mux), maxOperatorConnections)
+	return g.newServer(withWriteDeadline(mux), maxOperatorConnections)
 }
 
-// bounded gives each answer a time of its own. Writing a document sets a shorter
+// withWriteDeadline gives each answer a time of its own. Writing a document sets a shorter
 // one, which would otherwise last into the connection's next request.
-func bounded(next http.Handler) http.Handler {
+func withWriteDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		deadline := time.Now().Add(operatorWriteTimeout)
 		if err := http.NewResponseController(w).SetWriteDeadline(deadline); err != nil {
@@ -64,7 +64,7 @@
 		Serial:   status.ReceivedSerial,
 		Version:  status.ActiveVersion,
 		Members:  []api.MemberStatus{g.ownStatus()},
-		Degraded: g.degraded(),
+		Degraded: g.degradedReasons(),
 		Services: g.serviceLoads(),
 	}
 	if status.LeaseRemaining > 0 {
@@ -92,20 +92,32 @@
 	}
 }
 
-func (g *Gateway) degraded() []string {
-	var reasons []string
-	if g.draining.Load() {
-		reasons = append(reasons, "the gateway is leaving")
-	}
-	if !g.agent.Valid() {
-		reasons = append(reasons, "no lease from the primary, requests are refused: see that there is a primary and that this machine reaches it")
-	}
-	if g.agent.Active() == nil {
-		reasons = append(reasons, "no copy of the registry yet: see that this machine reaches a control node")
-	} else if !g.mayOwn() {
-		reasons = append(reasons, "the zone is evacuated: no tickets are issued here")
+// serviceLoads describes the services of the own region.
+func (g *Gateway) serviceLoads() []api.ServiceLoad {
+	var loads []api.ServiceLoad
+	for _, service := range g.router.Status().Services {
+		load := api.ServiceLoad{
+			Service:     service.Service,
+			Region:      g.options.Info.Region,
+			Utilization: service.Utilization,
+			Spill:       spillFraction(&service),
+			Limit:       service.Limit,
+			InFlight:    service.InFlight,
+			Queued:      service.Queued,
+			Replicas:    service.Replicas,
+			Usable:      service.Usable,
+			Cold:        service.WarmingUp,
+			Draining:    service.Draining,
+			Ejected:     service.Ejected,
+		}
+		for _, controller := range service.Controllers {
+			if controller.Name == spillController {
+				load.SetPoint = controller.SetPoint
+			}
+		}
+		loads = append(loads, load)
 	}
-	return reasons
+	return loads
 }
 
 func (g *Gateway) serveReplicas(w http.ResponseWriter, r *http.Request) {
@@ -116,7 +128,7 @@
 		g.forwardReplicas(w, r)
 	default:
 		w.Header().Set("Allow", "GET, PUT")
-		writeJSON(w, http.StatusMethodNotAllowed, api.ErrorBody{Error: invalid("method", "must be GET or PUT")})
+		writeJSON(w, http.StatusMethodNotAllowed, api.ErrorBody{Error: newInvalidError("method", "must be GET or PUT")})
 	}
 }
 
@@ -124,7 +136,7 @@
 // address.
 func (g *Gateway) serveHTTPReplicas(w http.ResponseWriter, _ *http.Request) {
 	if g.options.HTTPProxy == nil {
-		writeError(w, failed(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
+		writeError(w, newError(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
 		return
 	}
 	writeJSON(w, http.StatusOK, api.HTTPReplicasAnswer{Gateway: g.options.Info.Name, Replicas: g.options.HTTPProxy.Replicas()})
@@ -134,7 +146,7 @@
 func (g *Gateway) listReplicas(w http.ResponseWriter) {
 	active := g.agent.Active()
 	if active == nil {
-		writeError(w, refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet"))
+		writeError(w, newRetryableError(api.CodeNotReady, "the gateway has no copy of the registry yet"))
 		return
 	}
 	answer := api.ReplicasAnswer{Serial: active.Serial(), Replicas: []api.ReplicaStatus{}}
@@ -166,7 +178,7 @@
 // forwardReplicas passes the platform's list to a control node.
 func (g *Gateway) forwardReplicas(w http.ResponseWriter, r *http.Request) {
 	if _, ok := g.authenticate(r); !ok {
-		writeError(w, failed(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or wrong"))
+		writeError(w, newError(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or wrong"))
 		return
 	}
 	var list api.ReplicaList
@@ -174,24 +186,24 @@
 		writeError(w, failure)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), orderWait)
+	ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 	defer cancel()
-	reply, err := g.agent.SubmitOperation(ctx, peer.OperationRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
+	reply, err := g.agent.SubmitOperation(ctx, peer.OperationRequest{Replicas: &list, WaitMS: operationTimeout.Milliseconds()})
 	if err != nil {
-		failure := refusedLater(api.CodeNoPrimary, "no primary can be reached")
+		failure := newRetryableError(api.CodeNoPrimary, "no primary can be reached")
 		failure.Outcome = api.OutcomeUnknown
 		writeError(w, failure)
 		return
 	}
-	writeOrder(w, &reply)
+	writeOperationReply(w, &reply)
 }
 
-func writeOrder(w http.ResponseWriter, reply *peer.OperationReply) {
+func writeOperationReply(w http.ResponseWriter, reply *peer.OperationReply) {
 	switch {
 	case reply.Error != nil:
 		writeError(w, reply.Error)
 	case reply.Answer == nil:
-		writeError(w, failed(api.CodeInternal, api.OutcomeUnknown, "the control node sent no answer"))
+		writeError(w, newError(api.CodeInternal, api.OutcomeUnknown, "the control node sent no answer"))
 	case reply.Answer.Error != nil:
 		writeError(w, reply.Answer.Error)
 	default:
--- a/gateway/suspect_test.go
+++ b/gateway/replica_health_test.go
@@ -21,18 +21,18 @@
 	return usable
 }
 
-// unpolled starts a gateway that polls replicas only when they are listed and on
+// gatewayWithoutPolling starts a gateway that polls replicas only when they are listed and on
 // suspicion, and lets it know the one replica.
-func (f *fleet) unpolled() *node {
+func (f *fleet) gatewayWithoutPolling() *node {
 	g := f.gateway("g1", "north", "a", func(options *Options) { options.PollInterval = time.Hour })
 	waitFor(f.t, "a lease and the replica's record", func() bool {
-		return g.mayPlace() == nil && len(g.agent.Active().Replicas()) == 1 && len(g.router.Watched()) == 1
+		return g.checkServing() == nil && len(g.agent.Active().Replicas()) == 1 && len(g.router.Watched()) == 1
 	})
 	waitFor(f.t, "the first report", func() bool { return g.usableReplicas() == 1 })
 	return g
 }
 
-func counted(t *testing.T, counter prometheus.Counter) float64 {
+func counterValue(t *testing.T, counter prometheus.Counter) float64 {
 	t.Helper()
 	var metric dto.Metric
 	if err := counter.Write(&metric); err != nil {
@@ -41,27 +41,27 @@
 	return metric.GetCounter().GetValue()
 }
 
-func (f *fakeReplica) change(change func()) {
+func (f *fakeReplica) update(change func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change()
 }
 
-// TestRestartedReplicaIsAskedAtOnce restarts a replica between two polls. The
+// TestRestartedReplicaIsPolledAtOnce restarts a replica between two polls. The
 // request placed on its predecessor is refused by it, and runs once it reported.
-func TestRestartedReplicaIsAskedAtOnce(t *testing.T) {
+func TestRestartedReplicaIsPolledAtOnce(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
-	g := f.unpolled()
-	replica.change(func() { replica.incarnation = "2" })
-	replica.behave(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
+	g := f.gatewayWithoutPolling()
+	replica.update(func() { replica.incarnation = "2" })
+	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		if request.Stamp.ReplicaIncarnation != "2" {
 			writeError(w, &api.Error{Code: api.CodeRestarted, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 			return
 		}
-		answerWhole(w, r, request)
+		writeAnswer(w, r, request)
 	})
-	request, _ := g.where(t, question("restarted"))
+	request, _ := g.where(t, newRequest("restarted"))
 	if got := g.send(t, request); got.outcome() != "success" {
 		t.Fatalf("got %s", got.outcome())
 	}
@@ -73,22 +73,22 @@
 		t.Errorf("placed on incarnation/attempt %v", placed)
 	}
 	for _, label := range []string{"allowed", "denied"} {
-		if asked := counted(t, g.metrics.retries.WithLabelValues(label)); asked != 0 {
+		if asked := counterValue(t, g.metrics.retries.WithLabelValues(label)); asked != 0 {
 			t.Errorf("%v retries %s", asked, label)
 		}
 	}
 }
 
-// TestBrokenConnectionAsksForReport breaks connections in several ways. Nothing
+// TestBrokenConnectionTriggersPoll breaks connections in several ways. Nothing
 // new may go to the replica until its report, which is asked for at once, is in.
-func TestBrokenConnectionAsksForReport(t *testing.T) {
+func TestBrokenConnectionTriggersPoll(t *testing.T) {
 	breaks := map[string]answerFunc{
 		"before the answer": func(http.ResponseWriter, *http.Request, *api.ReplicaRequest) {
 			panic(http.ErrAbortHandler)
 		},
 		"within a stream": func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 			w.Header().Set("Content-Type", "text/event-stream")
-			w.Write(pieceFrame(request, 1))
+			w.Write(chunkFrame(request, 1))
 			if err := http.NewResponseController(w).Flush(); err != nil {
 				panic(err)
 			}
@@ -99,11 +99,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			replica := f.replica("r1", "north")
-			g := f.unpolled()
+			g := f.gatewayWithoutPolling()
 			reports := make(chan struct{})
-			replica.change(func() { replica.reports = reports })
-			replica.behave(broke)
-			request, _ := g.where(t, question("broken"))
+			replica.update(func() { replica.blockReports = reports })
+			replica.setAnswer(broke)
+			request, _ := g.where(t, newRequest("broken"))
 			request.Stream = true
 			if got := g.send(t, request); got.failure == nil || got.failure.Outcome == api.OutcomeRefused {
 				t.Errorf("got %s", got.outcome())
@@ -111,11 +111,11 @@
 			if usable := g.usableReplicas(); usable != 0 {
 				t.Errorf("%d replicas are usable before the report", usable)
 			}
-			replica.behave(answerWhole)
-			replica.change(func() { replica.reports = nil })
+			replica.setAnswer(writeAnswer)
+			replica.update(func() { replica.blockReports = nil })
 			close(reports)
 			waitFor(t, "the report", func() bool { return g.usableReplicas() == 1 })
-			request, _ = g.where(t, question("after"))
+			request, _ = g.where(t, newRequest("after"))
 			if got := g.send(t, request); got.outcome() != "success" {
 				t.Errorf("afterwards: got %s", got.outcome())
 			}
@@ -128,10 +128,10 @@
 func TestFailedDialClosesReplica(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
-	g := f.unpolled()
+	g := f.gatewayWithoutPolling()
 	replica.server.Listener.Close()
 	replica.server.CloseClientConnections()
-	request, _ := g.where(t, question("unreachable"))
+	request, _ := g.where(t, newRequest("unreachable"))
 	if got := g.send(t, request); got.failure == nil || got.failure.Outcome != api.OutcomeRefused {
 		t.Errorf("got %s", got.outcome())
 	}
--- /dev/null
+++ b/gateway/replica_response.go
@@ -0,0 +1,141 @@
+package gateway
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"mime"
+	"net/http"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/internal/planted"
+	"github.com/deckpulley/deckpulley/stream"
+)
+
+// decodeSingle reads exactly one JSON value.
+func decodeSingle(body []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if err := decoder.Decode(into); err != nil {
+		return err
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return errors.New("more than one JSON value")
+	}
+	return nil
+}
+
+// errBodyTooLong means that a body passes its bound.
+var errBodyTooLong = errors.New("gateway: body is too long")
+
+// readBounded reads a whole body of at most limit bytes.
+func readBounded(source io.Reader, limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(source, limit+1))
+	if err != nil {
+		return nil, err
+	}
+	if int64(len(body)) > limit {
+		return nil, errBodyTooLong
+	}
+	return body, nil
+}
+
+// hasDefiniteLength tells whether the end of the body can be told from a broken
+// connection.
+func hasDefiniteLength(response *http.Response) bool {
+	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+}
+
+func isEventStream(response *http.Response) bool {
+	kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
+	return err == nil && kind == stream.ContentType
+}
+
+// replicaAnswer is a whole answer, or an error that hides in one.
+type replicaAnswer struct {
+	api.GenerateAnswer
+	Error json.RawMessage `json:"error"`
+}
+
+// readAnswer reads a whole answer and checks that it is one, and this
+// request's. Anything else is an error.
+func readAnswer(response *http.Response, requestID string) (*api.GenerateAnswer, *api.Error) {
+	if !hasDefiniteLength(response) {
+		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer has no length")
+	}
+	body, err := readBounded(response.Body, api.MaxReplicaAnswer)
+	if err != nil {
+		return nil, classifyReadError(err)
+	}
+	var answer replicaAnswer
+	if err := decodeSingle(body, &answer); err != nil {
+		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer is not whole JSON")
+	}
+	if len(answer.Error) > 0 && string(answer.Error) != "null" {
+		return nil, newError(api.CodeReplicaError, api.OutcomeFailed, "the replica answered success with an error in it")
+	}
+	if answer.RequestID != requestID && !planted.Active(planted.AcceptWrongID) {
+		return nil, newError(api.CodeReplicaMismatch, api.OutcomeUnknown, "the replica answered another request")
+	}
+	if answer.RunID == "" || answer.Tokens <= 0 {
+		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer lacks its run or its tokens")
+	}
+	return &answer.GenerateAnswer, nil
+}
+
+// classifyErrorResponse judges an answer that is not a success. Only the replica's own
+// typed refusal of this very request counts as never run.
+func classifyErrorResponse(response *http.Response, requestID string) attemptResult {
+	body, err := readBounded(response.Body, maxReplicaErrorBody)
+	if err != nil {
+		return indeterminate(classifyReadError(err))
+	}
+	var wrapped api.ErrorBody
+	if err := decodeSingle(body, &wrapped); err != nil || wrapped.Error == nil || wrapped.Error.Code == "" {
+		return indeterminate(newError(api.CodeReplicaError, api.OutcomeUnknown, "the replica answered status %d", response.StatusCode))
+	}
+	failure := wrapped.Error
+	if failure.RequestID != requestID {
+		return indeterminate(newError(api.CodeReplicaMismatch, api.OutcomeUnknown, "the replica answered another request with status %d", response.StatusCode))
+	}
+	if failure.Outcome == api.OutcomeRefused && response.StatusCode >= http.StatusBadRequest {
+		switch failure.Code {
+		case api.CodeStale:
+			return attemptResult{status: statusStaleConfiguration, failure: failure}
+		case api.CodeRestarted:
+			return attemptResult{status: statusReplicaRestarted, failure: failure}
+		}
+		return attemptResult{status: statusNotStarted, failure: failure}
+	}
+	outcome := api.OutcomeUnknown
+	if failure.Outcome == api.OutcomeFailed {
+		outcome = api.OutcomeFailed
+	}
+	return indeterminate(newError(api.CodeReplicaError, outcome, "the replica answered status %d, %s", response.StatusCode, failure.Code))
+}
+
+// classifyReadError classifies an error while a whole body was read.
+func classifyReadError(err error) *api.Error {
+	switch {
+	case errors.Is(err, errBodyTooLong):
+		return newError(api.CodeReplicaError, api.OutcomeFailed, "the replica's answer is too long")
+	case errors.Is(err, io.ErrUnexpectedEOF):
+		return newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer is shorter than announced")
+	default:
+		return newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke")
+	}
+}
+
+// classifyStreamError turns the fault of a stream into the caller's error. A stream of
+// which a piece came has run.
+func classifyStreamError(err error, chunks int) *api.Error {
+	outcome := api.OutcomeUnknown
+	if chunks > 0 {
+		outcome = api.OutcomeFailed
+	}
+	var fault *stream.ReadError
+	if errors.As(err, &fault) {
+		return newError(fault.Code, outcome, "the replica's stream broke: %s", fault.Reason)
+	}
+	return newError(api.CodeReplicaBroken, outcome, "the replica's stream broke")
+}
--- a/gateway/collector.go
+++ b/gateway/router_metrics.go
@@ -45,10 +45,10 @@
 // Collect implements prometheus.Collector.
 func (c *routerCollector) Collect(into chan<- prometheus.Metric) {
 	status := c.router.Status()
-	c.controller(into, status.Retry, "")
+	c.collectController(into, status.Retry, "")
 	for _, service := range status.Services {
 		for _, controller := range service.Controllers {
-			c.controller(into, controller, service.Service)
+			c.collectController(into, controller, service.Service)
 		}
 		c.collectService(into, &service)
 	}
@@ -58,7 +58,7 @@
 	into <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 }
 
-func (c *routerCollector) controller(into chan<- prometheus.Metric, status feedback.Status, service string) {
+func (c *routerCollector) collectController(into chan<- prometheus.Metric, status feedback.Status, service string) {
 	gauge(into, c.setPoint, status.SetPoint, status.Name, service)
 	gauge(into, c.measured, status.Measured, status.Name, service)
 	gauge(into, c.output, status.Output, status.Name, service)
--- /dev/null
+++ b/gateway/run_events.go
@@ -0,0 +1,81 @@
+package gateway
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/stream"
+)
+
+// eventReader is the receiving end of a transport stream.
+type eventReader interface {
+	Next(into any) error
+	Close() error
+}
+
+// closeStream gives a stream up; its connection is then closed or reused, and
+// neither matters to the request.
+func closeStream(events eventReader) { _ = events.Close() }
+
+// errUnexpectedEvent means that a peer sent events that make no answer.
+var errUnexpectedEvent = errors.New("gateway: peer's events do not belong together")
+
+// copyEvents copies a peer's events into an execution, checking that they belong
+// together, and returns the result that ends them.
+func copyEvents(ctx context.Context, events eventReader, run *execution) (*result, error) {
+	sequence := stream.SequenceChecker{RequestID: run.requestID}
+	for {
+		var event peer.RunEvent
+		if err := events.Next(&event); err != nil {
+			return nil, fmt.Errorf("gateway: peer's events: %w", err)
+		}
+		switch {
+		case event.Chunk != nil:
+			if err := sequence.CheckChunk(event.Chunk); err != nil {
+				return nil, err
+			}
+			data, err := json.Marshal(event.Chunk)
+			if err != nil {
+				return nil, fmt.Errorf("gateway: encoding a piece: %w", err)
+			}
+			if err := run.appendChunk(ctx, data); err != nil {
+				return nil, err
+			}
+		case event.End != nil:
+			return &result{end: event.End, attempts: event.Attempts}, sequence.CheckEnd(event.End)
+		case event.Answer != nil && event.Answer.RequestID == run.requestID && sequence.Chunks() == 0:
+			return &result{answer: event.Answer, attempts: event.Attempts}, nil
+		case event.Error != nil:
+			return &result{failure: event.Error, attempts: event.Attempts}, nil //nolint:nilerr // the failure is the result of the run, not of reading it
+		default:
+			return nil, errUnexpectedEvent
+		}
+	}
+}
+
+// sendEvents copies an execution's output to a peer.
+func sendEvents(ctx context.Context, reader *follower, send func(any) error) error {
+	for {
+		frames, ended, err := reader.next(ctx)
+		if err != nil {
+			return err
+		}
+		if ended != nil {
+			return send(&peer.RunEvent{Answer: ended.answer, End: ended.end, Error: ended.failure, Attempts: ended.attempts})
+		}
+		err = forEachChunk(frames, func(data []byte) error {
+			piece := new(api.StreamChunk)
+			if err := json.Unmarshal(data, piece); err != nil {
+				return fmt.Errorf("gateway: decoding a piece: %w", err)
+			}
+			return send(&peer.RunEvent{Chunk: piece})
+		})
+		if err != nil {
+			return err
+		}
+	}
+}
--- a/gateway/run_test.go
+++ b/gateway/runner_test.go
@@ -8,9 +8,9 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// TestRetryIsAdvisedOnlyWhereItIsSafe ends requests by their deadline. Whoever
+// TestRetryAdvice ends requests by their deadline. Whoever
 // is told unknown of a request that must not be repeated is not told to repeat it.
-func TestRetryIsAdvisedOnlyWhereItIsSafe(t *testing.T) {
+func TestRetryAdvice(t *testing.T) {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	<-ctx.Done()
@@ -27,8 +27,8 @@
 	}
 	for _, test := range tests {
 		run := newExecution("q", false, 1, func(error) {})
-		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, ran: test.ran}
-		r.fail(ctx, refusedLater(api.CodeDeadline, "no time is left"))
+		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, mayHaveRun: test.ran}
+		r.fail(ctx, newRetryableError(api.CodeDeadline, "no time is left"))
 		got := run.result.failure
 		if got.Outcome != test.outcome || got.Retry != test.retry || (got.RetryAfterMS > 0) != test.retry {
 			t.Errorf("%s: %s, retry %t after %d ms", test.name, got.Outcome, got.Retry, got.RetryAfterMS)
--- /dev/null
+++ b/gateway/ticket_forward.go
@@ -0,0 +1,108 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/ticket"
+)
+
+// forwardToOwner hands a request to the process that its ticket names.
+func (g *Gateway) forwardToOwner(request *api.GenerateRequest, presented ticket.Ticket) (*follower, *api.Error) {
+	address, found := g.ownerAddress(presented)
+	if !found {
+		return g.handleOrphanedTicket(request)
+	}
+	ctx, cancel := g.detachedContext(time.Now().Add(api.Wait(request.WaitMS)))
+	events, err := g.options.Network.OpenStream(ctx, address, peer.KindOwner, &peer.OwnerRequest{Request: *request})
+	if err != nil {
+		cancel(nil)
+		g.log.Debug("ticket owner unreachable", "owner", presented.Owner, "error", err)
+		return g.handleOrphanedTicket(request)
+	}
+	run := newExecution(request.RequestID, request.Stream, request.MaxTokens, cancel)
+	reader, failure := run.follow(request.Stream)
+	g.active.begin()
+	go func() {
+		defer g.active.end()
+		defer cancel(nil)
+		defer closeStream(events)
+		g.copyOwnerEvents(ctx, events, run)
+	}()
+	return reader, failure
+}
+
+func (g *Gateway) copyOwnerEvents(ctx context.Context, events eventReader, run *execution) {
+	final, err := copyEvents(ctx, events, run)
+	if err == nil {
+		run.finish(final)
+		return
+	}
+	failure := orphanedTicketFailure(run.requestID)
+	if run.hasOutput() {
+		failure.Outcome = api.OutcomeFailed
+	}
+	run.finish(&result{failure: failure})
+}
+
+// ownerAddress finds the process that a ticket names. Any copy will do: a
+// process that is not the one named answers so.
+func (g *Gateway) ownerAddress(presented ticket.Ticket) (string, bool) {
+	active := g.agent.Active()
+	if active == nil {
+		return "", false
+	}
+	record, known := active.Gateways()[presented.Owner]
+	if !known || record.Incarnation != presented.Incarnation {
+		return "", false
+	}
+	return record.PeerAddress, true
+}
+
+// handleOrphanedTicket answers a request whose owner is gone. What may be repeated runs
+// here; nothing about it is a refusal any more.
+func (g *Gateway) handleOrphanedTicket(request *api.GenerateRequest) (*follower, *api.Error) {
+	g.metrics.tickets.WithLabelValues("orphaned").Inc()
+	if request.Repeatable {
+		return g.runWithoutTicket(request, true)
+	}
+	return nil, orphanedTicketFailure(request.RequestID)
+}
+
+func orphanedTicketFailure(requestID string) *api.Error {
+	failure := newError(api.CodeTicketOrphaned, api.OutcomeUnknown, "the gateway that owns the ticket is gone, was restarted or cannot be reached")
+	failure.RequestID = requestID
+	return failure
+}
+
+// serveOwner answers a request that another gateway passed to this one.
+func (g *Gateway) serveOwner(ctx context.Context, _ string, decode func(any) error, send func(any) error) error {
+	var forwarded peer.OwnerRequest
+	if err := decode(&forwarded); err != nil {
+		return err
+	}
+	request := &forwarded.Request
+	reader, failure := g.acceptForwarded(request)
+	if failure != nil {
+		failure.RequestID = request.RequestID
+		return send(&peer.RunEvent{Error: failure})
+	}
+	defer reader.close()
+	return sendEvents(ctx, reader, send)
+}
+
+func (g *Gateway) acceptForwarded(request *api.GenerateRequest) (*follower, *api.Error) {
+	if failure := checkGenerate(request); failure != nil {
+		return nil, failure
+	}
+	presented, failure := g.openTicket(request)
+	if failure != nil {
+		return nil, failure
+	}
+	if presented.Owner != g.options.Info.Name || presented.Incarnation != g.options.Info.Incarnation {
+		return nil, orphanedTicketFailure(request.RequestID)
+	}
+	return g.useTicket(request, presented)
+}
--- a/gateway/mint.go
+++ b/gateway/ticket_issue.go
@@ -14,14 +14,22 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
+// Limits of issuing a ticket.
+const (
+	// issueTicketTimeout bounds the wait for a ticket of another gateway.
+	issueTicketTimeout = 500 * time.Millisecond
+	// maxAlternates bounds the gateways that an answer names beside the owner.
+	maxAlternates = 3
+)
+
 // where answers where a request should go: with a ticket of a gateway in the
 // region that serves it best. A gateway that leaves gives no tickets of its own.
 func (g *Gateway) where(ctx context.Context, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
-	refused := g.mayAccept()
-	if refused != nil && !g.mayRefer() {
-		return nil, refused
+	acceptFailure := g.checkAccepting()
+	if acceptFailure != nil && !g.canRefer() {
+		return nil, acceptFailure
 	}
-	route, failure := g.router.Resolve(asGenerate(request), time.Now())
+	route, failure := g.router.Resolve(generateRequestFor(request), time.Now())
 	if failure != nil {
 		return nil, failure
 	}
@@ -30,37 +38,37 @@
 		return nil, g.router.Rejection(route)
 	}
 	for _, region := range regions {
-		answer, failure := g.mintIn(ctx, region, request, refused == nil)
+		answer, failure := g.issueTicketIn(ctx, region, request, acceptFailure == nil)
 		if answer != nil || failure != nil {
 			return answer, failure
 		}
 	}
-	if refused != nil {
-		return nil, refused
+	if acceptFailure != nil {
+		return nil, acceptFailure
 	}
-	return g.mint(request)
+	return g.issueTicket(request)
 }
 
-// mintIn asks a gateway of the region, or this one, to own the request. Both
+// issueTicketIn asks a gateway of the region, or this one, to own the request. Both
 // results are nil if the next region is to be tried. Whoever asks for the same
 // unrepeatable request again, through whichever gateway of the region, is led to
 // the same owner, who answers with the first ticket. Two tickets for it need a
 // change of the region's gateways between the two, an owner that was not reached
 // in time, or questions that led to two regions.
-func (g *Gateway) mintIn(ctx context.Context, region string, request *api.WhereRequest, self bool) (*api.WhereAnswer, *api.Error) {
-	self = self && region == g.region() && g.mayOwn()
+func (g *Gateway) issueTicketIn(ctx context.Context, region string, request *api.WhereRequest, includeSelf bool) (*api.WhereAnswer, *api.Error) {
+	includeSelf = includeSelf && region == g.region() && g.canOwnTickets()
 	if request.Repeatable {
-		if self {
-			return g.mint(request)
+		if includeSelf {
+			return g.issueTicket(request)
 		}
-		return g.mintAt(ctx, g.peersIn(region, maxPeersTried), request)
+		return g.issueTicketAt(ctx, g.peersInRegion(region, maxPeersTried), request)
 	}
-	candidates := g.ownersIn(region, request.RequestID, self)
+	candidates := g.ownerCandidates(region, request.RequestID, includeSelf)
 	for _, candidate := range candidates[:min(len(candidates), maxPeersTried)] {
 		if candidate.PeerAddress == g.options.Info.PeerAddress {
-			return g.mint(request)
+			return g.issueTicket(request)
 		}
-		answer, failure := g.mintAt(ctx, []catalog.Gateway{candidate}, request)
+		answer, failure := g.issueTicketAt(ctx, []catalog.Gateway{candidate}, request)
 		if answer != nil || failure != nil {
 			return answer, failure
 		}
@@ -68,18 +76,18 @@
 	return nil, nil
 }
 
-// ownersIn lists the gateways of a region that may own a request, in the order
+// ownerCandidates lists the gateways of a region that may own a request, in the order
 // of their rendezvous scores for its id.
-func (g *Gateway) ownersIn(region, requestID string, self bool) []catalog.Gateway {
+func (g *Gateway) ownerCandidates(region, requestID string, includeSelf bool) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
 		return nil
 	}
 	var names []string
 	for name, member := range active.Gateways() {
-		allowed := usable(active, member)
+		allowed := isAvailable(active, member)
 		if name == g.options.Info.Name {
-			allowed = self
+			allowed = includeSelf
 		}
 		if member.Region == region && allowed {
 			names = append(names, name)
@@ -96,13 +104,13 @@
 	return owners
 }
 
-// mintAt asks gateways in turn for a ticket. An owner's word that the request id
+// issueTicketAt asks gateways in turn for a ticket. An owner's word that the request id
 // is taken or closed is final; anything else leaves the next one to be asked.
-func (g *Gateway) mintAt(ctx context.Context, members []catalog.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+func (g *Gateway) issueTicketAt(ctx context.Context, members []catalog.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	for _, member := range members {
-		asking, cancel := context.WithTimeout(ctx, mintTimeout)
+		callContext, cancel := context.WithTimeout(ctx, issueTicketTimeout)
 		var reply peer.IssueTicketReply
-		err := g.options.Network.Call(asking, member.PeerAddress, peer.KindIssueTicket, &peer.IssueTicket{Request: *request}, &reply)
+		err := g.options.Network.Call(callContext, member.PeerAddress, peer.KindIssueTicket, &peer.IssueTicket{Request: *request}, &reply)
 		cancel()
 		switch {
 		case err != nil:
@@ -116,13 +124,19 @@
 	return nil, nil
 }
 
-// mayRefer tells that the gateway is leaving but still knows the others.
-func (g *Gateway) mayRefer() bool {
+// canRefer tells that the gateway is leaving but still knows the others.
+func (g *Gateway) canRefer() bool {
 	return g.draining.Load() && g.agent.Valid() && g.agent.Active() != nil
 }
 
-// asGenerate is the part of a request that is known when asking where to go.
-func asGenerate(request *api.WhereRequest) api.GenerateRequest {
+// canOwnTickets is false in an evacuated zone: its tickets would die with it.
+func (g *Gateway) canOwnTickets() bool {
+	active := g.agent.Active()
+	return active != nil && !active.IsEvacuated(g.options.Info.Zone)
+}
+
+// generateRequestFor is the part of a request that is known when asking where to go.
+func generateRequestFor(request *api.WhereRequest) api.GenerateRequest {
 	return api.GenerateRequest{
 		RequestID:  request.RequestID,
 		Tenant:     request.Tenant,
@@ -135,41 +149,35 @@
 	}
 }
 
-// mayOwn is false in an evacuated zone: its tickets would die with it.
-func (g *Gateway) mayOwn() bool {
-	active := g.agent.Active()
-	return active != nil && !active.IsEvacuated(g.options.Info.Zone)
-}
-
-func (g *Gateway) serveMint(_ context.Context, _ string, decode func(any) error) (any, error) {
+func (g *Gateway) serveIssueTicket(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.IssueTicket
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
-	answer, failure := g.mintForPeer(&request.Request)
+	answer, failure := g.issueTicketForPeer(&request.Request)
 	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
 }
 
-// mintForPeer makes a ticket that this process owns for a caller of another
+// issueTicketForPeer makes a ticket that this process owns for a caller of another
 // gateway, if this one accepts the request.
-func (g *Gateway) mintForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+func (g *Gateway) issueTicketForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	if failure := checkWhere(request); failure != nil {
 		return nil, failure
 	}
-	if failure := g.mayAccept(); failure != nil {
+	if failure := g.checkAccepting(); failure != nil {
 		return nil, failure
 	}
-	if !g.mayOwn() {
-		return nil, refusedLater(api.CodeNotReady, "the zone is evacuated")
+	if !g.canOwnTickets() {
+		return nil, newRetryableError(api.CodeNotReady, "the zone is evacuated")
 	}
-	return g.mint(request)
+	return g.issueTicket(request)
 }
 
-// mint makes a ticket that this process owns.
-func (g *Gateway) mint(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+// issueTicket makes a ticket that this process owns.
+func (g *Gateway) issueTicket(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	now := g.options.Clock()
 	wait := api.Wait(request.WaitMS)
-	fresh := ticket.Ticket{
+	requested := ticket.Ticket{
 		RequestID:   request.RequestID,
 		Owner:       g.options.Info.Name,
 		Incarnation: g.options.Info.Incarnation,
@@ -178,15 +186,15 @@
 		IssuedAt:    now,
 		Expires:     now + wait,
 	}
-	g.owner.mutex.Lock()
-	issued, err := g.owner.ledger.Issue(now, fresh)
-	g.owner.mutex.Unlock()
+	g.tickets.mutex.Lock()
+	issued, err := g.tickets.table.Issue(now, requested)
+	g.tickets.mutex.Unlock()
 	if err != nil {
-		return nil, issueFailure(request.RequestID, err)
+		return nil, issueTicketFailure(request.RequestID, err)
 	}
 	text, err := g.sealer.Load().Seal(issued)
 	if err != nil {
-		return nil, failed(api.CodeInternal, api.OutcomeRefused, "sealing the ticket: %v", err)
+		return nil, newError(api.CodeInternal, api.OutcomeRefused, "sealing the ticket: %v", err)
 	}
 	answer := &api.WhereAnswer{
 		RequestID:   request.RequestID,
@@ -203,15 +211,15 @@
 	return answer, nil
 }
 
-func issueFailure(requestID string, err error) *api.Error {
+func issueTicketFailure(requestID string, err error) *api.Error {
 	var failure *api.Error
 	switch {
 	case errors.Is(err, ticket.ErrFull):
-		failure = refusedLater(api.CodeOverloaded, "the gateway remembers as many requests as it can")
+		failure = newRetryableError(api.CodeOverloaded, "the gateway remembers as many requests as it can")
 	case errors.Is(err, ticket.ErrClosed):
-		failure = failed(api.CodeDuplicate, api.OutcomeRefused, "the request was refused for good: ask again with a new request id")
+		failure = newError(api.CodeDuplicate, api.OutcomeRefused, "the request was refused for good: ask again with a new request id")
 	default:
-		failure = failed(api.CodeDuplicate, api.OutcomeUnknown, "the request id is in use for another request")
+		failure = newError(api.CodeDuplicate, api.OutcomeUnknown, "the request id is in use for another request")
 	}
 	failure.RequestID = requestID
 	return failure
@@ -227,7 +235,7 @@
 	var addresses, otherRegions []string
 	for name, member := range active.Gateways() {
 		switch {
-		case name == g.options.Info.Name || !usable(active, member):
+		case name == g.options.Info.Name || !isAvailable(active, member):
 		case member.Region == g.region():
 			addresses = append(addresses, member.HTTPAddress)
 		default:
@@ -240,7 +248,7 @@
 	return addresses[:min(len(addresses), maxAlternates)]
 }
 
-func usable(active *catalog.State, member catalog.Gateway) bool {
+func isAvailable(active *catalog.State, member catalog.Gateway) bool {
 	return member.Up && !active.IsEvacuated(member.Zone)
 }
 
--- /dev/null
+++ b/gateway/utilization.go
@@ -0,0 +1,74 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/deckpulley/deckpulley/peer"
+)
+
+// Parameters of the exchange of utilizations.
+const (
+	gossipInterval = time.Second
+	// maxGossipPeers bounds the gateways that are sent a digest each time.
+	maxGossipPeers = 8
+)
+
+// gossipUtilization tells gateways of other regions how loaded this one is. Each time a
+// bounded number of them, chosen by chance, hears it.
+func (g *Gateway) gossipUtilization(ctx context.Context) {
+	ticker := time.NewTicker(gossipInterval)
+	defer ticker.Stop()
+	digest := peer.RegionUtilization{Region: g.region(), Gateway: g.options.Info.Name}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if !g.agent.Valid() || g.draining.Load() {
+			continue
+		}
+		digest.Sequence++
+		digest.UtilizationByService = g.router.Load()
+		for _, address := range g.gossipTargets(maxGossipPeers) {
+			g.options.Network.Send(address, peer.KindRegionUtilization, &digest)
+		}
+	}
+}
+
+// gossipTargets returns peers' addresses of gateways of other regions, those of
+// regions that may spill into this one first.
+func (g *Gateway) gossipTargets(limit int) []string {
+	active := g.agent.Active()
+	if active == nil {
+		return nil
+	}
+	regions := active.Regions()
+	var addresses, others []string
+	for _, member := range active.Gateways() {
+		switch {
+		case member.Region == g.region() || !member.Up:
+		case slices.Contains(regions[member.Region].Spill, g.region()):
+			addresses = append(addresses, member.PeerAddress)
+		default:
+			others = append(others, member.PeerAddress)
+		}
+	}
+	g.shuffle(addresses)
+	g.shuffle(others)
+	addresses = append(addresses, others...)
+	return addresses[:min(len(addresses), limit)]
+}
+
+func (g *Gateway) serveUtilization(_ context.Context, _ string, decode func(any) error) (any, error) {
+	var digest peer.RegionUtilization
+	if err := decode(&digest); err != nil {
+		return nil, err
+	}
+	if digest.Region != g.region() {
+		g.router.SetRemoteLoad(digest.Region, digest.UtilizationByService, time.Now())
+	}
+	return nil, nil
+}
--- a/gateway/check.go
+++ b/gateway/validation.go
@@ -7,35 +7,29 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-func invalid(field, format string, arguments ...any) *api.Error {
-	failure := failed(api.CodeInvalid, api.OutcomeRefused, format, arguments...)
-	failure.Field = field
-	return failure
-}
-
 // checkName checks an id or name of a request.
 func checkName(field, value string, required bool) *api.Error {
 	switch {
 	case value == "" && required:
-		return invalid(field, "is missing")
+		return newInvalidError(field, "is missing")
 	case len(value) > api.MaxNameBytes:
-		return invalid(field, "has %d bytes, %d at the most", len(value), api.MaxNameBytes)
+		return newInvalidError(field, "has %d bytes, %d at the most", len(value), api.MaxNameBytes)
 	case !utf8.ValidString(value):
-		return invalid(field, "is not valid UTF-8")
+		return newInvalidError(field, "is not valid UTF-8")
 	}
 	return nil
 }
 
 func checkWait(waitMS int64) *api.Error {
 	if waitMS < 0 || waitMS > api.MaxWaitMS {
-		return invalid("wait_ms", "must be from 0 to %d", int64(api.MaxWaitMS))
+		return newInvalidError("wait_ms", "must be from 0 to %d", int64(api.MaxWaitMS))
 	}
 	return nil
 }
 
 func checkPrefixes(prefixes []api.Prefix) (int, *api.Error) {
 	if len(prefixes) > api.MaxPrefixes {
-		return 0, invalid("prefixes", "has %d entries, %d at the most", len(prefixes), api.MaxPrefixes)
+		return 0, newInvalidError("prefixes", "has %d entries, %d at the most", len(prefixes), api.MaxPrefixes)
 	}
 	total := 0
 	for i, prefix := range prefixes {
@@ -43,7 +37,7 @@
 			return 0, failure
 		}
 		if prefix.Tokens < 0 || prefix.Tokens > api.MaxPromptTokens {
-			return 0, invalid(fmt.Sprintf("prefixes[%d].tokens", i), "must be from 0 to %d", api.MaxPromptTokens)
+			return 0, newInvalidError(fmt.Sprintf("prefixes[%d].tokens", i), "must be from 0 to %d", api.MaxPromptTokens)
 		}
 		total += prefix.Tokens
 	}
@@ -95,19 +89,19 @@
 	case "", api.ClassQuick, api.ClassLong, api.ClassFetch:
 		return nil
 	default:
-		return invalid("class", "must be %q, %q or %q", api.ClassQuick, api.ClassLong, api.ClassFetch)
+		return newInvalidError("class", "must be %q, %q or %q", api.ClassQuick, api.ClassLong, api.ClassFetch)
 	}
 }
 
 func checkTokens(request *api.GenerateRequest, prefixTokens int) *api.Error {
 	if request.PromptTokens < 0 || request.PromptTokens > api.MaxPromptTokens {
-		return invalid("prompt_tokens", "must be from 0 to %d", api.MaxPromptTokens)
+		return newInvalidError("prompt_tokens", "must be from 0 to %d", api.MaxPromptTokens)
 	}
 	if prefixTokens+request.PromptTokens > api.MaxPromptTokens {
-		return invalid("prompt_tokens", "the prompt has %d tokens with its prefixes, %d at the most", prefixTokens+request.PromptTokens, api.MaxPromptTokens)
+		return newInvalidError("prompt_tokens", "the prompt has %d tokens with its prefixes, %d at the most", prefixTokens+request.PromptTokens, api.MaxPromptTokens)
 	}
 	if request.MaxTokens < 1 || request.MaxTokens > api.MaxOutputTokens {
-		return invalid("max_tokens", "must be from 1 to %d", api.MaxOutputTokens)
+		return newInvalidError("max_tokens", "must be from 1 to %d", api.MaxOutputTokens)
 	}
 	return nil
 }
