--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -13,7 +13,7 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// attempt sends the request to one replica and judges what comes back.
+// attempt sends the request to one replica and classifies the response.
 func (r *runner) attempt(ctx context.Context, reservation *routing.Reservation) attemptResult {
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -33,6 +33,8 @@
 	return r.receive(attemptContext, cancel, reservation, response)
 }
 
+// replicaRequest returns the request in the form that replicas take, stamped with the
+// configuration and the attempt.
 func (r *runner) replicaRequest(reservation *routing.Reservation) *api.ReplicaRequest {
 	version := reservation.Version
 	if planted.Active(planted.StepBack) && r.staleRefusals == 0 && version > 1 && r.request.PromptTokens%16 == 0 {
@@ -58,6 +60,7 @@
 	}
 }
 
+// recordSent accounts for an attempt of which a byte may have been sent.
 func (r *runner) recordSent() {
 	r.attemptsSent++
 	r.retryAvailable = false
@@ -68,7 +71,7 @@
 	r.gateway.metrics.attempts.Inc()
 }
 
-// classifySendError judges an attempt without an answer.
+// classifySendError returns the result of an attempt without a response.
 func (r *runner) classifySendError(ctx context.Context, reservation *routing.Reservation, guard *sendGuard) attemptResult {
 	sent, denied := guard.close()
 	if denied != nil {
@@ -88,10 +91,11 @@
 	}
 	reservation.Finish(recorded, nil, time.Now())
 	failure := newRetryableError(api.CodeNoCapacity, "no replica could be reached")
-	return attemptResult{status: statusNotStarted, failure: failure, unsent: true}
+	return notSent(failure)
 }
 
-// classifyMissingAnswer judges an attempt whose request left, at least in part.
+// classifyMissingAnswer returns the result of an attempt whose request was sent, at
+// least in part, and not answered.
 func (r *runner) classifyMissingAnswer(ctx context.Context, reservation *routing.Reservation) attemptResult {
 	if ctx.Err() != nil {
 		reservation.Finish(routing.ResultCanceled, nil, time.Now())
@@ -102,14 +106,15 @@
 	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke before its answer"))
 }
 
-// recordIndeterminate notes that an attempt may have run.
+// recordIndeterminate records that an attempt may have run.
 func (r *runner) recordIndeterminate(failure *api.Error) attemptResult {
 	r.mayHaveRun = true
 	r.indeterminateFailure = failure
 	return indeterminate(failure)
 }
 
-// receive judges an answer and delivers it if it is whole and this request's.
+// receive classifies a response and delivers the answer if it is complete and belongs
+// to the request.
 func (r *runner) receive(ctx context.Context, cancel context.CancelCauseFunc, reservation *routing.Reservation, response *http.Response) attemptResult {
 	if response.StatusCode != http.StatusOK {
 		return r.recordFailure(ctx, reservation, classifyErrorResponse(response, r.request.RequestID))
@@ -127,7 +132,8 @@
 	return r.receiveStream(ctx, cancel, reservation, response)
 }
 
-// recordFailure accounts for an attempt that brought no answer.
+// recordFailure accounts for an attempt without an answer, and has the replica polled
+// if its state may have changed.
 func (r *runner) recordFailure(ctx context.Context, reservation *routing.Reservation, outcome attemptResult) attemptResult {
 	recorded := routing.ResultFailed
 	switch {
@@ -147,12 +153,13 @@
 	}
 	reservation.Finish(recorded, nil, time.Now())
 	if outcome.failure.Code == api.CodeReplicaDraining {
-		r.gateway.pollNow(reservation.Replica) // so that nobody else is sent there
+		r.gateway.pollNow(reservation.Replica) // so that no other request is sent there
 	}
 	r.gateway.metrics.observeAttemptFailure(outcome.failure)
 	return outcome
 }
 
+// receiveAnswer delivers an answer that is not streamed.
 func (r *runner) receiveAnswer(ctx context.Context, reservation *routing.Reservation, response *http.Response) attemptResult {
 	answer, failure := readAnswer(response, r.request.RequestID)
 	if failure != nil {
@@ -171,8 +178,8 @@
 	return attemptResult{status: statusDelivered}
 }
 
-// receiveStream relays a stream event by event. From the first event on there is
-// no other attempt.
+// receiveStream relays a stream event by event. After the first event there is no
+// other attempt.
 func (r *runner) receiveStream(ctx context.Context, cancel context.CancelCauseFunc, reservation *routing.Reservation, response *http.Response) attemptResult {
 	reader := stream.NewReader(response.Body, stream.Options{
 		RequestID:   r.request.RequestID,
@@ -201,8 +208,8 @@
 	}
 }
 
-// failStream ends a stream that is not whole. Once the caller may have seen a
-// piece, the failure is its result.
+// failStream ends an incomplete stream. If the caller may have received a chunk, the
+// failure is the result of the request.
 func (r *runner) failStream(ctx context.Context, reservation *routing.Reservation, failure *api.Error) attemptResult {
 	outcome := r.recordFailure(ctx, reservation, indeterminate(failure))
 	if !r.execution.hasOutput() || planted.Active(planted.JoinRuns) {
@@ -215,6 +222,7 @@
 	return attemptResult{status: statusDelivered}
 }
 
+// completeStream delivers the end of a stream.
 func (r *runner) completeStream(reservation *routing.Reservation, end *api.StreamEnd) {
 	report := end.Report
 	end.Report = nil
--- a/gateway/callers_http.go
+++ b/gateway/callers_http.go
@@ -11,15 +11,17 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// CallersServer returns the server of the callers' port.
+// CallersServer returns the server of the callers' port. Its owner runs and closes
+// it.
 func (g *Gateway) CallersServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc(api.PathWhere, g.requireMethod(http.MethodPost, g.serveWhere))
-	mux.HandleFunc(api.PathRequests, g.requireMethod(http.MethodPost, g.serveRequest))
+	mux.HandleFunc(api.PathWhere, requireMethod(http.MethodPost, g.serveWhere))
+	mux.HandleFunc(api.PathRequests, requireMethod(http.MethodPost, g.serveRequest))
 	g.addHealth(mux)
 	return g.newServer(mux, g.options.MaxConnections)
 }
 
+// serveWhere answers which gateway a request should be sent to.
 func (g *Gateway) serveWhere(w http.ResponseWriter, r *http.Request) {
 	var request api.WhereRequest
 	if failure := g.readRequest(w, r, &request); failure != nil {
@@ -41,6 +43,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
+// serveRequest serves a request and its output.
 func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	var request api.GenerateRequest
@@ -65,11 +68,11 @@
 	g.answer(w, r, &request, reader, started)
 }
 
-// maxFailureLogsPerSecond bounds the log lines about requests that failed.
+// maxFailureLogsPerSecond bounds the log lines about failed requests.
 const maxFailureLogsPerSecond = 5
 
-// recordRequest counts a request that is over, and logs some of those that went
-// wrong.
+// recordRequest counts a finished request, and logs a failed one within the rate
+// limit.
 func (g *Gateway) recordRequest(request *api.GenerateRequest, failure *api.Error, started time.Time) {
 	g.metrics.observeRequest(request, failure, started)
 	if failure == nil || !g.failureLogs.Allow() {
@@ -79,8 +82,9 @@
 		"outcome", failure.Outcome, "code", failure.Code, "reason", failure.Message, "elapsed", time.Since(started))
 }
 
-// answer copies an execution's output to the caller. It panics with
-// http.ErrAbortHandler where the connection must not end cleanly.
+// answer copies the output of an execution to the caller. It panics with
+// http.ErrAbortHandler to break the connection where an incomplete answer must not
+// look complete.
 func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, request *api.GenerateRequest, reader *follower, started time.Time) {
 	ctx, cancel := context.WithDeadline(r.Context(), started.Add(api.Wait(request.WaitMS)+joinGracePeriod))
 	defer cancel()
@@ -110,8 +114,8 @@
 	}
 }
 
-// callerDeadlineFailure answers a caller whose time is over before the run that it joined,
-// which may have been given more.
+// callerDeadlineFailure is the error for a caller whose deadline comes before that of
+// the execution that it joined.
 func callerDeadlineFailure(request *api.GenerateRequest) *api.Error {
 	failure := newRetryableError(api.CodeDeadline, "the request has no result yet in the caller's time")
 	failure.Outcome = api.OutcomeUnknown
@@ -119,6 +123,7 @@
 	return failure
 }
 
+// writeResult writes the end of a response.
 func writeResult(w http.ResponseWriter, writer *stream.Writer, ended *result) {
 	switch {
 	case ended.failure != nil && writer != nil && planted.Active(planted.CleanEnd):
--- a/gateway/connections.go
+++ b/gateway/connections.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// connections bounds the open connections of one server. A new one beyond the
-// bound takes the place of the one that has been silent, idle or sending its
-// request for the longest time; if all are being served it is closed itself.
+// connections bounds the open connections of one server. A connection beyond the
+// limit replaces the one that has been idle, or sending its request, for the longest
+// time; if all are handling requests, the new one is closed.
 type connections struct {
 	limit int
 
@@ -19,7 +19,7 @@
 }
 
 type connection struct {
-	// handling means that the request was read whole and has no answer yet.
+	// handling means that a request was received completely and has no response yet.
 	handling bool
 	since    time.Time
 }
@@ -28,16 +28,16 @@
 	return &connections{limit: limit, open: make(map[net.Conn]*connection)}
 }
 
-// connectionKey is the context key of a request's connection.
+// connectionKey is the context key of the connection of a request.
 type connectionKey struct{}
 
-// connectionOf is one open connection and the set that bounds it.
+// connectionOf is an open connection and the set that tracks it.
 type connectionOf struct {
 	set  *connections
 	conn net.Conn
 }
 
-// attach makes a server use the bound.
+// attach makes a server use the limit.
 func (c *connections) attach(server *http.Server) {
 	server.ConnState = c.track
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
@@ -45,7 +45,7 @@
 	}
 }
 
-// markHandling notes that a request was read whole.
+// markHandling records that a request was received completely.
 func markHandling(ctx context.Context) {
 	of, ok := ctx.Value(connectionKey{}).(connectionOf)
 	if !ok {
@@ -58,13 +58,14 @@
 	}
 }
 
-// track is the server's ConnState hook.
+// track is the ConnState hook of the server.
 func (c *connections) track(conn net.Conn, state http.ConnState) {
 	if evicted := c.update(conn, state); evicted != nil {
 		evicted.Close()
 	}
 }
 
+// update records the state of a connection and returns the one to close, if any.
 func (c *connections) update(conn net.Conn, state http.ConnState) net.Conn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -86,6 +87,8 @@
 	return nil
 }
 
+// evict removes and returns the connection to close in favor of the newest. The
+// caller holds the mutex.
 func (c *connections) evict(newest net.Conn) net.Conn {
 	evicted := newest
 	var oldest time.Time
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -20,10 +20,10 @@
 	maxSpillWait = 2 * time.Second
 )
 
-// dispatch returns nil once the result is delivered, otherwise why there is none.
-// A request that cannot wait in the queue of its own region, which is evacuated
-// or has lost its replicas, waits in those of the others if none has room at
-// once. Whoever finds no place in any queue has his answer at once.
+// dispatch returns nil once the result is delivered, otherwise the reason why there
+// is none. A request that can't wait in the queue of its own region, which is
+// evacuated or has lost its replicas, waits in the queues of other regions if none of
+// them has capacity at once. A request that finds no queue is answered at once.
 func (r *runner) dispatch(ctx context.Context) *api.Error {
 	failure := r.dispatchOnce(ctx, 0)
 	if failure == nil || !r.canWaitElsewhere(failure) {
@@ -36,8 +36,8 @@
 	return r.dispatchOnce(ctx, min(maxOverflowWait, time.Until(r.route.Deadline)/2))
 }
 
-// canWaitElsewhere tells that nothing was sent, that the own region takes nothing, and
-// that another one may soon have room.
+// canWaitElsewhere reports whether nothing was sent, the own region accepts nothing,
+// and another region may soon have capacity.
 func (r *runner) canWaitElsewhere(failure *api.Error) bool {
 	if r.forwarded || r.mayHaveRun || r.attempted() {
 		return false
@@ -49,8 +49,8 @@
 	return len(regions) > 0 && !slices.Contains(regions, r.gateway.region())
 }
 
-// dispatchOnce tries the regions in order, and waits for room in the others for the
-// given time at most.
+// dispatchOnce tries the regions in order and waits up to queueWait for capacity in
+// other regions.
 func (r *runner) dispatchOnce(ctx context.Context, queueWait time.Duration) *api.Error {
 	queueDeadline := time.Now().Add(queueWait)
 	regions := []string{r.gateway.region()}
@@ -87,8 +87,9 @@
 	return lastFailure
 }
 
-// spillQueueWait is how long a request that was drawn to be spilled, because the first
-// region has less to do than its own, may wait there before its own queue.
+// spillQueueWait is how long a request that was selected for spilling, because the
+// first region is less loaded than its own, may wait in the queue of that region
+// before it enters the queue of its own.
 func (r *runner) spillQueueWait(regions []string) time.Duration {
 	own := r.gateway.region()
 	if regions[0] == own || !slices.Contains(regions, own) {
@@ -97,9 +98,11 @@
 	return min(maxSpillWait, time.Until(r.route.Deadline)/4)
 }
 
+// dispatchTo runs the request in one region. The wait bounds queueing in another
+// region.
 func (r *runner) dispatchTo(ctx context.Context, region string, wait time.Duration) attemptResult {
 	if failure := r.gateway.checkServing(); failure != nil {
-		return attemptResult{status: statusNotStarted, failure: failure}
+		return notStarted(failure)
 	}
 	if region != r.gateway.region() {
 		return r.forwardToRegion(ctx, region, wait)
@@ -111,11 +114,11 @@
 func (r *runner) runLocally(ctx context.Context) attemptResult {
 	for {
 		if failure := r.awaitSeenVersion(ctx); failure != nil {
-			return attemptResult{status: statusNotStarted, failure: failure}
+			return notStarted(failure)
 		}
 		reservation, elsewhere, failure := r.acquire(ctx)
 		if failure != nil {
-			return attemptResult{status: statusNotStarted, failure: failure}
+			return notStarted(failure)
 		}
 		if reservation == nil {
 			return elsewhere
@@ -127,8 +130,9 @@
 	}
 }
 
-// acquire waits for a replica of the own region. Without a slot and a failure,
-// the request was run by another gateway of the region.
+// acquire waits for a replica of the own region. If both the reservation and the
+// error are nil, another gateway of the region ran the request, and the attempt's
+// result is set.
 func (r *runner) acquire(ctx context.Context) (*routing.Reservation, attemptResult, *api.Error) {
 	if reservation := r.reservation; reservation != nil {
 		r.reservation = nil
@@ -150,7 +154,8 @@
 	return reservation, attemptResult{}, failure
 }
 
-// warmupGateways are the other gateways of the region that feed cold replicas.
+// warmupGateways returns the other gateways of the region that send requests to
+// replicas that warm up.
 func (r *runner) warmupGateways() []string {
 	if r.forwarded {
 		return nil
@@ -158,14 +163,15 @@
 	return r.gateway.router.WarmupGateways(r.route.Service)
 }
 
-// noReplicaUsable tells that this gateway may place on no replica of the region.
+// noReplicaUsable reports whether a refusal means that this gateway may not use any
+// replica of the region.
 func noReplicaUsable(failure *api.Error) bool {
 	return failure.Code == api.CodeNoCapacity || failure.Code == api.CodeHomeUnavailable
 }
 
-// forwardForWarmup offers the request to the gateways that feed cold replicas. It reports
-// whether one of them took it; one whose replica refused it did, since whatever
-// follows is a retry.
+// forwardForWarmup offers the request to the gateways that serve replicas that warm
+// up. It reports whether one of them accepted it. A refusal by a replica counts as
+// accepted, since every further attempt is a retry.
 func (r *runner) forwardForWarmup(ctx context.Context, gateways []string) (attemptResult, bool) {
 	members := r.gateway.agent.Active().Gateways()
 	for _, name := range gateways {
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -11,18 +11,18 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// maxRetainedStreamBytes bounds the events of one stream that are kept for those who
-// join late, and how far its slowest reader may lag behind.
+// maxRetainedStreamBytes bounds the events of a stream that are retained for late
+// readers, and how far the slowest reader may lag behind.
 const maxRetainedStreamBytes = 256 << 10
 
-// The first room for a stream's events, in bytes: enough for most streams, so
+// Initial capacity of the buffer of a stream, in bytes: enough for most streams, so
 // that they never grow it.
 const (
 	typicalFrameBytes     = 160
 	maxInitialBufferBytes = 32 << 10
 )
 
-// errAbandoned is the cause of a cancellation after the last reader left.
+// errAbandoned is the cause of a cancellation after the last reader has left.
 var errAbandoned = errors.New("gateway: the caller went away")
 
 // result is how an execution ended. Exactly one of its pointers is set.
@@ -34,7 +34,7 @@
 	attempts int
 }
 
-// ticketState is what the owner's ledger keeps of the result.
+// ticketState is the state that the ticket table records of the result.
 func (r *result) ticketState() ticket.State {
 	if r.failure == nil {
 		return ticket.StateCompleted
@@ -49,7 +49,7 @@
 	}
 }
 
-// execution is one run of a request and its output. One producer fills it; any
+// execution is one run of a request and its output. One producer writes it; any
 // number of followers read it, each from the beginning.
 type execution struct {
 	requestID string
@@ -68,7 +68,8 @@
 
 var _ ticket.Run = (*execution)(nil)
 
-// newExecution returns an execution of a request for maxTokens tokens at the most.
+// newExecution returns an execution of a request with at most maxTokens output
+// tokens.
 func newExecution(requestID string, streamed bool, maxTokens int, cancel context.CancelCauseFunc) *execution {
 	var frames []byte
 	if streamed {
@@ -95,8 +96,8 @@
 	return size
 }
 
-// Release implements ticket.Run. Failures are kept: a refusal is repeated for
-// as long as its ticket is remembered.
+// Release implements ticket.Run. Failures are retained: a refusal is repeated for as
+// long as its ticket is remembered.
 func (e *execution) Release() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -108,7 +109,8 @@
 	}
 }
 
-// outputDiscarded answers a reader who comes after the output was let go.
+// outputDiscarded is the answer to a reader that comes after the output was
+// discarded.
 func outputDiscarded(requestID string) *api.Error {
 	return &api.Error{
 		Code:      api.CodeDuplicate,
@@ -118,7 +120,7 @@
 	}
 }
 
-// appendChunk appends one event. It waits while the slowest follower lags too far
+// appendChunk appends one event. It blocks while the slowest follower lags too far
 // behind.
 func (e *execution) appendChunk(ctx context.Context, data []byte) error {
 	e.mutex.Lock()
@@ -137,8 +139,9 @@
 	return nil
 }
 
-// trim lets go of events that every follower has read, down to half of what may
-// be kept. It reports false if there is nothing to let go.
+// trim discards events that every follower has read, down to half of what may be
+// retained. It reports false if there is nothing to discard. The caller holds the
+// mutex.
 func (e *execution) trim() bool {
 	size := len(e.frames) - maxRetainedStreamBytes/2
 	for reader := range e.followers {
@@ -152,14 +155,14 @@
 	return true
 }
 
-// hasOutput tells whether any event has been appended.
+// hasOutput reports whether any event has been appended.
 func (e *execution) hasOutput() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.offset > 0 || len(e.frames) > 0
 }
 
-// finish sets the result, once.
+// finish sets the result; only the first call has an effect.
 func (e *execution) finish(r *result) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -169,6 +172,7 @@
 	}
 }
 
+// notifyFollowers wakes the followers. The caller holds the mutex.
 func (e *execution) notifyFollowers() {
 	for reader := range e.followers {
 		select {
@@ -178,7 +182,7 @@
 	}
 }
 
-// follow adds a reader. It fails if the beginning of the stream is gone.
+// follow adds a reader. It fails if the beginning of the stream was discarded.
 func (e *execution) follow(streamed bool) (*follower, *api.Error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -202,8 +206,8 @@
 	buffer    []byte
 }
 
-// next returns all events that have come since the last call, valid until the
-// next one, or the result after the last event.
+// next returns the events appended since the last call, which are valid until the
+// next call, or the result after the last event.
 func (f *follower) next(ctx context.Context) (frames []byte, ended *result, err error) {
 	for {
 		frames, ended = f.read()
@@ -238,8 +242,8 @@
 	return f.buffer, nil
 }
 
-// close ends the reading. The execution is canceled when the last reader of an
-// unfinished one leaves.
+// close ends the reading. An unfinished execution is canceled when its last follower
+// closes.
 func (f *follower) close() {
 	e := f.execution
 	e.mutex.Lock()
@@ -255,9 +259,10 @@
 	}
 }
 
+// frameSeparator ends every event in wire form.
 var frameSeparator = []byte("\n\n")
 
-// forEachChunk calls visit with the JSON of every piece in the frames.
+// forEachChunk calls visit with the JSON of every chunk in the frames.
 func forEachChunk(frames []byte, visit func(data []byte) error) error {
 	for len(frames) > 0 {
 		size := bytes.Index(frames, frameSeparator) + len(frameSeparator)
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -13,11 +13,11 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// defaultExplainRequestID is the id of a request that names none. The id decides which
-// requests spill, so it is part of the explanation.
+// defaultExplainRequestID is the id of a request without one. The id decides which
+// requests are spilled, so it is part of the explanation.
 const defaultExplainRequestID = "explained"
 
-// explanation gathers the steps of one decision.
+// explanation collects the steps of one decision.
 type explanation struct {
 	gateway *Gateway
 	active  *catalog.State
@@ -25,8 +25,8 @@
 	answer  *api.ExplainAnswer
 }
 
-// serveExplain answers where a request would go. It reads the state that
-// decides and changes none of it.
+// serveExplain answers where a request would run. It only reads the state that
+// decides.
 func (g *Gateway) serveExplain(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if failure := g.readRequest(w, r, &request); failure != nil {
@@ -48,6 +48,8 @@
 	writeJSON(w, http.StatusOK, g.explain(active, &request))
 }
 
+// explain makes the same decisions as for the request itself, without reserving
+// anything.
 func (g *Gateway) explain(active *catalog.State, request *api.GenerateRequest) *api.ExplainAnswer {
 	explanation := &explanation{
 		gateway: g,
@@ -76,17 +78,19 @@
 	return explanation.answer
 }
 
+// step appends a step of the decision.
 func (e *explanation) step(step, result, reason string, arguments ...any) {
 	e.answer.Steps = append(e.answer.Steps, api.ExplainStep{Step: step, Result: result, Reason: fmt.Sprintf(reason, arguments...)})
 }
 
-// refuse keeps the first refusal: it is the one that the request would get.
+// refuse records the first refusal, which is the one that the request would get.
 func (e *explanation) refuse(failure *api.Error) {
 	if e.answer.Error == nil {
 		e.answer.Error = failure
 	}
 }
 
+// lease explains whether the gateway may place requests.
 func (e *explanation) lease() {
 	if failure := e.gateway.checkServing(); failure != nil {
 		e.step("lease", "refused", "%s", failure.Message)
@@ -97,6 +101,7 @@
 	e.step("lease", "valid", "%d ms left; configuration version %d, serial %d decide", remainingMS, e.active.Version(), e.active.Serial())
 }
 
+// route explains the route, service and class of the request.
 func (e *explanation) route(resolved *routing.Request) {
 	route, known := e.active.Route(e.request.Model)
 	if !known {
@@ -113,6 +118,7 @@
 	e.step("class", string(resolved.Class), "%s", classReason(e.request, route))
 }
 
+// classReason says what determined the class of the request.
 func classReason(request *api.GenerateRequest, route catalog.Route) string {
 	switch {
 	case request.Class != "":
@@ -124,7 +130,8 @@
 	}
 }
 
-// home names every rule that binds the request and what is left of regions.
+// home explains the home rules of the request and the regions that satisfy all of
+// them.
 func (e *explanation) home(resolved *routing.Request) {
 	var rules []string
 	add := func(source, name string) {
@@ -150,6 +157,7 @@
 	e.step("home", remaining, "regions in common of %s", strings.Join(rules, "; "))
 }
 
+// client explains the region of the client.
 func (e *explanation) client() {
 	own := e.answer.Region
 	if e.request.Client == "" {
@@ -164,6 +172,7 @@
 	e.step("client region", client.Region, "client %q is served there", e.request.Client)
 }
 
+// ticket explains whether the request needs a ticket.
 func (e *explanation) ticket() {
 	if e.request.Repeatable {
 		e.step("ticket", "not needed", "the request is repeatable")
@@ -172,7 +181,7 @@
 	e.step("ticket", "needed", "the request must not run twice: it goes where %s sends it, by the same steps", api.PathWhere)
 }
 
-// regions adds the order of the regions and the replicas of the own one.
+// regions explains the order of the regions, and the replicas of the own one.
 func (e *explanation) regions(resolved *routing.Request) {
 	order := e.gateway.router.Regions(*resolved)
 	service := e.service(resolved.Service)
@@ -196,6 +205,7 @@
 	e.replicas(resolved, &service, order)
 }
 
+// service returns the status of a service; its zero value if there is none.
 func (e *explanation) service(name string) routing.ServiceStatus {
 	for _, service := range e.gateway.router.Status().Services {
 		if service.Service == name {
@@ -205,6 +215,7 @@
 	return routing.ServiceStatus{}
 }
 
+// replicas explains the choice of the replica.
 func (e *explanation) replicas(resolved *routing.Request, service *routing.ServiceStatus, order []string) {
 	tokens := float64(resolved.PromptTokens)
 	for _, prefix := range resolved.Prefixes {
@@ -231,8 +242,8 @@
 	e.step("replica", fmt.Sprintf("one of %d usable", service.Usable), "least expected first token, and what the prefix costs elsewhere; %d wait in the queue", service.Queued)
 }
 
-// replicaState says why a replica gets nothing new from this gateway, the most
-// lasting reason first.
+// replicaState says why a replica gets no new requests from this gateway, the most
+// permanent reason first.
 func replicaState(member *routing.ReplicaStatus) string {
 	switch {
 	case member.Draining:
@@ -252,6 +263,7 @@
 	}
 }
 
+// freshnessName is the name of a freshness in the API.
 func freshnessName(freshness placement.LoadFreshness) string {
 	switch freshness {
 	case placement.Fresh:
@@ -263,10 +275,11 @@
 	}
 }
 
-// spillController is the controller of a service whose output is the part of a
-// region's own requests that is sent elsewhere.
+// spillController is the controller of a service whose output is the fraction of the
+// region's own requests that are spilled.
 const spillController = "utilization"
 
+// spillFraction returns the fraction of a service's own requests that are spilled.
 func spillFraction(service *routing.ServiceStatus) float64 {
 	for _, controller := range service.Controllers {
 		if controller.Name == spillController {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -10,18 +10,17 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Bounds of a hop to another region.
+// Limits of forwarding to another region.
 const (
 	// maxPeersTried bounds the gateways of one region that are asked.
 	maxPeersTried = 2
-	// reserveTimeout bounds the wait for the answer to an offer.
+	// reserveTimeout bounds the wait for the reply to an offer, beside queueing.
 	reserveTimeout = 500 * time.Millisecond
-	// cancelTimeout bounds the wait for a withdrawal to be confirmed.
+	// cancelTimeout bounds the wait for the confirmation of a cancellation.
 	cancelTimeout = time.Second
 )
 
-// peersInRegion returns up to limit gateways of a region that can be asked, in an
-// order left to chance.
+// peersInRegion returns up to limit available gateways of a region, in random order.
 func (g *Gateway) peersInRegion(region string, limit int) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
@@ -39,22 +38,17 @@
 	return members[:min(len(members), limit)]
 }
 
-// forwardToRegion hands the request to a gateway of another region: an offer first, then
-// the run.
-//
-// With a wait the request may stand in the other region's queue for so long.
+// forwardToRegion forwards the request to a gateway of another region, in whose queue
+// the request may wait.
 func (r *runner) forwardToRegion(ctx context.Context, region string, wait time.Duration) attemptResult {
-	lastResult := attemptResult{
-		status:  statusNotStarted,
-		failure: newRetryableError(api.CodeNoCapacity, "no gateway of region %s can be reached", region),
-	}
+	lastResult := notStarted(newRetryableError(api.CodeNoCapacity, "no gateway of region %s can be reached", region))
 	for _, member := range r.gateway.peersInRegion(region, maxPeersTried) {
 		outcome := r.forward(ctx, member, wait)
 		if outcome.status != statusNotStarted || ctx.Err() != nil {
 			return outcome
 		}
 		lastResult = outcome
-		wait = 0 // spent on a gateway that did not answer
+		wait = 0 // used up by a gateway that did not answer
 		if !outcome.unsent {
 			break // the region has answered
 		}
@@ -62,8 +56,8 @@
 	return lastResult
 }
 
-// forward asks one gateway and, if it grants, runs the request there. Nothing runs
-// for an offer alone, so that one without an answer can be left to die.
+// forward reserves capacity at one gateway and, if that is granted, runs the request
+// there. A reservation alone runs nothing, so that one without a reply may expire.
 func (r *runner) forward(ctx context.Context, member catalog.Gateway, wait time.Duration) attemptResult {
 	g := r.gateway
 	offer := r.newOffer()
@@ -77,23 +71,20 @@
 		if wait > 0 {
 			g.cancelUnused(member.PeerAddress, offer.OfferID, member.Incarnation)
 		}
-		return attemptResult{
-			status:  statusNotStarted,
-			failure: newRetryableError(api.CodeNoCapacity, "the other region does not answer"),
-			unsent:  true,
-		}
+		return notSent(newRetryableError(api.CodeNoCapacity, "the other region does not answer"))
 	}
 	if !reply.Granted {
 		g.metrics.spills.WithLabelValues("declined").Inc()
-		return attemptResult{status: statusNotStarted, failure: declinedFailure(reply.Error)}
+		return notStarted(declinedFailure(reply.Error))
 	}
 	if failure := g.checkServing(); failure != nil {
 		g.cancelUnused(member.PeerAddress, offer.OfferID, reply.Incarnation)
-		return attemptResult{status: statusNotStarted, failure: failure, unsent: true}
+		return notSent(failure)
 	}
 	return r.runReserved(ctx, member.PeerAddress, offer.OfferID, reply.Incarnation)
 }
 
+// declinedFailure returns the refusal of a declined offer, which ran nothing.
 func declinedFailure(failure *api.Error) *api.Error {
 	if failure == nil {
 		return newRetryableError(api.CodeNoCapacity, "the other region takes nothing")
@@ -103,6 +94,7 @@
 	return &copied
 }
 
+// newOffer returns the message that requests a reservation.
 func (r *runner) newOffer() *peer.Offer {
 	g := r.gateway
 	info := g.options.Info
@@ -124,7 +116,7 @@
 	return offer
 }
 
-// cancelUnused tells a peer that a grant will not be used. Nobody waits for it.
+// cancelUnused cancels a reservation in the background.
 func (g *Gateway) cancelUnused(address, offerID, incarnation string) {
 	g.active.begin()
 	go func() {
@@ -133,8 +125,8 @@
 	}()
 }
 
-// cancelReservation reports whether the peer confirmed that the offer never ran and
-// never will.
+// cancelReservation reports whether the peer confirmed that the reserved request
+// never ran and never will.
 func (g *Gateway) cancelReservation(ctx context.Context, address, offerID, incarnation string) bool {
 	callContext, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -144,7 +136,7 @@
 	return err == nil && reply.NeverRan
 }
 
-// runReserved runs a granted offer and copies its output.
+// runReserved runs a request with a reservation at a peer and copies its output.
 func (r *runner) runReserved(ctx context.Context, address, offerID, incarnation string) attemptResult {
 	g := r.gateway
 	streamContext, cancel := context.WithCancel(ctx)
@@ -153,11 +145,7 @@
 	if err != nil {
 		g.cancelUnused(address, offerID, incarnation)
 		g.metrics.spills.WithLabelValues("unanswered").Inc()
-		return attemptResult{
-			status:  statusNotStarted,
-			failure: newRetryableError(api.CodeNoCapacity, "the other region cannot be reached"),
-			unsent:  true,
-		}
+		return notSent(newRetryableError(api.CodeNoCapacity, "the other region cannot be reached"))
 	}
 	defer closeStream(events)
 	r.retryAvailable = false
@@ -168,6 +156,7 @@
 	return r.completeForward(final)
 }
 
+// completeForward returns the result of a run that its peer completed.
 func (r *runner) completeForward(final *result) attemptResult {
 	failure := final.failure
 	if failure == nil {
@@ -184,7 +173,7 @@
 		return attemptResult{status: statusDelivered}
 	}
 	if failure.Outcome == api.OutcomeRefused {
-		return attemptResult{status: statusNotStarted, failure: failure}
+		return notStarted(failure)
 	}
 	if final.attempts == 0 {
 		r.remoteAttempts++
@@ -192,8 +181,8 @@
 	return r.recordIndeterminate(failure)
 }
 
-// classifyForwardError judges a run whose events broke off. Only a confirmed withdrawal
-// makes it one that never ran.
+// classifyForwardError returns the result of a run whose events broke off. Only a
+// confirmed cancellation means that it never ran.
 func (r *runner) classifyForwardError(ctx context.Context, address, offerID, incarnation string) attemptResult {
 	g := r.gateway
 	g.metrics.spills.WithLabelValues("broken").Inc()
@@ -204,10 +193,7 @@
 		return attemptResult{status: statusDelivered}
 	}
 	if ctx.Err() == nil && g.cancelReservation(ctx, address, offerID, incarnation) {
-		return attemptResult{
-			status:  statusNotStarted,
-			failure: newRetryableError(api.CodeNoCapacity, "the connection to the other region broke before the run"),
-		}
+		return notStarted(newRetryableError(api.CodeNoCapacity, "the connection to the other region broke before the run"))
 	}
 	r.remoteAttempts++
 	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the other region broke"))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,8 +1,9 @@
-// Package gateway carries callers' requests to replicas. A gateway acts only
-// under a lease from the primary and by the active copy of the registry that
-// its agent keeps; it places requests on replicas of its own region, hands
-// overflow to gateways of other regions, remembers the tickets it issued, and
-// watches the replicas that are its to watch.
+// Package gateway serves callers' requests and forwards them to replicas.
+//
+// A gateway acts only while it holds a lease from the primary, and only by the active
+// copy of the registry that its agent replicates. It places requests on replicas of
+// its own region, forwards overflow to gateways of other regions, remembers the
+// tickets that it issued, and checks the health of the replicas of its region.
 package gateway
 
 import (
@@ -36,34 +37,34 @@
 	bodyBudget    *byteBudget
 	registry      *prometheus.Registry
 	metrics       *metrics
-	offerSequence atomic.Uint64 // makes offer ids unique
+	offerSequence atomic.Uint64 // makes the ids of offers unique
 	draining      atomic.Bool
-	// drainedAt is the time of Drain in nanoseconds of the clock.
+	// drainedAt is the time of Drain on the gateway's clock, in nanoseconds.
 	drainedAt   atomic.Int64
-	failureLogs *rate.Limiter // of log lines about requests
-	// runContext ends when the process stops waiting for requests.
-	runContext context.Context //nolint:containedctx // the life of the gateway: runs and loops outlast the call that began them
+	failureLogs *rate.Limiter // limits the log lines about failed requests
+	// runContext ends when Stop no longer waits for requests.
+	runContext context.Context //nolint:containedctx // the lifetime of the gateway: requests and loops outlast the call that started them
 	cancelRun  context.CancelCauseFunc
 	active     *activity
 	polling    *pollTracker
-	// overflowWaiters counts the requests that wait in other regions' queues.
+	// overflowWaiters bounds the requests that wait in queues of other regions.
 	overflowWaiters *concurrencyLimit
 	loops           sync.WaitGroup
 
 	mutex        sync.Mutex
 	random       *rand.Rand
-	seenVersions map[string]uint64 // newest configuration version that replicas of a service saw
+	seenVersions map[string]uint64 // by service: the highest configuration version that its replicas have seen
 	lastReported map[string]time.Time
 }
 
-// New returns a gateway that does nothing yet and registers its message handlers.
+// New returns a gateway that is not started and registers its message handlers.
 func New(options Options) (*Gateway, error) {
 	options.withDefaults()
 	g := &Gateway{
 		options:         options,
 		log:             options.Logger,
 		router:          options.Router,
-		tickets:         newTicketStore(),
+		tickets:         newTicketStore(options.Clock),
 		reservations:    newReservationTable(),
 		bodyBudget:      newByteBudget(maxBodyBytesInFlight),
 		active:          newActivity(),
@@ -108,10 +109,11 @@
 	return nil
 }
 
-// Agent is the control side.
+// Agent returns the gateway's connection to the control plane.
 func (g *Gateway) Agent() *agent.Agent { return g.agent }
 
-// Start begins to renew the lease, to watch and to answer peers.
+// Start starts the network, the renewal of the lease and the background loops of the
+// gateway. Stop ends them.
 func (g *Gateway) Start() error {
 	if err := g.options.Network.Start(); err != nil {
 		return err
@@ -126,6 +128,7 @@
 	return nil
 }
 
+// startLoop runs a background loop until Stop, which waits for it.
 func (g *Gateway) startLoop(run func(context.Context)) {
 	g.loops.Add(1)
 	go func() {
@@ -134,6 +137,7 @@
 	}()
 }
 
+// applyState makes a newly activated state of the catalog decide.
 func (g *Gateway) applyState(state *catalog.State) {
 	g.router.SetPlan(state)
 	if g.options.HTTPProxy != nil {
@@ -144,6 +148,7 @@
 
 func (g *Gateway) region() string { return g.options.Info.Region }
 
+// dial opens a connection to a replica, whose address may be overridden.
 func (g *Gateway) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if override, ok := g.options.DialOverrides[address]; ok {
 		address = override
@@ -151,6 +156,8 @@
 	return g.options.Dial(ctx, network, address)
 }
 
+// streamIdleTimeout is the longest time between two events of a replica's stream; 0
+// without an active configuration.
 func (g *Gateway) streamIdleTimeout() time.Duration {
 	active := g.agent.Active()
 	if active == nil {
--- a/gateway/http.go
+++ b/gateway/http.go
@@ -14,17 +14,19 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Time bounds of the callers' connections.
+// Timeouts of the connections of callers and operators.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readBodyTimeout   = 15 * time.Second
 	idleTimeout       = 60 * time.Second
-	// joinGracePeriod lets a run that ends with the caller's time tell how it ended.
+	// joinGracePeriod is added to the caller's time, so that a run that ends at its
+	// deadline can still be answered.
 	joinGracePeriod = 500 * time.Millisecond
 	// writeTimeout bounds one write to a caller that reads slowly.
 	writeTimeout = 10 * time.Second
 )
 
+// newServer returns a server with at most limit open connections.
 func (g *Gateway) newServer(handler http.Handler, limit int) *http.Server {
 	server := &http.Server{
 		Handler:           handler,
@@ -37,16 +39,17 @@
 	return server
 }
 
-// addHealth adds the paths that every port of a gateway has.
+// addHealth adds the paths that all ports of a gateway share.
 func (g *Gateway) addHealth(mux *http.ServeMux) {
-	mux.HandleFunc(api.PathLive, g.requireMethod(http.MethodGet, g.serveLive))
-	mux.HandleFunc(api.PathReady, g.requireMethod(http.MethodGet, g.serveReady))
+	mux.HandleFunc(api.PathLive, requireMethod(http.MethodGet, serveLive))
+	mux.HandleFunc(api.PathReady, requireMethod(http.MethodGet, g.serveReady))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		writeError(w, newError(api.CodeNotFound, api.OutcomeRefused, "no such path"))
 	})
 }
 
-func (g *Gateway) requireMethod(method string, handle http.HandlerFunc) http.HandlerFunc {
+// requireMethod refuses requests with another method.
+func requireMethod(method string, handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
 			w.Header().Set("Allow", method)
@@ -57,7 +60,7 @@
 	}
 }
 
-func (g *Gateway) serveLive(w http.ResponseWriter, _ *http.Request) {
+func serveLive(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
@@ -69,7 +72,8 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// readRequest reads one strict JSON document within the limits.
+// readRequest decodes the body of a request, within the limits of size, time and
+// memory.
 func (g *Gateway) readRequest(w http.ResponseWriter, r *http.Request, into any) *api.Error {
 	if r.ContentLength > api.MaxBodyBytes {
 		w.Header().Set("Connection", "close")
@@ -93,7 +97,7 @@
 	return nil
 }
 
-// decodeStrict reads exactly one JSON document without unknown fields.
+// decodeStrict decodes exactly one JSON document without unknown fields.
 func decodeStrict(body io.Reader, into any) *api.Error {
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
@@ -125,19 +129,22 @@
 	return failure
 }
 
+// writeJSON writes a document as the response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(http.ErrAbortHandler) // typed documents always encode
+		panic(http.ErrAbortHandler) // the documents of package api always encode
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // a recorder has none
+	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // the recorders of tests have no deadline
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // the caller's loss shows in its own reading
+	_, _ = w.Write(encoded) // the caller notices a broken connection itself
 }
 
+// writeError writes an error as the response, with a Retry-After header if a delay is
+// advised.
 func writeError(w http.ResponseWriter, failure *api.Error) {
 	if failure.RetryAfterMS > 0 {
 		seconds := (failure.RetryAfterMS + 999) / 1000
@@ -146,8 +153,8 @@
 	writeJSON(w, failure.Status(), api.ErrorBody{Error: failure})
 }
 
-// newDebugLog sends what net/http complains about to the debug level: most of it
-// is callers that went away.
+// newDebugLog returns a logger for net/http whose messages go to the debug level:
+// most of them are about callers that went away.
 func newDebugLog(logger *slog.Logger) *log.Logger {
 	return log.New(debugWriter{logger}, "", 0)
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// concurrencyLimit counts what is under way, up to a most.
+// concurrencyLimit bounds how many are in flight at the same time.
 type concurrencyLimit struct {
 	limit    int64
 	inFlight atomic.Int64
 }
 
-// tryAcquire reports whether there is a place; leave gives it back.
+// tryAcquire reports whether the limit allows one more, which must be released.
 func (b *concurrencyLimit) tryAcquire() bool {
 	if b.inFlight.Add(1) > b.limit {
 		b.inFlight.Add(-1)
@@ -24,7 +24,7 @@
 
 func (b *concurrencyLimit) release() { b.inFlight.Add(-1) }
 
-// maxBodyBytesInFlight bounds the request bodies held at once over all callers.
+// maxBodyBytesInFlight bounds the memory of request bodies of all callers.
 const maxBodyBytesInFlight = 64 << 20
 
 // errBodyBudgetExceeded means that the bodies of all callers together are too large.
@@ -38,7 +38,7 @@
 
 func newByteBudget(total int64) *byteBudget { return &byteBudget{free: total} }
 
-// acquire reports whether the bytes were free.
+// acquire reports whether the bytes were free and takes them if so.
 func (b *byteBudget) acquire(size int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,8 +55,8 @@
 	b.free += size
 }
 
-// budgetReader charges what has arrived, so that a body that is announced and
-// not sent costs nothing. The charge lasts until release.
+// budgetReader charges the bytes that have arrived to a budget until release, so that
+// a body that is announced and not sent costs nothing.
 type budgetReader struct {
 	source   io.Reader
 	budget   *byteBudget
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,15 +10,16 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// metricsNamespace begins every metric's name.
+// metricsNamespace begins the name of every metric.
 const metricsNamespace = "deckpulley_gateway"
 
-// codeNone labels what has no error.
+// codeNone is the label of requests without an error.
 const codeNone = "none"
 
 // latencyBuckets reach from a cached answer to the longest review, in seconds.
 var latencyBuckets = []float64{.005, .01, .02, .05, .1, .2, .35, .5, .7, .92, 1.5, 2.5, 5, 10, 20, 40, 80}
 
+// metrics are the counters and histograms of a gateway.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	where      *prometheus.CounterVec
@@ -41,7 +42,7 @@
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: metricsNamespace, Name: name, Help: help, Buckets: latencyBuckets}, labels)
 }
 
-// newMetrics registers the gateway's metrics in a registry of its own.
+// newMetrics registers the metrics in a registry of the gateway.
 func (g *Gateway) newMetrics() {
 	m := &metrics{
 		requests:   counter("requests_total", "Requests by class, outcome and error code.", "class", "outcome", "code"),
@@ -72,6 +73,7 @@
 	g.registerRenewals()
 }
 
+// registerGauges registers the gauges, which are read when scraped.
 func (g *Gateway) registerGauges() {
 	gauges := []struct {
 		name, help string
@@ -83,7 +85,7 @@
 		{"active_version", "Configuration version that decides.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
 		{"primary_term", "Newest term seen of a primary.", func() float64 { return float64(g.agent.Status().Term) }},
 		{"running_requests", "Requests in progress.", func() float64 { return float64(g.active.current()) }},
-		{"ledger_tickets", "Tickets remembered.", func() float64 { return float64(g.ticketCount()) }},
+		{"ledger_tickets", "Tickets remembered.", func() float64 { return float64(g.tickets.size()) }},
 	}
 	for _, gauge := range gauges {
 		options := prometheus.GaugeOpts{Namespace: metricsNamespace, Name: gauge.name, Help: gauge.help}
@@ -91,7 +93,7 @@
 	}
 }
 
-// registerRenewals serves the agent's own counters.
+// registerRenewals registers the counters that the agent maintains.
 func (g *Gateway) registerRenewals() {
 	granted := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_granted_total", Help: "Renewals of the lease that were granted."}
 	refused := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_refused_total", Help: "Renewals of the lease without a grant."}
@@ -101,6 +103,7 @@
 	)
 }
 
+// classLabel is the label of a request's class.
 func classLabel(class api.Class) string {
 	if class == "" {
 		return "default"
@@ -108,6 +111,8 @@
 	return string(class)
 }
 
+// observeRequest counts a finished request and, if it was answered, observes its
+// latency.
 func (m *metrics) observeRequest(request *api.GenerateRequest, failure *api.Error, started time.Time) {
 	class := classLabel(request.Class)
 	if checkClass(request.Class) != nil {
@@ -121,10 +126,12 @@
 	m.latency.WithLabelValues(class).Observe(time.Since(started).Seconds())
 }
 
+// observeFirstEvent observes the time to the first event of a stream.
 func (m *metrics) observeFirstEvent(request *api.GenerateRequest, started time.Time) {
 	m.firstEvent.WithLabelValues(classLabel(request.Class)).Observe(time.Since(started).Seconds())
 }
 
+// observeWhere counts a question for the gateway of a request.
 func (m *metrics) observeWhere(failure *api.Error) {
 	if failure == nil {
 		m.where.WithLabelValues(codeNone).Inc()
@@ -133,8 +140,8 @@
 	m.where.WithLabelValues(string(failure.Code)).Inc()
 }
 
-// observeAttemptFailure counts the failure of an attempt. A replica's own code is counted
-// by its outcome alone, so that replicas cannot make up labels.
+// observeAttemptFailure counts a failed attempt. Refusals by replicas share one code,
+// so that replicas can't create labels.
 func (m *metrics) observeAttemptFailure(failure *api.Error) {
 	code := string(failure.Code)
 	if failure.Outcome == api.OutcomeRefused {
@@ -143,6 +150,7 @@
 	m.failures.WithLabelValues(code, string(failure.Outcome)).Inc()
 }
 
+// observeTicketUse counts the use of a ticket by its result.
 func (m *metrics) observeTicketUse(result ticket.UseResult) {
 	events := map[ticket.UseResult]string{
 		ticket.UseStart:    "run",
--- a/gateway/operators_http.go
+++ b/gateway/operators_http.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// operationTimeout bounds the wait for the answer to a forwarded order.
+	// operationTimeout bounds the wait for the reply to a forwarded operation.
 	operationTimeout = 10 * time.Second
-	// operatorWriteTimeout leaves time for a profile of 30 s.
+	// operatorWriteTimeout leaves enough time for a CPU profile of 30 s.
 	operatorWriteTimeout = time.Minute
 	// maxOperatorConnections bounds the connections of the operators' port.
 	maxOperatorConnections = 256
 )
 
-// OperatorsServer returns the server of the operators' port.
+// OperatorsServer returns the server of the operators' port. Its owner runs and
+// closes it.
 func (g *Gateway) OperatorsServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc(api.PathStatus, g.requireMethod(http.MethodGet, g.serveStatus))
+	mux.HandleFunc(api.PathStatus, requireMethod(http.MethodGet, g.serveStatus))
 	mux.HandleFunc(api.PathReplicas, g.serveReplicas)
-	mux.HandleFunc(api.PathExplain, g.requireMethod(http.MethodPost, g.serveExplain))
-	mux.HandleFunc(api.PathHTTPReplicas, g.requireMethod(http.MethodGet, g.serveHTTPReplicas))
+	mux.HandleFunc(api.PathExplain, requireMethod(http.MethodPost, g.serveExplain))
+	mux.HandleFunc(api.PathHTTPReplicas, requireMethod(http.MethodGet, g.serveHTTPReplicas))
 	mux.Handle(api.PathMetrics, promhttp.HandlerFor(g.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/cmdline", pprof.Cmdline)
@@ -41,8 +42,8 @@
 	return g.newServer(withWriteDeadline(mux), maxOperatorConnections)
 }
 
-// withWriteDeadline gives each answer a time of its own. Writing a document sets a shorter
-// one, which would otherwise last into the connection's next request.
+// withWriteDeadline sets the write deadline of each response. Without it the shorter
+// deadline of a JSON response would last into the next request of its connection.
 func withWriteDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		deadline := time.Now().Add(operatorWriteTimeout)
@@ -53,13 +54,14 @@
 	})
 }
 
-// serveStatus answers what this gateway knows of the control plane and itself.
+// serveStatus answers the state of this gateway and what it knows of the control
+// plane.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	status := g.agent.Status()
 	info := g.options.Info
 	answer := api.StatusAnswer{
 		Node:     info.Name,
-		Primary:  status.Primary, // known by its peers' address here
+		Primary:  status.Primary, // the address of its peers' port: its name is not known here
 		Term:     status.Term,
 		Serial:   status.ReceivedSerial,
 		Version:  status.ActiveVersion,
@@ -73,6 +75,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
+// ownStatus describes this gateway as a member of the fleet.
 func (g *Gateway) ownStatus() api.MemberStatus {
 	status := g.agent.Status()
 	info := g.options.Info
@@ -92,7 +95,7 @@
 	}
 }
 
-// serviceLoads describes the services of the own region.
+// serviceLoads describes the load of each service in the own region.
 func (g *Gateway) serviceLoads() []api.ServiceLoad {
 	var loads []api.ServiceLoad
 	for _, service := range g.router.Status().Services {
@@ -120,6 +123,7 @@
 	return loads
 }
 
+// serveReplicas lists the replicas, or forwards a new list.
 func (g *Gateway) serveReplicas(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
@@ -132,8 +136,7 @@
 	}
 }
 
-// serveHTTPReplicas answers how this gateway holds the replicas behind its HTTP
-// address.
+// serveHTTPReplicas lists the replicas behind the HTTP address.
 func (g *Gateway) serveHTTPReplicas(w http.ResponseWriter, _ *http.Request) {
 	if g.options.HTTPProxy == nil {
 		writeError(w, newError(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
@@ -142,7 +145,7 @@
 	writeJSON(w, http.StatusOK, api.HTTPReplicasAnswer{Gateway: g.options.Info.Name, Replicas: g.options.HTTPProxy.Replicas()})
 }
 
-// listReplicas reads the replicas back from the active copy.
+// listReplicas answers the replicas of the active copy of the registry.
 func (g *Gateway) listReplicas(w http.ResponseWriter) {
 	active := g.agent.Active()
 	if active == nil {
@@ -157,6 +160,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
+// replicaStatus describes a replica by the active copy of the registry.
 func replicaStatus(active *catalog.State, id string, replica catalog.Replica) api.ReplicaStatus {
 	status := api.ReplicaStatus{
 		ReplicaEntry: api.ReplicaEntry{
@@ -175,7 +179,7 @@
 	return status
 }
 
-// forwardReplicas passes the platform's list to a control node.
+// forwardReplicas forwards the platform's list of replicas to a control node.
 func (g *Gateway) forwardReplicas(w http.ResponseWriter, r *http.Request) {
 	if _, ok := g.authenticate(r); !ok {
 		writeError(w, newError(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or wrong"))
@@ -198,6 +202,7 @@
 	writeOperationReply(w, &reply)
 }
 
+// writeOperationReply writes the reply to an operation as the response.
 func writeOperationReply(w http.ResponseWriter, reply *peer.OperationReply) {
 	switch {
 	case reply.Error != nil:
@@ -211,6 +216,7 @@
 	}
 }
 
+// authenticate verifies the token of a request.
 func (g *Gateway) authenticate(r *http.Request) (string, bool) {
 	if g.options.Tokens == nil {
 		return "", true
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
 	"net"
@@ -16,36 +17,37 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Authenticator judges the Authorization header of an operator or the platform.
+// Authenticator verifies the Authorization header of an operator or the platform.
 type Authenticator interface {
 	Authenticate(header string) (name string, ok bool)
 }
 
-// HTTPProxy carries requests that are routed by host and path, by the same copy
-// of the registry; *httpgateway.Proxy is the real one.
+// HTTPProxy serves requests that are routed by host and path, by the same copy of the
+// registry as the gateway; *httpgateway.Proxy implements it.
 type HTTPProxy interface {
-	// Update makes a newer reading of the registry decide.
+	// Update makes a newer state of the catalog the active one.
 	Update(contents *catalog.State)
-	// Run does what is to be done beside requests until ctx ends.
+	// Run does the background work of the proxy until ctx ends.
 	Run(ctx context.Context)
-	// Replicas describes the replicas as the proxy holds them.
+	// Replicas describes the replicas as the proxy sees them.
 	Replicas() []api.HTTPReplicaStatus
-	// Collector gives the proxy's figures out as metrics.
+	// Collector returns the metrics of the proxy.
 	Collector() prometheus.Collector
 }
 
-// Options sets up a Gateway. Zero values of what is marked optional are replaced
-// by defaults.
+// Options configures a Gateway. Zero values of optional fields are replaced by
+// defaults.
 type Options struct {
-	// Info is the gateway's name, incarnation, place and addresses.
+	// Info is the name, incarnation, zone, region and addresses of the gateway.
 	Info peer.GatewayInfo
-	// Seeds are the peers' addresses of the first contact.
+	// Seeds are the peer addresses that are contacted first.
 	Seeds []string
-	// TicketKeys are the fleet's keys, newest first.
+	// TicketKeys are the fleet's keys for tickets, newest first.
 	TicketKeys [][]byte
-	// LeaseConfig are the fleet's lease terms.
+	// LeaseConfig is the lease configuration of the fleet.
 	LeaseConfig lease.Config
-	// Network carries the messages to our own processes. The gateway starts it.
+	// Network carries the messages between the fleet's processes. The gateway starts it;
+	// the owner of the network closes it.
 	Network transport.Network
 	// Router decides where requests run. Optional.
 	Router Router
@@ -53,24 +55,24 @@
 	Dial DialFunc
 	// DialOverrides maps a replica's address to the one to dial in its place.
 	DialOverrides map[string]string
-	// Tokens authenticates operators and the platform; nil lets everyone pass.
+	// Tokens returns what authenticates operators and the platform; without it every
+	// request is accepted.
 	Tokens func() Authenticator
-	// HTTPProxy carries requests by host and path beside those of the gateway itself.
-	// Optional.
+	// HTTPProxy serves the requests that are routed by host and path. Optional.
 	HTTPProxy HTTPProxy
-	// Clock is monotonic and starts anywhere. Optional.
+	// Clock is a monotonic clock with an arbitrary origin. Optional.
 	Clock func() time.Duration
-	// Seed makes the choices that are left to chance repeatable.
+	// Seed makes the random choices of the gateway repeatable.
 	Seed uint64
-	// PollInterval and PollTimeout set how replicas are watched. Optional.
+	// PollInterval and PollTimeout configure the health checks of replicas. Optional.
 	PollInterval time.Duration
 	PollTimeout  time.Duration
-	// MaxConnections bounds the callers' connections. Optional.
+	// MaxConnections bounds the open connections of callers. Optional.
 	MaxConnections int
-	// ShutdownTimeout bounds how long a stopping gateway lets requests finish. Optional.
+	// ShutdownTimeout bounds how long Stop lets requests finish. Optional.
 	ShutdownTimeout time.Duration
-	// TicketGracePeriod is how long a stopping gateway takes requests with tickets that
-	// it issued before. Optional; it is a part of StopTimeout.
+	// TicketGracePeriod is how long a draining gateway accepts requests with tickets that
+	// it issued before. It is part of ShutdownTimeout. Optional.
 	TicketGracePeriod time.Duration
 	Logger            *slog.Logger
 }
@@ -84,6 +86,7 @@
 	defaultTicketGracePeriod = 2 * time.Second
 )
 
+// withDefaults replaces the zero values of optional fields.
 func (o *Options) withDefaults() {
 	if o.Clock == nil {
 		started := time.Now()
@@ -95,28 +98,23 @@
 	if o.Dial == nil {
 		o.Dial = new(net.Dialer).DialContext
 	}
-	if o.PollInterval == 0 {
-		o.PollInterval = defaultPollInterval
-	}
+	o.PollInterval = cmp.Or(o.PollInterval, defaultPollInterval)
+	o.PollTimeout = cmp.Or(o.PollTimeout, defaultPollTimeout)
+	o.MaxConnections = cmp.Or(o.MaxConnections, defaultMaxConnections)
+	o.ShutdownTimeout = cmp.Or(o.ShutdownTimeout, defaultShutdownTimeout)
+	o.TicketGracePeriod = cmp.Or(o.TicketGracePeriod, defaultTicketGracePeriod)
 	if o.Router == nil {
-		o.Router = routing.New(routing.Config{
-			Region:       o.Info.Region,
-			Gateway:      o.Info.Name,
-			Seed:         o.Seed,
-			Logger:       o.Logger,
-			PollInterval: o.PollInterval,
-		})
-	}
-	if o.PollTimeout == 0 {
-		o.PollTimeout = defaultPollTimeout
-	}
-	if o.MaxConnections == 0 {
-		o.MaxConnections = defaultMaxConnections
-	}
-	if o.ShutdownTimeout == 0 {
-		o.ShutdownTimeout = defaultShutdownTimeout
-	}
-	if o.TicketGracePeriod == 0 {
-		o.TicketGracePeriod = defaultTicketGracePeriod
+		o.Router = o.newRouter()
 	}
 }
+
+// newRouter returns the default router.
+func (o *Options) newRouter() *routing.Router {
+	return routing.New(routing.Config{
+		Region:       o.Info.Region,
+		Gateway:      o.Info.Name,
+		Seed:         o.Seed,
+		Logger:       o.Logger,
+		PollInterval: o.PollInterval,
+	})
+}
--- a/gateway/readiness.go
+++ b/gateway/readiness.go
@@ -8,7 +8,8 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// checkAccepting is why the gateway may not take anything new; nil if it may.
+// checkAccepting returns why the gateway refuses new requests, or nil if it accepts
+// them.
 func (g *Gateway) checkAccepting() *api.Error {
 	if g.draining.Load() {
 		return newRetryableError(api.CodeNotReady, "the gateway is leaving")
@@ -16,7 +17,8 @@
 	return g.checkServing()
 }
 
-// checkServing is why the gateway may not place a request now; nil if it may.
+// checkServing returns why the gateway can't place requests now, or nil if it can. A
+// draining gateway still serves the requests that it accepted.
 func (g *Gateway) checkServing() *api.Error {
 	if !g.agent.Valid() {
 		return newRetryableError(api.CodeNoLease, "the gateway has no lease from the primary")
@@ -27,14 +29,16 @@
 	return nil
 }
 
-// Reasons to hold back the first byte to a replica.
+// Reasons to stop a request before its first byte is sent to a replica.
 var (
 	errLeaseLost   = errors.New("the lease ran out before the request was sent")
 	errPlanChanged = errors.New("the placement was decided by a copy that is no longer active")
 )
 
-// checkSend is asked immediately before the first byte goes to a replica, whose
-// stamp names the version.
+// checkSend returns an error if a request must not be sent to the replica of its
+// reservation. It is called immediately before the first byte is written: the lease
+// or the configuration may have changed since the placement. The version is the one
+// in the stamp of the request.
 func (g *Gateway) checkSend(reservation *routing.Reservation, version uint64) error {
 	if !reservation.Usable(time.Now()) || reservation.Version != version {
 		return errPlanChanged
@@ -49,6 +53,8 @@
 	return nil
 }
 
+// degradedReasons lists, for operators, why the gateway refuses requests or issues no
+// tickets.
 func (g *Gateway) degradedReasons() []string {
 	var reasons []string
 	if g.draining.Load() {
--- a/gateway/replica_client.go
+++ b/gateway/replica_client.go
@@ -29,10 +29,12 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// replicaClient speaks HTTP to replicas. It never sends a request twice.
+// replicaClient sends HTTP requests to replicas. It never sends one twice.
 type replicaClient struct {
-	pooled   *http.Transport // for what may be repeated
-	unpooled *http.Transport // a connection for each request
+	// pooled is for requests that may be repeated.
+	pooled *http.Transport // for what may be repeated
+	// unpooled opens a connection for each request.
+	unpooled *http.Transport
 }
 
 func newReplicaClient(dial DialFunc) *replicaClient {
@@ -57,19 +59,20 @@
 	return &replicaClient{pooled: pooled, unpooled: unpooled}
 }
 
+// close closes the idle connections.
 func (c *replicaClient) close() {
 	c.pooled.CloseIdleConnections()
 	c.unpooled.CloseIdleConnections()
 }
 
-// singleUseBody is a body that the standard library cannot send again.
+// singleUseBody is a body that net/http can't send again.
 type singleUseBody struct{ *bytes.Reader }
 
 // Close implements io.Closer.
 func (singleUseBody) Close() error { return nil }
 
-// generate sends one request. fresh asks for a connection of its own, so that a
-// kept one that is being closed cannot make the outcome ambiguous.
+// generate sends one request. With ownConnection it uses a new connection, so that
+// the closing of a pooled one can't make the outcome indeterminate.
 func (c *replicaClient) generate(ctx context.Context, address string, body []byte, ownConnection bool, guard *sendGuard) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(withGuard(ctx, guard), http.MethodPost, "http://"+address+api.PathReplicaGenerate, nil)
 	if err != nil {
@@ -84,7 +87,7 @@
 	return c.pooled.RoundTrip(request)
 }
 
-// report asks a replica for its report.
+// report fetches the report of a replica.
 func (c *replicaClient) report(ctx context.Context, address string) (*api.ReplicaReport, error) {
 	open := &sendGuard{check: func() error { return nil }}
 	request, err := http.NewRequestWithContext(withGuard(ctx, open), http.MethodGet, "http://"+address+api.PathReplicaReport, nil)
--- a/gateway/replica_condition.go
+++ b/gateway/replica_condition.go
@@ -19,8 +19,8 @@
 	requestorPrefix = "gateway:"
 )
 
-// reportConditions sends the slow changes toward the primary as conditional
-// updates. A lost one is derived again from what is seen.
+// reportConditions sends changed conditions of replicas to the primary as conditional
+// updates. A change whose update is lost is observed and sent again.
 func (g *Gateway) reportConditions(ctx context.Context, now time.Time, updates *sync.WaitGroup) {
 	if !g.agent.Valid() {
 		return
@@ -33,6 +33,7 @@
 	}
 }
 
+// allowConditionUpdate limits the rate of updates about one replica.
 func (g *Gateway) allowConditionUpdate(replica string, now time.Time) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -48,6 +49,7 @@
 	return true
 }
 
+// sendCondition sends one conditional update and logs its result.
 func (g *Gateway) sendCondition(ctx context.Context, change routing.ConditionChange) {
 	updateContext, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
@@ -61,8 +63,9 @@
 	g.log.Info("condition reported", "replica", change.Replica, "state", change.New.State, "code", reply.Code.String(), "serial", reply.Serial)
 }
 
-// conditionUpdate replaces the condition that the change was derived from, if it
-// still holds and the replica is still listed.
+// conditionUpdate returns an update that replaces the condition from which the change
+// was derived. Its prerequisites are that this condition still holds and that the
+// replica is still listed.
 func (g *Gateway) conditionUpdate(change routing.ConditionChange) registry.Update {
 	name := catalog.ReplicaName(change.Replica)
 	prerequisites := []registry.Record{registry.Exists(name, catalog.TypeReplica)}
--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -12,8 +12,9 @@
 // maxPolls bounds the polls in progress at the same time.
 const maxPolls = 64
 
-// pollReplicas polls the replicas of the region and reports slow changes of those that
-// are this gateway's to watch.
+// pollReplicas polls the replicas of the region until ctx ends, and reports changes
+// of the condition of those that this gateway is responsible for. A replica that was
+// just listed is polled at once.
 func (g *Gateway) pollReplicas(ctx context.Context) {
 	ticker := time.NewTicker(g.options.PollInterval)
 	defer ticker.Stop()
@@ -22,7 +23,7 @@
 	defer polls.Wait()
 	known := make(map[string]bool)
 	for {
-		// Asked for before the look at what is active, so that no change is missed.
+		// Read before the active state, so that no activation is missed.
 		changed := g.agent.Changed()
 		known = g.pollNewReplicas(ctx, known, pollSlots, &polls)
 		select {
@@ -36,8 +37,8 @@
 	}
 }
 
-// pollNewReplicas polls the listed replicas of the region that are not known yet, so
-// that one that was just listed is not kept waiting. It returns all that are.
+// pollNewReplicas polls the listed replicas of the region that are not known yet, and
+// returns all that are listed.
 func (g *Gateway) pollNewReplicas(ctx context.Context, known map[string]bool, pollSlots chan struct{}, polls *sync.WaitGroup) map[string]bool {
 	active := g.agent.Active()
 	if active == nil {
@@ -56,6 +57,8 @@
 	return listed
 }
 
+// startPoll polls a replica in the background, unless it is being polled or too many
+// are.
 func (g *Gateway) startPoll(ctx context.Context, active *catalog.State, replica string, pollSlots chan struct{}, polls *sync.WaitGroup) {
 	record, listed := active.Replicas()[replica]
 	if !listed {
@@ -76,7 +79,7 @@
 	})
 }
 
-// pollUntilCurrent polls a replica, and again as long as that is asked for meanwhile.
+// pollUntilCurrent polls a replica, and again if that was requested meanwhile.
 func (g *Gateway) pollUntilCurrent(ctx context.Context, replica string, record catalog.Replica) {
 	g.poll(ctx, replica, record)
 	for g.polling.end(replica) {
@@ -84,8 +87,8 @@
 	}
 }
 
-// pollNow polls one replica out of turn; if it is being polled, once more after
-// that, since the answer under way may tell of before.
+// pollNow polls a replica out of turn. One that is being polled is polled once more,
+// since the report under way may have been made before the event.
 func (g *Gateway) pollNow(replica string) {
 	record, listed := g.agent.Active().Replicas()[replica]
 	if !listed || !g.polling.beginOrRepeat(replica) {
@@ -98,17 +101,17 @@
 	}()
 }
 
-// suspectReplica stops new requests to the replica of a slot until it has reported, and
-// has it polled at once. One that has reported another incarnation than the
-// slot's goes on.
+// suspectReplica stops new requests to the replica of a reservation until its next
+// report, and polls it at once. A replica that has reported another incarnation since
+// is not affected.
 func (g *Gateway) suspectReplica(reservation *routing.Reservation) {
 	if g.router.Suspect(reservation.Replica, reservation.Incarnation, time.Now()) {
 		g.pollNow(reservation.Replica)
 	}
 }
 
-// poll asks one replica for its report. An answer in the name of another replica
-// is a failure: the address has changed hands.
+// poll fetches the report of one replica. A report in the name of another replica is
+// a failure: the address was reassigned.
 func (g *Gateway) poll(ctx context.Context, replica string, record catalog.Replica) {
 	pollContext, cancel := context.WithTimeout(ctx, g.options.PollTimeout)
 	defer cancel()
@@ -127,14 +130,17 @@
 	g.recordVersion(record.Service, report.ConfigurationVersion)
 }
 
-// pollTracker keeps the polls of one replica from overtaking each other.
+// pollTracker ensures that there is one poll of a replica at a time.
 type pollTracker struct {
-	mutex  sync.Mutex
-	repeat map[string]bool // true if another poll is to follow
+	mutex sync.Mutex
+	// repeat has an entry for each replica that is being polled; it is true if another
+	// poll is to follow.
+	repeat map[string]bool
 }
 
 func newPollTracker() *pollTracker { return &pollTracker{repeat: make(map[string]bool)} }
 
+// begin reports whether the replica was not being polled and now is.
 func (p *pollTracker) begin(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -145,7 +151,7 @@
 	return true
 }
 
-// beginOrRepeat is enter, but has another poll follow the one in progress.
+// beginOrRepeat is begin, but has another poll follow the one in progress.
 func (p *pollTracker) beginOrRepeat(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -154,7 +160,8 @@
 	return !busy
 }
 
-// end reports whether another poll is to follow at once; the place is then kept.
+// end reports whether another poll is to follow at once. If not, the replica is no
+// longer being polled.
 func (p *pollTracker) end(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/gateway/replica_response.go
+++ b/gateway/replica_response.go
@@ -13,7 +13,7 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// decodeSingle reads exactly one JSON value.
+// decodeSingle decodes exactly one JSON value.
 func decodeSingle(body []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(into); err != nil {
@@ -25,10 +25,10 @@
 	return nil
 }
 
-// errBodyTooLong means that a body passes its bound.
+// errBodyTooLong means that a body exceeds its limit.
 var errBodyTooLong = errors.New("gateway: body is too long")
 
-// readBounded reads a whole body of at most limit bytes.
+// readBounded reads a body of at most limit bytes.
 func readBounded(source io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(source, limit+1))
 	if err != nil {
@@ -40,25 +40,26 @@
 	return body, nil
 }
 
-// hasDefiniteLength tells whether the end of the body can be told from a broken
+// hasDefiniteLength reports whether the end of the body can be told from a broken
 // connection.
 func hasDefiniteLength(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
+// isEventStream reports whether the response is a stream of events.
 func isEventStream(response *http.Response) bool {
 	kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	return err == nil && kind == stream.ContentType
 }
 
-// replicaAnswer is a whole answer, or an error that hides in one.
+// replicaAnswer is an answer, or an error in a response with a status of success.
 type replicaAnswer struct {
 	api.GenerateAnswer
 	Error json.RawMessage `json:"error"`
 }
 
-// readAnswer reads a whole answer and checks that it is one, and this
-// request's. Anything else is an error.
+// readAnswer reads an answer and verifies that it is complete and belongs to the
+// request.
 func readAnswer(response *http.Response, requestID string) (*api.GenerateAnswer, *api.Error) {
 	if !hasDefiniteLength(response) {
 		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer has no length")
@@ -83,8 +84,8 @@
 	return &answer.GenerateAnswer, nil
 }
 
-// classifyErrorResponse judges an answer that is not a success. Only the replica's own
-// typed refusal of this very request counts as never run.
+// classifyErrorResponse classifies a response that is not a success. Only a typed
+// refusal of this very request means that the request never ran.
 func classifyErrorResponse(response *http.Response, requestID string) attemptResult {
 	body, err := readBounded(response.Body, maxReplicaErrorBody)
 	if err != nil {
@@ -105,7 +106,7 @@
 		case api.CodeRestarted:
 			return attemptResult{status: statusReplicaRestarted, failure: failure}
 		}
-		return attemptResult{status: statusNotStarted, failure: failure}
+		return notStarted(failure)
 	}
 	outcome := api.OutcomeUnknown
 	if failure.Outcome == api.OutcomeFailed {
@@ -114,7 +115,7 @@
 	return indeterminate(newError(api.CodeReplicaError, outcome, "the replica answered status %d, %s", response.StatusCode, failure.Code))
 }
 
-// classifyReadError classifies an error while a whole body was read.
+// classifyReadError returns the error for a body that could not be read.
 func classifyReadError(err error) *api.Error {
 	switch {
 	case errors.Is(err, errBodyTooLong):
@@ -126,8 +127,8 @@
 	}
 }
 
-// classifyStreamError turns the fault of a stream into the caller's error. A stream of
-// which a piece came has run.
+// classifyStreamError returns the caller's error for a broken stream. A stream with a
+// chunk has run.
 func classifyStreamError(err error, chunks int) *api.Error {
 	outcome := api.OutcomeUnknown
 	if chunks > 0 {
--- a/gateway/reservation.go
+++ b/gateway/reservation.go
@@ -13,7 +13,8 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// serveReserve reserves a place for another region's request.
+// serveReserve answers an offer of another gateway: it reserves capacity for a
+// request. An offer that is sent again gets the reply that it got before.
 func (g *Gateway) serveReserve(ctx context.Context, _ string, decode func(any) error) (any, error) {
 	var offer peer.Offer
 	if err := decode(&offer); err != nil {
@@ -29,6 +30,7 @@
 	return reply, nil
 }
 
+// reserve validates an offer and reserves capacity for its request.
 func (g *Gateway) reserve(ctx context.Context, offer *peer.Offer) (*peer.OfferReply, *api.Error) {
 	if failure := g.checkAccepting(); failure != nil {
 		return nil, failure
@@ -55,8 +57,8 @@
 	return g.recordReservation(offer, route, reservation)
 }
 
-// acquireForOffer finds room for an offer, at once or, if it asks for that and not too
-// many do, by a place in the queue.
+// acquireForOffer acquires capacity for an offer: at once or, if the offer asks for
+// it and not too many wait, through the queue.
 func (g *Gateway) acquireForOffer(ctx context.Context, offer *peer.Offer, route routing.Request) (*routing.Reservation, *api.Error) {
 	wait := min(time.Duration(offer.WaitMS)*time.Millisecond, maxOfferQueueWait)
 	if wait <= 0 {
@@ -78,6 +80,7 @@
 	return reservation, failure
 }
 
+// recordReservation remembers a reservation and returns the reply.
 func (g *Gateway) recordReservation(offer *peer.Offer, route routing.Request, reservation *routing.Reservation) (*peer.OfferReply, *api.Error) {
 	now := g.options.Clock()
 	remaining := time.Duration(offer.RemainingMS) * time.Millisecond
@@ -101,6 +104,7 @@
 	return &reply, nil
 }
 
+// serveCancel answers the withdrawal of an offer.
 func (g *Gateway) serveCancel(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.Withdraw
 	if err := decode(&request); err != nil {
@@ -112,7 +116,8 @@
 	return &peer.WithdrawReply{NeverRan: g.reservations.cancel(request.OfferID)}, nil
 }
 
-// serveRun runs a granted offer on replicas of this region.
+// serveRun runs a request with a reservation on replicas of this region and sends its
+// output.
 func (g *Gateway) serveRun(ctx context.Context, _ string, decode func(any) error, send func(any) error) error {
 	var request peer.Run
 	if err := decode(&request); err != nil {
@@ -137,6 +142,8 @@
 	return err
 }
 
+// runReservation starts the run of a confirmed reservation. The caller must close the
+// follower.
 func (g *Gateway) runReservation(id string, reserved *reservedRequest) (*follower, *api.Error) {
 	ctx, cancel := g.detachedContext(reserved.deadline)
 	run := newExecution(reserved.request.RequestID, reserved.request.Stream, reserved.request.MaxTokens, cancel)
--- a/gateway/reservation_table.go
+++ b/gateway/reservation_table.go
@@ -10,29 +10,32 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Bounds of the memory of offers.
+// Limits of the reservations for requests of other gateways.
 const (
-	// reservationTimeout is how long a granted reservation waits for its Run.
+	// reservationTimeout is how long a reservation waits for its run.
 	reservationTimeout = time.Second
-	// maxReservations bounds the offers remembered.
+	// maxReservations bounds the reservations that are remembered.
 	maxReservations = 8 << 10
-	// maxQueuedOffers bounds the offers that wait for room.
+	// maxQueuedOffers bounds the offers that wait for capacity.
 	maxQueuedOffers = 256
-	// maxOfferQueueWait bounds the wait of one, whatever its sender asks for.
+	// maxOfferQueueWait bounds the wait of one offer, whatever its sender asks for.
 	maxOfferQueueWait = 5 * time.Second
-	// reservationRetention is how long an offer is remembered after its request's time.
+	// reservationRetention is how long a reservation is remembered after the deadline of
+	// its request.
 	reservationRetention = 30 * time.Second
 )
 
-// reservationState is how far an offer has come.
+// reservationState is the state of a reservation.
 type reservationState uint8
 
 const (
 	reservationPending   reservationState = iota + 1
 	reservationCanceled                   // never ran and never will
-	reservationConfirmed                  // was run, or is running
+	reservationConfirmed                  // is running or has run
 )
 
+// reservedRequest is a request of another gateway for which capacity is reserved. On
+// the wire it is an offer: granted, then run or withdrawn.
 type reservedRequest struct {
 	state          reservationState
 	request        api.GenerateRequest
@@ -41,18 +44,19 @@
 	attemptsBefore int
 	reply          peer.OfferReply
 	deadline       time.Time
-	expiresAt      time.Duration // of the grant
+	expiresAt      time.Duration // unless confirmed; on the gateway's clock
 	forgetAt       time.Duration
 }
 
-// reservationTable remembers the offers of other regions.
+// reservationTable remembers the reservations for requests of other gateways, by the
+// id of their offer.
 type reservationTable struct {
 	mutex        sync.Mutex
 	reservations map[string]*reservedRequest
 	queued       map[string]*queuedOffer
 }
 
-// queuedOffer is one that waits for room.
+// queuedOffer is an offer that waits for capacity.
 type queuedOffer struct {
 	cancel   context.CancelFunc
 	canceled bool
@@ -62,7 +66,8 @@
 	return &reservationTable{reservations: make(map[string]*reservedRequest), queued: make(map[string]*queuedOffer)}
 }
 
-// beginWait notes that an offer waits until cancel is called; false if too many do.
+// beginWait records that an offer waits until cancel is called. It reports false if
+// too many do.
 func (b *reservationTable) beginWait(id string, cancel context.CancelFunc) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -73,7 +78,8 @@
 	return true
 }
 
-// endWait notes the end of the wait; false if the offer was withdrawn meanwhile.
+// endWait records the end of the wait and reports false if the offer was canceled
+// meanwhile.
 func (b *reservationTable) endWait(id string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -82,7 +88,7 @@
 	return !canceled
 }
 
-// add remembers a granted offer; false if there is no room.
+// add remembers a reservation and reports false if the table is full.
 func (b *reservationTable) add(id string, o *reservedRequest) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -93,7 +99,7 @@
 	return true
 }
 
-// reply returns the answer that an offer was given before.
+// reply returns the reply that an offer was given before.
 func (b *reservationTable) reply(id string) (peer.OfferReply, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -104,7 +110,8 @@
 	return o.reply, true
 }
 
-// confirm starts a granted offer, once. Otherwise it says what is known of it.
+// confirm claims a pending reservation for its run, once. The error says what is
+// known of one that can't run.
 func (b *reservationTable) confirm(id string, now time.Duration) (*reservedRequest, *api.Error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -122,7 +129,8 @@
 	return o, nil
 }
 
-// cancelPending lets the reservation of an offer go. The caller holds the lock.
+// cancelPending releases the capacity of a pending reservation. The caller holds the
+// mutex.
 func (b *reservationTable) cancelPending(o *reservedRequest) {
 	if o.state != reservationPending {
 		return
@@ -132,8 +140,8 @@
 	o.reservation = nil
 }
 
-// cancel ends an offer that was not run; true if it never ran and never will.
-// One that is not remembered may have run long ago.
+// cancel cancels a reservation that was not run and reports whether it never ran and
+// never will. One that is not remembered may have run long ago.
 func (b *reservationTable) cancel(id string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -150,7 +158,7 @@
 	return o.state == reservationCanceled
 }
 
-// recordNeverRan notes that a run ended without having reached any replica.
+// recordNeverRan records that a run ended without having reached any replica.
 func (b *reservationTable) recordNeverRan(id string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -159,7 +167,7 @@
 	}
 }
 
-// expire kills grants that were not used and forgets old offers.
+// expire cancels reservations that were not used in time and forgets old ones.
 func (b *reservationTable) expire(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -22,10 +22,10 @@
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// attempted tells that there was an attempt that counts: another one is a retry.
+// attempted reports whether there was an attempt that counts: another one is a retry.
 func (r *runner) attempted() bool { return r.attemptsSent-r.attemptsVoided+r.remoteAttempts > 0 }
 
-// allowRetry spends the retry budget. A retry is never retried.
+// allowRetry takes a retry from the budget. A request has one retry at most.
 func (r *runner) allowRetry() bool {
 	if r.retryAvailable {
 		return true
@@ -41,8 +41,8 @@
 	return allowed
 }
 
-// prepareNextAttempt decides whether another attempt in this region follows an outcome, and
-// waits before it as long as it must.
+// prepareNextAttempt decides whether another attempt in this region follows, and
+// waits for as long as it must before it.
 func (r *runner) prepareNextAttempt(ctx context.Context, reservation *routing.Reservation, outcome attemptResult) bool {
 	if ctx.Err() != nil {
 		return false
@@ -70,7 +70,7 @@
 	return r.allowRetry() && r.backoff(ctx)
 }
 
-// isFinalRefusal tells that another replica would refuse alike.
+// isFinalRefusal reports whether every other replica would refuse the request too.
 func isFinalRefusal(failure *api.Error) bool {
 	switch failure.Code {
 	case api.CodeInvalid, api.CodeTooLarge, api.CodeDeadline:
@@ -80,6 +80,7 @@
 	}
 }
 
+// excludeReplica keeps further attempts from a replica.
 func (r *runner) excludeReplica(replica string) {
 	if r.route.ExcludedReplicas == nil {
 		r.route.ExcludedReplicas = make(map[string]bool)
@@ -87,12 +88,13 @@
 	r.route.ExcludedReplicas[replica] = true
 }
 
+// backoff waits before a retry and reports false if the context ended first.
 func (r *runner) backoff(ctx context.Context) bool {
 	limit := min(initialBackoff<<min(r.attemptsSent, 8), maxBackoff)
 	return sleep(ctx, r.gateway.randomDuration(limit))
 }
 
-// sleep reports whether the time passed before the context ended.
+// sleep waits and reports whether the time passed before the context ended.
 func sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -104,7 +106,7 @@
 	}
 }
 
-// randomDuration is a random time up to the longest.
+// randomDuration returns a random duration from 0 to the limit.
 func (g *Gateway) randomDuration(limit time.Duration) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/gateway/router_metrics.go
+++ b/gateway/router_metrics.go
@@ -7,10 +7,10 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// routerCollector turns the router's status into metrics: the set point of each
-// controller beside its measured value, and the state of each service.
+// routerCollector exports the status of the router: the set point, measured value and
+// output of each controller, and the state of each service.
 type routerCollector struct {
-	router    Router
+	router    RouterStatus
 	setPoint  *prometheus.Desc
 	measured  *prometheus.Desc
 	output    *prometheus.Desc
@@ -23,7 +23,7 @@
 	return prometheus.NewDesc(metricsNamespace+"_"+name, help, labels, nil)
 }
 
-func newRouterCollector(router Router) *routerCollector {
+func newRouterCollector(router RouterStatus) *routerCollector {
 	return &routerCollector{
 		router:    router,
 		setPoint:  describe("controller_set_point", "Set point of a controller.", "controller", "service"),
--- a/gateway/run_events.go
+++ b/gateway/run_events.go
@@ -17,15 +17,14 @@
 	Close() error
 }
 
-// closeStream gives a stream up; its connection is then closed or reused, and
-// neither matters to the request.
+// closeStream closes a stream. Its error doesn't matter to the request.
 func closeStream(events eventReader) { _ = events.Close() }
 
-// errUnexpectedEvent means that a peer sent events that make no answer.
+// errUnexpectedEvent means that the events of a peer make no answer.
 var errUnexpectedEvent = errors.New("gateway: peer's events do not belong together")
 
-// copyEvents copies a peer's events into an execution, checking that they belong
-// together, and returns the result that ends them.
+// copyEvents copies the events of a peer into an execution, verifies their order, and
+// returns the result that ends them.
 func copyEvents(ctx context.Context, events eventReader, run *execution) (*result, error) {
 	sequence := stream.SequenceChecker{RequestID: run.requestID}
 	for {
@@ -57,7 +56,7 @@
 	}
 }
 
-// sendEvents copies an execution's output to a peer.
+// sendEvents sends the output of an execution to a peer.
 func sendEvents(ctx context.Context, reader *follower, send func(any) error) error {
 	for {
 		frames, ended, err := reader.next(ctx)
--- a/gateway/runner.go
+++ b/gateway/runner.go
@@ -13,7 +13,7 @@
 // plantedExtraTime is what planted.RunAfterRefusal adds to the deadline of a request.
 const plantedExtraTime = 10 * time.Second
 
-// errStalled is the cause of a cancellation by a stream's gap.
+// errStalled is the cause of a cancellation by the idle timeout of a stream.
 var errStalled = errors.New("gateway: the stream stalled")
 
 // runner takes one request to its result. It is used by one goroutine.
@@ -22,28 +22,35 @@
 	request   api.GenerateRequest
 	route     routing.Request
 	execution *execution
-	// reservation is a reservation made before, for the first attempt.
+	// reservation is used by the first attempt if it was made in advance.
 	reservation *routing.Reservation
-	// forwarded means that the request came from another region and stays here.
+	// forwarded means that another region forwarded the request, which is not forwarded
+	// again.
 	forwarded bool
-	// attemptsBefore is the number of attempts made in the region that the request came from.
+	// attemptsBefore is the number of attempts made before the request was forwarded.
 	attemptsBefore int
-	attemptsSent   int // attempts of which a byte may have left
-	attemptsVoided int // those of them that a replica refused for what placed them
-	remoteAttempts int // attempts in other regions that may have reached a replica
+	// attemptsSent counts the local attempts of which a byte may have been sent.
+	attemptsSent int
+	// attemptsVoided counts those of attemptsSent that a replica refused because the
+	// placement was outdated. They don't make the next attempt a retry.
+	attemptsVoided int
+	// remoteAttempts counts the attempts in other regions that may have reached a
+	// replica.
+	remoteAttempts int
 	unsentAttempts int
 	staleRefusals  int
-	// retryRequested means that the request's one retry was asked for; spare that it
-	// was allowed and nothing has been sent for it yet.
+	// retryRequested means that the one retry of the request was requested from the
+	// budget; retryAvailable that it was allowed and not used yet.
 	retryRequested bool
 	retryAvailable bool
-	// mayHaveRun means that an earlier attempt may have run, so that nothing is a
-	// refusal any more. broke is how it went wrong, if it went wrong here.
+	// mayHaveRun means that an earlier attempt may have run, so that the outcome can't be
+	// a refusal any more. indeterminateFailure is the error of that attempt if it was
+	// made by this runner.
 	mayHaveRun           bool
 	indeterminateFailure *api.Error
 }
 
-// run returns when the execution has its result.
+// run executes the request and returns when the execution has its result.
 func (r *runner) run(ctx context.Context) {
 	failure := r.dispatch(ctx)
 	if failure == nil {
@@ -56,7 +63,7 @@
 	}
 }
 
-// fail delivers why there is no answer.
+// fail delivers the error of a request without an answer.
 func (r *runner) fail(ctx context.Context, failure *api.Error) {
 	if cause := r.interruption(ctx); cause != nil {
 		if failure.Outcome == api.OutcomeFailed {
@@ -68,15 +75,15 @@
 	if r.mayHaveRun && copied.Outcome == api.OutcomeRefused {
 		copied.Outcome = api.OutcomeUnknown
 		if r.indeterminateFailure != nil && ctx.Err() == nil {
-			copied = *r.indeterminateFailure // what went wrong, not why there was no second try
+			copied = *r.indeterminateFailure // the failure itself, not the reason for no retry
 		}
 	}
 	r.setRetryAdvice(&copied)
 	r.deliver(&result{failure: &copied})
 }
 
-// setRetryAdvice tells the caller when to come back, if that may help and cannot
-// repeat what must not be.
+// setRetryAdvice sets whether and after which delay the caller should retry. A
+// request that may have run and is not repeatable must not be retried.
 func (r *runner) setRetryAdvice(failure *api.Error) {
 	if failure.Outcome != api.OutcomeRefused {
 		failure.Retry = r.request.Repeatable
@@ -89,8 +96,8 @@
 	}
 }
 
-// interruption is the result of a request whose context ended, as if it never
-// ran; nil if the context has not ended.
+// interruption returns the error of a request whose context ended, as if the request
+// never ran; nil if the context has not ended.
 func (r *runner) interruption(ctx context.Context) *api.Error {
 	if ctx.Err() == nil {
 		return nil
@@ -108,6 +115,7 @@
 // attemptsMade is the number of attempts so far that may have reached a replica.
 func (r *runner) attemptsMade() int { return r.attemptsBefore + r.attemptsSent + r.remoteAttempts }
 
+// deliver completes the execution with its result.
 func (r *runner) deliver(final *result) {
 	final.attempts = r.attemptsSent + r.remoteAttempts
 	if final.failure != nil {
@@ -116,7 +124,7 @@
 	r.execution.finish(final)
 }
 
-// releaseReservation gives a reservation back that was not used.
+// releaseReservation releases a reservation that was not used.
 func (r *runner) releaseReservation() {
 	if r.reservation != nil {
 		r.reservation.Finish(routing.ResultCanceled, nil, time.Now())
--- a/gateway/send_guard.go
+++ b/gateway/send_guard.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// errSendCanceled is what a write gets after its request was given up.
+// errSendCanceled is returned by writes after the request was given up.
 var errSendCanceled = errors.New("gateway: request was given up before its first byte")
 
-// sendGuard knows whether the first byte of one request has left, and lets it
-// leave only if gate agrees at that very moment.
+// sendGuard records whether the first byte of a request was sent, and lets it be sent
+// only if check returns nil at that moment.
 type sendGuard struct {
 	check func() error
 
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// close ends the guard after an error: a request that has not been sent by now
-// is never sent. It reports whether any byte may have left and the gate's denial.
+// close prevents the request from being sent after an error. It reports whether any
+// byte may have been sent, and the error of check.
 func (g *sendGuard) close() (sent bool, denied error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -50,13 +50,14 @@
 	return g.sent, g.denied
 }
 
-// guardedConn asks the guard of the request that has the connection.
+// guardedConn asks the guard of the current request before each write.
 type guardedConn struct {
 	net.Conn
 	mutex sync.Mutex
 	guard *sendGuard
 }
 
+// setGuard attaches the guard of the request that uses the connection.
 func (c *guardedConn) setGuard(guard *sendGuard) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -76,7 +77,7 @@
 	return c.Conn.Write(data)
 }
 
-// withGuard returns a context that arms the connection of its request with a guard.
+// withGuard returns a context whose request sets the guard on its connection.
 func withGuard(ctx context.Context, guard *sendGuard) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		info.Conn.(*guardedConn).setGuard(guard) //nolint:forcetypeassert // newReplicaClient's transports dial no other kind; sending without a guard must not happen
--- a/gateway/shutdown.go
+++ b/gateway/shutdown.go
@@ -7,43 +7,39 @@
 	"time"
 )
 
-// ticketCheckInterval is the time between two looks at the unused tickets during the
+// ticketCheckInterval is the time between two counts of the unused tickets during the
 // shutdown.
 const ticketCheckInterval = 20 * time.Millisecond
 
-// errStopping is the cause of a cancellation by the end of the process.
+// errStopping is the cause of cancellations by Stop.
 var errStopping = errors.New("gateway: stopping")
 
-// Drain takes nothing new from now on, except what comes with a ticket that was
-// issued before, for a short time.
+// Drain makes the gateway refuse new requests. Requests with tickets that it issued
+// before are accepted for the ticket grace period.
 func (g *Gateway) Drain() {
 	g.drainedAt.Store(int64(g.options.Clock()))
 	g.draining.Store(true)
 }
 
-// inTicketGracePeriod tells that a leaving gateway still takes requests with its tickets.
+// inTicketGracePeriod reports whether a draining gateway still accepts requests with
+// its tickets.
 func (g *Gateway) inTicketGracePeriod() bool {
 	return g.options.Clock()-time.Duration(g.drainedAt.Load()) < g.options.TicketGracePeriod
 }
 
-// awaitTickets waits until every issued ticket is used or no longer honored.
+// awaitTickets waits until every issued ticket was used or the grace period is over.
 func (g *Gateway) awaitTickets(ctx context.Context) {
-	for g.inTicketGracePeriod() && g.unusedTickets() > 0 {
+	for g.inTicketGracePeriod() && g.tickets.unused() > 0 {
 		if !sleep(ctx, ticketCheckInterval) {
 			return
 		}
 	}
 }
 
-// unusedTickets counts the tickets that may still be used for the first time.
-func (g *Gateway) unusedTickets() int {
-	g.tickets.mutex.Lock()
-	defer g.tickets.mutex.Unlock()
-	return g.tickets.table.Unused(g.options.Clock())
-}
-
-// Stop drains, lets what runs finish for a bounded time, gives the lease up and
-// ends everything. The context ends the waiting early.
+// Stop drains the gateway, waits up to the shutdown timeout for active requests,
+// releases the lease and ends all goroutines of the gateway. The lease is released
+// only after the wait, since requests need it to be sent to replicas. The end of ctx
+// ends the wait early.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.Drain()
 	waitContext, cancel := context.WithTimeout(ctx, g.options.ShutdownTimeout)
@@ -59,8 +55,8 @@
 	g.replicas.close()
 }
 
-// detachedContext runs a deadline-bound request apart from its caller's connection; it
-// ends with the last reader, the deadline or the process.
+// detachedContext returns a context for a request that outlasts the connection of its
+// caller. It ends with its last reader, at the deadline or by Stop.
 func (g *Gateway) detachedContext(deadline time.Time) (context.Context, context.CancelCauseFunc) {
 	withDeadline, release := context.WithDeadline(g.runContext, deadline)
 	ctx, cancel := context.WithCancelCause(withDeadline)
@@ -70,8 +66,8 @@
 	}
 }
 
-// activity counts what runs, so that stopping can wait for it. Unlike a
-// sync.WaitGroup it may be entered while it is being waited for.
+// activity counts active requests, so that Stop can wait for them. Unlike a
+// sync.WaitGroup it may grow from zero while another goroutine waits.
 type activity struct {
 	mutex       sync.Mutex
 	count       int
@@ -102,7 +98,8 @@
 	return a.count
 }
 
-// waitIdle waits until nothing runs; it reports false if the context ended first.
+// waitIdle waits until nothing is active and reports false if the context ended
+// first.
 func (a *activity) waitIdle(ctx context.Context) bool {
 	a.mutex.Lock()
 	running, changed := a.count, a.idleChanged
--- a/gateway/ticket_forward.go
+++ b/gateway/ticket_forward.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// forwardToOwner hands a request to the process that its ticket names.
+// forwardToOwner forwards a request to the process that its ticket names.
 func (g *Gateway) forwardToOwner(request *api.GenerateRequest, presented ticket.Ticket) (*follower, *api.Error) {
 	address, found := g.ownerAddress(presented)
 	if !found {
@@ -34,6 +34,7 @@
 	return reader, failure
 }
 
+// copyOwnerEvents copies the output of the owner into an execution.
 func (g *Gateway) copyOwnerEvents(ctx context.Context, events eventReader, run *execution) {
 	final, err := copyEvents(ctx, events, run)
 	if err == nil {
@@ -47,8 +48,8 @@
 	run.finish(&result{failure: failure})
 }
 
-// ownerAddress finds the process that a ticket names. Any copy will do: a
-// process that is not the one named answers so.
+// ownerAddress returns the peer address of the process that a ticket names. It need
+// not be current: another process refuses the ticket.
 func (g *Gateway) ownerAddress(presented ticket.Ticket) (string, bool) {
 	active := g.agent.Active()
 	if active == nil {
@@ -61,8 +62,8 @@
 	return record.PeerAddress, true
 }
 
-// handleOrphanedTicket answers a request whose owner is gone. What may be repeated runs
-// here; nothing about it is a refusal any more.
+// handleOrphanedTicket answers a request whose owner is gone. Repeatable requests run
+// here; since they may have run before, they can't be refused any more.
 func (g *Gateway) handleOrphanedTicket(request *api.GenerateRequest) (*follower, *api.Error) {
 	g.metrics.tickets.WithLabelValues("orphaned").Inc()
 	if request.Repeatable {
@@ -71,13 +72,15 @@
 	return nil, orphanedTicketFailure(request.RequestID)
 }
 
+// orphanedTicketFailure is the error for a ticket whose owner is gone.
 func orphanedTicketFailure(requestID string) *api.Error {
 	failure := newError(api.CodeTicketOrphaned, api.OutcomeUnknown, "the gateway that owns the ticket is gone, was restarted or cannot be reached")
 	failure.RequestID = requestID
 	return failure
 }
 
-// serveOwner answers a request that another gateway passed to this one.
+// serveOwner answers a request that another gateway forwarded to this one as the
+// owner of its ticket.
 func (g *Gateway) serveOwner(ctx context.Context, _ string, decode func(any) error, send func(any) error) error {
 	var forwarded peer.OwnerRequest
 	if err := decode(&forwarded); err != nil {
@@ -93,6 +96,7 @@
 	return sendEvents(ctx, reader, send)
 }
 
+// acceptForwarded verifies a forwarded request and uses its ticket.
 func (g *Gateway) acceptForwarded(request *api.GenerateRequest) (*follower, *api.Error) {
 	if failure := checkGenerate(request); failure != nil {
 		return nil, failure
--- a/gateway/ticket_issue.go
+++ b/gateway/ticket_issue.go
@@ -22,8 +22,9 @@
 	maxAlternates = 3
 )
 
-// where answers where a request should go: with a ticket of a gateway in the
-// region that serves it best. A gateway that leaves gives no tickets of its own.
+// where answers which gateway a caller should send its request to, with a ticket of a
+// gateway in the region that serves the request best. A draining gateway issues no
+// tickets itself.
 func (g *Gateway) where(ctx context.Context, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	acceptFailure := g.checkAccepting()
 	if acceptFailure != nil && !g.canRefer() {
@@ -49,12 +50,13 @@
 	return g.issueTicket(request)
 }
 
-// issueTicketIn asks a gateway of the region, or this one, to own the request. Both
-// results are nil if the next region is to be tried. Whoever asks for the same
-// unrepeatable request again, through whichever gateway of the region, is led to
-// the same owner, who answers with the first ticket. Two tickets for it need a
-// change of the region's gateways between the two, an owner that was not reached
-// in time, or questions that led to two regions.
+// issueTicketIn issues a ticket of a gateway of the region, which may be this one.
+// Both results are nil if the next region is to be tried.
+//
+// For an unrepeatable request, the rendezvous order of gateways leads every question
+// with the same request id to the same owner, which returns the first ticket. Two
+// tickets can exist only if the gateways of the region changed in between, the owner
+// was not reached in time, or the questions led to two regions.
 func (g *Gateway) issueTicketIn(ctx context.Context, region string, request *api.WhereRequest, includeSelf bool) (*api.WhereAnswer, *api.Error) {
 	includeSelf = includeSelf && region == g.region() && g.canOwnTickets()
 	if request.Repeatable {
@@ -76,8 +78,8 @@
 	return nil, nil
 }
 
-// ownerCandidates lists the gateways of a region that may own a request, in the order
-// of their rendezvous scores for its id.
+// ownerCandidates returns the gateways of a region that may own a request, by
+// descending rendezvous score for its id.
 func (g *Gateway) ownerCandidates(region, requestID string, includeSelf bool) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
@@ -104,8 +106,8 @@
 	return owners
 }
 
-// issueTicketAt asks gateways in turn for a ticket. An owner's word that the request id
-// is taken or closed is final; anything else leaves the next one to be asked.
+// issueTicketAt asks gateways in turn for a ticket. A reply that the request id is in
+// use or closed is final; after any other failure the next one is asked.
 func (g *Gateway) issueTicketAt(ctx context.Context, members []catalog.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	for _, member := range members {
 		callContext, cancel := context.WithTimeout(ctx, issueTicketTimeout)
@@ -124,18 +126,19 @@
 	return nil, nil
 }
 
-// canRefer tells that the gateway is leaving but still knows the others.
+// canRefer reports whether a draining gateway still knows the others.
 func (g *Gateway) canRefer() bool {
 	return g.draining.Load() && g.agent.Valid() && g.agent.Active() != nil
 }
 
-// canOwnTickets is false in an evacuated zone: its tickets would die with it.
+// canOwnTickets is false in an evacuated zone: tickets are lost with their owner.
 func (g *Gateway) canOwnTickets() bool {
 	active := g.agent.Active()
 	return active != nil && !active.IsEvacuated(g.options.Info.Zone)
 }
 
-// generateRequestFor is the part of a request that is known when asking where to go.
+// generateRequestFor returns the part of a request that is known before it has a
+// ticket.
 func generateRequestFor(request *api.WhereRequest) api.GenerateRequest {
 	return api.GenerateRequest{
 		RequestID:  request.RequestID,
@@ -149,6 +152,7 @@
 	}
 }
 
+// serveIssueTicket answers another gateway that asks for a ticket.
 func (g *Gateway) serveIssueTicket(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.IssueTicket
 	if err := decode(&request); err != nil {
@@ -158,8 +162,8 @@
 	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
 }
 
-// issueTicketForPeer makes a ticket that this process owns for a caller of another
-// gateway, if this one accepts the request.
+// issueTicketForPeer issues a ticket to a caller of another gateway, if this one
+// accepts the request.
 func (g *Gateway) issueTicketForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	if failure := checkWhere(request); failure != nil {
 		return nil, failure
@@ -173,7 +177,7 @@
 	return g.issueTicket(request)
 }
 
-// issueTicket makes a ticket that this process owns.
+// issueTicket issues a ticket that this process owns.
 func (g *Gateway) issueTicket(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	now := g.options.Clock()
 	wait := api.Wait(request.WaitMS)
@@ -186,9 +190,7 @@
 		IssuedAt:    now,
 		Expires:     now + wait,
 	}
-	g.tickets.mutex.Lock()
-	issued, err := g.tickets.table.Issue(now, requested)
-	g.tickets.mutex.Unlock()
+	issued, err := g.tickets.issue(now, requested)
 	if err != nil {
 		return nil, issueTicketFailure(request.RequestID, err)
 	}
@@ -211,6 +213,7 @@
 	return answer, nil
 }
 
+// issueTicketFailure returns the refusal for an error of the ticket table.
 func issueTicketFailure(requestID string, err error) *api.Error {
 	var failure *api.Error
 	switch {
@@ -225,8 +228,8 @@
 	return failure
 }
 
-// alternates are callers' addresses of gateways that pass requests on: those of
-// the own region first.
+// alternates returns the addresses, for callers, of gateways that forward requests to
+// the owner, those of the own region first.
 func (g *Gateway) alternates() []string {
 	active := g.agent.Active()
 	if active == nil {
@@ -248,10 +251,12 @@
 	return addresses[:min(len(addresses), maxAlternates)]
 }
 
+// isAvailable reports whether a gateway is up and outside of evacuated zones.
 func isAvailable(active *catalog.State, member catalog.Gateway) bool {
 	return member.Up && !active.IsEvacuated(member.Zone)
 }
 
+// shuffle puts addresses into random order.
 func (g *Gateway) shuffle(addresses []string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/gateway/ticket_use.go
+++ b/gateway/ticket_use.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -13,41 +12,11 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// Limits of the ticket table.
-const (
-	maxTickets = 128 << 10
-	// maxRetainedBytes bounds the output of completed requests that is kept for
-	// resends.
-	maxRetainedBytes = 8 << 20
-	// ticketSlack is how long a ticket is remembered after its expiry.
-	ticketSlack = 10 * time.Second
-)
-
-// ticketStore remembers the tickets of this process.
-type ticketStore struct {
-	mutex sync.Mutex
-	table *ticket.Table[*execution]
-}
-
-func newTicketStore() *ticketStore {
-	return &ticketStore{table: ticket.NewTable[*execution](ticket.TableConfig{
-		MaxTickets:       maxTickets,
-		MaxRetainedBytes: maxRetainedBytes,
-		Slack:            ticketSlack,
-	})}
-}
-
-func (g *Gateway) ticketCount() int {
-	g.tickets.mutex.Lock()
-	defer g.tickets.mutex.Unlock()
-	return g.tickets.table.Len()
-}
-
 // expiryInterval is the time between two passes over the tickets and reservations
 // that have expired.
 const expiryInterval = time.Second
 
-// expireState forgets what is over.
+// expireState expires tickets and reservations until ctx ends.
 func (g *Gateway) expireState(ctx context.Context) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -58,15 +27,13 @@
 		case <-ticker.C:
 		}
 		now := g.options.Clock()
-		g.tickets.mutex.Lock()
-		g.tickets.table.Expire(now)
-		g.tickets.mutex.Unlock()
+		g.tickets.expire(now)
 		g.reservations.expire(now)
 	}
 }
 
-// submit takes a request from a caller or a peer and returns a reader of its
-// output. The reader must be left.
+// submit accepts a request of a caller or a peer and returns a reader of its output,
+// which the caller must close.
 func (g *Gateway) submit(request *api.GenerateRequest) (*follower, *api.Error) {
 	if request.Ticket == "" {
 		if !request.Repeatable {
@@ -84,8 +51,9 @@
 	return g.forwardToOwner(request, presented)
 }
 
-// openTicket checks the ticket of a request. One that is not authentic may have
-// been made with a key that is no longer accepted, and used then.
+// openTicket verifies the ticket of a request. A ticket that is not authentic may
+// have been issued, and used, with a key that is no longer accepted; so its outcome
+// is unknown.
 func (g *Gateway) openTicket(request *api.GenerateRequest) (ticket.Ticket, *api.Error) {
 	presented, err := g.sealer.Load().Open(request.Ticket)
 	if errors.Is(err, ticket.ErrNotAuthentic) {
@@ -103,18 +71,17 @@
 	return presented, nil
 }
 
-// useTicket presents a ticket to this process's memory.
+// useTicket runs the request of a ticket of this process, or joins its execution if
+// it was used before.
 func (g *Gateway) useTicket(request *api.GenerateRequest, presented ticket.Ticket) (*follower, *api.Error) {
 	var reader *follower
 	var start func()
-	g.tickets.mutex.Lock()
-	useResult, joined := g.tickets.table.Use(g.options.Clock(), presented, requestDigest(request), func() *execution {
+	useResult, joined := g.tickets.use(presented, requestDigest(request), func() *execution {
 		var run *execution
 		run, start = g.prepareExecution(request, true, false)
 		reader, _ = run.follow(request.Stream)
 		return run
 	})
-	g.tickets.mutex.Unlock()
 	g.metrics.observeTicketUse(useResult)
 	switch useResult {
 	case ticket.UseStart:
@@ -131,7 +98,7 @@
 	}
 }
 
-// runWithoutTicket runs a request that may be repeated and that nobody remembers. ran says
+// runWithoutTicket runs a repeatable request that is not remembered. mayHaveRun says
 // that it may have run before.
 func (g *Gateway) runWithoutTicket(request *api.GenerateRequest, mayHaveRun bool) (*follower, *api.Error) {
 	run, start := g.prepareExecution(request, false, mayHaveRun)
@@ -140,7 +107,9 @@
 	return reader, failure
 }
 
-// prepareExecution makes an execution and the function that runs it to its end.
+// prepareExecution returns an execution and the function that runs it to its end,
+// which must be called. It is called apart from the preparation because the ticket
+// table is locked meanwhile.
 func (g *Gateway) prepareExecution(request *api.GenerateRequest, owned, mayHaveRun bool) (*execution, func()) {
 	copied := *request
 	copied.Ticket = ""
@@ -152,15 +121,14 @@
 		defer cancel(nil)
 		r := &runner{gateway: g, request: copied, execution: run, mayHaveRun: mayHaveRun}
 		g.resolveAndRun(ctx, r, owned)
-		if !owned {
-			return
+		if owned {
+			g.tickets.finish(request.RequestID, run.result.ticketState())
 		}
-		g.tickets.mutex.Lock()
-		g.tickets.table.Finish(request.RequestID, run.result.ticketState())
-		g.tickets.mutex.Unlock()
 	}
 }
 
+// resolveAndRun runs the request if it may be served. In the grace period a draining
+// gateway serves the requests with its own tickets.
 func (g *Gateway) resolveAndRun(ctx context.Context, r *runner, owned bool) {
 	check := g.checkAccepting
 	if owned && g.inTicketGracePeriod() {
@@ -177,8 +145,8 @@
 	r.run(ctx)
 }
 
-// requestDigest tells requests with other contents apart. Waiting time and ticket may
-// differ between resends.
+// requestDigest distinguishes requests with the same id. The waiting time and the
+// ticket are left out, since they may differ between resends.
 func requestDigest(request *api.GenerateRequest) uint64 {
 	copied := *request
 	copied.Ticket = ""
--- a/gateway/utilization.go
+++ b/gateway/utilization.go
@@ -15,8 +15,8 @@
 	maxGossipPeers = 8
 )
 
-// gossipUtilization tells gateways of other regions how loaded this one is. Each time a
-// bounded number of them, chosen by chance, hears it.
+// gossipUtilization sends the utilization of this region to a random, bounded number
+// of gateways of other regions, once in each interval until ctx ends.
 func (g *Gateway) gossipUtilization(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
@@ -38,8 +38,8 @@
 	}
 }
 
-// gossipTargets returns peers' addresses of gateways of other regions, those of
-// regions that may spill into this one first.
+// gossipTargets returns the peer addresses of up to limit gateways of other regions,
+// those of regions that may spill into this one first.
 func (g *Gateway) gossipTargets(limit int) []string {
 	active := g.agent.Active()
 	if active == nil {
@@ -62,6 +62,7 @@
 	return addresses[:min(len(addresses), limit)]
 }
 
+// serveUtilization records the utilization of another region.
 func (g *Gateway) serveUtilization(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var digest peer.RegionUtilization
 	if err := decode(&digest); err != nil {
--- a/gateway/validation.go
+++ b/gateway/validation.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// checkName checks an id or name of a request.
+// checkName validates an id or name of a request.
 func checkName(field, value string, required bool) *api.Error {
 	switch {
 	case value == "" && required:
@@ -20,6 +20,7 @@
 	return nil
 }
 
+// checkWait validates the caller's waiting time, in milliseconds.
 func checkWait(waitMS int64) *api.Error {
 	if waitMS < 0 || waitMS > api.MaxWaitMS {
 		return newInvalidError("wait_ms", "must be from 0 to %d", int64(api.MaxWaitMS))
@@ -27,6 +28,8 @@
 	return nil
 }
 
+// checkPrefixes validates the prefixes of a prompt and returns the sum of their
+// tokens.
 func checkPrefixes(prefixes []api.Prefix) (int, *api.Error) {
 	if len(prefixes) > api.MaxPrefixes {
 		return 0, newInvalidError("prefixes", "has %d entries, %d at the most", len(prefixes), api.MaxPrefixes)
@@ -44,7 +47,7 @@
 	return total, nil
 }
 
-// firstFailure returns the first one that is not nil.
+// firstFailure returns the first error that is not nil.
 func firstFailure(failures ...*api.Error) *api.Error {
 	for _, failure := range failures {
 		if failure != nil {
@@ -54,7 +57,7 @@
 	return nil
 }
 
-// checkWhere checks the limits of a question where to go.
+// checkWhere validates a question for the gateway of a request.
 func checkWhere(request *api.WhereRequest) *api.Error {
 	_, prefixes := checkPrefixes(request.Prefixes)
 	return firstFailure(
@@ -68,7 +71,7 @@
 	)
 }
 
-// checkGenerate checks the limits of a request.
+// checkGenerate validates a request.
 func checkGenerate(request *api.GenerateRequest) *api.Error {
 	prefixTokens, prefixes := checkPrefixes(request.Prefixes)
 	return firstFailure(
@@ -84,6 +87,7 @@
 	)
 }
 
+// checkClass validates the class of a request.
 func checkClass(class api.Class) *api.Error {
 	switch class {
 	case "", api.ClassQuick, api.ClassLong, api.ClassFetch:
@@ -93,6 +97,7 @@
 	}
 }
 
+// checkTokens validates the sizes of the prompt and of the output, in tokens.
 func checkTokens(request *api.GenerateRequest, prefixTokens int) *api.Error {
 	if request.PromptTokens < 0 || request.PromptTokens > api.MaxPromptTokens {
 		return newInvalidError("prompt_tokens", "must be from 0 to %d", api.MaxPromptTokens)
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -12,7 +12,8 @@
 // versionWaitTimeout bounds the wait for a newer configuration to become active.
 const versionWaitTimeout = time.Second
 
-// seenVersion is the newest configuration that replicas of a service have seen.
+// seenVersion returns the highest configuration version that replicas of a service
+// have reported; 0 if none.
 func (g *Gateway) seenVersion(service string) uint64 {
 	if planted.Active(planted.KeepOldConfiguration) {
 		return 0
@@ -22,6 +23,8 @@
 	return g.seenVersions[service]
 }
 
+// recordVersion records a configuration version that a replica of the service has
+// seen.
 func (g *Gateway) recordVersion(service string, version uint64) {
 	g.mutex.Lock()
 	newer := version > g.seenVersions[service]
@@ -34,14 +37,16 @@
 	}
 }
 
+// recordReport records the configuration version of a report, if there is one.
 func (g *Gateway) recordReport(service string, report *api.ReplicaReport) {
 	if report != nil {
 		g.recordVersion(service, report.ConfigurationVersion)
 	}
 }
 
-// refreshSeenVersion asks a replica that refused a stale configuration which one it
-// has seen. It reports false if the time is over.
+// refreshSeenVersion asks a replica that refused a stale configuration for the
+// version that it has seen. If it does not answer, it waits for the next activation.
+// It reports false if ctx ended.
 func (g *Gateway) refreshSeenVersion(ctx context.Context, service string, reservation *routing.Reservation) bool {
 	changed := g.agent.Changed()
 	waitContext, cancel := context.WithTimeout(ctx, versionWaitTimeout)
@@ -58,8 +63,9 @@
 	return ctx.Err() == nil
 }
 
-// awaitSeenVersion waits, for a short time, until the newest configuration that replicas
-// of the service have seen is active here. Nothing is placed by an older one.
+// awaitSeenVersion waits up to versionWaitTimeout until the highest configuration
+// version seen by replicas of the service is active here. Requests are not placed by
+// an older one.
 func (r *runner) awaitSeenVersion(ctx context.Context) *api.Error {
 	version := r.gateway.seenVersion(r.route.Service)
 	if r.gateway.agent.ConfirmVersion(version) {
