--- a/cmd/deckpulley-gateway/daemon.go
+++ b/cmd/deckpulley-gateway/daemon.go
@@ -11,7 +11,10 @@
 	"net"
 	"net/http"
 	"os"
+	"os/signal"
+	"sync"
 	"sync/atomic"
+	"syscall"
 	"time"
 
 	"github.com/deckpulley/deckpulley/dispatch"
@@ -31,56 +34,89 @@
 	proxyDrainTimeout = 20 * time.Second
 )
 
-// daemon is one gateway with its ports.
+// port is a listener and the server that serves it.
+type port struct {
+	listener net.Listener
+	server   *http.Server
+}
+
+// daemon is a gateway with its ports.
 type daemon struct {
-	log       *slog.Logger
+	source    *settingsSource
+	logger    *slog.Logger
 	level     *slog.LevelVar
 	tokens    atomic.Pointer[settings.Tokens]
 	network   *transport.Node
 	gateway   *gateway.Gateway
-	callers   *http.Server
-	operators *http.Server
-	callerAt  net.Listener
-	operateAt net.Listener
-	// proxied and proxyAt are the HTTP address; nil without one.
-	proxied *http.Server
-	proxyAt net.Listener
+	callers   port
+	operators port
+	// proxy serves the HTTP address; its listener and server are nil without one.
+	proxy port
+	// serving waits for the goroutines of the servers, and serveFailures has the errors
+	// of those that ended by themselves.
+	serving       sync.WaitGroup
+	serveFailures chan error
 }
 
-func newDaemon(loaded *settings.Settings) (*daemon, error) {
+// runDaemon runs a gateway until SIGTERM or SIGINT, or until a port fails.
+func runDaemon(source *settingsSource) error {
+	loaded, err := source.load()
+	if err != nil {
+		return err
+	}
+	d, err := newDaemon(source, loaded)
+	if err != nil {
+		return err
+	}
+	// Two channels, since a signal is dropped while another one waits in the channel: a
+	// pending reload must not hide the request to end.
+	terminate, hangUp := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(hangUp, syscall.SIGHUP)
+	defer signal.Stop(terminate)
+	defer signal.Stop(hangUp)
+	return d.run(terminate, hangUp)
+}
+
+// newDaemon binds all ports and prepares the gateway. After an error the program ends,
+// which closes what was opened.
+func newDaemon(source *settingsSource, loaded *settings.Settings) (*daemon, error) {
 	keys, err := loaded.Keys()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errSettings, err)
+		return nil, &usageError{err}
 	}
 	tokens, err := loaded.Tokens()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errSettings, err)
+		return nil, &usageError{err}
 	}
-	d := &daemon{level: new(slog.LevelVar)}
+	d := &daemon{source: source, level: new(slog.LevelVar)}
 	d.level.Set(loaded.LogLevel())
-	d.log = loaded.NewLogger(os.Stderr, d.level).With("region", loaded.Region)
+	d.logger = loaded.NewLogger(os.Stderr, d.level).With("region", loaded.Region)
 	d.tokens.Store(&tokens)
 	for _, warning := range loaded.Warnings() {
-		d.log.Warn(warning)
+		d.logger.Warn(warning)
 	}
-	if err := d.listen(loaded, keys); err != nil {
+	if err := d.bind(loaded, keys); err != nil {
+		return nil, err
+	}
+	if err := d.prepareGateway(loaded, keys); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// listen binds all ports, so that an address in use is found before anything runs.
-func (d *daemon) listen(loaded *settings.Settings, keys [][]byte) error {
+// bind binds all ports, so that an address in use is found before anything runs.
+func (d *daemon) bind(loaded *settings.Settings, keys [][]byte) error {
 	var err error
-	if d.callerAt, err = net.Listen("tcp", loaded.CallerAddress); err != nil {
-		return fmt.Errorf("callers' port: %w", err)
+	if d.callers.listener, err = net.Listen("tcp", loaded.CallerAddress); err != nil {
+		return fmt.Errorf("binding the callers' port: %w", err)
 	}
-	if d.operateAt, err = net.Listen("tcp", loaded.OperatorAddress); err != nil {
-		return fmt.Errorf("operators' port: %w", err)
+	if d.operators.listener, err = net.Listen("tcp", loaded.OperatorAddress); err != nil {
+		return fmt.Errorf("binding the operators' port: %w", err)
 	}
 	if loaded.HTTPAddress != "" {
-		if d.proxyAt, err = net.Listen("tcp", loaded.HTTPAddress); err != nil {
-			return fmt.Errorf("HTTP port: %w", err)
+		if d.proxy.listener, err = net.Listen("tcp", loaded.HTTPAddress); err != nil {
+			return fmt.Errorf("binding the HTTP port: %w", err)
 		}
 	}
 	d.network, err = transport.Listen(transport.Config{
@@ -88,10 +124,14 @@
 		Listen:           loaded.PeerAddress,
 		Keys:             keys,
 		AddressOverrides: loaded.DialOverrides,
-	}, d.log)
+	}, d.logger)
 	if err != nil {
-		return fmt.Errorf("peers' port: %w", err)
+		return fmt.Errorf("binding the peers' port: %w", err)
 	}
+	return nil
+}
+
+func (d *daemon) prepareGateway(loaded *settings.Settings, keys [][]byte) error {
 	incarnation, seed := randomIdentity()
 	info := peer.GatewayInfo{
 		Name:        loaded.Name,
@@ -102,6 +142,7 @@
 		HTTPAddress: loaded.CallerAddress,
 		LinkMbps:    loaded.LinkMbps,
 	}
+	var err error
 	d.gateway, err = gateway.New(gateway.Options{
 		Info:          info,
 		HTTPProxy:     d.newProxy(info, loaded.HTTPBounds),
@@ -114,81 +155,90 @@
 		Seed:          seed,
 		PollInterval:  loaded.Watch.PollInterval(),
 		PollTimeout:   loaded.Watch.PollTimeout(),
-		Logger:        d.log,
+		Logger:        d.logger,
 	})
 	if err != nil {
-		return fmt.Errorf("gateway: %w", err)
+		return fmt.Errorf("preparing the gateway: %w", err)
 	}
-	d.callers = d.gateway.CallersServer()
-	d.operators = d.gateway.OperatorsServer()
+	d.callers.server = d.gateway.CallersServer()
+	d.operators.server = d.gateway.OperatorsServer()
 	return nil
 }
 
-// newProxy prepares what serves the HTTP address; nil without one.
-func (d *daemon) newProxy(info peer.GatewayInfo, granted settings.HTTPBounds) gateway.HTTPProxy {
-	if d.proxyAt == nil {
+// newProxy prepares the server of the HTTP address; it returns nil without one.
+func (d *daemon) newProxy(info peer.GatewayInfo, bounds settings.HTTPBounds) gateway.HTTPProxy {
+	if d.proxy.listener == nil {
 		return nil
 	}
 	proxy := httpgateway.NewProxy(httpgateway.ProxyOptions{
 		Info:    info,
 		Network: d.network,
-		Bounds:  dispatch.Bounds{RetryRatio: granted.RetryRatio, WarmupOvershoot: granted.WarmupOvershoot},
-		Logger:  d.log,
+		Bounds:  dispatch.Bounds{RetryRatio: bounds.RetryRatio, WarmupOvershoot: bounds.WarmupOvershoot},
+		Logger:  d.logger,
 	})
-	d.proxied = proxy.Server()
+	d.proxy.server = proxy.Server()
 	return proxy
 }
 
-// randomIdentity names this process and seeds its choices.
+// randomIdentity returns the name of this process and the seed of its random choices.
 func randomIdentity() (incarnation string, seed uint64) {
 	var random [incarnationBytes]byte
 	_, _ = rand.Read(random[:]) // never fails; see package crypto/rand
 	return hex.EncodeToString(random[:]), binary.LittleEndian.Uint64(random[:])
 }
 
-// run serves until the context ends, then drains and leaves.
-func (d *daemon) run(ctx context.Context, hangUp <-chan os.Signal, load func() (*settings.Settings, error)) error {
+// run serves until terminate delivers a signal or a port fails, and shuts down. It
+// reloads the settings for each signal of hangUp.
+func (d *daemon) run(terminate, hangUp <-chan os.Signal) error {
 	if err := d.gateway.Start(); err != nil {
 		return fmt.Errorf("starting: %w", err)
 	}
-	failures := make(chan error, 3)
-	serve := func(server *http.Server, listener net.Listener) {
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			failures <- err
-		}
-	}
-	go serve(d.callers, d.callerAt)
-	go serve(d.operators, d.operateAt)
-	if d.proxied != nil {
-		go serve(d.proxied, d.proxyAt)
-	}
-	d.log.Info("gateway started", "callers", d.callerAt.Addr().String(), "operators", d.operateAt.Addr().String())
+	d.serve()
+	d.logger.Info("gateway started", "callers", d.callers.listener.Addr().String(), "operators", d.operators.listener.Addr().String())
 	for {
 		select {
-		case <-ctx.Done():
-			d.leave()
-			return nil
 		case <-hangUp:
-			d.reload(load)
-		case err := <-failures:
-			d.leave()
+			d.reload()
+		case received := <-terminate:
+			d.logger.Info("shutting down", "signal", received.String())
+			d.shutDown()
+			return nil
+		case err := <-d.serveFailures:
+			d.logger.Info("shutting down", "error", err)
+			d.shutDown()
 			return fmt.Errorf("serving: %w", err)
 		}
 	}
 }
 
-// reload takes over what may change while running: log level, tokens and keys
-// of tickets. An error leaves everything as it is.
-func (d *daemon) reload(load func() (*settings.Settings, error)) {
-	if err := d.tryReload(load); err != nil {
-		d.log.Error("reload refused", "error", err)
+// serve starts the servers. Each of them may send one failure without a reader.
+func (d *daemon) serve() {
+	ports := []port{d.callers, d.operators}
+	if d.proxy.server != nil {
+		ports = append(ports, d.proxy)
+	}
+	d.serveFailures = make(chan error, len(ports))
+	for _, served := range ports {
+		d.serving.Go(func() {
+			if err := served.server.Serve(served.listener); !errors.Is(err, http.ErrServerClosed) {
+				d.serveFailures <- err
+			}
+		})
+	}
+}
+
+// reload takes over the log level, the keys and the tokens. After an error all of
+// them are as they were.
+func (d *daemon) reload() {
+	if err := d.tryReload(); err != nil {
+		d.logger.Error("settings not reloaded", "error", err)
 		return
 	}
-	d.log.Info("reloaded")
+	d.logger.Info("settings reloaded")
 }
 
-func (d *daemon) tryReload(load func() (*settings.Settings, error)) error {
-	loaded, err := load()
+func (d *daemon) tryReload() error {
+	loaded, err := d.source.load()
 	if err != nil {
 		return err
 	}
@@ -209,41 +259,42 @@
 	return nil
 }
 
-// leave lets requests finish, gives the lease up and closes the ports.
-func (d *daemon) leave() {
-	d.log.Info("leaving")
+// shutDown lets the requests in flight end, releases the lease and closes the ports.
+// The ports are closed last, so that callers of a draining gateway are told so.
+func (d *daemon) shutDown() {
 	drained := d.drainProxy()
 	d.gateway.Stop(context.Background())
 	<-drained
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	for _, server := range []*http.Server{d.callers, d.operators} {
-		d.shutDown(ctx, server)
-	}
+	d.closeServer(ctx, d.callers.server)
+	d.closeServer(ctx, d.operators.server)
+	d.serving.Wait()
 	if err := d.network.Close(); err != nil {
-		d.log.Warn("closing the peers' port", "error", err)
+		d.logger.Warn("peers' port not closed", "error", err)
 	}
-	d.log.Info("left")
+	d.logger.Info("shutdown complete")
 }
 
-// drainProxy lets the requests of the HTTP address finish; new ones go elsewhere.
-// The channel is closed when it is done.
+// drainProxy closes the HTTP address to new requests, which callers send to other
+// gateways, and lets those in flight end. The channel is closed when it is done.
 func (d *daemon) drainProxy() <-chan struct{} {
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		if d.proxied == nil {
+		if d.proxy.server == nil {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), proxyDrainTimeout)
 		defer cancel()
-		d.shutDown(ctx, d.proxied)
+		d.closeServer(ctx, d.proxy.server)
 	}()
 	return drained
 }
 
-func (d *daemon) shutDown(ctx context.Context, server *http.Server) {
+// closeServer lets the answers in flight end until ctx does, and aborts the others.
+func (d *daemon) closeServer(ctx context.Context, server *http.Server) {
 	if err := server.Shutdown(ctx); err != nil {
-		d.log.Warn("a port is closed with connections open", "error", err, "close", server.Close())
+		d.logger.Warn("answers aborted by the shutdown", "error", errors.Join(err, server.Close()))
 	}
 }
--- a/cmd/deckpulley-gateway/daemon_test.go
+++ b/cmd/deckpulley-gateway/daemon_test.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"strings"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -24,8 +25,8 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// testPatience bounds every wait of these tests.
-const testPatience = 20 * time.Second
+// testTimeout bounds every wait of these tests.
+const testTimeout = 20 * time.Second
 
 const testKey = "00112233445566778899aabbccddeeff"
 
@@ -136,26 +137,24 @@
 	f.t.Helper()
 	loaded := f.settings(controlAddress)
 	var err error
-	if f.daemon, err = newDaemon(loaded); err != nil {
+	if f.daemon, err = newDaemon(&settingsSource{}, loaded); err != nil {
 		f.t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	terminate := make(chan os.Signal, 1)
 	ended := make(chan error, 1)
-	go func() {
-		ended <- f.daemon.run(ctx, nil, func() (*settings.Settings, error) { return loaded, nil })
-	}()
+	go func() { ended <- f.daemon.run(terminate, nil) }()
 	f.t.Cleanup(func() {
-		cancel()
+		terminate <- syscall.SIGTERM
 		if err := <-ended; err != nil {
 			f.t.Errorf("the gateway ended with %v", err)
 		}
 	})
 }
 
-// order carries an order out until it is in force.
-func (f *httpFleet) order(request peer.OperationRequest) {
+// submit submits an operation until it is in force.
+func (f *httpFleet) submit(request peer.OperationRequest) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(f.t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(f.t.Context(), testTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		reply := f.control.Order(ctx, request)
@@ -167,7 +166,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatal("an order is not in force in time")
+	f.t.Fatal("an operation is not in force in time")
 }
 
 func (f *httpFleet) addReplicas(service string, names ...string) {
@@ -180,12 +179,12 @@
 		f.replicas = append(f.replicas, replica)
 		list.Replicas = append(list.Replicas, api.ReplicaEntry{ID: name, Service: service, Zone: "z1", Address: server.Listener.Addr().String()})
 	}
-	f.order(peer.OperationRequest{Replicas: list})
+	f.submit(peer.OperationRequest{Replicas: list})
 }
 
 // get sends one request to the HTTP address.
 func (f *httpFleet) get(id, path string) (int, string) {
-	request, err := http.NewRequestWithContext(f.t.Context(), http.MethodGet, "http://"+f.daemon.proxyAt.Addr().String()+path, nil)
+	request, err := http.NewRequestWithContext(f.t.Context(), http.MethodGet, "http://"+f.daemon.proxy.listener.Addr().String()+path, nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -217,14 +216,14 @@
     pages: {host: llm.example, path_prefix: /pages/, kind: repeatable, timeout_ms: 2000, targets: [{service: pool, weight: 1}]}
 `
 
-// TestDocumentRoutesHTTP takes the product's own document to its HTTP address: a
-// request is routed by it, and a changed document changes where requests go.
+// TestDocumentRoutesHTTP submits a configuration document and sends requests to the HTTP
+// address: a request is routed by it, and a changed document changes where requests go.
 func TestDocumentRoutesHTTP(t *testing.T) {
 	f := startHTTPFleet(t)
 	if status, text := f.get("early", "/pages/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("before the first document: %d %s", status, text)
 	}
-	f.order(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "first", Document: httpDocument}})
+	f.submit(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "first", Document: httpDocument}})
 	f.addReplicas("pool", "r1", "r2")
 	f.until(func() bool { status, _ := f.get("warm", "/pages/x"); return status == http.StatusOK })
 
@@ -235,14 +234,14 @@
 		t.Errorf("without a route: %d", status)
 	}
 	moved := strings.ReplaceAll(httpDocument, "/pages/", "/moved/")
-	f.order(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "second", BaseVersion: 1, Document: moved}})
+	f.submit(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "second", BaseVersion: 1, Document: moved}})
 	if status, _ := f.get("three", "/pages/x"); status != http.StatusNotFound {
 		t.Errorf("by the former document: %d", status)
 	}
 	if status, text := f.get("four", "/moved/x"); status != http.StatusOK {
 		t.Errorf("by the new document: %d %s", status, text)
 	}
-	f.order(peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "third", Zone: "z1"}})
+	f.submit(peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "third", Zone: "z1"}})
 	if status, _ := f.get("five", "/moved/x"); status != http.StatusServiceUnavailable {
 		t.Errorf("in an evacuated zone: %d", status)
 	}
@@ -251,7 +250,7 @@
 
 // checkOperators reads what the operators' port shows of the HTTP address.
 func (f *httpFleet) checkOperators() {
-	operators := "http://" + f.daemon.operateAt.Addr().String()
+	operators := "http://" + f.daemon.operators.listener.Addr().String()
 	for path, want := range map[string]string{
 		api.PathHTTPReplicas: `"state":"evacuated"`,
 		api.PathMetrics:      `deckpulley_http_requests_total{code="no_route"} 2`,
@@ -268,7 +267,7 @@
 
 func (f *httpFleet) until(condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(testPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
--- a/gateway/callers_http.go
+++ b/gateway/callers_http.go
@@ -78,7 +78,7 @@
 	if failure == nil || !g.failureLogs.Allow() {
 		return
 	}
-	g.log.Info("request without an answer", "request", request.RequestID, "model", request.Model,
+	g.log.Info("request failed", "request", request.RequestID, "model", request.Model,
 		"outcome", failure.Outcome, "code", failure.Code, "reason", failure.Message, "elapsed", time.Since(started))
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -143,7 +143,7 @@
 	if g.options.HTTPProxy != nil {
 		g.options.HTTPProxy.Update(state)
 	}
-	g.log.Info("configuration copy active", "serial", state.Serial(), "version", state.Version())
+	g.log.Info("configuration activated", "serial", state.Serial(), "version", state.Version())
 }
 
 func (g *Gateway) region() string { return g.options.Info.Region }
--- a/gateway/replica_condition.go
+++ b/gateway/replica_condition.go
@@ -56,11 +56,11 @@
 	reply, err := g.agent.Update(updateContext, g.conditionUpdate(change))
 	if err != nil {
 		g.metrics.updates.WithLabelValues("lost").Inc()
-		g.log.Warn("condition not reported", "replica", change.Replica, "error", err)
+		g.log.Warn("condition update failed", "replica", change.Replica, "error", err)
 		return
 	}
 	g.metrics.updates.WithLabelValues(reply.Code.String()).Inc()
-	g.log.Info("condition reported", "replica", change.Replica, "state", change.New.State, "code", reply.Code.String(), "serial", reply.Serial)
+	g.log.Info("condition updated", "replica", change.Replica, "state", change.New.State, "code", reply.Code.String(), "serial", reply.Serial)
 }
 
 // conditionUpdate returns an update that replaces the condition from which the change
--- a/gateway/shutdown.go
+++ b/gateway/shutdown.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	g.awaitTickets(waitContext)
 	if !g.active.waitIdle(waitContext) {
-		g.log.Warn("requests are cut off", "requests", g.active.current())
+		g.log.Warn("requests aborted by the shutdown", "requests", g.active.current())
 	}
 	g.agent.ReleaseLease(context.WithoutCancel(ctx))
 	g.cancelRun(errStopping)
