--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// nullWriter is a caller's connection that takes everything at once.
+// nullWriter is the response writer of a caller that reads everything at once.
 type nullWriter struct {
 	header http.Header
 	bytes  int
@@ -29,8 +29,8 @@
 	return len(data), nil
 }
 
-// BenchmarkRelay copies a stream of 1,000 events from a replica's bytes through
-// an execution to a caller's writer.
+// BenchmarkRelay copies a stream of 1,000 events from the bytes of a replica through
+// an execution to the writer of a caller.
 func BenchmarkRelay(b *testing.B) {
 	const pieces = 1000
 	request := &api.ReplicaRequest{RequestID: "request-1"}
@@ -85,8 +85,8 @@
 	}
 }
 
-// BenchmarkRequests sends short whole requests through a gateway and, for
-// comparison, to the replica itself.
+// BenchmarkRequests sends short requests through a gateway and, for comparison,
+// directly to the replica.
 func BenchmarkRequests(b *testing.B) {
 	f := newFleet(b)
 	replica := f.replica("r1", "north")
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -16,7 +16,7 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// postExplain asks the operators' port of a gateway.
+// postExplain sends a request to the explain path of a gateway's operators' port.
 func postExplain(t *testing.T, n *node, request api.GenerateRequest) (int, api.ExplainAnswer) {
 	t.Helper()
 	body, err := json.Marshal(request)
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestExplainAgreesWithWhatHappens compares the explanation of requests with
-// where they run, and finds that explaining runs nothing.
+// TestExplainAgreesWithWhatHappens compares explanations with where the requests then
+// run, and verifies that explaining sends nothing to replicas.
 func TestExplainAgreesWithWhatHappens(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -24,13 +24,15 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// testTimeout bounds waiting for something that must happen; a passing test never
-// waits that long.
+// testTimeout bounds the wait for an event that must happen. A test that passes never
+// waits for so long.
 const testTimeout = 15 * time.Second
 
-// testLeaseConfig renew often and last long, so that a busy machine takes no lease away.
+// testLeaseConfig renews often and lasts long, so that no lease expires on a busy
+// machine.
 var testLeaseConfig = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
 
+// waitFor polls until the condition holds, and fails the test after testTimeout.
 func waitFor(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
@@ -38,10 +40,10 @@
 			return
 		}
 	}
-	tb.Fatalf("waited in vain for %s", what)
+	tb.Fatalf("%s did not happen in time", what)
 }
 
-// primary grants leases to everyone and holds the table.
+// primary grants leases to every gateway and holds the registry.
 type primary struct {
 	mutex           sync.Mutex
 	table           *registry.Table
@@ -108,13 +110,13 @@
 }
 
 func (p *primary) submitOperation(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var order peer.OperationRequest
-	if err := decode(&order); err != nil {
+	var request peer.OperationRequest
+	if err := decode(&request); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.operations = append(p.operations, order)
+	p.operations = append(p.operations, request)
 	return &peer.OperationReply{Answer: &api.OperationResult{Accepted: true}}, nil
 }
 
@@ -134,7 +136,8 @@
 // answerFunc answers one request as a replica.
 type answerFunc func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest)
 
-// fakeReplica answers as it is told and counts what reaches it.
+// fakeReplica answers with the function that a test sets, and records the requests
+// that reach it.
 type fakeReplica struct {
 	name    string
 	server  *httptest.Server
@@ -163,10 +166,10 @@
 func (f *fakeReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == api.PathReplicaReport {
 		f.mutex.Lock()
-		incarnation, held := f.incarnation, f.blockReports
+		incarnation, blocked := f.incarnation, f.blockReports
 		f.mutex.Unlock()
-		if held != nil {
-			<-held
+		if blocked != nil {
+			<-blocked
 		}
 		writeJSON(w, http.StatusOK, api.ReplicaReport{
 			Replica: f.name, Incarnation: incarnation, Service: "explain", Slots: 64, PrefillTokensPerSecond: 1e6,
@@ -203,12 +206,12 @@
 	return stream.AppendFrame(nil, api.EventPiece, data)
 }
 
-func writeStream(w http.ResponseWriter, request *api.ReplicaRequest, pieces int) {
+func writeStream(w http.ResponseWriter, request *api.ReplicaRequest, chunks int) {
 	w.Header().Set("Content-Type", stream.ContentType)
-	for i := range pieces {
+	for i := range chunks {
 		w.Write(chunkFrame(request, i+1))
 	}
-	data, _ := json.Marshal(api.StreamEnd{RequestID: request.RequestID, RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
+	data, _ := json.Marshal(api.StreamEnd{RequestID: request.RequestID, RunID: "run-1", Sequence: chunks + 1, Tokens: chunks})
 	w.Write(stream.AppendFrame(nil, api.EventEnd, data))
 }
 
@@ -301,7 +304,8 @@
 	return &node{Gateway: g, url: "http://" + listener.Addr().String(), network: network, stop: stop}
 }
 
-// ready waits until the gateways serve and know each other and their replicas.
+// ready waits until the gateways serve requests and know each other and their
+// replicas.
 func (f *fleet) ready(nodes ...*node) {
 	f.t.Helper()
 	waitFor(f.t, "ready gateways", func() bool {
@@ -319,7 +323,7 @@
 	})
 }
 
-// reply is what a caller got.
+// reply is what a caller received.
 type reply struct {
 	status  int
 	answer  api.GenerateAnswer
@@ -330,7 +334,7 @@
 	header  http.Header
 }
 
-// outcome is the outcome a caller sees.
+// outcome is the outcome that the caller sees.
 func (r *reply) outcome() string {
 	switch {
 	case r.failure != nil:
@@ -357,7 +361,7 @@
 	return http.DefaultClient.Do(request)
 }
 
-// send sends one request to a gateway and reads all of its answer.
+// send sends one request to a gateway and reads the complete response.
 func (n *node) send(tb testing.TB, request api.GenerateRequest) *reply {
 	tb.Helper()
 	response, err := post(tb.Context(), n.url+api.PathRequests, request)
@@ -397,11 +401,12 @@
 	return got
 }
 
-// where asks a gateway where to go and returns the request with its ticket.
+// where asks a gateway where to send a request and returns the request with its
+// ticket.
 func (n *node) where(tb testing.TB, request api.GenerateRequest) (api.GenerateRequest, *api.WhereAnswer) {
 	tb.Helper()
-	question := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
-	response, err := post(tb.Context(), n.url+api.PathWhere, question)
+	whereRequest := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
+	response, err := post(tb.Context(), n.url+api.PathWhere, whereRequest)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -415,8 +420,8 @@
 	return request, &answer
 }
 
-// requestOwnedBy asks until an id is found that this gateway owns, and returns the
-// request with its ticket.
+// requestOwnedBy tries ids until the gateway owns the request, and returns it with
+// its ticket.
 func (n *node) requestOwnedBy(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
 	tb.Helper()
 	for try := range 64 {
@@ -431,6 +436,7 @@
 	return request
 }
 
+// newRequest returns a valid request that is not repeatable.
 func newRequest(id string) api.GenerateRequest {
 	return api.GenerateRequest{RequestID: id, Model: "m", PromptTokens: 10, MaxTokens: 5, WaitMS: 10_000}
 }
--- a/gateway/forward_test.go
+++ b/gateway/forward_test.go
@@ -12,14 +12,14 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// TestSpill runs a request in another region, then loses the connection to it.
+// TestSpill runs requests in another region, then loses the connection to it.
 func TestSpill(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	spilled := func(id string) api.GenerateRequest {
+	northTicket := func(id string) api.GenerateRequest {
 		request := newRequest(id)
 		answer, failure := north.issueTicket(&api.WhereRequest{RequestID: id, Model: "m", WaitMS: request.WaitMS})
 		if failure != nil {
@@ -28,13 +28,13 @@
 		request.Ticket = answer.Ticket
 		return request
 	}
-	if got := north.send(t, spilled("whole")); got.outcome() != "success" || got.answer.Region != "south" {
+	if got := north.send(t, northTicket("whole")); got.outcome() != "success" || got.answer.Region != "south" {
 		t.Fatalf("got %s in %q", got.outcome(), got.answer.Region)
 	}
-	streamed := spilled("streamed")
+	streamed := northTicket("streamed")
 	streamed.Stream = true
 	if got := north.send(t, streamed); got.outcome() != "success" || got.chunks != 5 || got.ended.Replica != "r1" {
-		t.Fatalf("got %s with %d pieces", got.outcome(), got.chunks)
+		t.Fatalf("got %s with %d chunks", got.outcome(), got.chunks)
 	}
 	if _, where := north.where(t, newRequest("asked")); where.Region != "south" || "http://"+where.Gateway != south.url {
 		t.Fatalf("sent to %s in %s", where.Gateway, where.Region)
@@ -45,7 +45,7 @@
 		<-r.Context().Done()
 	})
 	done := make(chan *reply, 1)
-	lost := spilled("lost")
+	lost := northTicket("lost")
 	go func() { done <- north.send(t, lost) }()
 	<-started
 	f.memory.Partition("g2", "g1")
@@ -61,49 +61,49 @@
 	}
 }
 
-// TestRefusedForwardCountsAsAttempt has a replica of another region refuse what was
-// sent to it. Trying the own region next is a retry: it needs budget for one,
-// and its stamp is the second attempt's.
+// TestRefusedForwardCountsAsAttempt has a replica of another region refuse a
+// forwarded request. The next attempt, in the own region, is a retry: it needs
+// budget, and its stamp is that of the second attempt.
 func TestRefusedForwardCountsAsAttempt(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.ClientRecord("southerner", catalog.Client{Region: "south"})))
 	})
-	far, near := f.replica("far", "south"), f.replica("near", "north")
+	remote, local := f.replica("far", "south"), f.replica("near", "north")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	far.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+	remote.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 	})
-	ask := func(id, client string) *reply {
+	send := func(id, client string) *reply {
 		request := newRequest(id)
 		request.Repeatable, request.Client = true, client
 		return north.send(t, request)
 	}
-	if got := ask("without budget", "southerner"); got.outcome() != "overloaded/refused" {
+	if got := send("without budget", "southerner"); got.outcome() != "overloaded/refused" {
 		t.Errorf("without budget: %s", got.outcome())
 	}
-	if attempts := len(near.requests()); attempts != 0 {
+	if attempts := len(local.requests()); attempts != 0 {
 		t.Errorf("retried %d times without budget", attempts)
 	}
 	for range 60 { // earns budget
-		if got := ask("warm", ""); got.outcome() != "success" {
+		if got := send("warm", ""); got.outcome() != "success" {
 			t.Fatal(got.outcome())
 		}
 	}
-	if got := ask("with budget", "southerner"); got.outcome() != "success" {
+	if got := send("with budget", "southerner"); got.outcome() != "success" {
 		t.Fatalf("with budget: %s", got.outcome())
 	}
-	reached := near.requests()
+	reached := local.requests()
 	last := reached[len(reached)-1]
 	if last.RequestID != "with budget" || last.Stamp.Attempt != 2 {
 		t.Fatalf("%s is attempt %d", last.RequestID, last.Stamp.Attempt)
 	}
 }
 
-// TestOverflowRequestsWaitForCapacity sends a request to a gateway whose region
-// takes nothing while the other region's one replica is full.
+// TestOverflowRequestsWaitForCapacity sends a request to a gateway whose region has
+// no replicas while the only replica of the other region is full.
 func TestOverflowRequestsWaitForCapacity(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
@@ -113,10 +113,10 @@
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
-	room := make(chan struct{})
+	release := make(chan struct{})
 	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		select {
-		case <-room:
+		case <-release:
 		case <-r.Context().Done():
 		}
 		writeAnswer(w, r, request)
@@ -125,15 +125,15 @@
 	done := make(chan *reply, 2)
 	go func() { done <- south.send(t, first) }()
 	waitFor(t, "the full replica", func() bool { return len(replica.requests()) == 1 })
-	displaced := newRequest("displaced")
-	answer, failure := north.issueTicket(&api.WhereRequest{RequestID: displaced.RequestID, Model: "m", WaitMS: displaced.WaitMS})
+	overflow := newRequest("displaced")
+	answer, failure := north.issueTicket(&api.WhereRequest{RequestID: overflow.RequestID, Model: "m", WaitMS: overflow.WaitMS})
 	if failure != nil {
 		t.Fatal(failure)
 	}
-	displaced.Ticket = answer.Ticket
-	go func() { done <- north.send(t, displaced) }()
+	overflow.Ticket = answer.Ticket
+	go func() { done <- north.send(t, overflow) }()
 	waitFor(t, "an offer in the queue", func() bool { return south.router.Status().Services[0].Queued == 1 })
-	close(room)
+	close(release)
 	for range 2 {
 		if got := <-done; got.outcome() != "success" {
 			t.Errorf("got %s", got.outcome())
@@ -147,12 +147,13 @@
 	}
 }
 
-// occupy keeps the one slot of a replica taken until the returned function is called.
+// occupy keeps the only slot of a replica in use until the returned function is
+// called.
 func (n *node) occupy(t *testing.T, replica *fakeReplica) func() {
 	t.Helper()
-	room := make(chan struct{})
+	release := make(chan struct{})
 	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
-		<-room
+		<-release
 		writeAnswer(w, r, request)
 	})
 	first, _ := n.where(t, newRequest("first"))
@@ -160,15 +161,15 @@
 	go func() { done <- n.send(t, first) }()
 	waitFor(t, "the full replica", func() bool { return len(replica.requests()) == 1 })
 	return func() {
-		close(room)
+		close(release)
 		if got := <-done; got.outcome() != "success" {
 			t.Errorf("first: got %s", got.outcome())
 		}
 	}
 }
 
-// TestQueuedOffers fills a region and lets offers wait for it: one whose time
-// runs out, one that is withdrawn, and one more than may wait.
+// TestQueuedOffers fills a region and lets offers wait for it: one whose time runs
+// out, one that is canceled, and one beyond the limit.
 func TestQueuedOffers(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
@@ -182,9 +183,9 @@
 	offer := func(id string, wait time.Duration) peer.OfferReply {
 		request := newRequest(id)
 		request.Repeatable = true
-		asked := peer.Offer{OfferID: id, From: "g1", Request: request, RemainingMS: 10_000, ConfigurationVersion: 1, Attempt: 1, WaitMS: wait.Milliseconds()}
+		message := peer.Offer{OfferID: id, From: "g1", Request: request, RemainingMS: 10_000, ConfigurationVersion: 1, Attempt: 1, WaitMS: wait.Milliseconds()}
 		var reply peer.OfferReply
-		if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &asked, &reply); err != nil {
+		if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &message, &reply); err != nil {
 			t.Error(err)
 		}
 		return reply
@@ -198,14 +199,14 @@
 	late := offer("late", 20*time.Millisecond)
 	wantDeclined(late, api.CodeOverloaded)
 	if late.Error != nil && late.Error.RetryAfterMS == 0 {
-		t.Error("no time to come back")
+		t.Error("no retry delay")
 	}
 	replies := make(chan peer.OfferReply, 1)
 	go func() { replies <- offer("withdrawn", testTimeout) }()
 	queued := func() int { return south.router.Status().Services[0].Queued }
 	waitFor(t, "the offer in the queue", func() bool { return queued() == 1 })
 	if !north.cancelReservation(t.Context(), "g2", "withdrawn", "b") {
-		t.Error("the withdrawal is not confirmed")
+		t.Error("the cancellation is not confirmed")
 	}
 	wantDeclined(<-replies, api.CodeOverloaded)
 	if queued() != 0 {
@@ -220,8 +221,8 @@
 	}
 }
 
-// TestOverflowRequestIsRefusedAtLimit sends displaced requests while as many as
-// may wait do: the answer does not wait for the caller's deadline.
+// TestOverflowRequestIsRefusedAtLimit sends an overflow request while as many as may
+// wait do: the refusal does not wait for the deadline of the caller.
 func TestOverflowRequestIsRefusedAtLimit(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
@@ -252,7 +253,8 @@
 	}
 }
 
-// TestCancelReservation shows which offers are confirmed never to run.
+// TestCancelReservation verifies for which reservations a gateway confirms that they
+// never run.
 func TestCancelReservation(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "south")
@@ -286,11 +288,11 @@
 		yes bool
 	}{{"o1", true}, {"o1", true}, {"never heard of", false}} {
 		if got := north.cancelReservation(t.Context(), "g2", want.id, "b"); got != want.yes {
-			t.Errorf("withdraw %s: %v", want.id, got)
+			t.Errorf("cancel %s: %v", want.id, got)
 		}
 	}
 	if got := run("o1"); got != api.OutcomeRefused {
-		t.Errorf("run of a withdrawn offer: %s", got)
+		t.Errorf("run of a canceled reservation: %s", got)
 	}
 	offer.OfferID = "o2"
 	if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &offer, &reply); err != nil || !reply.Granted {
@@ -303,6 +305,6 @@
 		t.Errorf("second run of an offer: %s", got)
 	}
 	if north.cancelReservation(t.Context(), "g2", "o2", "b") || north.cancelReservation(t.Context(), "g2", "o2", "another") {
-		t.Error("withdrew an offer that ran")
+		t.Error("canceled a reservation that ran")
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -15,8 +15,8 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// TestResentRequestRunsOnce sends one request to its owner and through another gateway
-// at the same time, and again after it is over.
+// TestResentRequestRunsOnce sends one request to its owner and through another
+// gateway at the same time, and again after it is finished.
 func TestResentRequestRunsOnce(t *testing.T) {
 	for _, streamed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stream=%v", streamed), func(t *testing.T) {
@@ -57,7 +57,7 @@
 			replies = append(replies, first.send(t, request), second.send(t, request))
 			for i, got := range replies {
 				if got.outcome() != "success" || (streamed && got.chunks != 5) {
-					t.Errorf("sender %d: %s with %d pieces", i, got.outcome(), got.chunks)
+					t.Errorf("sender %d: %s with %d chunks", i, got.outcome(), got.chunks)
 				}
 			}
 			if ran := len(replica.requests()); ran != 1 {
@@ -75,7 +75,8 @@
 	}
 }
 
-// TestJoiningCallerKeepsItsDeadline lets a caller join a run that was given more time.
+// TestJoiningCallerKeepsItsDeadline lets a caller join an execution with a later
+// deadline.
 func TestJoiningCallerKeepsItsDeadline(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -87,23 +88,23 @@
 		<-release
 		writeAnswer(w, r, request)
 	})
-	patient, _ := g.where(t, newRequest("joined"))
+	longWait, _ := g.where(t, newRequest("joined"))
 	done := make(chan *reply, 1)
-	go func() { done <- g.send(t, patient) }()
+	go func() { done <- g.send(t, longWait) }()
 	<-started
-	hasty := patient
-	hasty.WaitMS = 1
-	if got := g.send(t, hasty); got.outcome() != "deadline/unknown" {
-		t.Errorf("hasty: %s", got.outcome())
+	shortWait := longWait
+	shortWait.WaitMS = 1
+	if got := g.send(t, shortWait); got.outcome() != "deadline/unknown" {
+		t.Errorf("short wait: %s", got.outcome())
 	}
 	close(release)
 	if got := <-done; got.outcome() != "success" {
-		t.Errorf("patient: %s", got.outcome())
+		t.Errorf("long wait: %s", got.outcome())
 	}
 }
 
-// TestOneOwnerPerRequestID asks two gateways where the same request should go. Both name
-// one owner and its one ticket.
+// TestOneOwnerPerRequestID asks two gateways where to send the same request. Both
+// name the same owner and return the same ticket.
 func TestOneOwnerPerRequestID(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
@@ -125,7 +126,7 @@
 	}
 }
 
-// TestRestartedOwner shows that a ticket dies with the process that issued it.
+// TestRestartedOwner verifies that a ticket is lost with the process that issued it.
 func TestRestartedOwner(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -160,7 +161,7 @@
 	}
 }
 
-// TestDrainingRefusalTriggersPoll has a replica drain between two polls.
+// TestDrainingRefusalTriggersPoll starts to drain a replica between two polls.
 func TestDrainingRefusalTriggersPoll(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -174,10 +175,11 @@
 	if got := g.send(t, request); got.failure == nil || got.failure.Outcome != api.OutcomeRefused {
 		t.Fatalf("got %s", got.outcome())
 	}
-	waitFor(t, "the draining replica to be left alone", func() bool { return g.router.Status().Services[0].Usable == 0 })
+	waitFor(t, "the draining replica to be unusable", func() bool { return g.router.Status().Services[0].Usable == 0 })
 }
 
-// TestRefusalIsFinal resends a refused request after the cause is gone.
+// TestRefusalIsFinal resends a refused request after the cause of the refusal is
+// gone.
 func TestRefusalIsFinal(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -300,7 +302,7 @@
 			request, _ = g.where(t, request)
 			got := g.send(t, request)
 			if got.outcome() != test.want || got.chunks != test.pieces {
-				t.Errorf("got %s with %d pieces (%v)", got.outcome(), got.chunks, got.failure)
+				t.Errorf("got %s with %d chunks (%v)", got.outcome(), got.chunks, got.failure)
 			}
 			if test.pieces > 0 && got.broken == nil {
 				t.Error("the connection ended cleanly")
--- a/gateway/http_test.go
+++ b/gateway/http_test.go
@@ -19,28 +19,28 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// TestDrainingGatewayRefersToPeers asks a gateway that is leaving where to go.
+// TestDrainingGatewayRefersToPeers asks a draining gateway where to send a request.
 func TestDrainingGatewayRefersToPeers(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
-	leaving := f.gateway("g1", "north", "a", nil)
-	staying := f.gateway("g2", "north", "b", nil)
-	f.ready(leaving, staying)
-	leaving.Drain()
-	request, where := leaving.where(t, newRequest("asked"))
-	if "http://"+where.Gateway != staying.url {
-		t.Fatalf("sent to %s, not to %s", where.Gateway, staying.url)
+	draining := f.gateway("g1", "north", "a", nil)
+	serving := f.gateway("g2", "north", "b", nil)
+	f.ready(draining, serving)
+	draining.Drain()
+	request, where := draining.where(t, newRequest("asked"))
+	if "http://"+where.Gateway != serving.url {
+		t.Fatalf("sent to %s, not to %s", where.Gateway, serving.url)
 	}
-	if got := staying.send(t, request); got.outcome() != "success" {
+	if got := serving.send(t, request); got.outcome() != "success" {
 		t.Errorf("got %s", got.outcome())
 	}
-	staying.Drain()
-	if _, failure := leaving.Gateway.where(t.Context(), &api.WhereRequest{RequestID: "nobody", Model: "m", WaitMS: 1000}); failure == nil || failure.Outcome != api.OutcomeRefused {
-		t.Errorf("with nobody left: %v", failure)
+	serving.Drain()
+	if _, failure := draining.Gateway.where(t.Context(), &api.WhereRequest{RequestID: "nobody", Model: "m", WaitMS: 1000}); failure == nil || failure.Outcome != api.OutcomeRefused {
+		t.Errorf("with no gateway left: %v", failure)
 	}
 }
 
-// TestStop lets a gateway leave while a stream runs and a ticket is unused.
+// TestStop stops a gateway while a stream runs and a ticket is unused.
 func TestStop(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -73,10 +73,10 @@
 		g.Stop(t.Context())
 		close(stopped)
 	}()
-	waitFor(t, "the gateway to leave", g.draining.Load)
-	fresh := newRequest("fresh")
-	fresh.Repeatable = true
-	if got := g.send(t, fresh); got.outcome() != "not_ready/refused" {
+	waitFor(t, "the gateway to drain", g.draining.Load)
+	withoutTicket := newRequest("fresh")
+	withoutTicket.Repeatable = true
+	if got := g.send(t, withoutTicket); got.outcome() != "not_ready/refused" {
 		t.Errorf("new request: %s", got.outcome())
 	}
 	if got := g.send(t, issued); got.outcome() != "success" {
@@ -89,7 +89,7 @@
 	}
 	close(release)
 	if got := <-done; got.outcome() != "success" || got.chunks != 5 {
-		t.Errorf("running stream: %s with %d pieces", got.outcome(), got.chunks)
+		t.Errorf("running stream: %s with %d chunks", got.outcome(), got.chunks)
 	}
 	select {
 	case <-stopped:
@@ -98,9 +98,9 @@
 	}
 	f.primary.mutex.Lock()
 	defer f.primary.mutex.Unlock()
-	contents, err := catalog.Read(f.primary.table.View())
-	if err != nil || contents.Gateways()["g1"].Up || g.agent.Valid() {
-		t.Errorf("the lease was not given up: %+v %v", contents.Gateways()["g1"], err)
+	state, err := catalog.Read(f.primary.table.View())
+	if err != nil || state.Gateways()["g1"].Up || g.agent.Valid() {
+		t.Errorf("the lease was not released: %+v %v", state.Gateways()["g1"], err)
 	}
 }
 
@@ -111,8 +111,8 @@
 	return "platform", header == string(token)
 }
 
-// TestOperatorsPort reads a gateway's status, replicas and metrics, and hands
-// over a list of replicas.
+// TestOperatorsPort reads a gateway's status, replicas and metrics, and submits a
+// list of replicas.
 func TestOperatorsPort(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
@@ -122,7 +122,7 @@
 	f.ready(g)
 	server := httptest.NewServer(g.OperatorsServer().Handler)
 	defer server.Close()
-	ask := func(method, path, token, body string) (int, string) {
+	send := func(method, path, token, body string) (int, string) {
 		t.Helper()
 		request, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 		if err != nil {
@@ -158,7 +158,7 @@
 		{"DELETE", api.PathReplicas, "Bearer secret", "", 405, ""},
 	}
 	for _, test := range tests {
-		status, body := ask(test.method, test.path, test.token, test.body)
+		status, body := send(test.method, test.path, test.token, test.body)
 		if status != test.status || !strings.Contains(body, test.contains) {
 			t.Errorf("%s %s: status %d: %.300s", test.method, test.path, status, body)
 		}
@@ -166,11 +166,12 @@
 	f.primary.mutex.Lock()
 	defer f.primary.mutex.Unlock()
 	if len(f.primary.operations) != 1 || f.primary.operations[0].Replicas.Replicas[0].ID != "r9" {
-		t.Errorf("orders %+v", f.primary.operations)
+		t.Errorf("operations %+v", f.primary.operations)
 	}
 }
 
-// TestCallerDisconnectCancels checks that the replica's work ends with the caller.
+// TestCallerDisconnectCancels verifies that the request to the replica is canceled
+// when its caller disconnects.
 func TestCallerDisconnectCancels(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -190,14 +191,14 @@
 	request := newRequest("hang-up")
 	request.Stream, request.WaitMS = true, 60_000
 	request, _ = g.where(t, request)
-	ctx, hangUp := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	response, err := post(ctx, g.url+api.PathRequests, request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
 	<-started
-	hangUp()
+	disconnect()
 	select {
 	case <-canceled:
 	case <-time.After(testTimeout):
@@ -205,7 +206,7 @@
 	}
 }
 
-// TestCallersLimits checks every limit of the callers' port.
+// TestCallersLimits verifies every limit of the callers' port.
 func TestCallersLimits(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
@@ -260,8 +261,9 @@
 	}
 }
 
-// TestUnreadResendHasUnknownOutcome resends a request that has run while the
-// gateway has no room for another body: nobody has looked whose request it is.
+// TestUnreadResendHasUnknownOutcome resends a request that has run while the budget
+// for bodies is used up: the refusal can't say that the request never ran, since its
+// body was not read.
 func TestUnreadResendHasUnknownOutcome(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
@@ -272,20 +274,20 @@
 		t.Fatal(got.outcome())
 	}
 	if !g.bodyBudget.acquire(maxBodyBytesInFlight) {
-		t.Fatal("room is taken already")
+		t.Fatal("the budget is used already")
 	}
 	got := g.send(t, request)
 	if got.outcome() != "overloaded/unknown" || !got.failure.Retry {
-		t.Errorf("without room: %s", got.outcome())
+		t.Errorf("without budget: %s", got.outcome())
 	}
 	g.bodyBudget.release(maxBodyBytesInFlight)
 	if got := g.send(t, request); got.outcome() != "success" {
-		t.Errorf("with room again: %s", got.outcome())
+		t.Errorf("with budget again: %s", got.outcome())
 	}
 }
 
-// TestConnectionEviction opens more connections than are allowed: silent ones,
-// ones that never end their header and ones that never end their body.
+// TestConnectionEviction opens more connections than the limit: idle ones, ones that
+// never end their header and ones that never end their body.
 func TestConnectionEviction(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
@@ -309,11 +311,11 @@
 	}
 	hostile[0].SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := hostile[0].Read(make([]byte, 1)); err == nil || n != 0 {
-		t.Fatalf("the oldest silent connection is still open: %d %v", n, err)
+		t.Fatalf("the oldest idle connection is still open: %d %v", n, err)
 	}
 }
 
-// TestMetricsPage compares docs/METRICS.md with what a gateway serves.
+// TestMetricsPage compares docs/METRICS.md with the metrics that a gateway serves.
 func TestMetricsPage(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
@@ -344,7 +346,8 @@
 	}
 }
 
-// createAllSeries gives every family a member, since empty ones are not served.
+// createAllSeries creates a series of every family, since empty families are not
+// served.
 func (m *metrics) createAllSeries() {
 	for _, vector := range []*prometheus.CounterVec{m.requests, m.where, m.failures, m.retries, m.spills, m.tickets, m.polls, m.updates} {
 		vector.WithLabelValues(make([]string, labelCount(vector))...)
@@ -353,7 +356,7 @@
 	m.firstEvent.WithLabelValues("")
 }
 
-// labelCount finds the number of labels of a vector.
+// labelCount returns the number of labels of a vector.
 func labelCount(vector *prometheus.CounterVec) int {
 	for count := range 5 {
 		if _, err := vector.GetMetricWithLabelValues(make([]string, count)...); err == nil {
--- a/gateway/replica_health_test.go
+++ b/gateway/replica_health_test.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// usableReplicas counts the replicas that the gateway would place on.
+// usableReplicas counts the replicas that the gateway would place requests on.
 func (n *node) usableReplicas() int {
 	usable := 0
 	for _, service := range n.router.Status().Services {
@@ -21,8 +21,8 @@
 	return usable
 }
 
-// gatewayWithoutPolling starts a gateway that polls replicas only when they are listed and on
-// suspicion, and lets it know the one replica.
+// gatewayWithoutPolling starts a gateway that polls replicas only when they are
+// listed or suspected, and waits until it knows the only replica.
 func (f *fleet) gatewayWithoutPolling() *node {
 	g := f.gateway("g1", "north", "a", func(options *Options) { options.PollInterval = time.Hour })
 	waitFor(f.t, "a lease and the replica's record", func() bool {
@@ -48,7 +48,8 @@
 }
 
 // TestRestartedReplicaIsPolledAtOnce restarts a replica between two polls. The
-// request placed on its predecessor is refused by it, and runs once it reported.
+// request placed on the former incarnation is refused, and runs after the next
+// report.
 func TestRestartedReplicaIsPolledAtOnce(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -73,16 +74,16 @@
 		t.Errorf("placed on incarnation/attempt %v", placed)
 	}
 	for _, label := range []string{"allowed", "denied"} {
-		if asked := counterValue(t, g.metrics.retries.WithLabelValues(label)); asked != 0 {
-			t.Errorf("%v retries %s", asked, label)
+		if count := counterValue(t, g.metrics.retries.WithLabelValues(label)); count != 0 {
+			t.Errorf("%v retries %s", count, label)
 		}
 	}
 }
 
-// TestBrokenConnectionTriggersPoll breaks connections in several ways. Nothing
-// new may go to the replica until its report, which is asked for at once, is in.
+// TestBrokenConnectionTriggersPoll breaks connections in several ways. The replica
+// gets no new request until its next report, for which it is polled at once.
 func TestBrokenConnectionTriggersPoll(t *testing.T) {
-	breaks := map[string]answerFunc{
+	failures := map[string]answerFunc{
 		"before the answer": func(http.ResponseWriter, *http.Request, *api.ReplicaRequest) {
 			panic(http.ErrAbortHandler)
 		},
@@ -95,14 +96,14 @@
 			panic(http.ErrAbortHandler)
 		},
 	}
-	for name, broke := range breaks {
+	for name, answer := range failures {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			replica := f.replica("r1", "north")
 			g := f.gatewayWithoutPolling()
 			reports := make(chan struct{})
 			replica.update(func() { replica.blockReports = reports })
-			replica.setAnswer(broke)
+			replica.setAnswer(answer)
 			request, _ := g.where(t, newRequest("broken"))
 			request.Stream = true
 			if got := g.send(t, request); got.failure == nil || got.failure.Outcome == api.OutcomeRefused {
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestFailedDialClosesReplica loses a replica between two polls: the first
-// request that cannot reach it is the last one that tries.
+// TestFailedDialClosesReplica stops a replica between two polls: only the first
+// request tries to reach it.
 func TestFailedDialClosesReplica(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
--- a/gateway/runner_test.go
+++ b/gateway/runner_test.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// TestRetryAdvice ends requests by their deadline. Whoever
-// is told unknown of a request that must not be repeated is not told to repeat it.
+// TestRetryAdvice ends requests by their deadline. A caller must not be advised to
+// retry a request that may have run and is not repeatable.
 func TestRetryAdvice(t *testing.T) {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
