--- a/gateway/http.go
+++ b/gateway/http.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/connlimit"
 )
 
 // Timeouts of the connections of callers and operators.
@@ -35,7 +36,7 @@
 		MaxHeaderBytes:    api.MaxHeaderBytes,
 		ErrorLog:          newDebugLog(g.log),
 	}
-	newConnections(limit).attach(server)
+	connlimit.NewLimiter(limit).Attach(server)
 	return server
 }
 
@@ -93,7 +94,7 @@
 	if err := controller.SetReadDeadline(time.Time{}); err != nil {
 		return newError(api.CodeInternal, api.OutcomeRefused, "clearing the read deadline: %v", err)
 	}
-	markHandling(r.Context())
+	connlimit.MarkHandling(r.Context())
 	return nil
 }
 
