--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/routing"
 	"github.com/deckpulley/deckpulley/stream"
@@ -174,7 +175,7 @@
 	answer.Replica = reservation.Replica
 	answer.Region = r.gateway.region()
 	answer.ConfigurationVersion = reservation.Version
-	r.deliver(&result{answer: answer})
+	r.deliver(&execution.Result{Answer: answer})
 	return attemptResult{status: statusDelivered}
 }
 
@@ -202,7 +203,7 @@
 		if reader.Chunks() == 1 {
 			reservation.RecordFirstToken(time.Now())
 		}
-		if err := r.execution.appendChunk(ctx, event.Chunk); err != nil {
+		if err := r.execution.AppendChunk(ctx, event.Chunk); err != nil {
 			return r.failStream(ctx, reservation, classifyStreamError(err, reader.Chunks()))
 		}
 	}
@@ -212,13 +213,13 @@
 // failure is the result of the request.
 func (r *runner) failStream(ctx context.Context, reservation *routing.Reservation, failure *api.Error) attemptResult {
 	outcome := r.recordFailure(ctx, reservation, indeterminate(failure))
-	if !r.execution.hasOutput() || planted.Active(planted.JoinRuns) {
+	if !r.execution.HasOutput() || planted.Active(planted.JoinRuns) {
 		return outcome
 	}
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		outcome.failure = newError(api.CodeDeadline, api.OutcomeFailed, "the stream was not whole in the caller's time")
 	}
-	r.deliver(&result{failure: outcome.failure})
+	r.deliver(&execution.Result{Failure: outcome.failure})
 	return attemptResult{status: statusDelivered}
 }
 
@@ -232,5 +233,5 @@
 	end.Replica = reservation.Replica
 	end.Region = r.gateway.region()
 	end.ConfigurationVersion = reservation.Version
-	r.deliver(&result{end: end})
+	r.deliver(&execution.Result{End: end})
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/stream"
 )
 
@@ -44,14 +45,14 @@
 	b.ReportAllocs()
 	b.SetBytes(int64(source.Len()))
 	for b.Loop() {
-		run := newExecution("request-1", true, pieces, func(error) {})
-		reader, _ := run.follow(true)
+		run := execution.New("request-1", true, pieces, func(error) {})
+		reader, _ := run.Follow(true)
 		go produce(ctx, run, source.Bytes())
 		response := &nullWriter{header: http.Header{}}
 		writer := stream.NewWriter(response, time.Second)
 		for {
-			frames, ended, err := reader.next(ctx)
-			if err != nil || (ended != nil && ended.end == nil) {
+			frames, ended, err := reader.Next(ctx)
+			if err != nil || (ended != nil && ended.End == nil) {
 				b.Fatal(err, ended)
 			}
 			if ended != nil {
@@ -61,25 +62,25 @@
 				b.Fatal(err)
 			}
 		}
-		reader.close()
+		reader.Close()
 	}
 	b.ReportMetric(float64(b.N)*pieces/b.Elapsed().Seconds(), "events/s")
 }
 
-func produce(ctx context.Context, run *execution, source []byte) {
+func produce(ctx context.Context, run *execution.Execution, source []byte) {
 	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", IdleTimeout: time.Minute, Interrupt: func() {}})
 	defer events.Close()
 	for {
 		event, err := events.Next()
 		if err != nil {
-			run.finish(&result{failure: classifyStreamError(err, 0)})
+			run.Finish(&execution.Result{Failure: classifyStreamError(err, 0)})
 			return
 		}
 		if event.End != nil {
-			run.finish(&result{end: event.End})
+			run.Finish(&execution.Result{End: event.End})
 			return
 		}
-		if err := run.appendChunk(ctx, event.Chunk); err != nil {
+		if err := run.AppendChunk(ctx, event.Chunk); err != nil {
 			return
 		}
 	}
--- a/gateway/callers_http.go
+++ b/gateway/callers_http.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/stream"
 )
@@ -53,7 +54,7 @@
 	} else if failure.Retry {
 		failure.Outcome = api.OutcomeUnknown // it may be the resend of one that ran
 	}
-	var reader *follower
+	var reader *execution.Follower
 	if failure == nil {
 		reader, failure = g.submit(&request)
 	}
@@ -64,7 +65,7 @@
 		writeError(w, &copied)
 		return
 	}
-	defer reader.close()
+	defer reader.Close()
 	g.answer(w, r, &request, reader, started)
 }
 
@@ -85,21 +86,21 @@
 // answer copies the output of an execution to the caller. It panics with
 // http.ErrAbortHandler to break the connection where an incomplete answer must not
 // look complete.
-func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, request *api.GenerateRequest, reader *follower, started time.Time) {
+func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, request *api.GenerateRequest, reader *execution.Follower, started time.Time) {
 	ctx, cancel := context.WithDeadline(r.Context(), started.Add(api.Wait(request.WaitMS)+joinGracePeriod))
 	defer cancel()
 	var writer *stream.Writer
 	for {
-		frames, ended, err := reader.next(ctx)
+		frames, ended, err := reader.Next(ctx)
 		if errors.Is(err, context.DeadlineExceeded) {
-			ended, err = &result{failure: callerDeadlineFailure(request)}, nil
+			ended, err = &execution.Result{Failure: callerDeadlineFailure(request)}, nil
 		}
 		if err != nil {
 			g.recordRequest(request, newError(api.CodeCanceled, api.OutcomeUnknown, "the caller went away"), started)
 			panic(http.ErrAbortHandler)
 		}
 		if ended != nil {
-			g.recordRequest(request, ended.failure, started)
+			g.recordRequest(request, ended.Failure, started)
 			writeResult(w, writer, ended)
 			return
 		}
@@ -124,22 +125,22 @@
 }
 
 // writeResult writes the end of a response.
-func writeResult(w http.ResponseWriter, writer *stream.Writer, ended *result) {
+func writeResult(w http.ResponseWriter, writer *stream.Writer, ended *execution.Result) {
 	switch {
-	case ended.failure != nil && writer != nil && planted.Active(planted.CleanEnd):
+	case ended.Failure != nil && writer != nil && planted.Active(planted.CleanEnd):
 		return
-	case ended.failure != nil && writer != nil:
-		writer.Abort(ended.failure)
-	case ended.failure != nil:
-		writeError(w, ended.failure)
-	case ended.end != nil:
+	case ended.Failure != nil && writer != nil:
+		writer.Abort(ended.Failure)
+	case ended.Failure != nil:
+		writeError(w, ended.Failure)
+	case ended.End != nil:
 		if writer == nil {
 			writer = stream.NewWriter(w, writeTimeout)
 		}
-		if err := writer.Event(api.EventEnd, ended.end); err != nil {
+		if err := writer.Event(api.EventEnd, ended.End); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	default:
-		writeJSON(w, http.StatusOK, ended.answer)
+		writeJSON(w, http.StatusOK, ended.Answer)
 	}
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -7,6 +7,7 @@
 
 	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/peer"
 )
 
@@ -157,25 +158,25 @@
 }
 
 // completeForward returns the result of a run that its peer completed.
-func (r *runner) completeForward(final *result) attemptResult {
-	failure := final.failure
+func (r *runner) completeForward(final *execution.Result) attemptResult {
+	failure := final.Failure
 	if failure == nil {
 		r.gateway.metrics.spills.WithLabelValues("answered").Inc()
 		r.deliver(final)
 		return attemptResult{status: statusDelivered}
 	}
 	r.gateway.metrics.spills.WithLabelValues("failed").Inc()
-	r.remoteAttempts += final.attempts
-	if r.execution.hasOutput() {
+	r.remoteAttempts += final.Attempts
+	if r.execution.HasOutput() {
 		copied := *failure
 		copied.Outcome = api.OutcomeFailed
-		r.deliver(&result{failure: &copied})
+		r.deliver(&execution.Result{Failure: &copied})
 		return attemptResult{status: statusDelivered}
 	}
 	if failure.Outcome == api.OutcomeRefused {
 		return notStarted(failure)
 	}
-	if final.attempts == 0 {
+	if final.Attempts == 0 {
 		r.remoteAttempts++
 	}
 	return r.recordIndeterminate(failure)
@@ -186,10 +187,10 @@
 func (r *runner) classifyForwardError(ctx context.Context, address, offerID, incarnation string) attemptResult {
 	g := r.gateway
 	g.metrics.spills.WithLabelValues("broken").Inc()
-	if r.execution.hasOutput() {
+	if r.execution.HasOutput() {
 		failure := newError(api.CodeReplicaBroken, api.OutcomeFailed, "the connection to the other region broke")
 		r.mayHaveRun = true
-		r.deliver(&result{failure: failure})
+		r.deliver(&execution.Result{Failure: failure})
 		return attemptResult{status: statusDelivered}
 	}
 	if ctx.Err() == nil && g.cancelReservation(ctx, address, offerID, incarnation) {
--- a/gateway/reservation.go
+++ b/gateway/reservation.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/routing"
@@ -134,7 +135,7 @@
 	if failure != nil {
 		return send(&peer.RunEvent{Error: failure})
 	}
-	defer reader.close()
+	defer reader.Close()
 	err := sendEvents(ctx, reader, send)
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -144,10 +145,10 @@
 
 // runReservation starts the run of a confirmed reservation. The caller must close the
 // follower.
-func (g *Gateway) runReservation(id string, reserved *reservedRequest) (*follower, *api.Error) {
+func (g *Gateway) runReservation(id string, reserved *reservedRequest) (*execution.Follower, *api.Error) {
 	ctx, cancel := g.detachedContext(reserved.deadline)
-	run := newExecution(reserved.request.RequestID, reserved.request.Stream, reserved.request.MaxTokens, cancel)
-	reader, failure := run.follow(reserved.request.Stream)
+	run := execution.New(reserved.request.RequestID, reserved.request.Stream, reserved.request.MaxTokens, cancel)
+	reader, failure := run.Follow(reserved.request.Stream)
 	r := &runner{
 		gateway:        g,
 		request:        reserved.request,
@@ -163,7 +164,7 @@
 		defer cancel(nil)
 		r.run(ctx)
 		r.releaseReservation()
-		if run.result.failure != nil && run.result.failure.Outcome == api.OutcomeRefused {
+		if failure := run.Result().Failure; failure != nil && failure.Outcome == api.OutcomeRefused {
 			g.reservations.recordNeverRan(id)
 		}
 	}()
--- a/gateway/run_events.go
+++ b/gateway/run_events.go
@@ -7,6 +7,7 @@
 	"fmt"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/stream"
 )
@@ -25,8 +26,8 @@
 
 // copyEvents copies the events of a peer into an execution, verifies their order, and
 // returns the result that ends them.
-func copyEvents(ctx context.Context, events eventReader, run *execution) (*result, error) {
-	sequence := stream.SequenceChecker{RequestID: run.requestID}
+func copyEvents(ctx context.Context, events eventReader, run *execution.Execution) (*execution.Result, error) {
+	sequence := stream.SequenceChecker{RequestID: run.RequestID}
 	for {
 		var event peer.RunEvent
 		if err := events.Next(&event); err != nil {
@@ -41,15 +42,15 @@
 			if err != nil {
 				return nil, fmt.Errorf("gateway: encoding a piece: %w", err)
 			}
-			if err := run.appendChunk(ctx, data); err != nil {
+			if err := run.AppendChunk(ctx, data); err != nil {
 				return nil, err
 			}
 		case event.End != nil:
-			return &result{end: event.End, attempts: event.Attempts}, sequence.CheckEnd(event.End)
-		case event.Answer != nil && event.Answer.RequestID == run.requestID && sequence.Chunks() == 0:
-			return &result{answer: event.Answer, attempts: event.Attempts}, nil
+			return &execution.Result{End: event.End, Attempts: event.Attempts}, sequence.CheckEnd(event.End)
+		case event.Answer != nil && event.Answer.RequestID == run.RequestID && sequence.Chunks() == 0:
+			return &execution.Result{Answer: event.Answer, Attempts: event.Attempts}, nil
 		case event.Error != nil:
-			return &result{failure: event.Error, attempts: event.Attempts}, nil //nolint:nilerr // the failure is the result of the run, not of reading it
+			return &execution.Result{Failure: event.Error, Attempts: event.Attempts}, nil //nolint:nilerr // the failure is the result of the run, not of reading it
 		default:
 			return nil, errUnexpectedEvent
 		}
@@ -57,16 +58,16 @@
 }
 
 // sendEvents sends the output of an execution to a peer.
-func sendEvents(ctx context.Context, reader *follower, send func(any) error) error {
+func sendEvents(ctx context.Context, reader *execution.Follower, send func(any) error) error {
 	for {
-		frames, ended, err := reader.next(ctx)
+		frames, ended, err := reader.Next(ctx)
 		if err != nil {
 			return err
 		}
 		if ended != nil {
-			return send(&peer.RunEvent{Answer: ended.answer, End: ended.end, Error: ended.failure, Attempts: ended.attempts})
+			return send(&peer.RunEvent{Answer: ended.Answer, End: ended.End, Error: ended.Failure, Attempts: ended.Attempts})
 		}
-		err = forEachChunk(frames, func(data []byte) error {
+		err = execution.ForEachChunk(frames, func(data []byte) error {
 			piece := new(api.StreamChunk)
 			if err := json.Unmarshal(data, piece); err != nil {
 				return fmt.Errorf("gateway: decoding a piece: %w", err)
--- a/gateway/runner.go
+++ b/gateway/runner.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/internal/planted"
 	"github.com/deckpulley/deckpulley/routing"
 )
@@ -21,7 +22,7 @@
 	gateway   *Gateway
 	request   api.GenerateRequest
 	route     routing.Request
-	execution *execution
+	execution *execution.Execution
 	// reservation is used by the first attempt if it was made in advance.
 	reservation *routing.Reservation
 	// forwarded means that another region forwarded the request, which is not forwarded
@@ -79,7 +80,7 @@
 		}
 	}
 	r.setRetryAdvice(&copied)
-	r.deliver(&result{failure: &copied})
+	r.deliver(&execution.Result{Failure: &copied})
 }
 
 // setRetryAdvice sets whether and after which delay the caller should retry. A
@@ -103,7 +104,7 @@
 		return nil
 	}
 	switch cause := context.Cause(ctx); {
-	case errors.Is(cause, errAbandoned):
+	case errors.Is(cause, execution.ErrAbandoned):
 		return newError(api.CodeCanceled, api.OutcomeRefused, "the caller went away")
 	case errors.Is(cause, errStopping):
 		return newRetryableError(api.CodeNotReady, "the gateway is stopping")
@@ -116,12 +117,12 @@
 func (r *runner) attemptsMade() int { return r.attemptsBefore + r.attemptsSent + r.remoteAttempts }
 
 // deliver completes the execution with its result.
-func (r *runner) deliver(final *result) {
-	final.attempts = r.attemptsSent + r.remoteAttempts
-	if final.failure != nil {
-		final.failure.RequestID = r.request.RequestID
+func (r *runner) deliver(final *execution.Result) {
+	final.Attempts = r.attemptsSent + r.remoteAttempts
+	if final.Failure != nil {
+		final.Failure.RequestID = r.request.RequestID
 	}
-	r.execution.finish(final)
+	r.execution.Finish(final)
 }
 
 // releaseReservation releases a reservation that was not used.
--- a/gateway/runner_test.go
+++ b/gateway/runner_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 )
 
 // TestRetryAdvice ends requests by their deadline. A caller must not be advised to
@@ -26,10 +27,10 @@
 		{"may have run, repeatable", true, true, api.OutcomeUnknown, true},
 	}
 	for _, test := range tests {
-		run := newExecution("q", false, 1, func(error) {})
+		run := execution.New("q", false, 1, func(error) {})
 		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, mayHaveRun: test.ran}
 		r.fail(ctx, newRetryableError(api.CodeDeadline, "no time is left"))
-		got := run.result.failure
+		got := run.Result().Failure
 		if got.Outcome != test.outcome || got.Retry != test.retry || (got.RetryAfterMS > 0) != test.retry {
 			t.Errorf("%s: %s, retry %t after %d ms", test.name, got.Outcome, got.Retry, got.RetryAfterMS)
 		}
--- a/gateway/ticket_forward.go
+++ b/gateway/ticket_forward.go
@@ -5,12 +5,13 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/peer"
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
 // forwardToOwner forwards a request to the process that its ticket names.
-func (g *Gateway) forwardToOwner(request *api.GenerateRequest, presented ticket.Ticket) (*follower, *api.Error) {
+func (g *Gateway) forwardToOwner(request *api.GenerateRequest, presented ticket.Ticket) (*execution.Follower, *api.Error) {
 	address, found := g.ownerAddress(presented)
 	if !found {
 		return g.handleOrphanedTicket(request)
@@ -22,8 +23,8 @@
 		g.log.Debug("ticket owner unreachable", "owner", presented.Owner, "error", err)
 		return g.handleOrphanedTicket(request)
 	}
-	run := newExecution(request.RequestID, request.Stream, request.MaxTokens, cancel)
-	reader, failure := run.follow(request.Stream)
+	run := execution.New(request.RequestID, request.Stream, request.MaxTokens, cancel)
+	reader, failure := run.Follow(request.Stream)
 	g.active.begin()
 	go func() {
 		defer g.active.end()
@@ -35,17 +36,17 @@
 }
 
 // copyOwnerEvents copies the output of the owner into an execution.
-func (g *Gateway) copyOwnerEvents(ctx context.Context, events eventReader, run *execution) {
+func (g *Gateway) copyOwnerEvents(ctx context.Context, events eventReader, run *execution.Execution) {
 	final, err := copyEvents(ctx, events, run)
 	if err == nil {
-		run.finish(final)
+		run.Finish(final)
 		return
 	}
-	failure := orphanedTicketFailure(run.requestID)
-	if run.hasOutput() {
+	failure := orphanedTicketFailure(run.RequestID)
+	if run.HasOutput() {
 		failure.Outcome = api.OutcomeFailed
 	}
-	run.finish(&result{failure: failure})
+	run.Finish(&execution.Result{Failure: failure})
 }
 
 // ownerAddress returns the peer address of the process that a ticket names. It need
@@ -64,7 +65,7 @@
 
 // handleOrphanedTicket answers a request whose owner is gone. Repeatable requests run
 // here; since they may have run before, they can't be refused any more.
-func (g *Gateway) handleOrphanedTicket(request *api.GenerateRequest) (*follower, *api.Error) {
+func (g *Gateway) handleOrphanedTicket(request *api.GenerateRequest) (*execution.Follower, *api.Error) {
 	g.metrics.tickets.WithLabelValues("orphaned").Inc()
 	if request.Repeatable {
 		return g.runWithoutTicket(request, true)
@@ -92,12 +93,12 @@
 		failure.RequestID = request.RequestID
 		return send(&peer.RunEvent{Error: failure})
 	}
-	defer reader.close()
+	defer reader.Close()
 	return sendEvents(ctx, reader, send)
 }
 
 // acceptForwarded verifies a forwarded request and uses its ticket.
-func (g *Gateway) acceptForwarded(request *api.GenerateRequest) (*follower, *api.Error) {
+func (g *Gateway) acceptForwarded(request *api.GenerateRequest) (*execution.Follower, *api.Error) {
 	if failure := checkGenerate(request); failure != nil {
 		return nil, failure
 	}
--- a/gateway/ticket_store.go
+++ b/gateway/ticket_store.go
@@ -4,6 +4,7 @@
 	"sync"
 	"time"
 
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
@@ -23,13 +24,13 @@
 	clock func() time.Duration
 
 	mutex sync.Mutex
-	table *ticket.Table[*execution]
+	table *ticket.Table[*execution.Execution]
 }
 
 func newTicketStore(clock func() time.Duration) *ticketStore {
 	return &ticketStore{
 		clock: clock,
-		table: ticket.NewTable[*execution](ticket.TableConfig{
+		table: ticket.NewTable[*execution.Execution](ticket.TableConfig{
 			MaxTickets:       maxTickets,
 			MaxRetainedBytes: maxRetainedBytes,
 			Slack:            ticketSlack,
@@ -47,7 +48,7 @@
 
 // use uses a ticket. The first use calls start, with the store locked, so that every
 // later use joins the same execution.
-func (s *ticketStore) use(presented ticket.Ticket, digest uint64, start func() *execution) (ticket.UseResult, *execution) {
+func (s *ticketStore) use(presented ticket.Ticket, digest uint64, start func() *execution.Execution) (ticket.UseResult, *execution.Execution) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.Use(s.clock(), presented, digest, start)
--- a/gateway/ticket_test.go
+++ b/gateway/ticket_test.go
@@ -42,9 +42,7 @@
 				if !known {
 					return false
 				}
-				run.mutex.Lock()
-				defer run.mutex.Unlock()
-				return len(run.followers) == len(replies)
+				return run.Followers() == len(replies)
 			})
 			close(release)
 			senders.Wait()
--- a/gateway/ticket_use.go
+++ b/gateway/ticket_use.go
@@ -9,6 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
@@ -34,7 +35,7 @@
 
 // submit accepts a request of a caller or a peer and returns a reader of its output,
 // which the caller must close.
-func (g *Gateway) submit(request *api.GenerateRequest) (*follower, *api.Error) {
+func (g *Gateway) submit(request *api.GenerateRequest) (*execution.Follower, *api.Error) {
 	if request.Ticket == "" {
 		if !request.Repeatable {
 			return nil, newError(api.CodeTicketRequired, api.OutcomeRefused, "a request that is not repeatable needs a ticket")
@@ -73,13 +74,13 @@
 
 // useTicket runs the request of a ticket of this process, or joins its execution if
 // it was used before.
-func (g *Gateway) useTicket(request *api.GenerateRequest, presented ticket.Ticket) (*follower, *api.Error) {
-	var reader *follower
+func (g *Gateway) useTicket(request *api.GenerateRequest, presented ticket.Ticket) (*execution.Follower, *api.Error) {
+	var reader *execution.Follower
 	var start func()
-	useResult, joined := g.tickets.use(presented, requestDigest(request), func() *execution {
-		var run *execution
+	useResult, joined := g.tickets.use(presented, requestDigest(request), func() *execution.Execution {
+		var run *execution.Execution
 		run, start = g.prepareExecution(request, true, false)
-		reader, _ = run.follow(request.Stream)
+		reader, _ = run.Follow(request.Stream)
 		return run
 	})
 	g.metrics.observeTicketUse(useResult)
@@ -88,7 +89,7 @@
 		go start()
 		return reader, nil
 	case ticket.UseJoin:
-		return joined.follow(request.Stream)
+		return joined.Follow(request.Stream)
 	case ticket.UseExpired:
 		return nil, newError(api.CodeTicketExpired, api.OutcomeRefused, "the ticket expired before it was used")
 	case ticket.UseUnknown:
@@ -100,9 +101,9 @@
 
 // runWithoutTicket runs a repeatable request that is not remembered. mayHaveRun says
 // that it may have run before.
-func (g *Gateway) runWithoutTicket(request *api.GenerateRequest, mayHaveRun bool) (*follower, *api.Error) {
+func (g *Gateway) runWithoutTicket(request *api.GenerateRequest, mayHaveRun bool) (*execution.Follower, *api.Error) {
 	run, start := g.prepareExecution(request, false, mayHaveRun)
-	reader, failure := run.follow(request.Stream)
+	reader, failure := run.Follow(request.Stream)
 	go start()
 	return reader, failure
 }
@@ -110,11 +111,11 @@
 // prepareExecution returns an execution and the function that runs it to its end,
 // which must be called. It is called apart from the preparation because the ticket
 // table is locked meanwhile.
-func (g *Gateway) prepareExecution(request *api.GenerateRequest, owned, mayHaveRun bool) (*execution, func()) {
+func (g *Gateway) prepareExecution(request *api.GenerateRequest, owned, mayHaveRun bool) (*execution.Execution, func()) {
 	copied := *request
 	copied.Ticket = ""
 	ctx, cancel := g.detachedContext(time.Now().Add(api.Wait(request.WaitMS)))
-	run := newExecution(request.RequestID, request.Stream, request.MaxTokens, cancel)
+	run := execution.New(request.RequestID, request.Stream, request.MaxTokens, cancel)
 	g.active.begin()
 	return run, func() {
 		defer g.active.end()
@@ -122,7 +123,7 @@
 		r := &runner{gateway: g, request: copied, execution: run, mayHaveRun: mayHaveRun}
 		g.resolveAndRun(ctx, r, owned)
 		if owned {
-			g.tickets.finish(request.RequestID, run.result.ticketState())
+			g.tickets.finish(request.RequestID, run.Result().TicketState())
 		}
 	}
 }
