--- a/cmd/deckpulley-gateway/daemon_test.go
+++ b/cmd/deckpulley-gateway/daemon_test.go
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(f.t.Context(), testTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		reply := f.control.Order(ctx, request)
+		reply := f.control.Submit(ctx, request)
 		if reply.Error == nil && reply.Answer.Error == nil {
 			return
 		}
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -33,12 +33,13 @@
 	return d.Store.Save(state, entries)
 }
 
-// TestAStalledDiskDoesNotKeepTheLeadership: a primary whose disk answers nothing is
-// replaced as soon as it has to write, an order that it holds is carried out once by
+// TestStalledDiskLosesLeadership: a primary whose disk answers nothing is
+// replaced as soon as it has to write, an operation that it has received is executed once by
 // its successor, and it follows when its disk answers again.
-func TestAStalledDiskDoesNotKeepTheLeadership(t *testing.T) {
+func TestStalledDiskLosesLeadership(t *testing.T) {
 	const stall = 8 * time.Second
-	inFleet(t, func(t *testing.T, f *fleet) {
+	inFleet(t, func(f *fleet) {
+		t := f.t
 		f.stores = make(map[string]*stallingDisk)
 		for _, name := range controlNames {
 			f.stores[name] = &stallingDisk{Store: f.disks[name]}
@@ -50,19 +51,19 @@
 		started := time.Now()
 		f.mustSend(through, "order-2", 1)
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
-			t.Errorf("with a primary whose disk stalls an order took %v", took)
+			t.Errorf("with a primary whose disk stalls an operation took %v", took)
 		}
 		if successor := f.primary(old.options.Name); successor == old {
 			t.Error("the node with the stalled disk still leads")
 		}
 		time.Sleep(stall)
 		f.await("the stalled node to follow", func() bool {
-			o := old.observe()
-			return o.status.Role == consensus.Follower && o.contents.Version() == 2
+			o := old.engine.Observe()
+			return o.Status.Role == consensus.Follower && o.Catalog.Version() == 2
 		})
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
-			t.Errorf("the order repeated at the stalled node: %+v", again)
+			t.Errorf("the operation repeated at the stalled node: %+v", again)
 		}
 	})
 }
