--- a/cmd/deckpulley-gateway/daemon_test.go
+++ b/cmd/deckpulley-gateway/daemon_test.go
@@ -225,7 +225,7 @@
 	}
 	f.submit(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "first", Document: httpDocument}})
 	f.addReplicas("pool", "r1", "r2")
-	f.until(func() bool { status, _ := f.get("warm", "/pages/x"); return status == http.StatusOK })
+	f.waitFor(func() bool { status, _ := f.get("warm", "/pages/x"); return status == http.StatusOK })
 
 	if status, text := f.get("one", "/pages/x"); status != http.StatusOK || !strings.HasSuffix(text, "ran /pages/x") {
 		t.Errorf("got %d %s", status, text)
@@ -265,7 +265,7 @@
 	}
 }
 
-func (f *httpFleet) until(condition func() bool) {
+func (f *httpFleet) waitFor(condition func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if condition() {
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -113,7 +113,7 @@
 // runLocally makes attempts on replicas of the own region.
 func (r *runner) runLocally(ctx context.Context) attemptResult {
 	for {
-		if failure := r.awaitSeenVersion(ctx); failure != nil {
+		if failure := r.awaitObservedVersion(ctx); failure != nil {
 			return notStarted(failure)
 		}
 		reservation, elsewhere, failure := r.acquire(ctx)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,29 +51,29 @@
 	overflowWaiters *concurrencyLimit
 	loops           sync.WaitGroup
 
-	mutex        sync.Mutex
-	random       *rand.Rand
-	seenVersions map[string]uint64 // by service: the highest configuration version that its replicas have seen
-	lastReported map[string]time.Time
+	mutex            sync.Mutex
+	random           *rand.Rand
+	observedVersions map[string]uint64 // by service: the highest configuration version that its replicas have seen
+	lastReported     map[string]time.Time
 }
 
 // New returns a gateway that is not started and registers its message handlers.
 func New(options Options) (*Gateway, error) {
 	options.withDefaults()
 	g := &Gateway{
-		options:         options,
-		log:             options.Logger,
-		router:          options.Router,
-		tickets:         newTicketStore(options.Clock),
-		reservations:    newReservationTable(),
-		bodyBudget:      newByteBudget(maxBodyBytesInFlight),
-		active:          newActivity(),
-		polling:         newPollTracker(),
-		overflowWaiters: &concurrencyLimit{limit: maxOverflowWaiters},
-		failureLogs:     rate.NewLimiter(maxFailureLogsPerSecond, maxFailureLogsPerSecond),
-		random:          rand.New(rand.NewPCG(options.Seed, 0x6761746577617921)),
-		seenVersions:    make(map[string]uint64),
-		lastReported:    make(map[string]time.Time),
+		options:          options,
+		log:              options.Logger,
+		router:           options.Router,
+		tickets:          newTicketStore(options.Clock),
+		reservations:     newReservationTable(),
+		bodyBudget:       newByteBudget(maxBodyBytesInFlight),
+		active:           newActivity(),
+		polling:          newPollTracker(),
+		overflowWaiters:  &concurrencyLimit{limit: maxOverflowWaiters},
+		failureLogs:      rate.NewLimiter(maxFailureLogsPerSecond, maxFailureLogsPerSecond),
+		random:           rand.New(rand.NewPCG(options.Seed, 0x6761746577617921)),
+		observedVersions: make(map[string]uint64),
+		lastReported:     make(map[string]time.Time),
 	}
 	if err := g.SetTicketKeys(options.TicketKeys); err != nil {
 		return nil, err
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -26,7 +26,7 @@
 // registry as the gateway; *httpgateway.Proxy implements it.
 type HTTPProxy interface {
 	// Update makes a newer state of the catalog the active one.
-	Update(contents *catalog.State)
+	Update(state *catalog.State)
 	// Run does the background work of the proxy until ctx ends.
 	Run(ctx context.Context)
 	// Replicas describes the replicas as the proxy sees them.
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -53,7 +53,7 @@
 		return r.unsentAttempts < maxUnsentAttempts && r.gateway.checkServing() == nil
 	case outcome.status == statusStaleConfiguration:
 		r.staleRefusals++
-		return r.staleRefusals <= maxStaleRefusals && r.gateway.refreshSeenVersion(ctx, r.route.Service, reservation)
+		return r.staleRefusals <= maxStaleRefusals && r.gateway.refreshObservedVersion(ctx, r.route.Service, reservation)
 	case outcome.status == statusReplicaRestarted:
 		r.unsentAttempts++
 		return r.unsentAttempts < maxUnsentAttempts
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -12,24 +12,24 @@
 // versionWaitTimeout bounds the wait for a newer configuration to become active.
 const versionWaitTimeout = time.Second
 
-// seenVersion returns the highest configuration version that replicas of a service
+// observedVersion returns the highest configuration version that replicas of a service
 // have reported; 0 if none.
-func (g *Gateway) seenVersion(service string) uint64 {
+func (g *Gateway) observedVersion(service string) uint64 {
 	if planted.Active(planted.KeepOldConfiguration) {
 		return 0
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.seenVersions[service]
+	return g.observedVersions[service]
 }
 
 // recordVersion records a configuration version that a replica of the service has
 // seen.
 func (g *Gateway) recordVersion(service string, version uint64) {
 	g.mutex.Lock()
-	newer := version > g.seenVersions[service]
+	newer := version > g.observedVersions[service]
 	if newer {
-		g.seenVersions[service] = version
+		g.observedVersions[service] = version
 	}
 	g.mutex.Unlock()
 	if newer {
@@ -44,10 +44,10 @@
 	}
 }
 
-// refreshSeenVersion asks a replica that refused a stale configuration for the
+// refreshObservedVersion asks a replica that refused a stale configuration for the
 // version that it has seen. If it does not answer, it waits for the next activation.
 // It reports false if ctx ended.
-func (g *Gateway) refreshSeenVersion(ctx context.Context, service string, reservation *routing.Reservation) bool {
+func (g *Gateway) refreshObservedVersion(ctx context.Context, service string, reservation *routing.Reservation) bool {
 	changed := g.agent.Changed()
 	waitContext, cancel := context.WithTimeout(ctx, versionWaitTimeout)
 	defer cancel()
@@ -63,11 +63,11 @@
 	return ctx.Err() == nil
 }
 
-// awaitSeenVersion waits up to versionWaitTimeout until the highest configuration
+// awaitObservedVersion waits up to versionWaitTimeout until the highest configuration
 // version seen by replicas of the service is active here. Requests are not placed by
 // an older one.
-func (r *runner) awaitSeenVersion(ctx context.Context) *api.Error {
-	version := r.gateway.seenVersion(r.route.Service)
+func (r *runner) awaitObservedVersion(ctx context.Context) *api.Error {
+	version := r.gateway.observedVersion(r.route.Service)
 	if r.gateway.agent.ConfirmVersion(version) {
 		return nil
 	}
