--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -5,7 +5,9 @@
 	"encoding/json"
 	"net/http"
 	"net/http/httptest"
+	"sync"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -14,8 +16,8 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// explained asks the operators' port of a gateway.
-func explained(t *testing.T, n *node, request api.GenerateRequest) (int, api.ExplainAnswer) {
+// postExplain sends a request to the explain path of a gateway's operators' port.
+func postExplain(t *testing.T, n *node, request api.GenerateRequest) (int, api.ExplainAnswer) {
 	t.Helper()
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -35,8 +37,26 @@
 	return response.StatusCode, answer
 }
 
-// TestExplainAgreesWithWhatHappens compares the explanation of requests with
-// where they run, and finds that explaining runs nothing.
+// lastingLoads is a router to which the first report of a region's load is as recent
+// for a minute, so that a busy machine, on which later reports are late, does not
+// change the decisions between two questions.
+type lastingLoads struct {
+	Router
+	reported sync.Once
+}
+
+func (l *lastingLoads) SetRemoteLoad(region string, load map[string]float64, at time.Time) {
+	l.Router.SetRemoteLoad(region, load, at)
+	l.reported.Do(func() {
+		// In steps of the usual interval: a longer gap would count as an outage.
+		for age := gossipInterval; age <= time.Minute; age += gossipInterval {
+			l.Router.SetRemoteLoad(region, load, at.Add(age))
+		}
+	})
+}
+
+// TestExplainAgreesWithWhatHappens compares explanations with where the requests then
+// run, and verifies that explaining sends nothing to replicas.
 func TestExplainAgreesWithWhatHappens(t *testing.T) {
 	f := newFleet(t)
 	f.primary.set(func(p *primary) {
@@ -48,7 +68,10 @@
 		)
 	})
 	replicas := []*fakeReplica{f.replica("r1", "north"), f.replica("r2", "south")}
-	north, south := f.gateway("g1", "north", "a", nil), f.gateway("g2", "south", "b", nil)
+	north := f.gateway("g1", "north", "a", func(options *Options) {
+		options.Router = &lastingLoads{Router: options.newRouter()}
+	})
+	south := f.gateway("g2", "south", "b", nil)
 	f.ready(north, south)
 	waitFor(t, "the load of the other region", func() bool {
 		for _, region := range north.router.Status().Services[0].Regions {
@@ -72,11 +95,11 @@
 		{"unknown model", func(r *api.GenerateRequest) { r.Model = "x" }, "", map[string]string{"route": "none"}, api.CodeNotFound},
 	}
 	for _, c := range cases {
-		request := question("q-" + c.name)
+		request := newRequest("q-" + c.name)
 		request.Repeatable = true
 		c.change(&request)
 		before := len(replicas[0].requests()) + len(replicas[1].requests())
-		status, answer := explained(t, north, request)
+		status, answer := postExplain(t, north, request)
 		if after := len(replicas[0].requests()) + len(replicas[1].requests()); status != http.StatusOK || after != before {
 			t.Fatalf("%s: status %d, %d requests sent by explaining", c.name, status, after-before)
 		}
@@ -106,14 +129,14 @@
 			t.Errorf("%s: explained %v, answered %v", c.name, answer.Error, ran.failure)
 		}
 	}
-	if status, _ := explained(t, north, api.GenerateRequest{Model: "m"}); status != http.StatusBadRequest {
+	if status, _ := postExplain(t, north, api.GenerateRequest{Model: "m"}); status != http.StatusBadRequest {
 		t.Errorf("without max_tokens: status %d", status)
 	}
 	f.primary.set(func(p *primary) {
 		p.apply(registry.Add(catalog.DrainRecord("r1", catalog.Drain{})))
 	})
 	waitFor(t, "the drained replica", func() bool {
-		_, answer := explained(t, north, question("drained"))
+		_, answer := postExplain(t, north, newRequest("drained"))
 		return len(answer.Replicas) == 1 && answer.Replicas[0].State == "draining"
 	})
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -24,30 +24,32 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// patience bounds waiting for something that must happen; a passing test never
-// waits that long.
-const patience = 15 * time.Second
+// testTimeout bounds the wait for an event that must happen. A test that passes never
+// waits for so long.
+const testTimeout = 15 * time.Second
 
-// testTerms renew often and last long, so that a busy machine takes no lease away.
-var testTerms = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
+// testLeaseConfig renews often and lasts long, so that no lease expires on a busy
+// machine.
+var testLeaseConfig = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
 
+// waitFor polls until the condition holds, and fails the test after testTimeout.
 func waitFor(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	tb.Fatalf("waited in vain for %s", what)
+	tb.Fatalf("%s did not happen in time", what)
 }
 
-// primary grants leases to everyone and holds the table.
+// primary grants leases to every gateway and holds the registry.
 type primary struct {
-	mutex    sync.Mutex
-	table    *registry.Table
-	silent   bool   // grants nothing
-	activate uint32 // limit of activation; 0 is the newest serial
-	orders   []peer.OperationRequest
+	mutex           sync.Mutex
+	table           *registry.Table
+	rejectRenewals  bool   // grants nothing
+	activationLimit uint32 // limit of activation; 0 is the newest serial
+	operations      []peer.OperationRequest
 }
 
 func newPrimary(tb testing.TB, network transport.Network) *primary {
@@ -59,7 +61,7 @@
 	p := &primary{table: table}
 	network.Handle(peer.KindRenew, p.renew)
 	network.Handle(peer.KindUpdate, p.update)
-	network.Handle(peer.KindOperation, p.order)
+	network.Handle(peer.KindOperation, p.submitOperation)
 	if err := network.Start(); err != nil {
 		tb.Fatal(err)
 	}
@@ -74,7 +76,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.silent {
+	if p.rejectRenewals {
 		return &peer.Grant{Cluster: "cluster", Term: 1}, nil
 	}
 	info := renew.Gateway
@@ -83,11 +85,11 @@
 		PeerAddress: info.PeerAddress, HTTPAddress: info.HTTPAddress, Up: !info.Draining,
 	})))
 	grant := &peer.Grant{Granted: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
-	if p.activate != 0 {
-		grant.ActivationSerial = p.activate
+	if p.activationLimit != 0 {
+		grant.ActivationSerial = p.activationLimit
 	}
 	if renew.ActiveSerial != 0 {
-		grant.LeaseMS = testTerms.Duration.Milliseconds()
+		grant.LeaseMS = testLeaseConfig.Duration.Milliseconds()
 	}
 	if renew.ReceivedSerial != p.table.Serial() {
 		transfer := p.table.TransferSince(renew.ReceivedSerial)
@@ -107,14 +109,14 @@
 	return &peer.UpdateReply{Code: result.Code, Serial: result.Serial}, nil
 }
 
-func (p *primary) order(_ context.Context, _ string, decode func(any) error) (any, error) {
-	var order peer.OperationRequest
-	if err := decode(&order); err != nil {
+func (p *primary) submitOperation(_ context.Context, _ string, decode func(any) error) (any, error) {
+	var request peer.OperationRequest
+	if err := decode(&request); err != nil {
 		return nil, err
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.orders = append(p.orders, order)
+	p.operations = append(p.operations, request)
 	return &peer.OperationReply{Answer: &api.OperationResult{Accepted: true}}, nil
 }
 
@@ -134,7 +136,8 @@
 // answerFunc answers one request as a replica.
 type answerFunc func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest)
 
-// fakeReplica answers as it is told and counts what reaches it.
+// fakeReplica answers with the function that a test sets, and records the requests
+// that reach it.
 type fakeReplica struct {
 	name    string
 	server  *httptest.Server
@@ -143,30 +146,30 @@
 	// draining is reported.
 	draining atomic.Bool
 
-	mutex       sync.Mutex
-	received    []api.ReplicaRequest
-	incarnation string
-	reports     chan struct{} // reports wait until it is closed, if it is set
+	mutex        sync.Mutex
+	received     []api.ReplicaRequest
+	incarnation  string
+	blockReports chan struct{} // reports wait until it is closed, if it is set
 }
 
 func newFakeReplica(tb testing.TB, name string) *fakeReplica {
 	tb.Helper()
 	f := &fakeReplica{name: name, incarnation: "1"}
-	f.behave(answerWhole)
+	f.setAnswer(writeAnswer)
 	f.server = httptest.NewServer(f)
 	tb.Cleanup(f.server.Close)
 	return f
 }
 
-func (f *fakeReplica) behave(answer answerFunc) { f.answer.Store(&answer) }
+func (f *fakeReplica) setAnswer(answer answerFunc) { f.answer.Store(&answer) }
 
 func (f *fakeReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == api.PathReplicaReport {
 		f.mutex.Lock()
-		incarnation, held := f.incarnation, f.reports
+		incarnation, blocked := f.incarnation, f.blockReports
 		f.mutex.Unlock()
-		if held != nil {
-			<-held
+		if blocked != nil {
+			<-blocked
 		}
 		writeJSON(w, http.StatusOK, api.ReplicaReport{
 			Replica: f.name, Incarnation: incarnation, Service: "explain", Slots: 64, PrefillTokensPerSecond: 1e6,
@@ -190,25 +193,25 @@
 	return append([]api.ReplicaRequest(nil), f.received...)
 }
 
-func answerWhole(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
+func writeAnswer(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 	if request.Stream {
-		answerStream(w, request, 5)
+		writeStream(w, request, 5)
 		return
 	}
 	writeJSON(w, http.StatusOK, api.GenerateAnswer{RequestID: request.RequestID, RunID: "run-1", Tokens: 3, Text: "abc"})
 }
 
-func pieceFrame(request *api.ReplicaRequest, sequence int) []byte {
+func chunkFrame(request *api.ReplicaRequest, sequence int) []byte {
 	data, _ := json.Marshal(api.StreamChunk{RequestID: request.RequestID, RunID: "run-1", Sequence: sequence, Text: "word ", Tokens: 1})
 	return stream.AppendFrame(nil, api.EventPiece, data)
 }
 
-func answerStream(w http.ResponseWriter, request *api.ReplicaRequest, pieces int) {
+func writeStream(w http.ResponseWriter, request *api.ReplicaRequest, chunks int) {
 	w.Header().Set("Content-Type", stream.ContentType)
-	for i := range pieces {
-		w.Write(pieceFrame(request, i+1))
+	for i := range chunks {
+		w.Write(chunkFrame(request, i+1))
 	}
-	data, _ := json.Marshal(api.StreamEnd{RequestID: request.RequestID, RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
+	data, _ := json.Marshal(api.StreamEnd{RequestID: request.RequestID, RunID: "run-1", Sequence: chunks + 1, Tokens: chunks})
 	w.Write(stream.AppendFrame(nil, api.EventEnd, data))
 }
 
@@ -272,11 +275,11 @@
 		},
 		Seeds:           []string{"control"},
 		TicketKeys:      [][]byte{bytes.Repeat([]byte{7}, 32)},
-		LeaseConfig:     testTerms,
+		LeaseConfig:     testLeaseConfig,
 		Network:         network,
 		Clock:           func() time.Duration { return time.Since(started) + time.Duration(f.skew.Load()) },
 		PollInterval:    20 * time.Millisecond,
-		PollTimeout:     patience,
+		PollTimeout:     testTimeout,
 		ShutdownTimeout: 10 * time.Millisecond,
 		Seed:            1,
 	}
@@ -301,12 +304,13 @@
 	return &node{Gateway: g, url: "http://" + listener.Addr().String(), network: network, stop: stop}
 }
 
-// ready waits until the gateways serve and know each other and their replicas.
+// ready waits until the gateways serve requests and know each other and their
+// replicas.
 func (f *fleet) ready(nodes ...*node) {
 	f.t.Helper()
 	waitFor(f.t, "ready gateways", func() bool {
 		for _, n := range nodes {
-			if n.mayPlace() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
+			if n.checkServing() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
 				return false
 			}
 			watched := n.router.Watched()
@@ -319,18 +323,18 @@
 	})
 }
 
-// reply is what a caller got.
+// reply is what a caller received.
 type reply struct {
 	status  int
 	answer  api.GenerateAnswer
 	failure *api.Error
-	pieces  int
+	chunks  int
 	ended   *api.StreamEnd
 	broken  error // of reading the body
 	header  http.Header
 }
 
-// outcome is the outcome a caller sees.
+// outcome is the outcome that the caller sees.
 func (r *reply) outcome() string {
 	switch {
 	case r.failure != nil:
@@ -357,7 +361,7 @@
 	return http.DefaultClient.Do(request)
 }
 
-// send sends one request to a gateway and reads all of its answer.
+// send sends one request to a gateway and reads the complete response.
 func (n *node) send(tb testing.TB, request api.GenerateRequest) *reply {
 	tb.Helper()
 	response, err := post(tb.Context(), n.url+api.PathRequests, request)
@@ -367,7 +371,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	got := &reply{status: response.StatusCode, broken: err, header: response.Header}
-	if !isStream(response) {
+	if !isEventStream(response) {
 		var wrapped struct {
 			api.GenerateAnswer
 			Error *api.Error `json:"error"`
@@ -382,7 +386,7 @@
 		kind, data, _ := strings.Cut(strings.TrimPrefix(event, "event: "), "\ndata: ")
 		switch kind {
 		case api.EventPiece:
-			got.pieces++
+			got.chunks++
 		case api.EventEnd:
 			got.ended = new(api.StreamEnd)
 			err = json.Unmarshal([]byte(data), got.ended)
@@ -397,11 +401,12 @@
 	return got
 }
 
-// where asks a gateway where to go and returns the request with its ticket.
+// where asks a gateway where to send a request and returns the request with its
+// ticket.
 func (n *node) where(tb testing.TB, request api.GenerateRequest) (api.GenerateRequest, *api.WhereAnswer) {
 	tb.Helper()
-	question := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
-	response, err := post(tb.Context(), n.url+api.PathWhere, question)
+	whereRequest := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
+	response, err := post(tb.Context(), n.url+api.PathWhere, whereRequest)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -415,9 +420,9 @@
 	return request, &answer
 }
 
-// owned asks until an id is found that this gateway owns, and returns the
-// request with its ticket.
-func (n *node) owned(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
+// requestOwnedBy tries ids until the gateway owns the request, and returns it with
+// its ticket.
+func (n *node) requestOwnedBy(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
 	tb.Helper()
 	for try := range 64 {
 		candidate := request
@@ -431,6 +436,7 @@
 	return request
 }
 
-func question(id string) api.GenerateRequest {
+// newRequest returns a valid request that is not repeatable.
+func newRequest(id string) api.GenerateRequest {
 	return api.GenerateRequest{RequestID: id, Model: "m", PromptTokens: 10, MaxTokens: 5, WaitMS: 10_000}
 }
--- a/gateway/collector.go
+++ b/gateway/router_metrics.go
@@ -7,10 +7,10 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// routerCollector turns the router's status into metrics: the set point of each
-// controller beside its measured value, and the state of each service.
+// routerCollector exports the status of the router: the set point, measured value and
+// output of each controller, and the state of each service.
 type routerCollector struct {
-	router    Router
+	router    RouterStatus
 	setPoint  *prometheus.Desc
 	measured  *prometheus.Desc
 	output    *prometheus.Desc
@@ -23,7 +23,7 @@
 	return prometheus.NewDesc(metricsNamespace+"_"+name, help, labels, nil)
 }
 
-func newRouterCollector(router Router) *routerCollector {
+func newRouterCollector(router RouterStatus) *routerCollector {
 	return &routerCollector{
 		router:    router,
 		setPoint:  describe("controller_set_point", "Set point of a controller.", "controller", "service"),
@@ -45,10 +45,10 @@
 // Collect implements prometheus.Collector.
 func (c *routerCollector) Collect(into chan<- prometheus.Metric) {
 	status := c.router.Status()
-	c.controller(into, status.Retry, "")
+	c.collectController(into, status.Retry, "")
 	for _, service := range status.Services {
 		for _, controller := range service.Controllers {
-			c.controller(into, controller, service.Service)
+			c.collectController(into, controller, service.Service)
 		}
 		c.collectService(into, &service)
 	}
@@ -58,7 +58,7 @@
 	into <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 }
 
-func (c *routerCollector) controller(into chan<- prometheus.Metric, status feedback.Status, service string) {
+func (c *routerCollector) collectController(into chan<- prometheus.Metric, status feedback.Status, service string) {
 	gauge(into, c.setPoint, status.SetPoint, status.Name, service)
 	gauge(into, c.measured, status.Measured, status.Name, service)
 	gauge(into, c.output, status.Output, status.Name, service)
--- a/gateway/check.go
+++ b/gateway/validation.go
@@ -7,35 +7,32 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-func invalid(field, format string, arguments ...any) *api.Error {
-	failure := failed(api.CodeInvalid, api.OutcomeRefused, format, arguments...)
-	failure.Field = field
-	return failure
-}
-
-// checkName checks an id or name of a request.
+// checkName validates an id or name of a request.
 func checkName(field, value string, required bool) *api.Error {
 	switch {
 	case value == "" && required:
-		return invalid(field, "is missing")
+		return newInvalidError(field, "is missing")
 	case len(value) > api.MaxNameBytes:
-		return invalid(field, "has %d bytes, %d at the most", len(value), api.MaxNameBytes)
+		return newInvalidError(field, "has %d bytes, %d at the most", len(value), api.MaxNameBytes)
 	case !utf8.ValidString(value):
-		return invalid(field, "is not valid UTF-8")
+		return newInvalidError(field, "is not valid UTF-8")
 	}
 	return nil
 }
 
+// checkWait validates the caller's waiting time, in milliseconds.
 func checkWait(waitMS int64) *api.Error {
 	if waitMS < 0 || waitMS > api.MaxWaitMS {
-		return invalid("wait_ms", "must be from 0 to %d", int64(api.MaxWaitMS))
+		return newInvalidError("wait_ms", "must be from 0 to %d", int64(api.MaxWaitMS))
 	}
 	return nil
 }
 
+// checkPrefixes validates the prefixes of a prompt and returns the sum of their
+// tokens.
 func checkPrefixes(prefixes []api.Prefix) (int, *api.Error) {
 	if len(prefixes) > api.MaxPrefixes {
-		return 0, invalid("prefixes", "has %d entries, %d at the most", len(prefixes), api.MaxPrefixes)
+		return 0, newInvalidError("prefixes", "has %d entries, %d at the most", len(prefixes), api.MaxPrefixes)
 	}
 	total := 0
 	for i, prefix := range prefixes {
@@ -43,14 +40,14 @@
 			return 0, failure
 		}
 		if prefix.Tokens < 0 || prefix.Tokens > api.MaxPromptTokens {
-			return 0, invalid(fmt.Sprintf("prefixes[%d].tokens", i), "must be from 0 to %d", api.MaxPromptTokens)
+			return 0, newInvalidError(fmt.Sprintf("prefixes[%d].tokens", i), "must be from 0 to %d", api.MaxPromptTokens)
 		}
 		total += prefix.Tokens
 	}
 	return total, nil
 }
 
-// firstFailure returns the first one that is not nil.
+// firstFailure returns the first error that is not nil.
 func firstFailure(failures ...*api.Error) *api.Error {
 	for _, failure := range failures {
 		if failure != nil {
@@ -60,7 +57,7 @@
 	return nil
 }
 
-// checkWhere checks the limits of a question where to go.
+// checkWhere validates a question for the gateway of a request.
 func checkWhere(request *api.WhereRequest) *api.Error {
 	_, prefixes := checkPrefixes(request.Prefixes)
 	return firstFailure(
@@ -74,7 +71,7 @@
 	)
 }
 
-// checkGenerate checks the limits of a request.
+// checkGenerate validates a request.
 func checkGenerate(request *api.GenerateRequest) *api.Error {
 	prefixTokens, prefixes := checkPrefixes(request.Prefixes)
 	return firstFailure(
@@ -90,24 +87,26 @@
 	)
 }
 
+// checkClass validates the class of a request.
 func checkClass(class api.Class) *api.Error {
 	switch class {
 	case "", api.ClassQuick, api.ClassLong, api.ClassFetch:
 		return nil
 	default:
-		return invalid("class", "must be %q, %q or %q", api.ClassQuick, api.ClassLong, api.ClassFetch)
+		return newInvalidError("class", "must be %q, %q or %q", api.ClassQuick, api.ClassLong, api.ClassFetch)
 	}
 }
 
+// checkTokens validates the sizes of the prompt and of the output, in tokens.
 func checkTokens(request *api.GenerateRequest, prefixTokens int) *api.Error {
 	if request.PromptTokens < 0 || request.PromptTokens > api.MaxPromptTokens {
-		return invalid("prompt_tokens", "must be from 0 to %d", api.MaxPromptTokens)
+		return newInvalidError("prompt_tokens", "must be from 0 to %d", api.MaxPromptTokens)
 	}
 	if prefixTokens+request.PromptTokens > api.MaxPromptTokens {
-		return invalid("prompt_tokens", "the prompt has %d tokens with its prefixes, %d at the most", prefixTokens+request.PromptTokens, api.MaxPromptTokens)
+		return newInvalidError("prompt_tokens", "the prompt has %d tokens with its prefixes, %d at the most", prefixTokens+request.PromptTokens, api.MaxPromptTokens)
 	}
 	if request.MaxTokens < 1 || request.MaxTokens > api.MaxOutputTokens {
-		return invalid("max_tokens", "must be from 1 to %d", api.MaxOutputTokens)
+		return newInvalidError("max_tokens", "must be from 1 to %d", api.MaxOutputTokens)
 	}
 	return nil
 }
