--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -11,10 +11,11 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// nullWriter is a caller's connection that takes everything at once.
+// nullWriter is the response writer of a caller that reads everything at once.
 type nullWriter struct {
 	header http.Header
 	bytes  int
@@ -29,14 +30,14 @@
 	return len(data), nil
 }
 
-// BenchmarkRelay copies a stream of 1,000 events from a replica's bytes through
-// an execution to a caller's writer.
+// BenchmarkRelay copies a stream of 1,000 events from the bytes of a replica through
+// an execution to the writer of a caller.
 func BenchmarkRelay(b *testing.B) {
 	const pieces = 1000
 	request := &api.ReplicaRequest{RequestID: "request-1"}
 	var source bytes.Buffer
 	for i := range pieces {
-		source.Write(pieceFrame(request, i+1))
+		source.Write(chunkFrame(request, i+1))
 	}
 	data, _ := json.Marshal(api.StreamEnd{RequestID: "request-1", RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
 	source.Write(stream.AppendFrame(nil, api.EventEnd, data))
@@ -44,14 +45,14 @@
 	b.ReportAllocs()
 	b.SetBytes(int64(source.Len()))
 	for b.Loop() {
-		run := newExecution("request-1", true, pieces, func(error) {})
-		reader, _ := run.follow(true)
+		run := execution.New("request-1", true, pieces, func(error) {})
+		reader, _ := run.Follow(true)
 		go produce(ctx, run, source.Bytes())
 		response := &nullWriter{header: http.Header{}}
 		writer := stream.NewWriter(response, time.Second)
 		for {
-			frames, ended, err := reader.next(ctx)
-			if err != nil || (ended != nil && ended.end == nil) {
+			frames, ended, err := reader.Next(ctx)
+			if err != nil || (ended != nil && ended.End == nil) {
 				b.Fatal(err, ended)
 			}
 			if ended != nil {
@@ -61,32 +62,32 @@
 				b.Fatal(err)
 			}
 		}
-		reader.leave()
+		reader.Close()
 	}
 	b.ReportMetric(float64(b.N)*pieces/b.Elapsed().Seconds(), "events/s")
 }
 
-func produce(ctx context.Context, run *execution, source []byte) {
+func produce(ctx context.Context, run *execution.Execution, source []byte) {
 	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", IdleTimeout: time.Minute, Interrupt: func() {}})
 	defer events.Close()
 	for {
 		event, err := events.Next()
 		if err != nil {
-			run.finish(&result{failure: streamFailure(err, 0)})
+			run.Finish(&execution.Result{Failure: classifyStreamError(err, 0)})
 			return
 		}
 		if event.End != nil {
-			run.finish(&result{end: event.End})
+			run.Finish(&execution.Result{End: event.End})
 			return
 		}
-		if err := run.piece(ctx, event.Chunk); err != nil {
+		if err := run.AppendChunk(ctx, event.Chunk); err != nil {
 			return
 		}
 	}
 }
 
-// BenchmarkRequests sends short whole requests through a gateway and, for
-// comparison, to the replica itself.
+// BenchmarkRequests sends short requests through a gateway and, for comparison,
+// directly to the replica.
 func BenchmarkRequests(b *testing.B) {
 	f := newFleet(b)
 	replica := f.replica("r1", "north")
@@ -105,7 +106,7 @@
 		}
 		return nil
 	}
-	request := question("bench")
+	request := newRequest("bench")
 	request.Repeatable = true
 	b.Run("direct", func(b *testing.B) {
 		url := replica.server.URL + api.PathReplicaGenerate
@@ -138,7 +139,7 @@
 		count := 0
 		for b.Loop() {
 			count++
-			ticketed, _ := g.where(b, question(fmt.Sprintf("bench-%d", count)))
+			ticketed, _ := g.where(b, newRequest(fmt.Sprintf("bench-%d", count)))
 			if err := send(g.url+api.PathRequests, ticketed); err != nil {
 				b.Error(err)
 			}
