--- a/control/leases/leases.go
+++ b/control/leases/leases.go
@@ -35,7 +35,7 @@
 	superseded map[lease.HolderID]bool
 	// expectsHolders is true once the grantor knows whose leases it has to wait for.
 	expectsHolders bool
-	// confirming is true once a proof of leadership was requested that ends the wait
+	// confirming is true once a quorum contact was requested that ends the wait
 	// for earlier leases.
 	confirming bool
 	// reportsChanged is true if a gateway reported something new since the last review.
@@ -83,7 +83,7 @@
 // SetSerial passes on the serial of the table.
 func (m *Manager) SetSerial(serial uint32) { m.grantor.SetSerial(serial) }
 
-// Renew decides one renewal. The contact is the proof of leadership: the send time
+// Renew decides one renewal. The contact is the quorum contact: the send time
 // of the newest heartbeat round that a quorum acknowledged, if known.
 func (m *Manager) Renew(now, contact time.Duration, contactKnown bool, renew *peer.Renew) lease.Decision {
 	return m.grantor.Renew(now, contact, contactKnown, lease.Request{
@@ -122,7 +122,7 @@
 	m.grantor.ExpectReclaims(now, holders)
 }
 
-// NeedsConfirmation is true once, when a proof of leadership would end the wait for
+// NeedsConfirmation is true once, when a quorum contact would end the wait for
 // earlier leases.
 func (m *Manager) NeedsConfirmation() bool {
 	if m.confirming || !m.grantor.AwaitsQuorumContact() {
--- a/control/leases/review.go
+++ b/control/leases/review.go
@@ -19,7 +19,7 @@
 }
 
 // Review works out which serial may be activated and which is in force. Both follow
-// from the serial, the proof of leadership and the gateways' reports: it returns
+// from the serial, the quorum contact and the gateways' reports: it returns
 // false, and does nothing, if none of these has changed.
 func (m *Manager) Review(contact time.Duration, contactKnown bool, serial uint32) bool {
 	unchanged := contact == m.review.Contact && contactKnown == m.review.ContactKnown && serial == m.review.Serial
--- a/lease/proof_test.go
+++ b/lease/quorumcontact_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestReportCountsOnlyWithALaterProof: another primary may have been elected after the
-// newest proof of leadership, and may have let a holder in that is behind. What is
+// newest quorum contact, and may have let a holder in that is behind. What is
 // reported since is not in force.
 func TestReportCountsOnlyWithALaterProof(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
@@ -18,7 +18,7 @@
 }
 
 // TestReleaseCountsOnlyWithALaterProof: the holder that gives its lease up may get
-// another one from a primary that was elected after the newest proof of leadership.
+// another one from a primary that was elected after the newest quorum contact.
 func TestReleaseCountsOnlyWithALaterProof(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
