--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -11,7 +11,7 @@
 func (f *Fleet) addAll() error {
 	f.initialControl = map[string]string{}
 	for _, plan := range f.options.Deployment.Regions {
-		node, err := f.newNode("control-"+plan.Name, settings.RoleControl, plan)
+		node, err := f.newNode(controlName(plan.Name), settings.RoleControl, plan)
 		if err != nil {
 			return err
 		}
@@ -23,33 +23,54 @@
 			return err
 		}
 	}
-	host, err := f.block.allocate()
+	addresses, err := f.allocate(1)
 	if err != nil {
 		return err
 	}
-	ports, err := freeport.Addresses(host, 1)
+	f.platformAddress = addresses[0]
+	return nil
+}
+
+// allocate returns addresses with free ports on a host of their own.
+func (f *Fleet) allocate(count int) ([]string, error) {
+	host, err := f.block.allocate()
 	if err != nil {
-		return err
+		return nil, err
 	}
-	f.platformAddress = ports[0]
-	return nil
+	return freeport.Addresses(host, count)
+}
+
+func controlName(region string) string { return "control-" + region }
+
+// GatewayName returns the name of a gateway. Numbers begin at 1 in each region.
+func GatewayName(region string, number int) string {
+	return fmt.Sprintf("gateway-%s-%d", region, number)
+}
+
+// ModelName returns the id of a model replica. Numbers begin at 1 in each region.
+func ModelName(region string, number int) string {
+	return fmt.Sprintf("model-%s-%d", region, number)
+}
+
+func webName(region string, number int) string {
+	return fmt.Sprintf("web-%s-%d", region, number)
 }
 
 func (f *Fleet) addRegion(plan RegionPlan) error {
 	for number := 1; number <= plan.Gateways; number++ {
-		node, err := f.newNode(fmt.Sprintf("gateway-%s-%d", plan.Name, number), settings.RoleGateway, plan)
+		node, err := f.newNode(GatewayName(plan.Name, number), settings.RoleGateway, plan)
 		if err != nil {
 			return err
 		}
 		f.nodes = append(f.nodes, node)
 	}
 	for number := 1; number <= plan.Models; number++ {
-		if err := f.addReplica(fmt.Sprintf("model-%s-%d", plan.Name, number), KindModel, plan); err != nil {
+		if err := f.addReplica(ModelName(plan.Name, number), KindModel, plan); err != nil {
 			return err
 		}
 	}
 	for number := 1; number <= plan.Webs; number++ {
-		if err := f.addReplica(fmt.Sprintf("web-%s-%d", plan.Name, number), KindWeb, plan); err != nil {
+		if err := f.addReplica(webName(plan.Name, number), KindWeb, plan); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -9,7 +9,6 @@
 	"go.yaml.in/yaml/v3"
 
 	"github.com/deckpulley/deckpulley/internal/fleet/process"
-	"github.com/deckpulley/deckpulley/internal/freeport"
 	"github.com/deckpulley/deckpulley/settings"
 )
 
@@ -60,25 +59,21 @@
 // newNode returns a node with its addresses and, for a control node, with an empty
 // data folder.
 func (f *Fleet) newNode(name string, role settings.Role, plan RegionPlan) (*Node, error) {
-	host, err := f.block.allocate()
-	if err != nil {
-		return nil, err
-	}
 	count := controlPorts
 	if role == settings.RoleGateway {
 		count = gatewayPorts
 	}
-	ports, err := freeport.Addresses(host, count)
+	addresses, err := f.allocate(count)
 	if err != nil {
 		return nil, err
 	}
 	node := &Node{
 		Name: name, Role: role, Zone: plan.Zone, Region: plan.Name,
-		PeerAddress: ports[0], OperatorAddress: ports[1],
+		PeerAddress: addresses[0], OperatorAddress: addresses[1],
 		settingsPath: filepath.Join(f.options.Folder, settingsFolder, name+".yaml"),
 	}
 	if role == settings.RoleGateway {
-		node.CallerAddress = ports[2]
+		node.CallerAddress = addresses[2]
 		return node, nil
 	}
 	node.DataFolder = filepath.Join(f.options.Folder, dataFolder, name)
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -5,7 +5,6 @@
 	"strconv"
 
 	"github.com/deckpulley/deckpulley/internal/fleet/process"
-	"github.com/deckpulley/deckpulley/internal/freeport"
 )
 
 // Replica is one replica stand-in of the fleet.
@@ -28,11 +27,7 @@
 func (r *Replica) Running() bool { return r.process != nil && r.process.Running() }
 
 func (f *Fleet) newReplica(id, kind string, plan RegionPlan) (*Replica, error) {
-	host, err := f.block.allocate()
-	if err != nil {
-		return nil, err
-	}
-	ports, err := freeport.Addresses(host, 1)
+	addresses, err := f.allocate(1)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +37,7 @@
 	}
 	return &Replica{
 		ID: id, Service: service, Kind: kind, Zone: plan.Zone, Region: plan.Name,
-		Address: ports[0], number: len(f.replicas) + 1,
+		Address: addresses[0], number: len(f.replicas) + 1,
 	}, nil
 }
 
--- a/internal/scenario/random.go
+++ b/internal/scenario/random.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -17,14 +16,14 @@
 
 // drawSteps draws episodes from the seed for the given time. Each ends before the next
 // begins, so that at most one control node, zone or region is lost at a time.
-func drawSteps(of Random, seed uint64, deployment fleet.Deployment) []Step {
+func drawSteps(spec Random, seed uint64, deployment fleet.Deployment) []Step {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	episodes := []episode{
 		killGateway, killControl, freezeControl, wipeControl, cutRegion, cutOneDirection,
 		evacuateZone, drainReplica, breakStreams, changeConfiguration, addCrowd, freezeGateway,
 	}
 	var steps []Step
-	for at := time.Duration(0); at < time.Duration(of.For); at += time.Duration(of.Interval) {
+	for at := time.Duration(0); at < time.Duration(spec.For); at += time.Duration(spec.Interval) {
 		drawn := episodes[random.IntN(len(episodes))](random, deployment)
 		start := Duration(at)
 		drawn[0].At = &start
@@ -39,12 +38,12 @@
 
 func pickGateway(random *rand.Rand, deployment fleet.Deployment) string {
 	plan := pickRegion(random, deployment)
-	return fmt.Sprintf("gateway-%s-%d", plan.Name, 1+random.IntN(plan.Gateways))
+	return fleet.GatewayName(plan.Name, 1+random.IntN(plan.Gateways))
 }
 
 func pickModel(random *rand.Rand, deployment fleet.Deployment) string {
 	plan := pickRegion(random, deployment)
-	return fmt.Sprintf("model-%s-%d", plan.Name, 1+random.IntN(plan.Models))
+	return fleet.ModelName(plan.Name, 1+random.IntN(plan.Models))
 }
 
 func pickControl(random *rand.Rand) string {
