--- a/cmd/deckpulley-fleet/logs.go
+++ b/cmd/deckpulley-fleet/logs.go
@@ -17,7 +17,7 @@
 			return suite.CheckLogs(command.OutOrStdout(), arguments[0], options)
 		},
 	}
-	command.Flags().IntVar(&options.ColdRamp, "cold-ramp", 1, "first step of a cold replica's ramp, in requests")
+	command.Flags().IntVar(&options.SlowStartLimit, "cold-ramp", 1, "first step of a cold replica's ramp, in requests")
 	command.Flags().IntVar(&options.Gateways, "gateways", 8, "number of gateways")
 	return command
 }
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -7,9 +7,9 @@
 
 // Options hold what the logs do not.
 type Options struct {
-	// ColdRamp is the first limit of a cold replica's slow start, in requests in
+	// SlowStartLimit is the first limit of a cold replica's slow start, in requests in
 	// flight.
-	ColdRamp int
+	SlowStartLimit int
 	// Gateways is the number of gateways of the fleet.
 	Gateways int
 }
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -167,7 +167,7 @@
 
 func (r *run) check() Report {
 	sort.SliceStable(r.events, func(i, j int) bool { return r.events[i].At < r.events[j].At })
-	return Check(r.events, Options{ColdRamp: 1, Gateways: 8})
+	return Check(r.events, Options{SlowStartLimit: 1, Gateways: 8})
 }
 
 // violations has, for each promise, one change of the healthy run that breaks it.
--- a/internal/checker/slowstart.go
+++ b/internal/checker/slowstart.go
@@ -59,7 +59,7 @@
 	if state == nil {
 		state = &slowStart{}
 	}
-	limit := state.limit(max(1, options.ColdRamp))
+	limit := state.limit(max(1, options.SlowStartLimit))
 	excess := event.InFlight - limit
 	verdict.measure(float64(excess))
 	if excess > options.Gateways {
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return checker.Check(events, checker.Options{ColdRamp: 1, Gateways: 1})
+	return checker.Check(events, checker.Options{SlowStartLimit: 1, Gateways: 1})
 }
 
 func TestCallersDetectIncorrectAnswers(t *testing.T) {
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -42,6 +42,20 @@
 	return listener.Addr().String()
 }
 
+// openLink returns a network with one link, from node a to target on node b, and the
+// relay's address. The network is closed at the end of the test.
+func openLink(t *testing.T, target string) (*Network, string) {
+	t.Helper()
+	network := New()
+	t.Cleanup(network.Close)
+	address, err := network.Link("127.0.0.1", "a", "b", target)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return network, address
+}
+
+// client is one connection through a relay.
 type client struct {
 	t      *testing.T
 	conn   net.Conn
@@ -96,12 +110,7 @@
 func TestCutBlocksAndHealDelivers(t *testing.T) {
 	for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		t.Run(direction[0]+" to "+direction[1], func(t *testing.T) {
-			network := New()
-			defer network.Close()
-			address, err := network.Link("127.0.0.1", "a", "b", startEcho(t))
-			if err != nil {
-				t.Fatal(err)
-			}
+			network, address := openLink(t, startEcho(t))
 			c := dial(t, address)
 			c.send("one")
 			c.expect("one")
@@ -119,12 +128,7 @@
 }
 
 func TestDelayPostponesDelivery(t *testing.T) {
-	network := New()
-	defer network.Close()
-	address, err := network.Link("127.0.0.1", "a", "b", startEcho(t))
-	if err != nil {
-		t.Fatal(err)
-	}
+	network, address := openLink(t, startEcho(t))
 	const delay = 60 * time.Millisecond
 	network.Delay("b", "a", delay)
 	c := dial(t, address)
@@ -137,12 +141,7 @@
 }
 
 func TestHalfCloseIsForwarded(t *testing.T) {
-	network := New()
-	defer network.Close()
-	address, err := network.Link("127.0.0.1", "a", "b", startEcho(t))
-	if err != nil {
-		t.Fatal(err)
-	}
+	_, address := openLink(t, startEcho(t))
 	c := dial(t, address)
 	c.send("last")
 	c.closeWrite()
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -63,7 +63,7 @@
 func TestPageHasVerdictsChartsAndNoLinks(t *testing.T) {
 	events := exampleRun()
 	var page bytes.Buffer
-	report := checker.Check(events, checker.Options{ColdRamp: 1, Gateways: 8})
+	report := checker.Check(events, checker.Options{SlowStartLimit: 1, Gateways: 8})
 	err := WritePage(&page, Page{Title: "run <1>", Summary: Summarize(events), Report: report, Problems: []string{"a step"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -119,12 +119,12 @@
 	}
 }
 
-// coldRamp is the first limit of a cold replica in the example configurations, in
+// slowStartLimit is the first limit of a cold replica in the example configurations, in
 // requests.
-const coldRamp = 1
+const slowStartLimit = 1
 
 func checkerOptions(deployment fleet.Deployment) checker.Options {
-	options := checker.Options{ColdRamp: coldRamp}
+	options := checker.Options{SlowStartLimit: slowStartLimit}
 	for _, plan := range deployment.Regions {
 		options.Gateways += plan.Gateways
 	}
