--- a/internal/checker/refusal.go
+++ b/internal/checker/refusal.go
@@ -6,8 +6,9 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// checkRefusedOperations finds documents in force that no accepted operation brought,
-// and several writers that were accepted on one base version.
+// checkRefusedOperations finds documents in force although their operation was refused,
+// several operations that were accepted on one base version, and versions in force that
+// no operation made.
 func checkRefusedOperations(x *index, _ Options, verdict *Verdict) {
 	refused := map[string]*operation{} // by digest
 	accepted := map[string]bool{}      // or unknown, by digest
