--- a/examples/embedding/holder.go
+++ b/examples/embedding/holder.go
@@ -13,37 +13,40 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// clusterName tells groups apart; the daemons draw a random one.
+// clusterName identifies the group in its leases; the daemons draw a random one.
 const clusterName = "example"
 
-// holder is a client with a copy of the table and a lease on it. One goroutine
-// uses it.
+// holder is a client with a secondary copy of the table and a lease on it. It is
+// not safe for concurrent use.
 type holder struct {
 	network transport.Network
 	group   consensus.Membership
 	started time.Time
-	// primary is the address that answered last.
+	// primary is the address of the member that last applied an update.
 	primary string
 	table   *registry.Table
-	active  uint32 // serial that the holder acts on
-	inForce uint32
-	lease   *lease.Holder
-	watch   *failuredetector.Detector
+	// activeSerial is the serial that the holder acts on; 0 before the first.
+	activeSerial uint32
+	// serialInForce is the serial active at every holder with a valid lease; 0 if
+	// unknown.
+	serialInForce uint32
+	lease         *lease.Holder
+	detector      *failuredetector.Detector
 }
 
 func newHolder(memory *transport.Memory, group consensus.Membership) *holder {
 	kinds, err := schema()
 	if err != nil {
-		panic(err) // a constant
+		panic(err) // the schema is constant
 	}
 	return &holder{
-		network: memory.Node("holder", "address-holder"),
-		group:   group,
-		started: time.Now(),
-		primary: group.Members[0].Address,
-		table:   registry.NewSecondary(apex, kinds),
-		lease:   lease.NewHolder(terms()),
-		watch:   failuredetector.New(failuredetector.DefaultConfig(), time.Now()),
+		network:  memory.Node("holder", "address-holder"),
+		group:    group,
+		started:  time.Now(),
+		primary:  group.Members[0].Address,
+		table:    registry.NewSecondary(apex, kinds),
+		lease:    lease.NewHolder(leaseConfig()),
+		detector: failuredetector.New(failuredetector.DefaultConfig(), time.Now()),
 	}
 }
 
@@ -51,8 +54,8 @@
 
 func (h *holder) now() time.Duration { return time.Since(h.started) }
 
-// update asks one member after the other until the primary has applied it. An
-// update that may have been applied is asked about by its prerequisites.
+// update sends an update to each member in turn until the primary has applied it.
+// Its prerequisites make a resend safe after a lost granted.
 func (h *holder) update(ctx context.Context, update registry.Update) (updateReply, error) {
 	for ctx.Err() == nil {
 		for _, member := range h.group.Members {
@@ -62,12 +65,12 @@
 				return reply, nil
 			}
 		}
-		pause(ctx)
+		waitStep(ctx)
 	}
 	return updateReply{}, fmt.Errorf("no primary: %w", ctx.Err())
 }
 
-// renewUntil renews the lease at the primary until the condition holds.
+// renewUntil renews the lease at the primary until the condition is true.
 func (h *holder) renewUntil(ctx context.Context, condition func() bool) error {
 	for !condition() {
 		if err := h.renew(ctx); errors.Is(err, lease.ErrOtherCluster) {
@@ -76,48 +79,52 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		pause(ctx)
+		waitStep(ctx)
 	}
 	return nil
 }
 
-// renew asks once. The lease counts from before the sending.
+// renew renews the lease once. The lease counts from before the request is sent,
+// so that it never ends later here than at the primary.
 func (h *holder) renew(ctx context.Context) error {
 	sent := h.now()
 	request := renewal{
 		Holder: "holder", Incarnation: "1",
-		Held: h.table.Serial(), Active: h.active,
-		Valid: h.lease.Valid(sent), Term: h.lease.Term(),
+		ReceivedSerial: h.table.Serial(), ActiveSerial: h.activeSerial,
+		LeaseValid: h.lease.Valid(sent), Term: h.lease.Term(),
 	}
-	var answer grant
-	if err := h.call(ctx, h.primary, kindRenew, &request, &answer); err != nil {
+	var granted grant
+	if err := h.call(ctx, h.primary, kindRenew, &request, &granted); err != nil {
 		return err
 	}
-	if err := h.lease.HandleGrant(h.now(), sent, answer.Term, clusterName, answer.Length); err != nil {
+	if err := h.lease.HandleGrant(h.now(), sent, granted.Term, clusterName, granted.Duration); err != nil {
 		return err
 	}
-	h.watch.Heartbeat(time.Now())
-	if answer.Transfer != nil {
-		if err := h.table.ApplyTransfer(*answer.Transfer); err != nil {
+	h.detector.Heartbeat(time.Now())
+	if granted.Transfer != nil {
+		if err := h.table.ApplyTransfer(*granted.Transfer); err != nil {
 			return err
 		}
 	}
-	// What is held may decide once the primary says that all hold it.
-	if held := h.table.Serial(); answer.Activate != 0 && !registry.SerialLess(answer.Activate, held) {
-		h.active = held
+	// A received serial may be acted on once every holder has received it.
+	received := h.table.Serial()
+	if granted.ActivationSerial != 0 && !registry.SerialLess(granted.ActivationSerial, received) {
+		h.activeSerial = received
 	}
-	h.inForce = answer.InForce
+	h.serialInForce = granted.SerialInForce
 	return nil
 }
 
-// mayAct is true while the lease is valid and the newest serial in force.
+// mayAct reports whether the lease is valid and the active serial is in force at
+// every holder.
 func (h *holder) mayAct() bool {
-	return h.lease.Valid(h.now()) && h.active != 0 && h.inForce == h.active
+	return h.lease.Valid(h.now()) && h.activeSerial != 0 && h.serialInForce == h.activeSerial
 }
 
-// primaryLost is true once the primary is silent for too long and the lease over.
+// primaryLost reports whether the detector takes the primary for dead and the
+// lease has expired.
 func (h *holder) primaryLost() bool {
-	return h.watch.State(time.Now()) == failuredetector.Dead && !h.lease.Valid(h.now())
+	return h.detector.State(time.Now()) == failuredetector.Dead && !h.lease.Valid(h.now())
 }
 
 func (h *holder) call(ctx context.Context, address string, kind transport.Kind, request, reply any) error {
@@ -126,7 +133,8 @@
 	return h.network.Call(ctx, address, kind, request, reply)
 }
 
-func pause(ctx context.Context) {
+// waitStep waits for stepInterval or the end of ctx.
+func waitStep(ctx context.Context) {
 	timer := time.NewTimer(stepInterval)
 	defer timer.Stop()
 	select {
--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -1,8 +1,8 @@
-// Command embedding uses the coordination packages without the daemons: three
-// members keep a table of records on a replicated log and grant leases on it, and
-// a holder acts on its copy only while its lease is valid. Everything runs in this
-// process, over the in-memory network and disks; transport.Listen and storage.Open
-// stand in their place on machines.
+// Command embedding shows how to use the coordination packages without the
+// daemons: three members keep a table of records on a replicated log and grant
+// leases on it, and a holder acts on its copy only while its lease is valid.
+// Everything runs in this process, over the in-memory network and store; a
+// deployment uses transport.Listen and storage.Open instead.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Kinds of messages of this program.
+// Message kinds of this program.
 const (
-	kindLog    transport.Kind = iota + 1 // one-way consensus.Message, member to member
-	kindUpdate                           // call updateRequest/updateReply, anybody to the primary
-	kindRenew                            // call renewal/grant, holder to the primary
+	kindLog    transport.Kind = 1 // one-way consensus.Message, member to member
+	kindUpdate transport.Kind = 2 // call updateRequest/updateReply, client to the primary
+	kindRenew  transport.Kind = 3 // call renewal/grant, holder to the primary
 )
 
-// The table: names below one apex, with one kind of record.
+// Names of the zone and of its only record.
 const (
 	apex        registry.Name = "locks.example."
 	typeLock                  = registry.FirstPrivateType
@@ -34,16 +34,16 @@
 )
 
 const (
-	// patience bounds every wait of the program.
-	patience = 30 * time.Second
+	// runTimeout bounds the whole run.
+	runTimeout = 30 * time.Second
 	// callTimeout bounds one call.
 	callTimeout = time.Second
-	// stepInterval is the time between two looks at something awaited.
+	// stepInterval is the time between two polls of a condition.
 	stepInterval = 20 * time.Millisecond
 )
 
 func main() {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	err := run(ctx, os.Stdout)
 	cancel()
 	if err != nil {
@@ -52,7 +52,8 @@
 	}
 }
 
-// run tells a short story about a lock and prints what becomes of it.
+// run claims a lock twice, takes a lease on the table, stops the primary, and
+// releases the lock at its successor. It prints each result.
 func run(ctx context.Context, output io.Writer) error {
 	network := transport.NewMemory()
 	group := consensus.Membership{Members: []consensus.Member{
@@ -61,18 +62,18 @@
 		{ID: "disk-c", Name: "c", Address: "address-c", Zone: "zone-3"},
 	}}
 	members := make(map[string]*member)
-	for i, described := range group.Members {
-		started, err := startMember(network, described, group, uint64(i))
+	for i, self := range group.Members {
+		started, err := startMember(network, self, group, uint64(i))
 		if err != nil {
 			return err
 		}
 		defer started.stop()
-		members[described.Address] = started
+		members[self.Address] = started
 	}
 	client := newHolder(network, group)
 	defer client.close()
 
-	// An update takes effect as a whole, and only if its prerequisites hold.
+	// An update is atomic, and applied only if its prerequisites are met.
 	lock := registry.Record{Name: printerLock, Type: typeLock, Data: []byte("held by anna")}
 	claim := registry.NewUpdate(apex, []registry.Record{registry.NotInUse(printerLock)}, []registry.Record{registry.Add(lock)})
 	for range 2 {
@@ -88,16 +89,16 @@
 		return fmt.Errorf("waiting for the lease: %w", err)
 	}
 	records := client.table.View().Lookup(printerLock, typeLock)
-	fmt.Fprintf(output, "lease: valid, serial %d in force everywhere: %s\n", client.active, records[0].Data)
+	fmt.Fprintf(output, "lease: valid, serial %d in force everywhere: %s\n", client.activeSerial, records[0].Data)
 
-	// The primary is lost: its silence is noticed, and the lease runs out.
+	// After the loss of the primary, the detector suspects it and the lease expires.
 	members[client.primary].stop()
 	if err := client.renewUntil(ctx, client.primaryLost); err != nil {
 		return fmt.Errorf("waiting for the loss of the primary: %w", err)
 	}
 	fmt.Fprintf(output, "primary lost, lease valid: %t\n", client.lease.Valid(client.now()))
 
-	// The two others go on with everything that was acknowledged.
+	// The other two members have every acknowledged update and elect a successor.
 	release := registry.NewUpdate(apex, []registry.Record{registry.Equals(lock)}, []registry.Record{registry.DeleteName(printerLock)})
 	reply, err := client.update(ctx, release)
 	if err != nil {
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// terms are short ones, so that the program is.
-func terms() lease.Config {
+// leaseConfig returns short lease terms, so that the program ends soon.
+func leaseConfig() lease.Config {
 	return lease.Config{
 		Duration:            900 * time.Millisecond,
 		ClockDriftMargin:    100 * time.Millisecond,
@@ -117,9 +118,10 @@
 	}
 }
 
+// schema returns the schema of the table: one record type, one record a name.
 func schema() (*registry.Schema, error) {
 	return registry.NewSchema(registry.Kind{Type: typeLock, Name: "LOCK", Singleton: true})
 }
 
-// errNotPrimary is what a member answers that does not lead.
+// errNotPrimary is the answer of a member that is not the leader or has stopped.
 var errNotPrimary = errors.New("not the primary")
--- a/examples/embedding/main_test.go
+++ b/examples/embedding/main_test.go
@@ -13,10 +13,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// page is the documentation with the output and excerpts of the program.
 const page = "../../docs/EMBEDDING.md"
 
-// told is what the program prints.
-const told = `claim: NOERROR, serial 2
+// wantOutput is the output of the program.
+const wantOutput = `claim: NOERROR, serial 2
 claim: YXDOMAIN, serial 2
 lease: valid, serial 2 in force everywhere: held by anna
 primary lost, lease valid: false
@@ -26,25 +27,26 @@
 // TestRun runs the program in virtual time.
 func TestRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), runTimeout)
 		defer cancel()
 		var output bytes.Buffer
 		if err := run(ctx, &output); err != nil {
 			t.Fatalf("%v after:\n%s", err, &output)
 		}
-		if difference := cmp.Diff(told, output.String()); difference != "" {
+		if difference := cmp.Diff(wantOutput, output.String()); difference != "" {
 			t.Error(difference)
 		}
 	})
 }
 
-// TestPage finds the output and every Go excerpt of the page in the program.
-func TestPage(t *testing.T) {
+// TestPageMatchesProgram finds the output of the program in the page, and every
+// Go excerpt of the page in the program.
+func TestPageMatchesProgram(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(text), told) {
+	if !strings.Contains(string(text), wantOutput) {
 		t.Error("the page shows another output")
 	}
 	files, err := filepath.Glob("*.go")
--- a/examples/embedding/member.go
+++ b/examples/embedding/member.go
@@ -13,7 +13,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// tickInterval is how often a member looks at the clock.
+// tickInterval is the interval between ticks of a member's consensus node.
 const tickInterval = 20 * time.Millisecond
 
 // updateRequest asks the primary to apply an update.
@@ -21,65 +21,72 @@
 	Update registry.Update `cbor:"1,keyasint"`
 }
 
-// updateReply is the result of an update that was committed.
+// updateReply is the result of a committed update.
 type updateReply struct {
 	Code   registry.ResponseCode `cbor:"1,keyasint"`
 	Serial uint32                `cbor:"2,keyasint"`
 }
 
-// renewal asks the primary for a lease, and tells what the holder has.
+// renewal asks the primary for a lease and reports the holder's serials.
 type renewal struct {
-	Holder, Incarnation string
-	Held, Active        uint32
-	Leaving, Valid      bool
-	Term                uint64
+	Holder         string
+	Incarnation    string
+	ReceivedSerial uint32 `cbor:"Held"`
+	ActiveSerial   uint32 `cbor:"Active"`
+	Release        bool   `cbor:"Leaving"`
+	LeaseValid     bool   `cbor:"Valid"`
+	Term           uint64
 }
 
-// request is the renewal as the grantor sees it.
-func (r *renewal) request() lease.Request {
+// leaseRequest returns the renewal as the grantor takes it.
+func (r *renewal) leaseRequest() lease.Request {
 	return lease.Request{
 		Holder: r.Holder, Incarnation: r.Incarnation,
-		ReceivedSerial: r.Held, ActiveSerial: r.Active,
-		Release: r.Leaving, LeaseValid: r.Valid, Term: r.Term,
+		ReceivedSerial: r.ReceivedSerial, ActiveSerial: r.ActiveSerial,
+		Release: r.Release, LeaseValid: r.LeaseValid, Term: r.Term,
 	}
 }
 
 // grant answers a renewal.
 type grant struct {
-	Term     uint64             `cbor:"1,keyasint"`
-	Length   time.Duration      `cbor:"2,keyasint"`
-	Activate uint32             `cbor:"3,keyasint"`
-	InForce  uint32             `cbor:"4,keyasint"` // 0 is not known yet
-	Transfer *registry.Transfer `cbor:"5,keyasint,omitempty"`
+	Term             uint64             `cbor:"1,keyasint"`
+	Duration         time.Duration      `cbor:"2,keyasint"`
+	ActivationSerial uint32             `cbor:"3,keyasint"`
+	SerialInForce    uint32             `cbor:"4,keyasint"` // 0 if not known yet
+	Transfer         *registry.Transfer `cbor:"5,keyasint,omitempty"`
 }
 
-// entryKey names a proposed entry: another leader may use the index again.
+// entryKey identifies a proposed entry. The index alone does not: a later leader
+// may overwrite an uncommitted entry at it.
 type entryKey struct{ index, term uint64 }
 
-// member is one of the three: a log, the table that follows from it, and, while
-// it leads, the leases. One goroutine owns all of it; others send it work.
+// member is one of the three: a log, the table built from it, and, while it
+// leads, the leases. The goroutine of loop owns group, table, grantor and pending;
+// others send it tasks.
 type member struct {
 	network   transport.Network
 	store     storage.Store
 	started   time.Time
 	addresses map[consensus.ID]string
-	work      chan func(now time.Duration)
-	quit      chan struct{}
+	tasks     chan func(now time.Duration)
+	stopping  chan struct{}
 	done      chan struct{}
 	stopOnce  sync.Once
 
 	group   *consensus.Node
 	table   *registry.Table
-	grantor *lease.Grantor // nil while not the primary
-	waiting map[entryKey]chan<- updateReply
+	grantor *lease.Grantor                  // nil while not the primary
+	pending map[entryKey]chan<- updateReply // proposed, not applied yet
 }
 
+// startMember starts a member of a new group. Its caller must stop it.
 func startMember(memory *transport.Memory, self consensus.Member, group consensus.Membership, seed uint64) (*member, error) {
 	kinds, err := schema()
 	if err != nil {
 		return nil, err
 	}
-	// Equal on all members: the log then makes equal tables of it.
+	// The first state must be equal on all members, so that the log builds equal
+	// tables.
 	table, err := registry.New(apex, kinds, registry.SOA{Primary: "a", Serial: 1}, []string{"a", "b", "c"})
 	if err != nil {
 		return nil, err
@@ -89,24 +96,41 @@
 		store:     storage.NewMemory(self.ID),
 		started:   time.Now(),
 		addresses: make(map[consensus.ID]string),
-		work:      make(chan func(time.Duration)),
-		quit:      make(chan struct{}),
+		tasks:     make(chan func(time.Duration)),
+		stopping:  make(chan struct{}),
 		done:      make(chan struct{}),
 		table:     table,
-		waiting:   make(map[entryKey]chan<- updateReply),
+		pending:   make(map[entryKey]chan<- updateReply),
 	}
 	for _, other := range group.Members {
 		m.addresses[other.ID] = other.Address
 	}
-	// The first snapshot founds the group. After a restart, Load returns the rest.
-	if err := m.store.SaveSnapshot(consensus.Snapshot{Index: 1, Term: 1, Membership: group}, 2); err != nil {
+	m.group, err = bootstrap(m.store, group, seed)
+	if err != nil {
+		return nil, err
+	}
+	m.network.Handle(kindLog, m.serveLog)
+	m.network.Handle(kindUpdate, m.serveUpdate)
+	m.network.Handle(kindRenew, m.serveRenew)
+	if err := m.network.Start(); err != nil {
+		return nil, err
+	}
+	go m.loop()
+	return m, nil
+}
+
+// bootstrap writes the first snapshot, which gives the group its members, and
+// returns the consensus node of what the store holds. After a restart, Load
+// returns what was persisted since.
+func bootstrap(store storage.Store, group consensus.Membership, seed uint64) (*consensus.Node, error) {
+	if err := store.SaveSnapshot(consensus.Snapshot{Index: 1, Term: 1, Membership: group}, 2); err != nil {
 		return nil, err
 	}
-	loaded, err := m.store.Load()
+	loaded, err := store.Load()
 	if err != nil {
 		return nil, err
 	}
-	m.group, err = consensus.New(consensus.Config{
+	return consensus.New(consensus.Config{
 		ID:        loaded.Identity,
 		Seed:      seed,
 		HardState: loaded.HardState,
@@ -114,54 +138,45 @@
 		Entries:   loaded.Entries,
 		Applied:   loaded.Snapshot.Index,
 	})
-	if err != nil {
-		return nil, err
-	}
-	m.network.Handle(kindLog, m.serveLog)
-	m.network.Handle(kindUpdate, m.serveUpdate)
-	m.network.Handle(kindRenew, m.serveRenew)
-	if err := m.network.Start(); err != nil {
-		return nil, err
-	}
-	go m.loop()
-	return m, nil
 }
 
-// stop ends the member, as a lost machine does for the others.
+// stop ends the member without notice to the others, as the loss of its machine
+// would. It may be called more than once.
 func (m *member) stop() {
 	m.stopOnce.Do(func() {
-		close(m.quit)
+		close(m.stopping)
 		<-m.done
-		_ = m.network.Close() // nothing is left to lose
+		_ = m.network.Close() // a failed Close loses nothing that is needed
 		_ = m.store.Close()
 	})
 }
 
 func (m *member) now() time.Duration { return time.Since(m.started) }
 
+// loop runs ticks and tasks until the member stops.
 func (m *member) loop() {
 	defer close(m.done)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-m.quit:
+		case <-m.stopping:
 			return
 		case <-ticker.C:
 			m.group.Tick(m.now())
-		case task := <-m.work:
+		case task := <-m.tasks:
 			task(m.now())
 		}
-		if err := m.follow(); err != nil {
-			return // a disk in doubt: the process must not go on
+		if err := m.processReady(); err != nil {
+			return // the state of the store is unknown: the member must not go on
 		}
 	}
 }
 
-// do runs a task in the loop.
+// do hands a task to the loop. It returns before the task has run.
 func (m *member) do(ctx context.Context, task func(now time.Duration)) error {
 	select {
-	case m.work <- task:
+	case m.tasks <- task:
 		return nil
 	case <-m.done:
 		return errNotPrimary
@@ -170,8 +185,8 @@
 	}
 }
 
-// follow carries out what the log asks for: persist, then send, then apply.
-func (m *member) follow() error {
+// processReady carries out what the log asks for: persist, then send, then apply.
+func (m *member) processReady() error {
 	for m.group.HasReady() {
 		ready := m.group.Ready()
 		if err := storage.Persist(m.store, ready); err != nil {
@@ -187,10 +202,11 @@
 		}
 		m.group.Advance(ready)
 	}
-	m.keepLeadership()
+	m.refreshGrantor()
 	return nil
 }
 
+// apply applies a committed entry to the table and answers whoever proposed it.
 func (m *member) apply(entry consensus.Entry) error {
 	if entry.Kind == consensus.EntryNormal && len(entry.Data) > 0 {
 		update, err := registry.DecodeUpdate(entry.Data)
@@ -199,20 +215,21 @@
 		}
 		result := m.table.Apply(&update, nil)
 		key := entryKey{entry.Index, entry.Term}
-		if reply, waits := m.waiting[key]; waits {
+		if reply, found := m.pending[key]; found {
 			reply <- updateReply{Code: result.Code, Serial: result.Serial}
-			delete(m.waiting, key)
+			delete(m.pending, key)
 		}
 	}
-	// The first own entry tells that everything from before is in the table.
+	// Once the first entry of the own term is applied, so is every entry before it.
 	if term, leading := m.group.Leadership(); leading && entry.Term == term && m.grantor == nil {
-		m.grantor = lease.NewGrantor(terms(), term, m.now(), m.table.Serial())
+		m.grantor = lease.NewGrantor(leaseConfig(), term, m.now(), m.table.Serial())
 	}
 	return nil
 }
 
-// keepLeadership ends the leadership with its term, and tells the leases what is new.
-func (m *member) keepLeadership() {
+// refreshGrantor drops the grantor when its term is over, and passes it the newest
+// serial and quorum contact until then.
+func (m *member) refreshGrantor() {
 	if m.grantor == nil {
 		return
 	}
@@ -232,7 +249,7 @@
 		return nil, err
 	}
 	return nil, m.do(ctx, func(now time.Duration) {
-		_ = m.group.Step(now, message) // what cannot be used is sent again
+		_ = m.group.Step(now, message) // peers resend a message that was rejected
 	})
 }
 
@@ -250,7 +267,7 @@
 	err = m.do(ctx, func(now time.Duration) {
 		index, term, err := m.group.Propose(now, data)
 		if err == nil {
-			m.waiting[entryKey{index, term}] = applied
+			m.pending[entryKey{index, term}] = applied
 		}
 		proposed <- err
 	})
@@ -275,19 +292,19 @@
 	if err := decode(&request); err != nil {
 		return nil, err
 	}
-	decided := make(chan *grant, 1)
-	err := m.do(ctx, func(now time.Duration) { decided <- m.renew(now, request.request()) })
+	granted := make(chan *grant, 1)
+	err := m.do(ctx, func(now time.Duration) { granted <- m.renew(now, request.leaseRequest()) })
 	if err != nil {
 		return nil, err
 	}
-	answer := <-decided
+	answer := <-granted
 	if answer == nil {
 		return nil, errNotPrimary
 	}
 	return answer, nil
 }
 
-// renew returns nil if this member may not grant.
+// renew decides a renewal; it returns nil if this member may not grant leases.
 func (m *member) renew(now time.Duration, request lease.Request) *grant {
 	if m.grantor == nil {
 		return nil
@@ -297,9 +314,13 @@
 	if !decision.Authoritative {
 		return nil
 	}
-	answer := &grant{Term: m.grantor.Term(), Length: decision.LeaseDuration, Activate: decision.ActivationSerial}
+	answer := &grant{
+		Term:             m.grantor.Term(),
+		Duration:         decision.LeaseDuration,
+		ActivationSerial: decision.ActivationSerial,
+	}
 	if serial, known := m.grantor.SerialInForce(); known {
-		answer.InForce = serial
+		answer.SerialInForce = serial
 	}
 	if request.ReceivedSerial != m.table.Serial() {
 		transfer := m.table.TransferSince(request.ReceivedSerial)
