--- a/examples/embedding/holder.go
+++ b/examples/embedding/holder.go
@@ -90,8 +90,8 @@
 	sent := h.now()
 	request := renewal{
 		Holder: "holder", Incarnation: "1",
-		ReceivedSerial: h.table.Serial(), ActiveSerial: h.activeSerial,
-		LeaseValid: h.lease.Valid(sent), Term: h.lease.Term(),
+		Held: h.table.Serial(), Active: h.activeSerial,
+		Valid: h.lease.Valid(sent), Term: h.lease.Term(),
 	}
 	var granted grant
 	if err := h.call(ctx, h.primary, kindRenew, &request, &granted); err != nil {
--- a/examples/embedding/member.go
+++ b/examples/embedding/member.go
@@ -27,23 +27,21 @@
 	Serial uint32                `cbor:"2,keyasint"`
 }
 
-// renewal asks the primary for a lease and reports the holder's serials.
+// renewal asks the primary for a lease and reports the holder's serials. Its field
+// names are its keys in a message; lease.Request has the words for them.
 type renewal struct {
-	Holder         string
-	Incarnation    string
-	ReceivedSerial uint32 `cbor:"Held"`
-	ActiveSerial   uint32 `cbor:"Active"`
-	Release        bool   `cbor:"Leaving"`
-	LeaseValid     bool   `cbor:"Valid"`
-	Term           uint64
+	Holder, Incarnation string
+	Held, Active        uint32 // the serial received, and the one acted on
+	Leaving, Valid      bool   // releases the lease; the lease is valid at the holder
+	Term                uint64
 }
 
 // leaseRequest returns the renewal as the grantor takes it.
 func (r *renewal) leaseRequest() lease.Request {
 	return lease.Request{
 		Holder: r.Holder, Incarnation: r.Incarnation,
-		ReceivedSerial: r.ReceivedSerial, ActiveSerial: r.ActiveSerial,
-		Release: r.Release, LeaseValid: r.LeaseValid, Term: r.Term,
+		ReceivedSerial: r.Held, ActiveSerial: r.Active,
+		Release: r.Leaving, LeaseValid: r.Valid, Term: r.Term,
 	}
 }
 
