--- a/cmd/deckpulley-bench/main.go
+++ b/cmd/deckpulley-bench/main.go
@@ -1,5 +1,6 @@
 // Command deckpulley-bench measures control nodes and a gateway on this machine
-// and prints Markdown tables. No deployment runs it.
+// and prints Markdown tables; see package internal/benchmark. It is no part of a
+// deployment.
 package main
 
 import (
@@ -18,6 +19,10 @@
 // workerCommand is the hidden subcommand of child processes.
 const workerCommand = "worker"
 
+// measureFunc runs the selected measurements and returns their tables; with an
+// error, those that were finished.
+type measureFunc func(benchmark.Options) ([]benchmark.Table, error)
+
 func main() {
 	command := &cobra.Command{
 		Use:           "deckpulley-bench",
@@ -43,7 +48,9 @@
 	}
 }
 
-func measureCommand(name, short, parts string, measure func(benchmark.Options) ([]benchmark.Table, error)) *cobra.Command {
+// measureCommand returns the subcommand of a benchmark. Its name is also that of
+// the section that --write replaces.
+func measureCommand(name, short, measurements string, measure measureFunc) *cobra.Command {
 	var options benchmark.Options
 	var page string
 	var verbose bool
@@ -68,19 +75,19 @@
 	}
 	flags := command.Flags()
 	flags.BoolVar(&options.Short, "short", false, "under 20 seconds, to see that every measurement runs")
-	flags.StringSliceVar(&options.Only, "only", nil, "measurements to run: "+parts)
+	flags.StringSliceVar(&options.Only, "only", nil, "measurements to run: "+measurements)
 	flags.StringVar(&options.Profiles, "profiles", "", "folder for CPU profiles")
 	flags.StringVar(&page, "write", "", "page whose section is replaced by the tables")
 	flags.BoolVar(&verbose, "verbose", false, "print the nodes' warnings")
 	return command
 }
 
-// run prints what was measured, also before an error, and writes the page only
-// when everything was.
-func run(section, page string, options benchmark.Options, measure func(benchmark.Options) ([]benchmark.Table, error)) error {
+// run prints the finished tables, also those before an error, and replaces the
+// section of the page only if every measurement succeeded.
+func run(section, page string, options benchmark.Options, measure measureFunc) error {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "\n%s\n", benchmark.Machine(options.Short))
-	tables, failure := measure(options)
+	tables, measureErr := measure(options)
 	if err := benchmark.WriteTables(&text, tables); err != nil {
 		return err
 	}
@@ -88,8 +95,8 @@
 	if _, err := os.Stdout.Write(text.Bytes()); err != nil {
 		return fmt.Errorf("printing: %w", err)
 	}
-	if failure != nil || page == "" {
-		return failure
+	if measureErr != nil || page == "" {
+		return measureErr
 	}
 	return benchmark.ReplaceSection(page, section, text.Bytes())
 }
--- a/cmd/deckpulley-experiment/main.go
+++ b/cmd/deckpulley-experiment/main.go
@@ -1,10 +1,12 @@
-// Command deckpulley-experiment compares and tunes decisions on emulated
-// replicas and generated callers. No deployment runs it.
+// Command deckpulley-experiment compares placement policies and shows the step
+// response of the controllers, on emulated replicas under generated load. It is no
+// part of a deployment.
 package main
 
 import (
 	"context"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -21,12 +23,12 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	var out output
-	command.PersistentFlags().StringVar(&out.folder, "out", "out", "folder for figures")
-	command.PersistentFlags().StringVar(&out.format, "format", "svg", "form of figures: svg or png")
-	command.AddCommand(placementCommand(&out))
+	var figures figureOutput
+	command.PersistentFlags().StringVar(&figures.folder, "out", "out", "folder for figures")
+	command.PersistentFlags().StringVar(&figures.format, "format", "svg", "form of figures: svg or png")
+	command.AddCommand(placementCommand(&figures))
 	for _, disturbance := range experiment.Disturbances() {
-		command.AddCommand(responseCommand(&out, disturbance))
+		command.AddCommand(responseCommand(&figures, disturbance))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	err := command.ExecuteContext(ctx)
@@ -37,30 +39,14 @@
 	}
 }
 
-func placementCommand(out *output) *cobra.Command {
+func placementCommand(figures *figureOutput) *cobra.Command {
 	config := experiment.DefaultPlacementConfig()
 	command := &cobra.Command{
 		Use:   "placement",
 		Short: "Compare placement policies on the same seeded load, in virtual time",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			points, err := experiment.Placement(config)
-			if err != nil {
-				return err
-			}
-			if err := experiment.WritePlacementTable(command.OutOrStdout(), points); err != nil {
-				return err
-			}
-			fmt.Fprintln(command.OutOrStdout())
-			if err := experiment.WriteComparisons(command.OutOrStdout(), experiment.Compare(points)); err != nil {
-				return err
-			}
-			path, err := out.path("placement")
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(command.OutOrStdout(), "\nfigure:", path)
-			return experiment.PlotPlacement(path, points)
+			return comparePlacement(command.OutOrStdout(), figures, config)
 		},
 	}
 	flags := command.Flags()
@@ -71,7 +57,28 @@
 	return command
 }
 
-func responseCommand(out *output, disturbance experiment.Disturbance) *cobra.Command {
+// comparePlacement runs the comparison, prints its tables and plots its figure.
+func comparePlacement(out io.Writer, figures *figureOutput, config experiment.PlacementConfig) error {
+	points, err := experiment.Placement(config)
+	if err != nil {
+		return err
+	}
+	if err := experiment.WritePlacementTable(out, points); err != nil {
+		return err
+	}
+	fmt.Fprintln(out)
+	if err := experiment.WriteComparisons(out, experiment.Compare(points)); err != nil {
+		return err
+	}
+	path, err := figures.path("placement")
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "\nfigure:", path)
+	return experiment.PlotPlacement(path, points)
+}
+
+func responseCommand(figures *figureOutput, disturbance experiment.Disturbance) *cobra.Command {
 	var deployment string
 	var seed uint64
 	command := &cobra.Command{
@@ -79,19 +86,7 @@
 		Short: "Show how the controllers respond, with real routers in real time",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			response, err := experiment.Respond(command.Context(), deployment, disturbance, seed)
-			if err != nil {
-				return err
-			}
-			if err := experiment.WriteResponse(command.OutOrStdout(), response); err != nil {
-				return err
-			}
-			path, err := out.path(string(disturbance) + "-" + deployment)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(command.OutOrStdout(), "figure:", path)
-			return experiment.PlotResponse(path, response)
+			return showResponse(command.Context(), command.OutOrStdout(), figures, deployment, disturbance, seed)
 		},
 	}
 	command.Flags().StringVar(&deployment, "deployment", "kodovka", "kodovka or georgia")
@@ -99,14 +94,34 @@
 	return command
 }
 
-// output says where figures go.
-type output struct {
+// showResponse runs one disturbance, prints the response and plots its figure.
+func showResponse(
+	ctx context.Context, out io.Writer, figures *figureOutput,
+	deployment string, disturbance experiment.Disturbance, seed uint64,
+) error {
+	response, err := experiment.Respond(ctx, deployment, disturbance, seed)
+	if err != nil {
+		return err
+	}
+	if err := experiment.WriteResponse(out, response); err != nil {
+		return err
+	}
+	path, err := figures.path(string(disturbance) + "-" + deployment)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "figure:", path)
+	return experiment.PlotResponse(path, response)
+}
+
+// figureOutput says where figures are written, and in which format.
+type figureOutput struct {
 	folder string
-	format string
+	format string // svg or png
 }
 
-// path makes the folder and returns the path of a figure in it.
-func (o *output) path(name string) (string, error) {
+// path creates the folder if needed and returns the path of a figure in it.
+func (o *figureOutput) path(name string) (string, error) {
 	if o.format != "svg" && o.format != "png" {
 		return "", fmt.Errorf("--format: %q is neither svg nor png", o.format)
 	}
--- a/cmd/deckpulley-scale/main.go
+++ b/cmd/deckpulley-scale/main.go
@@ -1,9 +1,9 @@
-// Command deckpulley-scale measures what the control plane costs at growing
-// sizes and what relaying costs a gateway; see package internal/scale. It prints
-// the slopes, works out the target size from them, and with --write puts the
-// tables into the capacity page between its markers.
+// Command deckpulley-scale measures the cost of the control plane at growing
+// sizes, and that of relaying streams at a gateway; see package internal/scale. It
+// prints the slopes, extrapolates them to the target size, and with --write
+// replaces the tables between the markers of the capacity page.
 //
-// It is no part of a deployment. Exit status: 0 after a whole measurement, 1
+// It is no part of a deployment. Exit status: 0 after a complete measurement, 1
 // after a failure, 2 for usage.
 package main
 
@@ -22,11 +22,12 @@
 const (
 	exitFailure = 1
 	exitUsage   = 2
-	// runLimit ends a measurement that hangs.
-	runLimit = 8 * time.Minute
+	// runTimeout bounds a measurement, so that one that hangs ends.
+	runTimeout = 8 * time.Minute
 )
 
 func main() {
+	// Children of a measurement are started by it, not by a person: no flags.
 	if len(os.Args) == 2 && os.Args[1] == scale.ChildArgument {
 		if err := scale.ServeChild(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "deckpulley-scale: child:", err)
@@ -34,19 +35,21 @@
 		}
 		return
 	}
-	usage := true
-	command := newCommand(&usage)
+	measuring := false
+	command := newCommand(&measuring)
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "deckpulley-scale:", err)
-		if usage {
-			os.Exit(exitUsage)
+		if measuring {
+			os.Exit(exitFailure)
 		}
-		os.Exit(exitFailure)
+		os.Exit(exitUsage)
 	}
 }
 
-func newCommand(usage *bool) *cobra.Command {
-	chosen := scale.DefaultPlan()
+// newCommand returns the root command. It sets measuring once the flags were
+// accepted: errors from then on are failures, not errors of usage.
+func newCommand(measuring *bool) *cobra.Command {
+	plan := scale.DefaultPlan()
 	command := &cobra.Command{
 		Use:           "deckpulley-scale",
 		Short:         "Measure the control plane at growing sizes",
@@ -54,24 +57,24 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if err := chosen.Check(); err != nil {
+			if err := plan.Check(); err != nil {
 				return err
 			}
-			*usage = false
+			*measuring = true
 			ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt)
 			defer stop()
-			ctx, cancel := context.WithTimeout(ctx, runLimit)
+			ctx, cancel := context.WithTimeout(ctx, runTimeout)
 			defer cancel()
-			return chosen.Run(ctx, command.OutOrStdout(), command.ErrOrStderr())
+			return plan.Run(ctx, command.OutOrStdout(), command.ErrOrStderr())
 		},
 	}
 	flags := command.Flags()
-	flags.IntSliceVar(&chosen.Gateways, "gateways", chosen.Gateways, "numbers of hollow gateways")
-	flags.IntSliceVar(&chosen.Replicas, "replicas", chosen.Replicas, "numbers of listed replicas")
-	flags.IntVar(&chosen.BaseReplicas, "base-replicas", chosen.BaseReplicas, "listed replicas while the gateways grow")
-	flags.IntVar(&chosen.BaseGateways, "base-gateways", chosen.BaseGateways, "hollow gateways while the replicas grow")
-	flags.IntSliceVar(&chosen.Streams, "streams", chosen.Streams, "numbers of streams through one real gateway")
-	flags.IntVar(&chosen.Nodes, "nodes", chosen.Nodes, "measure this one number of hollow gateways, with one number of --replicas")
-	flags.StringVar(&chosen.Page, "write", chosen.Page, "page to put the tables into, between its markers")
+	flags.IntSliceVar(&plan.Gateways, "gateways", plan.Gateways, "numbers of hollow gateways")
+	flags.IntSliceVar(&plan.Replicas, "replicas", plan.Replicas, "numbers of listed replicas")
+	flags.IntVar(&plan.BaseReplicas, "base-replicas", plan.BaseReplicas, "listed replicas while the gateways grow")
+	flags.IntVar(&plan.BaseGateways, "base-gateways", plan.BaseGateways, "hollow gateways while the replicas grow")
+	flags.IntSliceVar(&plan.Streams, "streams", plan.Streams, "numbers of streams through one real gateway")
+	flags.IntVar(&plan.Nodes, "nodes", plan.Nodes, "measure this one number of hollow gateways, with one number of --replicas")
+	flags.StringVar(&plan.Page, "write", plan.Page, "page to put the tables into, between its markers")
 	return command
 }
--- a/cmd/deckpulley-simulate/main.go
+++ b/cmd/deckpulley-simulate/main.go
@@ -1,5 +1,9 @@
-// Command deckpulley-simulate plays histories of the control plane in virtual
-// time, with faults, and checks each of them.
+// Command deckpulley-simulate runs seeded simulations of the control plane in
+// virtual time, with injected faults, and checks the invariants of each. With
+// --planted it counts the simulations until each planted defect is detected.
+//
+// It is no part of a deployment. Exit status: 0 if every check passed, 1 after a
+// violation or an undetected defect, 2 for usage.
 package main
 
 import (
@@ -23,11 +27,15 @@
 const (
 	defaultHistories = 2000
 	defaultWorkers   = 4
-	// huntLimit is the number of histories until a planted defect counts as missed.
+	// huntLimit is the number of histories after which a planted defect counts as
+	// missed, unless --seeds gives another.
 	huntLimit = 20000
+)
 
-	statusFailed  = 1
-	statusInvalid = 2
+// Exit statuses.
+const (
+	statusFailed = 1
+	statusUsage  = 2
 )
 
 var (
@@ -40,12 +48,27 @@
 	seeds     int
 	firstSeed uint64
 	workers   int
-	duration  time.Duration
+	duration  time.Duration // virtual time; 0 for the default
 	planted   bool
 	only      string
 }
 
+// validate returns an error if a flag is out of range.
+func (o *options) validate() error {
+	if o.seeds < 1 || o.workers < 1 || o.duration < 0 {
+		return errors.New("--seeds and --workers must be above zero, --duration not below")
+	}
+	return nil
+}
+
 func main() {
+	if err := newCommand().Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "deckpulley-simulate:", err)
+		os.Exit(exitStatus(err))
+	}
+}
+
+func newCommand() *cobra.Command {
 	var flags options
 	command := &cobra.Command{
 		Use:           "deckpulley-simulate",
@@ -54,13 +77,13 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if flags.seeds < 1 || flags.workers < 1 || flags.duration < 0 {
-				return errors.New("--seeds and --workers must be above zero, --duration not below")
+			if err := flags.validate(); err != nil {
+				return err
 			}
 			if flags.planted {
 				return hunt(command.OutOrStdout(), command.ErrOrStderr(), flags)
 			}
-			return play(command.OutOrStdout(), flags)
+			return simulate(command.OutOrStdout(), flags)
 		},
 	}
 	set := command.Flags()
@@ -70,35 +93,33 @@
 	set.DurationVar(&flags.duration, "duration", 0, "virtual time with faults in each history, 0 for the default")
 	set.BoolVar(&flags.planted, "planted", false, "plant each known defect in turn and count the histories until it is caught")
 	set.StringVar(&flags.only, "only", "", "with --planted: only the defects whose name contains this")
-	if err := command.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "deckpulley-simulate:", err)
-		os.Exit(status(err))
-	}
+	return command
 }
 
-func status(err error) int {
+func exitStatus(err error) int {
 	if errors.Is(err, errViolations) || errors.Is(err, errMissed) {
 		return statusFailed
 	}
-	return statusInvalid
+	return statusUsage
 }
 
-// play plays histories of the true code.
-func play(out io.Writer, flags options) error {
+// simulate runs histories of the code without planted defects.
+func simulate(out io.Writer, flags options) error {
 	var summary simulation.Summary
-	began := time.Now()
+	started := time.Now()
 	simulation.Batch(flags.firstSeed, flags.seeds, flags.workers, simulation.Options{Duration: flags.duration}, summary.Add)
-	report(out, summary, time.Since(began))
+	writeReport(out, summary, time.Since(started))
 	if len(summary.Failures) > 0 {
 		return fmt.Errorf("%w in %d of %d histories", errViolations, len(summary.Failures), summary.Histories)
 	}
 	return nil
 }
 
-func report(out io.Writer, summary simulation.Summary, took time.Duration) {
-	rate := float64(summary.Histories) / took.Seconds()
+// writeReport prints the totals, the injected faults and the violations by seed.
+func writeReport(out io.Writer, summary simulation.Summary, elapsed time.Duration) {
+	rate := float64(summary.Histories) / elapsed.Seconds()
 	total := summary.Total
-	fmt.Fprintf(out, "%d histories in %.1f s, %.1f histories/s\n", summary.Histories, took.Seconds(), rate)
+	fmt.Fprintf(out, "%d histories in %.1f s, %.1f histories/s\n", summary.Histories, elapsed.Seconds(), rate)
 	fmt.Fprintf(out, "%d steps, %d elections, %d entries committed, %d orders answered, %d placements\n",
 		total.Steps, total.Elections, total.Committed, total.Answered, total.Placements)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -114,23 +135,31 @@
 	fmt.Fprintf(out, "violations: %d\n", len(summary.Failures))
 }
 
-// hunt plants each defect in turn. It says on progress when one is done.
+// hunt plants each selected defect in turn and counts the histories until a check
+// detects it. It writes one line to progress whenever a defect is finished.
 func hunt(out, progress io.Writer, flags options) error {
 	limit := flags.seeds
 	if limit == defaultHistories {
 		limit = huntLimit
 	}
-	all := slices.DeleteFunc(defect.All(), func(planted defect.Defect) bool {
+	defects := slices.DeleteFunc(defect.All(), func(planted defect.Defect) bool {
 		return !strings.Contains(planted.String(), flags.only)
 	})
-	catches := make([]simulation.Catch, len(all))
-	simulation.Each(len(all), flags.workers, func(position int) {
-		catches[position] = simulation.Hunt(all[position], flags.firstSeed, limit)
-		fmt.Fprintf(progress, "%s: %d histories\n", all[position], catches[position].Seeds)
+	catches := make([]simulation.Catch, len(defects))
+	simulation.Each(len(defects), flags.workers, func(index int) {
+		catches[index] = simulation.Hunt(defects[index], flags.firstSeed, limit)
+		fmt.Fprintf(progress, "%s: %d histories\n", defects[index], catches[index].Seeds)
 	})
+	if missed := writeCatches(out, catches); missed > 0 {
+		return fmt.Errorf("%w: %d of %d", errMissed, missed, len(defects))
+	}
+	return nil
+}
+
+// writeCatches prints one row a defect and returns how many were missed.
+func writeCatches(out io.Writer, catches []simulation.Catch) (missed int) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "planted defect\thistories until caught\tseed\trule that caught it")
-	missed := 0
 	for _, catch := range catches {
 		if catch.Violation == nil {
 			missed++
@@ -140,8 +169,5 @@
 		fmt.Fprintf(table, "%s\t%d\t%d\t%s\n", catch.Defect, catch.Seeds, catch.Seed, catch.Violation.Rule)
 	}
 	_ = table.Flush()
-	if missed > 0 {
-		return fmt.Errorf("%w: %d of %d", errMissed, missed, len(all))
-	}
-	return nil
+	return missed
 }
--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -1,5 +1,5 @@
-// Command standin-platform lists the replicas of a fleet to its control nodes,
-// for tests and trials on one machine. No deployment runs it.
+// Command standin-platform sends the list of a fleet's replicas to its control
+// nodes, for tests and trials on one machine. It is no part of a deployment.
 package main
 
 import (
@@ -12,6 +12,7 @@
 	"os"
 	"os/signal"
 	"strings"
+	"sync"
 	"syscall"
 	"time"
 
@@ -48,6 +49,7 @@
 	command.Execute(root, "control", "replicas")
 }
 
+// run sends the replica list and serves the control port until ctx ends.
 func run(ctx context.Context, flags options) error {
 	token, err := readToken(flags)
 	if err != nil {
@@ -57,7 +59,7 @@
 		Control:      flags.control,
 		ReplicasFile: flags.replicas,
 		Token:        token,
-		Logger:       logger(flags.verbose),
+		Logger:       newLogger(flags.verbose),
 	}
 	if flags.log != "" {
 		writer, err := eventlog.Open(flags.log, flags.name)
@@ -73,21 +75,24 @@
 		return command.ServingError{Err: fmt.Errorf("listening: %w", err)}
 	}
 	server := command.NewServer(platform)
-	go func() {
+	var serving sync.WaitGroup
+	serving.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			config.Logger.Error("serving", "error", err)
 		}
-	}()
+	})
 	config.Logger.Info("serving", "address", listener.Addr().String())
 	reloadLoop(ctx, platform, config.Logger)
-	return server.Close()
+	err = server.Close()
+	serving.Wait()
+	return err
 }
 
-// resendPause is the time between attempts while no node acknowledges the list.
-const resendPause = time.Second
+// resendInterval is the time between attempts while no node acknowledges the list.
+const resendInterval = time.Second
 
-// reloadLoop sends the list at once and again on each SIGHUP. A list that no
-// node has acknowledged is sent again until one does.
+// reloadLoop sends the list at once and again on each SIGHUP, until ctx ends. A
+// list that no node has acknowledged is sent again after resendInterval.
 func reloadLoop(ctx context.Context, platform *standin.Platform, logger *slog.Logger) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -96,7 +101,7 @@
 		var resend <-chan time.Time
 		if err := platform.Reload(ctx); err != nil {
 			logger.Error("replica list not acknowledged", "error", err)
-			resend = time.After(resendPause)
+			resend = time.After(resendInterval)
 		} else {
 			logger.Info("replica list acknowledged")
 		}
@@ -109,6 +114,7 @@
 	}
 }
 
+// readToken returns the token of the token file, or that of --token without one.
 func readToken(flags options) (string, error) {
 	if flags.tokenFile == "" {
 		return flags.token, nil
@@ -120,7 +126,7 @@
 	return strings.TrimSpace(string(content)), nil
 }
 
-func logger(verbose bool) *slog.Logger {
+func newLogger(verbose bool) *slog.Logger {
 	level := slog.LevelInfo
 	if verbose {
 		level = slog.LevelDebug
--- a/cmd/standin-replica/main.go
+++ b/cmd/standin-replica/main.go
@@ -1,5 +1,5 @@
 // Command standin-replica serves one emulated replica, for tests and trials of
-// a fleet on one machine. No deployment runs it.
+// a fleet on one machine. It is no part of a deployment.
 package main
 
 import (
@@ -16,10 +16,11 @@
 	"github.com/deckpulley/deckpulley/internal/standin/command"
 )
 
-// statusCrash is the exit status of the told crash.
+// statusCrash is the exit status of an injected crash, that of a process ended by
+// SIGKILL.
 const statusCrash = 137
 
-// shutdownTimeout bounds the draining at the end.
+// shutdownTimeout bounds how long the requests in flight may drain at the end.
 const shutdownTimeout = 5 * time.Second
 
 // options are the flags.
@@ -51,6 +52,7 @@
 	command.Execute(root, "id", "service")
 }
 
+// run serves the replica until ctx ends.
 func run(ctx context.Context, flags options) error {
 	parameters, err := loadParameters(flags)
 	if err != nil {
@@ -88,6 +90,8 @@
 	return serve(ctx, listener, replica)
 }
 
+// loadParameters returns the parameters of the file, or the defaults of the kind
+// without one.
 func loadParameters(flags options) (emulator.Parameters, error) {
 	kind := emulator.Kind(flags.kind)
 	if flags.parameters != "" {
@@ -97,20 +101,20 @@
 	return parameters, parameters.Validate()
 }
 
-// serve answers until ctx ends, then drains for a bounded time.
+// serve serves requests until ctx ends, then drains for shutdownTimeout at most.
 func serve(ctx context.Context, listener net.Listener, replica *standin.Server) error {
 	server := command.NewServer(replica)
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return command.ServingError{Err: fmt.Errorf("serving: %w", err)}
 	case <-ctx.Done():
 	}
 	replica.SetDraining(true)
-	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := server.Shutdown(shutdown); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		return server.Close()
 	}
 	return nil
