--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -1,7 +1,8 @@
-// Package hollow runs what a fleet's size is made of, without its work: gateways
-// that keep a lease and a copy of the registry but carry no request, and replicas
-// that compute nothing. Many fit into one process, to measure what they cost the
-// others and each other. Deployments do not run it.
+// Package hollow runs gateways and replicas without their work, as Kubernetes'
+// kubemark runs hollow nodes: gateways that hold a lease and a copy of the registry
+// but carry no requests, and replicas that compute nothing. Many fit into one
+// process, so that the cost of a large fleet is measured on one machine. It is no
+// part of a deployment.
 package hollow
 
 import (
@@ -21,35 +22,37 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// FleetOptions set up the gateways of one process.
+// FleetOptions configures the gateways of one process.
 type FleetOptions struct {
-	// Count of gateways.
+	// Count is the number of gateways.
 	Count int
-	// Prefix of their names.
+	// Prefix begins their names; the index follows it.
 	Prefix string
-	// Zone and Region name the place of the gateway with an index.
-	Place func(index int) (zone, region string)
-	// Host is the loopback address to listen on; the ports are the system's choice.
+	// Location returns the zone and region of the gateway with an index.
+	Location func(index int) (zone, region string)
+	// Host is the loopback address to listen on; the system chooses the ports.
 	Host string
-	// Seeds are the peers' addresses of control nodes.
+	// Seeds are the peer addresses of control nodes.
 	Seeds []string
-	// Keys are the fleet's keys.
+	// Keys are the fleet's transport keys.
 	Keys [][]byte
-	// Terms are the fleet's lease terms.
-	Terms lease.Config
+	// LeaseConfig is the fleet's configuration of leases.
+	LeaseConfig lease.Config
 }
 
-// Fleet is a number of hollow gateways.
+// Fleet is a set of hollow gateways. It is not safe for concurrent use.
 type Fleet struct {
 	options  FleetOptions
 	started  time.Time
 	gateways []*hollowGateway
-	retired  map[transport.Kind]transport.KindCounters // of gateways that were restarted
+	// retired sums the transport counters of gateways that were restarted.
+	retired map[transport.Kind]transport.KindCounters
 
-	mutex       sync.Mutex
+	mutex       sync.Mutex // guards activations, which agents write
 	activations map[uint64]Activation
 }
 
+// hollowGateway is a gateway's agent with a network of its own.
 type hollowGateway struct {
 	network     *transport.Node
 	agent       *agent.Agent
@@ -58,22 +61,22 @@
 	loop        sync.WaitGroup
 }
 
-// stop ends the gateway without a word to the primary.
+// stop ends the gateway without releasing its lease.
 func (g *hollowGateway) stop() {
 	g.cancel()
 	_ = g.network.Close()
 	g.loop.Wait()
 }
 
-// Activation says how many gateways have made a configuration version active,
-// and when the last of them did, in nanoseconds of eventlog.Now.
+// Activation says how far the activation of a configuration version has come.
 type Activation struct {
+	// Gateways is the number of gateways at which the version became active.
 	Gateways int
-	Last     int64
+	// LastAt is when it did at the last of them, in nanoseconds of eventlog.Now.
+	LastAt int64
 }
 
-// Start starts the gateways. Stop them with Close. The methods of a Fleet are for
-// one goroutine.
+// Start starts the gateways. The caller must stop them with Close.
 func Start(options FleetOptions) (*Fleet, error) {
 	fleet := &Fleet{
 		options:     options,
@@ -82,18 +85,18 @@
 		activations: make(map[uint64]Activation),
 	}
 	for i := range options.Count {
-		member, err := fleet.startGateway(i, 1)
+		started, err := fleet.startGateway(i, 1)
 		if err != nil {
 			fleet.Close()
 			return nil, err
 		}
-		fleet.gateways = append(fleet.gateways, member)
+		fleet.gateways = append(fleet.gateways, started)
 	}
 	return fleet, nil
 }
 
-// Restart ends some gateways as lost machines would and starts each again as a
-// new incarnation at another port.
+// Restart stops the first count gateways, as the loss of their machines would, and
+// starts each as a new incarnation at another port.
 func (f *Fleet) Restart(count int) error {
 	for i := range min(count, len(f.gateways)) {
 		lost := f.gateways[i]
@@ -101,11 +104,11 @@
 		for kind, counters := range lost.network.Counters() {
 			f.retired[kind] = AddCounters(f.retired[kind], counters)
 		}
-		member, err := f.startGateway(i, lost.incarnation+1)
+		restarted, err := f.startGateway(i, lost.incarnation+1)
 		if err != nil {
 			return err
 		}
-		f.gateways[i] = member
+		f.gateways[i] = restarted
 	}
 	return nil
 }
@@ -116,10 +119,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow gateway %s: %w", name, err)
 	}
-	zone, region := f.options.Place(index)
+	zone, region := f.options.Location(index)
 	ctx, cancel := context.WithCancel(context.Background())
-	member := &hollowGateway{network: network, incarnation: incarnation, cancel: cancel}
-	member.agent = agent.New(agent.Options{
+	started := &hollowGateway{network: network, incarnation: incarnation, cancel: cancel}
+	started.agent = agent.New(agent.Options{
 		Gateway: peer.GatewayInfo{
 			Name:        name,
 			Incarnation: strconv.Itoa(incarnation),
@@ -129,37 +132,38 @@
 			HTTPAddress: network.Address(),
 		},
 		Seeds:       f.options.Seeds,
-		LeaseConfig: f.options.Terms,
+		LeaseConfig: f.options.LeaseConfig,
 		Network:     network,
 		Clock:       func() time.Duration { return time.Since(f.started) },
-		OnActivate:  f.activated(),
+		OnActivate:  f.recordActivation(),
 		Logger:      slog.New(slog.DiscardHandler),
 	})
 	if err := network.Start(); err != nil {
 		cancel()
 		return nil, fmt.Errorf("hollow gateway %s: %w", name, err)
 	}
-	member.loop.Go(func() { member.agent.Run(ctx) })
-	return member, nil
+	started.loop.Go(func() { started.agent.Run(ctx) })
+	return started, nil
 }
 
-// activated returns one gateway's note of what becomes active there.
-func (f *Fleet) activated() func(*catalog.State) {
-	newest := uint64(0)
-	return func(contents *catalog.State) {
-		version := contents.Version()
-		if version == newest {
+// recordActivation returns the OnActivate callback of one gateway. It counts each
+// version once, also if the gateway activates several states of it.
+func (f *Fleet) recordActivation() func(*catalog.State) {
+	activeVersion := uint64(0)
+	return func(state *catalog.State) {
+		version := state.Version()
+		if version == activeVersion {
 			return
 		}
-		newest = version
+		activeVersion = version
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		noted := f.activations[version]
-		f.activations[version] = Activation{Gateways: noted.Gateways + 1, Last: eventlog.Now()}
+		recorded := f.activations[version]
+		f.activations[version] = Activation{Gateways: recorded.Gateways + 1, LastAt: eventlog.Now()}
 	}
 }
 
-// Activation returns what is known of a version.
+// Activation returns how far the activation of a version has come.
 func (f *Fleet) Activation(version uint64) Activation {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -169,26 +173,27 @@
 // Leases counts the gateways with a valid lease.
 func (f *Fleet) Leases() int {
 	valid := 0
-	for _, member := range f.gateways {
-		if member.agent.Valid() {
+	for _, gateway := range f.gateways {
+		if gateway.agent.Valid() {
 			valid++
 		}
 	}
 	return valid
 }
 
-// Counters sums the transport's counters of all gateways, past ones included.
+// Counters sums the transport counters of all gateways, including those of earlier
+// incarnations.
 func (f *Fleet) Counters() map[transport.Kind]transport.KindCounters {
 	sum := maps.Clone(f.retired)
-	for _, member := range f.gateways {
-		for kind, counters := range member.network.Counters() {
+	for _, gateway := range f.gateways {
+		for kind, counters := range gateway.network.Counters() {
 			sum[kind] = AddCounters(sum[kind], counters)
 		}
 	}
 	return sum
 }
 
-// AddCounters adds two readings.
+// AddCounters returns the sum of two readings.
 func AddCounters(a, b transport.KindCounters) transport.KindCounters {
 	a.SentMessages += b.SentMessages
 	a.SentBytes += b.SentBytes
@@ -198,9 +203,9 @@
 	return a
 }
 
-// Close stops the gateways without a word to the primary.
+// Close stops the gateways without releasing their leases.
 func (f *Fleet) Close() {
-	for _, member := range f.gateways {
-		member.stop()
+	for _, gateway := range f.gateways {
+		gateway.stop()
 	}
 }
--- a/internal/hollow/replica.go
+++ b/internal/hollow/replica.go
@@ -11,52 +11,57 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// Replica answers reports and streams tokens at a steady pace, and computes
+// Replica answers report requests and streams tokens at a fixed rate, and computes
 // nothing. It serves any number of requests at once.
 type Replica struct {
-	// ID and Service as the platform lists them.
+	// ID and Service are as in the platform's list.
 	ID      string
 	Service string
-	// Slots is what it reports as its parallelism.
+	// Slots is the parallelism that it reports; it does not enforce it.
 	Slots int
-	// Gap is the time between two tokens.
-	Gap time.Duration
+	// TokenInterval is the time between two tokens of a stream.
+	TokenInterval time.Duration
 
-	running  atomic.Int64
-	runs     atomic.Uint64
-	sequence atomic.Uint64
+	running  atomic.Int64  // streams in progress
+	runs     atomic.Uint64 // streams begun
+	sequence atomic.Uint64 // reports made
 }
 
-// Handler serves the replica's paths.
+// prefillRate is the prefill rate that a replica reports, in tokens a second.
+const prefillRate = 1e6
+
+// streamTimeout bounds each write of a stream.
+const streamTimeout = time.Minute
+
+// Handler returns the HTTP handler of the replica.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+api.PathReplicaReport, r.report)
-	mux.HandleFunc("POST "+api.PathReplicaGenerate, r.generate)
+	mux.HandleFunc("GET "+api.PathReplicaReport, r.serveReport)
+	mux.HandleFunc("POST "+api.PathReplicaGenerate, r.serveGenerate)
 	return mux
 }
 
-func (r *Replica) current(version uint64) api.ReplicaReport {
+func (r *Replica) report() api.ReplicaReport {
 	return api.ReplicaReport{
 		Replica:                r.ID,
 		Incarnation:            "1",
 		Service:                r.Service,
 		Running:                int(r.running.Load()),
 		Slots:                  r.Slots,
-		PrefillTokensPerSecond: 1e6,
+		PrefillTokensPerSecond: prefillRate,
 		WeightVersion:          "w1",
-		ConfigurationVersion:   version,
 		Sequence:               r.sequence.Add(1),
 	}
 }
 
-func (r *Replica) report(w http.ResponseWriter, _ *http.Request) {
+func (r *Replica) serveReport(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(r.current(0)) // a poller that went away
+	_ = json.NewEncoder(w).Encode(r.report()) // fails only if the poller has gone
 }
 
-func (r *Replica) generate(w http.ResponseWriter, request *http.Request) {
-	var asked api.ReplicaRequest
-	if err := json.NewDecoder(request.Body).Decode(&asked); err != nil || !asked.Stream {
+func (r *Replica) serveGenerate(w http.ResponseWriter, request *http.Request) {
+	var generation api.ReplicaRequest
+	if err := json.NewDecoder(request.Body).Decode(&generation); err != nil || !generation.Stream {
 		http.Error(w, "only streams are served", http.StatusBadRequest)
 		return
 	}
@@ -64,12 +69,12 @@
 	defer r.running.Add(-1)
 	run := fmt.Sprintf("%s-%d", r.ID, r.runs.Add(1))
 	w.Header().Set("Content-Type", "text/event-stream")
-	writer := stream.NewWriter(w, time.Minute)
-	ticker := time.NewTicker(r.Gap)
+	writer := stream.NewWriter(w, streamTimeout)
+	ticker := time.NewTicker(r.TokenInterval)
 	defer ticker.Stop()
-	for i := 1; i <= asked.MaxTokens; i++ {
-		piece := api.StreamChunk{RequestID: asked.RequestID, RunID: run, Sequence: i, Text: "token", Tokens: 1}
-		if writer.Event(api.EventPiece, piece) != nil {
+	for i := 1; i <= generation.MaxTokens; i++ {
+		chunk := api.StreamChunk{RequestID: generation.RequestID, RunID: run, Sequence: i, Text: "token", Tokens: 1}
+		if writer.Event(api.EventPiece, chunk) != nil {
 			return
 		}
 		select {
@@ -78,5 +83,8 @@
 			return
 		}
 	}
-	_ = writer.Event(api.EventEnd, api.StreamEnd{RequestID: asked.RequestID, RunID: run, Sequence: asked.MaxTokens + 1, Tokens: asked.MaxTokens})
+	_ = writer.Event(api.EventEnd, api.StreamEnd{ // fails only if the caller is gone or stalls
+		RequestID: generation.RequestID, RunID: run,
+		Sequence: generation.MaxTokens + 1, Tokens: generation.MaxTokens,
+	})
 }
--- a/internal/hollow/replica_test.go
+++ b/internal/hollow/replica_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestReplicaReportsAndStreams(t *testing.T) {
-	replica := &Replica{ID: "r", Service: "s", Slots: 4, Gap: time.Millisecond}
+	replica := &Replica{ID: "r", Service: "s", Slots: 4, TokenInterval: time.Millisecond}
 	server := httptest.NewServer(replica.Handler())
 	defer server.Close()
 	response, err := http.Get(server.URL + api.PathReplicaReport)
@@ -29,18 +29,18 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	question := strings.NewReader(`{"request_id":"q","max_tokens":3,"stream":true}`)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+api.PathReplicaGenerate, question)
+	body := strings.NewReader(`{"request_id":"q","max_tokens":3,"stream":true}`)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+api.PathReplicaGenerate, body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := http.DefaultClient.Do(request)
+	streamed, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	events := stream.NewReader(answer.Body, stream.Options{RequestID: "q", IdleTimeout: 10 * time.Second, Interrupt: cancel})
+	defer streamed.Body.Close()
+	events := stream.NewReader(streamed.Body, stream.Options{RequestID: "q", IdleTimeout: 10 * time.Second, Interrupt: cancel})
 	defer events.Close()
 	for {
 		event, err := events.Next()
@@ -52,9 +52,9 @@
 		}
 	}
 	if events.Chunks() != 3 {
-		t.Errorf("%d pieces", events.Chunks())
+		t.Errorf("%d chunks", events.Chunks())
 	}
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	if _, err := io.Copy(io.Discard, streamed.Body); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/scale/parts.go
+++ b/internal/scale/parts.go
@@ -80,13 +80,13 @@
 func startGateways(what setup) (*gatewaysPart, error) {
 	debug.SetGCPercent(hollowCollector)
 	fleet, err := hollow.Start(hollow.FleetOptions{
-		Count:  what.Gateways,
-		Prefix: what.Name,
-		Place:  placeOf,
-		Host:   host,
-		Seeds:  what.Seeds,
-		Keys:   [][]byte{what.Key},
-		Terms:  lease.DefaultConfig(),
+		Count:       what.Gateways,
+		Prefix:      what.Name,
+		Location:    placeOf,
+		Host:        host,
+		Seeds:       what.Seeds,
+		Keys:        [][]byte{what.Key},
+		LeaseConfig: lease.DefaultConfig(),
 	})
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	report.Frames = p.fleet.Counters()
 	report.Leases = p.fleet.Leases()
 	activation := p.fleet.Activation(version)
-	report.Activated, report.ActivatedAt = activation.Gateways, activation.Last
+	report.Activated, report.ActivatedAt = activation.Gateways, activation.LastAt
 }
 
 func (p *gatewaysPart) close() { p.fleet.Close() }
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	replica := &hollow.Replica{ID: what.Name, Service: serviceName(0), Slots: replicaSlots, Gap: gap}
+	replica := &hollow.Replica{ID: what.Name, Service: serviceName(0), Slots: replicaSlots, TokenInterval: gap}
 	server := &http.Server{Handler: replica.Handler(), ReadHeaderTimeout: time.Minute}
 	return &replicaPart{server: server}, serveHTTP(server, what.HTTP)
 }
