--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -78,7 +78,7 @@
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			config.Logger.Error("serving", "error", err)
+			config.Logger.Error("HTTP server failed", "error", err)
 		}
 	})
 	config.Logger.Info("serving", "address", listener.Addr().String())
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command is what the programs of the stand-ins share: the root command,
-// signals, exit statuses and the event log. Daemons never import it.
+// Package command has what the programs of the stand-ins share: the root command,
+// signals, exit statuses and closing the event log. Daemons never import it.
 package command
 
 import (
@@ -20,21 +20,21 @@
 
 // Exit statuses.
 const (
-	statusFailed  = 1
-	statusInvalid = 2
+	statusFailed = 1
+	statusUsage  = 2
 )
 
-// readHeaderTimeout bounds a slow client of a stand-in.
+// readHeaderTimeout bounds how long a client may take to send its headers.
 const readHeaderTimeout = 5 * time.Second
 
-// ServingError marks an error that is not one of flags or files: the program
-// ends with status 1 for it, and with 2 for all others.
+// ServingError wraps an error of serving, as opposed to one of flags or files: the
+// program exits with status 1 for it, and with 2 for all others.
 type ServingError struct{ Err error }
 
-// Error is the text of the marked error.
+// Error returns the text of the wrapped error.
 func (e ServingError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the marked error.
+// Unwrap returns the wrapped error.
 func (e ServingError) Unwrap() error { return e.Err }
 
 // New returns the root command of a stand-in. The context of run ends at SIGTERM
@@ -50,8 +50,8 @@
 	}
 }
 
-// Execute runs a root command with the flags it requires, and ends the process
-// if that fails.
+// Execute runs a root command. It ends the process if the command fails or one of
+// the required flags is missing.
 func Execute(command *cobra.Command, required ...string) {
 	for _, name := range required {
 		if err := command.MarkFlagRequired(name); err != nil {
@@ -72,17 +72,17 @@
 	if errors.As(err, &serving) {
 		return statusFailed
 	}
-	return statusInvalid
+	return statusUsage
 }
 
-// NewServer returns the HTTP server of a stand-in.
+// NewServer returns an HTTP server for a stand-in, with bounded header reads.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// CloseLog closes an event log, and says so if it is not whole.
+// CloseLog closes an event log, and logs an error if events of it are lost.
 func CloseLog(writer *eventlog.Writer, logger *slog.Logger) {
 	if err := writer.Close(); err != nil {
-		logger.Error("the event log is not whole", "error", err)
+		logger.Error("event log incomplete", "error", err)
 	}
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -7,13 +7,14 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// engine runs an emulated replica in real time.
+// engine runs an emulated replica in real time. Its loop delivers the events that
+// are due; every other method delivers them too, before it acts.
 type engine struct {
 	mutex   sync.Mutex
 	replica emulator.Replica
 	started time.Time
 	runs    map[string]chan emulator.Event
-	// wake tells the loop that the next event may have moved.
+	// wake tells the loop that the time of the next event may have changed.
 	wake chan struct{}
 	stop chan struct{}
 	done chan struct{}
@@ -32,12 +33,14 @@
 	return e
 }
 
+// close stops the loop and waits for it.
 func (e *engine) close() {
 	close(e.stop)
 	<-e.done
 }
 
-// submit starts a job; accepted is called before any event can be seen.
+// submit starts a job and returns the channel of its events. It calls accepted,
+// under the lock, before any event can be received.
 func (e *engine) submit(job emulator.Job, accepted func(emulator.State)) (<-chan emulator.Event, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -46,27 +49,28 @@
 		return nil, err
 	}
 	accepted(e.replica.State(now))
-	// The buffer holds every event of the job, so that deliver never waits.
+	// The buffer has room for every event of the job, so that deliver never blocks.
 	events := make(chan emulator.Event, job.AnswerTokens+2)
 	e.runs[job.ID] = events
-	e.poke()
+	e.wakeLoop()
 	return events, nil
 }
 
+// cancel ends a job; it does nothing for one that has ended.
 func (e *engine) cancel(job string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.replica.Cancel(e.deliver(), job)
 	delete(e.runs, job)
-	e.poke()
+	e.wakeLoop()
 }
 
-// with calls work under the engine's lock with the present time.
-func (e *engine) with(work func(now time.Duration, replica emulator.Replica)) {
+// do calls work under the lock, with the time since the engine's start.
+func (e *engine) do(work func(now time.Duration, replica emulator.Replica)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	work(e.deliver(), e.replica)
-	e.poke()
+	e.wakeLoop()
 }
 
 func (e *engine) state() emulator.State {
@@ -75,7 +79,8 @@
 	return e.replica.State(e.deliver())
 }
 
-// deliver hands out the events up to now. The caller holds the lock.
+// deliver sends the events that are due to their runs and returns the time. The
+// caller holds the lock.
 func (e *engine) deliver() time.Duration {
 	now := time.Since(e.started)
 	for _, event := range e.replica.Advance(now) {
@@ -91,23 +96,27 @@
 	return now
 }
 
-func (e *engine) poke() {
+// wakeLoop makes the loop compute the time of the next event again.
+func (e *engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
+// idleWait is how long the loop sleeps while no event is pending.
+const idleWait = time.Hour
+
 func (e *engine) loop() {
 	defer close(e.done)
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
 	for {
 		e.mutex.Lock()
 		now := e.deliver()
 		next, pending := e.replica.NextEvent()
 		e.mutex.Unlock()
-		wait := time.Hour
+		wait := idleWait
 		if pending {
 			wait = max(0, next-now)
 		}
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -10,19 +10,18 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// The request path of a replica: checks, acceptance and refusals.
-
+// serveGenerate runs a request, or refuses it before anything of it has run.
 func (s *Server) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	var request api.ReplicaRequest
-	if err := decodeBody(w, r, &request); err != nil {
-		writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
+	if err := decodeJSON(w, r, &request); err != nil {
+		writeInvalid(w, err)
 		return
 	}
 	s.logReceived(&request)
-	run, refusal := s.accept(&request)
-	if refusal != nil {
-		s.writeRefused(&request, refusal)
-		writeError(w, refusal)
+	run, refused := s.accept(&request)
+	if refused != nil {
+		s.logRefused(&request, refused)
+		writeError(w, refused)
 		return
 	}
 	run.respond(r.Context(), w)
@@ -31,15 +30,15 @@
 func (s *Server) logReceived(request *api.ReplicaRequest) {
 	state := s.engine.state()
 	s.mutex.Lock()
-	s.noteWarm(state)
+	s.logWarmedUp(state)
 	s.mutex.Unlock()
 	event := s.requestEvent(eventlog.ReplicaReceived, request)
 	event.InFlight = state.Running + state.Queued + 1
 	event.Cold = state.Cold
-	s.write(event)
+	s.logEvent(event)
 }
 
-// requestEvent fills in what every event of a request carries.
+// requestEvent returns an event with the fields that all events of a request have.
 func (s *Server) requestEvent(kind eventlog.Kind, request *api.ReplicaRequest) eventlog.Event {
 	return eventlog.Event{
 		Kind:        kind,
@@ -54,14 +53,15 @@
 	}
 }
 
-func (s *Server) writeRefused(request *api.ReplicaRequest, refusal *api.Error) {
+func (s *Server) logRefused(request *api.ReplicaRequest, refused *api.Error) {
 	event := s.requestEvent(eventlog.ReplicaRefused, request)
-	event.Code = string(refusal.Code)
-	s.write(event)
+	event.Code = string(refused.Code)
+	s.logEvent(event)
 }
 
-// accept begins the run of a request or says why it never runs. The execution
-// is on record before anything of it can be answered.
+// accept starts the run of a request, or returns why it is refused. The execution
+// is logged before any event of it can be seen, so that no caller knows of a run
+// that the log does not.
 func (s *Server) accept(request *api.ReplicaRequest) (*run, *api.Error) {
 	s.admission.Lock()
 	defer s.admission.Unlock()
@@ -75,7 +75,7 @@
 		return nil, refusal(request, api.CodeOverloaded, "told to refuse")
 	}
 	job := emulator.Job{
-		ID:           s.nextRun(),
+		ID:           s.nextRunID(),
 		Prefixes:     request.Prefixes,
 		PromptTokens: request.PromptTokens,
 		AnswerTokens: request.MaxTokens,
@@ -85,7 +85,7 @@
 		event.Run = job.ID
 		event.InFlight = state.Running + state.Queued
 		event.Cold = state.Cold
-		s.write(event)
+		s.logEvent(event)
 	})
 	if err != nil {
 		return nil, refusal(request, refusalCode(err), err.Error())
@@ -100,6 +100,7 @@
 	}, nil
 }
 
+// refusalCode returns the code of an error of the emulator.
 func refusalCode(err error) api.Code {
 	switch {
 	case errors.Is(err, emulator.ErrDraining):
@@ -111,15 +112,16 @@
 	}
 }
 
-func (s *Server) nextRun() string {
+// nextRunID returns an id that no other run of any replica has.
+func (s *Server) nextRunID() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.runs++
 	return fmt.Sprintf("%s/%s/%d", s.config.ID, s.config.Incarnation, s.runs)
 }
 
-// checkStamp refuses a request that an older configuration, or one for another
-// incarnation, has placed here.
+// checkStamp refuses a request that was placed by an older configuration than the
+// newest seen, or on another incarnation of this replica.
 func (s *Server) checkStamp(request *api.ReplicaRequest) *api.Error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -137,6 +139,7 @@
 	return nil
 }
 
+// checkRequest refuses a request with a field out of range or no time left.
 func checkRequest(request *api.ReplicaRequest) *api.Error {
 	switch {
 	case request.RequestID == "":
@@ -156,7 +159,8 @@
 	return nil
 }
 
-// refusal is the error that says that the request has not run and never will.
+// refusal returns the error of a request that has not run and never will. Retry
+// is set unless every other replica would refuse it too.
 func refusal(request *api.ReplicaRequest, code api.Code, message string) *api.Error {
 	retry := code != api.CodeInvalid && code != api.CodeTooLarge && code != api.CodeDeadline
 	return &api.Error{Code: code, Outcome: api.OutcomeRefused, Message: message, Retry: retry, RequestID: request.RequestID}
--- a/internal/standin/hosted.go
+++ b/internal/standin/hosted.go
@@ -8,30 +8,30 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// ErrBroken means that a replica died or its caller left while a run was under
-// way.
+// ErrBroken means that the replica stopped, or its caller left, during a run.
 var ErrBroken = errors.New("standin: the run broke off")
 
-// Generate runs a request without HTTP, for processes that host replicas. It
-// calls firstToken once, when the first token is there. A refused request is an
-// *api.Error; ErrBroken ends a run that has begun. Faults have no effect here.
+// Generate runs a request without HTTP, for processes that host replicas. It calls
+// firstToken once, when the first token is ready. The error of a refused request is
+// an *api.Error, that of a run cut short ErrBroken. Injected faults other than
+// FaultRefuse have no effect here.
 func (s *Server) Generate(ctx context.Context, request *api.ReplicaRequest, firstToken func()) (*api.GenerateAnswer, error) {
 	select {
-	case <-s.dead:
+	case <-s.stopped:
 		return nil, ErrBroken
 	default:
 	}
 	s.logReceived(request)
 	current, refused := s.accept(request)
 	if refused != nil {
-		s.writeRefused(request, refused)
+		s.logRefused(request, refused)
 		return nil, refused
 	}
-	current.detail = endedWhole
+	current.detail = endedComplete
 	defer current.end()
 	for started := false; ; started = true {
-		event, alive := current.next(ctx)
-		if !alive {
+		event, ok := current.next(ctx)
+		if !ok {
 			return nil, ErrBroken
 		}
 		if !started {
--- /dev/null
+++ b/internal/standin/http.go
@@ -0,0 +1,34 @@
+package standin
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"github.com/deckpulley/deckpulley/api"
+)
+
+// decodeJSON decodes the body of a request, strictly and up to api.MaxBodyBytes.
+func decodeJSON(w http.ResponseWriter, r *http.Request, into any) error {
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return fmt.Errorf("decoding the body: %w", err)
+	}
+	return nil
+}
+
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(body) // a failed write shows at the client, as a short body
+}
+
+func writeError(w http.ResponseWriter, failure *api.Error) {
+	writeJSON(w, failure.Status(), api.ErrorBody{Error: failure})
+}
+
+// writeInvalid refuses a malformed request.
+func writeInvalid(w http.ResponseWriter, err error) {
+	writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
+}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -10,6 +10,7 @@
 	"log/slog"
 	"net/http"
 	"os"
+	"slices"
 	"sync"
 	"time"
 
@@ -21,54 +22,56 @@
 
 // Paths of the platform stand-in.
 const (
-	PathPlatformDrain    = "/control/drain"    // POST PlatformDrainOrder; answered once acknowledged
-	PathPlatformReload   = "/control/reload"   // POST, no body: reads the file again
+	PathPlatformDrain    = "/control/drain"    // POST PlatformDrainRequest; answered once acknowledged
+	PathPlatformReload   = "/control/reload"   // POST, no body; reads the file again
 	PathPlatformReplicas = "/control/replicas" // GET api.ReplicaList as last sent
 )
 
-// Timing of the platform's sends.
+// Timing of sending the list.
 const (
 	platformAttemptTimeout = 3 * time.Second
 	platformSendTimeout    = 30 * time.Second
-	platformRetryPause     = 200 * time.Millisecond
+	platformRetryInterval  = 200 * time.Millisecond
 )
 
-// PlatformDrainOrder tells the platform to list a replica as draining, or not.
-type PlatformDrainOrder struct {
+// PlatformDrainRequest is the body of POST /control/drain of the platform: it lists
+// a replica as draining, or not.
+type PlatformDrainRequest struct {
 	Replica  string `json:"replica"`
 	Draining bool   `json:"draining"`
 }
 
-// PlatformConfig describes the platform stand-in.
+// PlatformConfig configures the platform stand-in.
 type PlatformConfig struct {
-	// Control lists the operators' addresses of nodes, tried in turn.
+	// Control lists the operator addresses of control nodes, tried in turn.
 	Control []string
 	// ReplicasFile holds an api.ReplicaList as JSON or YAML.
 	ReplicasFile string
-	// Token authorizes the platform at the operators' port; empty sends none.
+	// Token authorizes the platform at the operator port; empty to send none.
 	Token string
 	// Log takes the events; nil discards them.
 	Log Logger
-	// Logger takes the messages for people.
+	// Logger takes the process's log messages.
 	Logger *slog.Logger
 }
 
-// Platform lists the replicas to the control nodes.
+// Platform sends the list of replicas to the control nodes.
 type Platform struct {
 	config PlatformConfig
 	log    Logger
 	client *http.Client
 	mux    *http.ServeMux
 
-	// sending keeps the lists in order; mutex guards the fields below.
+	// sending is held while a list is sent, so that no older list follows a newer.
 	sending sync.Mutex
-	mutex   sync.Mutex
-	listed  []api.ReplicaEntry
-	// drains are the states told by PathPlatformDrain; they outrank the file.
+
+	mutex  sync.Mutex
+	listed []api.ReplicaEntry
+	// drains has the states set by SetDraining; they override the file's.
 	drains map[string]bool
 }
 
-// NewPlatform makes a platform stand-in; nothing is read or sent before Reload.
+// NewPlatform returns a platform stand-in. It reads and sends nothing before Reload.
 func NewPlatform(config PlatformConfig) *Platform {
 	p := &Platform{
 		config: config,
@@ -78,7 +81,7 @@
 		drains: make(map[string]bool),
 	}
 	if p.log == nil {
-		p.log = discard{}
+		p.log = discardLogger{}
 	}
 	p.mux.HandleFunc("POST "+PathPlatformDrain, p.serveDrain)
 	p.mux.HandleFunc("POST "+PathPlatformReload, p.serveReload)
@@ -91,7 +94,7 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// Reload reads the file and sends the list until a node has acknowledged it.
+// Reload reads the file and sends the list until a node acknowledges it.
 func (p *Platform) Reload(ctx context.Context) error {
 	content, err := os.ReadFile(p.config.ReplicasFile)
 	if err != nil {
@@ -130,10 +133,7 @@
 // acknowledged the list.
 func (p *Platform) SetDraining(ctx context.Context, replica string, draining bool) error {
 	p.mutex.Lock()
-	known := false
-	for _, entry := range p.listed {
-		known = known || entry.ID == replica
-	}
+	known := slices.ContainsFunc(p.listed, func(entry api.ReplicaEntry) bool { return entry.ID == replica })
 	if known {
 		p.drains[replica] = draining
 	}
@@ -152,13 +152,13 @@
 	return nil
 }
 
-// list is the list to send now.
+// list returns the list to send now.
 func (p *Platform) list() api.ReplicaList {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := api.ReplicaList{Replicas: make([]api.ReplicaEntry, 0, len(p.listed))}
 	for _, entry := range p.listed {
-		if draining, told := p.drains[entry.ID]; told {
+		if draining, overridden := p.drains[entry.ID]; overridden {
 			entry.Draining = draining
 		}
 		list.Replicas = append(list.Replicas, entry)
@@ -166,7 +166,8 @@
 	return list
 }
 
-// send tries the nodes in turn until one acknowledges the present list.
+// send sends the present list to the nodes in turn until one acknowledges it, for
+// platformSendTimeout at most.
 func (p *Platform) send(ctx context.Context) error {
 	p.sending.Lock()
 	defer p.sending.Unlock()
@@ -182,16 +183,17 @@
 			if err == nil {
 				return nil
 			}
-			p.config.Logger.Debug("replica list not acknowledged", "node", address, "error", err)
+			p.config.Logger.Debug("node did not acknowledge the replica list", "node", address, "error", err)
 		}
 		select {
-		case <-time.After(platformRetryPause):
+		case <-time.After(platformRetryInterval):
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), err)
 		}
 	}
 }
 
+// put sends the list to one node.
 func (p *Platform) put(ctx context.Context, address string, body []byte) error {
 	url := "http://" + address + api.PathReplicas
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
@@ -218,19 +220,21 @@
 }
 
 func (p *Platform) serveDrain(w http.ResponseWriter, r *http.Request) {
-	var order PlatformDrainOrder
-	if err := decodeBody(w, r, &order); err != nil {
-		writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
+	var request PlatformDrainRequest
+	if err := decodeJSON(w, r, &request); err != nil {
+		writeInvalid(w, err)
 		return
 	}
-	p.acknowledge(w, p.SetDraining(r.Context(), order.Replica, order.Draining))
+	p.respond(w, p.SetDraining(r.Context(), request.Replica, request.Draining))
 }
 
 func (p *Platform) serveReload(w http.ResponseWriter, r *http.Request) {
-	p.acknowledge(w, p.Reload(r.Context()))
+	p.respond(w, p.Reload(r.Context()))
 }
 
-func (p *Platform) acknowledge(w http.ResponseWriter, err error) {
+// respond answers a request of the control port once a node has acknowledged the
+// list, or sending it has failed.
+func (p *Platform) respond(w http.ResponseWriter, err error) {
 	if err != nil {
 		writeError(w, &api.Error{Code: api.CodeNoPrimary, Outcome: api.OutcomeUnknown, Message: err.Error(), Retry: true})
 		return
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -13,26 +13,27 @@
 	"time"
 )
 
-// directoryTimeout bounds one question to one directory.
+// directoryTimeout bounds one query of one directory.
 const directoryTimeout = time.Second
 
-// errNoDirectory means that no directory gave an address.
+// errNoDirectory means that no directory returned an address.
 var errNoDirectory = errors.New("standin: no directory knows an address")
 
-// Client asks a directory where to go, keeps the answer for as long as it may,
-// and sends its requests there. It is used by one goroutine.
+// Client resolves a name at a directory, caches the addresses for their time to
+// live, and sends its requests to them in turn. It is not safe for concurrent use.
 type Client struct {
-	// Directories are asked in turn until one answers.
+	// Directories are the addresses of directories, tried in turn.
 	Directories []string
-	// Name is the host that the client wants to reach.
-	Name   string
+	// Name is the host to resolve.
+	Name string
+	// Region and Zone are where the client is.
 	Region string
 	Zone   string
 
 	http      http.Client
 	addresses []string
-	next      int
-	until     time.Time
+	next      int       // index of the last address used, not reduced
+	expiry    time.Time // of addresses
 }
 
 // Request is one request of a client.
@@ -41,20 +42,25 @@
 	Method string
 	Path   string
 	Body   string
-	Wait   time.Duration
+	// Wait is how long the client waits for the answer; it is sent along.
+	Wait time.Duration
 }
 
-// Answer is what came of a request. Status 0 is no whole answer.
+// Answer is the outcome of a request.
 type Answer struct {
-	Status     int
-	Body       string
-	Signature  string
+	// Status is 0 if there was no complete response.
+	Status    int
+	Body      string
+	Signature string
+	// RetryAfter is 0 if the response has none.
 	RetryAfter time.Duration
-	Took       time.Duration
-	Err        error
+	// Took is the time until the response was complete.
+	Took time.Duration
+	// Err is why there was no complete response.
+	Err error
 }
 
-// Do sends a request once. The error of an answer that broke off is in Err.
+// Do sends a request once. Any failure is in the Err of the answer.
 func (c *Client) Do(ctx context.Context, request Request) Answer {
 	address, err := c.address(ctx)
 	if err != nil {
@@ -64,7 +70,7 @@
 	answer := c.send(ctx, address, request)
 	answer.Took = time.Since(started)
 	if answer.Status == 0 {
-		c.until = time.Time{} // asks again where to go
+		c.expiry = time.Time{} // resolves again before the next request
 	}
 	return answer
 }
@@ -88,7 +94,7 @@
 	if err != nil {
 		return Answer{Err: err}
 	}
-	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 if not told
+	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 without the header
 	return Answer{
 		Status:     response.StatusCode,
 		Body:       string(text),
@@ -97,10 +103,10 @@
 	}
 }
 
-// address returns the next of the addresses that the directory gave.
+// address returns the next address in turn, after resolving again if they expired.
 func (c *Client) address(ctx context.Context) (string, error) {
-	if time.Now().After(c.until) {
-		if err := c.ask(ctx); err != nil {
+	if time.Now().After(c.expiry) {
+		if err := c.resolve(ctx); err != nil {
 			return "", err
 		}
 	}
@@ -108,30 +114,31 @@
 	return c.addresses[c.next%len(c.addresses)], nil
 }
 
-// whereDocument is an answer of the directory.
-type whereDocument struct {
-	Addresses []string `json:"addresses"`
-	TTLS      float64  `json:"ttl_s"`
+// resolution is an answer of a directory.
+type resolution struct {
+	Addresses  []string `json:"addresses"`
+	TTLSeconds float64  `json:"ttl_s"`
 }
 
-func (c *Client) ask(ctx context.Context) error {
+// resolve asks the directories in turn until one returns an address.
+func (c *Client) resolve(ctx context.Context) error {
 	query := url.Values{"name": {c.Name}, "region": {c.Region}, "zone": {c.Zone}}
 	for _, directory := range c.Directories {
-		answer, err := c.askOne(ctx, "http://"+directory+"/resolve?"+query.Encode())
+		answer, err := c.queryDirectory(ctx, "http://"+directory+"/resolve?"+query.Encode())
 		if err != nil || len(answer.Addresses) == 0 {
 			continue
 		}
 		c.addresses = answer.Addresses
-		c.until = time.Now().Add(time.Duration(answer.TTLS * float64(time.Second)))
+		c.expiry = time.Now().Add(time.Duration(answer.TTLSeconds * float64(time.Second)))
 		return nil
 	}
 	return errNoDirectory
 }
 
-func (c *Client) askOne(ctx context.Context, question string) (*whereDocument, error) {
+func (c *Client) queryDirectory(ctx context.Context, target string) (*resolution, error) {
 	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, question, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -143,7 +150,7 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("standin: the directory answered %d", response.StatusCode)
 	}
-	var answer whereDocument
+	var answer resolution
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 		return nil, err
 	}
--- a/internal/standin/platform/list.go
+++ b/internal/standin/platform/list.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// pageSize is the number of entries on one page of the list.
+// pageSize is the number of entries of a full page of the list.
 const pageSize = 2
 
-// States of listed replicas.
+// States of replicas in the list.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// List is the platform's list of replicas: in pages, behind the truth by a lag,
-// and with a bound on the calls a second.
+// List serves the platform's list of replicas: in pages, with changes visible only
+// after a lag, and with a rate limit.
 type List struct {
 	server *httptest.Server
 	lag    time.Duration
-	rate   int // calls in any one second; 0 is no bound
+	rate   int // calls allowed in any one second; 0 for no limit
 
 	mutex   sync.Mutex
 	entries []*entry
-	calls   []time.Time // of the last second
+	calls   []time.Time // allowed ones of the last second, oldest first
 	refused int
 }
 
-// entry is one replica with the times at which its states become known.
+// entry is one replica with the times at which changes of it become visible.
 type entry struct {
-	replica  *Replica
-	since    time.Time // listed from then on
-	draining time.Time // zero for not draining
-	until    time.Time // zero for not removed
+	replica    *Replica
+	listedAt   time.Time // zero if listed from the start
+	drainingAt time.Time // zero if not draining
+	removedAt  time.Time // zero if not removed
 }
 
-// NewList starts a list that holds the replicas from the start.
+// NewList starts a list with the given replicas. The caller must stop it with Close.
 func NewList(lag time.Duration, callsPerSecond int, replicas ...*Replica) *List {
 	l := &List{lag: lag, rate: callsPerSecond}
 	for _, r := range replicas {
@@ -49,37 +49,38 @@
 	return l
 }
 
-// Address is where the list listens.
+// Address returns the address (host:port) that the list listens at.
 func (l *List) Address() string { return l.server.Listener.Addr().String() }
 
-// Close ends the list.
+// Close stops the list.
 func (l *List) Close() { l.server.Close() }
 
-// Refused is the number of calls beyond the bound.
+// Refused returns the number of calls refused for the rate limit.
 func (l *List) Refused() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.refused
 }
 
-// Add lists one more replica.
+// Add adds a replica to the list.
 func (l *List) Add(r *Replica) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.entries = append(l.entries, &entry{replica: r, since: time.Now().Add(l.lag)})
+	l.entries = append(l.entries, &entry{replica: r, listedAt: time.Now().Add(l.lag)})
 }
 
-// Drain lists a replica as one that must get no more requests.
+// Drain lists a replica as draining: it must get no more requests.
 func (l *List) Drain(id string) {
-	l.change(id, func(e *entry, known time.Time) { e.draining = known })
+	l.change(id, func(e *entry, visibleAt time.Time) { e.drainingAt = visibleAt })
 }
 
-// Remove takes a replica off the list.
+// Remove removes a replica from the list.
 func (l *List) Remove(id string) {
-	l.change(id, func(e *entry, known time.Time) { e.until = known })
+	l.change(id, func(e *entry, visibleAt time.Time) { e.removedAt = visibleAt })
 }
 
-func (l *List) change(id string, apply func(e *entry, known time.Time)) {
+// change applies a change to a replica's entry, visible after the lag.
+func (l *List) change(id string, apply func(e *entry, visibleAt time.Time)) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, e := range l.entries {
@@ -89,8 +90,8 @@
 	}
 }
 
-// document is one entry as the list gives it.
-type document struct {
+// instance is one replica as the platform lists it.
+type instance struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
@@ -102,11 +103,11 @@
 
 // page is one page of the list.
 type page struct {
-	Instances []document `json:"instances"`
+	Instances []instance `json:"instances"`
 	Next      *string    `json:"next_page_token"`
 }
 
-// replicaSlots is what every replica announces.
+// replicaSlots is the number of slots that every replica is listed with.
 const replicaSlots = 8
 
 // ServeHTTP implements http.Handler.
@@ -132,7 +133,8 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// allow counts a call against the bound.
+// allow counts a call against the rate limit and reports whether it is within it.
+// The caller holds the mutex.
 func (l *List) allow(now time.Time) bool {
 	recent := l.calls[:0]
 	for _, at := range l.calls {
@@ -148,18 +150,18 @@
 	return true
 }
 
-// listed is the list as it is known at a time.
-func (l *List) listed(now time.Time) []document {
-	documents := []document{}
+// listed returns the list as it is visible now. The caller holds the mutex.
+func (l *List) listed(now time.Time) []instance {
+	instances := []instance{}
 	for _, e := range l.entries {
-		if now.Before(e.since) || past(e.until, now) {
+		if now.Before(e.listedAt) || reached(e.removedAt, now) {
 			continue
 		}
 		state := stateReady
-		if past(e.draining, now) {
+		if reached(e.drainingAt, now) {
 			state = stateDraining
 		}
-		documents = append(documents, document{
+		instances = append(instances, instance{
 			ID:      e.replica.ID,
 			Service: e.replica.Service,
 			Zone:    e.replica.Zone,
@@ -168,8 +170,8 @@
 			State:   state,
 		})
 	}
-	return documents
+	return instances
 }
 
-// past says whether a time is set and reached.
-func past(at, now time.Time) bool { return !at.IsZero() && !now.Before(at) }
+// reached reports whether a time is set and not after now.
+func reached(at, now time.Time) bool { return !at.IsZero() && !now.Before(at) }
--- a/internal/standin/platform/replica.go
+++ b/internal/standin/platform/replica.go
@@ -1,12 +1,14 @@
-// Package platform stands in for the platform of Kodovka Labs in tests: its
-// replicas, its list of them, and its clients. It knows the platform's names as
-// package platform at the root does, and shares no code with it.
+// Package platform implements stand-ins for the platform of Kodovka Labs in tests:
+// its replicas, its list of them, and its clients. It has the platform's names, as
+// package platform at the root has, and shares no code with it, so that an error in
+// one shows against the other.
 package platform
 
 import (
 	"bufio"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -27,40 +29,40 @@
 	typeEvents        = "text/event-stream"
 )
 
-// StreamEvents is the number of events in a stream.
+// StreamEvents is the number of events of a complete stream.
 const StreamEvents = 4
 
-// streamPath begins the paths that are answered by a stream.
+// streamPath is the prefix of the paths that are answered by a stream.
 const streamPath = "/stream/"
 
-// streamGap is the pause between two events.
-const streamGap = 5 * time.Millisecond
+// eventInterval is the time between two events of a stream.
+const eventInterval = 5 * time.Millisecond
 
 // Manner is how a replica answers a request.
 type Manner int
 
-// Manners of replicas.
+// The manners of replicas.
 const (
-	// Plain answers as HTTP asks.
+	// Plain responds as HTTP demands.
 	Plain Manner = iota
-	// Late waits before the answer.
+	// Late responds after lateDelay.
 	Late
-	// Early answers before it has read the request's body.
+	// Early sends the response's headers before it has read the request's body.
 	Early
-	// Unframed gives no length: the end of the connection ends the answer.
+	// Unframed sends no length: the end of the connection ends the response.
 	Unframed
-	// Twice sends its answer a second time on the same connection.
+	// Twice sends its response a second time on the same connection.
 	Twice
-	// Cut breaks the connection off within the answer.
+	// Cut closes the connection in the middle of the response.
 	Cut
-	// Refusing says that it has not run the request.
+	// Refusing responds that it has not run the request.
 	Refusing
 )
 
-// lateBy is the wait of Late.
-const lateBy = 150 * time.Millisecond
+// lateDelay is the delay of Late.
+const lateDelay = 150 * time.Millisecond
 
-// Replica is one opaque replica behind a port of its own.
+// Replica is one replica with a port of its own. It records which requests it ran.
 type Replica struct {
 	ID      string
 	Zone    string
@@ -69,44 +71,40 @@
 	server *httptest.Server
 
 	mutex   sync.Mutex
-	ran     map[string]int // by request id
-	served  int
-	manners []Manner // taken in turn
+	runs    map[string]int // by request id
+	served  int            // requests, refused ones too
+	manners []Manner       // used in turn
 }
 
-// NewReplica starts a replica. Its manners are taken in turn, one a request;
-// none is Plain.
+// NewReplica starts a replica. Its manners are used in turn, one a request; without
+// any it is always Plain. The caller must stop it with Close.
 func NewReplica(id, zone, service string, manners ...Manner) *Replica {
-	r := &Replica{ID: id, Zone: zone, Service: service, ran: make(map[string]int), manners: manners}
+	r := &Replica{ID: id, Zone: zone, Service: service, runs: make(map[string]int), manners: manners}
 	r.server = httptest.NewServer(r)
 	return r
 }
 
-// Address is where the replica listens.
+// Address returns the address (host:port) that the replica listens at.
 func (r *Replica) Address() string { return r.server.Listener.Addr().String() }
 
-// Close ends the replica.
+// Close stops the replica.
 func (r *Replica) Close() { r.server.Close() }
 
 // Runs returns how often each request ran here, by its id.
 func (r *Replica) Runs() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	runs := make(map[string]int, len(r.ran))
-	for id, count := range r.ran {
-		runs[id] = count
-	}
-	return runs
+	return maps.Clone(r.runs)
 }
 
-// Served is the number of requests that ran here.
+// Served returns the number of requests that came here, refused ones included.
 func (r *Replica) Served() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.served
 }
 
-// next counts a request and returns how it is answered.
+// next counts a request and returns the manner of its response.
 func (r *Replica) next(id string) Manner {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -116,7 +114,7 @@
 	}
 	r.served++
 	if manner != Refusing {
-		r.ran[id]++
+		r.runs[id]++
 	}
 	return manner
 }
@@ -141,42 +139,43 @@
 		return
 	}
 	if manner == Late {
-		time.Sleep(lateBy)
+		time.Sleep(lateDelay)
 	}
 	switch {
 	case manner == Refusing:
 		w.Header().Set(HeaderNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case strings.HasPrefix(request.URL.Path, streamPath):
-		stream(w, request, body, manner == Cut)
+		streamEvents(w, request, body, manner == Cut)
 	case manner == Unframed || manner == Twice || manner == Cut:
-		r.answerRaw(w, id, whole(request, body), manner)
+		r.respondRaw(w, id, echo(request, body), manner)
 	default:
-		_, _ = io.WriteString(w, whole(request, body))
+		_, _ = io.WriteString(w, echo(request, body))
 	}
 }
 
-// whole is the text of an answer that is no stream.
-func whole(request *http.Request, body []byte) string {
+// echo returns the body of a response that is no stream.
+func echo(request *http.Request, body []byte) string {
 	return fmt.Sprintf("%s %s %s", request.Method, request.RequestURI, body)
 }
 
-// stream sends the events after the last one that the client has.
-func stream(w http.ResponseWriter, request *http.Request, body []byte, cut bool) {
+// streamEvents sends the events after the last one that the client has received;
+// only the first of them if it is to break off.
+func streamEvents(w http.ResponseWriter, request *http.Request, body []byte, breakOff bool) {
 	w.Header().Set("Content-Type", typeEvents)
 	last, _ := strconv.Atoi(request.Header.Get(headerLastEvent)) // 0 for none
 	for number := last + 1; number <= StreamEvents; number++ {
 		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", number, body)
 		_ = http.NewResponseController(w).Flush()
-		if cut {
-			panic(http.ErrAbortHandler) // breaks the connection off
+		if breakOff {
+			panic(http.ErrAbortHandler) // closes the connection
 		}
-		time.Sleep(streamGap)
+		time.Sleep(eventInterval)
 	}
 }
 
-// answerRaw answers in ways that a server library does not.
-func (r *Replica) answerRaw(w http.ResponseWriter, id, text string, manner Manner) {
+// respondRaw responds in ways that net/http does not.
+func (r *Replica) respondRaw(w http.ResponseWriter, id, text string, manner Manner) {
 	connection, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -201,10 +200,11 @@
 	_ = writer.Flush()
 }
 
-// lingerTime bounds how long a connection with a second answer stays open.
-const lingerTime = time.Second
+// lingerTimeout bounds how long a connection with a second response stays open.
+const lingerTimeout = time.Second
 
+// lingerUntilClosed waits until the client closes the connection.
 func lingerUntilClosed(connection net.Conn) {
-	_ = connection.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = connection.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, connection)
 }
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -1,15 +1,13 @@
-// Package standin serves the stand-ins of a fleet over HTTP: replicas, which run
-// the emulator in real time, answer as package api demands, misbehave as they
-// are told and log every event; and the platform, which lists the replicas.
-// Daemons never import it.
+// Package standin implements stand-ins for the parts of a fleet that the product
+// does not contain, over HTTP: replicas, which run the emulator in real time, serve
+// the interface of package api, show injected faults and log every event; and the
+// platform, which lists the replicas. Daemons never import it.
 package standin
 
 import (
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
-	"fmt"
 	mathrand "math/rand/v2"
 	"net/http"
 	"sync"
@@ -20,85 +18,85 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Paths by which a test tells a replica how to behave.
+// Paths of a replica's control interface, by which tests inject faults.
 const (
 	PathControlFault = "/control/fault" // POST Fault
-	PathControlDrain = "/control/drain" // POST DrainOrder
+	PathControlDrain = "/control/drain" // POST DrainRequest
 	PathControlCold  = "/control/cold"  // POST, no body
 )
 
-// DrainOrder is the body of POST /control/drain of a replica. Without a body
+// DrainRequest is the body of POST /control/drain of a replica. Without a body
 // the replica drains.
-type DrainOrder struct {
+type DrainRequest struct {
 	Draining bool `json:"draining"`
 }
 
-// Logger takes the events of a stand-in; *eventlog.Writer is one.
+// Logger takes the events of a stand-in. *eventlog.Writer implements it.
 type Logger interface {
 	Write(eventlog.Event)
 }
 
-// discard is the Logger of a server that has none.
-type discard struct{}
+// discardLogger is a Logger that drops every event.
+type discardLogger struct{}
 
-func (discard) Write(eventlog.Event) {}
+func (discardLogger) Write(eventlog.Event) {}
 
-// Config describes one replica server.
+// Config configures one replica.
 type Config struct {
 	ID      string
 	Service string
 	Zone    string
 	Region  string
-	// Incarnation names this start of the replica; empty is a random one.
+	// Incarnation identifies this start of the replica; empty for a random one.
 	Incarnation string
 	Parameters  emulator.Parameters
 	Seed        uint64
 	Cold        bool
 	// Log takes the events; nil discards them.
 	Log Logger
-	// Exit ends the process on FaultCrash; nil makes the server abort every
+	// Exit ends the process on FaultCrash. If it is nil, the server aborts every
 	// connection from then on.
 	Exit func()
 }
 
-// Server is one replica. It is an http.Handler, so that a process can host many.
+// Server is one replica. It is an http.Handler, so that one process can host many.
 type Server struct {
 	config Config
 	log    Logger
 	engine *engine
 	faults faultSet
-	cross  crossing
+	swap   identitySwap
 	mux    *http.ServeMux
-	// dead is closed by a crash.
-	dead     chan struct{}
-	deadOnce sync.Once
+	// stopped is closed by Close and by a crash.
+	stopped  chan struct{}
+	stopOnce sync.Once
 
-	// admission makes the check of a stamp and the start of the run one step, so
-	// that no run of an older configuration begins after one of a newer.
+	// admission makes the check of a stamp and the start of its run atomic, so that
+	// no run of an older configuration begins after one of a newer.
 	admission sync.Mutex
 
-	mutex    sync.Mutex
-	version  uint64 // newest configuration version seen
-	reports  uint64
-	runs     uint64
-	wasCold  bool
-	draining bool
+	mutex     sync.Mutex
+	version   uint64 // newest configuration version seen
+	reports   uint64 // reports made
+	runs      uint64 // runs begun
+	warmingUp bool   // as last observed; its end is logged once
+	draining  bool
 }
 
-// NewServer starts a replica. Close frees it.
+// NewServer starts a replica. The caller must stop it with Close.
 func NewServer(config Config) *Server {
 	if config.Incarnation == "" {
 		config.Incarnation = randomIncarnation()
 	}
 	s := &Server{
-		config:  config,
-		log:     config.Log,
-		engine:  newEngine(emulator.New(config.Parameters, config.Seed, config.Cold)),
-		dead:    make(chan struct{}),
-		wasCold: config.Cold,
+		config:    config,
+		log:       config.Log,
+		engine:    newEngine(emulator.New(config.Parameters, config.Seed, config.Cold)),
+		stopped:   make(chan struct{}),
+		warmingUp: config.Cold,
 	}
 	if s.log == nil {
-		s.log = discard{}
+		s.log = discardLogger{}
 	}
 	s.faults.random = mathrand.New(mathrand.NewPCG(config.Seed, 1))
 	s.mux = http.NewServeMux()
@@ -107,44 +105,44 @@
 	s.mux.HandleFunc("POST "+PathControlFault, s.serveFault)
 	s.mux.HandleFunc("POST "+PathControlDrain, s.serveDrain)
 	s.mux.HandleFunc("POST "+PathControlCold, s.serveCold)
-	s.write(eventlog.Event{Kind: eventlog.ReplicaStarted, Incarnation: config.Incarnation, Cold: config.Cold})
+	s.logEvent(eventlog.Event{Kind: eventlog.ReplicaStarted, Incarnation: config.Incarnation, Cold: config.Cold})
 	return s
 }
 
 func randomIncarnation() string {
 	var random [8]byte
-	// Read never fails; see package crypto/rand.
-	_, _ = rand.Read(random[:])
+	_, _ = rand.Read(random[:]) // never fails; see package crypto/rand
 	return hex.EncodeToString(random[:])
 }
 
-// Close stops the replica's work. Requests in progress get no further events.
+// Close stops the replica and waits for its engine. Requests in progress get no
+// further events.
 func (s *Server) Close() {
-	s.die()
+	s.stop()
 	s.engine.close()
 }
 
-// Incarnation names this start of the replica.
+// Incarnation returns the id of this start of the replica.
 func (s *Server) Incarnation() string {
 	return s.config.Incarnation
 }
 
-func (s *Server) die() {
-	s.deadOnce.Do(func() { close(s.dead) })
+func (s *Server) stop() {
+	s.stopOnce.Do(func() { close(s.stopped) })
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. A stopped replica aborts every connection.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-s.dead:
+	case <-s.stopped:
 		panic(http.ErrAbortHandler)
 	default:
 		s.mux.ServeHTTP(w, r)
 	}
 }
 
-// write completes an event with the replica's names and logs it.
-func (s *Server) write(event eventlog.Event) {
+// logEvent fills in the replica's names and logs the event.
+func (s *Server) logEvent(event eventlog.Event) {
 	event.Source = s.config.ID
 	event.Replica = s.config.ID
 	event.Service = s.config.Service
@@ -157,12 +155,12 @@
 	writeJSON(w, http.StatusOK, s.Report())
 }
 
-// Report is what the replica says of itself now.
+// Report returns the replica's report of its present state.
 func (s *Server) Report() *api.ReplicaReport {
 	state := s.engine.state()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.noteWarm(state)
+	s.logWarmedUp(state)
 	s.reports++
 	return &api.ReplicaReport{
 		Replica:                s.config.ID,
@@ -183,22 +181,22 @@
 	}
 }
 
-// noteWarm logs the end of coldness once. The caller holds the mutex.
-func (s *Server) noteWarm(state emulator.State) {
-	if s.wasCold && !state.Cold {
-		s.write(eventlog.Event{Kind: eventlog.ReplicaWarm, Incarnation: s.config.Incarnation})
+// logWarmedUp logs once that the replica is warm. The caller holds the mutex.
+func (s *Server) logWarmedUp(state emulator.State) {
+	if s.warmingUp && !state.Cold {
+		s.logEvent(eventlog.Event{Kind: eventlog.ReplicaWarm, Incarnation: s.config.Incarnation})
 	}
-	s.wasCold = state.Cold
+	s.warmingUp = state.Cold
 }
 
 func (s *Server) serveFault(w http.ResponseWriter, r *http.Request) {
 	var fault Fault
-	if err := decodeBody(w, r, &fault); err != nil {
-		writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
+	if err := decodeJSON(w, r, &fault); err != nil {
+		writeInvalid(w, err)
 		return
 	}
 	if err := fault.Validate(); err != nil {
-		writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
+		writeInvalid(w, err)
 		return
 	}
 	s.faults.add(fault)
@@ -206,20 +204,20 @@
 }
 
 func (s *Server) serveDrain(w http.ResponseWriter, r *http.Request) {
-	order := DrainOrder{Draining: true}
+	request := DrainRequest{Draining: true}
 	if r.ContentLength != 0 {
-		if err := decodeBody(w, r, &order); err != nil {
-			writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
+		if err := decodeJSON(w, r, &request); err != nil {
+			writeInvalid(w, err)
 			return
 		}
 	}
-	s.SetDraining(order.Draining)
+	s.SetDraining(request.Draining)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetDraining makes the replica refuse new requests, or take them again.
+// SetDraining makes the replica refuse new requests, or accept them again.
 func (s *Server) SetDraining(draining bool) {
-	s.engine.with(func(_ time.Duration, replica emulator.Replica) { replica.SetDraining(draining) })
+	s.engine.do(func(_ time.Duration, replica emulator.Replica) { replica.SetDraining(draining) })
 	s.mutex.Lock()
 	changed := s.draining != draining
 	s.draining = draining
@@ -231,7 +229,7 @@
 	if !draining {
 		event.Detail = "withdrawn"
 	}
-	s.write(event)
+	s.logEvent(event)
 }
 
 func (s *Server) serveCold(w http.ResponseWriter, _ *http.Request) {
@@ -239,25 +237,25 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// MakeCold makes the replica slow until it has warmed up again.
+// MakeCold makes the replica cold: slow until it has warmed up again.
 func (s *Server) MakeCold() {
-	s.engine.with(func(now time.Duration, replica emulator.Replica) { replica.MakeCold(now) })
+	s.engine.do(func(now time.Duration, replica emulator.Replica) { replica.MakeCold(now) })
 	s.mutex.Lock()
-	s.wasCold = true
+	s.warmingUp = true
 	s.mutex.Unlock()
-	s.write(eventlog.Event{Kind: eventlog.ReplicaFault, Incarnation: s.config.Incarnation, Detail: "cold"})
+	s.logEvent(eventlog.Event{Kind: eventlog.ReplicaFault, Incarnation: s.config.Incarnation, Detail: "cold"})
 }
 
-// crash ends the replica.
+// crash stops the replica and, with Config.Exit, its process.
 func (s *Server) crash() {
-	s.die()
+	s.stop()
 	if s.config.Exit != nil {
 		s.config.Exit()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// sleep waits; it reports false if the caller went away or the replica died.
+// sleep waits. It returns false if ctx ended or the replica stopped before.
 func (s *Server) sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -266,27 +264,7 @@
 		return true
 	case <-ctx.Done():
 		return false
-	case <-s.dead:
+	case <-s.stopped:
 		return false
 	}
 }
-
-func decodeBody(w http.ResponseWriter, r *http.Request, into any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		return fmt.Errorf("decoding the body: %w", err)
-	}
-	return nil
-}
-
-func writeJSON(w http.ResponseWriter, status int, body any) {
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	// A failed write shows at the reader, who sees a short body.
-	_ = json.NewEncoder(w).Encode(body)
-}
-
-func writeError(w http.ResponseWriter, failure *api.Error) {
-	writeJSON(w, failure.Status(), api.ErrorBody{Error: failure})
-}
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -16,43 +15,46 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Details of a replica_ended event beside the kinds of faults.
+// Details of a replica_ended event, beside the kinds of faults.
 const (
-	endedWhole    = "whole"
+	endedComplete = "whole"
 	endedCanceled = "canceled"
 )
 
-// foreignRequest is the request id of FaultWrongID.
-const foreignRequest = "foreign-request"
+// foreignRequestID is the request id in a response with FaultWrongID.
+const foreignRequestID = "foreign-request"
 
-// foreverWait stands for a stall without an end.
-const foreverWait = 24 * time.Hour
+// unboundedStall is the delay of a FaultStall without one, longer than any caller
+// waits.
+const unboundedStall = 24 * time.Hour
 
-// run is one execution and its answer.
+// run is one execution of a request, and its response.
 type run struct {
 	server   *Server
 	request  *api.ReplicaRequest
 	events   <-chan emulator.Event
 	identity identity
-	// job is the run's id in the engine and the log, whatever the answer says.
-	job   string
+	// job is the run's id in the engine and the log, also if the response has another.
+	job string
+	// fault is the zero Fault for none.
 	fault Fault
-	// detail says how the run ended.
+	// detail is how the run ended, for the log.
 	detail string
 }
 
-// respond answers the request and logs the end of its run.
+// respond sends the response and logs the end of the run.
 func (r *run) respond(ctx context.Context, w http.ResponseWriter) {
-	r.detail = endedWhole
+	r.detail = endedComplete
 	defer r.end()
 	if r.request.Stream {
 		r.respondStream(ctx, w)
 		return
 	}
-	r.respondWhole(ctx, w)
+	r.respondJSON(ctx, w)
 }
 
-// end logs the end; it runs also when the connection is aborted.
+// end cancels what is left of the job and logs the end of the run. It is deferred,
+// since abort panics.
 func (r *run) end() {
 	r.server.engine.cancel(r.job)
 	event := r.server.requestEvent(eventlog.ReplicaEnded, r.request)
@@ -60,24 +62,25 @@
 	event.Detail = r.detail
 	event.Tokens = r.identity.tokens
 	event.CachedTokens = r.identity.cached
-	r.server.write(event)
+	r.server.logEvent(event)
 }
 
-// misbehave logs that the fault takes effect.
-func (r *run) misbehave() {
+// logFault logs that the fault takes effect, and makes it the detail of the end.
+func (r *run) logFault() {
 	r.detail = string(r.fault.Kind)
 	event := r.server.requestEvent(eventlog.ReplicaFault, r.request)
 	event.Run = r.job
 	event.Detail = r.detail
-	r.server.write(event)
+	r.server.logEvent(event)
 }
 
-// abort breaks the connection.
+// abort breaks the connection. It does not return.
 func (r *run) abort() {
 	panic(http.ErrAbortHandler)
 }
 
-// next waits for the run's next event.
+// next waits for the run's next event. It returns false if the caller left or the
+// replica stopped.
 func (r *run) next(ctx context.Context) (emulator.Event, bool) {
 	select {
 	case event := <-r.events:
@@ -85,17 +88,18 @@
 		r.identity.cached = event.CachedTokens
 		return event, true
 	case <-ctx.Done():
-	case <-r.server.dead:
+	case <-r.server.stopped:
 	}
 	r.detail = endedCanceled
 	return emulator.Event{}, false
 }
 
-// await runs until the last event.
-func (r *run) await(ctx context.Context) bool {
+// awaitEnd waits for the last event. It returns false if the caller left or the
+// replica stopped.
+func (r *run) awaitEnd(ctx context.Context) bool {
 	for {
-		event, alive := r.next(ctx)
-		if !alive {
+		event, ok := r.next(ctx)
+		if !ok {
 			return false
 		}
 		if event.Kind == emulator.EventEnd {
@@ -104,34 +108,35 @@
 	}
 }
 
-func (r *run) respondWhole(ctx context.Context, w http.ResponseWriter) {
+// respondJSON sends a JSON response once the run has ended.
+func (r *run) respondJSON(ctx context.Context, w http.ResponseWriter) {
 	if r.fault.Kind == FaultCrash {
 		r.crash(ctx)
 	}
-	if !r.await(ctx) {
+	if !r.awaitEnd(ctx) {
 		r.abort()
 	}
 	switch r.fault.Kind {
 	case FaultStall, FaultLate:
-		r.pause(ctx)
+		r.delay(ctx)
 	case FaultCrossed:
-		r.swap(ctx)
+		r.swapIdentity(ctx)
 	case FaultWrongID:
-		r.misbehave()
-		r.identity.request = foreignRequest
+		r.logFault()
+		r.identity.request = foreignRequestID
 	case FaultError:
 		r.fail(ctx, w)
 		return
 	case FaultErrorInSuccess:
-		r.misbehave()
+		r.logFault()
 		writeJSON(w, http.StatusOK, api.ErrorBody{Error: r.failure()})
 		return
 	}
-	r.sendWhole(w)
+	r.sendJSON(w)
 }
 
-// sendWhole writes the answer, cut short if the fault says so.
-func (r *run) sendWhole(w http.ResponseWriter) {
+// sendJSON writes the response, truncated if the fault demands it.
+func (r *run) sendJSON(w http.ResponseWriter) {
 	body, err := json.Marshal(r.answer())
 	if err != nil {
 		panic(fmt.Sprintf("standin: encoding an answer: %v", err))
@@ -142,10 +147,10 @@
 	}
 	switch r.fault.Kind {
 	case FaultTruncate, FaultShortBody:
-		r.misbehave()
+		r.logFault()
 		r.write(w, body[:len(body)/2])
 	case FaultBreakMidEvent:
-		r.misbehave()
+		r.logFault()
 		r.write(w, body[:len(body)/2])
 		r.abort()
 	default:
@@ -153,6 +158,7 @@
 	}
 }
 
+// answer returns the body of a JSON response.
 func (r *run) answer() *api.GenerateAnswer {
 	var text strings.Builder
 	for index := 1; index <= r.identity.tokens; index++ {
@@ -168,7 +174,7 @@
 	}
 }
 
-// write sends bytes at once and aborts if the connection is gone.
+// write sends and flushes content. It aborts if the connection is gone.
 func (r *run) write(w http.ResponseWriter, content []byte) {
 	if _, err := w.Write(content); err != nil {
 		r.detail = endedCanceled
@@ -180,49 +186,52 @@
 	}
 }
 
+// crash ends the replica after the fault's delay. It does not return.
 func (r *run) crash(ctx context.Context) {
-	r.misbehave()
+	r.logFault()
 	r.server.sleep(ctx, r.fault.delay())
 	r.server.crash()
 }
 
-// pause holds the answer back for the fault's delay; a stall without a delay
-// lasts until the connection closes.
-func (r *run) pause(ctx context.Context) {
-	r.misbehave()
+// delay holds the response back for the fault's delay; a stall without one lasts
+// until the connection closes.
+func (r *run) delay(ctx context.Context) {
+	r.logFault()
 	wait := r.fault.delay()
 	if r.fault.Kind == FaultStall && wait == 0 {
-		wait = foreverWait
+		wait = unboundedStall
 	}
 	if !r.server.sleep(ctx, wait) {
 		r.abort()
 	}
 }
 
-// swap takes the identity of another request in exchange for the own one.
-func (r *run) swap(ctx context.Context) {
-	wait := r.fault.delay()
-	if wait == 0 {
-		wait = crossWait
+// swapIdentity exchanges the run's identity for that of a concurrent request. It
+// changes nothing if there is none in time.
+func (r *run) swapIdentity(ctx context.Context) {
+	timeout := r.fault.delay()
+	if timeout == 0 {
+		timeout = swapTimeout
 	}
-	other, met := r.server.cross.meet(ctx, r.identity, wait)
-	if !met {
+	other, swapped := r.server.swap.exchange(ctx, r.identity, timeout)
+	if !swapped {
 		return
 	}
-	r.misbehave()
+	r.logFault()
 	r.identity = other
 }
 
-// fail answers a server error after the delay, though the request has run.
+// fail responds with a server error after the fault's delay, though the request has
+// run.
 func (r *run) fail(ctx context.Context, w http.ResponseWriter) {
-	r.misbehave()
+	r.logFault()
 	if !r.server.sleep(ctx, r.fault.delay()) {
 		r.abort()
 	}
-	failure := r.failure()
-	writeJSON(w, http.StatusInternalServerError, api.ErrorBody{Error: failure})
+	writeJSON(w, http.StatusInternalServerError, api.ErrorBody{Error: r.failure()})
 }
 
+// failure returns the error that a fault puts into a response.
 func (r *run) failure() *api.Error {
 	return &api.Error{
 		Code:      api.CodeReplicaError,
@@ -232,136 +241,13 @@
 	}
 }
 
-func (r *run) respondStream(ctx context.Context, w http.ResponseWriter) {
-	if r.fault.Kind == FaultError {
-		r.fail(ctx, w)
-		return
-	}
-	w.Header().Set("Content-Type", "text/event-stream")
-	w.Header().Set("Cache-Control", "no-store")
-	swapped := false
-	for {
-		event, alive := r.next(ctx)
-		if !alive {
-			r.abort()
-		}
-		if r.fault.Kind == FaultCrossed && !swapped {
-			swapped = true
-			r.swap(ctx)
-		}
-		due := event.Index > r.fault.AfterEvents || event.Kind == emulator.EventEnd
-		if event.Kind == emulator.EventEnd && r.fault.Kind == FaultBreakBeforeEnd {
-			r.misbehave()
-			r.abort()
-		}
-		action := send
-		if due {
-			action = r.disturb(ctx, w, event)
-		}
-		if action == send {
-			r.write(w, r.encode(event))
-		}
-		if action == finish || event.Kind == emulator.EventEnd {
-			return
-		}
-	}
-}
-
-// action says what becomes of an event of a stream.
-type action uint8
-
-const (
-	send   action = iota // as usual
-	omit                 // leave it out and go on
-	finish               // leave it out and end the answer
-)
-
-// disturb lets the fault take effect, once, before an event is sent.
-func (r *run) disturb(ctx context.Context, w http.ResponseWriter, event emulator.Event) action {
-	switch r.fault.Kind {
-	case FaultCrash:
-		r.crash(ctx)
-	case FaultStall, FaultLate:
-		r.pause(ctx)
-	case FaultBreakMidEvent:
-		r.misbehave()
-		encoded := r.encode(event)
-		r.write(w, encoded[:len(encoded)/2])
-		r.abort()
-	case FaultBreakBetweenEvents:
-		r.misbehave()
-		r.abort()
-	case FaultTruncate:
-		r.misbehave()
-		return finish
-	case FaultWrongID:
-		r.misbehave()
-		r.identity.request = foreignRequest
-	case FaultErrorInSuccess:
-		r.misbehave()
-		r.write(w, encodeEvent(api.EventError, r.failure()))
-		return finish
-	case FaultRepeatPiece:
-		r.misbehave()
-		r.write(w, r.encode(event))
-	case FaultSkipPiece:
-		r.misbehave()
-		r.fault = Fault{}
-		return omit
-	}
-	if r.fault.Kind != FaultBreakBeforeEnd {
-		r.fault = Fault{}
-	}
-	return send
-}
-
-// encode is the server-sent event of a token or of the end.
-func (r *run) encode(event emulator.Event) []byte {
-	if event.Kind == emulator.EventEnd {
-		return r.encodeEnd(event)
-	}
-	return encodeEvent(api.EventPiece, api.StreamChunk{
-		RequestID: r.identity.request,
-		RunID:     r.identity.run,
-		Sequence:  event.Index,
-		Text:      tokenText(r.identity.run, event.Index),
-		Tokens:    1,
-	})
-}
-
-func (r *run) encodeEnd(event emulator.Event) []byte {
-	return encodeEvent(api.EventEnd, api.StreamEnd{
-		RequestID:    r.identity.request,
-		RunID:        r.identity.run,
-		Sequence:     event.Index + 1,
-		Tokens:       event.Index,
-		CachedTokens: event.CachedTokens,
-		Report:       r.server.Report(),
-	})
-}
-
-// encodeEvent is one server-sent event.
-func encodeEvent(name string, data any) []byte {
-	encoded, err := json.Marshal(data)
-	if err != nil {
-		panic(fmt.Sprintf("standin: encoding an event: %v", err))
-	}
-	var buffer bytes.Buffer
-	buffer.WriteString("event: ")
-	buffer.WriteString(name)
-	buffer.WriteString("\ndata: ")
-	buffer.Write(encoded)
-	buffer.WriteString("\n\n")
-	return buffer.Bytes()
-}
-
-// vocabulary are the words that answers are made of.
+// vocabulary has the words of generated text.
 var vocabulary = []string{
 	"amber", "birch", "cedar", "delta", "ember", "fjord", "grove", "harbor",
 	"inlet", "jasper", "kelp", "ledge", "marsh", "north", "ochre", "pebble",
 }
 
-// tokenText is the text of one token of a run.
+// tokenText returns the text of one token of a run: the same for the same token.
 func tokenText(run string, index int) string {
 	hash := fnv.New32a()
 	hash.Write([]byte(run))
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -29,7 +29,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// memoryLog keeps events.
+// memoryLog is a Logger that keeps its events.
 type memoryLog struct {
 	mutex  sync.Mutex
 	events []eventlog.Event
@@ -47,6 +47,7 @@
 	l.added <- struct{}{}
 }
 
+// find returns the events of a kind and request.
 func (l *memoryLog) find(kind eventlog.Kind, request string) []eventlog.Event {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -59,7 +60,7 @@
 	return found
 }
 
-// await waits for an event of a kind.
+// await waits for the first event of a kind and request.
 func (l *memoryLog) await(kind eventlog.Kind, request string) eventlog.Event {
 	for {
 		if found := l.find(kind, request); len(found) > 0 {
@@ -69,6 +70,7 @@
 	}
 }
 
+// startReplica serves a replica with fast steps until the test ends.
 func startReplica(t *testing.T, change func(*emulator.Parameters)) (*Server, *memoryLog, string) {
 	t.Helper()
 	parameters := emulator.DefaultParameters(emulator.KindModel)
@@ -107,7 +109,7 @@
 	return http.DefaultClient.Do(post)
 }
 
-// outcome is what a client sees of one answer.
+// outcome is what a client sees of one response.
 type outcome struct {
 	status    int
 	answer    api.GenerateAnswer
@@ -115,11 +117,11 @@
 	sequences []int
 	identity  string
 	end       *api.StreamEnd
-	// broken is the error of reading the answer; clean ends have none.
+	// broken is the error of reading the response; nil after a regular end.
 	broken error
 }
 
-func ask(ctx context.Context, url string, body api.ReplicaRequest) outcome {
+func generate(ctx context.Context, url string, body api.ReplicaRequest) outcome {
 	response, err := post(ctx, url+api.PathReplicaGenerate, body)
 	if err != nil {
 		return outcome{broken: err}
@@ -159,12 +161,12 @@
 		}
 		switch event {
 		case api.EventPiece:
-			var piece api.StreamChunk
-			if o.broken = json.Unmarshal([]byte(data), &piece); o.broken != nil {
+			var chunk api.StreamChunk
+			if o.broken = json.Unmarshal([]byte(data), &chunk); o.broken != nil {
 				return
 			}
-			o.sequences = append(o.sequences, piece.Sequence)
-			o.identity = piece.RequestID
+			o.sequences = append(o.sequences, chunk.Sequence)
+			o.identity = chunk.RequestID
 		case api.EventEnd:
 			o.end = new(api.StreamEnd)
 			o.broken = json.Unmarshal([]byte(data), o.end)
@@ -178,7 +180,7 @@
 	}
 }
 
-func TestFaultsShowAsTold(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	const tokens = 6
 	broken := func(o outcome) bool { return o.broken != nil }
 	cases := []struct {
@@ -187,8 +189,8 @@
 		check  func(outcome) bool
 		ended  string
 	}{
-		{"", false, func(o outcome) bool { return o.broken == nil && o.answer.Tokens == tokens && o.answer.Report != nil }, endedWhole},
-		{"", true, func(o outcome) bool { return len(o.sequences) == tokens && o.end.Sequence == tokens+1 }, endedWhole},
+		{"", false, func(o outcome) bool { return o.broken == nil && o.answer.Tokens == tokens && o.answer.Report != nil }, endedComplete},
+		{"", true, func(o outcome) bool { return len(o.sequences) == tokens && o.end.Sequence == tokens+1 }, endedComplete},
 		{FaultCrash, false, broken, "crash"},
 		{FaultCrash, true, func(o outcome) bool { return broken(o) && len(o.sequences) == 2 }, "crash"},
 		{FaultStall, true, func(o outcome) bool { return o.broken == nil && len(o.sequences) == tokens }, "stall"},
@@ -199,15 +201,15 @@
 		{FaultTruncate, false, broken, "truncate"},
 		{FaultTruncate, true, func(o outcome) bool { return o.broken == nil && len(o.sequences) == 2 && o.end == nil }, "truncate"},
 		{FaultLate, false, func(o outcome) bool { return o.answer.Tokens == tokens }, "late"},
-		{FaultWrongID, false, func(o outcome) bool { return o.identity == foreignRequest }, "wrong_id"},
-		{FaultWrongID, true, func(o outcome) bool { return o.identity == foreignRequest && len(o.sequences) == tokens }, "wrong_id"},
+		{FaultWrongID, false, func(o outcome) bool { return o.identity == foreignRequestID }, "wrong_id"},
+		{FaultWrongID, true, func(o outcome) bool { return o.identity == foreignRequestID && len(o.sequences) == tokens }, "wrong_id"},
 		{FaultShortBody, false, func(o outcome) bool { return errors.Is(o.broken, io.ErrUnexpectedEOF) }, "short_body"},
 		{FaultErrorInSuccess, false, func(o outcome) bool { return o.status == 200 && o.failure != nil }, "error_in_success"},
 		{FaultErrorInSuccess, true, func(o outcome) bool { return o.status == 200 && o.failure != nil && o.end == nil }, "error_in_success"},
 		{FaultError, false, func(o outcome) bool { return o.status == 500 && o.failure.Outcome == api.OutcomeFailed }, "error"},
 		{FaultError, true, func(o outcome) bool { return o.status == 500 && o.failure.Outcome == api.OutcomeFailed }, "error"},
-		{FaultSkipPiece, true, func(o outcome) bool { return fmt.Sprint(o.sequences) == "[1 2 4 5 6]" }, "skip_piece"},
-		{FaultRepeatPiece, true, func(o outcome) bool { return fmt.Sprint(o.sequences) == "[1 2 3 3 4 5 6]" }, "repeat_piece"},
+		{FaultSkipChunk, true, func(o outcome) bool { return fmt.Sprint(o.sequences) == "[1 2 4 5 6]" }, "skip_piece"},
+		{FaultRepeatChunk, true, func(o outcome) bool { return fmt.Sprint(o.sequences) == "[1 2 3 3 4 5 6]" }, "repeat_piece"},
 		{FaultRefuse, false, func(o outcome) bool { return o.status == 429 && o.failure.Outcome == api.OutcomeRefused }, ""},
 	}
 	for _, test := range cases {
@@ -217,11 +219,11 @@
 				fault := Fault{Kind: test.kind, AfterEvents: 2, DelayMS: 5}
 				response, err := post(t.Context(), url+PathControlFault, fault)
 				if err != nil || response.StatusCode != http.StatusNoContent {
-					t.Fatalf("telling the fault: %v, %v", response, err)
+					t.Fatalf("injecting the fault: %v, %v", response, err)
 				}
 				response.Body.Close()
 			}
-			seen := ask(t.Context(), url, request("r", test.stream, tokens))
+			seen := generate(t.Context(), url, request("r", test.stream, tokens))
 			if !test.check(seen) {
 				t.Errorf("seen %+v", seen)
 			}
@@ -239,22 +241,22 @@
 			if test.kind == FaultCrash {
 				return
 			}
-			again := ask(t.Context(), url, request("again", test.stream, tokens))
+			again := generate(t.Context(), url, request("again", test.stream, tokens))
 			if again.broken != nil || again.identity != "again" {
-				t.Errorf("the fault hit twice: %+v", again)
+				t.Errorf("the fault took effect twice: %+v", again)
 			}
 		})
 	}
 }
 
-func TestCrossedAnswersSwap(t *testing.T) {
+func TestCrossedResponsesSwapIdentities(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		server, _, url := startReplica(t, nil)
 		server.faults.add(Fault{Kind: FaultCrossed, Count: 2, DelayMS: 60_000})
 		seen := make([]outcome, 2)
 		var group sync.WaitGroup
 		for index, id := range []string{"first", "second"} {
-			group.Go(func() { seen[index] = ask(t.Context(), url, request(id, stream, 4)) })
+			group.Go(func() { seen[index] = generate(t.Context(), url, request(id, stream, 4)) })
 		}
 		group.Wait()
 		if seen[0].identity != "second" || seen[1].identity != "first" {
@@ -263,7 +265,7 @@
 	}
 }
 
-func TestRefusalsNeverExecute(t *testing.T) {
+func TestRefusedRequestsNeverRun(t *testing.T) {
 	slow := func(parameters *emulator.Parameters) {
 		parameters.DecodeStepMS = 60_000
 		parameters.Slots = 1
@@ -288,11 +290,11 @@
 			server, log, url := startReplica(t, slow)
 			ctx, cancel := context.WithCancel(t.Context())
 			var group sync.WaitGroup
-			group.Go(func() { ask(ctx, url, request("running", false, 2)) })
+			group.Go(func() { generate(ctx, url, request("running", false, 2)) })
 			log.await(eventlog.ReplicaExecuted, "running")
 			refused := request("refused", false, 2)
 			test.prepare(server, &refused)
-			seen := ask(t.Context(), url, refused)
+			seen := generate(t.Context(), url, refused)
 			if seen.status != test.status || seen.failure == nil || seen.failure.Code != test.code || seen.failure.Outcome != api.OutcomeRefused {
 				t.Errorf("seen %+v, want status %d and code %s", seen, test.status, test.code)
 			}
@@ -300,7 +302,7 @@
 				t.Errorf("executed %+v", executed)
 			}
 			if events := log.find(eventlog.ReplicaRefused, "refused"); len(events) != 1 || events[0].Version != refused.Stamp.ConfigurationVersion {
-				t.Errorf("refusals on record: %+v", events)
+				t.Errorf("logged refusals: %+v", events)
 			}
 			cancel()
 			group.Wait()
@@ -314,7 +316,7 @@
 	}
 }
 
-func TestPlatformSendsToTheFirstNodeThatAcknowledges(t *testing.T) {
+func TestPlatformSendsListUntilAcknowledged(t *testing.T) {
 	received := make(chan api.ReplicaList, 10)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var list api.ReplicaList
@@ -349,7 +351,7 @@
 	}
 	control := httptest.NewServer(platform)
 	defer control.Close()
-	response, err := post(t.Context(), control.URL+PathPlatformDrain, PlatformDrainOrder{Replica: "m2", Draining: true})
+	response, err := post(t.Context(), control.URL+PathPlatformDrain, PlatformDrainRequest{Replica: "m2", Draining: true})
 	if err != nil || response.StatusCode != http.StatusNoContent {
 		t.Fatalf("drain: %v, %v", response, err)
 	}
@@ -367,7 +369,7 @@
 	defer cancel()
 	platform.config.Control = platform.config.Control[:1]
 	if err := platform.Reload(ctx); err == nil {
-		t.Error("a list that nobody acknowledged was taken for acknowledged")
+		t.Error("a list that nobody acknowledged counted as acknowledged")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- /dev/null
+++ b/internal/standin/stream.go
@@ -0,0 +1,142 @@
+package standin
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/internal/emulator"
+)
+
+// respondStream sends the events of the run as they come.
+func (r *run) respondStream(ctx context.Context, w http.ResponseWriter) {
+	if r.fault.Kind == FaultError {
+		r.fail(ctx, w)
+		return
+	}
+	w.Header().Set("Content-Type", "text/event-stream")
+	w.Header().Set("Cache-Control", "no-store")
+	swapped := false
+	for {
+		event, ok := r.next(ctx)
+		if !ok {
+			r.abort()
+		}
+		if r.fault.Kind == FaultCrossed && !swapped {
+			swapped = true
+			r.swapIdentity(ctx)
+		}
+		action := r.beforeEvent(ctx, w, event)
+		if action == sendEvent {
+			r.write(w, r.encode(event))
+		}
+		if action == endStream || event.Kind == emulator.EventEnd {
+			return
+		}
+	}
+}
+
+// streamAction is what becomes of an event of a stream.
+type streamAction uint8
+
+const (
+	sendEvent streamAction = iota // as without a fault
+	omitEvent                     // leave it out and go on
+	endStream                     // leave it out and end the response
+)
+
+// beforeEvent lets the fault take effect if it is due before this event.
+func (r *run) beforeEvent(ctx context.Context, w http.ResponseWriter, event emulator.Event) streamAction {
+	last := event.Kind == emulator.EventEnd
+	if last && r.fault.Kind == FaultBreakBeforeEnd {
+		r.logFault()
+		r.abort()
+	}
+	if !last && event.Index <= r.fault.AfterEvents {
+		return sendEvent
+	}
+	return r.injectFault(ctx, w, event)
+}
+
+// injectFault lets the fault take effect, once, before an event is sent.
+// FaultBreakBeforeEnd stays for beforeEvent.
+func (r *run) injectFault(ctx context.Context, w http.ResponseWriter, event emulator.Event) streamAction {
+	switch r.fault.Kind {
+	case FaultCrash:
+		r.crash(ctx)
+	case FaultStall, FaultLate:
+		r.delay(ctx)
+	case FaultBreakMidEvent:
+		r.logFault()
+		encoded := r.encode(event)
+		r.write(w, encoded[:len(encoded)/2])
+		r.abort()
+	case FaultBreakBetweenEvents:
+		r.logFault()
+		r.abort()
+	case FaultTruncate:
+		r.logFault()
+		return endStream
+	case FaultWrongID:
+		r.logFault()
+		r.identity.request = foreignRequestID
+	case FaultErrorInSuccess:
+		r.logFault()
+		r.write(w, encodeEvent(api.EventError, r.failure()))
+		return endStream
+	case FaultRepeatChunk:
+		r.logFault()
+		r.write(w, r.encode(event))
+	case FaultSkipChunk:
+		r.logFault()
+		r.fault = Fault{}
+		return omitEvent
+	}
+	if r.fault.Kind != FaultBreakBeforeEnd {
+		r.fault = Fault{}
+	}
+	return sendEvent
+}
+
+// encode returns the server-sent event of a token or of the end.
+func (r *run) encode(event emulator.Event) []byte {
+	if event.Kind == emulator.EventEnd {
+		return r.encodeEnd(event)
+	}
+	return encodeEvent(api.EventPiece, api.StreamChunk{
+		RequestID: r.identity.request,
+		RunID:     r.identity.run,
+		Sequence:  event.Index,
+		Text:      tokenText(r.identity.run, event.Index),
+		Tokens:    1,
+	})
+}
+
+func (r *run) encodeEnd(event emulator.Event) []byte {
+	return encodeEvent(api.EventEnd, api.StreamEnd{
+		RequestID:    r.identity.request,
+		RunID:        r.identity.run,
+		Sequence:     event.Index + 1,
+		Tokens:       event.Index,
+		CachedTokens: event.CachedTokens,
+		Report:       r.server.Report(),
+	})
+}
+
+// encodeEvent returns one server-sent event.
+func encodeEvent(name string, data any) []byte {
+	encoded, err := json.Marshal(data)
+	if err != nil {
+		panic(fmt.Sprintf("standin: encoding an event: %v", err))
+	}
+	var buffer bytes.Buffer
+	buffer.WriteString("event: ")
+	buffer.WriteString(name)
+	buffer.WriteString("\ndata: ")
+	buffer.Write(encoded)
+	buffer.WriteString("\n\n")
+	return buffer.Bytes()
+}
