--- a/internal/benchmark/benchmark.go
+++ b/internal/benchmark/benchmark.go
@@ -1,7 +1,7 @@
 // Package benchmark measures real nodes of a fleet on one machine: control nodes
 // with files and TCP on loopback, and a gateway between callers and stand-in
-// replicas. Processes whose CPU time is counted apart run as workers: children
-// of the measuring process that end with it. No daemon imports it.
+// replicas. What must have its CPU time measured separately runs in a worker: a
+// child process that ends with its parent. No daemon imports it.
 package benchmark
 
 import (
@@ -16,20 +16,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// loopback is an address with a port of the system's choice.
+// loopback is a listen address whose port the system chooses.
 const loopback = "127.0.0.1:0"
 
-// Options sets up a benchmark.
+// Options configures a benchmark.
 type Options struct {
-	// Short cuts every measurement down, to see that all of them run.
+	// Short shortens every measurement, to check that all of them run.
 	Short bool
-	// Only names the measurements to run; empty is all.
+	// Only names the measurements to run; empty for all.
 	Only []string
-	// Worker makes the command of a child that calls RunWorker with the kind.
+	// Worker returns the command of a child process that calls RunWorker with the kind.
 	Worker func(kind string) *exec.Cmd
-	// Profiles is a folder for CPU profiles; empty takes none.
+	// Profiles is a folder for CPU profiles; empty for none.
 	Profiles string
-	// Logger takes the messages for people; nil discards them.
+	// Logger takes the log messages of the nodes; nil discards them.
 	Logger *slog.Logger
 }
 
@@ -47,7 +47,7 @@
 	return full
 }
 
-// Machine describes where and when the measurement runs, in one line.
+// Machine describes the machine, its load and the date in one line of text.
 func Machine(short bool) string {
 	load := "unknown"
 	if content, err := os.ReadFile("/proc/loadavg"); err == nil {
@@ -61,7 +61,7 @@
 		time.Now().Format(time.DateOnly), runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), load, run)
 }
 
-// processorTime is the CPU time that this process has used, user and system.
+// processorTime returns the CPU time that this process has used, user and system.
 func processorTime() (time.Duration, error) {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
--- a/internal/benchmark/benchmark_test.go
+++ b/internal/benchmark/benchmark_test.go
@@ -16,7 +16,8 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// workerVariable makes the test's program a worker of the kind it holds.
+// workerVariable is the environment variable that makes the test binary a worker of
+// the kind that is its value.
 const workerVariable = "DECKPULLEY_BENCHMARK_WORKER"
 
 func TestMain(m *testing.M) {
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestTimes checks that what the replica took is no part of the result, and
-// that a lost event is not passed over.
-func TestTimes(t *testing.T) {
+// TestAddedLatencies checks that the replica's own time is not part of the result,
+// and that a lost event is a failure.
+func TestAddedLatencies(t *testing.T) {
 	start := time.Now()
 	after := func(lengths ...int) (moments []time.Time) {
 		for _, length := range lengths {
@@ -81,11 +82,11 @@
 		}
 		return moments
 	}
-	watch := newObserver()
-	watch.put("whole", replicaNotes{started: after(2)[0], written: after(12, 24, 36)})
-	watch.put("short", replicaNotes{started: after(2)[0], written: after(12, 24)})
-	p := &path{watch: watch, notes: map[string]callerNotes{"whole": {sent: start, read: after(15, 28, 41)}}}
-	got := p.times()
+	observer := newObserver()
+	observer.put("whole", replicaTimes{started: after(2)[0], written: after(12, 24, 36)})
+	observer.put("short", replicaTimes{started: after(2)[0], written: after(12, 24)})
+	p := &path{observer: observer, requests: map[string]callerTimes{"whole": {sent: start, read: after(15, 28, 41)}}}
+	got := p.latencies()
 	if p.failures != nil {
 		t.Fatal(p.failures)
 	}
@@ -99,24 +100,24 @@
 			t.Errorf("%s: %v, want %v", name, check[0], check[1])
 		}
 	}
-	p.notes["short"] = callerNotes{sent: start, read: after(15)}
-	if p.times(); p.failures == nil {
+	p.requests["short"] = callerTimes{sent: start, read: after(15)}
+	if p.latencies(); p.failures == nil {
 		t.Error("a stream with a lost event was counted")
 	}
 }
 
-// TestUpdatesArrive checks the group that all measurements of control nodes
-// stand on: what was counted is in the table, after a crash of the primary too.
-func TestUpdatesArrive(t *testing.T) {
+// TestCountedUpdatesAreInTable checks the group that all measurements of control
+// nodes use: every counted update is in the table, also after a crash of the primary.
+func TestCountedUpdatesAreInTable(t *testing.T) {
 	o := testOptions(t)
-	g, err := newGroup(3, frequentSnapshots, o.Logger)
+	g, err := newGroup(3, shortSnapshotInterval, o.Logger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.close()
 	const count = 200
 	before := g.sent.Load()
-	run, err := g.runUpdates(8, patience, count)
+	run, err := g.runUpdates(8, awaitTimeout, count)
 	if err != nil || run.latencies.count() != count || g.sent.Load() != before+count {
 		t.Fatalf("%d updates counted, %d sent, %v, want %d", run.latencies.count(), g.sent.Load()-before, err, count)
 	}
@@ -126,7 +127,7 @@
 	}
 	var expected []registry.Record
 	for number := before + 1; number <= before+count; number++ {
-		expected = append(expected, registry.Equals(numberedRecord(number)))
+		expected = append(expected, registry.Equals(updateRecord(number)))
 	}
 	check := peer.UpdateRequest{Update: registry.NewUpdate(catalog.Apex, expected, nil)}
 	primary, err := g.primary()
@@ -145,9 +146,9 @@
 	}
 }
 
-// TestSite checks that requests and streams pass the gateway whole, and that the
-// costs are those of its process.
-func TestSite(t *testing.T) {
+// TestSiteRelaysRequests checks that requests and streams pass the gateway complete,
+// and that the costs are those of its process.
+func TestSiteRelaysRequests(t *testing.T) {
 	o := testOptions(t)
 	s, err := newSite(o, nil, "")
 	if err != nil {
@@ -159,15 +160,15 @@
 		}
 	}()
 	ctx := t.Context()
-	read, err := s.caller.stream(ctx, api.PathRequests, question("stream", modelName, true, 5), true)
+	read, err := s.caller.stream(ctx, api.PathRequests, gatewayRequest("stream", modelName, true, 5), true)
 	if err != nil || len(read) != 6 {
-		t.Errorf("%d events of 5 pieces and the end: %v", len(read), err)
+		t.Errorf("%d events of 5 chunks and the end: %v", len(read), err)
 	}
-	if err := s.caller.ticketed(ctx, question("ticketed", webName, false, 1)); err != nil {
+	if err := s.caller.sendWithTicket(ctx, gatewayRequest("ticketed", webName, false, 1)); err != nil {
 		t.Error(err)
 	}
-	run := closedLoop(s.child, 4, 200*time.Millisecond, func(ctx context.Context, id string) error {
-		return s.caller.ask(ctx, api.PathRequests, question(id, webName, false, 1))
+	run := closedLoop(s.gateway, 4, 200*time.Millisecond, func(ctx context.Context, id string) error {
+		return s.caller.send(ctx, api.PathRequests, gatewayRequest(id, webName, false, 1))
 	})
 	if run.units == 0 || run.failures != 0 || run.processor <= 0 || run.allocations < run.units {
 		t.Errorf("run %+v", run)
--- a/internal/benchmark/caller.go
+++ b/internal/benchmark/caller.go
@@ -18,18 +18,18 @@
 // maxConnections bounds the callers' connections to one address.
 const maxConnections = 2048
 
-// requestWait is how long a caller waits for an answer, in milliseconds.
-const requestWait = 20_000
+// requestTimeoutMS bounds a request of a caller, in milliseconds.
+const requestTimeoutMS = 20_000
 
-// errNotWhole means that a stream ended without its end event.
-var errNotWhole = errors.New("the stream is not whole")
+// errStreamIncomplete means that a stream ended without its end event.
+var errStreamIncomplete = errors.New("the stream is not whole")
 
-// caller sends requests as callers of a gateway do.
+// caller is an HTTP client of a gateway or a replica.
 type caller struct {
 	http *http.Client
-	// base begins every URL.
+	// base is the prefix of every URL.
 	base string
-	// events counts the events read, also of streams that go on.
+	// events counts the events read so far, also of streams in progress.
 	events atomic.Int64
 }
 
@@ -40,7 +40,8 @@
 
 func (c *caller) close() { c.http.CloseIdleConnections() }
 
-// post sends a document and returns the answer's body.
+// post sends a document as JSON and returns the body of a response with status 200.
+// The caller must close it.
 func (c *caller) post(ctx context.Context, path string, document any) (io.ReadCloser, error) {
 	encoded, err := json.Marshal(document)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return response.Body, nil
 }
 
-// ask sends a request for a whole answer.
-func (c *caller) ask(ctx context.Context, path string, document any) error {
+// send sends a request and discards the response, which is no stream.
+func (c *caller) send(ctx context.Context, path string, document any) error {
 	body, err := c.post(ctx, path, document)
 	if err != nil {
 		return err
@@ -74,10 +75,10 @@
 	return err
 }
 
-// ticketed asks where to go first, as for a request that must run at most once.
-func (c *caller) ticketed(ctx context.Context, request api.GenerateRequest) error {
-	where := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS}
-	body, err := c.post(ctx, api.PathWhere, where)
+// sendWithTicket gets a ticket first, as for a request that must run at most once.
+func (c *caller) sendWithTicket(ctx context.Context, request api.GenerateRequest) error {
+	ticketRequest := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS}
+	body, err := c.post(ctx, api.PathWhere, ticketRequest)
 	if err != nil {
 		return err
 	}
@@ -89,12 +90,12 @@
 	}
 	request.Repeatable = false
 	request.Ticket = answer.Ticket
-	return c.ask(ctx, api.PathRequests, request)
+	return c.send(ctx, api.PathRequests, request)
 }
 
-// stream reads a stream to its end and returns when each event was read. Only
-// the times that are wanted are kept.
-func (c *caller) stream(ctx context.Context, path string, document any, keep bool) ([]time.Time, error) {
+// stream reads a stream to its end. If keepTimes is true, it returns when each event
+// was read.
+func (c *caller) stream(ctx context.Context, path string, document any, keepTimes bool) ([]time.Time, error) {
 	body, err := c.post(ctx, path, document)
 	if err != nil {
 		return nil, err
@@ -109,37 +110,37 @@
 			return read, nil
 		}
 		if err != nil {
-			return read, fmt.Errorf("%w after %d events: %w", errNotWhole, len(read), err)
+			return read, fmt.Errorf("%w after %d events: %w", errStreamIncomplete, len(read), err)
 		}
 		switch {
 		case len(line) == 1:
 			c.events.Add(1)
-			if keep {
+			if keepTimes {
 				read = append(read, time.Now())
 			}
 		case bytes.HasPrefix(line, []byte("event: "+api.EventEnd)):
 			ended = true
 		case bytes.HasPrefix(line, []byte("event: "+api.EventError)):
-			return read, fmt.Errorf("%w: it brought an error", errNotWhole)
+			return read, fmt.Errorf("%w: it brought an error", errStreamIncomplete)
 		}
 	}
 }
 
-// question is a request through a gateway.
-func question(id, model string, stream bool, tokens int) api.GenerateRequest {
+// gatewayRequest returns a request for a gateway.
+func gatewayRequest(id, model string, stream bool, tokens int) api.GenerateRequest {
 	return api.GenerateRequest{
 		RequestID:    id,
 		Model:        model,
 		PromptTokens: 16,
 		MaxTokens:    tokens,
 		Stream:       stream,
-		WaitMS:       requestWait,
+		WaitMS:       requestTimeoutMS,
 		Repeatable:   true,
 	}
 }
 
-// directQuestion is the same request at a replica.
-func directQuestion(id, model string, stream bool, tokens int) api.ReplicaRequest {
+// replicaRequest returns the same request as a gateway sends it to a replica.
+func replicaRequest(id, model string, stream bool, tokens int) api.ReplicaRequest {
 	class := api.ClassFetch
 	if model == modelName {
 		class = api.ClassLong
@@ -151,7 +152,7 @@
 		PromptTokens: 16,
 		MaxTokens:    tokens,
 		Stream:       stream,
-		TimeLeftMS:   requestWait,
+		TimeLeftMS:   requestTimeoutMS,
 		Stamp:        api.Stamp{ConfigurationVersion: 1, Gateway: "benchmark", Attempt: 1},
 	}
 }
--- a/internal/benchmark/capacity.go
+++ b/internal/benchmark/capacity.go
@@ -19,16 +19,16 @@
 // Loads of the capacity measurement.
 const (
 	shortCallers = 64
-	// streamCallers each read one stream after the other; together they ask for
-	// about 65,000 events a second.
+	// streamCallers is the number of callers that each read one stream after the
+	// other; together they demand about 65,000 events a second.
 	streamCallers = 800
-	// longTokens is the length of their streams in events: about 3.6 s.
+	// longTokens is the length of their streams in events, about 3.6 s.
 	longTokens = 300
 )
 
-// capacityRun is what a gateway did in a window.
+// capacityRun is the work of a gateway in a window of time, and its cost.
 type capacityRun struct {
-	length      time.Duration
+	elapsed     time.Duration
 	units       float64 // requests or events
 	processor   time.Duration
 	allocations float64
@@ -37,14 +37,15 @@
 	failure     error // the first
 }
 
-// measureCapacity loads a gateway whose process runs Go code on one core.
+// measureCapacity measures a gateway at full load whose process runs Go code on one
+// core.
 func measureCapacity(o *Options) ([]Table, error) {
 	s, err := newSite(o, nil, "gateway-capacity", "GOMAXPROCS=1")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = s.close() }()
-	if _, err := s.child.ask(commandStartProfile); err != nil {
+	if _, err := s.gateway.execute(commandStartProfile); err != nil {
 		return nil, err
 	}
 	requests, err := requestTable(o, s)
@@ -55,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := s.child.ask(commandStopProfile); err != nil {
+	if _, err := s.gateway.execute(commandStopProfile); err != nil {
 		return nil, err
 	}
 	return []Table{requests, events}, nil
@@ -67,42 +68,43 @@
 		Note:    fmt.Sprintf("%d callers, each sends its next request after the answer; the gateway's process has GOMAXPROCS=1. CPU time is that of its process by getrusage, kernel included; per core is what one second of CPU time carries. Ticketed requests ask /v1/where first, so each is two HTTP requests, and has a connection to its replica of its own, so that it cannot be sent twice. A gateway remembers a bounded number of tickets until the waiting time of their requests and some seconds more are over; the lasting rate of ticketed requests is therefore bounded by memory, below the rate of this short run. Direct requests go to one stand-in without a gateway.", shortCallers),
 		Columns: []string{"way", "requests/s", "not answered", "cores used", "CPU µs per request", "requests/s per core", "target", "allocations per request", "bytes allocated per request"},
 	}
-	length := pick(o, 5*time.Second, 500*time.Millisecond)
+	duration := pick(o, 5*time.Second, 500*time.Millisecond)
 	direct := newCaller(s.replicas[1].address)
 	defer direct.close()
-	directRun := closedLoop(nil, shortCallers, length, func(ctx context.Context, id string) error {
-		return direct.ask(ctx, api.PathReplicaGenerate, directQuestion(id, webName, false, 1))
+	directRun := closedLoop(nil, shortCallers, duration, func(ctx context.Context, id string) error {
+		return direct.send(ctx, api.PathReplicaGenerate, replicaRequest(id, webName, false, 1))
 	})
-	table.add("direct", whole(directRun.rate()), fmt.Sprint(directRun.failures), "", "", "", "", "", "")
-	for _, way := range s.requestWays(length) {
-		run := closedLoop(s.child, shortCallers, way.length, way.send)
+	table.add("direct", integer(directRun.rate()), fmt.Sprint(directRun.failures), "", "", "", "", "", "")
+	for _, mode := range s.requestModes(duration) {
+		run := closedLoop(s.gateway, shortCallers, mode.duration, mode.send)
 		if run.units == 0 {
-			return table, fmt.Errorf("no %s request was answered: %w", way.label, run.failure)
+			return table, fmt.Errorf("no %s request was answered: %w", mode.label, run.failure)
 		}
-		cells := []string{way.label, whole(run.rate()), fmt.Sprint(run.failures)}
+		cells := []string{mode.label, integer(run.rate()), fmt.Sprint(run.failures)}
 		table.add(append(cells, run.costCells(targetRequests)...)...)
 	}
 	return table, nil
 }
 
-// requestWay is one way to send short requests.
-type requestWay struct {
-	label  string
-	length time.Duration
-	send   func(context.Context, string) error
+// requestMode is one way to send short requests.
+type requestMode struct {
+	label    string
+	duration time.Duration
+	send     func(context.Context, string) error
 }
 
-// requestWays keeps tickets few enough for a gateway to remember all of them.
-func (s *site) requestWays(length time.Duration) []requestWay {
-	return []requestWay{
-		{"repeatable", length, func(ctx context.Context, id string) error {
-			return s.caller.ask(ctx, api.PathRequests, question(id, webName, false, 1))
+// requestModes returns the modes to measure. The last is short, so that a gateway can
+// remember all of its tickets.
+func (s *site) requestModes(duration time.Duration) []requestMode {
+	return []requestMode{
+		{"repeatable", duration, func(ctx context.Context, id string) error {
+			return s.caller.send(ctx, api.PathRequests, gatewayRequest(id, webName, false, 1))
 		}},
-		{"ticketed", length, func(ctx context.Context, id string) error {
-			return s.caller.ticketed(ctx, question(id, webName, false, 1))
+		{"ticketed", duration, func(ctx context.Context, id string) error {
+			return s.caller.sendWithTicket(ctx, gatewayRequest(id, webName, false, 1))
 		}},
-		{"where alone", length / 5, func(ctx context.Context, id string) error {
-			return s.caller.ask(ctx, api.PathWhere, api.WhereRequest{RequestID: id, Model: webName, WaitMS: requestWait})
+		{"where alone", duration / 5, func(ctx context.Context, id string) error {
+			return s.caller.send(ctx, api.PathWhere, api.WhereRequest{RequestID: id, Model: webName, WaitMS: requestTimeoutMS})
 		}},
 	}
 }
@@ -113,89 +115,93 @@
 		Note:    fmt.Sprintf("Callers that read one stream of %d events after the other, from replicas that decode in steps of 12 ms; the gateway's process has GOMAXPROCS=1. The first row is a load within its reach, the last asks for more than one core carries.", longTokens),
 		Columns: []string{"callers", "events/s", "streams broken", "cores used", "CPU µs per event", "events/s per core", "target", "allocations per event", "bytes allocated per event"},
 	}
-	length := pick(o, 8*time.Second, time.Second)
+	duration := pick(o, 8*time.Second, time.Second)
 	for _, callers := range pick(o, []int{streamCallers / 8, streamCallers / 3, streamCallers}, []int{streamCallers / 8, streamCallers}) {
-		run, err := streamLoop(s, callers, length)
+		run, err := streamLoop(s, callers, duration)
 		if err != nil {
 			return table, err
 		}
 		if run.units == 0 {
 			return table, fmt.Errorf("no event was relayed: %w", run.failure)
 		}
-		cells := []string{fmt.Sprint(callers), whole(run.rate()), fmt.Sprint(run.failures)}
+		cells := []string{fmt.Sprint(callers), integer(run.rate()), fmt.Sprint(run.failures)}
 		table.add(append(cells, run.costCells(targetEvents)...)...)
 	}
 	return table, nil
 }
 
-func (r *capacityRun) rate() float64 { return r.units / r.length.Seconds() }
+func (r *capacityRun) rate() float64 { return r.units / r.elapsed.Seconds() }
 
 func (r *capacityRun) costCells(target int) []string {
 	return []string{
-		decimal(r.processor.Seconds() / r.length.Seconds()),
+		decimal(r.processor.Seconds() / r.elapsed.Seconds()),
 		decimal(perUnit(r.processor.Seconds()*1e6, r.units)),
-		whole(perUnit(r.units, r.processor.Seconds())),
+		integer(perUnit(r.units, r.processor.Seconds())),
 		fmt.Sprint(target),
 		decimal(perUnit(r.allocations, r.units)),
-		whole(perUnit(r.allocated, r.units)),
+		integer(perUnit(r.allocated, r.units)),
 	}
 }
 
-// costs adds what the child used between two readings.
-func (r *capacityRun) costs(before, after workerStatus) {
+// setCosts sets what the gateway used between two statuses.
+func (r *capacityRun) setCosts(before, after workerStatus) {
 	r.processor = after.Processor - before.Processor
 	r.allocations = float64(after.Allocations - before.Allocations)
 	r.allocated = float64(after.Allocated - before.Allocated)
 }
 
-// loopCount makes the request ids of loops differ.
+// loopCount numbers the loops, so that their request ids differ.
 var loopCount atomic.Int64
 
-// closedLoop lets callers send for a time and counts their answers. The costs
-// are those of the child, if there is one.
-func closedLoop(child *worker, callers int, length time.Duration, send func(context.Context, string) error) capacityRun {
+// closedLoop lets callers send one request after the other for a duration and counts
+// the answers. The costs are those of the gateway, if there is one.
+func closedLoop(gateway *worker, callers int, duration time.Duration, send func(context.Context, string) error) capacityRun {
 	var run capacityRun
 	var before, after workerStatus
-	if child != nil {
-		if before, run.failure = child.ask(commandStatus); run.failure != nil {
+	if gateway != nil {
+		if before, run.failure = gateway.execute(commandStatus); run.failure != nil {
 			return run
 		}
 	}
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), length+patience)
+	ctx, cancel := context.WithTimeout(context.Background(), duration+awaitTimeout)
 	defer cancel()
-	answered, failures, failure := loop(ctx, callers, func() bool { return time.Since(started) < length }, send)
-	run.length = time.Since(started)
+	answered, failures, failure := loop(ctx, callers, func() bool { return time.Since(started) < duration }, send)
+	run.elapsed = time.Since(started)
 	run.units, run.failures, run.failure = float64(answered), failures, failure
-	if child != nil {
-		if after, run.failure = child.ask(commandStatus); run.failure != nil {
+	if gateway != nil {
+		if after, run.failure = gateway.execute(commandStatus); run.failure != nil {
 			run.units = 0
 			return run
 		}
-		run.costs(before, after)
+		run.setCosts(before, after)
 		run.failure = failure
 	}
 	return run
 }
 
-// loop runs callers while goOn holds. What the end of the context cuts off is
-// neither answered nor a failure.
-func loop(ctx context.Context, callers int, goOn func() bool, send func(context.Context, string) error) (answered, failures int64, failure error) {
-	var answers, errors atomic.Int64
+// failurePause is how long a caller waits after a failure.
+const failurePause = 10 * time.Millisecond
+
+// loop runs callers until proceed returns false or ctx ends, and returns the first
+// failure with the counts. Requests that the end of ctx interrupts count as neither
+// answered nor failed.
+func loop(ctx context.Context, callers int, proceed func() bool, send func(context.Context, string) error) (answered, failures int64, failure error) {
+	var answers, errorCount atomic.Int64
 	var first sync.Once
 	var running sync.WaitGroup
-	name := loopCount.Add(1)
+	loopNumber := loopCount.Add(1)
 	for caller := range callers {
 		running.Go(func() {
-			for number := 0; goOn() && ctx.Err() == nil; number++ {
-				err := send(ctx, fmt.Sprintf("loop-%d-%d-%d", name, caller, number))
+			for number := 0; proceed() && ctx.Err() == nil; number++ {
+				err := send(ctx, fmt.Sprintf("loop-%d-%d-%d", loopNumber, caller, number))
 				if ctx.Err() != nil {
 					return
 				}
 				if err != nil {
-					errors.Add(1)
+					errorCount.Add(1)
 					first.Do(func() { failure = err })
-					time.Sleep(10 * time.Millisecond)
+					time.Sleep(failurePause)
 					continue
 				}
 				answers.Add(1)
@@ -203,20 +209,20 @@
 		})
 	}
 	running.Wait()
-	return answers.Load(), errors.Load(), failure
+	return answers.Load(), errorCount.Load(), failure
 }
 
-// longestRamp is how long the first streams of all callers take to begin, one
+// maxRampTime bounds the time over which the first streams of the callers begin, one
 // after the other.
-const longestRamp = time.Second
+const maxRampTime = time.Second
 
-// streamLoop counts the events that callers read in a window in which all of
-// them have streams.
-func streamLoop(s *site, callers int, length time.Duration) (capacityRun, error) {
+// streamLoop counts the events that callers read in a window of time in which each of
+// them has a stream.
+func streamLoop(s *site, callers int, duration time.Duration) (capacityRun, error) {
 	var run capacityRun
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ramp := min(longestRamp, length/2)
+	ramp := min(maxRampTime, duration/2)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -225,20 +231,20 @@
 			if turn := begun.Add(1); turn <= int64(callers) {
 				time.Sleep(time.Duration(turn) * ramp / time.Duration(callers))
 			}
-			_, err := s.caller.stream(ctx, api.PathRequests, question(id, modelName, true, longTokens), false)
+			_, err := s.caller.stream(ctx, api.PathRequests, gatewayRequest(id, modelName, true, longTokens), false)
 			return err
 		})
 	}()
 	time.Sleep(ramp + ramp/2)
-	before, err := s.child.ask(commandStatus)
+	before, err := s.gateway.execute(commandStatus)
 	if err == nil {
 		started, read := time.Now(), s.caller.events.Load()
-		time.Sleep(length)
+		time.Sleep(duration)
 		var after workerStatus
-		after, err = s.child.ask(commandStatus)
-		run.length = time.Since(started)
+		after, err = s.gateway.execute(commandStatus)
+		run.elapsed = time.Since(started)
 		run.units = float64(s.caller.events.Load() - read)
-		run.costs(before, after)
+		run.setCosts(before, after)
 	}
 	cancel()
 	<-done
--- a/internal/benchmark/control.go
+++ b/internal/benchmark/control.go
@@ -22,20 +22,21 @@
 	{"leases", measureLeases},
 }
 
-// Control measures control nodes. Its tables are those that were finished if it
-// returns an error.
+// Control measures control nodes. With an error it returns the tables that were
+// finished.
 func Control(o Options) ([]Table, error) { return o.measure("control", controlMeasurements) }
 
-// measure runs the measurements that are wanted, in their order.
+// measure runs the selected measurements in their order, under a CPU profile if
+// profiles are taken.
 func (o *Options) measure(profile string, measurements []measurement) ([]Table, error) {
 	o.withDefaults()
 	known := make([]string, 0, len(measurements))
 	for _, one := range measurements {
 		known = append(known, one.name)
 	}
-	for _, wanted := range o.Only {
-		if !slices.Contains(known, wanted) {
-			return nil, fmt.Errorf("there is no measurement %q, but %s", wanted, strings.Join(known, ", "))
+	for _, name := range o.Only {
+		if !slices.Contains(known, name) {
+			return nil, fmt.Errorf("there is no measurement %q, but %s", name, strings.Join(known, ", "))
 		}
 	}
 	stop, err := o.profile(profile)
@@ -57,7 +58,8 @@
 	return tables, nil
 }
 
-// profile starts a CPU profile of this process, if profiles are wanted.
+// profile starts a CPU profile of this process, if profiles are taken. The caller
+// must call stop.
 func (o *Options) profile(name string) (stop func(), err error) {
 	path, err := o.profilePath(name)
 	if err != nil || path == "" {
@@ -77,8 +79,8 @@
 	}, nil
 }
 
-// profilePath makes the folder of profiles and returns a file's path in it;
-// empty if no profile is wanted.
+// profilePath creates the folder of profiles and returns the path of a file in it;
+// empty if no profiles are taken.
 func (o *Options) profilePath(name string) (string, error) {
 	if o.Profiles == "" {
 		return "", nil
--- a/internal/benchmark/failover.go
+++ b/internal/benchmark/failover.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// measureFailover stops the primary again and again.
+// measureFailover measures the time without a primary after the loss of one, and
+// the restart of the lost member, over several rounds.
 func measureFailover(o *Options) ([]Table, error) {
 	table := Table{
 		Title:   "New primary after the loss of the old one",
@@ -30,31 +31,32 @@
 		return nil, err
 	}
 	defer g.close()
-	elections, returns := newQuantiles(), newQuantiles()
+	outages, restarts := newQuantiles(), newQuantiles()
 	for range rounds {
-		old, took, serial, err := g.replacePrimary()
+		old, outage, serial, err := g.replacePrimary()
 		if err != nil {
 			return nil, err
 		}
-		elections.add(took)
-		began := time.Now()
+		outages.add(outage)
+		restarted := time.Now()
 		if err := old.start(); err != nil {
 			return nil, err
 		}
 		if err := old.awaitSerial(serial); err != nil {
 			return nil, err
 		}
-		returns.add(time.Since(began))
+		restarts.add(time.Since(restarted))
 	}
 	return []string{
-		fmt.Sprint(voters), fmt.Sprint(rounds), milliseconds(elections.at(50)),
-		milliseconds(elections.longest()), milliseconds(returns.at(50)),
+		fmt.Sprint(voters), fmt.Sprint(rounds), milliseconds(outages.at(50)),
+		milliseconds(outages.longest()), milliseconds(restarts.at(50)),
 	}, nil
 }
 
-// replacePrimary stops the primary and waits for an update at another member.
-// It returns the stopped one, the time without a primary and the serial after.
-func (g *group) replacePrimary() (old *member, took time.Duration, serial uint32, err error) {
+// replacePrimary stops the primary and waits until another member has applied an
+// update. It returns the stopped member, the time from its stop to that update, and
+// the serial of the update.
+func (g *group) replacePrimary() (old *member, outage time.Duration, serial uint32, err error) {
 	if old, err = g.primary(); err != nil {
 		return nil, 0, 0, err
 	}
@@ -67,8 +69,8 @@
 			if member.node == nil {
 				continue
 			}
-			if answered, failure := g.probeAt(context.Background(), member); failure == nil {
-				serial = answered
+			if applied, err := g.probeAt(context.Background(), member); err == nil {
+				serial = applied
 				return true
 			}
 		}
--- a/internal/benchmark/gateway.go
+++ b/internal/benchmark/gateway.go
@@ -5,6 +5,6 @@
 	{"capacity", measureCapacity},
 }
 
-// Gateway measures one gateway between callers and stand-in replicas. Its tables
-// are those that were finished if it returns an error.
+// Gateway measures one gateway between callers and stand-in replicas. With an error
+// it returns the tables that were finished.
 func Gateway(o Options) ([]Table, error) { return o.measure("callers", gatewayMeasurements) }
--- a/internal/benchmark/gateway_job.go
+++ b/internal/benchmark/gateway_job.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"sync"
 
 	"github.com/deckpulley/deckpulley/gateway"
 	"github.com/deckpulley/deckpulley/lease"
@@ -12,12 +13,13 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// gatewayJob is one gateway with its ports, wired as in its daemon.
+// gatewayJob is a job that runs one gateway, wired as in its daemon.
 type gatewayJob struct {
 	gateway *gateway.Gateway
 	network *transport.Node
-	callers *http.Server
-	address string
+	server  *http.Server
+	serving sync.WaitGroup
+	address string // serves callers
 }
 
 func newGatewayJob(config workerConfig) (*gatewayJob, error) {
@@ -53,8 +55,8 @@
 	if err := created.Start(); err != nil {
 		return nil, err
 	}
-	j := &gatewayJob{gateway: created, network: network, callers: created.CallersServer(), address: address}
-	go func() { _ = j.callers.Serve(listener) }()
+	j := &gatewayJob{gateway: created, network: network, server: created.CallersServer(), address: address}
+	j.serving.Go(func() { _ = j.server.Serve(listener) })
 	return j, nil
 }
 
@@ -66,9 +68,10 @@
 }
 
 func (j *gatewayJob) stop() {
-	ended, cancel := context.WithCancel(context.Background())
-	cancel() // nobody waits for requests any more
-	j.gateway.Stop(ended)
-	_ = j.callers.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel() // nobody waits for the requests in flight
+	j.gateway.Stop(ctx)
+	_ = j.server.Close()
+	j.serving.Wait()
 	_ = j.network.Close()
 }
--- a/internal/benchmark/group.go
+++ b/internal/benchmark/group.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -24,38 +25,38 @@
 )
 
 const (
-	// patience bounds every wait for a state that must come.
-	patience = 20 * time.Second
+	// awaitTimeout bounds every wait for a condition.
+	awaitTimeout = 20 * time.Second
 	// callTimeout bounds one call to a node.
 	callTimeout = 5 * time.Second
 	keyBytes    = 32
-	// hopsExhausted keeps an update at the node that it is sent to.
+	// hopsExhausted keeps a node from forwarding an update.
 	hopsExhausted = 3
-	// requestor is whose updates the benchmark sends.
+	// requestor is the sender that the updates name.
 	requestor = "gateway:benchmark"
-	// changedNames is the number of names that updates change in turn.
-	changedNames = 1000
-	// noSnapshots is an interval that no run reaches.
+	// updatedNames is the number of names that updates change in turn.
+	updatedNames = 1000
+	// noSnapshots is a snapshot interval, in entries, that no run reaches.
 	noSnapshots = 1 << 40
 )
 
-// errTooLate means that something did not come within patience.
-var errTooLate = errors.New("did not happen in time")
+// errTimeout means that a condition was not met within awaitTimeout.
+var errTimeout = errors.New("did not happen in time")
 
-// await polls a condition at an interval.
+// await polls a condition until it is true. Its error names what was awaited.
 func await(what string, interval time.Duration, condition func() bool) error {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(interval) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(interval) {
 		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: %w", what, errTooLate)
+	return fmt.Errorf("%s: %w", what, errTimeout)
 }
 
-// member is one control node with its disk, its ports and its next life.
+// member is one control node. It can be stopped and started again on its disk.
 type member struct {
 	name             string
-	address          string // peers' address
+	address          string // peer address; stays over restarts
 	folder           string
 	snapshotInterval uint64
 	group            *group
@@ -63,12 +64,14 @@
 	node    *control.Node // nil while stopped
 	network *transport.Node
 	server  *http.Server
-	operate string // operators' address
-	// opening is how long the newest start took to read the disk.
-	opening time.Duration
+	serving sync.WaitGroup
+	// operatorAddress is that of the newest start.
+	operatorAddress string
+	// openTime is how long the newest start took to read the disk.
+	openTime time.Duration
 }
 
-// group is a group of control nodes in this process and a client of theirs.
+// group is a group of control nodes in this process, with a client of theirs.
 type group struct {
 	folder  string
 	key     []byte
@@ -76,11 +79,12 @@
 	client  *transport.Node
 	log     *slog.Logger
 	http    *http.Client
-	// sent numbers the updates.
+	// sent is the number of the last update sent.
 	sent atomic.Uint64
 }
 
-// newGroup starts a new group and waits until it takes updates.
+// newGroup starts a new group and waits until it applies updates. The caller must
+// stop it with close.
 func newGroup(voters int, snapshotInterval uint64, log *slog.Logger) (*group, error) {
 	g := &group{key: make([]byte, keyBytes), log: log, http: &http.Client{Timeout: callTimeout}}
 	_, _ = rand.Read(g.key) // never fails; see package crypto/rand
@@ -142,7 +146,7 @@
 	}
 }
 
-// start gives a member its next life, from its disk.
+// start starts a member on its disk.
 func (m *member) start() error {
 	var err error
 	if m.network == nil {
@@ -150,7 +154,7 @@
 			return err
 		}
 	}
-	began := time.Now()
+	started := time.Now()
 	store, err := storage.Open(m.folder)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.name, err)
@@ -159,17 +163,18 @@
 	if err != nil {
 		return fmt.Errorf("%s: operators' port: %w", m.name, err)
 	}
-	m.operate = listener.Addr().String()
+	m.operatorAddress = listener.Addr().String()
 	m.node, err = control.New(m.options(store))
 	if err != nil {
 		return errors.Join(err, listener.Close(), store.Close())
 	}
-	m.opening = time.Since(began)
+	m.openTime = time.Since(started)
 	if err := m.node.Start(); err != nil {
 		return err
 	}
 	m.server = m.node.Server()
-	go func() { _ = m.server.Serve(listener) }()
+	server := m.server
+	m.serving.Go(func() { _ = server.Serve(listener) })
 	return nil
 }
 
@@ -183,7 +188,7 @@
 		Zone:             "zone-" + m.name,
 		Region:           "region-" + m.name,
 		PeerAddress:      m.address,
-		OperatorAddress:  m.operate,
+		OperatorAddress:  m.operatorAddress,
 		InitialControl:   initial,
 		Network:          m.network,
 		Store:            store,
@@ -202,13 +207,14 @@
 	}
 	err := m.node.Stop()
 	_ = m.server.Close()
+	m.serving.Wait()
 	m.node, m.network = nil, nil
 	return err
 }
 
-// serial is that of the table that a member shows.
+// serial returns the serial of the member's table.
 func (m *member) serial() (uint32, error) {
-	response, err := m.group.http.Get("http://" + m.operate + api.PathConfiguration)
+	response, err := m.group.http.Get("http://" + m.operatorAddress + api.PathConfiguration)
 	if err != nil {
 		return 0, err
 	}
@@ -220,15 +226,15 @@
 	return answer.Serial, nil
 }
 
-// primary finds the member that leads.
+// primary returns the member that leads, as the first member that answers knows it.
 func (g *group) primary() (*member, error) {
-	for _, asked := range g.members {
-		if asked.node == nil {
+	for _, member := range g.members {
+		if member.node == nil {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		var reply peer.HelloReply
-		err := g.client.Call(ctx, asked.address, peer.KindHello, &peer.Hello{Name: "benchmark"}, &reply)
+		err := g.client.Call(ctx, member.address, peer.KindHello, &peer.Hello{Name: "benchmark"}, &reply)
 		cancel()
 		if err != nil {
 			continue
@@ -239,9 +245,10 @@
 			}
 		}
 	}
-	return nil, fmt.Errorf("a primary: %w", errTooLate)
+	return nil, fmt.Errorf("a primary: %w", errTimeout)
 }
 
+// at returns the running member with a peer address.
 func (g *group) at(address string) (*member, error) {
 	for _, member := range g.members {
 		if member.address == address && member.node != nil {
@@ -251,7 +258,7 @@
 	return nil, fmt.Errorf("no running member at %s", address)
 }
 
-// probe sends an update to the primary, wherever it is.
+// probe sends an update to the present primary.
 func (g *group) probe(ctx context.Context) error {
 	primary, err := g.primary()
 	if err != nil {
@@ -261,19 +268,19 @@
 	return err
 }
 
-// probeAt is updateAt for an update of a record that no other update changes.
+// probeAt is like updateAt, but changes a record that no other update changes.
 func (g *group) probeAt(ctx context.Context, at *member) (uint32, error) {
 	condition := catalog.Condition{State: catalog.ConditionUp, Incarnation: time.Now().String()}
 	return g.send(ctx, at, catalog.ConditionRecord("probe", condition))
 }
 
-// updateAt sends the next update to a member, which must be the primary, and
-// returns the serial that shows it.
+// updateAt sends the next update to a member, which must be the primary, and returns
+// the serial after it.
 func (g *group) updateAt(ctx context.Context, at *member) (uint32, error) {
-	return g.send(ctx, at, numberedRecord(g.sent.Add(1)))
+	return g.send(ctx, at, updateRecord(g.sent.Add(1)))
 }
 
-// send sends the update of one record, as watchers do.
+// send sends an update of one record, as the health checks of gateways do.
 func (g *group) send(ctx context.Context, at *member, record registry.Record) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -292,22 +299,22 @@
 	return reply.Serial, nil
 }
 
-// numberedRecord is what the update of a number writes.
-func numberedRecord(number uint64) registry.Record {
+// updateRecord returns the record that the update of a number adds.
+func updateRecord(number uint64) registry.Record {
 	condition := catalog.Condition{State: catalog.ConditionUp, Incarnation: fmt.Sprintf("incarnation-%d", number)}
-	return catalog.ConditionRecord(fmt.Sprintf("replica-%d", number%changedNames), condition)
+	return catalog.ConditionRecord(fmt.Sprintf("replica-%d", number%updatedNames), condition)
 }
 
-// order sends an operator's or the platform's order to the primary and waits
-// until it is in force.
-func (g *group) order(request peer.OperationRequest) (*api.OperationResult, error) {
+// operate sends an operation of the operator or the platform to the primary and
+// waits until it is in force.
+func (g *group) operate(request peer.OperationRequest) (*api.OperationResult, error) {
 	primary, err := g.primary()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
-	request.WaitMS = patience.Milliseconds()
+	request.WaitMS = awaitTimeout.Milliseconds()
 	var reply peer.OperationReply
 	if err := g.client.Call(ctx, primary.address, peer.KindOperation, &request, &reply); err != nil {
 		return nil, fmt.Errorf("order: %w", err)
--- a/internal/benchmark/holders.go
+++ b/internal/benchmark/holders.go
@@ -15,8 +15,8 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// holders are the control sides of many gateways in one process, each with a
-// network of its own.
+// holders is a job that runs the lease holders of many gateways, each with a network
+// of its own.
 type holders struct {
 	agents   []*agent.Agent
 	networks []*transport.Node
@@ -24,6 +24,8 @@
 	running  sync.WaitGroup
 }
 
+// workerLogger returns the logger of a worker: warnings on standard error if the
+// benchmark is verbose.
 func workerLogger(config workerConfig) *slog.Logger {
 	if config.Verbose {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
@@ -43,8 +45,9 @@
 	return h, nil
 }
 
-func (h *holders) add(ctx context.Context, config workerConfig, number int) error {
-	name := fmt.Sprintf("gateway-%d", number)
+// add starts one more holder. It runs until ctx ends.
+func (h *holders) add(ctx context.Context, config workerConfig, index int) error {
+	name := fmt.Sprintf("gateway-%d", index)
 	network, err := transport.Listen(transport.Config{Name: name, Listen: loopback, Keys: [][]byte{config.Key}}, workerLogger(config))
 	if err != nil {
 		return err
@@ -76,21 +79,21 @@
 
 func (h *holders) fill(status *workerStatus) {
 	for i, holder := range h.agents {
-		read := holder.Status()
-		status.Renewals += read.GrantedRenewals
-		if i == 0 || read.Term < status.Term {
-			status.Term = read.Term
+		current := holder.Status()
+		status.Renewals += current.GrantedRenewals
+		if i == 0 || current.Term < status.Term {
+			status.Term = current.Term
 		}
-		status.NewestTerm = max(status.NewestTerm, read.Term)
-		if read.LeaseRemaining > 0 {
+		status.NewestTerm = max(status.NewestTerm, current.Term)
+		if current.LeaseRemaining > 0 {
 			status.Valid++
 		}
-		if read.ActiveSerial == 0 {
+		if current.ActiveSerial == 0 {
 			continue
 		}
 		status.Active++
-		if status.Serial == 0 || registry.SerialLess(read.ActiveSerial, status.Serial) {
-			status.Serial = read.ActiveSerial
+		if status.Serial == 0 || registry.SerialLess(current.ActiveSerial, status.Serial) {
+			status.Serial = current.ActiveSerial
 		}
 	}
 }
--- a/internal/benchmark/latency.go
+++ b/internal/benchmark/latency.go
@@ -16,47 +16,49 @@
 const (
 	arrivalRate = 65 // requests a second
 	arrivalSeed = 65
-	// streamTokens is the length of an answer in events: about 0.7 s.
+	// streamTokens is the length of a stream in events, about 0.7 s.
 	streamTokens = 60
-	// targetAdded is the aim for the 99th percentile of the added latency.
+	// targetAdded is the target for the 99th percentile of the added latency.
 	targetAdded = 2 * time.Millisecond
 )
 
-// callerNotes say when a caller sent a request and read its events.
-type callerNotes struct {
+// callerTimes is when a caller sent a request and read its events.
+type callerTimes struct {
 	sent time.Time
 	read []time.Time
 }
 
-// path is one way to the replicas, with what was measured on it.
+// path is one way to the replicas, with the times of the requests sent on it.
 type path struct {
-	label  string
-	caller *caller
-	watch  *observer
-	send   func(ctx context.Context, id string, whole bool) ([]time.Time, error)
+	label    string
+	caller   *caller
+	observer *observer // of the replicas
+	send     func(ctx context.Context, id string, stream bool) ([]time.Time, error)
 
 	mutex    sync.Mutex
-	notes    map[string]callerNotes
+	requests map[string]callerTimes // by request id
 	failures error
 }
 
-// times are the parts of the callers' times that were not the replica's.
-type times struct {
-	first, total, event *quantiles
+// latencies are the callers' latencies less the time that the replica took.
+type latencies struct {
+	first *quantiles // of the first event
+	total *quantiles // of the complete response
+	event *quantiles // of each event since it was written
 }
 
 // measureLatency sends the same arrivals through the gateway and straight to
 // other replicas of the same kind, at the same time.
 func measureLatency(o *Options) ([]Table, error) {
-	watch := newObserver()
-	s, err := newSite(o, watch, "gateway-latency")
+	observer := newObserver()
+	s, err := newSite(o, observer, "gateway-latency")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = s.close() }()
 	var tables []Table
 	for _, stream := range []bool{true, false} {
-		table, err := latencyTable(o, s, watch, stream)
+		table, err := latencyTable(o, s, observer, stream)
 		if err != nil {
 			return tables, err
 		}
@@ -65,7 +67,7 @@
 	return tables, nil
 }
 
-func latencyTable(o *Options, s *site, watch *observer, stream bool) (Table, error) {
+func latencyTable(o *Options, s *site, observer *observer, stream bool) (Table, error) {
 	table := Table{
 		Title:   fmt.Sprintf("Added latency at %d streams/s", arrivalRate),
 		Note:    fmt.Sprintf("Poisson arrivals, every stream %d events of a replica that decodes in steps of 12 ms; the same arrivals go through the gateway and, at the same time, straight to another replica. Each figure is the caller's time less the time that the replica itself took for this request, so that it holds the two ends' HTTP and the way between them. Added is the difference of the quantiles.", streamTokens),
@@ -81,16 +83,16 @@
 		return table, err
 	}
 	defer direct.stop()
-	through := newGatewayPath(s.caller, watch)
+	through := newGatewayPath(s.caller, observer)
 	late := newLateness()
-	arrive(pick(o, 20*time.Second, 1500*time.Millisecond), stream, through, &direct.path)
+	sendArrivals(pick(o, 20*time.Second, 1500*time.Millisecond), stream, through, &direct.path)
 	table.Note += fmt.Sprintf(" Meanwhile a timer of the measuring process fired up to %s ms late in 99 of 100 cases, for want of a core.", milliseconds(late.stop().at(99)))
-	gatewayTimes, directTimes := through.times(), direct.times()
+	gatewayLatencies, directLatencies := through.latencies(), direct.latencies()
 	if err := errors.Join(through.failures, direct.failures); err != nil {
 		return table, err
 	}
-	table.Rows = append(table.Rows, directTimes.row("direct", stream), gatewayTimes.row("gateway", stream))
-	table.add(addedRow(gatewayTimes, directTimes, stream)...)
+	table.Rows = append(table.Rows, directLatencies.row("direct", stream), gatewayLatencies.row("gateway", stream))
+	table.add(addedRow(gatewayLatencies, directLatencies, stream)...)
 	return table, nil
 }
 
@@ -105,18 +107,18 @@
 	if stream {
 		service, model, kind = modelService, modelName, emulator.KindModel
 	}
-	watch := newObserver()
-	replica, err := startReplica("direct", service, kind, watch)
+	observer := newObserver()
+	replica, err := startReplica("direct", service, kind, observer)
 	if err != nil {
 		return nil, err
 	}
 	d := &directPath{replica: replica}
-	d.path = path{label: "direct", caller: newCaller(replica.address), watch: watch, notes: make(map[string]callerNotes)}
+	d.path = path{label: "direct", caller: newCaller(replica.address), observer: observer, requests: make(map[string]callerTimes)}
 	d.send = func(ctx context.Context, id string, stream bool) ([]time.Time, error) {
 		if stream {
-			return d.caller.stream(ctx, api.PathReplicaGenerate, directQuestion(id, model, true, streamTokens), true)
+			return d.caller.stream(ctx, api.PathReplicaGenerate, replicaRequest(id, model, true, streamTokens), true)
 		}
-		err := d.caller.ask(ctx, api.PathReplicaGenerate, directQuestion(id, model, false, 1))
+		err := d.caller.send(ctx, api.PathReplicaGenerate, replicaRequest(id, model, false, 1))
 		return []time.Time{time.Now()}, err
 	}
 	return d, nil
@@ -127,22 +129,23 @@
 	d.replica.stop()
 }
 
-func newGatewayPath(through *caller, watch *observer) *path {
-	p := &path{label: "gateway", caller: through, watch: watch, notes: make(map[string]callerNotes)}
+// newGatewayPath returns the path through the gateway of a site.
+func newGatewayPath(through *caller, observer *observer) *path {
+	p := &path{label: "gateway", caller: through, observer: observer, requests: make(map[string]callerTimes)}
 	p.send = func(ctx context.Context, id string, stream bool) ([]time.Time, error) {
 		if stream {
-			return through.stream(ctx, api.PathRequests, question(id, modelName, true, streamTokens), true)
+			return through.stream(ctx, api.PathRequests, gatewayRequest(id, modelName, true, streamTokens), true)
 		}
-		err := through.ask(ctx, api.PathRequests, question(id, webName, false, 1))
+		err := through.send(ctx, api.PathRequests, gatewayRequest(id, webName, false, 1))
 		return []time.Time{time.Now()}, err
 	}
 	return p
 }
 
-// arrive sends requests on all paths at the same random moments and waits for
-// their ends.
-func arrive(length time.Duration, stream bool, paths ...*path) {
-	ctx, cancel := context.WithTimeout(context.Background(), length+patience)
+// sendArrivals sends requests on all paths at the same random times, for a duration,
+// and waits for the last response.
+func sendArrivals(duration time.Duration, stream bool, paths ...*path) {
+	ctx, cancel := context.WithTimeout(context.Background(), duration+awaitTimeout)
 	defer cancel()
 	random := rand.New(rand.NewPCG(arrivalSeed, 0))
 	var sending sync.WaitGroup
@@ -150,18 +153,19 @@
 	started := time.Now()
 	for number := 0; ; number++ {
 		next += time.Duration(random.ExpFloat64() / arrivalRate * float64(time.Second))
-		if next >= length {
+		if next >= duration {
 			break
 		}
 		time.Sleep(next - time.Since(started))
 		for _, path := range paths {
-			sending.Go(func() { path.one(ctx, fmt.Sprintf("latency-%t-%d", stream, number), stream) })
+			sending.Go(func() { path.request(ctx, fmt.Sprintf("latency-%t-%d", stream, number), stream) })
 		}
 	}
 	sending.Wait()
 }
 
-func (p *path) one(ctx context.Context, id string, stream bool) {
+// request sends one request and records its times.
+func (p *path) request(ctx context.Context, id string, stream bool) {
 	sent := time.Now()
 	read, err := p.send(ctx, id, stream)
 	p.mutex.Lock()
@@ -170,16 +174,17 @@
 		p.failures = errors.Join(p.failures, fmt.Errorf("%s: %s: %w", p.label, id, err))
 		return
 	}
-	p.notes[id] = callerNotes{sent: sent, read: read}
+	p.requests[id] = callerTimes{sent: sent, read: read}
 }
 
-// times joins what the callers and the replicas noted.
-func (p *path) times() times {
-	result := times{first: newQuantiles(), total: newQuantiles(), event: newQuantiles()}
-	replicas := p.watch.all()
-	for id, called := range p.notes {
-		worked, known := replicas[id]
-		if !known || len(worked.written) != len(called.read) || len(called.read) == 0 {
+// latencies joins the times of callers and replicas. A request whose events were not
+// all read is a failure.
+func (p *path) latencies() latencies {
+	result := latencies{first: newQuantiles(), total: newQuantiles(), event: newQuantiles()}
+	replicas := p.observer.all()
+	for id, called := range p.requests {
+		worked, found := replicas[id]
+		if !found || len(worked.written) != len(called.read) || len(called.read) == 0 {
 			p.failures = errors.Join(p.failures, fmt.Errorf("%s: %s: %d events read, %d written", p.label, id, len(called.read), len(worked.written)))
 			continue
 		}
@@ -193,22 +198,24 @@
 	return result
 }
 
-func (t times) columns(stream bool) []*quantiles {
+// columns returns the figures that a table of streams, or of other requests, shows.
+func (l latencies) columns(stream bool) []*quantiles {
 	if !stream {
-		return []*quantiles{t.total}
+		return []*quantiles{l.total}
 	}
-	return []*quantiles{t.first, t.total, t.event}
+	return []*quantiles{l.first, l.total, l.event}
 }
 
-func (t times) row(label string, stream bool) []string {
-	cells := []string{label, fmt.Sprint(t.total.count())}
-	for _, column := range t.columns(stream) {
+func (l latencies) row(label string, stream bool) []string {
+	cells := []string{label, fmt.Sprint(l.total.count())}
+	for _, column := range l.columns(stream) {
 		cells = append(cells, milliseconds(column.at(50)), milliseconds(column.at(99)))
 	}
 	return cells
 }
 
-func addedRow(through, direct times, stream bool) []string {
+// addedRow returns the differences of the quantiles of two paths.
+func addedRow(through, direct latencies, stream bool) []string {
 	cells := []string{"added", ""}
 	baselines := direct.columns(stream)
 	for i, column := range through.columns(stream) {
@@ -219,37 +226,37 @@
 	return cells
 }
 
-// latenessInterval is the time between two looks at how late timers fire.
+// latenessInterval is the length of the timers whose lateness is measured.
 const latenessInterval = 2 * time.Millisecond
 
-// lateness measures how late timers fire, to show how busy the machine is.
+// lateness measures how late timers fire, which shows how busy the machine is.
 type lateness struct {
-	ended chan struct{}
-	found chan *quantiles
+	stopping chan struct{}
+	result   chan *quantiles
 }
 
 func newLateness() *lateness {
-	l := &lateness{ended: make(chan struct{}), found: make(chan *quantiles)}
+	l := &lateness{stopping: make(chan struct{}), result: make(chan *quantiles)}
 	go l.run()
 	return l
 }
 
 func (l *lateness) run() {
-	found := newQuantiles()
+	measured := newQuantiles()
 	for {
 		due := time.Now().Add(latenessInterval)
 		select {
 		case <-time.After(latenessInterval):
-			found.add(time.Since(due))
-		case <-l.ended:
-			l.found <- found
+			measured.add(time.Since(due))
+		case <-l.stopping:
+			l.result <- measured
 			return
 		}
 	}
 }
 
-// stop ends the measurement and returns what it found.
+// stop ends the measurement and returns its result.
 func (l *lateness) stop() *quantiles {
-	close(l.ended)
-	return <-l.found
+	close(l.stopping)
+	return <-l.result
 }
--- a/internal/benchmark/leases.go
+++ b/internal/benchmark/leases.go
@@ -12,81 +12,83 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// settlePoll is how often the state of holders is asked while they settle.
-const settlePoll = 50 * time.Millisecond
+// leasePollInterval is the interval of polling holders until all have leases.
+const leasePollInterval = 50 * time.Millisecond
 
-// traffic is what the control nodes have used at one moment.
-type traffic struct {
-	at        time.Time
-	processor time.Duration
-	bytes     uint64 // sent and received, all kinds, at all control nodes
-	renewals  uint64 // answered
-	renewal   uint64 // bytes of renewals and their answers
+// reading is what the control nodes have used until a moment.
+type reading struct {
+	at           time.Time
+	processor    time.Duration
+	bytes        uint64 // sent and received, all kinds, at all control nodes
+	renewals     uint64 // answered
+	renewalBytes uint64 // of renewals and their answers
 }
 
-// traffic reads the counters. The CPU time is that of this process, in which
-// only the control nodes are at work.
-func (g *group) traffic() (traffic, error) {
+// read reads the counters. The CPU time is that of this process, in which only the
+// control nodes work.
+func (g *group) read() (reading, error) {
 	used, err := processorTime()
 	if err != nil {
-		return traffic{}, err
+		return reading{}, err
 	}
-	read := traffic{at: time.Now(), processor: used}
+	current := reading{at: time.Now(), processor: used}
 	for _, member := range g.members {
 		for kind, counters := range member.network.Counters() {
-			read.bytes += counters.SentBytes + counters.ReceivedBytes
+			current.bytes += counters.SentBytes + counters.ReceivedBytes
 			if kind == peer.KindRenew {
-				read.renewals += counters.SentMessages
-				read.renewal += counters.SentBytes + counters.ReceivedBytes
+				current.renewals += counters.SentMessages
+				current.renewalBytes += counters.SentBytes + counters.ReceivedBytes
 			}
 		}
 	}
-	return read, nil
+	return current, nil
 }
 
 // usage is the difference of two readings.
 type usage struct {
-	length    time.Duration
-	processor float64 // seconds
-	bytes     float64
-	renewals  float64
-	renewal   float64 // bytes
+	elapsed      time.Duration
+	processor    float64 // seconds
+	bytes        float64
+	renewals     float64
+	renewalBytes float64
 }
 
-func (t traffic) since(before traffic) usage {
+// since returns the usage between an earlier reading and this one.
+func (r reading) since(before reading) usage {
 	return usage{
-		length:    t.at.Sub(before.at),
-		processor: (t.processor - before.processor).Seconds(),
-		bytes:     float64(t.bytes - before.bytes),
-		renewals:  float64(t.renewals - before.renewals),
-		renewal:   float64(t.renewal - before.renewal),
+		elapsed:      r.at.Sub(before.at),
+		processor:    (r.processor - before.processor).Seconds(),
+		bytes:        float64(r.bytes - before.bytes),
+		renewals:     float64(r.renewals - before.renewals),
+		renewalBytes: float64(r.renewalBytes - before.renewalBytes),
 	}
 }
 
-// during reads the usage of some work.
+// during returns the usage of the control nodes during work.
 func (g *group) during(work func() error) (usage, error) {
-	before, err := g.traffic()
+	before, err := g.read()
 	if err != nil {
 		return usage{}, err
 	}
 	if err := work(); err != nil {
 		return usage{}, err
 	}
-	after, err := g.traffic()
+	after, err := g.read()
 	return after.since(before), err
 }
 
-func pause(length time.Duration) func() error {
+// idle returns work for during that only lets time pass.
+func idle(duration time.Duration) func() error {
 	return func() error {
-		time.Sleep(length)
+		time.Sleep(duration)
 		return nil
 	}
 }
 
-// leaseCost is what one number of holders costs.
+// leaseCost is the cost of a number of holders.
 type leaseCost struct {
 	holders  int
-	joined   time.Duration // until all held a lease
+	joined   time.Duration // until all had a lease
 	steady   usage
 	changing usage
 	changes  *quantiles
@@ -94,7 +96,7 @@
 	loss     primaryLoss
 }
 
-// measureLeases counts what gateways cost the control nodes.
+// measureLeases measures what the leases of gateways cost the control nodes.
 func measureLeases(o *Options) ([]Table, error) {
 	var costs []leaseCost
 	for _, count := range pick(o, []int{8, 50, 200, 400}, []int{50}) {
@@ -107,8 +109,8 @@
 	return []Table{renewalTable(costs), changeTable(costs), lossTable(costs)}, nil
 }
 
-// leaseCostOf lets a number of agents renew with three control nodes, alone
-// first and then through configuration changes.
+// leaseCostOf measures a number of holders at three control nodes: renewals alone,
+// renewals during configuration changes, and the loss of the primary.
 func leaseCostOf(o *Options, count int) (cost leaseCost, err error) {
 	cost = leaseCost{holders: count, changes: newQuantiles()}
 	g, err := newGroup(3, 0, o.Logger)
@@ -116,7 +118,7 @@
 		return cost, err
 	}
 	defer g.close()
-	if cost.idle, err = g.during(pause(pick(o, 1300*time.Millisecond, 300*time.Millisecond))); err != nil {
+	if cost.idle, err = g.during(idle(pick(o, 1300*time.Millisecond, 300*time.Millisecond))); err != nil {
 		return cost, err
 	}
 	child, err := o.startWorker(WorkerHolders, g.workerConfig(count))
@@ -128,12 +130,12 @@
 			err = failure
 		}
 	}()
-	began := time.Now()
+	started := time.Now()
 	if err := g.awaitHolders(child, count); err != nil {
 		return cost, err
 	}
-	cost.joined = time.Since(began)
-	if cost.steady, err = g.during(pause(pick(o, 3*time.Second, 600*time.Millisecond))); err != nil {
+	cost.joined = time.Since(started)
+	if cost.steady, err = g.during(idle(pick(o, 3*time.Second, 600*time.Millisecond))); err != nil {
 		return cost, err
 	}
 	var version uint64
@@ -148,6 +150,7 @@
 	return cost, err
 }
 
+// workerConfig returns the configuration of a worker that joins the group.
 func (g *group) workerConfig(count int) workerConfig {
 	config := workerConfig{Key: g.key, Count: count, Region: "north", Zone: "north-1"}
 	for _, member := range g.members {
@@ -156,17 +159,17 @@
 	return config
 }
 
-// awaitHolders waits until every holder has a lease and the newest serial, and
-// every gateway's record is in the table.
+// awaitHolders waits until every holder has a valid lease and has activated the
+// serial of the primary's table.
 func (g *group) awaitHolders(child *worker, count int) error {
 	primary, err := g.primary()
 	if err != nil {
 		return err
 	}
 	var failure error
-	err = await("leases of all holders", settlePoll, func() bool {
+	err = await("leases of all holders", leasePollInterval, func() bool {
 		var status workerStatus
-		if status, failure = child.ask(commandStatus); failure != nil {
+		if status, failure = child.execute(commandStatus); failure != nil {
 			return true
 		}
 		serial, err := primary.serial()
@@ -178,13 +181,13 @@
 	return err
 }
 
-// changePause bounds the random pause before a change. Without it each change
+// maxChangePause bounds the random pause before a change. Without it each change
 // would begin just after the heartbeat that completed the last.
-const changePause = 200 * time.Millisecond
+const maxChangePause = 200 * time.Millisecond
 
-// change sends configurations, one after the other, and records the time until
-// each was in force everywhere. It returns the last version.
-func (g *group) change(into *quantiles, version uint64, count int) (uint64, error) {
+// change applies configurations one after the other, and records the time until each
+// was in force everywhere. It returns the last version.
+func (g *group) change(latencies *quantiles, version uint64, count int) (uint64, error) {
 	text, err := configuration.Example("kodovka")
 	if err != nil {
 		return 0, err
@@ -195,31 +198,32 @@
 	}
 	random := rand.New(rand.NewPCG(version, 0))
 	for range count {
-		time.Sleep(time.Duration(random.Int64N(int64(changePause))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxChangePause))))
 		document := strings.Replace(text, field, fmt.Sprintf("first_token_ms: %d", 921+version), 1)
-		order := api.ConfigurationOperation{OperationID: fmt.Sprintf("order-%d", version), BaseVersion: version, Document: document}
+		operation := api.ConfigurationOperation{OperationID: fmt.Sprintf("order-%d", version), BaseVersion: version, Document: document}
 		sent := time.Now()
-		answer, err := g.order(peer.OperationRequest{Configuration: &order})
+		answer, err := g.operate(peer.OperationRequest{Configuration: &operation})
 		if err != nil {
 			return 0, err
 		}
-		into.add(time.Since(sent))
+		latencies.add(time.Since(sent))
 		version = answer.Version
 	}
 	return version, nil
 }
 
-// primaryLoss is what the loss of a primary did to leases.
+// primaryLoss is the effect of the loss of a primary on leases. Durations are from
+// its stop.
 type primaryLoss struct {
-	heard   time.Duration // until the first holder had heard the new primary
-	renewed time.Duration // until all holders had renewed with the new primary
-	fewest  int           // holders with a valid lease at the worst moment seen
-	inForce time.Duration // until a change was in force again
+	contacted   time.Duration // until the first holder had contact with the new primary
+	renewed     time.Duration // until all holders had renewed with the new primary
+	fewestValid int           // lowest number of valid leases that a poll found
+	inForce     time.Duration // until a change was in force again
 }
 
-// losePrimary stops the primary and watches the holders.
+// losePrimary stops the primary and polls the holders until all have leases again.
 func (g *group) losePrimary(child *worker, version uint64) (loss primaryLoss, err error) {
-	before, err := child.ask(commandStatus)
+	before, err := child.execute(commandStatus)
 	if err != nil {
 		return loss, err
 	}
@@ -227,20 +231,20 @@
 	if err != nil {
 		return loss, err
 	}
-	loss.fewest = before.Valid
+	loss.fewestValid = before.Valid
 	stopped := time.Now()
 	if err := old.stop(); err != nil {
 		return loss, err
 	}
 	var failure error
-	err = await("leases of the new primary", lossPoll, func() bool {
+	err = await("leases of the new primary", failoverPollInterval, func() bool {
 		var status workerStatus
-		if status, failure = child.ask(commandStatus); failure != nil {
+		if status, failure = child.execute(commandStatus); failure != nil {
 			return true
 		}
-		loss.fewest = min(loss.fewest, status.Valid)
-		if loss.heard == 0 && status.NewestTerm > before.NewestTerm {
-			loss.heard = time.Since(stopped)
+		loss.fewestValid = min(loss.fewestValid, status.Valid)
+		if loss.contacted == 0 && status.NewestTerm > before.NewestTerm {
+			loss.contacted = time.Since(stopped)
 		}
 		return status.Term > before.Term && status.Valid == before.Valid
 	})
@@ -253,8 +257,8 @@
 	return loss, err
 }
 
-// lossPoll is how often the holders are asked while there is no primary.
-const lossPoll = 10 * time.Millisecond
+// failoverPollInterval is the interval of polling holders after the loss of a primary.
+const failoverPollInterval = 10 * time.Millisecond
 
 func lossTable(costs []leaseCost) Table {
 	table := Table{
@@ -263,7 +267,7 @@
 		Columns: []string{"gateways", "new primary heard after ms", "all renewed after ms", "fewest with a valid lease", "first change in force after ms"},
 	}
 	for _, cost := range costs {
-		table.add(fmt.Sprint(cost.holders), milliseconds(cost.loss.heard), milliseconds(cost.loss.renewed), fmt.Sprint(cost.loss.fewest), milliseconds(cost.loss.inForce))
+		table.add(fmt.Sprint(cost.holders), milliseconds(cost.loss.contacted), milliseconds(cost.loss.renewed), fmt.Sprint(cost.loss.fewestValid), milliseconds(cost.loss.inForce))
 	}
 	return table
 }
@@ -275,12 +279,12 @@
 		Columns: []string{"gateways", "all hold a lease after ms", "renewals/s", "bytes per renewal", "CPU µs per renewal", "bytes/s per lease", "CPU µs/s per lease", "CPU of the group, cores"},
 	}
 	for _, cost := range costs {
-		steady, seconds := cost.steady, cost.steady.length.Seconds()
-		processor := steady.processor - cost.idle.processor*seconds/cost.idle.length.Seconds()
+		steady, seconds := cost.steady, cost.steady.elapsed.Seconds()
+		processor := steady.processor - cost.idle.processor*seconds/cost.idle.elapsed.Seconds()
 		leases := float64(cost.holders) * seconds
-		table.add(fmt.Sprint(cost.holders), milliseconds(cost.joined), whole(steady.renewals/seconds),
-			whole(perUnit(steady.renewal, steady.renewals)), whole(perUnit(processor*1e6, steady.renewals)),
-			whole(steady.renewal/leases), whole(processor*1e6/leases), decimal(steady.processor/seconds))
+		table.add(fmt.Sprint(cost.holders), milliseconds(cost.joined), integer(steady.renewals/seconds),
+			integer(perUnit(steady.renewalBytes, steady.renewals)), integer(perUnit(processor*1e6, steady.renewals)),
+			integer(steady.renewalBytes/leases), integer(processor*1e6/leases), decimal(steady.processor/seconds))
 	}
 	return table
 }
@@ -293,11 +297,11 @@
 	}
 	for _, cost := range costs {
 		count, holders := float64(cost.changes.count()), float64(cost.holders)
-		scale := cost.changing.length.Seconds() / cost.steady.length.Seconds()
+		scale := cost.changing.elapsed.Seconds() / cost.steady.elapsed.Seconds()
 		bytes := (cost.changing.bytes - cost.steady.bytes*scale) / count
 		processor := (cost.changing.processor - cost.steady.processor*scale) * 1e6 / count
-		table.add(fmt.Sprint(cost.holders), whole(count), milliseconds(cost.changes.at(50)), milliseconds(cost.changes.longest()),
-			whole(bytes), whole(bytes/holders), whole(processor), whole(processor/holders))
+		table.add(fmt.Sprint(cost.holders), integer(count), milliseconds(cost.changes.at(50)), milliseconds(cost.changes.longest()),
+			integer(bytes), integer(bytes/holders), integer(processor), integer(processor/holders))
 	}
 	return table
 }
--- a/internal/benchmark/quantile.go
+++ b/internal/benchmark/quantile.go
@@ -6,32 +6,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of what a quantiles records.
+// Range and precision of recorded durations.
 const (
-	longestRecorded = 10 * time.Minute
-	recordedDigits  = 3
+	longestRecorded   = 10 * time.Minute
+	significantDigits = 3
 )
 
-// quantiles collects times with a resolution of one microsecond. A time below it
-// counts as one, since clocks may show a hop as taking none.
+// quantiles is a histogram of durations with a resolution of one microsecond. A
+// shorter duration, also a negative one, counts as one microsecond.
 type quantiles struct {
 	histogram *hdrhistogram.Histogram
 }
 
 func newQuantiles() *quantiles {
-	return &quantiles{histogram: hdrhistogram.New(1, longestRecorded.Microseconds(), recordedDigits)}
+	return &quantiles{histogram: hdrhistogram.New(1, longestRecorded.Microseconds(), significantDigits)}
 }
 
-func (q *quantiles) add(length time.Duration) {
-	value := min(max(length.Microseconds(), 1), longestRecorded.Microseconds())
-	_ = q.histogram.RecordValue(value) // cannot fail: the value is within the bounds
+func (q *quantiles) add(duration time.Duration) {
+	value := min(max(duration.Microseconds(), 1), longestRecorded.Microseconds())
+	_ = q.histogram.RecordValue(value) // cannot fail: the value is in range
 }
 
 func (q *quantiles) merge(other *quantiles) { q.histogram.Merge(other.histogram) }
 
 func (q *quantiles) count() int64 { return q.histogram.TotalCount() }
 
-// at returns the time that the percentage of all stays at or below.
+// at returns the duration that percentage of all recorded ones do not exceed.
 func (q *quantiles) at(percentage float64) time.Duration {
 	return time.Duration(q.histogram.ValueAtPercentile(percentage)) * time.Microsecond
 }
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -7,15 +7,16 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// frequentSnapshots is the snapshot interval of the runs with a snapshot, in
+// shortSnapshotInterval is the snapshot interval of the runs with a snapshot, in
 // entries.
-const frequentSnapshots = 64
+const shortSnapshotInterval = 64
 
-// measureRecovery restarts one member of three after a number of changes.
+// measureRecovery measures the restart of one member of three after a number of
+// changes.
 func measureRecovery(o *Options) ([]Table, error) {
 	table := Table{
 		Title:   "Recovery of a control node",
-		Note:    fmt.Sprintf("One node of three is stopped and started again on its disk. Disk is the time to read and check it; serving is the time from the start of the process's work until the node shows every change in its own table, the wait for the group's next heartbeat (every 100 ms) included; five restarts each. With a snapshot, one is taken every %d entries.", frequentSnapshots),
+		Note:    fmt.Sprintf("One node of three is stopped and started again on its disk. Disk is the time to read and check it; serving is the time from the start of the process's work until the node shows every change in its own table, the wait for the group's next heartbeat (every 100 ms) included; five restarts each. With a snapshot, one is taken every %d entries.", shortSnapshotInterval),
 		Columns: []string{"changes", "snapshot", "disk p50 ms", "serving p50 ms", "serving max ms"},
 	}
 	for _, changes := range pick(o, []int64{100, 1000, 10_000}, []int64{100, 1000}) {
@@ -33,17 +34,17 @@
 func recoveryRow(o *Options, changes int64, snapshots bool) ([]string, error) {
 	interval, label := uint64(noSnapshots), "no"
 	if snapshots {
-		interval, label = frequentSnapshots, "yes"
+		interval, label = shortSnapshotInterval, "yes"
 	}
 	g, err := newGroup(3, interval, o.Logger)
 	if err != nil {
 		return nil, err
 	}
 	defer g.close()
-	if _, err := g.runUpdates(manyWriters, patience, changes); err != nil {
+	if _, err := g.runUpdates(manyWriters, awaitTimeout, changes); err != nil {
 		return nil, err
 	}
-	follower, serial, err := g.settledFollower()
+	follower, serial, err := g.caughtUpFollower()
 	if err != nil {
 		return nil, err
 	}
@@ -52,24 +53,24 @@
 		if err := follower.stop(); err != nil {
 			return nil, err
 		}
-		began := time.Now()
+		started := time.Now()
 		if err := follower.start(); err != nil {
 			return nil, err
 		}
 		if err := follower.awaitSerial(serial); err != nil {
 			return nil, err
 		}
-		serving.add(time.Since(began))
-		opening.add(follower.opening)
+		serving.add(time.Since(started))
+		opening.add(follower.openTime)
 	}
 	return []string{
 		fmt.Sprint(changes), label, milliseconds(opening.at(50)), milliseconds(serving.at(50)), milliseconds(serving.longest()),
 	}, nil
 }
 
-// settledFollower returns a member that does not lead and shows every change,
-// with its serial.
-func (g *group) settledFollower() (*member, uint32, error) {
+// caughtUpFollower returns a member other than the primary once its table has every
+// change, and the serial of that table.
+func (g *group) caughtUpFollower() (*member, uint32, error) {
 	primary, err := g.primary()
 	if err != nil {
 		return nil, 0, err
@@ -83,13 +84,13 @@
 			return candidate, serial, candidate.awaitSerial(serial)
 		}
 	}
-	return nil, 0, fmt.Errorf("a follower: %w", errTooLate)
+	return nil, 0, fmt.Errorf("a follower: %w", errTimeout)
 }
 
-// awaitSerial waits until the member's table shows a serial.
+// awaitSerial waits until the member's table has reached a serial.
 func (m *member) awaitSerial(serial uint32) error {
 	return await("serial at "+m.name, time.Millisecond, func() bool {
-		shown, err := m.serial()
-		return err == nil && !registry.SerialLess(shown, serial)
+		current, err := m.serial()
+		return err == nil && !registry.SerialLess(current, serial)
 	})
 }
--- a/internal/benchmark/replicas.go
+++ b/internal/benchmark/replicas.go
@@ -15,7 +15,7 @@
 	"github.com/deckpulley/deckpulley/internal/standin"
 )
 
-// Services and the models that lead to them.
+// Services and the models that route to them.
 const (
 	modelService = "explain"
 	modelName    = "explain-long"
@@ -23,23 +23,25 @@
 	webName      = "snippet"
 )
 
-// replicaSlots is the number of requests that one replica works on at once; it
-// is far above what the measurements bring, so that no replica is the bound.
+// replicaSlots is the parallelism of one replica. It is far above the measured
+// load, so that no replica limits a measurement.
 const replicaSlots = 256
 
-// replica is one stand-in with its port.
+// replica is a stand-in replica with a port of its own. It reports the times of its
+// requests to an observer, if it has one.
 type replica struct {
 	id       string
 	service  string
 	address  string
 	server   *http.Server
-	stand    *standin.Server
-	observer *observer
+	serving  sync.WaitGroup
+	standin  *standin.Server
+	observer *observer // nil for none
 }
 
-// startReplica serves a stand-in. Its steps are regular, and the whole answers
-// of a web service take between one and two milliseconds.
-func startReplica(id, service string, kind emulator.Kind, watch *observer) (*replica, error) {
+// startReplica serves a stand-in replica. Its decode steps do not depend on its load,
+// and the answers of a web service take between one and two milliseconds.
+func startReplica(id, service string, kind emulator.Kind, observer *observer) (*replica, error) {
 	parameters := emulator.DefaultParameters(kind)
 	parameters.Slots = replicaSlots
 	parameters.QueueLength = replicaSlots
@@ -50,23 +52,31 @@
 	if err != nil {
 		return nil, fmt.Errorf("replica %s: %w", id, err)
 	}
-	stand := standin.NewServer(standin.Config{ID: id, Service: service, Zone: "north-1", Region: "north", Parameters: parameters, Seed: 1})
-	r := &replica{id: id, service: service, address: listener.Addr().String(), stand: stand, observer: watch}
+	r := &replica{
+		id:      id,
+		service: service,
+		address: listener.Addr().String(),
+		standin: standin.NewServer(standin.Config{
+			ID: id, Service: service, Zone: "north-1", Region: "north", Parameters: parameters, Seed: 1,
+		}),
+		observer: observer,
+	}
 	r.server = &http.Server{Handler: r}
-	go func() { _ = r.server.Serve(listener) }()
+	r.serving.Go(func() { _ = r.server.Serve(listener) })
 	return r, nil
 }
 
 func (r *replica) stop() {
 	_ = r.server.Close()
-	r.stand.Close()
+	r.serving.Wait()
+	r.standin.Close()
 }
 
-// ServeHTTP lets the stand-in answer and notes when, for requests that are
-// observed.
+// ServeHTTP passes requests to the stand-in, and records the times of those that
+// run something if there is an observer.
 func (r *replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if r.observer == nil || request.URL.Path != api.PathReplicaGenerate {
-		r.stand.ServeHTTP(w, request)
+		r.standin.ServeHTTP(w, request)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, api.MaxBodyBytes))
@@ -78,48 +88,48 @@
 		return
 	}
 	request.Body = io.NopCloser(bytes.NewReader(body))
-	noted := &notedWriter{ResponseWriter: w, notes: replicaNotes{started: time.Now()}}
-	r.stand.ServeHTTP(noted, request)
-	r.observer.put(named.RequestID, noted.notes)
+	timed := &timingWriter{ResponseWriter: w, times: replicaTimes{started: time.Now()}}
+	r.standin.ServeHTTP(timed, request)
+	r.observer.put(named.RequestID, timed.times)
 }
 
-// replicaNotes say when a replica worked on a request.
-type replicaNotes struct {
-	started time.Time   // the request was read
-	written []time.Time // before each write: an event of a stream, or the answer
+// replicaTimes is when a replica worked on a request.
+type replicaTimes struct {
+	started time.Time   // when the request had been read
+	written []time.Time // before each write: an event of a stream, or the response
 }
 
-// notedWriter notes the time of each write.
-type notedWriter struct {
+// timingWriter records the time of each write.
+type timingWriter struct {
 	http.ResponseWriter
-	notes replicaNotes
+	times replicaTimes
 }
 
-func (w *notedWriter) Write(content []byte) (int, error) {
-	w.notes.written = append(w.notes.written, time.Now())
+func (w *timingWriter) Write(content []byte) (int, error) {
+	w.times.written = append(w.times.written, time.Now())
 	return w.ResponseWriter.Write(content)
 }
 
-// Unwrap lets http.ResponseController flush.
-func (w *notedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the writer that http.ResponseController flushes.
+func (w *timingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// observer keeps the notes of requests until they are taken.
+// observer collects the times of requests at replicas.
 type observer struct {
 	mutex sync.Mutex
-	notes map[string]replicaNotes
+	times map[string]replicaTimes
 }
 
-func newObserver() *observer { return &observer{notes: make(map[string]replicaNotes)} }
+func newObserver() *observer { return &observer{times: make(map[string]replicaTimes)} }
 
-func (o *observer) put(request string, notes replicaNotes) {
+func (o *observer) put(requestID string, times replicaTimes) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.notes[request] = notes
+	o.times[requestID] = times
 }
 
-// all returns the notes by request.
-func (o *observer) all() map[string]replicaNotes {
+// all returns the times by request id. It must not be called while requests run.
+func (o *observer) all() map[string]replicaTimes {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.notes
+	return o.times
 }
--- a/internal/benchmark/site.go
+++ b/internal/benchmark/site.go
@@ -12,8 +12,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// siteDocument is the configuration of one region. Concurrency is far above
-// what the measurements bring.
+// siteDocument is the configuration of one region. Its limits of concurrency are
+// far above the measured load.
 const siteDocument = `
 regions:
   north: {zones: [north-1], capacity: 8}
@@ -31,30 +31,36 @@
 // replicasPerService is the number of stand-ins of each service.
 const replicasPerService = 4
 
-// site is one region: a control node, stand-ins, and a gateway in a child.
+// warmUpCount is the number of requests in a row that must succeed before a
+// measurement.
+const warmUpCount = 50
+
+// site is one region: a control node and stand-ins in this process, and a gateway
+// in a worker.
 type site struct {
 	group    *group
 	replicas []*replica
-	child    *worker
+	gateway  *worker
 	caller   *caller
 }
 
-// newSite starts a region and waits until its gateway answers. The environment
-// entries are for the gateway's process.
-func newSite(o *Options, watch *observer, profile string, environment ...string) (*site, error) {
+// newSite starts a region and waits until its gateway relays requests. observer is
+// that of the replicas, nil for none; the environment entries are added to those of
+// the gateway's process. The caller must stop the site with close.
+func newSite(o *Options, observer *observer, profile string, environment ...string) (*site, error) {
 	s := new(site)
-	if err := s.open(o, watch, profile, environment); err != nil {
+	if err := s.open(o, observer, profile, environment); err != nil {
 		return nil, errors.Join(err, s.close())
 	}
 	return s, nil
 }
 
-func (s *site) open(o *Options, watch *observer, profile string, environment []string) error {
+func (s *site) open(o *Options, observer *observer, profile string, environment []string) error {
 	var err error
 	if s.group, err = newGroup(1, 0, o.Logger); err != nil {
 		return err
 	}
-	if err := s.startReplicas(watch); err != nil {
+	if err := s.startReplicas(observer); err != nil {
 		return err
 	}
 	if err := s.configure(); err != nil {
@@ -65,10 +71,10 @@
 	if config.Profile, err = o.profilePath(profile); err != nil {
 		return err
 	}
-	if s.child, err = o.startWorker(WorkerGateway, config, environment...); err != nil {
+	if s.gateway, err = o.startWorker(WorkerGateway, config, environment...); err != nil {
 		return err
 	}
-	status, err := s.child.ask(commandStatus)
+	status, err := s.gateway.execute(commandStatus)
 	if err != nil {
 		return err
 	}
@@ -76,14 +82,14 @@
 	return s.warmUp()
 }
 
-func (s *site) startReplicas(watch *observer) error {
+func (s *site) startReplicas(observer *observer) error {
 	for i := range replicasPerService {
-		model, err := startReplica(fmt.Sprintf("explain-%d", i), modelService, emulator.KindModel, watch)
+		model, err := startReplica(fmt.Sprintf("explain-%d", i), modelService, emulator.KindModel, observer)
 		if err != nil {
 			return err
 		}
 		s.replicas = append(s.replicas, model)
-		web, err := startReplica(fmt.Sprintf("snippets-%d", i), webService, emulator.KindWeb, watch)
+		web, err := startReplica(fmt.Sprintf("snippets-%d", i), webService, emulator.KindWeb, observer)
 		if err != nil {
 			return err
 		}
@@ -92,39 +98,40 @@
 	return nil
 }
 
-// configure sends the configuration and the list of replicas.
+// configure applies the configuration and the list of replicas, and waits until
+// they are in force.
 func (s *site) configure() error {
-	order := api.ConfigurationOperation{OperationID: "configuration", Document: siteDocument}
-	if _, err := s.group.order(peer.OperationRequest{Configuration: &order}); err != nil {
+	configuration := api.ConfigurationOperation{OperationID: "configuration", Document: siteDocument}
+	if _, err := s.group.operate(peer.OperationRequest{Configuration: &configuration}); err != nil {
 		return err
 	}
 	var list api.ReplicaList
 	for _, replica := range s.replicas {
 		list.Replicas = append(list.Replicas, api.ReplicaEntry{ID: replica.id, Service: replica.service, Zone: "north-1", Address: replica.address})
 	}
-	_, err := s.group.order(peer.OperationRequest{Replicas: &list})
+	_, err := s.group.operate(peer.OperationRequest{Replicas: &list})
 	return err
 }
 
-// warmUp waits until requests of both services are answered again and again.
+// warmUp waits until requests of both services have succeeded warmUpCount times in a
+// row.
 func (s *site) warmUp() error {
-	const wanted = 50
 	answered, number := 0, 0
 	var last error
 	err := await("answers through the gateway", 10*time.Millisecond, func() bool {
 		number++
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
-		last = s.caller.ask(ctx, api.PathRequests, question(fmt.Sprintf("warm-%d", number), webName, false, 1))
+		last = s.caller.send(ctx, api.PathRequests, gatewayRequest(fmt.Sprintf("warm-%d", number), webName, false, 1))
 		if last == nil {
-			_, last = s.caller.stream(ctx, api.PathRequests, question(fmt.Sprintf("warm-stream-%d", number), modelName, true, 1), false)
+			_, last = s.caller.stream(ctx, api.PathRequests, gatewayRequest(fmt.Sprintf("warm-stream-%d", number), modelName, true, 1), false)
 		}
 		if last != nil {
 			answered = 0
 			return false
 		}
 		answered++
-		return answered >= wanted
+		return answered >= warmUpCount
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %w", err, last)
@@ -134,8 +141,8 @@
 
 func (s *site) close() error {
 	var err error
-	if s.child != nil {
-		err = s.child.stop()
+	if s.gateway != nil {
+		err = s.gateway.stop()
 	}
 	if s.caller != nil {
 		s.caller.close()
--- a/internal/benchmark/table.go
+++ b/internal/benchmark/table.go
@@ -13,7 +13,7 @@
 // Table is one table of results.
 type Table struct {
 	Title string
-	// Note says how the figures were made; it may be empty.
+	// Note says how the figures were measured; it may be empty.
 	Note    string
 	Columns []string
 	Rows    [][]string
@@ -49,11 +49,11 @@
 	fmt.Fprintf(into, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// errNoMarkers means that a page has no place for a section.
+// errNoMarkers means that a page lacks the markers of a section.
 var errNoMarkers = errors.New("the page has no such section")
 
-// ReplaceSection puts new content between the markers of a section of a page.
-// The rest of the page stays as it is.
+// ReplaceSection replaces the content between the markers of a section of a page,
+// and nothing else.
 func ReplaceSection(path, section string, content []byte) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -90,17 +90,16 @@
 	return append(replaced, page[start+length:]...), nil
 }
 
-// Cells of tables.
-
-func milliseconds(length time.Duration) string {
-	return fmt.Sprintf("%.2f", float64(length)/float64(time.Millisecond))
+// milliseconds formats the cell of a duration.
+func milliseconds(duration time.Duration) string {
+	return fmt.Sprintf("%.2f", float64(duration)/float64(time.Millisecond))
 }
 
-func whole(value float64) string { return fmt.Sprintf("%.0f", value) }
+func integer(value float64) string { return fmt.Sprintf("%.0f", value) }
 
 func decimal(value float64) string { return fmt.Sprintf("%.2f", value) }
 
-// perUnit divides CPU time or a sum by a count; nothing by nothing is nothing.
+// perUnit divides a sum by a count; it returns 0 for a count of 0.
 func perUnit(sum, count float64) float64 {
 	if count == 0 {
 		return 0
--- a/internal/benchmark/updates.go
+++ b/internal/benchmark/updates.go
@@ -14,20 +14,24 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// manyWriters is the number of updates on their way at once in the throughput
-// measurement, and while a log is filled.
+// entryBytes is the size of an entry in the measurement of the disk alone, about
+// that of an update.
+const entryBytes = 128
+
+// manyWriters is the number of concurrent writers in the throughput measurement, and
+// while a log is filled.
 const manyWriters = 64
 
-// updateRun is the result of updates sent for a time.
+// updateRun is the result of a run of updates.
 type updateRun struct {
 	rate      float64 // per second
 	latencies *quantiles
 }
 
-// runUpdates sends updates to the primary from a number of writers, each after
-// the answer to its last, until the time is over or the count is reached.
-// A count of 0 is none.
-func (g *group) runUpdates(writers int, length time.Duration, count int64) (updateRun, error) {
+// runUpdates sends updates to the primary from concurrent writers, each after the
+// answer to its last, for a duration or until count updates were sent; a count of 0
+// sets no limit.
+func (g *group) runUpdates(writers int, duration time.Duration, count int64) (updateRun, error) {
 	primary, err := g.primary()
 	if err != nil {
 		return updateRun{}, err
@@ -43,7 +47,7 @@
 		running.Go(func() {
 			own := newQuantiles()
 			var failure error
-			for failure == nil && time.Since(started) < length && (count == 0 || begun.Add(1) <= count) {
+			for failure == nil && time.Since(started) < duration && (count == 0 || begun.Add(1) <= count) {
 				sent := time.Now()
 				_, failure = g.updateAt(ctx, primary)
 				own.add(time.Since(sent))
@@ -61,43 +65,45 @@
 
 // measureUpdates compares groups of one, three and five voters.
 func measureUpdates(o *Options) ([]Table, error) {
-	length := pick(o, 2500*time.Millisecond, 150*time.Millisecond)
+	duration := pick(o, 2500*time.Millisecond, 150*time.Millisecond)
 	table := Table{
 		Title:   "Updates",
 		Note:    "Updates of one record, sent over TCP to the primary and answered after they are on a majority's disks and in its table. Each writer waits for its answer. Ratios are to one voter with as many writers. The first row is the disk alone: one synced write after the other, without network or table.",
 		Columns: []string{"voters", "writers", "updates/s", "ratio", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "max ms", "p50 ratio"},
 	}
-	disk, err := measureDisk(length)
+	disk, err := measureDisk(duration)
 	if err != nil {
 		return nil, err
 	}
 	table.add(append([]string{"disk alone", "1"}, updateCells(disk, updateRun{})...)...)
-	alone := make(map[int]updateRun)
+	baselines := make(map[int]updateRun) // one voter, by the number of writers
 	for _, voters := range []int{1, 3, 5} {
 		for _, writers := range []int{1, manyWriters} {
-			run, err := updatesAt(o, voters, writers, length)
+			run, err := updatesAt(o, voters, writers, duration)
 			if err != nil {
 				return nil, fmt.Errorf("%d voters, %d writers: %w", voters, writers, err)
 			}
 			if voters == 1 {
-				alone[writers] = run
+				baselines[writers] = run
 			}
 			cells := []string{fmt.Sprint(voters), fmt.Sprint(writers)}
-			table.add(append(cells, updateCells(run, alone[writers])...)...)
+			table.add(append(cells, updateCells(run, baselines[writers])...)...)
 		}
 	}
 	return []Table{table}, nil
 }
 
-func updatesAt(o *Options, voters, writers int, length time.Duration) (updateRun, error) {
+// updatesAt measures a new group of a number of voters.
+func updatesAt(o *Options, voters, writers int, duration time.Duration) (updateRun, error) {
 	g, err := newGroup(voters, 0, o.Logger)
 	if err != nil {
 		return updateRun{}, err
 	}
 	defer g.close()
-	return g.runUpdates(writers, length, 0)
+	return g.runUpdates(writers, duration, 0)
 }
 
+// updateCells returns the cells of a run; the ratios are empty without a baseline.
 func updateCells(run, baseline updateRun) []string {
 	rateRatio, latencyRatio := "", ""
 	if baseline.latencies != nil {
@@ -105,14 +111,15 @@
 		latencyRatio = decimal(float64(run.latencies.at(50)) / float64(baseline.latencies.at(50)))
 	}
 	return []string{
-		whole(run.rate), rateRatio,
+		integer(run.rate), rateRatio,
 		milliseconds(run.latencies.at(50)), milliseconds(run.latencies.at(90)), milliseconds(run.latencies.at(99)),
 		milliseconds(run.latencies.at(99.9)), milliseconds(run.latencies.longest()), latencyRatio,
 	}
 }
 
-// measureDisk writes single entries of the size of an update.
-func measureDisk(length time.Duration) (updateRun, error) {
+// measureDisk persists entries of the size of an update one after the other, without
+// a group.
+func measureDisk(duration time.Duration) (updateRun, error) {
 	folder, err := os.MkdirTemp("", "deckpulley-bench-")
 	if err != nil {
 		return updateRun{}, fmt.Errorf("making a folder: %w", err)
@@ -123,10 +130,9 @@
 		return updateRun{}, err
 	}
 	defer func() { _ = disk.Close() }()
-	const entryBytes = 128
 	run := updateRun{latencies: newQuantiles()}
 	started := time.Now()
-	for index := uint64(1); time.Since(started) < length; index++ {
+	for index := uint64(1); time.Since(started) < duration; index++ {
 		before := time.Now()
 		entry := consensus.Entry{Index: index, Term: 1, Kind: consensus.EntryNormal, Data: make([]byte, entryBytes)}
 		if err := disk.Save(nil, []consensus.Entry{entry}); err != nil {
--- a/internal/benchmark/worker.go
+++ b/internal/benchmark/worker.go
@@ -16,18 +16,18 @@
 // Kinds of workers.
 const (
 	WorkerHolders = "holders" // agents of gateways without requests
-	WorkerGateway = "gateway" // one whole gateway
+	WorkerGateway = "gateway" // one complete gateway
 )
 
-// Commands to a worker, one a line. It ends at the end of its input.
+// Commands to a worker, one a line. A worker ends at the end of its input.
 const (
 	commandStatus       = "status"
 	commandStartProfile = "profile"
 	commandStopProfile  = "profiled"
 )
 
-// stopPatience bounds how long a worker may take to end.
-const stopPatience = 10 * time.Second
+// stopTimeout bounds how long a worker may take to end before it is killed.
+const stopTimeout = 10 * time.Second
 
 // workerConfig is the first line that a worker reads.
 type workerConfig struct {
@@ -40,34 +40,35 @@
 	Verbose bool     `json:"verbose"`
 }
 
-// workerStatus is the answer to every command.
+// workerStatus is the answer to every command, one line of JSON.
 type workerStatus struct {
 	Error string `json:"error,omitempty"`
-	// Processor is the CPU time used so far.
+	// Processor is the CPU time used since the start.
 	Processor   time.Duration `json:"processor"`
 	Allocations uint64        `json:"allocations"`
 	Allocated   uint64        `json:"allocated"` // bytes
-	// Address is the callers' address of a gateway.
+	// Address is where a gateway serves callers.
 	Address string `json:"address,omitempty"`
-	// Valid and Active count holders with a lease and with an active copy; Serial
-	// is the oldest active one.
+	// Valid counts holders with a valid lease, Active those that have activated a
+	// serial; Serial is the lowest active one.
 	Valid    int    `json:"valid"`
 	Active   int    `json:"active"`
 	Serial   uint32 `json:"serial"`
 	Renewals uint64 `json:"renewals"`
-	// Term is the oldest term that a holder knows, NewestTerm the newest.
+	// Term and NewestTerm are the lowest and highest terms that a holder has seen.
 	Term       uint64 `json:"term"`
 	NewestTerm uint64 `json:"newest_term"`
 }
 
-// job is what a worker does.
+// job is what a worker runs.
 type job interface {
+	// fill sets the fields of a status that only this job has.
 	fill(*workerStatus)
 	stop()
 }
 
-// RunWorker is the whole life of a worker process: it reads its configuration
-// and commands from the input and answers each with a line.
+// RunWorker runs a worker of a kind until the end of its input. The first line of
+// the input is its configuration, each other a command, which it answers with a line.
 func RunWorker(kind string, input io.Reader, output io.Writer) error {
 	lines := bufio.NewScanner(input)
 	var config workerConfig
@@ -108,7 +109,7 @@
 	}
 }
 
-// profileCommand starts or ends a CPU profile, if one is wanted.
+// profileCommand starts or ends a CPU profile on command. An empty path takes none.
 func profileCommand(command, path string) error {
 	if path == "" {
 		return nil
@@ -126,6 +127,7 @@
 	return nil
 }
 
+// fillUsage sets the process's use of memory and CPU.
 func fillUsage(status *workerStatus) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -138,14 +140,15 @@
 	status.Processor = used
 }
 
-// worker is a child process at the measuring side.
+// worker is a child process, as its parent sees it.
 type worker struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  *bufio.Reader
 }
 
-// startWorker starts a child. The environment entries are added to its own.
+// startWorker starts a worker. The environment entries are added to its command's.
+// The caller must stop it with stop.
 func (o *Options) startWorker(kind string, config workerConfig, environment ...string) (*worker, error) {
 	command := o.Worker(kind)
 	command.Env = append(command.Environ(), environment...)
@@ -168,8 +171,8 @@
 	return w, nil
 }
 
-// ask sends a command and returns the answer.
-func (w *worker) ask(command string) (workerStatus, error) {
+// execute sends a command and returns the answer.
+func (w *worker) execute(command string) (workerStatus, error) {
 	var status workerStatus
 	if _, err := io.WriteString(w.input, command+"\n"); err != nil {
 		return status, fmt.Errorf("asking a worker: %w", err)
@@ -187,11 +190,11 @@
 	return status, nil
 }
 
-// stop ends the child: by the end of its input, and by a signal if that is not
-// enough.
+// stop closes the input of the worker and waits for its end. It kills a worker that
+// has not ended after stopTimeout.
 func (w *worker) stop() error {
 	w.input.Close()
-	kill := time.AfterFunc(stopPatience, func() { _ = w.command.Process.Kill() })
+	kill := time.AfterFunc(stopTimeout, func() { _ = w.command.Process.Kill() })
 	defer kill.Stop()
 	if err := w.command.Wait(); err != nil {
 		return fmt.Errorf("ending a worker: %w", err)
