--- a/internal/scale/document.go
+++ b/internal/scale/configuration.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/configuration"
 )
 
-// Shape of the measured configuration: the regions, zones and models of the
+// Sizes of the measured configuration. Regions, zones and models are those of the
 // target size.
 const (
 	regionCount  = 50
@@ -25,17 +25,18 @@
 func serviceName(index int) string { return fmt.Sprintf("service-%02d", index) }
 func modelName(index int) string   { return fmt.Sprintf("model-%02d", index) }
 
-// regionOfZone spreads the zones evenly.
+// regionOfZone spreads the zones evenly over the regions.
 func regionOfZone(zone int) int { return zone % regionCount }
 
-// placeOf gives the zone and region of the gateway with an index.
-func placeOf(index int) (zone, region string) {
-	number := index % zoneCount
-	return zoneName(number), regionName(regionOfZone(number))
+// gatewayLocation returns the zone and region of the gateway with an index.
+func gatewayLocation(index int) (zone, region string) {
+	zoneIndex := index % zoneCount
+	return zoneName(zoneIndex), regionName(regionOfZone(zoneIndex))
 }
 
-// documentText is the configuration with one field that changes with each step.
-func documentText(step int) (string, error) {
+// configurationText returns a configuration; one field differs between consecutive
+// steps.
+func configurationText(step int) (string, error) {
 	document := configuration.Document{
 		Regions:  make(map[string]configuration.Region),
 		Services: make(map[string]configuration.Service),
@@ -59,9 +60,9 @@
 		document.Services[serviceName(i)] = configuration.Service{Kind: configuration.KindModel, MaxConcurrency: configuration.MaxConcurrency}
 		document.Routes[modelName(i)] = configuration.Route{Service: serviceName(i), Class: string(api.ClassLong), Weight: 1}
 	}
-	changing := document.Routes[modelName(1)]
-	changing.Weight = 1 + step%configuration.MaxWeight
-	document.Routes[modelName(1)] = changing
+	changed := document.Routes[modelName(1)]
+	changed.Weight = 1 + step%configuration.MaxWeight
+	document.Routes[modelName(1)] = changed
 	for i := range clientCount {
 		document.Clients[fmt.Sprintf("clients-%03d", i)] = regionName(i % regionCount)
 	}
@@ -76,8 +77,8 @@
 	return string(text), err
 }
 
-// replicaList is a platform's list of a number of replicas over all zones.
-// Nobody dials their addresses, which are reserved for documentation.
+// replicaList returns a platform's list of replicas, spread over all zones. Their
+// addresses are reserved for documentation, and nobody dials them.
 func replicaList(count int) api.ReplicaList {
 	list := api.ReplicaList{Replicas: make([]api.ReplicaEntry, count)}
 	for i := range list.Replicas {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -6,27 +6,28 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// line is a least-squares fit of y = Intercept + Slope*x.
+// line is a line y = Intercept + Slope*x fitted by least squares.
 type line struct {
 	Intercept float64
 	Slope     float64
-	// Residual is the largest distance of a point from the line.
+	// Residual is the largest distance in y of a point from the line.
 	Residual float64
-	Points   int
-	// Highest is the largest x that was measured.
+	// Points is the number of points.
+	Points int
+	// Highest is the largest x of a point.
 	Highest float64
 }
 
-// fit needs two points or more.
+// fit fits a line to points. It needs two or more.
 func fit(x, y []float64) line {
 	intercept, slope := stat.LinearRegression(x, y, nil, false)
-	found := line{Intercept: intercept, Slope: slope, Points: len(x)}
+	fitted := line{Intercept: intercept, Slope: slope, Points: len(x)}
 	for i := range x {
-		found.Residual = math.Max(found.Residual, math.Abs(y[i]-found.at(x[i])))
-		found.Highest = math.Max(found.Highest, x[i])
+		fitted.Residual = math.Max(fitted.Residual, math.Abs(y[i]-fitted.at(x[i])))
+		fitted.Highest = math.Max(fitted.Highest, x[i])
 	}
-	return found
+	return fitted
 }
 
-// at evaluates the line.
+// at returns y at x.
 func (l line) at(x float64) float64 { return l.Intercept + l.Slope*x }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -17,31 +17,31 @@
 const (
 	controlCount = 3
 	keyBytes     = 32
-	readyWait    = 60 * time.Second
-	pollEvery    = 20 * time.Millisecond
+	readyTimeout = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// group is three control processes with a configuration and replicas.
+// group is three control processes with a configuration and a list of replicas.
 type group struct {
 	folder    string
 	key       []byte
-	peers     []string
-	operators []string
+	peers     []string   // peer addresses
+	operators []string   // operator addresses
 	processes []*process // nil once killed
 	client    *client.Client
-	version   uint64
-	step      int
+	version   uint64 // configuration version in force
+	step      int    // of the last configuration sent
 }
 
-// startGroup starts the control processes and hands them a configuration and a
-// list of replicas.
+// startGroup starts the control processes and applies a configuration and a list of
+// replicas. The caller must stop the group with stop.
 func startGroup(ctx context.Context, replicas api.ReplicaList) (*group, error) {
 	folder, err := os.MkdirTemp("", "deckpulley-scale-")
 	if err != nil {
 		return nil, err
 	}
 	g := &group{folder: folder, key: make([]byte, keyBytes)}
-	rand.Read(g.key) // never fails, see the package
+	rand.Read(g.key) // never fails; see package crypto/rand
 	if err := g.start(ctx, replicas); err != nil {
 		g.stop()
 		return nil, err
@@ -64,7 +64,7 @@
 		if err := os.Mkdir(data, 0o700); err != nil {
 			return err
 		}
-		started, err := startProcess(ctx, setup{
+		started, err := startProcess(ctx, childConfig{
 			Role: roleControl, Name: controlName(i), Zone: zoneName(i), Region: regionName(i),
 			Peer: g.peers[i], HTTP: g.operators[i], Folder: data, Initial: initial, Seeds: g.peers, Key: g.key,
 		})
@@ -79,7 +79,7 @@
 	if _, err := g.change(ctx); err != nil {
 		return fmt.Errorf("first configuration: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if _, err := g.client.ReplaceReplicas(ctx, replicas); err != nil {
 		return fmt.Errorf("replicas: %w", err)
@@ -89,15 +89,15 @@
 
 func controlName(index int) string { return fmt.Sprintf("control-%d", index+1) }
 
-// change hands over the next configuration and returns how long it took to be
+// change applies the next configuration and returns the time until it was
 // acknowledged as in force everywhere.
 func (g *group) change(ctx context.Context) (time.Duration, error) {
 	g.step++
-	text, err := documentText(g.step)
+	text, err := configurationText(g.step)
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	sent := time.Now()
 	answer, err := g.client.Apply(ctx, &api.ConfigurationOperation{BaseVersion: g.version, Author: "scale", Document: text})
@@ -108,9 +108,9 @@
 	return time.Since(sent), nil
 }
 
-// primary returns the index of the primary.
+// primary waits for a primary and returns its index.
 func (g *group) primary(ctx context.Context) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		status, err := g.client.Status(ctx)
@@ -122,13 +122,13 @@
 				return i, nil
 			}
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return 0, errors.New("no primary in time")
 }
 
-// killPrimary ends the primary as a lost machine would and returns how long it
-// took until the next configuration was acknowledged.
+// killPrimary kills the primary, as the loss of its machine would, and returns the
+// time until the next configuration was acknowledged.
 func (g *group) killPrimary(ctx context.Context, index int) (time.Duration, error) {
 	killed := time.Now()
 	g.processes[index].kill()
@@ -139,6 +139,7 @@
 	return time.Since(killed), nil
 }
 
+// stop ends the processes and removes their folders.
 func (g *group) stop() {
 	for _, child := range g.processes {
 		if child != nil {
@@ -148,9 +149,10 @@
 	_ = os.RemoveAll(g.folder)
 }
 
-// startHollow starts a process of hollow gateways and waits for their leases.
-func (g *group) startHollow(ctx context.Context, count int) (*process, error) {
-	child, err := startProcess(ctx, setup{Role: roleGateways, Name: "gateway", Seeds: g.peers, Key: g.key, Gateways: count})
+// startHollowGateways starts a process of hollow gateways and waits until all have
+// leases.
+func (g *group) startHollowGateways(ctx context.Context, count int) (*process, error) {
+	child, err := startProcess(ctx, childConfig{Role: roleGateways, Name: "gateway", Seeds: g.peers, Key: g.key, Gateways: count})
 	if err != nil {
 		return nil, err
 	}
@@ -161,17 +163,18 @@
 	return child, nil
 }
 
+// awaitLeases waits until a number of gateways in a process have leases.
 func awaitLeases(ctx context.Context, child *process, count int) error {
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		report, err := child.ask(order{})
+		current, err := child.execute(childCommand{})
 		if err != nil {
 			return err
 		}
-		if report.Leases == count {
+		if current.Leases == count {
 			return nil
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return fmt.Errorf("%d gateways have no lease in time", count)
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -11,39 +11,39 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Times of one measurement.
+// Durations and counts of one measurement.
 const (
-	settleTime = 2 * time.Second
-	quietTime  = 5 * time.Second
-	changes    = 10
-	burst      = 50
-	restarts   = 70
-	mebibyte   = 1 << 20
+	settleDuration = 2 * time.Second
+	restDuration   = 5 * time.Second
+	changes        = 10
+	changesInBurst = 50
+	restarts       = 70 // gateways lost at once
+	mebibyte       = 1 << 20
 )
 
-// reading is what one size costs.
-type reading struct {
+// sizeReading is the cost of one size.
+type sizeReading struct {
 	gateways int
 	replicas int
 
 	primary  cost
 	follower cost
-	// gateway is the hollow process divided by its gateways.
+	// gateway is the cost of the hollow process, divided by its gateways.
 	gateway cost
 
-	acknowledged []time.Duration // per change, at the sender
-	everywhere   []time.Duration // per change, until the last gateway acted on it
-	perChange    float64         // bytes at the primary for one change
-	perGateway   float64         // bytes at one gateway for one change
-	changeCPU    float64         // seconds of the primary's processor for one change
-	kinds        []kindRate      // the primary's frames at rest
-	restart      time.Duration   // for some gateways lost at once until all have leases again
-	restarted    time.Duration   // from that loss until the next change was acknowledged
-	burst        time.Duration   // for a number of changes one after the other
-	failover     time.Duration   // loss of the primary until the next acknowledgement
+	acknowledged        []time.Duration // per change, at the sender
+	activatedEverywhere []time.Duration // per change, until active at the last gateway
+	perChange           float64         // bytes at the primary for one change
+	perGateway          float64         // bytes at one gateway for one change
+	changeCPU           float64         // seconds of the primary's processor for one change
+	kinds               []kindRate      // of the primary's frames at rest
+	restart             time.Duration   // loss of some gateways until all have leases again
+	restarted           time.Duration   // that loss until the next change is acknowledged
+	burst               time.Duration   // a number of changes one after the other
+	failover            time.Duration   // loss of the primary until the next change is acknowledged
 }
 
-// cost is one process at rest, per second.
+// cost is the cost of one process at rest; rates are per second.
 type cost struct {
 	messages float64
 	bytes    float64
@@ -52,23 +52,24 @@
 	resident float64 // bytes
 }
 
-// observed are the samples of all processes at one moment.
-type observed struct {
+// processSamples has a sample of each process, taken one after the other.
+type processSamples struct {
 	primary  sample
 	follower sample
 	hollow   sample
 }
 
-// measurement is one size being measured.
+// measurement is the measurement of one size.
 type measurement struct {
 	group    *group
-	hollow   *process
-	primary  int
-	follower int
+	hollow   *process // of the gateways
+	primary  int      // index of its process in the group
+	follower int      // likewise
 }
 
-func (m *measurement) observe(collect bool) (observed, error) {
-	var all observed
+// sampleAll samples the primary, a follower and the gateways.
+func (m *measurement) sampleAll(collect bool) (processSamples, error) {
+	var all processSamples
 	for _, one := range []struct {
 		child *process
 		into  *sample
@@ -77,25 +78,26 @@
 		{m.group.processes[m.follower], &all.follower},
 		{m.hollow, &all.hollow},
 	} {
-		report, err := one.child.ask(order{Collect: collect})
+		taken, err := one.child.execute(childCommand{Collect: collect})
 		if err != nil {
-			return observed{}, err
+			return processSamples{}, err
 		}
-		*one.into = report
+		*one.into = taken
 	}
 	return all, nil
 }
 
-// measureSize measures one number of gateways and replicas.
-func measureSize(ctx context.Context, gateways, replicas int) (reading, error) {
-	result := reading{gateways: gateways, replicas: replicas}
+// measureSize measures one number of gateways and replicas. The order of the steps
+// matters: the last one kills the primary.
+func measureSize(ctx context.Context, gateways, replicas int) (sizeReading, error) {
+	result := sizeReading{gateways: gateways, replicas: replicas}
 	g, err := startGroup(ctx, replicaList(replicas))
 	if err != nil {
 		return result, err
 	}
 	defer g.stop()
 	m := &measurement{group: g}
-	if m.hollow, err = g.startHollow(ctx, gateways); err != nil {
+	if m.hollow, err = g.startHollowGateways(ctx, gateways); err != nil {
 		return result, err
 	}
 	defer m.hollow.stop()
@@ -103,7 +105,7 @@
 		return result, err
 	}
 	m.follower = (m.primary + 1) % controlCount
-	for _, step := range []func(context.Context, *reading) error{m.atRest, m.underChanges, m.inBurst, m.afterRestarts, m.afterLoss} {
+	for _, step := range []func(context.Context, *sizeReading) error{m.measureRest, m.measureChanges, m.measureBurst, m.measureRestarts, m.measurePrimaryLoss} {
 		if err := step(ctx, &result); err != nil {
 			return result, fmt.Errorf("%d gateways, %d replicas: %w", gateways, replicas, err)
 		}
@@ -111,31 +113,33 @@
 	return result, nil
 }
 
-func (m *measurement) atRest(_ context.Context, into *reading) error {
-	time.Sleep(settleTime)
-	before, err := m.observe(true)
+// measureRest measures the costs while nothing changes.
+func (m *measurement) measureRest(_ context.Context, result *sizeReading) error {
+	time.Sleep(settleDuration)
+	before, err := m.sampleAll(true)
 	if err != nil {
 		return err
 	}
-	time.Sleep(quietTime)
-	after, err := m.observe(true)
+	time.Sleep(restDuration)
+	after, err := m.sampleAll(true)
 	if err != nil {
 		return err
 	}
-	into.primary = costBetween(before.primary, after.primary)
-	into.follower = costBetween(before.follower, after.follower)
-	into.gateway = costBetween(before.hollow, after.hollow).dividedBy(float64(into.gateways))
-	into.kinds = kindsBetween(before.primary, after.primary)
+	result.primary = costBetween(before.primary, after.primary)
+	result.follower = costBetween(before.follower, after.follower)
+	result.gateway = costBetween(before.hollow, after.hollow).dividedBy(float64(result.gateways))
+	result.kinds = kindsBetween(before.primary, after.primary)
 	return nil
 }
 
-// kindRate is the frames of one kind, both ways, per second.
+// kindRate is the rate of frames of one kind, sent and received, per second.
 type kindRate struct {
 	kind   transport.Kind
 	frames float64
 	bytes  float64
 }
 
+// kindsBetween returns the rates between two samples, by ascending kind.
 func kindsBetween(before, after sample) []kindRate {
 	seconds := float64(after.At-before.At) / float64(time.Second)
 	var rates []kindRate
@@ -151,6 +155,7 @@
 	return rates
 }
 
+// costBetween returns the cost between two samples; sizes are those of the second.
 func costBetween(before, after sample) cost {
 	seconds := float64(after.At-before.At) / float64(time.Second)
 	messagesBefore, bytesBefore := before.traffic()
@@ -168,8 +173,9 @@
 	return cost{messages: c.messages / count, bytes: c.bytes / count, cpu: c.cpu / count, heap: c.heap / count, resident: c.resident / count}
 }
 
-func (m *measurement) underChanges(ctx context.Context, into *reading) error {
-	before, err := m.observe(false)
+// measureChanges measures configuration changes, each after the last is in force.
+func (m *measurement) measureChanges(ctx context.Context, result *sizeReading) error {
+	before, err := m.sampleAll(false)
 	if err != nil {
 		return err
 	}
@@ -179,81 +185,86 @@
 		if err != nil {
 			return err
 		}
-		last, err := m.activatedAt(into.gateways)
+		last, err := m.activatedAt(result.gateways)
 		if err != nil {
 			return err
 		}
-		into.acknowledged = append(into.acknowledged, acknowledged)
-		into.everywhere = append(into.everywhere, time.Duration(last-sent))
+		result.acknowledged = append(result.acknowledged, acknowledged)
+		result.activatedEverywhere = append(result.activatedEverywhere, time.Duration(last-sent))
 	}
-	after, err := m.observe(false)
+	after, err := m.sampleAll(false)
 	if err != nil {
 		return err
 	}
-	into.perChange = extraBytes(before.primary, after.primary, into.primary.bytes) / changes
-	spent := time.Duration(after.primary.CPU - before.primary.CPU).Seconds()
-	lasted := time.Duration(after.primary.At - before.primary.At).Seconds()
-	into.changeCPU = (spent - into.primary.cpu*lasted) / changes
-	into.perGateway = extraBytes(before.hollow, after.hollow, into.gateway.bytes*float64(into.gateways)) / changes / float64(into.gateways)
+	result.perChange = extraBytes(before.primary, after.primary, result.primary.bytes) / changes
+	cpuSeconds := time.Duration(after.primary.CPU - before.primary.CPU).Seconds()
+	elapsedSeconds := time.Duration(after.primary.At - before.primary.At).Seconds()
+	result.changeCPU = (cpuSeconds - result.primary.cpu*elapsedSeconds) / changes
+	result.perGateway = extraBytes(before.hollow, after.hollow, result.gateway.bytes*float64(result.gateways)) / changes / float64(result.gateways)
 	return nil
 }
 
-// extraBytes is what was sent and received beyond the rate at rest.
+// extraBytes returns the bytes sent and received beyond the rate at rest.
 func extraBytes(before, after sample, rate float64) float64 {
 	_, bytesBefore := before.traffic()
 	_, bytesAfter := after.traffic()
 	return bytesAfter - bytesBefore - rate*float64(after.At-before.At)/float64(time.Second)
 }
 
-// activatedAt returns when the last gateway made the newest version active.
+// activatedAt returns when the newest version became active at the last gateway, in
+// nanoseconds of eventlog.Now. It is an error if it is not active at all gateways.
 func (m *measurement) activatedAt(gateways int) (int64, error) {
-	report, err := m.hollow.ask(order{Version: m.group.version})
+	current, err := m.hollow.execute(childCommand{Version: m.group.version})
 	if err != nil {
 		return 0, err
 	}
-	if report.Activated != gateways {
-		return 0, fmt.Errorf("version %d was acknowledged, but is active at %d of %d gateways", m.group.version, report.Activated, gateways)
+	if current.Activated != gateways {
+		return 0, fmt.Errorf("version %d was acknowledged, but is active at %d of %d gateways", m.group.version, current.Activated, gateways)
 	}
-	return report.ActivatedAt, nil
+	return current.ActivatedAt, nil
 }
 
-func (m *measurement) inBurst(ctx context.Context, into *reading) error {
-	began := time.Now()
-	for range burst {
+// measureBurst measures a number of changes one after the other.
+func (m *measurement) measureBurst(ctx context.Context, result *sizeReading) error {
+	started := time.Now()
+	for range changesInBurst {
 		if _, err := m.group.change(ctx); err != nil {
 			return err
 		}
 	}
-	into.burst = time.Since(began)
+	result.burst = time.Since(started)
 	return nil
 }
 
-// afterRestarts loses gateways all at once, as with a rack, and starts them again.
-func (m *measurement) afterRestarts(ctx context.Context, into *reading) error {
-	began := time.Now()
-	if _, err := m.hollow.ask(order{Restart: restarts}); err != nil {
+// measureRestarts measures the loss of many gateways at once, as with a rack, and
+// their restart.
+func (m *measurement) measureRestarts(ctx context.Context, result *sizeReading) error {
+	started := time.Now()
+	if _, err := m.hollow.execute(childCommand{Restart: restarts}); err != nil {
 		return err
 	}
 	changed := make(chan error, 1)
 	go func() {
 		_, err := m.group.change(ctx)
-		into.restarted = time.Since(began)
+		result.restarted = time.Since(started)
 		changed <- err
 	}()
-	err := awaitLeases(ctx, m.hollow, into.gateways)
-	into.restart = time.Since(began)
+	err := awaitLeases(ctx, m.hollow, result.gateways)
+	result.restart = time.Since(started)
 	return errors.Join(err, <-changed)
 }
 
-func (m *measurement) afterLoss(ctx context.Context, into *reading) error {
-	took, err := m.group.killPrimary(ctx, m.primary)
-	into.failover = took
+// measurePrimaryLoss measures the loss of the primary, which stays killed.
+func (m *measurement) measurePrimaryLoss(ctx context.Context, result *sizeReading) error {
+	elapsed, err := m.group.killPrimary(ctx, m.primary)
+	result.failover = elapsed
 	if err != nil {
 		return err
 	}
-	return awaitLeases(ctx, m.hollow, into.gateways)
+	return awaitLeases(ctx, m.hollow, result.gateways)
 }
 
+// median returns the upper median of durations, of which there must be one.
 func median(durations []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(durations))
 	return sorted[len(sorted)/2]
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,7 +1,8 @@
-// Package scale measures what the control plane costs at growing sizes and what
-// relaying costs a gateway, on one machine and over the loopback interface alone.
-// Real control processes stand beside hollow gateways, many to a process. From the
-// slopes it works out the target size. No deployment runs it.
+// Package scale measures the cost of the control plane at growing sizes, and that of
+// relaying streams at a gateway, on one machine over the loopback interface. The
+// control nodes are real, one a process; the gateways are hollow, many a process. It
+// fits lines to the figures and extrapolates them to the target size. It is no part
+// of a deployment.
 package scale
 
 import (
@@ -9,25 +10,28 @@
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"slices"
 	"time"
 )
 
-// Plan says what is measured.
+// Plan says which sizes are measured.
 type Plan struct {
-	Gateways     []int // with BaseReplicas replicas
-	Replicas     []int // with BaseGateways gateways
+	// Gateways lists numbers of gateways, each measured with BaseReplicas replicas.
+	Gateways     []int
 	BaseReplicas int
+	// Replicas lists numbers of replicas, each measured with BaseGateways gateways.
+	Replicas     []int
 	BaseGateways int
-	Streams      []int
+	// Streams lists numbers of streams through one real gateway.
+	Streams []int
 	// Page is a file whose tables, between its markers, are replaced; empty for none.
 	Page string
-	// Nodes asks for one size alone, with the one number in Replicas.
+	// Nodes, if above zero, is the only number of gateways to measure, with the only
+	// number in Replicas.
 	Nodes int
 }
 
-// DefaultPlan is a whole measurement.
+// DefaultPlan returns the plan of a complete measurement, up to the target size.
 func DefaultPlan() Plan {
 	return Plan{
 		Gateways:     []int{8, 25, 100, 200, targetGateways},
@@ -38,10 +42,10 @@
 	}
 }
 
-// minimumSizes is how many sizes a line with a residual needs.
+// minimumSizes is the number of points from which a fitted line has a residual.
 const minimumSizes = 3
 
-// Check says what is wrong with a plan.
+// Check returns an error that names the flag of the first invalid field.
 func (p Plan) Check() error {
 	if p.Nodes > 0 {
 		return p.checkOne()
@@ -68,7 +72,7 @@
 	}
 }
 
-// Run measures and writes the tables to output, and its progress beside them.
+// Run runs the plan. It writes the tables to output and its progress to progress.
 func (p Plan) Run(ctx context.Context, output, progress io.Writer) error {
 	if p.Nodes > 0 {
 		return p.measureOne(ctx, output)
@@ -76,45 +80,46 @@
 	return p.measureAll(ctx, output, progress)
 }
 
-// measureOne measures one size and sets it against the bounds.
+// measureOne measures one size and compares it with the bounds of the target.
 func (p Plan) measureOne(ctx context.Context, output io.Writer) error {
-	one, err := measureSize(ctx, p.Nodes, p.Replicas[0])
+	size, err := measureSize(ctx, p.Nodes, p.Replicas[0])
 	if err != nil {
 		return err
 	}
-	_, err = io.WriteString(output, one.againstBounds())
+	_, err = io.WriteString(output, size.againstBounds())
 	return err
 }
 
-// measureAll runs the whole plan and reports.
+// measureAll measures every size of the plan, prints the tables and replaces those
+// of the page.
 func (p Plan) measureAll(ctx context.Context, output, progress io.Writer) error {
-	results := measured{began: time.Now()}
+	report := capacityReport{started: time.Now()}
 	for _, gateways := range p.Gateways {
 		fmt.Fprintf(progress, "measuring %d gateways, %d replicas\n", gateways, p.BaseReplicas)
-		one, err := measureSize(ctx, gateways, p.BaseReplicas)
+		size, err := measureSize(ctx, gateways, p.BaseReplicas)
 		if err != nil {
 			return err
 		}
-		results.byGateways = append(results.byGateways, one)
+		report.byGateways = append(report.byGateways, size)
 	}
 	for _, replicas := range p.Replicas {
 		fmt.Fprintf(progress, "measuring %d gateways, %d replicas\n", p.BaseGateways, replicas)
-		one, err := measureSize(ctx, p.BaseGateways, replicas)
+		size, err := measureSize(ctx, p.BaseGateways, replicas)
 		if err != nil {
 			return err
 		}
-		results.byReplicas = append(results.byReplicas, one)
+		report.byReplicas = append(report.byReplicas, size)
 	}
 	fmt.Fprintln(progress, "measuring the relaying of streams")
 	var err error
-	if results.relays, err = measureRelay(ctx, p.Streams); err != nil {
+	if report.relays, err = measureRelay(ctx, p.Streams); err != nil {
 		return err
 	}
-	if results.poll, err = measurePoll(ctx); err != nil {
+	if report.poll, err = measurePoll(ctx); err != nil {
 		return err
 	}
-	results.took = time.Since(results.began)
-	text := results.tables()
+	report.elapsed = time.Since(report.started)
+	text := report.tables()
 	if _, err := io.WriteString(output, text); err != nil {
 		return err
 	}
@@ -123,14 +128,3 @@
 	}
 	return writeBetweenMarkers(p.Page, text)
 }
-
-// drain sends a request and reads the whole answer.
-func drain(caller *http.Client, request *http.Request) error {
-	response, err := caller.Do(request)
-	if err != nil {
-		return err
-	}
-	defer response.Body.Close()
-	_, err = io.Copy(io.Discard, response.Body)
-	return err
-}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -11,18 +11,20 @@
 	"time"
 )
 
-// ChildArgument makes this program serve orders on its standard input.
+// ChildArgument is the only argument of a child process. A program with it must call
+// ServeChild.
 const ChildArgument = "child"
 
-// process is one child of this program.
+// process is a child process, as its parent sees it.
 type process struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  *bufio.Reader
 }
 
-// startProcess starts a child and tells it what to be.
-func startProcess(ctx context.Context, what setup) (*process, error) {
+// startProcess starts a child, which is killed when ctx ends. The caller must end it
+// with stop or kill.
+func startProcess(ctx context.Context, config childConfig) (*process, error) {
 	path, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -38,17 +40,17 @@
 	}
 	p.output = bufio.NewReader(output)
 	if err := p.command.Start(); err != nil {
-		return nil, fmt.Errorf("starting %s: %w", what.Name, err)
+		return nil, fmt.Errorf("starting %s: %w", config.Name, err)
 	}
-	if _, err := p.ask(order{Setup: &what}); err != nil {
+	if _, err := p.execute(childCommand{Setup: &config}); err != nil {
 		p.kill()
-		return nil, fmt.Errorf("starting %s: %w", what.Name, err)
+		return nil, fmt.Errorf("starting %s: %w", config.Name, err)
 	}
 	return p, nil
 }
 
-// ask sends an order and reads the report.
-func (p *process) ask(next order) (sample, error) {
+// execute sends a command and returns the sample that answers it.
+func (p *process) execute(next childCommand) (sample, error) {
 	line, err := json.Marshal(next)
 	if err != nil {
 		return sample{}, err
@@ -60,29 +62,31 @@
 	if err != nil {
 		return sample{}, fmt.Errorf("child has ended: %w", err)
 	}
-	var report sample
-	return report, json.Unmarshal(answer, &report)
+	var received sample
+	return received, json.Unmarshal(answer, &received)
 }
 
-const stopPatience = 5 * time.Second
+// stopTimeout bounds how long a child may take to end before it is killed.
+const stopTimeout = 5 * time.Second
 
-// stop ends the child by the end of its input, or by force.
+// stop closes the input of the child and waits for its end. It kills a child that has
+// not ended after stopTimeout.
 func (p *process) stop() {
 	p.input.Close()
 	ended := make(chan struct{})
 	go func() {
-		_ = p.command.Wait() // its status says nothing about the measurement
+		_ = p.command.Wait() // the measurement does not depend on its status
 		close(ended)
 	}()
 	select {
 	case <-ended:
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		_ = p.command.Process.Kill()
 		<-ended
 	}
 }
 
-// kill ends the child at once, as a lost machine would.
+// kill ends the child at once, as the loss of its machine would.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
 	_ = p.command.Wait()
--- a/internal/scale/relay.go
+++ b/internal/scale/relay.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -15,15 +16,15 @@
 	"github.com/deckpulley/deckpulley/internal/hollow"
 )
 
-// Shape of the streams whose relaying is measured.
+// Parameters of the measurements of streams and polls.
 const (
-	tokenGap   = 33 * time.Millisecond
-	relayTime  = 4 * time.Second
-	relayBegin = 2 * time.Second // until all streams run evenly
-	pollCount  = 2000
+	tokenInterval     = 33 * time.Millisecond
+	relayDuration     = 4 * time.Second
+	relayRampDuration = 2 * time.Second // until all streams are open and in steady state
+	pollCount         = 2000
 )
 
-// relayReading is what a real gateway costs while it relays streams.
+// relayReading is the cost of a real gateway while it relays streams.
 type relayReading struct {
 	streams  int
 	events   float64 // per second, as callers received them
@@ -32,15 +33,16 @@
 	failed   int
 }
 
-// measureRelay measures a real gateway before a hollow replica.
+// measureRelay measures a real gateway in front of a hollow replica, at each number of
+// streams.
 func measureRelay(ctx context.Context, sizes []int) ([]relayReading, error) {
 	addresses, err := freeport.Addresses(host, 3)
 	if err != nil {
 		return nil, err
 	}
-	replicaAt, peerAt, callerAt := addresses[0], addresses[1], addresses[2]
-	list := api.ReplicaList{Replicas: []api.ReplicaEntry{{ID: "replica-0", Service: serviceName(0), Zone: zoneName(0), Address: replicaAt}}}
-	replica, err := startProcess(ctx, setup{Role: roleReplica, Name: "replica-0", HTTP: replicaAt, Gap: tokenGap.String()})
+	replicaAddress, peerAddress, callerAddress := addresses[0], addresses[1], addresses[2]
+	list := api.ReplicaList{Replicas: []api.ReplicaEntry{{ID: "replica-0", Service: serviceName(0), Zone: zoneName(0), Address: replicaAddress}}}
+	replica, err := startProcess(ctx, childConfig{Role: roleReplica, Name: "replica-0", HTTP: replicaAddress, Gap: tokenInterval.String()})
 	if err != nil {
 		return nil, err
 	}
@@ -50,9 +52,9 @@
 		return nil, err
 	}
 	defer g.stop()
-	gateway, err := startProcess(ctx, setup{
+	gateway, err := startProcess(ctx, childConfig{
 		Role: roleGateway, Name: "gateway-0", Zone: zoneName(0), Region: regionName(0),
-		Peer: peerAt, HTTP: callerAt, Seeds: g.peers, Key: g.key,
+		Peer: peerAddress, HTTP: callerAddress, Seeds: g.peers, Key: g.key,
 	})
 	if err != nil {
 		return nil, err
@@ -61,19 +63,19 @@
 	if err := awaitLeases(ctx, gateway, 1); err != nil {
 		return nil, err
 	}
-	time.Sleep(settleTime) // the replica is watched and found up
+	time.Sleep(settleDuration) // until the gateway has found the replica healthy
 	var readings []relayReading
 	for _, streams := range sizes {
-		one, err := relayOnce(ctx, gateway, callerAt, streams)
+		measured, err := relayOnce(ctx, gateway, callerAddress, streams)
 		if err != nil {
 			return nil, err
 		}
-		readings = append(readings, one)
+		readings = append(readings, measured)
 	}
 	return readings, nil
 }
 
-// relayOnce keeps a number of streams open and measures the gateway meanwhile.
+// relayOnce keeps a number of streams open and measures the gateway during them.
 func relayOnce(ctx context.Context, gateway *process, address string, streams int) (relayReading, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	transport := &http.Transport{MaxIdleConns: streams}
@@ -95,16 +97,16 @@
 			}
 		})
 	}
-	time.Sleep(relayBegin)
+	time.Sleep(relayRampDuration)
 	result := relayReading{streams: streams}
-	before, err := gateway.ask(order{})
-	begun := events.Load()
+	before, err := gateway.execute(childCommand{})
+	eventsBefore := events.Load()
 	if err == nil {
-		time.Sleep(relayTime)
+		time.Sleep(relayDuration)
 		var after sample
-		after, err = gateway.ask(order{})
+		after, err = gateway.execute(childCommand{})
 		seconds := float64(after.At-before.At) / float64(time.Second)
-		result.events = float64(events.Load()-begun) / seconds
+		result.events = float64(events.Load()-eventsBefore) / seconds
 		result.cpu = float64(after.CPU-before.CPU) / float64(after.At-before.At)
 		result.resident = float64(after.Resident)
 	}
@@ -115,6 +117,7 @@
 	return result, err
 }
 
+// readStream reads a stream and counts its events. It always ends with an error.
 func readStream(ctx context.Context, caller *client.Client, request api.GenerateRequest, address string, events *atomic.Int64) error {
 	stream, err := caller.OpenStream(ctx, request, address)
 	if err != nil {
@@ -129,24 +132,24 @@
 	}
 }
 
-// pollReading is what one poll of a replica's report costs.
+// pollReading is the cost of one poll of a replica's report.
 type pollReading struct {
-	bytes float64 // both ways, HTTP included, TCP and IP not
+	bytes float64 // both ways, with HTTP, without TCP and IP
 	cpu   float64 // seconds of both ends together
 }
 
-// measurePoll polls a hollow replica over one kept connection.
+// measurePoll polls a hollow replica over one connection, which is kept alive.
 func measurePoll(ctx context.Context) (pollReading, error) {
 	addresses, err := freeport.Addresses(host, 1)
 	if err != nil {
 		return pollReading{}, err
 	}
 	replica := &hollow.Replica{ID: "replica-00000", Service: serviceName(0), Slots: 16}
-	server := &http.Server{Handler: replica.Handler(), ReadHeaderTimeout: time.Minute}
-	if err := serveHTTP(server, addresses[0]); err != nil {
+	server, err := startHTTP(newReplicaServer(replica), addresses[0])
+	if err != nil {
 		return pollReading{}, err
 	}
-	defer func() { _ = server.Close() }()
+	defer server.close()
 	var bytes atomic.Int64
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := new(net.Dialer).DialContext(ctx, network, address)
@@ -154,28 +157,28 @@
 	}}
 	defer transport.CloseIdleConnections()
 	caller := &http.Client{Transport: transport}
-	began := processorTime()
+	started := processorTime()
 	for range pollCount {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addresses[0]+api.PathReplicaReport, nil)
 		if err != nil {
 			return pollReading{}, err
 		}
-		if err := drain(caller, request); err != nil {
+		if err := fetch(caller, request); err != nil {
 			return pollReading{}, err
 		}
 	}
-	spent := time.Duration(processorTime() - began).Seconds()
-	return pollReading{bytes: float64(bytes.Load()) / pollCount, cpu: spent / pollCount}, nil
+	cpuSeconds := time.Duration(processorTime() - started).Seconds()
+	return pollReading{bytes: float64(bytes.Load()) / pollCount, cpu: cpuSeconds / pollCount}, nil
 }
 
-// countingConn counts what passes both ways.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countingConn) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+func (c countingConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	c.bytes.Add(int64(n))
 	return n, err
 }
@@ -185,3 +188,14 @@
 	c.bytes.Add(int64(n))
 	return n, err
 }
+
+// fetch sends a request and discards the response.
+func fetch(caller *http.Client, request *http.Request) error {
+	response, err := caller.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return err
+}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,23 +11,23 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Markers of the generated part of the page.
+// Markers around the generated part of the page.
 const (
 	beginMarker = "<!-- begin of the measured tables: written by make capacity -->"
 	endMarker   = "<!-- end of the measured tables -->"
 )
 
-// measured is everything that was measured.
-type measured struct {
-	began      time.Time
-	took       time.Duration
-	byGateways []reading
-	byReplicas []reading
+// capacityReport is the result of a complete measurement.
+type capacityReport struct {
+	started    time.Time
+	elapsed    time.Duration
+	byGateways []sizeReading
+	byReplicas []sizeReading
 	relays     []relayReading
 	poll       pollReading
 }
 
-// writeBetweenMarkers replaces the generated part of a page.
+// writeBetweenMarkers replaces the text between the markers of a page.
 func writeBetweenMarkers(path, text string) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -41,14 +41,14 @@
 	return os.WriteFile(path, []byte(before+beginMarker+"\n"+text+endMarker+after), 0o644)
 }
 
-// markdown builds tables.
+// markdown builds a text with tables.
 type markdown struct{ strings.Builder }
 
 func (m *markdown) row(cells ...string) {
 	m.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-func (m *markdown) head(cells ...string) {
+func (m *markdown) header(cells ...string) {
 	m.row(cells...)
 	rules := make([]string, len(cells))
 	for i := range rules {
@@ -61,11 +61,11 @@
 	fmt.Fprintf(m, "\n"+format+"\n\n", arguments...)
 }
 
-// tables is the generated part of the page.
-func (r *measured) tables() string {
+// tables returns the generated part of the page.
+func (r *capacityReport) tables() string {
 	m := &markdown{}
 	m.paragraph("Measured on %s on a machine of %d cores shared with other work, in %.0f s, over the loopback interface. Processor time is that of the process, user and system, so that other work disturbs it little; times of day are disturbed more.",
-		r.began.Format("2006-01-02"), runtime.NumCPU(), r.took.Seconds())
+		r.started.Format("2006-01-02"), runtime.NumCPU(), r.elapsed.Seconds())
 	sizesTable(m, "### By the number of gateways", r.byGateways)
 	sizesTable(m, "### By the number of listed replicas", r.byReplicas)
 	r.kindTable(m)
@@ -75,9 +75,10 @@
 	return m.String()
 }
 
-func sizesTable(m *markdown, title string, readings []reading) {
+// sizesTable adds a table with one row a size.
+func sizesTable(m *markdown, title string, readings []sizeReading) {
 	m.WriteString("\n" + title + "\n\n")
-	m.head("gateways", "replicas", "primary: B/s", "frames/s", "core", "heap MiB", "resident MiB",
+	m.header("gateways", "replicas", "primary: B/s", "frames/s", "core", "heap MiB", "resident MiB",
 		"follower: core", "resident MiB", "gateway: B/s", "frames/s", "core", "heap MiB",
 		"change: B at primary", "ms of its core", "B at gateway", "acknowledged, median", "longest", "active at the last gateway, longest", "50 in a row", "up to 70 lost and started: until all have leases", "until a change is in force", "loss of the primary")
 	for _, one := range readings {
@@ -87,13 +88,14 @@
 			percent(one.follower.cpu), number(one.follower.resident/mebibyte),
 			number(one.gateway.bytes), number(one.gateway.messages), percent(one.gateway.cpu), number(one.gateway.heap/mebibyte),
 			number(one.perChange), number(1000*one.changeCPU), number(one.perGateway),
-			millis(median(one.acknowledged)), millis(longest(one.acknowledged)), millis(longest(one.everywhere)),
+			millis(median(one.acknowledged)), millis(longest(one.acknowledged)), millis(longest(one.activatedEverywhere)),
 			seconds(one.burst), seconds(one.restart), seconds(one.restarted), seconds(one.failover),
 		)
 	}
 }
 
-// kindNames are the messages of control; the others carry no figure at rest.
+// kindNames has the names of the kinds that control nodes exchange with gateways and
+// each other at rest.
 var kindNames = map[transport.Kind]string{
 	0:                  "pings, handshakes",
 	peer.KindConsensus: "consensus",
@@ -106,10 +108,11 @@
 	peer.KindOperation: "order",
 }
 
-func (r *measured) kindTable(m *markdown) {
+// kindTable adds the rates of the primary's frames at the largest number of gateways.
+func (r *capacityReport) kindTable(m *markdown) {
 	largest := r.byGateways[len(r.byGateways)-1]
 	fmt.Fprintf(m, "\n### The primary's frames at rest, at %d gateways\n\n", largest.gateways)
-	m.head("kind", "frames/s, both ways", "B/s, both ways")
+	m.header("kind", "frames/s, both ways", "B/s, both ways")
 	for _, rate := range largest.kinds {
 		name, known := kindNames[rate.kind]
 		if !known {
@@ -119,9 +122,10 @@
 	}
 }
 
-func (r *measured) relayTable(m *markdown) {
+// relayTable adds the costs of relaying and polling.
+func (r *capacityReport) relayTable(m *markdown) {
 	m.WriteString("\n### Streams through one real gateway\n\n")
-	m.head("streams", "events/s", "core", "resident MiB", "failed")
+	m.header("streams", "events/s", "core", "resident MiB", "failed")
 	for _, one := range r.relays {
 		m.row(fmt.Sprint(one.streams), number(one.events), percent(one.cpu), number(one.resident/mebibyte), fmt.Sprint(one.failed))
 	}
@@ -129,31 +133,35 @@
 		number(r.poll.bytes), r.poll.cpu*1e6, pollCount)
 }
 
-func (r *measured) slopeTable(m *markdown) {
+// slopeTable adds the fitted lines.
+func (r *capacityReport) slopeTable(m *markdown) {
 	m.WriteString("\n### Slopes\n\n")
-	m.head("figure", "unit", "intercept", "slope", "per", "largest residual", "points", "up to")
+	m.header("figure", "unit", "intercept", "slope", "per", "largest residual", "points", "up to")
 	for _, s := range r.slopes() {
 		m.row(s.name, s.unit, number(s.Intercept), number(s.Slope), s.per, number(s.Residual), fmt.Sprint(s.Points), number(s.Highest))
 	}
 }
 
-func (r *measured) targetTable(m *markdown) {
+// targetTable adds the figures at the target size, with their bounds.
+func (r *capacityReport) targetTable(m *markdown) {
 	m.WriteString("\n### The target size\n\n")
-	m.head("role", "figure", "worked out as", "value", "bound", "verdict", "mechanism that carries it")
+	m.header("role", "figure", "worked out as", "value", "bound", "verdict", "mechanism that carries it")
 	for _, t := range r.targets() {
 		m.row(t.role, t.figure, t.formula, t.value, t.bound, string(t.verdict), t.mechanism)
 	}
 }
 
+// longest returns the longest of durations, 0 of none.
 func longest(durations []time.Duration) time.Duration {
-	var found time.Duration
-	for _, one := range durations {
-		found = max(found, one)
+	var result time.Duration
+	for _, duration := range durations {
+		result = max(result, duration)
 	}
-	return found
+	return result
 }
 
-// number keeps three significant digits.
+// number formats a value with three significant digits; above 1000 with all of its
+// integer part.
 func number(value float64) string {
 	switch size := max(value, -value); {
 	case size >= 100:
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -13,7 +13,8 @@
 	"github.com/deckpulley/deckpulley/configuration"
 )
 
-// The tests start this binary again as the children of a measurement.
+// TestMain runs the test binary as a child process of a measurement, if it was started
+// as one.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == ChildArgument {
 		if err := ServeChild(os.Stdin, os.Stdout); err != nil {
@@ -25,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-func TestFit(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	found := fit([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
 	if math.Abs(found.Slope-2) > 1e-9 || math.Abs(found.Intercept-3) > 1e-9 || found.Residual > 1e-9 || found.Highest != 4 {
 		t.Errorf("an exact line: %+v", found)
@@ -36,7 +37,7 @@
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestVerdictFor(t *testing.T) {
 	for _, c := range []struct {
 		value, bound, residual, size, measuredTo float64
 		want                                     verdict
@@ -47,7 +48,7 @@
 		{0.8, 1, 0.3, 10, 10, undecided},
 		{math.NaN(), 1, 0, 10, 10, notMet},
 	} {
-		if got := judge(c.value, c.bound, c.residual, c.size, c.measuredTo); got != c.want {
+		if got := verdictFor(c.value, c.bound, c.residual, c.size, c.measuredTo); got != c.want {
 			t.Errorf("%+v: %s", c, got)
 		}
 	}
@@ -74,12 +75,12 @@
 	}
 }
 
-func TestDocumentsAreValidAndDiffer(t *testing.T) {
-	first, err := documentText(1)
+func TestConfigurationTextIsValidAndChanges(t *testing.T) {
+	first, err := configurationText(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := documentText(2)
+	second, err := configurationText(2)
 	if err != nil || first == second {
 		t.Fatalf("the second document equals the first, or %v", err)
 	}
@@ -99,10 +100,10 @@
 	}
 }
 
-// TestSmallFleet runs the parts of a measurement with real processes: what is
-// acknowledged must be active at every hollow gateway, also after the primary was
-// lost.
-func TestSmallFleet(t *testing.T) {
+// TestAcknowledgedChangesAreActive runs the steps of a measurement with real processes:
+// an acknowledged change must be active at every hollow gateway, also after restarts of
+// gateways and the loss of the primary.
+func TestAcknowledgedChangesAreActive(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	g, err := startGroup(ctx, replicaList(20))
@@ -111,7 +112,7 @@
 	}
 	defer g.stop()
 	const gateways = 3
-	child, err := g.startHollow(ctx, gateways)
+	child, err := g.startHollowGateways(ctx, gateways)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,20 +122,20 @@
 		t.Fatal(err)
 	}
 	m := &measurement{group: g, hollow: child, primary: primary, follower: (primary + 1) % controlCount}
-	result := reading{gateways: gateways}
-	if err := m.underChanges(ctx, &result); err != nil {
+	result := sizeReading{gateways: gateways}
+	if err := m.measureChanges(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
-	if len(result.everywhere) != changes || result.perChange <= 0 || result.perGateway <= 0 {
+	if len(result.activatedEverywhere) != changes || result.perChange <= 0 || result.perGateway <= 0 {
 		t.Errorf("changes left no trace: %+v", result)
 	}
-	if err := m.afterRestarts(ctx, &result); err != nil {
+	if err := m.measureRestarts(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.activatedAt(gateways); err != nil {
 		t.Errorf("after the restart: %v", err)
 	}
-	if err := m.afterLoss(ctx, &result); err != nil {
+	if err := m.measurePrimaryLoss(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.activatedAt(gateways); err != nil {
@@ -142,30 +143,30 @@
 	}
 }
 
-func TestReportNamesEveryFigure(t *testing.T) {
-	one := func(gateways, replicas int) reading {
-		return reading{gateways: gateways, replicas: replicas, acknowledged: []time.Duration{1}, everywhere: []time.Duration{1}, burst: 1}
+func TestReportHasEveryFigure(t *testing.T) {
+	one := func(gateways, replicas int) sizeReading {
+		return sizeReading{gateways: gateways, replicas: replicas, acknowledged: []time.Duration{1}, activatedEverywhere: []time.Duration{1}, burst: 1}
 	}
-	results := measured{
-		byGateways: []reading{one(1, 9), one(2, 9), one(3, 9)},
-		byReplicas: []reading{one(5, 1), one(5, 2), one(5, 3)},
+	report := capacityReport{
+		byGateways: []sizeReading{one(1, 9), one(2, 9), one(3, 9)},
+		byReplicas: []sizeReading{one(5, 1), one(5, 2), one(5, 3)},
 		relays:     []relayReading{{events: 1, cpu: 1}, {events: 2, cpu: 2}, {events: 3, cpu: 3}},
 	}
-	text := results.tables()
+	text := report.tables()
 	if strings.Contains(text, "NaN") || strings.Contains(text, "%!") {
 		t.Errorf("the report has holes:\n%s", text)
 	}
 	if single := one(3, 9).againstBounds(); strings.Count(single, "\n| ") < 14 || strings.Contains(single, "NaN") {
 		t.Errorf("one size:\n%s", single)
 	}
-	for _, row := range results.targets() {
+	for _, row := range report.targets() {
 		if !strings.Contains(text, "| "+row.role+" | "+row.figure+" |") || row.mechanism == "" || row.verdict == "" {
 			t.Errorf("row %+v is missing or incomplete", row)
 		}
 	}
 }
 
-func TestPollIsMeasured(t *testing.T) {
+func TestMeasurePoll(t *testing.T) {
 	poll, err := measurePoll(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +176,7 @@
 	}
 }
 
-func TestPlansAreChecked(t *testing.T) {
+func TestPlanCheck(t *testing.T) {
 	good := Plan{Gateways: []int{1, 2, 3}, Replicas: []int{1, 2, 3}, Streams: []int{1, 2, 3}}
 	if err := good.Check(); err != nil {
 		t.Error(err)
