--- /dev/null
+++ b/internal/docscheck/architecture_test.go
@@ -0,0 +1,157 @@
+package docscheck
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+const (
+	architecturePage = "docs/ARCHITECTURE.md"
+	metricsPage      = "docs/METRICS.md"
+	// architectureLines keeps the page one that is read in one go.
+	architectureLines = 150
+	headingLog        = "Log messages"
+	headingMetrics    = "Metrics"
+)
+
+// walkthroughs are the headings whose numbered lists lead through the code, and the
+// fewest steps of each.
+var walkthroughs = map[string]int{
+	"A request to `/v1/requests`":         6,
+	"A request by host and path":          6,
+	"A configuration change":              8,
+	"A lost or new control node":          6,
+	"The event loop of a control node":    4,
+	"A new primary, and gateways' leases": 5,
+}
+
+func TestArchitectureIsOnePage(t *testing.T) {
+	if length := readPage(t, architecturePage).length; length > architectureLines {
+		t.Errorf("%d lines, at most %d", length, architectureLines)
+	}
+}
+
+func TestArchitectureNamesAreDeclared(t *testing.T) {
+	holdReferences(t, loadSource(t), readPage(t, architecturePage), everyPackage)
+}
+
+func TestArchitectureStepsNameTheirFunctions(t *testing.T) {
+	read := readPage(t, architecturePage)
+	for heading, least := range walkthroughs {
+		steps := read.section(t, heading).steps()
+		if len(steps) < least {
+			t.Errorf("%q has %d steps, at least %d", heading, len(steps), least)
+		}
+		for _, step := range steps {
+			if len(references(step.text)) == 0 {
+				t.Errorf("%s:%d: the step names no function", read.path, step.number)
+			}
+		}
+	}
+}
+
+// servingPackages are those that run in a deployment: all but what proves and
+// measures them.
+func servingPackages(parsed source) []*declarations {
+	var found []*declarations
+	for folder, declared := range parsed {
+		tool := strings.HasPrefix(folder, "cmd/standin-") || slices.Contains([]string{
+			"cmd/deckpulley-bench", "cmd/deckpulley-experiment", "cmd/deckpulley-fleet", "cmd/deckpulley-scale", "cmd/deckpulley-simulate",
+		}, folder)
+		if !tool && !strings.HasPrefix(folder, "internal/") && !strings.HasPrefix(folder, "examples") {
+			found = append(found, declared)
+		}
+	}
+	return found
+}
+
+// listing is what the first column of a table names, each once.
+type listing map[string]row
+
+func newListing(t *testing.T, read page) listing {
+	t.Helper()
+	listed := make(listing)
+	for _, r := range read.rows() {
+		for _, name := range spans(r.cells[0]) {
+			if _, twice := listed[name]; twice {
+				t.Errorf("%s:%d: %q stands twice", read.path, r.number, name)
+			}
+			listed[name] = r
+		}
+	}
+	if len(listed) == 0 {
+		t.Fatalf("%s: the table is empty", read.path)
+	}
+	return listed
+}
+
+// TestArchitectureLogMessages holds that each row's messages are written by one of
+// the row's functions.
+func TestArchitectureLogMessages(t *testing.T) {
+	parsed := loadSource(t)
+	for message, r := range newListing(t, readPage(t, architecturePage).section(t, headingLog)) {
+		if !slices.Contains(messagesOf(parsed, r), message) {
+			t.Errorf("%s:%d: no function of the row logs %q", architecturePage, r.number, message)
+		}
+	}
+}
+
+// TestArchitectureHasEachLogMessage holds that no message of a serving package at
+// info or above is without a row.
+func TestArchitectureHasEachLogMessage(t *testing.T) {
+	listed := newListing(t, readPage(t, architecturePage).section(t, headingLog))
+	for _, declared := range servingPackages(loadSource(t)) {
+		for function, messages := range declared.messages {
+			for _, message := range messages {
+				if _, found := listed[message]; !found {
+					t.Errorf("%s: %q, logged by %s of %s, has no row", architecturePage, message, function, declared.folder)
+				}
+			}
+		}
+	}
+}
+
+// messagesOf are the log messages of all functions that a row names.
+func messagesOf(parsed source, r row) []string {
+	var messages []string
+	for _, named := range references(strings.Join(r.cells[1:], " ")) {
+		if declared, key, err := parsed.resolve(named); err == nil {
+			messages = append(messages, declared.messages[key]...)
+		}
+	}
+	return messages
+}
+
+// TestArchitectureMetrics holds that the page has a row with a function for each
+// metric of docs/METRICS.md, and for no other.
+func TestArchitectureMetrics(t *testing.T) {
+	listed := newListing(t, readPage(t, architecturePage).section(t, headingMetrics))
+	described := describedMetrics(t)
+	for name, r := range listed {
+		if !described[name] {
+			t.Errorf("%s:%d: %s is not in %s", architecturePage, r.number, name, metricsPage)
+		}
+		if len(references(strings.Join(r.cells[1:], " "))) == 0 {
+			t.Errorf("%s:%d: the row names no function", architecturePage, r.number)
+		}
+	}
+	for name := range described {
+		if _, found := listed[name]; !found {
+			t.Errorf("%s: %s has no row", architecturePage, name)
+		}
+	}
+}
+
+func describedMetrics(t *testing.T) map[string]bool {
+	t.Helper()
+	described := make(map[string]bool)
+	for _, r := range readPage(t, metricsPage).rows() {
+		for _, span := range spans(r.cells[0]) {
+			if strings.HasPrefix(span, "deckpulley_") {
+				described[span] = true
+			}
+		}
+	}
+	return described
+}
--- /dev/null
+++ b/internal/docscheck/doc.go
@@ -0,0 +1,9 @@
+// Package docscheck holds the pages of the repository against its Go source. It
+// has tests only: they read the Markdown and the syntax trees, and neither build
+// nor run anything else.
+//
+// docs/ARCHITECTURE.md and docs/GLOSSARY.md are held strictly: each code span in
+// the form of a Go name must be declared, each log message of the daemons and each
+// metric must have its row, and each of the users' words its term. In other pages
+// a name is held if it names one of this module's packages.
+package docscheck
--- /dev/null
+++ b/internal/docscheck/references_test.go
@@ -0,0 +1,162 @@
+package docscheck
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"unicode"
+)
+
+// scope says which code spans of a page must be declared.
+type scope int
+
+const (
+	// everyPackage: whatever has the form of a Go name.
+	everyPackage scope = iota
+	// ownPackages: exported names and methods of packages of this module. Other
+	// spans may be settings keys or names of other modules.
+	ownPackages
+)
+
+// holdReferences reports each Go name of a page that is not declared.
+func holdReferences(t *testing.T, parsed source, read page, which scope) {
+	t.Helper()
+	found := 0
+	for _, l := range read.lines {
+		for _, named := range references(l.text) {
+			_, _, err := parsed.resolve(named)
+			if which == ownPackages && (errors.Is(err, errNoPackage) || !looksExported(named)) {
+				continue
+			}
+			found++
+			if err != nil {
+				t.Errorf("%s:%d: %v", read.path, l.number, err)
+			}
+		}
+	}
+	if which == everyPackage && found == 0 {
+		t.Errorf("%s names nothing", read.path)
+	}
+}
+
+func looksExported(named reference) bool {
+	return named.receiver != "" || unicode.IsUpper(rune(named.name[0]))
+}
+
+// records are pages that tell what was done and measured when. They keep the names
+// of their day.
+var records = map[string]bool{
+	"CHANGELOG.md":      true,
+	"docs/DECISIONS.md": true,
+	"docs/RESULTS.md":   true,
+	"docs/OPEN.md":      true,
+}
+
+// livePages are the pages that tell how things are.
+func livePages(t *testing.T) []string {
+	t.Helper()
+	var found []string
+	for _, folder := range []string{".", "docs", "docs/design"} {
+		entries, err := os.ReadDir(filepath.Join(repositoryRoot, filepath.FromSlash(folder)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, entry := range entries {
+			name := path.Join(folder, entry.Name())
+			if strings.HasSuffix(name, ".md") && !records[name] {
+				found = append(found, name)
+			}
+		}
+	}
+	if len(found) < 15 {
+		t.Fatalf("only %d pages", len(found))
+	}
+	return found
+}
+
+func TestPagesNameWhatIsDeclared(t *testing.T) {
+	parsed := loadSource(t)
+	for _, name := range livePages(t) {
+		t.Run(name, func(t *testing.T) { holdReferences(t, parsed, readPage(t, name), ownPackages) })
+	}
+}
+
+var goFile = regexp.MustCompile(`^[a-z][\w.-]*(?:/[\w.-]+)+\.go$`)
+
+func TestPagesNameFilesThatExist(t *testing.T) {
+	for _, name := range livePages(t) {
+		for _, l := range readPage(t, name).lines {
+			for _, span := range spans(l.text) {
+				if goFile.MatchString(span) && !exists(span) {
+					t.Errorf("%s:%d: there is no file %s", name, l.number, span)
+				}
+			}
+		}
+	}
+}
+
+func exists(name string) bool {
+	_, err := os.Stat(filepath.Join(repositoryRoot, filepath.FromSlash(name)))
+	return !errors.Is(err, fs.ErrNotExist)
+}
+
+var link = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
+
+func TestLinksLeadToFiles(t *testing.T) {
+	for _, name := range livePages(t) {
+		for _, l := range readPage(t, name).lines {
+			for _, match := range link.FindAllStringSubmatch(l.text, -1) {
+				target := match[1]
+				if !strings.Contains(target, "://") && !exists(path.Join(path.Dir(name), target)) {
+					t.Errorf("%s:%d: the link to %s leads nowhere", name, l.number, target)
+				}
+			}
+		}
+	}
+}
+
+// TestPackageTables holds that the tables of packages in the pages name folders.
+func TestPackageTables(t *testing.T) {
+	tables := []struct{ page, heading string }{
+		{"docs/DESIGN.md", "Packages and imports"},
+		{"docs/EMBEDDING.md", "Which package for what"},
+	}
+	for _, table := range tables {
+		t.Run(table.page, func(t *testing.T) {
+			rows := readPage(t, table.page).section(t, table.heading).rows()
+			if len(rows) < 15 {
+				t.Fatalf("only %d rows", len(rows))
+			}
+			for _, r := range rows {
+				if missing := slices.DeleteFunc(spans(r.cells[0]), exists); len(missing) > 0 {
+					t.Errorf("%s:%d: there is no package %q", table.page, r.number, missing)
+				}
+			}
+		})
+	}
+}
+
+// TestModelsPointAtFiles holds that each model project is shown by files of ours,
+// for layout, naming and comments.
+func TestModelsPointAtFiles(t *testing.T) {
+	read := readPage(t, "DEVELOPERS.md")
+	for _, model := range []string{"etcd", "memberlist", "Prometheus"} {
+		t.Run(model, func(t *testing.T) {
+			rows := read.section(t, model).rows()
+			if len(rows) != 3 {
+				t.Fatalf("%d rows, want layout, naming and comments", len(rows))
+			}
+			for _, r := range rows {
+				if !slices.ContainsFunc(spans(r.cells[len(r.cells)-1]), goFile.MatchString) {
+					t.Errorf("%s:%d: the row names no file of ours", read.path, r.number)
+				}
+			}
+		})
+	}
+}
