--- a/internal/docscheck/architecture_test.go
+++ b/internal/docscheck/architecture_test.go
@@ -9,10 +9,12 @@
 const (
 	architecturePage = "docs/ARCHITECTURE.md"
 	metricsPage      = "docs/METRICS.md"
+	operationsPage   = "docs/OPERATIONS.md"
 	// architectureLines keeps the page one that is read in one go.
 	architectureLines = 150
 	headingLog        = "Log messages"
 	headingMetrics    = "Metrics"
+	headingAct        = "Log messages to act on"
 )
 
 // walkthroughs are the headings whose numbered lists lead through the code, and the
@@ -112,6 +114,24 @@
 	}
 }
 
+// TestOperationsLogMessages holds that the messages that operators act on are
+// logged by a serving package.
+func TestOperationsLogMessages(t *testing.T) {
+	logged := make(map[string]bool)
+	for _, declared := range servingPackages(loadSource(t)) {
+		for _, messages := range declared.messages {
+			for _, message := range messages {
+				logged[message] = true
+			}
+		}
+	}
+	for message, r := range newListing(t, readPage(t, operationsPage).section(t, headingAct)) {
+		if !logged[message] {
+			t.Errorf("%s:%d: nothing logs %q", operationsPage, r.number, message)
+		}
+	}
+}
+
 // messagesOf are the log messages of all functions that a row names.
 func messagesOf(parsed source, r row) []string {
 	var messages []string
--- a/internal/docscheck/page_test.go
+++ b/internal/docscheck/page_test.go
@@ -70,6 +70,24 @@
 	return found
 }
 
+// notInAnchor are the characters that an anchor leaves out of its heading.
+var notInAnchor = regexp.MustCompile(`[^a-z0-9 _-]`)
+
+// hasHeading says whether a link to the anchor leads to one of the page's headings.
+func (p page) hasHeading(anchor string) bool {
+	for _, l := range p.lines {
+		title := strings.TrimSpace(strings.TrimLeft(l.text, "#"))
+		if !strings.HasPrefix(l.text, "#") {
+			continue
+		}
+		plain := notInAnchor.ReplaceAllString(strings.ToLower(title), "")
+		if strings.ReplaceAll(plain, " ", "-") == anchor {
+			return true
+		}
+	}
+	return false
+}
+
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
 // spans returns the code spans of a text.
@@ -142,6 +160,9 @@
 	if steps := one.steps(); len(steps) != 1 || steps[0].number != 4 {
 		t.Errorf("steps %v", steps)
 	}
+	if !read.hasHeading("one") || read.hasHeading("three") {
+		t.Error("headings are not found by their anchors")
+	}
 	rows := one.rows()
 	if len(rows) != 1 || len(rows[0].cells) != 2 || rows[0].cells[1] != "two" || rows[0].number != 11 {
 		t.Errorf("rows %v", rows)
--- a/internal/docscheck/references_test.go
+++ b/internal/docscheck/references_test.go
@@ -106,21 +106,45 @@
 	return !errors.Is(err, fs.ErrNotExist)
 }
 
-var link = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
+// link is a Markdown link: its target and the heading in it, either may be empty.
+var link = regexp.MustCompile(`\]\(([^)#\s]*)(?:#([^)\s]+))?\)`)
 
-func TestLinksLeadToFiles(t *testing.T) {
+func TestLinksLeadSomewhere(t *testing.T) {
 	for _, name := range livePages(t) {
-		for _, l := range readPage(t, name).lines {
+		read := readPage(t, name)
+		for _, l := range read.lines {
 			for _, match := range link.FindAllStringSubmatch(l.text, -1) {
-				target := match[1]
-				if !strings.Contains(target, "://") && !exists(path.Join(path.Dir(name), target)) {
-					t.Errorf("%s:%d: the link to %s leads nowhere", name, l.number, target)
+				if problem := brokenLink(t, read, match[1], match[2]); problem != "" {
+					t.Errorf("%s:%d: %s", name, l.number, problem)
 				}
 			}
 		}
 	}
 }
 
+// brokenLink says what is wrong with a link of a page, "" for nothing.
+func brokenLink(t *testing.T, from page, target, heading string) string {
+	t.Helper()
+	if strings.Contains(target, "://") {
+		return ""
+	}
+	to := from
+	if target != "" {
+		file := path.Join(path.Dir(from.path), target)
+		if !exists(file) {
+			return "there is no file " + file
+		}
+		if !strings.HasSuffix(file, ".md") {
+			return ""
+		}
+		to = readPage(t, file)
+	}
+	if heading != "" && !to.hasHeading(heading) {
+		return to.path + " has no heading #" + heading
+	}
+	return ""
+}
+
 // TestPackageTables holds that the tables of packages in the pages name folders.
 func TestPackageTables(t *testing.T) {
 	tables := []struct{ page, heading string }{
