--- a/internal/docscheck/references_test.go
+++ b/internal/docscheck/references_test.go
@@ -87,6 +87,26 @@
 	}
 }
 
+// memberForm is a member of a type without its package, as in a design note about
+// one package.
+var memberForm = regexp.MustCompile(`^([A-Z]\w*)\.(\w+)$`)
+
+// TestPagesNameMembersThatExist holds that such a member is declared by a type of
+// the name, in whichever package.
+func TestPagesNameMembersThatExist(t *testing.T) {
+	parsed := loadSource(t)
+	for _, name := range livePages(t) {
+		for _, l := range readPage(t, name).lines {
+			for _, span := range spans(l.text) {
+				parts := memberForm.FindStringSubmatch(span)
+				if parts != nil && !fileForm.MatchString(span) && !parsed.hasMember(parts[1], parts[2]) {
+					t.Errorf("%s:%d: no type %s of ours has a member %s", name, l.number, parts[1], parts[2])
+				}
+			}
+		}
+	}
+}
+
 var goFile = regexp.MustCompile(`^[a-z][\w.-]*(?:/[\w.-]+)+\.go$`)
 
 func TestPagesNameFilesThatExist(t *testing.T) {
@@ -166,6 +186,23 @@
 	}
 }
 
+// TestMessageTableNamesTypes holds that the messages of the control node's design
+// note are types of ours.
+func TestMessageTableNamesTypes(t *testing.T) {
+	parsed := loadSource(t)
+	rows := readPage(t, "docs/design/control.md").section(t, "Messages").rows()
+	if len(rows) < 10 {
+		t.Fatalf("only %d rows", len(rows))
+	}
+	for _, r := range rows {
+		for _, name := range spans(r.cells[0]) {
+			if !parsed.hasType(name) {
+				t.Errorf("docs/design/control.md:%d: no package declares the type %s", r.number, name)
+			}
+		}
+	}
+}
+
 // TestModelsPointAtFiles holds that each model project is shown by files of ours,
 // for layout, naming and comments.
 func TestModelsPointAtFiles(t *testing.T) {
--- a/internal/docscheck/source_self_test.go
+++ b/internal/docscheck/source_self_test.go
@@ -112,3 +112,12 @@
 		t.Errorf("messages %q, want %q", got, want)
 	}
 }
+
+func TestHasMember(t *testing.T) {
+	parsed := sampleModule(t)
+	for member, want := range map[string]bool{"Start": true, "depth": true, "Stop": false} {
+		if got := parsed.hasMember("Node", member); got != want {
+			t.Errorf("Node.%s declared: %t, want %t", member, got, want)
+		}
+	}
+}
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -295,6 +295,26 @@
 	}
 }
 
+// hasMember says whether a type of the name has the member in any package.
+func (s source) hasMember(typeName, member string) bool {
+	for _, declared := range s {
+		if declared.members[typeName+"."+member] {
+			return true
+		}
+	}
+	return false
+}
+
+// hasType says whether any package declares the type.
+func (s source) hasType(name string) bool {
+	for _, declared := range s {
+		if declared.types[name] {
+			return true
+		}
+	}
+	return false
+}
+
 func (d *declarations) key(r reference) (string, error) {
 	key := r.name
 	switch {
