--- /dev/null
+++ b/failuredetector/example_test.go
@@ -0,0 +1,26 @@
+package failuredetector_test
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/deckpulley/deckpulley/failuredetector"
+)
+
+// The longer the last heartbeat lies back, the stronger the suspicion.
+func Example() {
+	now := time.Unix(0, 0)
+	detector := failuredetector.New(failuredetector.DefaultConfig(), now)
+	for range 20 {
+		now = now.Add(500 * time.Millisecond)
+		detector.Heartbeat(now)
+	}
+	for _, elapsed := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
+		state := detector.State(now.Add(elapsed))
+		fmt.Println(state == failuredetector.Alive, state == failuredetector.Suspected, state == failuredetector.Dead)
+	}
+	// Output:
+	// true false false
+	// false true false
+	// false false true
+}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -40,7 +40,7 @@
 	}
 	data, _ := json.Marshal(api.StreamEnd{RequestID: "request-1", RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
 	source.Write(stream.AppendFrame(nil, api.EventEnd, data))
-	ctx := context.Background()
+	ctx := context.Background() //nolint:usetesting // a context that can end would be a part of what is measured
 	b.ReportAllocs()
 	b.SetBytes(int64(source.Len()))
 	for b.Loop() {
@@ -67,7 +67,7 @@
 }
 
 func produce(ctx context.Context, run *execution, source []byte) {
-	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", Gap: time.Minute, Interrupt: func() {}})
+	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", IdleTimeout: time.Minute, Interrupt: func() {}})
 	defer events.Close()
 	for {
 		event, err := events.Next()
@@ -79,7 +79,7 @@
 			run.finish(&result{end: event.End})
 			return
 		}
-		if err := run.piece(ctx, event.Piece); err != nil {
+		if err := run.piece(ctx, event.Chunk); err != nil {
 			return
 		}
 	}
@@ -93,37 +93,43 @@
 	g := f.gateway("g1", "north", "a", nil)
 	f.ready(g)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-	send := func(b *testing.B, url string, body any) {
+	send := func(url string, body any) error {
 		encoded, _ := json.Marshal(body)
 		response, err := client.Post(url, "application/json", bytes.NewReader(encoded))
 		if err != nil {
-			b.Error(err)
-			return
+			return err
 		}
 		defer response.Body.Close()
 		if answer, _ := io.ReadAll(response.Body); response.StatusCode != http.StatusOK {
-			b.Errorf("status %d: %s", response.StatusCode, answer)
+			return fmt.Errorf("status %d: %s", response.StatusCode, answer)
 		}
+		return nil
 	}
 	request := question("bench")
 	request.Repeatable = true
 	b.Run("direct", func(b *testing.B) {
 		url := replica.server.URL + api.PathReplicaGenerate
 		for b.Loop() {
-			send(b, url, api.ReplicaRequest{RequestID: "bench", Model: "m", MaxTokens: 1, TimeLeftMS: 1000})
+			if err := send(url, api.ReplicaRequest{RequestID: "bench", Model: "m", MaxTokens: 1, TimeLeftMS: 1000}); err != nil {
+				b.Error(err)
+			}
 		}
 	})
 	b.Run("gateway", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			send(b, g.url+api.PathRequests, request)
+			if err := send(g.url+api.PathRequests, request); err != nil {
+				b.Error(err)
+			}
 		}
 	})
 	b.Run("gateway-parallel", func(b *testing.B) {
 		b.SetParallelism(2)
 		b.RunParallel(func(loop *testing.PB) {
 			for loop.Next() {
-				send(b, g.url+api.PathRequests, request)
+				if err := send(g.url+api.PathRequests, request); err != nil {
+					b.Error(err)
+				}
 			}
 		})
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
@@ -133,7 +139,9 @@
 		for b.Loop() {
 			count++
 			ticketed, _ := g.where(b, question(fmt.Sprintf("bench-%d", count)))
-			send(b, g.url+api.PathRequests, ticketed)
+			if err := send(g.url+api.PathRequests, ticketed); err != nil {
+				b.Error(err)
+			}
 		}
 	})
 }
--- a/internal/docscheck/references_test.go
+++ b/internal/docscheck/references_test.go
@@ -107,13 +107,17 @@
 	}
 }
 
-var goFile = regexp.MustCompile(`^[a-z][\w.-]*(?:/[\w.-]+)+\.go$`)
+var (
+	goFile     = regexp.MustCompile(`^[a-z][\w.-]*(?:/[\w.-]+)+\.go$`)
+	bareGoFile = regexp.MustCompile(`^[a-z]\w*\.go$`) // a file's name without its folder
+)
 
 func TestPagesNameFilesThatExist(t *testing.T) {
+	names := loadSource(t).fileNames()
 	for _, name := range livePages(t) {
 		for _, l := range readPage(t, name).lines {
 			for _, span := range spans(l.text) {
-				if goFile.MatchString(span) && !exists(span) {
+				if goFile.MatchString(span) && !exists(span) || bareGoFile.MatchString(span) && !names[span] {
 					t.Errorf("%s:%d: there is no file %s", name, l.number, span)
 				}
 			}
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -32,6 +32,8 @@
 	members map[string]bool
 	// receivers are the types of methods' receivers, as "*Type" or "Type", by member.
 	receivers map[string]string
+	// files are the names of the package's files, without the folder.
+	files []string
 	// messages are the constant log messages at info and above that a function
 	// writes, by "Function" or "Type.Method".
 	messages map[string][]string
@@ -76,7 +78,9 @@
 		if err != nil {
 			return err
 		}
-		parsed.of(filepath.ToSlash(filepath.Dir(path)), file.Name.Name).add(file)
+		declared := parsed.of(filepath.ToSlash(filepath.Dir(path)), file.Name.Name)
+		declared.files = append(declared.files, entry.Name())
+		declared.add(file)
 		return nil
 	})
 	return parsed, err
@@ -295,6 +299,17 @@
 	}
 }
 
+// fileNames are the names of all files, without their folders.
+func (s source) fileNames() map[string]bool {
+	names := make(map[string]bool)
+	for _, declared := range s {
+		for _, name := range declared.files {
+			names[name] = true
+		}
+	}
+	return names
+}
+
 // hasMember says whether a type of the name has the member in any package.
 func (s source) hasMember(typeName, member string) bool {
 	for _, declared := range s {
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -82,10 +82,12 @@
 	send := func(name string, data any) {
 		text, _ := json.Marshal(data)
 		fmt.Fprintf(w, "event: %s\ndata: %s\n\n", name, text)
-		w.(http.Flusher).Flush()
+		if err := http.NewResponseController(w).Flush(); err != nil {
+			panic(err)
+		}
 	}
 	for sequence := 1; sequence <= request.MaxTokens; sequence++ {
-		piece := api.StreamPiece{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
+		piece := api.StreamChunk{RequestID: request.RequestID, RunID: run, Sequence: sequence, Tokens: 1}
 		if g.fault == "spliced stream" && sequence == 3 {
 			piece.RunID = "another"
 		}
@@ -186,7 +188,7 @@
 	pool := New(Config{
 		Gateways: map[string][]string{"north": {goneAddress}, "south": {gateway.self}}, Regions: []string{"north", "south"}, Log: log, Seed: 1,
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	pool.Generate(ctx, workload.New(workload.Kodovka().Scale(2), nil, 1, "test"))
 	pool.Wait(20 * time.Second)
--- a/outlier/example_test.go
+++ b/outlier/example_test.go
@@ -7,22 +7,23 @@
 	"github.com/deckpulley/deckpulley/outlier"
 )
 
-// A replica that fails again and again is left alone for a while; not all are.
+// A replica that fails repeatedly is ejected for a while; a fraction of the group
+// never is.
 func Example() {
 	now := time.Unix(0, 0)
 	config := outlier.DefaultConfig()
 	group := outlier.NewGroup(config)
-	group.Keep([]string{"r1", "r2", "r3", "r4"})
-	for range config.Failures {
-		group.Failure(now, "r1")
+	group.SetMembers([]string{"r1", "r2", "r3", "r4"})
+	for range config.ConsecutiveFailures {
+		group.RecordFailure(now, "r1")
 	}
-	fmt.Println(group.Ejected(now), group.EjectedUntil("r1").Sub(now) == config.Shortest)
+	fmt.Println(group.Ejected(now), group.EjectedUntil("r1").Sub(now) == config.BaseEjectionTime)
 	for _, name := range []string{"r2", "r3", "r4"} {
-		for range config.Failures {
-			group.Failure(now, name)
+		for range config.ConsecutiveFailures {
+			group.RecordFailure(now, name)
 		}
 	}
-	fmt.Println(group.Ejected(now) == group.Allowed(), group.Allowed() < 4)
+	fmt.Println(group.Ejected(now) == group.MaxEjected(), group.MaxEjected() < 4)
 	// Output:
 	// 1 true
 	// true true
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// TestNeverMoreThanPart lets random replicas fail or be slow, all of them at
-// times: the ejected part never passes the stated one.
-func TestNeverMoreThanPart(t *testing.T) {
+// TestEjectionsNeverExceedMaxFraction lets random replicas fail or be slow, all of
+// them at times: the ejected fraction of the group stays within its bound.
+func TestEjectionsNeverExceedMaxFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 12).Draw(t, "size")
 		group := NewGroup(DefaultConfig())
@@ -26,16 +26,16 @@
 		for index := range names {
 			names[index] = fmt.Sprint(index)
 		}
-		group.Keep(names)
+		group.SetMembers(names)
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(50, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
 			name := rapid.SampledFrom(names).Draw(t, "replica")
 			if rapid.IntRange(0, 3).Draw(t, "fails") > 0 {
-				group.Failure(now, name)
+				group.RecordFailure(now, name)
 			} else {
-				group.Latency(now, name, time.Duration(rapid.IntRange(1, 9000).Draw(t, "latency"))*time.Millisecond)
-				group.Success(now, name)
+				group.RecordLatency(now, name, time.Duration(rapid.IntRange(1, 9000).Draw(t, "latency"))*time.Millisecond)
+				group.RecordSuccess(now, name)
 			}
 			if ejected := group.Ejected(now); ejected > int(0.4*float64(size)) {
 				t.Fatalf("%d of %d ejected", ejected, size)
@@ -44,62 +44,85 @@
 	})
 }
 
-// TestEjects checks each cause, the return, and the doubling of the time.
-func TestEjects(t *testing.T) {
+// TestEjection checks each cause of an ejection, its end and the doubling of its
+// duration, on one group.
+func TestEjection(t *testing.T) {
 	group := NewGroup(DefaultConfig())
-	group.Keep([]string{"a", "b", "c", "d", "e"})
+	group.SetMembers([]string{"a", "b", "c", "d", "e"})
 	now := time.Unix(0, 0)
-	first := ejectByFailures(t, group, now)
-	if first != 2*time.Second {
+	if first := ejectByConsecutiveFailures(t, group, now); first != 2*time.Second {
 		t.Fatalf("first ejection of %v", first)
 	}
 	now = now.Add(3 * time.Second)
 	if group.Ejected(now) != 0 {
-		t.Fatal("did not return")
+		t.Fatal("still ejected after its ejection time")
 	}
-	if second := ejectByFailures(t, group, now); second != 4*time.Second {
+	if second := ejectByConsecutiveFailures(t, group, now); second != 4*time.Second {
 		t.Fatalf("second ejection of %v", second)
 	}
-	slow := false
+	now = ejectByLatency(t, group, now)
+	if ratio := group.FailureRatio(now, "a"); ratio > 0.5 {
+		t.Fatalf("failure ratio %v long after the last failure", ratio)
+	}
+	recordRejections(t, group, now)
+	ejectByErrorRate(t, group, now)
+}
+
+// ejectByConsecutiveFailures ejects replica a and returns for how long.
+func ejectByConsecutiveFailures(t *testing.T, group *Group, now time.Time) time.Duration {
+	t.Helper()
+	for count := range 5 {
+		if group.RecordFailure(now, "a") != (count == 4) {
+			t.Fatalf("failure %d", count+1)
+		}
+	}
+	return group.EjectedUntil("a").Sub(now)
+}
+
+// ejectByLatency makes replica e fifteen times as slow as the others and returns
+// the time after that.
+func ejectByLatency(t *testing.T, group *Group, now time.Time) time.Time {
+	t.Helper()
+	ejected := false
 	for range 20 {
 		now = now.Add(time.Second)
 		for _, name := range []string{"b", "c", "d"} {
-			group.Latency(now, name, 200*time.Millisecond)
+			group.RecordLatency(now, name, 200*time.Millisecond)
 		}
-		slow = slow || group.Latency(now, "e", 3*time.Second)
-	}
-	if !slow {
-		t.Fatal("a replica fifteen times as slow as the others stayed")
+		ejected = ejected || group.RecordLatency(now, "e", 3*time.Second)
 	}
-	if failing := group.Failing(now, "a"); failing > 0.5 {
-		t.Fatalf("failing %v long after the last failure", failing)
+	if !ejected {
+		t.Fatal("a replica fifteen times as slow as the others was not ejected")
 	}
+	return now
+}
+
+// recordRejections lets replica c reject attempts: that raises its failure ratio,
+// which decays with its half-life, but does not eject it.
+func recordRejections(t *testing.T, group *Group, now time.Time) {
+	t.Helper()
 	for range 20 {
-		group.Refusal(now, "c")
+		group.RecordRejection(now, "c")
 	}
-	recent, later := group.Failing(now, "c"), group.Failing(now.Add(FailingHalf), "c")
+	recent, later := group.FailureRatio(now, "c"), group.FailureRatio(now.Add(FailureHalfLife), "c")
 	if recent < 0.8 || later > recent*0.51 || later < recent*0.49 || group.EjectedUntil("c").After(now) {
-		t.Fatalf("failing %v by refusals, %v a half life later", recent, later)
-	}
-	broken := false
-	for range 30 { // first tokens arrive in time, and every other stream breaks twice
-		now = now.Add(2 * time.Second)
-		group.Success(now, "b")
-		for range 2 {
-			broken = group.Failure(now, "b") || broken
-		}
-	}
-	if !broken {
-		t.Fatal("a replica that breaks two of three requests stayed")
+		t.Fatalf("failure ratio %v after rejections, %v a half-life later", recent, later)
 	}
 }
 
-func ejectByFailures(t *testing.T, group *Group, now time.Time) time.Duration {
+// ejectByErrorRate lets two of three requests on replica b fail. First tokens
+// arrive in time, and there are never many failures in a row.
+func ejectByErrorRate(t *testing.T, group *Group, now time.Time) {
 	t.Helper()
-	for count := range 5 {
-		if group.Failure(now, "a") != (count == 4) {
-			t.Fatalf("failure %d", count+1)
+	ejected := false
+	for range 30 {
+		now = now.Add(2 * time.Second)
+		group.RecordSuccess(now, "b")
+		for range 2 {
+			ejected = group.RecordFailure(now, "b") || ejected
 		}
 	}
-	return group.EjectedUntil("a").Sub(now)
+	if !ejected {
+		t.Fatal("a replica that fails two of three requests was not ejected")
+	}
 }
--- a/patch/mappings.go
+++ b/patch/yaml.go
@@ -7,10 +7,10 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ApplyYAML applies a valid change to a YAML or JSON document whose sections
-// are mappings from names to items. A section's name is the path to it, joined by
-// points: "http.routes". Comments and the order of what is not named stay. The
-// error is a *Problem.
+// ApplyYAML applies a valid change to a YAML or JSON document whose sections are
+// mappings from names to items. A section's name is the path to it, joined by dots:
+// "http.routes". Comments and the order of what is not named stay as they are. The
+// error is a *FieldError.
 func ApplyYAML(document string, change *Change) (string, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal([]byte(document), &root); err != nil {
@@ -32,7 +32,7 @@
 }
 
 func (s *Section) applyToMapping(root *yaml.Node) error {
-	if len(s.Upsert)+len(s.Remove) == 0 {
+	if s.isEmpty() {
 		return nil
 	}
 	section := root
@@ -48,24 +48,25 @@
 	}
 	removeKeys(section, s.removals())
 	for _, item := range s.Upsert {
-		if err := putKey(section, item); err != nil {
+		if err := setKey(section, item); err != nil {
 			return &FieldError{Field: fmt.Sprintf("upsert.%s.%s", s.Name, item.Name), Reason: err.Error()}
 		}
 	}
 	return nil
 }
 
-// child returns a mapping below a mapping, which is made if it is missing.
+// child returns the value of a key of a mapping. A missing one is appended as an
+// empty mapping.
 func child(parent *yaml.Node, name string) (*yaml.Node, error) {
 	if parent.Kind != yaml.MappingNode {
 		return nil, fmt.Errorf("%q stands below what is no mapping", name)
 	}
-	if at := keyPosition(parent, name); at >= 0 {
+	if at := keyIndex(parent, name); at >= 0 {
 		return parent.Content[at+1], nil
 	}
-	made := &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"}
-	parent.Content = append(parent.Content, keyNode(name), made)
-	return made, nil
+	created := &yaml.Node{Kind: yaml.MappingNode, Tag: "!!map"}
+	parent.Content = append(parent.Content, keyNode(name), created)
+	return created, nil
 }
 
 func keyNode(name string) *yaml.Node {
@@ -74,8 +75,9 @@
 	return key
 }
 
-// keyPosition returns the place of a key among a mapping's nodes, -1 for none.
-func keyPosition(mapping *yaml.Node, name string) int {
+// keyIndex returns the index of a key among a mapping's nodes, -1 if it is missing.
+// Its value is the node after it.
+func keyIndex(mapping *yaml.Node, name string) int {
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if mapping.Content[i].Value == name {
 			return i
@@ -85,17 +87,17 @@
 }
 
 func removeKeys(mapping *yaml.Node, removed map[string]bool) {
-	kept := mapping.Content[:0]
+	remaining := mapping.Content[:0]
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if !removed[mapping.Content[i].Value] {
-			kept = append(kept, mapping.Content[i], mapping.Content[i+1])
+			remaining = append(remaining, mapping.Content[i], mapping.Content[i+1])
 		}
 	}
-	mapping.Content = kept
+	mapping.Content = remaining
 }
 
-// putKey adds an item or takes the place of the one of its name.
-func putKey(mapping *yaml.Node, item Item) error {
+// setKey adds an item or replaces that of the same name.
+func setKey(mapping *yaml.Node, item Item) error {
 	var value yaml.Node
 	if err := yaml.Unmarshal([]byte(item.Value), &value); err != nil {
 		return err
@@ -103,7 +105,7 @@
 	if value.Kind != yaml.DocumentNode || len(value.Content) != 1 {
 		return fmt.Errorf("%q has no value", item.Name)
 	}
-	if at := keyPosition(mapping, item.Name); at >= 0 {
+	if at := keyIndex(mapping, item.Name); at >= 0 {
 		mapping.Content[at+1] = value.Content[0]
 		return nil
 	}
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -11,10 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// model is the slow, obvious table: a list of records, judged by walking it.
+// model is the reference implementation of a table: a list of records that every
+// step walks.
 type model struct {
-	records []Record // without the head
-	head    SOA
+	records []Record // without the SOA record
+	soa     SOA
 }
 
 func (m *model) count(match func(Record) bool) int {
@@ -28,7 +29,7 @@
 }
 
 func (m *model) all() []Record {
-	return append(slices.Clone(m.records), SOARecord(testApex, m.head))
+	return append(slices.Clone(m.records), SOARecord(testApex, m.soa))
 }
 
 func sameName(a, b Record) bool { return strings.EqualFold(string(a.Name), string(b.Name)) }
@@ -72,29 +73,36 @@
 			return code
 		}
 	}
-	for _, wanted := range section {
-		if wanted.Class != ClassTable {
-			continue
-		}
-		for _, pair := range [][2][]Record{{section, m.all()}, {m.all(), section}} {
-			for _, record := range pair[0] {
-				if record.Class != ClassTable || !sameSet(record, wanted) {
-					continue
-				}
-				if !slices.ContainsFunc(pair[1], func(r Record) bool {
-					return r.Class == ClassTable && sameSet(r, record) && bytes.Equal(r.Data, record.Data)
-				}) {
-					return NXRRSet
-				}
-			}
-		}
-		if m.count(func(r Record) bool { return sameSet(r, wanted) }) == 0 {
+	for _, required := range section {
+		if required.Class == ClassTable && !m.hasExactly(required, section) {
 			return NXRRSet
 		}
 	}
 	return NoError
 }
 
+// hasExactly judges section 3.2.3 for the RRset of one required record: the table
+// has some, the section has all of the table's, and the table all of the section's.
+func (m *model) hasExactly(required Record, section []Record) bool {
+	exists := m.count(func(r Record) bool { return sameSet(r, required) }) > 0
+	return exists && containsSet(section, m.all(), required) && containsSet(m.all(), section, required)
+}
+
+// containsSet reports whether records has every record of the set that others has.
+func containsSet(records, others []Record, set Record) bool {
+	for _, other := range others {
+		if other.Class != ClassTable || !sameSet(other, set) {
+			continue
+		}
+		if !slices.ContainsFunc(records, func(r Record) bool {
+			return r.Class == ClassTable && sameSet(r, other) && bytes.Equal(r.Data, other.Data)
+		}) {
+			return false
+		}
+	}
+	return true
+}
+
 func (m *model) prescan(section []Record) ResponseCode {
 	known := []Type{TypeNS, TypeCNAME, TypeSOA, TypeWKS, typeMany, typeOne, typeKeyed, typeDigits}
 	for _, record := range section {
@@ -142,9 +150,9 @@
 
 func (m *model) add(record Record) {
 	if record.Type == TypeSOA {
-		head, _ := decodeHead(record.Data)
-		if record.Name == testApex && head.Serial != 0 && int32(head.Serial-m.head.Serial) > 0 {
-			m.head = head
+		soa, _ := decodeSOA(record.Data)
+		if record.Name == testApex && soa.Serial != 0 && int32(soa.Serial-m.soa.Serial) > 0 {
+			m.soa = soa
 		}
 		return
 	}
@@ -172,14 +180,14 @@
 	if code := m.prescan(update.Changes); code != NoError {
 		return code
 	}
-	before, serial := m.dump(), m.head.Serial
+	before, serial := m.dump(), m.soa.Serial
 	for _, record := range update.Changes {
 		m.change(record)
 	}
-	if m.head.Serial == serial && !slices.Equal(before, m.dump()) {
-		m.head.Serial++
-		if m.head.Serial == 0 {
-			m.head.Serial = 1
+	if m.soa.Serial == serial && !slices.Equal(before, m.dump()) {
+		m.soa.Serial++
+		if m.soa.Serial == 0 {
+			m.soa.Serial = 1
 		}
 	}
 	return NoError
@@ -206,7 +214,7 @@
 	}
 	if record.Type == TypeSOA && record.Class == ClassTable {
 		offset := rapid.SampledFrom([]uint32{0, 1, 5, 1 << 31, 1<<31 - 1, 1<<32 - 3}).Draw(t, "offset")
-		record.Data = encodeHead(SOA{Primary: "a", Serial: serial + offset})
+		record.Data = encodeSOA(SOA{Primary: "a", Serial: serial + offset})
 		return record
 	}
 	if record.Class != ClassAny || rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
@@ -220,30 +228,30 @@
 func drawPrerequisite(t *rapid.T, m *model) []Record {
 	switch rapid.IntRange(0, 5).Draw(t, "prerequisite") {
 	case 0:
-		record := drawRecord(t, m.head.Serial)
+		record := drawRecord(t, m.soa.Serial)
 		return []Record{Exists(record.Name, record.Type)}
 	case 1:
-		record := drawRecord(t, m.head.Serial)
+		record := drawRecord(t, m.soa.Serial)
 		return []Record{Absent(record.Name, record.Type)}
 	case 2:
-		return []Record{InUse(drawRecord(t, m.head.Serial).Name)}
+		return []Record{InUse(drawRecord(t, m.soa.Serial).Name)}
 	case 3:
-		return []Record{NotInUse(drawRecord(t, m.head.Serial).Name)}
+		return []Record{NotInUse(drawRecord(t, m.soa.Serial).Name)}
 	case 4:
-		wanted := rapid.SampledFrom(m.all()).Draw(t, "held")
+		required := rapid.SampledFrom(m.all()).Draw(t, "present")
 		var set []Record
 		for _, record := range m.all() {
-			if sameSet(record, wanted) {
+			if sameSet(record, required) {
 				set = append(set, Equals(record))
 			}
 		}
 		return set
 	}
-	return []Record{drawRecord(t, m.head.Serial)}
+	return []Record{drawRecord(t, m.soa.Serial)}
 }
 
-// seen is a view and what it showed when it was taken.
-type seen struct {
+// takenView is a view and its records when it was taken.
+type takenView struct {
 	view   View
 	serial uint32
 	dump   []string
@@ -255,30 +263,22 @@
 func TestTableEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.SampledFrom([]uint32{1, 10, 1<<31 - 2, 1<<32 - 3}).Draw(t, "start")
-		head := SOA{Primary: "a", Serial: start}
-		table, err := New(testApex, testSchema(), head, []string{"a", "b"})
+		soa := SOA{Primary: "a", Serial: start}
+		table, err := New(testApex, testSchema(), soa, []string{"a", "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		reference := &model{records: slices.Clone(members), head: head}
+		reference := &model{records: slices.Clone(members), soa: soa}
 		secondary := NewSecondary(testApex, testSchema())
-		var views []seen
+		var views []takenView
 		for range rapid.IntRange(1, 12).Draw(t, "updates") {
-			update := drawUpdate(t, reference)
-			want := reference.apply(update)
-			result := table.Apply(&update, nil)
-			if result.Code != want || table.SOA() != reference.head {
-				t.Fatalf("code %s, head %+v, want %s, %+v", result.Code, table.SOA(), want, reference.head)
-			}
-			if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
-				t.Fatalf("records differ (-model +table):\n%s", difference)
-			}
+			applyToBoth(t, table, reference)
 			if rapid.Bool().Draw(t, "transfer") {
-				secondary = follow(t, table, secondary)
+				secondary = replicate(t, table, secondary)
 			}
-			views = append(views, seen{view: table.View(), serial: table.Serial(), dump: dump(table.View())})
+			views = append(views, takenView{view: table.View(), serial: table.Serial(), dump: dump(table.View())})
 		}
-		follow(t, table, secondary)
+		replicate(t, table, secondary)
 		for _, taken := range views {
 			if taken.view.Serial() != taken.serial || !slices.Equal(dump(taken.view), taken.dump) {
 				t.Fatalf("the view of serial %d has changed", taken.serial)
@@ -287,21 +287,37 @@
 	})
 }
 
+// applyToBoth applies a random update to the table and the model, which must agree
+// on the result.
+func applyToBoth(t *rapid.T, table *Table, reference *model) {
+	t.Helper()
+	update := drawUpdate(t, reference)
+	want := reference.apply(update)
+	result := table.Apply(&update, nil)
+	if result.Code != want || table.SOA() != reference.soa {
+		t.Fatalf("code %s, SOA %+v, want %s, %+v", result.Code, table.SOA(), want, reference.soa)
+	}
+	if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
+		t.Fatalf("records differ (-model +table):\n%s", difference)
+	}
+}
+
 func drawUpdate(t *rapid.T, reference *model) Update {
 	update := NewUpdate(testApex, nil, nil)
 	for range rapid.IntRange(0, 2).Draw(t, "prerequisites") {
 		update.Prerequisites = append(update.Prerequisites, drawPrerequisite(t, reference)...)
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "changes") {
-		update.Changes = append(update.Changes, drawRecord(t, reference.head.Serial))
+		update.Changes = append(update.Changes, drawRecord(t, reference.soa.Serial))
 	}
 	return update
 }
 
-// follow brings the secondary up by an encoded transfer and compares snapshots.
-// One that the serial has left half the circle behind must refuse (RFC 1982 does
-// not order the two) and is replaced by an empty one. It returns the secondary.
-func follow(t *rapid.T, table, secondary *Table) *Table {
+// replicate updates the secondary by an encoded transfer, compares snapshots and
+// returns the secondary. One whose serial is 2^31 or more behind must reject the
+// transfer, since RFC 1982 does not order the two, and is replaced by an empty one.
+func replicate(t *rapid.T, table, secondary *Table) *Table {
+	t.Helper()
 	data, err := EncodeTransfer(table.TransferSince(secondary.Serial()))
 	if err != nil {
 		t.Fatal(err)
@@ -311,16 +327,16 @@
 		t.Fatal(err)
 	}
 	if transfer.Full != (secondary.Serial() == 0) {
-		t.Fatalf("full transfer: %v, held %d", transfer.Full, secondary.Serial())
+		t.Fatalf("full transfer: %v, secondary at %d", transfer.Full, secondary.Serial())
 	}
-	held := secondary.Serial()
-	lost := held != 0 && held != table.Serial() && !SerialLess(held, table.Serial())
+	serial := secondary.Serial()
+	unordered := serial != 0 && serial != table.Serial() && !SerialLess(serial, table.Serial())
 	err = secondary.ApplyTransfer(transfer)
-	if lost && errors.Is(err, ErrNotNewer) && secondary.Serial() == held {
-		return follow(t, table, NewSecondary(testApex, testSchema()))
+	if unordered && errors.Is(err, ErrNotNewer) && secondary.Serial() == serial {
+		return replicate(t, table, NewSecondary(testApex, testSchema()))
 	}
-	if lost || err != nil {
-		t.Fatalf("held %d, transfer to %d: %v", held, transfer.To, err)
+	if unordered || err != nil {
+		t.Fatalf("serial %d, transfer to %d: %v", serial, transfer.To, err)
 	}
 	want, err := table.Snapshot()
 	if err != nil {
--- a/upstream/example_test.go
+++ b/upstream/example_test.go
@@ -30,10 +30,12 @@
 	fmt.Println(response.StatusCode, string(text))
 
 	replica.Close()
-	pool.Forget(address)
-	_, err = pool.Do(ctx, address, request, nil)
-	var unanswered *upstream.Error
-	fmt.Println("may have run:", errors.As(err, &unanswered) && unanswered.Sent)
+	pool.CloseIdleConnections(address)
+	if response, err = pool.Do(ctx, address, request, nil); err == nil {
+		response.Body.Close()
+	}
+	var failure *upstream.RequestError
+	fmt.Println("may have run:", errors.As(err, &failure) && failure.Sent)
 	// Output:
 	// 200 hello
 	// may have run: false
