--- a/gateway/operator.go
+++ b/gateway/operators_http.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// orderWait bounds the wait for the answer to a forwarded order.
-	orderWait = 10 * time.Second
-	// operatorWriteTimeout leaves time for a profile of 30 s.
+	// operationTimeout bounds the wait for the reply to a forwarded operation.
+	operationTimeout = 10 * time.Second
+	// operatorWriteTimeout leaves enough time for a CPU profile of 30 s.
 	operatorWriteTimeout = time.Minute
 	// maxOperatorConnections bounds the connections of the operators' port.
 	maxOperatorConnections = 256
 )
 
-// OperatorsServer returns the server of the operators' port.
+// OperatorsServer returns the server of the operators' port. Its owner runs and
+// closes it.
 func (g *Gateway) OperatorsServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc(api.PathStatus, g.only(http.MethodGet, g.serveStatus))
+	mux.HandleFunc(api.PathStatus, requireMethod(http.MethodGet, g.serveStatus))
 	mux.HandleFunc(api.PathReplicas, g.serveReplicas)
-	mux.HandleFunc(api.PathExplain, g.only(http.MethodPost, g.serveExplain))
-	mux.HandleFunc(api.PathHTTPReplicas, g.only(http.MethodGet, g.serveHTTPReplicas))
+	mux.HandleFunc(api.PathExplain, requireMethod(http.MethodPost, g.serveExplain))
+	mux.HandleFunc(api.PathHTTPReplicas, requireMethod(http.MethodGet, g.serveHTTPReplicas))
 	mux.Handle(api.PathMetrics, promhttp.HandlerFor(g.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/cmdline", pprof.Cmdline)
@@ -38,12 +39,12 @@
 	mux.HandleFunc("/debug/pprof/symbol", pprof.Symbol)
 	mux.HandleFunc("/debug/pprof/trace", pprof.Trace)
 	g.addHealth(mux)
-	return g.newServer(bounded(mux), maxOperatorConnections)
+	return g.newServer(withWriteDeadline(mux), maxOperatorConnections)
 }
 
-// bounded gives each answer a time of its own. Writing a document sets a shorter
-// one, which would otherwise last into the connection's next request.
-func bounded(next http.Handler) http.Handler {
+// withWriteDeadline sets the write deadline of each response. Without it the shorter
+// deadline of a JSON response would last into the next request of its connection.
+func withWriteDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		deadline := time.Now().Add(operatorWriteTimeout)
 		if err := http.NewResponseController(w).SetWriteDeadline(deadline); err != nil {
@@ -53,18 +54,19 @@
 	})
 }
 
-// serveStatus answers what this gateway knows of the control plane and itself.
+// serveStatus answers the state of this gateway and what it knows of the control
+// plane.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	status := g.agent.Status()
 	info := g.options.Info
 	answer := api.StatusAnswer{
 		Node:     info.Name,
-		Primary:  status.Primary, // known by its peers' address here
+		Primary:  status.Primary, // the address of its peers' port: its name is not known here
 		Term:     status.Term,
 		Serial:   status.ReceivedSerial,
 		Version:  status.ActiveVersion,
 		Members:  []api.MemberStatus{g.ownStatus()},
-		Degraded: g.degraded(),
+		Degraded: g.degradedReasons(),
 		Services: g.serviceLoads(),
 	}
 	if status.LeaseRemaining > 0 {
@@ -73,6 +75,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
+// ownStatus describes this gateway as a member of the fleet.
 func (g *Gateway) ownStatus() api.MemberStatus {
 	status := g.agent.Status()
 	info := g.options.Info
@@ -92,22 +95,35 @@
 	}
 }
 
-func (g *Gateway) degraded() []string {
-	var reasons []string
-	if g.draining.Load() {
-		reasons = append(reasons, "the gateway is leaving")
-	}
-	if !g.agent.Valid() {
-		reasons = append(reasons, "no lease from the primary, requests are refused: see that there is a primary and that this machine reaches it")
-	}
-	if g.agent.Active() == nil {
-		reasons = append(reasons, "no copy of the registry yet: see that this machine reaches a control node")
-	} else if !g.mayOwn() {
-		reasons = append(reasons, "the zone is evacuated: no tickets are issued here")
+// serviceLoads describes the load of each service in the own region.
+func (g *Gateway) serviceLoads() []api.ServiceLoad {
+	var loads []api.ServiceLoad
+	for _, service := range g.router.Status().Services {
+		load := api.ServiceLoad{
+			Service:     service.Service,
+			Region:      g.options.Info.Region,
+			Utilization: service.Utilization,
+			Spill:       spillFraction(&service),
+			Limit:       service.Limit,
+			InFlight:    service.InFlight,
+			Queued:      service.Queued,
+			Replicas:    service.Replicas,
+			Usable:      service.Usable,
+			Cold:        service.WarmingUp,
+			Draining:    service.Draining,
+			Ejected:     service.Ejected,
+		}
+		for _, controller := range service.Controllers {
+			if controller.Name == spillController {
+				load.SetPoint = controller.SetPoint
+			}
+		}
+		loads = append(loads, load)
 	}
-	return reasons
+	return loads
 }
 
+// serveReplicas lists the replicas, or forwards a new list.
 func (g *Gateway) serveReplicas(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
@@ -116,25 +132,24 @@
 		g.forwardReplicas(w, r)
 	default:
 		w.Header().Set("Allow", "GET, PUT")
-		writeJSON(w, http.StatusMethodNotAllowed, api.ErrorBody{Error: invalid("method", "must be GET or PUT")})
+		writeJSON(w, http.StatusMethodNotAllowed, api.ErrorBody{Error: newInvalidError("method", "must be GET or PUT")})
 	}
 }
 
-// serveHTTPReplicas answers how this gateway holds the replicas behind its HTTP
-// address.
+// serveHTTPReplicas lists the replicas behind the HTTP address.
 func (g *Gateway) serveHTTPReplicas(w http.ResponseWriter, _ *http.Request) {
 	if g.options.HTTPProxy == nil {
-		writeError(w, failed(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
+		writeError(w, newError(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
 		return
 	}
 	writeJSON(w, http.StatusOK, api.HTTPReplicasAnswer{Gateway: g.options.Info.Name, Replicas: g.options.HTTPProxy.Replicas()})
 }
 
-// listReplicas reads the replicas back from the active copy.
+// listReplicas answers the replicas of the active copy of the registry.
 func (g *Gateway) listReplicas(w http.ResponseWriter) {
 	active := g.agent.Active()
 	if active == nil {
-		writeError(w, refusedLater(api.CodeNotReady, "the gateway has no copy of the registry yet"))
+		writeError(w, newRetryableError(api.CodeNotReady, "the gateway has no copy of the registry yet"))
 		return
 	}
 	answer := api.ReplicasAnswer{Serial: active.Serial(), Replicas: []api.ReplicaStatus{}}
@@ -145,6 +160,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
+// replicaStatus describes a replica by the active copy of the registry.
 func replicaStatus(active *catalog.State, id string, replica catalog.Replica) api.ReplicaStatus {
 	status := api.ReplicaStatus{
 		ReplicaEntry: api.ReplicaEntry{
@@ -163,10 +179,10 @@
 	return status
 }
 
-// forwardReplicas passes the platform's list to a control node.
+// forwardReplicas forwards the platform's list of replicas to a control node.
 func (g *Gateway) forwardReplicas(w http.ResponseWriter, r *http.Request) {
 	if _, ok := g.authenticate(r); !ok {
-		writeError(w, failed(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or wrong"))
+		writeError(w, newError(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or wrong"))
 		return
 	}
 	var list api.ReplicaList
@@ -174,24 +190,25 @@
 		writeError(w, failure)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), orderWait)
+	ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 	defer cancel()
-	reply, err := g.agent.SubmitOperation(ctx, peer.OperationRequest{Replicas: &list, WaitMS: orderWait.Milliseconds()})
+	reply, err := g.agent.SubmitOperation(ctx, peer.OperationRequest{Replicas: &list, WaitMS: operationTimeout.Milliseconds()})
 	if err != nil {
-		failure := refusedLater(api.CodeNoPrimary, "no primary can be reached")
+		failure := newRetryableError(api.CodeNoPrimary, "no primary can be reached")
 		failure.Outcome = api.OutcomeUnknown
 		writeError(w, failure)
 		return
 	}
-	writeOrder(w, &reply)
+	writeOperationReply(w, &reply)
 }
 
-func writeOrder(w http.ResponseWriter, reply *peer.OperationReply) {
+// writeOperationReply writes the reply to an operation as the response.
+func writeOperationReply(w http.ResponseWriter, reply *peer.OperationReply) {
 	switch {
 	case reply.Error != nil:
 		writeError(w, reply.Error)
 	case reply.Answer == nil:
-		writeError(w, failed(api.CodeInternal, api.OutcomeUnknown, "the control node sent no answer"))
+		writeError(w, newError(api.CodeInternal, api.OutcomeUnknown, "the control node sent no answer"))
 	case reply.Answer.Error != nil:
 		writeError(w, reply.Answer.Error)
 	default:
@@ -199,6 +216,7 @@
 	}
 }
 
+// authenticate verifies the token of a request.
 func (g *Gateway) authenticate(r *http.Request) (string, bool) {
 	if g.options.Tokens == nil {
 		return "", true
--- /dev/null
+++ b/gateway/ticket_issue.go
@@ -0,0 +1,266 @@
+package gateway
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/catalog"
+	"github.com/deckpulley/deckpulley/peer"
+	"github.com/deckpulley/deckpulley/placement"
+	"github.com/deckpulley/deckpulley/ticket"
+)
+
+// Limits of issuing a ticket.
+const (
+	// issueTicketTimeout bounds the wait for a ticket of another gateway.
+	issueTicketTimeout = 500 * time.Millisecond
+	// maxAlternates bounds the gateways that an answer names beside the owner.
+	maxAlternates = 3
+)
+
+// where answers which gateway a caller should send its request to, with a ticket of a
+// gateway in the region that serves the request best. A draining gateway issues no
+// tickets itself.
+func (g *Gateway) where(ctx context.Context, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+	acceptFailure := g.checkAccepting()
+	if acceptFailure != nil && !g.canRefer() {
+		return nil, acceptFailure
+	}
+	route, failure := g.router.Resolve(generateRequestFor(request), time.Now())
+	if failure != nil {
+		return nil, failure
+	}
+	regions := g.router.Regions(route)
+	if len(regions) == 0 {
+		return nil, g.router.Rejection(route)
+	}
+	for _, region := range regions {
+		answer, failure := g.issueTicketIn(ctx, region, request, acceptFailure == nil)
+		if answer != nil || failure != nil {
+			return answer, failure
+		}
+	}
+	if acceptFailure != nil {
+		return nil, acceptFailure
+	}
+	return g.issueTicket(request)
+}
+
+// issueTicketIn issues a ticket of a gateway of the region, which may be this one.
+// Both results are nil if the next region is to be tried.
+//
+// For an unrepeatable request, the rendezvous order of gateways leads every question
+// with the same request id to the same owner, which returns the first ticket. Two
+// tickets can exist only if the gateways of the region changed in between, the owner
+// was not reached in time, or the questions led to two regions.
+func (g *Gateway) issueTicketIn(ctx context.Context, region string, request *api.WhereRequest, includeSelf bool) (*api.WhereAnswer, *api.Error) {
+	includeSelf = includeSelf && region == g.region() && g.canOwnTickets()
+	if request.Repeatable {
+		if includeSelf {
+			return g.issueTicket(request)
+		}
+		return g.issueTicketAt(ctx, g.peersInRegion(region, maxPeersTried), request)
+	}
+	candidates := g.ownerCandidates(region, request.RequestID, includeSelf)
+	for _, candidate := range candidates[:min(len(candidates), maxPeersTried)] {
+		if candidate.PeerAddress == g.options.Info.PeerAddress {
+			return g.issueTicket(request)
+		}
+		answer, failure := g.issueTicketAt(ctx, []catalog.Gateway{candidate}, request)
+		if answer != nil || failure != nil {
+			return answer, failure
+		}
+	}
+	return nil, nil
+}
+
+// ownerCandidates returns the gateways of a region that may own a request, by
+// descending rendezvous score for its id.
+func (g *Gateway) ownerCandidates(region, requestID string, includeSelf bool) []catalog.Gateway {
+	active := g.agent.Active()
+	if active == nil {
+		return nil
+	}
+	var names []string
+	for name, member := range active.Gateways() {
+		allowed := isAvailable(active, member)
+		if name == g.options.Info.Name {
+			allowed = includeSelf
+		}
+		if member.Region == region && allowed {
+			names = append(names, name)
+		}
+	}
+	key := placement.Hash(requestID)
+	slices.SortFunc(names, func(a, b string) int {
+		return cmp.Compare(placement.Score(key, placement.Hash(b)), placement.Score(key, placement.Hash(a)))
+	})
+	owners := make([]catalog.Gateway, 0, len(names))
+	for _, name := range names {
+		owners = append(owners, active.Gateways()[name])
+	}
+	return owners
+}
+
+// issueTicketAt asks gateways in turn for a ticket. A reply that the request id is in
+// use or closed is final; after any other failure the next one is asked.
+func (g *Gateway) issueTicketAt(ctx context.Context, members []catalog.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+	for _, member := range members {
+		callContext, cancel := context.WithTimeout(ctx, issueTicketTimeout)
+		var reply peer.IssueTicketReply
+		err := g.options.Network.Call(callContext, member.PeerAddress, peer.KindIssueTicket, &peer.IssueTicket{Request: *request}, &reply)
+		cancel()
+		switch {
+		case err != nil:
+			continue
+		case reply.Answer != nil:
+			return reply.Answer, nil
+		case reply.Error != nil && reply.Error.Code == api.CodeDuplicate:
+			return nil, reply.Error
+		}
+	}
+	return nil, nil
+}
+
+// canRefer reports whether a draining gateway still knows the others.
+func (g *Gateway) canRefer() bool {
+	return g.draining.Load() && g.agent.Valid() && g.agent.Active() != nil
+}
+
+// canOwnTickets is false in an evacuated zone: tickets are lost with their owner.
+func (g *Gateway) canOwnTickets() bool {
+	active := g.agent.Active()
+	return active != nil && !active.IsEvacuated(g.options.Info.Zone)
+}
+
+// generateRequestFor returns the part of a request that is known before it has a
+// ticket.
+func generateRequestFor(request *api.WhereRequest) api.GenerateRequest {
+	return api.GenerateRequest{
+		RequestID:  request.RequestID,
+		Tenant:     request.Tenant,
+		Model:      request.Model,
+		Prefixes:   request.Prefixes,
+		Home:       request.Home,
+		Client:     request.Client,
+		WaitMS:     request.WaitMS,
+		Repeatable: request.Repeatable,
+	}
+}
+
+// serveIssueTicket answers another gateway that asks for a ticket.
+func (g *Gateway) serveIssueTicket(_ context.Context, _ string, decode func(any) error) (any, error) {
+	var request peer.IssueTicket
+	if err := decode(&request); err != nil {
+		return nil, err
+	}
+	answer, failure := g.issueTicketForPeer(&request.Request)
+	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
+}
+
+// issueTicketForPeer issues a ticket to a caller of another gateway, if this one
+// accepts the request.
+func (g *Gateway) issueTicketForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+	if failure := checkWhere(request); failure != nil {
+		return nil, failure
+	}
+	if failure := g.checkAccepting(); failure != nil {
+		return nil, failure
+	}
+	if !g.canOwnTickets() {
+		return nil, newRetryableError(api.CodeNotReady, "the zone is evacuated")
+	}
+	return g.issueTicket(request)
+}
+
+// issueTicket issues a ticket that this process owns.
+func (g *Gateway) issueTicket(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
+	now := g.options.Clock()
+	wait := api.Wait(request.WaitMS)
+	requested := ticket.Ticket{
+		RequestID:   request.RequestID,
+		Owner:       g.options.Info.Name,
+		Incarnation: g.options.Info.Incarnation,
+		HomeRule:    request.Home,
+		Idempotent:  request.Repeatable,
+		IssuedAt:    now,
+		Expires:     now + wait,
+	}
+	issued, err := g.tickets.issue(now, requested)
+	if err != nil {
+		return nil, issueTicketFailure(request.RequestID, err)
+	}
+	text, err := g.sealer.Load().Seal(issued)
+	if err != nil {
+		return nil, newError(api.CodeInternal, api.OutcomeRefused, "sealing the ticket: %v", err)
+	}
+	answer := &api.WhereAnswer{
+		RequestID:   request.RequestID,
+		Ticket:      text,
+		Gateway:     g.options.Info.HTTPAddress,
+		Alternates:  g.alternates(),
+		Region:      g.region(),
+		ExpiresInMS: max(0, (issued.Expires - now).Milliseconds()),
+	}
+	if active := g.agent.Active(); active != nil {
+		answer.ConfigurationVersion = active.Version()
+	}
+	g.metrics.tickets.WithLabelValues("issued").Inc()
+	return answer, nil
+}
+
+// issueTicketFailure returns the refusal for an error of the ticket table.
+func issueTicketFailure(requestID string, err error) *api.Error {
+	var failure *api.Error
+	switch {
+	case errors.Is(err, ticket.ErrFull):
+		failure = newRetryableError(api.CodeOverloaded, "the gateway remembers as many requests as it can")
+	case errors.Is(err, ticket.ErrClosed):
+		failure = newError(api.CodeDuplicate, api.OutcomeRefused, "the request was refused for good: ask again with a new request id")
+	default:
+		failure = newError(api.CodeDuplicate, api.OutcomeUnknown, "the request id is in use for another request")
+	}
+	failure.RequestID = requestID
+	return failure
+}
+
+// alternates returns the addresses, for callers, of gateways that forward requests to
+// the owner, those of the own region first.
+func (g *Gateway) alternates() []string {
+	active := g.agent.Active()
+	if active == nil {
+		return nil
+	}
+	var addresses, otherRegions []string
+	for name, member := range active.Gateways() {
+		switch {
+		case name == g.options.Info.Name || !isAvailable(active, member):
+		case member.Region == g.region():
+			addresses = append(addresses, member.HTTPAddress)
+		default:
+			otherRegions = append(otherRegions, member.HTTPAddress)
+		}
+	}
+	g.shuffle(addresses)
+	g.shuffle(otherRegions)
+	addresses = append(addresses, otherRegions...)
+	return addresses[:min(len(addresses), maxAlternates)]
+}
+
+// isAvailable reports whether a gateway is up and outside of evacuated zones.
+func isAvailable(active *catalog.State, member catalog.Gateway) bool {
+	return member.Up && !active.IsEvacuated(member.Zone)
+}
+
+// shuffle puts addresses into random order.
+func (g *Gateway) shuffle(addresses []string) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.random.Shuffle(len(addresses), func(i, j int) {
+		addresses[i], addresses[j] = addresses[j], addresses[i]
+	})
+}
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -7,56 +7,52 @@
 
 	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/failuredetector"
-	"github.com/deckpulley/deckpulley/placement"
 )
 
 const (
-	// upHold is how long a replica must be seen fit before it is written up
-	// after another state: two reports at the default interval.
-	upHold = 750 * time.Millisecond
-	// downHold is how long it must be dead before it is written down.
-	downHold = 2 * time.Second
-	// startGrace is how long a replica may stay unheard after this gateway
-	// learnt of it.
-	startGrace = 3 * time.Second
-	// emissionInterval is the time between two offers of the same change.
-	emissionInterval = 400 * time.Millisecond
-	// pauseGap between two calls of Conditions means that the process stood
-	// still, and pauseRest is how long it then says nothing.
-	pauseGap  = 3 * time.Second
-	pauseRest = 2 * time.Second
+	// upHoldTime is how long a replica must be observed up before that replaces another
+	// state: two reports at the default interval.
+	upHoldTime = 750 * time.Millisecond
+	// downHoldTime is how long a replica must be dead before it is declared down.
+	downHoldTime = 2 * time.Second
+	// startGracePeriod is how long a new replica may stay without a report before it
+	// can be declared down.
+	startGracePeriod = 3 * time.Second
+	// proposalInterval is the time between two proposals of the same change.
+	proposalInterval = 400 * time.Millisecond
+	// A gap of processPauseThreshold between two calls of Conditions counts as a pause of
+	// the process, which then proposes nothing for processPauseRecovery.
+	processPauseThreshold = 3 * time.Second
+	processPauseRecovery  = 2 * time.Second
 )
 
-// ConditionChange is one slow fact to be written: a conditional update that
-// requires Old (nil for absent) and sets New.
+// ConditionChange proposes a conditional update of a replica's condition in the
+// registry: it requires Old (nil for absent) and sets New.
 type ConditionChange struct {
 	Replica string
 	Old     *catalog.Condition
 	New     catalog.Condition
 }
 
-// emission is the last change offered for a replica.
-type emission struct {
+// proposal is a condition that was proposed for a replica.
+type proposal struct {
 	condition catalog.Condition
 	at        time.Time
 }
 
-// Conditions lists the slow facts that this gateway, as the one watcher of a
-// replica, sees differently from the active plan. A change is offered again
-// until the plan shows it. It must be called about as often as replicas are
-// polled: a longer gap counts as a pause of this process.
+// Conditions proposes the conditions of the replicas watched by this gateway that
+// it observes to differ from the active plan, sorted by replica. A change is
+// proposed again until the plan has it. Conditions must be called about as often as
+// replicas are polled: a longer gap counts as a pause of this process.
 func (r *Router) Conditions(now time.Time) []ConditionChange {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.plan == nil {
-		return nil
-	}
-	if r.paused(now) {
+	if r.plan == nil || r.pauses.paused(now) {
 		return nil
 	}
 	var changes []ConditionChange
 	for _, target := range r.replicas {
-		if change, ok := target.change(now); ok {
+		if change, ok := target.proposeCondition(now); ok {
 			changes = append(changes, change)
 		}
 	}
@@ -66,44 +62,52 @@
 	return changes
 }
 
-// paused reports whether this process did not run for a while, as when it was
-// frozen: what it then takes for the silence of replicas is its own. It says
-// nothing until the polls have had time to be answered again.
-func (r *Router) paused(now time.Time) bool {
-	gap := now.Sub(r.lastConditions)
-	if !r.lastConditions.IsZero() && gap >= pauseGap {
-		r.resumed = now
+// pauseDetector tells a pause of this process, as when it was frozen, from the
+// replicas' failure to respond.
+type pauseDetector struct {
+	lastCall  time.Time
+	resumedAt time.Time // after the last pause; zero if there was none
+}
+
+// paused reports whether the process was paused recently, so that the replicas'
+// responses to its polls may still be missing. It must be called regularly.
+func (d *pauseDetector) paused(now time.Time) bool {
+	gap := now.Sub(d.lastCall)
+	if !d.lastCall.IsZero() && gap >= processPauseThreshold {
+		d.resumedAt = now
 	}
-	r.lastConditions = now
-	return !r.resumed.IsZero() && now.Sub(r.resumed) < pauseRest
+	d.lastCall = now
+	return !d.resumedAt.IsZero() && now.Sub(d.resumedAt) < processPauseRecovery
 }
 
-// hearsAny reports whether any replica of the region is heard. A gateway that
-// hears none of several may be cut off itself, and declares none down.
-func (r *Router) hearsAny(now time.Time) bool {
+// anyReplicaAlive reports whether any replica of the region is alive. A gateway to
+// which all of several replicas look dead may be partitioned itself, and declares none
+// down.
+func (r *Router) anyReplicaAlive(now time.Time) bool {
 	if len(r.replicas) == 1 {
 		return true
 	}
 	for _, target := range r.replicas {
-		if target.reported && target.watch.State(now) == failuredetector.Alive {
+		if target.reported && target.detector.State(now) == failuredetector.Alive {
 			return true
 		}
 	}
 	return false
 }
 
-// change compares the plan's condition with the one seen.
-func (t *replica) change(now time.Time) (ConditionChange, bool) {
-	seen, ok := t.seen(now)
-	if !t.watched || !ok || (t.conditioned && t.condition == seen) {
+// proposeCondition returns the change from the plan's condition to the observed one,
+// and false if there is none or if it was proposed recently.
+func (t *replica) proposeCondition(now time.Time) (ConditionChange, bool) {
+	observed, ok := t.observedCondition(now)
+	if !t.isWatcher || !ok || (t.conditioned && t.condition == observed) {
 		return ConditionChange{}, false
 	}
-	offered := t.emitted.condition == seen && now.Sub(t.emitted.at) < emissionInterval
-	if offered && !t.emitted.at.IsZero() {
+	recent := t.lastProposal.condition == observed && now.Sub(t.lastProposal.at) < proposalInterval
+	if recent && !t.lastProposal.at.IsZero() {
 		return ConditionChange{}, false
 	}
-	t.emitted = emission{condition: seen, at: now}
-	change := ConditionChange{Replica: t.name, New: seen}
+	t.lastProposal = proposal{condition: observed, at: now}
+	change := ConditionChange{Replica: t.name, New: observed}
 	if t.conditioned {
 		old := t.condition
 		change.Old = &old
@@ -111,40 +115,42 @@
 	return change, true
 }
 
-// seen is the condition as this gateway sees it, with hysteresis; false while
-// nothing can be said.
-func (t *replica) seen(now time.Time) (catalog.Condition, bool) {
-	state, ok := t.stateSeen(now)
+// observedCondition returns the condition that this gateway observes, with hysteresis,
+// and false while it is unknown.
+func (t *replica) observedCondition(now time.Time) (catalog.Condition, bool) {
+	state, ok := t.observedState(now)
 	if !ok {
 		return catalog.Condition{}, false
 	}
-	state = t.fact.Observe(now, state, holdOf(state))
+	state = t.conditionHysteresis.Observe(now, state, holdTime(state))
 	if state == catalog.ConditionDown {
-		return t.seenDown(now)
+		return t.observedDown(now)
 	}
 	condition := catalog.Condition{State: state, Incarnation: t.report.Incarnation}
 	if state == catalog.ConditionWarmingUp {
-		condition.WarmupGateway = t.feeder()
+		condition.WarmupGateway = t.warmupGateway()
 		return condition, condition.WarmupGateway != ""
 	}
 	return condition, true
 }
 
-// seenDown keeps a condition that says down already as it is.
-func (t *replica) seenDown(now time.Time) (catalog.Condition, bool) {
+// observedDown returns the condition of a dead replica. One that is down already is
+// kept as it is.
+func (t *replica) observedDown(now time.Time) (catalog.Condition, bool) {
 	if t.conditioned && t.condition.State == catalog.ConditionDown {
 		return t.condition, true
 	}
 	down := catalog.Condition{State: catalog.ConditionDown, Incarnation: t.report.Incarnation}
-	return down, t.service.router.hearsAny(now)
+	return down, t.service.router.anyReplicaAlive(now)
 }
 
-func (t *replica) stateSeen(now time.Time) (catalog.ConditionState, bool) {
-	dead := t.watch.State(now) == failuredetector.Dead
+// observedState returns the state before hysteresis, and false while it is unknown.
+func (t *replica) observedState(now time.Time) (catalog.ConditionState, bool) {
+	dead := t.detector.State(now) == failuredetector.Dead
 	switch {
-	case dead && (t.reported || now.Sub(t.created) >= startGrace):
+	case dead && (t.reported || now.Sub(t.created) >= startGracePeriod):
 		return catalog.ConditionDown, true
-	case !t.reported || t.unknown || dead:
+	case !t.reported || t.stateUnknown || dead:
 		return "", false
 	case t.report.Draining || t.service.router.plan.IsDraining(t.name):
 		return catalog.ConditionDraining, true
@@ -155,51 +161,16 @@
 	}
 }
 
-// holdOf is the time that a state must be seen before it replaces another.
-// States that take work away at once do no harm; those that give it back wait.
-func holdOf(state catalog.ConditionState) time.Duration {
+// holdTime returns how long a state must be observed before it replaces another.
+// States that only take requests away need no hold time; those that give them back,
+// and down, do.
+func holdTime(state catalog.ConditionState) time.Duration {
 	switch state {
 	case catalog.ConditionUp:
-		return upHold
+		return upHoldTime
 	case catalog.ConditionDown:
-		return downHold
+		return downHoldTime
 	default:
 		return 0
 	}
 }
-
-// feeder names the one gateway that may place on the replica while it is cold.
-// It stays as long as it may feed; else rendezvous names the next.
-func (t *replica) feeder() string {
-	feeders := t.service.router.feeders
-	if t.conditioned && t.condition.WarmupGateway != "" && slices.Contains(feeders, t.condition.WarmupGateway) {
-		return t.condition.WarmupGateway
-	}
-	return placement.Owner(feederKey+t.name, feeders)
-}
-
-// feederKey keeps the choice of the feeder apart from that of the watcher.
-const feederKey = "feeder/"
-
-// WarmupGateways names the other gateways of the own region that may place requests
-// for a service on cold replicas, sorted. A gateway whose region has nothing
-// but cold replicas of other feeders offers its requests to these.
-func (r *Router) WarmupGateways(name string) []string {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	target := r.services[name]
-	if target == nil {
-		return nil
-	}
-	var feeders []string
-	for _, replica := range target.replicas {
-		feeder := replica.condition.WarmupGateway
-		cold := replica.allowed && replica.conditioned && replica.condition.State == catalog.ConditionWarmingUp
-		if !cold || feeder == r.config.Gateway || slices.Contains(feeders, feeder) {
-			continue
-		}
-		feeders = append(feeders, feeder)
-	}
-	slices.Sort(feeders)
-	return feeders
-}
