--- a/internal/docscheck/references_test.go
+++ b/internal/docscheck/references_test.go
@@ -49,9 +49,14 @@
 	return named.receiver != "" || unicode.IsUpper(rune(named.name[0]))
 }
 
+// upgradingPage lists old names beside new ones.
+const upgradingPage = "docs/UPGRADING.md"
+
 // records are pages that tell what was done and measured when. They keep the names
-// of their day.
+// of their day. Of upgradingPage the new names are held, see
+// TestUpgradingNamesWhatIsDeclared.
 var records = map[string]bool{
+	upgradingPage:       true,
 	"CHANGELOG.md":      true,
 	"docs/DECISIONS.md": true,
 	"docs/RESULTS.md":   true,
@@ -190,6 +195,31 @@
 	}
 }
 
+// TestUpgradingNamesWhatIsDeclared holds the new names of the page that lists them
+// beside the old ones: packages that exist, and names that the package declares.
+func TestUpgradingNamesWhatIsDeclared(t *testing.T) {
+	parsed := loadSource(t)
+	read := readPage(t, upgradingPage)
+	for _, r := range read.section(t, "Packages").rows() {
+		for _, name := range spans(r.cells[1]) {
+			if problem := parsed.missing(name); problem != nil {
+				t.Errorf("%s:%d: %v", read.path, r.number, problem)
+			}
+		}
+	}
+	for _, r := range read.section(t, "Exported Go names").rows() {
+		folder, name := strings.Trim(r.cells[0], "`"), strings.Trim(r.cells[2], "`")
+		declared, err := parsed.find(folder)
+		if err != nil {
+			t.Errorf("%s:%d: %s: %v", read.path, r.number, folder, err)
+			continue
+		}
+		if !declared.declares(name) {
+			t.Errorf("%s:%d: %s declares no %s", read.path, r.number, folder, name)
+		}
+	}
+}
+
 // TestMessageTableNamesTypes holds that the messages of the control node's design
 // note are types of ours.
 func TestMessageTableNamesTypes(t *testing.T) {
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -320,6 +320,32 @@
 	return false
 }
 
+// missing says what is wrong with a package or a name in one, nil for nothing.
+func (s source) missing(name string) error {
+	if named, isReference := parseReference(name); isReference {
+		_, _, err := s.resolve(named)
+		return err
+	}
+	if _, err := s.find(name); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	return nil
+}
+
+// declares says whether the package has the name: "Name" of a function, value or type,
+// "Type.Member", or a member's name alone.
+func (d *declarations) declares(name string) bool {
+	if d.values[name] || d.types[name] || d.members[name] {
+		return true
+	}
+	for member := range d.members {
+		if strings.HasSuffix(member, "."+name) {
+			return true
+		}
+	}
+	return false
+}
+
 // hasType says whether any package declares the type.
 func (s source) hasType(name string) bool {
 	for _, declared := range s {
