--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -193,6 +193,7 @@
 func (c *checker) check() {
 	c.checkTests()
 	c.checkPackages()
+	c.checkNamesInFiles()
 	for _, s := range c.code {
 		if !s.fenced {
 			c.checkSpan(s)
@@ -226,6 +227,20 @@
 	}
 }
 
+// TestDesignHasEachPackage holds that the design's tables have a row for each package
+// that is not a program or an example.
+func TestDesignHasEachPackage(t *testing.T) {
+	listed := make(map[string]bool)
+	for _, l := range readPage(t, "docs/DESIGN.md").section(t, "Packages and imports").lines {
+		addAll(listed, spans(l.text))
+	}
+	for folder, declared := range loadSource(t) {
+		if declared.name != "main" && !listed[folder] {
+			t.Errorf("docs/DESIGN.md: no row for package %s", folder)
+		}
+	}
+}
+
 var (
 	testName  = regexp.MustCompile(`^(?:Test|Fuzz|Benchmark|Example)(?:[A-Z_]\w*)?$`)
 	namedTest = regexp.MustCompile(`\b((?:Test|Fuzz|Benchmark|Example)[A-Z]\w*)(?:/([\w-]+))?`)
@@ -268,6 +283,23 @@
 	}
 }
 
+// namesInFile are names in brackets after the Go file that declares them.
+var namesInFile = regexp.MustCompile("`([\\w-]+(?:/[\\w-]+)*)/\\w+\\.go` \\(((?:`\\w+`(?:, | and )?)+)\\)")
+
+// checkNamesInFiles holds that such names are declared in the file's package.
+func (c *checker) checkNamesInFiles() {
+	for number, content := range strings.Split(c.text, "\n") {
+		for _, match := range namesInFile.FindAllStringSubmatch(content, -1) {
+			declared := c.parsed[match[1]]
+			for _, name := range spans(match[2]) {
+				if declared == nil || !declared.types[name] && !declared.values[name] {
+					c.report(number+1, "%s: not declared in %s", name, match[1])
+				}
+			}
+		}
+	}
+}
+
 var (
 	oneWord    = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_-]*$`)
 	pathForm   = regexp.MustCompile(`^(?:\./)?[\w.-]+(?:/[\w.*<>-]*)+$`)
@@ -275,7 +307,9 @@
 	// withArguments is a call: its function, and names in the brackets.
 	withArguments = regexp.MustCompile(`^([\w./()*-]*\w)\((\w*)\)$`)
 	keyForm       = regexp.MustCompile(`^(?:[a-z]\w*)?(?:\.[a-zA-Z]\w*)+$`)
-	placeholder   = regexp.MustCompile(`^[A-Z]+$`)
+	// exportedWord is a word in the form of an exported Go name, which must be declared.
+	exportedWord = regexp.MustCompile(`^[A-Z][a-z][A-Za-z0-9]*$`)
+	placeholder  = regexp.MustCompile(`^[A-Z]+$`)
 )
 
 // checkSpan holds a code span that is one name.
@@ -342,7 +376,7 @@
 
 // knows says whether a word is declared, or written in a source that is no page.
 func (c *checker) knows(name string) bool {
-	if c.has.identifiers[name] || c.has.words[name] || c.has.paths[name] || c.has.programs[name] != nil {
+	if c.has.identifiers[name] || !exportedWord.MatchString(name) && c.has.words[name] || c.has.paths[name] || c.has.programs[name] != nil {
 		return true
 	}
 	if _, err := c.parsed.find(name); err == nil {
