--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -4,6 +4,8 @@
 //
 // docs/ARCHITECTURE.md and docs/GLOSSARY.md are held strictly: each code span in
 // the form of a Go name must be declared, each log message of the daemons and each
-// metric must have its row, and each of the users' words its term. In other pages
-// a name is held if it names one of this module's packages.
+// metric must have its row, and each of the users' words its term. Every page but
+// CHANGELOG.md and the incidents, which are history, may name only what exists:
+// packages, files, Go names, keys, tests, make targets, scripts and flags. Words that
+// look like such names and are not stand in notOurs, each with its reason.
 package docscheck
--- a/internal/docscheck/inventory_test.go
+++ b/internal/docscheck/inventory_test.go
@@ -26,6 +26,8 @@
 	words map[string]bool
 	// tests are test, fuzz, benchmark and example functions, with their folders.
 	tests map[string][]string
+	// functions are the functions and methods of each file, by their names alone.
+	functions map[string]map[string]bool
 	// literals are the string literals of a folder's test files, which name subtests.
 	literals map[string]map[string]bool
 	// testFlags are the flags that a folder's tests declare.
@@ -60,6 +62,7 @@
 		identifiers: make(map[string]bool),
 		words:       make(map[string]bool),
 		tests:       make(map[string][]string),
+		functions:   make(map[string]map[string]bool),
 		literals:    make(map[string]map[string]bool),
 		testFlags:   make(map[string]map[string]bool),
 		programs:    make(map[string]map[string]bool),
@@ -142,6 +145,7 @@
 		switch node := node.(type) {
 		case *ast.FuncDecl:
 			i.identifiers[node.Name.Name] = true
+			put(i.functions, name, node.Name.Name)
 			if isTest && node.Recv == nil && testName.MatchString(node.Name.Name) {
 				i.tests[node.Name.Name] = append(i.tests[node.Name.Name], folder)
 			}
--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -241,6 +241,29 @@
 	}
 }
 
+// TestPlatformRowsNameTheirFiles holds that each file in the table of the platform's
+// words declares a function that the row names, and that each row names one.
+func TestPlatformRowsNameTheirFiles(t *testing.T) {
+	has := loadInventory(t)
+	rows := readPage(t, "docs/PLATFORM.md").section(t, "What is translated into what").rows()
+	if len(rows) < 20 {
+		t.Fatalf("only %d rows", len(rows))
+	}
+	for _, r := range rows {
+		place := r.cells[len(r.cells)-1]
+		named := references(place)
+		if len(named) == 0 {
+			t.Errorf("docs/PLATFORM.md:%d: the row names no function", r.number)
+		}
+		for _, file := range spans(place) {
+			declaresOne := slices.ContainsFunc(named, func(n reference) bool { return has.functions[file][n.name] })
+			if goFile.MatchString(file) && !declaresOne {
+				t.Errorf("docs/PLATFORM.md:%d: %s declares no function of the row", r.number, file)
+			}
+		}
+	}
+}
+
 var (
 	testName  = regexp.MustCompile(`^(?:Test|Fuzz|Benchmark|Example)(?:[A-Z_]\w*)?$`)
 	namedTest = regexp.MustCompile(`\b((?:Test|Fuzz|Benchmark|Example)[A-Z]\w*)(?:/([\w-]+))?`)
