--- a/internal/canonical/canonical.go
+++ b/internal/canonical/canonical.go
@@ -1,6 +1,7 @@
-// Package canonical has the CBOR modes of what is compared or authenticated by
-// its bytes: records, updates and tickets. Equal values encode equally (RFC 8949,
-// section 4.2.1), and what no such encoder writes is not decoded.
+// Package canonical provides the CBOR modes for values that are compared or
+// authenticated by their encoded bytes: records, updates and tickets. Equal values
+// encode to equal bytes (core deterministic encoding, RFC 8949, section 4.2.1), and
+// the decoder rejects constructs that the encoder never produces.
 package canonical
 
 import (
@@ -9,16 +10,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds limit what is decoded; zero is the library's default of each.
+// Bounds limits the size of a decoded value. A field that is 0 selects the
+// library's default.
 type Bounds struct {
-	// NestingLevels is the number of arrays and maps within each other.
+	// NestingLevels is the maximum nesting depth of arrays and maps.
 	NestingLevels int
-	// ArrayElements and MapPairs are the sizes of one array and of one map.
+	// ArrayElements is the maximum number of elements of one array, MapPairs the
+	// maximum number of pairs of one map.
 	ArrayElements int
 	MapPairs      int
 }
 
-// Encoding returns the deterministic encoder.
+// Encoding returns the deterministic encoding mode.
 func Encoding() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -27,8 +30,9 @@
 	return mode
 }
 
-// Decoding returns a decoder that refuses doubled and unknown fields, tags and
-// indefinite lengths. It panics on bounds that the library does not accept.
+// Decoding returns a decoding mode that rejects duplicate keys, unknown fields,
+// tags and indefinite lengths. It panics if the library rejects the bounds, which
+// are constants of the calling package.
 func Decoding(bounds Bounds) cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,4 +1,4 @@
-// Package freeport finds addresses that nobody uses, for fleets and tests.
+// Package freeport finds unused TCP addresses for local fleets and tests.
 package freeport
 
 import (
@@ -6,8 +6,10 @@
 	"net"
 )
 
-// Addresses returns different addresses (host:port) of a host that are free now.
-// All are bound before they are let go.
+// Addresses returns count distinct addresses (host:port) of the host that are
+// unused at the time of the call. Another process may bind one of them before the
+// caller does. All listeners stay open until the last address is found, so that
+// no address is returned twice.
 func Addresses(host string, count int) ([]string, error) {
 	var addresses []string
 	for range count {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,4 +1,4 @@
-// Package sockets asks TCP for what package net does not offer.
+// Package sockets provides socket operations that package net does not offer.
 package sockets
 
 import (
@@ -9,39 +9,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet says that an idle connection has neither ended nor holds unread bytes. It
-// is false for a connection without a socket.
-func Quiet(raw net.Conn) bool {
-	system, ok := raw.(syscall.Conn)
-	if !ok {
-		return false
-	}
-	control, err := system.SyscallConn()
-	if err != nil {
+// Quiet reports whether a connection is open and has no unread bytes, so that an
+// idle connection can be reused. It never blocks and consumes nothing. It returns
+// false for a connection without a socket.
+func Quiet(connection net.Conn) bool {
+	raw := rawConnection(connection)
+	if raw == nil {
 		return false
 	}
 	quiet := false
-	err = control.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, failure := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failure == unix.EAGAIN
+	err := raw.Read(func(descriptor uintptr) bool {
+		var peeked [1]byte
+		_, _, err := unix.Recvfrom(int(descriptor), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		quiet = err == unix.EAGAIN
 		return true
 	})
 	return err == nil && quiet
 }
 
-// BoundUnacknowledged lets the kernel give a connection up whose sent data is not
-// acknowledged in time. Without it keep-alive probes still find the loss.
-func BoundUnacknowledged(raw net.Conn, limit time.Duration) {
-	system, ok := raw.(syscall.Conn)
-	if !ok {
+// BoundUnacknowledged sets TCP_USER_TIMEOUT: the kernel closes the connection when
+// sent data stays unacknowledged for longer than the timeout, which has millisecond
+// resolution. Errors are ignored, because without the option keep-alive probes
+// still detect the loss, only later.
+func BoundUnacknowledged(connection net.Conn, timeout time.Duration) {
+	raw := rawConnection(connection)
+	if raw == nil {
 		return
 	}
-	control, err := system.SyscallConn()
+	_ = raw.Control(func(descriptor uintptr) {
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+	})
+}
+
+// rawConnection returns the access to the connection's socket, or nil if there is
+// none.
+func rawConnection(connection net.Conn) syscall.RawConn {
+	system, ok := connection.(syscall.Conn)
+	if !ok {
+		return nil
+	}
+	raw, err := system.SyscallConn()
 	if err != nil {
-		return
+		return nil
 	}
-	_ = control.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
-	})
+	return raw
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// pair returns both ends of a TCP connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// connectedPair returns both ends of a TCP connection.
+func connectedPair(t *testing.T) (local, remote net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	near, err = net.Dial("tcp", listener.Addr().String())
+	local, err = net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err = listener.Accept()
+	remote, err = listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return near, far
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	return local, remote
 }
 
-// becomesLoud waits until a connection is no longer quiet.
-func becomesLoud(conn net.Conn) bool {
+// waitUntilNotQuiet reports whether a connection stops being quiet within 5 s.
+func waitUntilNotQuiet(connection net.Conn) bool {
 	for range 500 {
-		if !Quiet(conn) {
+		if !Quiet(connection) {
 			return true
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -38,26 +38,32 @@
 }
 
 func TestQuiet(t *testing.T) {
-	near, far := pair(t)
-	BoundUnacknowledged(near, time.Second)
-	if !Quiet(near) {
-		t.Error("a connection without anything on it is not quiet")
-	}
-	if _, err := far.Write([]byte("x")); err != nil {
-		t.Fatal(err)
-	}
-	if !becomesLoud(near) {
-		t.Error("unread bytes are not seen")
-	}
-	other, closed := pair(t)
-	closed.Close()
-	if !becomesLoud(other) {
-		t.Error("the end of a connection is not seen")
-	}
-	left, right := net.Pipe()
-	defer left.Close()
-	defer right.Close()
-	if Quiet(left) {
-		t.Error("a connection without a socket is taken as quiet")
-	}
+	t.Run("unread bytes", func(t *testing.T) {
+		local, remote := connectedPair(t)
+		BoundUnacknowledged(local, time.Second)
+		if !Quiet(local) {
+			t.Error("an open connection without unread bytes is not quiet")
+		}
+		if _, err := remote.Write([]byte("x")); err != nil {
+			t.Fatal(err)
+		}
+		if !waitUntilNotQuiet(local) {
+			t.Error("a connection with unread bytes is quiet")
+		}
+	})
+	t.Run("closed by the peer", func(t *testing.T) {
+		local, remote := connectedPair(t)
+		remote.Close()
+		if !waitUntilNotQuiet(local) {
+			t.Error("a connection that the peer closed is quiet")
+		}
+	})
+	t.Run("without a socket", func(t *testing.T) {
+		local, remote := net.Pipe()
+		defer local.Close()
+		defer remote.Close()
+		if Quiet(local) {
+			t.Error("a connection without a socket is quiet")
+		}
+	})
 }
