--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -11,10 +11,10 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the golden file instead of comparing with it")
 
-// goldenFile is a log of an earlier version.
+// goldenFile is a log that an earlier version wrote.
 const goldenFile = "testdata/golden.jsonl"
 
-// goldenKinds are all kinds, in the order of the golden log.
+// goldenKinds lists all kinds, in the order of the golden log.
 var goldenKinds = []Kind{
 	ReplicaStarted, ReplicaReceived, ReplicaExecuted, ReplicaRefused, ReplicaEnded, ReplicaDraining, ReplicaWarm, ReplicaFault,
 	CallerAsked, CallerSent, CallerPiece, CallerAnswered, CallerAbandoned,
@@ -22,7 +22,7 @@
 	ConfigurationRead, ZonesRead, Inventory,
 }
 
-// goldenEvents are an event with every field set, and one of each kind with the
+// goldenEvents returns an event with every field set, and one of each kind with the
 // fields that every event has.
 func goldenEvents() []Event {
 	events := []Event{{
@@ -42,9 +42,9 @@
 // TestGoldenLog reads a log of an earlier version and writes the same bytes.
 func TestGoldenLog(t *testing.T) {
 	events := goldenEvents()
-	for i, every := 0, reflect.ValueOf(events[0]); i < every.NumField(); i++ {
-		if every.Field(i).IsZero() {
-			t.Errorf("field %s is not set in the first event", every.Type().Field(i).Name)
+	for i, first := 0, reflect.ValueOf(events[0]); i < first.NumField(); i++ {
+		if first.Field(i).IsZero() {
+			t.Errorf("field %s is not set in the first event", first.Type().Field(i).Name)
 		}
 	}
 	written := writeLog(t, events)
--- a/internal/eventlog/read.go
+++ b/internal/eventlog/read.go
@@ -12,22 +12,21 @@
 	"sort"
 )
 
-// Kinds written by operators when they read the control plane's state back.
 const (
-	ConfigurationRead Kind = "configuration_read" // Version, Target (digest of the document), Gateway (node asked)
-	ZonesRead         Kind = "zones_read"         // Zone, Detail evacuated|open, Gateway (node asked)
-	Inventory         Kind = "inventory"          // Replica, Zone, Region, Service: where a replica stands; or Class control, Target, Gateway: a control node's operator address
+	// logPattern matches the event logs of a run folder.
+	logPattern = "*.jsonl"
+	// maxLineBytes bounds one line of a log, its newline included.
+	maxLineBytes = 1 << 20
+	// readBufferBytes is the size of the buffer of a read.
+	readBufferBytes = 64 << 10
+	// linePrefix begins every line of a log, because At is the first field.
+	linePrefix = `{"at":`
 )
 
-// logPattern matches the event logs of a run folder.
-const logPattern = "*.jsonl"
-
-// maxLineBytes bounds one line of a log.
-const maxLineBytes = 1 << 20
-
-// ReadFolder reads every log (*.jsonl) of the folder and orders the events by
-// their stamps. A last line that a killed writer tore is left out; any other
-// line that does not decode is an error that names file and line.
+// ReadFolder reads every log (*.jsonl) of the folder and returns the events sorted
+// by time; events of equal time keep their order. An incomplete last line, which a
+// killed writer leaves, is ignored. Any other line that does not decode is an error
+// that names the file and the line.
 func ReadFolder(folder string) ([]Event, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, logPattern))
 	if err != nil {
@@ -36,29 +35,30 @@
 	sort.Strings(paths)
 	var events []Event
 	for _, path := range paths {
-		read, err := ReadFile(path)
+		fileEvents, err := ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
-		events = append(events, read...)
+		events = append(events, fileEvents...)
 	}
 	sort.SliceStable(events, func(i, j int) bool { return events[i].At < events[j].At })
 	return events, nil
 }
 
-// ReadFile reads one log.
+// ReadFile reads one log and returns its events in file order. It treats
+// incomplete and malformed lines as ReadFolder does.
 func ReadFile(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("opening event log: %w", err)
 	}
 	defer file.Close()
-	reader := bufio.NewReaderSize(file, 1<<16)
+	reader := bufio.NewReaderSize(file, readBufferBytes)
 	var events []Event
 	for number := 1; ; number++ {
 		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return events, nil // what follows the last newline was torn
+			return events, nil // what follows the last newline is incomplete
 		}
 		if err != nil {
 			return nil, fmt.Errorf("reading %s: %w", path, err)
@@ -74,23 +74,21 @@
 	}
 }
 
-// lineStart begins every line of a log.
-const lineStart = `{"at":`
-
-// decodeLine decodes one line. A restarted writer appends behind the torn line
-// of its forerunner: the torn part is left out and the whole event read.
+// decodeLine decodes one line. A restarted writer appends directly after the
+// incomplete line of its predecessor: the incomplete part is skipped and the event
+// that follows it is decoded. If both fail, the error is that of the whole line.
 func decodeLine(line []byte) (Event, error) {
 	var event Event
 	err := json.Unmarshal(line, &event)
 	if err == nil {
 		return event, nil
 	}
-	last := bytes.LastIndex(line, []byte(lineStart))
-	if last <= 0 {
+	start := bytes.LastIndex(line, []byte(linePrefix))
+	if start <= 0 {
 		return Event{}, err
 	}
 	event = Event{}
-	if json.Unmarshal(line[last:], &event) != nil {
+	if json.Unmarshal(line[start:], &event) != nil {
 		return Event{}, err
 	}
 	return event, nil
