--- a/internal/workload/generator.go
+++ b/internal/workload/generator.go
@@ -11,21 +11,21 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Request is one arrival.
+// Request is one arrival of the generated traffic.
 type Request struct {
 	// At is the arrival time since the start of the load.
 	At time.Duration
-	// Region is where the client asks from.
+	// Region is the client's region.
 	Region string
-	// Service is what the route points to in the profile's configuration.
+	// Service is the service that the route leads to in the profile's configuration.
 	Service string
-	// HomeRegions are the only regions that may run it; empty is any.
+	// HomeRegions are the only regions that may run the request; empty means any.
 	HomeRegions []string
 	// Generate is the request, without a ticket.
 	Generate api.GenerateRequest
 }
 
-// Where is the question that precedes the request.
+// Where returns the where-to-go request that precedes the request.
 func (r *Request) Where() api.WhereRequest {
 	return api.WhereRequest{
 		RequestID:  r.Generate.RequestID,
@@ -39,42 +39,49 @@
 	}
 }
 
-// Generator draws an open-loop Poisson stream of requests.
+// pcgStream is the second word of the random generator's seed ("workload" in ASCII).
+const pcgStream = 0x776f726b6c6f6164
+
+// Generator draws an open-loop Poisson stream of requests. Rates that vary over time
+// are realized by thinning: arrivals are drawn at the peak rate and kept with the
+// probability rate/peak. It is not safe for concurrent use.
 type Generator struct {
 	profile  *Profile
 	scenario Scenario
-	prefix   string
+	idPrefix string
 	random   *rand.Rand
-	now      time.Duration
-	count    uint64
-	// peak bounds the rate at any time, for thinning.
+	// elapsed is the arrival time of the last draw, kept or not.
+	elapsed time.Duration
+	// drawn counts the requests, for their ids.
+	drawn uint64
+	// peak is an upper bound of the arrival rate at any time, in requests per second.
 	peak float64
-	// documents are the cumulative popularities of each tenant's documents.
-	documents map[*Tenant][]float64
+	// documentRanks holds the cumulative popularity of each tenant's documents.
+	documentRanks map[*Tenant][]float64
 }
 
-// New makes a generator. The prefix begins every request id, so that several
-// generators of one run stay apart.
+// New returns a generator. Every request id begins with the prefix, so that the ids
+// of several generators of one run are distinct.
 func New(profile *Profile, scenario Scenario, seed uint64, prefix string) *Generator {
 	g := &Generator{
-		profile:   profile,
-		scenario:  scenario,
-		prefix:    fmt.Sprintf("%s-%x", prefix, seed),
-		random:    rand.New(rand.NewPCG(seed, 0x776f726b6c6f6164)),
-		documents: make(map[*Tenant][]float64),
+		profile:       profile,
+		scenario:      scenario,
+		idPrefix:      fmt.Sprintf("%s-%x", prefix, seed),
+		random:        rand.New(rand.NewPCG(seed, pcgStream)),
+		documentRanks: make(map[*Tenant][]float64),
 	}
 	for _, mix := range profile.Mixes {
 		for index := range mix.Population.Tenants {
 			tenant := &mix.Population.Tenants[index]
-			g.documents[tenant] = zipf(tenant.Documents, mix.Population.Skew)
+			g.documentRanks[tenant] = zipfCumulative(tenant.Documents, mix.Population.Skew)
 		}
 	}
 	g.peak = g.peakRate()
 	return g
 }
 
-// zipf is the cumulative Zipf distribution over count ranks.
-func zipf(count int, exponent float64) []float64 {
+// zipfCumulative returns the cumulative Zipf distribution over count ranks.
+func zipfCumulative(count int, exponent float64) []float64 {
 	cumulative := make([]float64, count)
 	total := 0.0
 	for rank := range cumulative {
@@ -87,100 +94,105 @@
 	return cumulative
 }
 
-// peakRate bounds the arrival rate over all times.
+// peakRate returns the highest arrival rate over all times. The rate changes only
+// where a phase starts or ends, so it is enough to look there.
 func (g *Generator) peakRate() float64 {
-	peak := g.rate(g.effect(0))
+	peak := g.totalRate(g.combinedPhase(0))
 	for _, edge := range g.scenario {
-		peak = max(peak, g.rate(g.effect(edge.Start)), g.rate(g.effect(edge.End)))
+		peak = max(peak, g.totalRate(g.combinedPhase(edge.Start)), g.totalRate(g.combinedPhase(edge.End)))
 	}
 	return peak
 }
 
-// effect is the product of the phases in force.
-func (g *Generator) effect(at time.Duration) Phase {
-	effect := Phase{RateFactor: 1, PromptFactor: 1, AnswerFactor: 1, LongFactor: 1}
+// combinedPhase returns the combination of the phases in force at a time.
+func (g *Generator) combinedPhase(at time.Duration) Phase {
+	combined := Phase{RateFactor: 1, PromptFactor: 1, AnswerFactor: 1, LongFactor: 1}
 	for _, phase := range g.scenario {
 		if at < phase.Start || at >= phase.End {
 			continue
 		}
-		multiply(&effect.RateFactor, phase.RateFactor)
-		multiply(&effect.PromptFactor, phase.PromptFactor)
-		multiply(&effect.AnswerFactor, phase.AnswerFactor)
-		multiply(&effect.LongFactor, phase.LongFactor)
+		applyFactor(&combined.RateFactor, phase.RateFactor)
+		applyFactor(&combined.PromptFactor, phase.PromptFactor)
+		applyFactor(&combined.AnswerFactor, phase.AnswerFactor)
+		applyFactor(&combined.LongFactor, phase.LongFactor)
 		if phase.ClientShares != nil {
-			effect.ClientShares = phase.ClientShares
+			combined.ClientShares = phase.ClientShares
 		}
 	}
-	return effect
+	return combined
 }
 
-func multiply(product *float64, factor float64) {
+// applyFactor multiplies the product by the factor unless that is unset (0).
+func applyFactor(product *float64, factor float64) {
 	if factor != 0 {
 		*product *= factor
 	}
 }
 
-func (g *Generator) rate(effect Phase) float64 {
+// totalRate returns the arrival rate of all kinds, in requests per second.
+func (g *Generator) totalRate(phase Phase) float64 {
 	total := 0.0
 	for index := range g.profile.Mixes {
-		total += mixRate(&g.profile.Mixes[index], effect)
+		total += mixRate(&g.profile.Mixes[index], phase)
 	}
 	return total
 }
 
-func mixRate(mix *Mix, effect Phase) float64 {
+// mixRate returns the arrival rate of one kind, in requests per second.
+func mixRate(mix *Mix, phase Phase) float64 {
 	if mix.Class == api.ClassLong {
-		return mix.Rate * effect.RateFactor * effect.LongFactor
+		return mix.Rate * phase.RateFactor * phase.LongFactor
 	}
-	return mix.Rate * effect.RateFactor
+	return mix.Rate * phase.RateFactor
 }
 
-// Next draws the next arrival.
+// Next draws the next arrival. Arrival times never decrease.
 func (g *Generator) Next() Request {
 	for {
-		g.now += time.Duration(g.random.ExpFloat64() / g.peak * float64(time.Second))
-		effect := g.effect(g.now)
+		g.elapsed += time.Duration(g.random.ExpFloat64() / g.peak * float64(time.Second))
+		phase := g.combinedPhase(g.elapsed)
 		pick := g.random.Float64() * g.peak
 		for index := range g.profile.Mixes {
 			mix := &g.profile.Mixes[index]
-			pick -= mixRate(mix, effect)
+			pick -= mixRate(mix, phase)
 			if pick < 0 {
-				return g.draw(mix, effect)
+				return g.drawRequest(mix, phase)
 			}
 		}
 	}
 }
 
-// draw fills in one request of a kind.
-func (g *Generator) draw(mix *Mix, effect Phase) Request {
-	g.count++
-	region := g.drawRegion(effect)
+// drawRequest draws one request of a kind. The order of the draws is part of the
+// seed's meaning: changing it changes all generated traffic.
+func (g *Generator) drawRequest(mix *Mix, phase Phase) Request {
+	g.drawn++
+	region := g.drawRegion(phase)
 	tenant := g.drawTenant(mix.Population)
 	request := Request{
-		At:      g.now,
+		At:      g.elapsed,
 		Region:  region,
 		Service: mix.Service,
 		Generate: api.GenerateRequest{
-			RequestID:    fmt.Sprintf("%s-%d", g.prefix, g.count),
+			RequestID:    fmt.Sprintf("%s-%d", g.idPrefix, g.drawn),
 			Tenant:       tenant.Name,
 			Model:        mix.Model,
 			Class:        mix.Class,
 			Prefixes:     g.drawPrefixes(mix.Population, mix.Service, tenant),
-			PromptTokens: scaled(g.between(mix.PromptTokens), effect.PromptFactor),
-			MaxTokens:    scaled(g.between(mix.AnswerTokens), effect.AnswerFactor),
+			PromptTokens: scaleTokens(g.drawInt(mix.PromptTokens), phase.PromptFactor),
+			MaxTokens:    scaleTokens(g.drawInt(mix.AnswerTokens), phase.AnswerFactor),
 			Stream:       mix.Stream,
 			Client:       g.profile.Clients + region,
-			WaitMS:       int64(g.between(mix.WaitMS)),
+			WaitMS:       int64(g.drawInt(mix.WaitMS)),
 			Repeatable:   g.random.Float64() >= mix.NonRepeatableShare,
 		},
 	}
-	named := g.random.Float64() < mix.HomeShare
+	namesHome := g.random.Float64() < mix.HomeShare
 	switch {
 	case tenant.Home != "":
-		request.HomeRegions = g.profile.home(tenant.Home)
-	case named:
+		request.HomeRegions = g.profile.homeRegions(tenant.Home)
+	case namesHome:
 		request.Generate.Home = mix.Home
-		request.HomeRegions = g.profile.home(mix.Home)
+		request.HomeRegions = g.profile.homeRegions(mix.Home)
 	}
 	return request
 }
@@ -196,14 +208,14 @@
 	return &population.Tenants[0]
 }
 
-func (g *Generator) drawRegion(effect Phase) string {
+func (g *Generator) drawRegion(phase Phase) string {
 	total := 0.0
 	for _, region := range g.profile.Regions {
-		total += clientShare(region, effect)
+		total += clientShare(region, phase)
 	}
 	pick := g.random.Float64() * total
 	for _, region := range g.profile.Regions {
-		pick -= clientShare(region, effect)
+		pick -= clientShare(region, phase)
 		if pick < 0 {
 			return region.Name
 		}
@@ -211,43 +223,46 @@
 	return g.profile.Regions[0].Name
 }
 
-func clientShare(region Region, effect Phase) float64 {
-	if share, replaced := effect.ClientShares[region.Name]; replaced {
+func clientShare(region Region, phase Phase) float64 {
+	if share, replaced := phase.ClientShares[region.Name]; replaced {
 		return share
 	}
 	return region.ClientShare
 }
 
-// drawPrefixes draws a document of the tenant and one of its sections. Lengths
-// follow from the names, so that equal ids always mean equal lengths.
+// drawPrefixes draws a document of the tenant and one of its sections. Lengths are
+// derived from the ids, so that equal ids always have equal lengths.
 func (g *Generator) drawPrefixes(population *Population, service string, tenant *Tenant) []api.Prefix {
 	if tenant.Documents == 0 {
 		return nil
 	}
-	document := fmt.Sprintf("%s/%s/document-%d", service, tenant.Name, g.rank(g.documents[tenant]))
+	document := fmt.Sprintf("%s/%s/document-%d", service, tenant.Name, g.drawRank(g.documentRanks[tenant]))
 	section := fmt.Sprintf("%s/section-%d", document, g.random.IntN(population.Sections))
 	return []api.Prefix{
 		{ID: service + "/system", Tokens: population.SystemTokens},
-		{ID: document, Tokens: lengthOf(document, population.DocumentTokens)},
-		{ID: section, Tokens: lengthOf(section, population.SectionTokens)},
+		{ID: document, Tokens: prefixLength(document, population.DocumentTokens)},
+		{ID: section, Tokens: prefixLength(section, population.SectionTokens)},
 	}
 }
 
-func lengthOf(id string, bounds Range) int {
+// prefixLength derives a length within the bounds from a prefix id.
+func prefixLength(id string, bounds Range) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
 	return bounds.Minimum + int(hash.Sum64()%uint64(bounds.Maximum-bounds.Minimum+1))
 }
 
-func (g *Generator) rank(cumulative []float64) int {
+// drawRank draws an index by its cumulative distribution.
+func (g *Generator) drawRank(cumulative []float64) int {
 	pick := g.random.Float64()
 	return min(sort.SearchFloat64s(cumulative, pick), len(cumulative)-1)
 }
 
-func (g *Generator) between(bounds Range) int {
+// drawInt draws uniformly from a closed range.
+func (g *Generator) drawInt(bounds Range) int {
 	return bounds.Minimum + g.random.IntN(bounds.Maximum-bounds.Minimum+1)
 }
 
-func scaled(tokens int, factor float64) int {
+func scaleTokens(tokens int, factor float64) int {
 	return max(1, int(math.Round(float64(tokens)*factor)))
 }
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -11,8 +11,8 @@
 	"github.com/deckpulley/deckpulley/examples"
 )
 
-// collect draws the requests of a time.
-func collect(generator *Generator, length time.Duration) []Request {
+// drawUntil returns the requests that arrive within the given length of time.
+func drawUntil(generator *Generator, length time.Duration) []Request {
 	var requests []Request
 	for {
 		request := generator.Next()
@@ -23,144 +23,208 @@
 	}
 }
 
-func near(got, want, tolerance float64) bool {
+// withinTolerance reports whether got differs from want by at most the relative
+// tolerance.
+func withinTolerance(got, want, tolerance float64) bool {
 	return math.Abs(got-want) <= tolerance*want
 }
 
-func TestTrafficMatchesTheDeployment(t *testing.T) {
+// TestGeneratedTrafficMatchesProfile compares ten minutes of traffic with the
+// figures of each deployment.
+func TestGeneratedTrafficMatchesProfile(t *testing.T) {
+	cases := []struct {
+		deployment    string
+		rate, fetches float64 // per second
+	}{
+		{"kodovka", 65, 13},
+		{"georgia", 48, 10},
+		{"skewed", 65, 13},
+	}
 	const length = 600 * time.Second
-	for name, want := range map[string]struct{ rate, fetches float64 }{
-		"kodovka": {65, 13},
-		"georgia": {48, 10},
-		"skewed":  {65, 13},
-	} {
-		profile, err := ByName(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		requests := collect(New(profile, nil, 7, "r"), length)
-		if again := collect(New(profile, nil, 7, "r"), length); !reflect.DeepEqual(requests, again) {
-			t.Errorf("%s: equal seeds differ", name)
-		}
-		classes := make(map[api.Class]float64)
-		regions := make(map[string]float64)
-		ids := make(map[string]bool)
-		lengths := make(map[string]int)
-		homes := 0.0
-		for _, request := range requests {
-			classes[request.Generate.Class]++
-			regions[request.Region]++
-			ids[request.Generate.RequestID] = true
-			homes += float64(min(len(request.HomeRegions), 1))
-			for _, prefix := range request.Generate.Prefixes {
-				if known := lengths[prefix.ID]; known != 0 && known != prefix.Tokens {
-					t.Fatalf("%s: prefix %s has %d and %d tokens", name, prefix.ID, known, prefix.Tokens)
-				}
-				lengths[prefix.ID] = prefix.Tokens
+	for _, test := range cases {
+		t.Run(test.deployment, func(t *testing.T) {
+			profile, err := ByName(test.deployment)
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		seconds := length.Seconds()
-		if rate := float64(len(requests)) / seconds; !near(rate, want.rate, 0.03) {
-			t.Errorf("%s: %.1f requests/s, want %.0f", name, rate, want.rate)
-		}
-		if rate := classes[api.ClassFetch] / seconds; !near(rate, want.fetches, 0.05) {
-			t.Errorf("%s: %.1f fetches/s, want %.0f", name, rate, want.fetches)
-		}
-		if ratio := classes[api.ClassQuick] / classes[api.ClassLong]; !near(ratio, 2, 0.05) {
-			t.Errorf("%s: quick to long %.2f, want 2", name, ratio)
-		}
-		if share := homes / float64(len(requests)); share < 0.08 || share > 0.12 {
-			t.Errorf("%s: %.3f bound to a home, want about a tenth", name, share)
-		}
-		if len(ids) != len(requests) {
-			t.Errorf("%s: %d ids for %d requests", name, len(ids), len(requests))
-		}
-		total := 0.0
-		for _, region := range profile.Regions {
-			total += region.ClientShare
-		}
-		for _, region := range profile.Regions {
-			if share := regions[region.Name] / float64(len(requests)); !near(share, region.ClientShare/total, 0.06) {
-				t.Errorf("%s: %.3f of the clients in %s", name, share, region.Name)
+			requests := drawUntil(New(profile, nil, 7, "r"), length)
+			if again := drawUntil(New(profile, nil, 7, "r"), length); !reflect.DeepEqual(requests, again) {
+				t.Error("equal seeds give different requests")
 			}
-		}
+			if rate := float64(len(requests)) / length.Seconds(); !withinTolerance(rate, test.rate, 0.03) {
+				t.Errorf("%.1f requests/s, want %.0f", rate, test.rate)
+			}
+			checkClasses(t, requests, length, test.fetches)
+			checkHomeShare(t, requests)
+			checkIdentifiers(t, requests)
+			checkClientShares(t, profile, requests)
+		})
 	}
 }
 
-// TestNamesAreThoseOfTheExamples keeps the traffic and the example documents of
-// the deployments in step.
-func TestNamesAreThoseOfTheExamples(t *testing.T) {
-	for _, name := range examples.Deployments() {
-		text, err := examples.Configuration(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		document, err := configuration.Parse(text)
-		if err != nil {
-			t.Fatal(err)
+// checkClasses compares the rate of fetches and the ratio of the other two classes
+// with those of the deployments.
+func checkClasses(t *testing.T, requests []Request, length time.Duration, fetches float64) {
+	t.Helper()
+	classes := make(map[api.Class]float64)
+	for _, request := range requests {
+		classes[request.Generate.Class]++
+	}
+	if rate := classes[api.ClassFetch] / length.Seconds(); !withinTolerance(rate, fetches, 0.05) {
+		t.Errorf("%.1f fetches/s, want %.0f", rate, fetches)
+	}
+	if ratio := classes[api.ClassQuick] / classes[api.ClassLong]; !withinTolerance(ratio, 2, 0.05) {
+		t.Errorf("quick to long %.2f, want 2", ratio)
+	}
+}
+
+// checkHomeShare checks that about a tenth of the requests is bound to a home.
+func checkHomeShare(t *testing.T, requests []Request) {
+	t.Helper()
+	homes := 0.0
+	for _, request := range requests {
+		homes += float64(min(len(request.HomeRegions), 1))
+	}
+	if share := homes / float64(len(requests)); share < 0.08 || share > 0.12 {
+		t.Errorf("%.3f bound to a home, want about a tenth", share)
+	}
+}
+
+// checkIdentifiers checks that request ids are unique and that a prefix id always
+// has the same length.
+func checkIdentifiers(t *testing.T, requests []Request) {
+	t.Helper()
+	ids := make(map[string]bool)
+	lengths := make(map[string]int)
+	for _, request := range requests {
+		ids[request.Generate.RequestID] = true
+		for _, prefix := range request.Generate.Prefixes {
+			if known := lengths[prefix.ID]; known != 0 && known != prefix.Tokens {
+				t.Fatalf("prefix %s has %d and %d tokens", prefix.ID, known, prefix.Tokens)
+			}
+			lengths[prefix.ID] = prefix.Tokens
 		}
-		profile, err := ByName(name)
-		if err != nil {
-			t.Fatal(err)
+	}
+	if len(ids) != len(requests) {
+		t.Errorf("%d ids for %d requests", len(ids), len(requests))
+	}
+}
+
+// checkClientShares compares the requests of each region with its client share.
+func checkClientShares(t *testing.T, profile *Profile, requests []Request) {
+	t.Helper()
+	regions := make(map[string]float64)
+	for _, request := range requests {
+		regions[request.Region]++
+	}
+	total := 0.0
+	for _, region := range profile.Regions {
+		total += region.ClientShare
+	}
+	for _, region := range profile.Regions {
+		if share := regions[region.Name] / float64(len(requests)); !withinTolerance(share, region.ClientShare/total, 0.06) {
+			t.Errorf("%.3f of the clients in %s, want %.3f", share, region.Name, region.ClientShare/total)
 		}
-		for _, region := range profile.Regions {
-			listed := document.Regions[region.Name]
-			if !reflect.DeepEqual(listed.Zones, []string{region.Zone}) || listed.Capacity != region.ModelReplicas {
-				t.Errorf("%s: region %+v, the document has %+v", name, region, listed)
+	}
+}
+
+// TestProfilesMatchExampleDocuments keeps the traffic and the example documents of
+// the deployments consistent.
+func TestProfilesMatchExampleDocuments(t *testing.T) {
+	for _, name := range examples.Deployments() {
+		t.Run(name, func(t *testing.T) {
+			text, err := examples.Configuration(name)
+			if err != nil {
+				t.Fatal(err)
 			}
-			if client := profile.Clients + region.Name; document.Clients[client] != region.Name {
-				t.Errorf("%s: client %s is mapped to %q", name, client, document.Clients[client])
+			document, err := configuration.Parse(text)
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		for _, home := range profile.Homes {
-			if !reflect.DeepEqual(document.Homes[home.Name], home.Regions) {
-				t.Errorf("%s: home %+v, the document has %v", name, home, document.Homes[home.Name])
+			profile, err := ByName(name)
+			if err != nil {
+				t.Fatal(err)
 			}
+			checkRegions(t, profile, document)
+			checkHomes(t, profile, document)
+			checkRoutes(t, profile, document)
+		})
+	}
+}
+
+func checkRegions(t *testing.T, profile *Profile, document *configuration.Document) {
+	t.Helper()
+	for _, region := range profile.Regions {
+		listed := document.Regions[region.Name]
+		if !reflect.DeepEqual(listed.Zones, []string{region.Zone}) || listed.Capacity != region.ModelReplicas {
+			t.Errorf("region %+v, the document has %+v", region, listed)
 		}
-		for _, mix := range profile.Mixes {
-			route := document.Routes[mix.Model]
-			if route.Service != mix.Service || route.Class != string(mix.Class) || route.Home != "" {
-				t.Errorf("%s: model %s of class %s, the document has %+v", name, mix.Model, mix.Class, route)
-			}
-			for _, tenant := range mix.Population.Tenants {
-				if document.Tenants[tenant.Name].Home != tenant.Home {
-					t.Errorf("%s: tenant %+v, the document has %+v", name, tenant, document.Tenants[tenant.Name])
-				}
+		if client := profile.Clients + region.Name; document.Clients[client] != region.Name {
+			t.Errorf("client %s is mapped to %q", client, document.Clients[client])
+		}
+	}
+}
+
+func checkHomes(t *testing.T, profile *Profile, document *configuration.Document) {
+	t.Helper()
+	for _, home := range profile.Homes {
+		if !reflect.DeepEqual(document.Homes[home.Name], home.Regions) {
+			t.Errorf("home %+v, the document has %v", home, document.Homes[home.Name])
+		}
+	}
+}
+
+// checkRoutes compares the routes and the tenants' homes.
+func checkRoutes(t *testing.T, profile *Profile, document *configuration.Document) {
+	t.Helper()
+	for _, mix := range profile.Mixes {
+		route := document.Routes[mix.Model]
+		if route.Service != mix.Service || route.Class != string(mix.Class) || route.Home != "" {
+			t.Errorf("model %s of class %s, the document has %+v", mix.Model, mix.Class, route)
+		}
+		for _, tenant := range mix.Population.Tenants {
+			if document.Tenants[tenant.Name].Home != tenant.Home {
+				t.Errorf("tenant %+v, the document has %+v", tenant, document.Tenants[tenant.Name])
 			}
 		}
 	}
 }
 
-func TestScenariosChangeTheTraffic(t *testing.T) {
-	profile := Kodovka()
+// TestScenarios compares the traffic of three successive 100 s windows with what the
+// phases of a scenario make of it.
+func TestScenarios(t *testing.T) {
 	const second = time.Second
+	const window = 100 * second
+	profile := Kodovka()
 	cases := []struct {
 		name     string
 		scenario Scenario
 		measure  func([]Request) float64
-		// before, during and after are means over 100 s each.
+		// before, during and after are the values measured over one window each.
 		before, during, after float64
 	}{
-		{"step", Step(100*second, 3), rate, 65, 195, 195},
-		{"crowd", Crowd(100*second, 100*second, 4), rate, 65, 260, 65},
-		{"overlap", append(Crowd(100*second, 100*second, 2), Crowd(100*second, 200*second, 1.5)...), rate, 65, 195, 97.5},
-		{"long answers", Scenario{{Start: 100 * second, End: 200 * second, AnswerFactor: 3}}, answerTokens, 47.3, 142, 47.3},
-		{"swing", Swing(100*second, 200*second, 300*second, 2), answerTokens, 47.3, 23.7, 94.7},
-		{"move", Move(100*second, 200*second, profile, "north", "south"), southern, 1.0 / 3, 2.0 / 3, 1.0 / 3},
-		{"more long", Scenario{{Start: 100 * second, End: 200 * second, LongFactor: 4}}, rate, 65, 65 + 52, 65},
+		{"step", Step(100*second, 3), arrivalRate, 65, 195, 195},
+		{"crowd", Crowd(100*second, 100*second, 4), arrivalRate, 65, 260, 65},
+		{"overlap", append(Crowd(100*second, 100*second, 2), Crowd(100*second, 200*second, 1.5)...), arrivalRate, 65, 195, 97.5},
+		{"long answers", Scenario{{Start: 100 * second, End: 200 * second, AnswerFactor: 3}}, meanAnswerTokens, 47.3, 142, 47.3},
+		{"swing", Swing(100*second, 200*second, 300*second, 2), meanAnswerTokens, 47.3, 23.7, 94.7},
+		{"move", Move(100*second, 200*second, profile, "north", "south"), southernShare, 1.0 / 3, 2.0 / 3, 1.0 / 3},
+		{"more long", Scenario{{Start: 100 * second, End: 200 * second, LongFactor: 4}}, arrivalRate, 65, 65 + 52, 65},
 	}
 	for _, test := range cases {
-		requests := collect(New(profile, test.scenario, 3, "r"), 300*second)
-		for index, want := range []float64{test.before, test.during, test.after} {
-			start := time.Duration(index) * 100 * second
-			if got := test.measure(within(requests, start, start+100*second)); !near(got, want, 0.06) {
-				t.Errorf("%s: %.2f from %v on, want %.2f", test.name, got, start, want)
+		t.Run(test.name, func(t *testing.T) {
+			requests := drawUntil(New(profile, test.scenario, 3, "r"), 3*window)
+			for index, want := range []float64{test.before, test.during, test.after} {
+				start := time.Duration(index) * window
+				if got := test.measure(arrivedBetween(requests, start, start+window)); !withinTolerance(got, want, 0.06) {
+					t.Errorf("%.2f from %v on, want %.2f", got, start, want)
+				}
 			}
-		}
+		})
 	}
 }
 
-func within(requests []Request, start, end time.Duration) []Request {
+func arrivedBetween(requests []Request, start, end time.Duration) []Request {
 	var chosen []Request
 	for _, request := range requests {
 		if request.At >= start && request.At < end {
@@ -170,12 +234,13 @@
 	return chosen
 }
 
-// rate is in requests per second over 100 s.
-func rate(requests []Request) float64 {
+// arrivalRate returns the arrival rate of requests that arrived within 100 s, per
+// second.
+func arrivalRate(requests []Request) float64 {
 	return float64(len(requests)) / 100
 }
 
-func answerTokens(requests []Request) float64 {
+func meanAnswerTokens(requests []Request) float64 {
 	total := 0
 	for _, request := range requests {
 		total += request.Generate.MaxTokens
@@ -183,7 +248,7 @@
 	return float64(total) / float64(len(requests))
 }
 
-func southern(requests []Request) float64 {
+func southernShare(requests []Request) float64 {
 	count := 0.0
 	for _, request := range requests {
 		if request.Region == "south" {
