--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -2,43 +2,45 @@
 
 import "github.com/deckpulley/deckpulley/api"
 
-// prefixNode is one cached prefix below its parent: the same id under another
-// parent is another node, because its keys and values depend on all before it.
+// prefixNode is one cached prefix below its parent. The same id below another parent
+// is another node, because keys and values depend on all tokens before them.
 type prefixNode struct {
 	id       string
 	tokens   int
 	parent   *prefixNode
 	children map[string]*prefixNode
-	// pins counts the sequences that use the node; a pinned node stays.
+	// pins counts the sequences that use the node; a pinned node is not evicted.
 	pins int
 	// ready is set once a sequence has prefilled the node.
 	ready bool
-	// newer and older link the nodes by their last use.
+	// newer and older link the nodes in the order of their last use. Both are nil
+	// while the node is not in the list.
 	newer, older *prefixNode
 }
 
-// prefixCache is a prefix tree over token capacity with least-recently-used
-// eviction of leaves. Tokens that belong to one sequence alone are counted
-// against the same capacity.
+// prefixCache is a prefix tree with a capacity in tokens and eviction of the least
+// recently used leaf. The private tokens of running sequences count against the
+// same capacity.
 type prefixCache struct {
-	capacity  int
-	used      int
-	evictions uint64
-	root      prefixNode
-	// list is the sentinel of the ring of nodes: newest at list.older.
+	capacityTokens int
+	usedTokens     int
+	evictions      uint64
+	root           prefixNode
+	// list is the sentinel of the ring of nodes: list.older is the most recently used
+	// node, list.newer the least recently used one.
 	list prefixNode
 }
 
 func newPrefixCache(capacity int) *prefixCache {
-	c := &prefixCache{capacity: capacity}
+	c := &prefixCache{capacityTokens: capacity}
 	c.root.children = make(map[string]*prefixNode)
 	c.list.newer = &c.list
 	c.list.older = &c.list
 	return c
 }
 
-// missing counts the tokens of the prefixes that are not cached yet.
-func (c *prefixCache) missing(prefixes []api.Prefix) int {
+// missingTokens returns the number of tokens of the prefixes that are not cached yet.
+func (c *prefixCache) missingTokens(prefixes []api.Prefix) int {
 	parent := &c.root
 	missing := 0
 	for _, prefix := range prefixes {
@@ -54,9 +56,9 @@
 	return missing
 }
 
-// pin inserts the prefixes as far as absent, reserves private tokens beside
-// them and pins the path. It evicts as needed and reports false, with nothing
-// changed but evictions, if there is no room.
+// pin inserts the prefixes that are absent, reserves the private tokens and pins the
+// path, which it returns. It evicts as needed. If the capacity does not suffice it
+// returns false; nodes may have been evicted then, but nothing is pinned or reserved.
 func (c *prefixCache) pin(prefixes []api.Prefix, private int) ([]*prefixNode, bool) {
 	path := make([]*prefixNode, 0, len(prefixes))
 	parent := &c.root
@@ -73,7 +75,7 @@
 	for _, prefix := range prefixes[len(path):] {
 		need += prefix.Tokens
 	}
-	if !c.makeRoom(need) {
+	if !c.evictFor(need) {
 		for _, node := range path {
 			node.pins--
 		}
@@ -83,11 +85,12 @@
 		parent = c.insert(parent, prefix)
 		path = append(path, parent)
 	}
-	c.used += private
+	c.usedTokens += private
 	c.touch(path)
 	return path, true
 }
 
+// insert adds a pinned node below the parent. The caller puts it into the list.
 func (c *prefixCache) insert(parent *prefixNode, prefix api.Prefix) *prefixNode {
 	node := &prefixNode{
 		id:       prefix.ID,
@@ -97,14 +100,14 @@
 		pins:     1,
 	}
 	parent.children[prefix.ID] = node
-	c.used += prefix.Tokens
+	c.usedTokens += prefix.Tokens
 	return node
 }
 
-// unpin releases a path and the sequence's private tokens. Nodes that nobody
-// prefilled or uses leave at once.
+// unpin releases a path and the sequence's private tokens. Unpinned leaves that were
+// never prefilled are removed at once, since they hold no keys and values.
 func (c *prefixCache) unpin(path []*prefixNode, private int) {
-	c.used -= private
+	c.usedTokens -= private
 	for index := len(path) - 1; index >= 0; index-- {
 		node := path[index]
 		node.pins--
@@ -114,8 +117,8 @@
 	}
 }
 
-// touch makes the path the newest, each parent newer than its child, so that
-// the oldest unpinned node is always a leaf.
+// touch makes the path the most recently used one, each parent newer than its child,
+// so that the oldest unpinned node is always a leaf.
 func (c *prefixCache) touch(path []*prefixNode) {
 	for index := len(path) - 1; index >= 0; index-- {
 		node := path[index]
@@ -127,10 +130,11 @@
 	}
 }
 
-// makeRoom evicts the least recently used unpinned leaves until need fits.
-func (c *prefixCache) makeRoom(need int) bool {
+// evictFor evicts the least recently used unpinned leaves until so many tokens are
+// free. It reports false if they do not suffice.
+func (c *prefixCache) evictFor(tokens int) bool {
 	candidate := c.list.newer
-	for c.used+need > c.capacity {
+	for c.usedTokens+tokens > c.capacityTokens {
 		for candidate != &c.list && (candidate.pins > 0 || len(candidate.children) > 0) {
 			candidate = candidate.newer
 		}
@@ -145,12 +149,14 @@
 	return true
 }
 
+// remove deletes an unpinned leaf from the tree and the list.
 func (c *prefixCache) remove(node *prefixNode) {
 	delete(node.parent.children, node.id)
 	unlink(node)
-	c.used -= node.tokens
+	c.usedTokens -= node.tokens
 }
 
+// unlink removes a node from the list; it does nothing if the node is not in it.
 func unlink(node *prefixNode) {
 	if node.newer == nil {
 		return
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,8 +1,8 @@
-// Package emulator models a replica in virtual time: a language model that
-// prefills prompts, keeps shared prefixes in a KV cache and decodes in batches,
-// or a small web service. It performs no I/O, starts no goroutine and reads no
-// clock: callers pass the time since the replica's start, which must never fall.
-// Equal parameters, seeds and calls give equal events.
+// Package emulator models a replica in virtual time: a language model that prefills
+// prompts, keeps shared prefixes in a KV cache and decodes in batches, or a small web
+// service. It performs no I/O, starts no goroutine and reads no clock: callers pass
+// the time since the replica's start, which must never decrease. Equal parameters,
+// seeds and calls give equal events.
 package emulator
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Errors of Submit. A job refused with one of them has not begun.
+// Errors that Submit returns. A job that was refused with one of them has not started.
 var (
 	ErrDraining  = errors.New("emulator: the replica is draining")
 	ErrQueueFull = errors.New("emulator: the queue is full")
 	ErrTooLarge  = errors.New("emulator: the request does not fit into the KV cache")
 )
 
-// Job is one run on a replica.
+// Job is one execution of a request on a replica.
 type Job struct {
 	// ID is unique among the jobs of one replica.
 	ID       string
@@ -31,38 +31,40 @@
 	AnswerTokens int
 }
 
-// EventKind says what happened to a job.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 const (
-	// EventToken is one generated token.
+	// EventToken reports one generated token.
 	EventToken EventKind = iota
-	// EventEnd follows the last token.
+	// EventEnd reports the end of a job. It follows the last token.
 	EventEnd
 )
 
-// Event is one step of a job. Events of one job come in order.
+// Event reports progress of a job. The events of one job are in order of time.
 type Event struct {
-	Job  string
+	Job  string // ID of the job
 	Kind EventKind
-	// At is when it happened, since the replica's start.
+	// At is the time of the event since the replica's start.
 	At time.Duration
-	// Index counts the tokens of the job from 1; at the end it is their number.
+	// Index is the number of the token, from 1. For EventEnd it is the length of the
+	// answer in tokens.
 	Index int
-	// CachedTokens is the part of the prompt found in the KV cache.
+	// CachedTokens is the number of prompt tokens found in the KV cache.
 	CachedTokens int
 }
 
-// State is what a replica can say of itself.
+// State describes a replica at one time, as it reports it to gateways.
 type State struct {
 	Running              int
 	Queued               int
 	Slots                int
 	PendingPrefillTokens int
-	// PrefillTokensPerSecond is the present speed, lower while cold.
+	// PrefillTokensPerSecond is the current prefill rate, which is lower while cold.
 	PrefillTokensPerSecond float64
-	// CacheUsed is the used part of the KV cache, 0 to 1.
-	CacheUsed      float64
+	// CacheUsed is the used fraction of the KV cache, 0 to 1.
+	CacheUsed float64
+	// CacheEvictions counts the evicted prefixes since the start.
 	CacheEvictions uint64
 	WeightVersion  string
 	Cold           bool
@@ -71,85 +73,88 @@
 
 // Replica is one emulated replica. It is not safe for concurrent use.
 type Replica interface {
-	// Submit accepts a job at now or refuses it with one of the package's errors.
+	// Submit accepts a job at now, or refuses it with ErrDraining, ErrQueueFull or
+	// ErrTooLarge.
 	Submit(now time.Duration, job Job) error
-	// Cancel forgets a job at now; an unknown one is ignored.
+	// Cancel removes a job at now. It does nothing if the id is unknown.
 	Cancel(now time.Duration, id string)
-	// NextEvent is the time at which Advance has work, if any is left.
+	// NextEvent returns the next time at which Advance has work to do, and false if
+	// the replica is idle.
 	NextEvent() (time.Duration, bool)
-	// Advance works up to now and returns the events since the last call.
+	// Advance works until now and returns the events since the last call.
 	Advance(now time.Duration) []Event
-	// State describes the replica at now.
+	// State returns the replica's state at now.
 	State(now time.Duration) State
-	// SetDraining makes the replica refuse new jobs, or take them again.
+	// SetDraining makes the replica refuse new jobs, or accept them again.
 	SetDraining(draining bool)
-	// MakeCold empties the KV cache of what is unused and makes the replica slow
-	// until it has warmed up.
+	// MakeCold evicts the unused part of the KV cache and makes the replica slow until
+	// it has warmed up. Running jobs continue.
 	MakeCold(now time.Duration)
 }
 
-// New makes a replica. It panics on parameters that Validate refuses.
+// New returns a replica, cold or warm. It panics if Validate rejects the parameters.
 func New(parameters Parameters, seed uint64, cold bool) Replica {
 	if err := parameters.Validate(); err != nil {
 		panic("emulator: " + err.Error())
 	}
-	shared := common{
+	base := replicaBase{
 		parameters: parameters,
 		random:     rand.New(rand.NewPCG(seed, uint64(len(parameters.Kind)))),
 		cold:       cold,
 	}
 	if parameters.Kind == KindWeb {
-		return &webReplica{common: shared}
+		return &webReplica{replicaBase: base}
 	}
-	return &modelReplica{common: shared, cache: newPrefixCache(parameters.CacheTokens)}
+	return &modelReplica{replicaBase: base, cache: newPrefixCache(parameters.CacheTokens)}
 }
 
-// common is what both kinds of replica share.
-type common struct {
-	parameters Parameters
-	random     *rand.Rand
-	events     []Event
-	draining   bool
-	cold       bool
-	coldSince  time.Duration
-	answers    int // since coldSince
+// replicaBase is the state that both kinds of replica share.
+type replicaBase struct {
+	parameters       Parameters
+	random           *rand.Rand
+	events           []Event
+	draining         bool
+	cold             bool
+	coldSince        time.Duration
+	answersSinceCold int
 }
 
 // SetDraining implements Replica.
-func (c *common) SetDraining(draining bool) {
-	c.draining = draining
+func (b *replicaBase) SetDraining(draining bool) {
+	b.draining = draining
 }
 
-// warmUp ends coldness once the replica has worked or waited enough.
-func (c *common) warmUp(now time.Duration) {
-	if !c.cold {
+// warmUp makes a cold replica warm after WarmRequests answers or WarmSeconds.
+func (b *replicaBase) warmUp(now time.Duration) {
+	if !b.cold {
 		return
 	}
-	waited := now - c.coldSince
-	if c.answers >= c.parameters.WarmRequests || waited.Seconds() >= c.parameters.WarmSeconds {
-		c.cold = false
+	coldFor := now - b.coldSince
+	if b.answersSinceCold >= b.parameters.WarmRequests || coldFor.Seconds() >= b.parameters.WarmSeconds {
+		b.cold = false
 	}
 }
 
-func (c *common) chill(now time.Duration) {
-	c.cold = true
-	c.coldSince = now
-	c.answers = 0
+// becomeCold starts the warm-up anew.
+func (b *replicaBase) becomeCold(now time.Duration) {
+	b.cold = true
+	b.coldSince = now
+	b.answersSinceCold = 0
 }
 
-// stretch applies coldness and jitter to a duration.
-func (c *common) stretch(now, duration time.Duration) time.Duration {
-	c.warmUp(now)
-	factor := 1 + c.parameters.Jitter*(2*c.random.Float64()-1)
-	if c.cold {
-		factor *= c.parameters.ColdFactor
+// scaleDuration applies the cold factor and jitter to a duration that begins at now.
+func (b *replicaBase) scaleDuration(now, duration time.Duration) time.Duration {
+	b.warmUp(now)
+	factor := 1 + b.parameters.Jitter*(2*b.random.Float64()-1)
+	if b.cold {
+		factor *= b.parameters.ColdFactor
 	}
 	return time.Duration(float64(duration) * factor)
 }
 
-// takeEvents returns and forgets the events gathered so far.
-func (c *common) takeEvents() []Event {
-	events := c.events
-	c.events = nil
+// takeEvents returns the events since the last call.
+func (b *replicaBase) takeEvents() []Event {
+	events := b.events
+	b.events = nil
 	return events
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,8 +12,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// exact are parameters without randomness.
-func exact() Parameters {
+// deterministicParameters returns parameters without jitter.
+func deterministicParameters() Parameters {
 	parameters := DefaultParameters(KindModel)
 	parameters.Jitter = 0
 	parameters.PrefillTokensPerSecond = 20_000
@@ -21,8 +21,8 @@
 	return parameters
 }
 
-// finish runs a replica until it is idle.
-func finish(replica Replica) []Event {
+// runUntilIdle advances a replica until it is idle and returns the events.
+func runUntilIdle(replica Replica) []Event {
 	var events []Event
 	for {
 		next, pending := replica.NextEvent()
@@ -33,7 +33,8 @@
 	}
 }
 
-func chain(ids ...string) []api.Prefix {
+// prefixChain returns prefixes of 1000 tokens each.
+func prefixChain(ids ...string) []api.Prefix {
 	prefixes := make([]api.Prefix, len(ids))
 	for index, id := range ids {
 		prefixes[index] = api.Prefix{ID: id, Tokens: 1000}
@@ -41,7 +42,7 @@
 	return prefixes
 }
 
-func TestModelTimesFollowTheParameters(t *testing.T) {
+func TestModelLatency(t *testing.T) {
 	cases := []struct {
 		name       string
 		cold       bool
@@ -51,20 +52,20 @@
 		firstToken time.Duration
 		end        time.Duration
 	}{
-		{"nothing cached", false, nil, chain("a", "b"), 0, 105 * time.Millisecond, 117 * time.Millisecond},
-		{"all cached", false, [][]api.Prefix{chain("a", "b")}, chain("a", "b"), 2000, 5 * time.Millisecond, 17 * time.Millisecond},
-		{"common beginning", false, [][]api.Prefix{chain("a", "b")}, chain("a", "c"), 1000, 55 * time.Millisecond, 67 * time.Millisecond},
-		{"same id below another parent", false, [][]api.Prefix{chain("a", "b")}, chain("c", "b"), 0, 105 * time.Millisecond, 117 * time.Millisecond},
-		{"cold", true, nil, chain("a"), 0, 275 * time.Millisecond, 335 * time.Millisecond},
+		{"nothing cached", false, nil, prefixChain("a", "b"), 0, 105 * time.Millisecond, 117 * time.Millisecond},
+		{"all cached", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("a", "b"), 2000, 5 * time.Millisecond, 17 * time.Millisecond},
+		{"common beginning", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("a", "c"), 1000, 55 * time.Millisecond, 67 * time.Millisecond},
+		{"same id below another parent", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("c", "b"), 0, 105 * time.Millisecond, 117 * time.Millisecond},
+		{"cold", true, nil, prefixChain("a"), 0, 275 * time.Millisecond, 335 * time.Millisecond},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			replica := New(exact(), 1, test.cold)
+			replica := New(deterministicParameters(), 1, test.cold)
 			for index, prefixes := range test.earlier {
 				if err := replica.Submit(0, Job{ID: fmt.Sprint("earlier", index), Prefixes: prefixes, AnswerTokens: 1}); err != nil {
 					t.Fatal(err)
 				}
-				finish(replica)
+				runUntilIdle(replica)
 			}
 			start := 10 * time.Second
 			if err := replica.Submit(start, Job{ID: "job", Prefixes: test.prefixes, PromptTokens: 100, AnswerTokens: 2}); err != nil {
@@ -75,21 +76,21 @@
 				{"job", EventToken, start + test.end, 2, test.cached},
 				{"job", EventEnd, start + test.end, 2, test.cached},
 			}
-			if difference := cmp.Diff(want, finish(replica)); difference != "" {
+			if difference := cmp.Diff(want, runUntilIdle(replica)); difference != "" {
 				t.Errorf("events (-want +got):\n%s", difference)
 			}
 		})
 	}
 }
 
-func TestStepTimeGrowsWithTheBatch(t *testing.T) {
-	replica := New(exact(), 1, false)
+func TestDecodeStepTimeGrowsWithBatchSize(t *testing.T) {
+	replica := New(deterministicParameters(), 1, false)
 	for index := range 16 {
 		if err := replica.Submit(0, Job{ID: fmt.Sprint(index), PromptTokens: 1, AnswerTokens: 100}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	events := finish(replica)
+	events := runUntilIdle(replica)
 	middle := len(events) / 2
 	gap := events[middle+16].At - events[middle].At
 	if want := 19500 * time.Microsecond; gap != want {
@@ -97,18 +98,19 @@
 	}
 }
 
-func TestEvictionTakesTheLeastRecentlyUsedLeaf(t *testing.T) {
-	parameters := exact()
+func TestCacheEvictsLeastRecentlyUsedLeaf(t *testing.T) {
+	parameters := deterministicParameters()
 	parameters.CacheTokens = 4500
 	replica, ok := New(parameters, 1, false).(*modelReplica)
 	if !ok {
 		t.Fatal("not a replica of a model")
 	}
 	run := func(prefixes ...string) int {
-		if err := replica.Submit(replica.stepEnd, Job{ID: "job", Prefixes: chain(prefixes...), AnswerTokens: 1}); err != nil {
+		t.Helper()
+		if err := replica.Submit(replica.stepEnd, Job{ID: "job", Prefixes: prefixChain(prefixes...), AnswerTokens: 1}); err != nil {
 			t.Fatal(err)
 		}
-		events := finish(replica)
+		events := runUntilIdle(replica)
 		return events[len(events)-1].CachedTokens
 	}
 	run("a", "b")
@@ -129,7 +131,7 @@
 	}
 }
 
-func TestColdReplicaWarmsByRequestsOrTime(t *testing.T) {
+func TestColdReplicaWarmsUpByRequestsOrTime(t *testing.T) {
 	for _, kind := range []Kind{KindModel, KindWeb} {
 		parameters := DefaultParameters(kind)
 		parameters.WarmRequests = 3
@@ -141,7 +143,7 @@
 			if err := replica.Submit(0, Job{ID: fmt.Sprint(index), PromptTokens: 1, AnswerTokens: 1}); err != nil {
 				t.Fatal(err)
 			}
-			finish(replica)
+			runUntilIdle(replica)
 		}
 		if replica.State(0).Cold {
 			t.Errorf("%s: cold after 3 answers", kind)
@@ -156,9 +158,9 @@
 	}
 }
 
-// TestEveryAcceptedJobIsAnsweredOnce draws histories of submissions,
-// cancellations, drains and cold starts over both kinds.
-func TestEveryAcceptedJobIsAnsweredOnce(t *testing.T) {
+// TestAcceptedJobsEndExactlyOnce draws histories of submissions, cancellations and
+// cold starts of both kinds, on two replicas with the same seed.
+func TestAcceptedJobsEndExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Kind{KindModel, KindWeb}).Draw(t, "kind")
 		parameters := DefaultParameters(kind)
@@ -189,7 +191,7 @@
 			default:
 				job := Job{
 					ID:           id,
-					Prefixes:     chain("a", rapid.SampledFrom([]string{"b", "c", "d", "e"}).Draw(t, "leaf")),
+					Prefixes:     prefixChain("a", rapid.SampledFrom([]string{"b", "c", "d", "e"}).Draw(t, "leaf")),
 					PromptTokens: rapid.IntRange(0, 900).Draw(t, "prompt"),
 					AnswerTokens: rapid.IntRange(1, 20).Draw(t, "answer"),
 				}
@@ -205,19 +207,21 @@
 				t.Fatalf("state out of bounds: %+v", state)
 			}
 		}
-		events = append(events, finish(replica)...)
-		twinEvents = append(twinEvents, finish(twin)...)
+		events = append(events, runUntilIdle(replica)...)
+		twinEvents = append(twinEvents, runUntilIdle(twin)...)
 		if difference := cmp.Diff(twinEvents, events); difference != "" {
 			t.Fatalf("equal replicas differ:\n%s", difference)
 		}
-		checkEvents(t, kind, events, accepted, canceled)
+		checkEventSequence(t, kind, events, accepted, canceled)
 		if model, isModel := replica.(*modelReplica); isModel {
-			checkCache(t, model)
+			checkCacheAccounting(t, model)
 		}
 	})
 }
 
-func checkEvents(t *rapid.T, kind Kind, events []Event, accepted map[string]int, canceled map[string]bool) {
+// checkEventSequence checks that times do not decrease, that tokens are in order and
+// that every accepted job ends once and completely unless it was canceled.
+func checkEventSequence(t *rapid.T, kind Kind, events []Event, accepted map[string]int, canceled map[string]bool) {
 	tokens := make(map[string]int)
 	ended := make(map[string]bool)
 	var last time.Duration
@@ -237,8 +241,8 @@
 			continue
 		}
 		ended[event.Job] = true
-		whole := event.Index == accepted[event.Job] && (kind == KindWeb || tokens[event.Job] == event.Index)
-		if !whole {
+		complete := event.Index == accepted[event.Job] && (kind == KindWeb || tokens[event.Job] == event.Index)
+		if !complete {
 			t.Fatalf("ended short: %+v of %d", event, accepted[event.Job])
 		}
 	}
@@ -249,8 +253,8 @@
 	}
 }
 
-// checkCache compares the used tokens of an idle replica with its tree.
-func checkCache(t *rapid.T, model *modelReplica) {
+// checkCacheAccounting compares the used tokens of an idle replica with its tree.
+func checkCacheAccounting(t *rapid.T, model *modelReplica) {
 	total := 0
 	for node := model.cache.list.older; node != &model.cache.list; node = node.older {
 		if node.pins != 0 || !node.ready {
@@ -258,7 +262,7 @@
 		}
 		total += node.tokens
 	}
-	if total != model.cache.used || total > model.cache.capacity {
-		t.Fatalf("cache counts %d tokens, holds %d of %d", model.cache.used, total, model.cache.capacity)
+	if total != model.cache.usedTokens || total > model.cache.capacityTokens {
+		t.Fatalf("cache counts %d tokens, holds %d of %d", model.cache.usedTokens, total, model.cache.capacityTokens)
 	}
 }
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,43 +7,45 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// sequence is a job that holds a slot.
+// sequence is a job that occupies a slot.
 type sequence struct {
 	job Job
-	// path is its pinned part of the prefix tree, private its own tokens.
-	path    []*prefixNode
-	private int
-	// started is set once prefill began; cached and remaining are known then.
-	started   bool
-	cached    int
-	remaining int
-	generated int
-	// finishing is set while the running step completes the prefill.
-	finishing bool
+	// path is the sequence's pinned path in the prefix tree. privateTokens is the
+	// cache space reserved for the rest of the prompt and the answer.
+	path          []*prefixNode
+	privateTokens int
+	// prefillStarted is set when the prefill begins, which sets cachedTokens and
+	// prefillTokens, the prompt tokens found in the cache and those left to prefill.
+	prefillStarted  bool
+	cachedTokens    int
+	prefillTokens   int
+	generatedTokens int
+	// prefillEnds is set while the step runs that completes the prefill.
+	prefillEnds bool
 }
 
-// modelReplica is a language model with continuous batching: each step prefills
-// a bounded chunk, in order of admission, and decodes one token for every
-// sequence whose prefill is done.
+// modelReplica is a language model with continuous batching: each step prefills a
+// bounded number of prompt tokens, in order of admission, and decodes one token for
+// every sequence whose prefill is complete.
 type modelReplica struct {
-	common
+	replicaBase
 	cache   *prefixCache
 	waiting []Job
 	running []*sequence
-	// stepping is set while a step runs, which ends at stepEnd.
+	// stepping is set while a step runs; the step ends at stepEnd.
 	stepping bool
 	stepEnd  time.Duration
-	// decoding are the sequences that get a token from the running step.
+	// decoding lists the sequences that get a token from the running step.
 	decoding []*sequence
 }
 
 // Submit implements Replica.
 func (m *modelReplica) Submit(now time.Duration, job Job) error {
-	m.work(now)
+	m.advanceTo(now)
 	if m.draining {
 		return ErrDraining
 	}
-	if prefixTokens(job.Prefixes)+privateTokens(job) > m.parameters.CacheTokens {
+	if prefixTokens(job.Prefixes)+jobTokens(job) > m.parameters.CacheTokens {
 		return ErrTooLarge
 	}
 	if len(m.waiting) >= m.parameters.QueueLength+m.freeSlots() {
@@ -62,13 +64,13 @@
 
 // Cancel implements Replica.
 func (m *modelReplica) Cancel(now time.Duration, id string) {
-	m.work(now)
+	m.advanceTo(now)
 	m.waiting = slices.DeleteFunc(m.waiting, func(job Job) bool { return job.ID == id })
 	for index, candidate := range m.running {
 		if candidate.job.ID == id {
 			m.running = slices.Delete(m.running, index, index+1)
 			m.decoding = slices.DeleteFunc(m.decoding, func(s *sequence) bool { return s == candidate })
-			m.cache.unpin(candidate.path, candidate.private)
+			m.cache.unpin(candidate.path, candidate.privateTokens)
 			return
 		}
 	}
@@ -81,12 +83,12 @@
 
 // Advance implements Replica.
 func (m *modelReplica) Advance(now time.Duration) []Event {
-	m.work(now)
+	m.advanceTo(now)
 	return m.takeEvents()
 }
 
-// work completes the steps that end by now.
-func (m *modelReplica) work(now time.Duration) {
+// advanceTo completes the steps that end by now and starts their successors.
+func (m *modelReplica) advanceTo(now time.Duration) {
 	for m.stepping && m.stepEnd <= now {
 		end := m.stepEnd
 		m.finishStep(end)
@@ -94,7 +96,7 @@
 	}
 }
 
-// startStep admits waiting jobs and begins the next step, if there is work.
+// startStep admits waiting jobs and begins the next step if there is work.
 func (m *modelReplica) startStep(now time.Duration) {
 	m.admit()
 	m.stepping = len(m.running) > 0
@@ -102,102 +104,115 @@
 		return
 	}
 	prefilled := m.prefill()
+	m.selectDecoding()
+	m.stepEnd = now + m.scaleDuration(now, m.stepDuration(prefilled))
+}
+
+// selectDecoding sets decoding to the sequences whose prefill was complete before
+// this step.
+func (m *modelReplica) selectDecoding() {
 	m.decoding = m.decoding[:0]
 	for _, candidate := range m.running {
-		if candidate.started && candidate.remaining == 0 && !candidate.finishing {
+		if candidate.prefillStarted && candidate.prefillTokens == 0 && !candidate.prefillEnds {
 			m.decoding = append(m.decoding, candidate)
 		}
 	}
+}
+
+// stepDuration returns the duration of a step on a warm replica without jitter.
+func (m *modelReplica) stepDuration(prefilled int) time.Duration {
 	duration := time.Duration(float64(prefilled) / m.parameters.PrefillTokensPerSecond * float64(time.Second))
 	if further := len(m.decoding) - 1; further >= 0 {
 		duration += milliseconds(m.parameters.DecodeStepMS + float64(further)*m.parameters.DecodeSequenceMS)
 	}
-	m.stepEnd = now + m.stretch(now, duration)
+	return duration
 }
 
-// admit gives slots and cache room to waiting jobs in order.
+// admit gives free slots to waiting jobs in order of arrival, until the cache has no
+// space for the next one.
 func (m *modelReplica) admit() {
 	for len(m.waiting) > 0 && m.freeSlots() > 0 {
 		job := m.waiting[0]
-		private := privateTokens(job)
+		private := jobTokens(job)
 		path, fits := m.cache.pin(job.Prefixes, private)
 		if !fits {
 			return
 		}
 		m.waiting = m.waiting[1:]
-		m.running = append(m.running, &sequence{job: job, path: path, private: private})
+		m.running = append(m.running, &sequence{job: job, path: path, privateTokens: private})
 	}
 }
 
-// prefill spends the step's chunk on the oldest unfinished prompts and returns
-// the tokens spent.
+// prefill spends the step's chunk of prefill tokens on the oldest unfinished prompts
+// and returns the number of tokens spent.
 func (m *modelReplica) prefill() int {
 	budget := m.parameters.PrefillChunkTokens
 	for _, candidate := range m.running {
 		if budget == 0 {
 			break
 		}
-		if candidate.started && candidate.remaining == 0 {
+		if candidate.prefillStarted && candidate.prefillTokens == 0 {
 			continue
 		}
-		if !candidate.started {
-			candidate.begin()
+		if !candidate.prefillStarted {
+			candidate.startPrefill()
 		}
-		spent := min(budget, candidate.remaining)
-		candidate.remaining -= spent
-		candidate.finishing = candidate.remaining == 0
+		spent := min(budget, candidate.prefillTokens)
+		candidate.prefillTokens -= spent
+		candidate.prefillEnds = candidate.prefillTokens == 0
 		budget -= spent
 	}
 	return m.parameters.PrefillChunkTokens - budget
 }
 
-// begin looks the prompt up in the cache. At least one token is prefilled.
-func (s *sequence) begin() {
-	s.started = true
-	s.remaining = s.job.PromptTokens
+// startPrefill looks the prompt up in the cache. At least one token is prefilled even
+// if all are cached, because decoding needs the output of a prefill.
+func (s *sequence) startPrefill() {
+	s.prefillStarted = true
+	s.prefillTokens = s.job.PromptTokens
 	for _, node := range s.path {
 		if node.ready {
-			s.cached += node.tokens
+			s.cachedTokens += node.tokens
 		} else {
-			s.remaining += node.tokens
+			s.prefillTokens += node.tokens
 		}
 	}
-	s.remaining = max(s.remaining, 1)
+	s.prefillTokens = max(s.prefillTokens, 1)
 }
 
-// finishStep gives a token to each decoding sequence and to each whose prefill
-// is complete, and releases those that are done.
+// finishStep emits a token for each decoding sequence and for each whose prefill is
+// complete, and releases the sequences whose answer is complete.
 func (m *modelReplica) finishStep(now time.Duration) {
 	for _, candidate := range m.decoding {
-		m.generate(now, candidate)
+		m.emitToken(now, candidate)
 	}
 	for _, candidate := range m.running {
-		if !candidate.finishing {
+		if !candidate.prefillEnds {
 			continue
 		}
-		candidate.finishing = false
+		candidate.prefillEnds = false
 		for _, node := range candidate.path {
 			node.ready = true
 		}
-		m.generate(now, candidate)
+		m.emitToken(now, candidate)
 	}
 	m.running = slices.DeleteFunc(m.running, func(s *sequence) bool {
-		done := s.generated >= s.job.AnswerTokens && s.generated > 0
+		done := s.generatedTokens >= s.job.AnswerTokens && s.generatedTokens > 0
 		if done {
-			m.cache.unpin(s.path, s.private)
+			m.cache.unpin(s.path, s.privateTokens)
 			m.cache.touch(s.path)
-			m.answers++
+			m.answersSinceCold++
 		}
 		return done
 	})
 }
 
-// generate emits the next token of a sequence, and its end after the last.
-func (m *modelReplica) generate(now time.Duration, s *sequence) {
-	s.generated++
-	event := Event{Job: s.job.ID, Kind: EventToken, At: now, Index: s.generated, CachedTokens: s.cached}
+// emitToken emits the next token of a sequence and, after the last one, its end.
+func (m *modelReplica) emitToken(now time.Duration, s *sequence) {
+	s.generatedTokens++
+	event := Event{Job: s.job.ID, Kind: EventToken, At: now, Index: s.generatedTokens, CachedTokens: s.cachedTokens}
 	m.events = append(m.events, event)
-	if s.generated >= s.job.AnswerTokens {
+	if s.generatedTokens >= s.job.AnswerTokens {
 		event.Kind = EventEnd
 		m.events = append(m.events, event)
 	}
@@ -205,7 +220,7 @@
 
 // State implements Replica.
 func (m *modelReplica) State(now time.Duration) State {
-	m.work(now)
+	m.advanceTo(now)
 	m.warmUp(now)
 	speed := m.parameters.PrefillTokensPerSecond
 	if m.cold {
@@ -215,9 +230,9 @@
 		Running:                len(m.running),
 		Queued:                 len(m.waiting),
 		Slots:                  m.parameters.Slots,
-		PendingPrefillTokens:   m.pendingPrefill(),
+		PendingPrefillTokens:   m.pendingPrefillTokens(),
 		PrefillTokensPerSecond: speed,
-		CacheUsed:              min(1, float64(m.cache.used)/float64(m.cache.capacity)),
+		CacheUsed:              min(1, float64(m.cache.usedTokens)/float64(m.cache.capacityTokens)),
 		CacheEvictions:         m.cache.evictions,
 		WeightVersion:          m.parameters.WeightVersion,
 		Cold:                   m.cold,
@@ -225,30 +240,32 @@
 	}
 }
 
-// pendingPrefill counts the prompt tokens still to be worked on.
-func (m *modelReplica) pendingPrefill() int {
+// pendingPrefillTokens returns the number of prompt tokens that are left to prefill,
+// of running and waiting jobs.
+func (m *modelReplica) pendingPrefillTokens() int {
 	pending := 0
 	for _, candidate := range m.running {
-		if candidate.started {
-			pending += candidate.remaining
+		if candidate.prefillStarted {
+			pending += candidate.prefillTokens
 			continue
 		}
-		pending += m.cache.missing(candidate.job.Prefixes) + candidate.job.PromptTokens
+		pending += m.cache.missingTokens(candidate.job.Prefixes) + candidate.job.PromptTokens
 	}
 	for _, job := range m.waiting {
-		pending += m.cache.missing(job.Prefixes) + job.PromptTokens
+		pending += m.cache.missingTokens(job.Prefixes) + job.PromptTokens
 	}
 	return pending
 }
 
 // MakeCold implements Replica.
 func (m *modelReplica) MakeCold(now time.Duration) {
-	m.work(now)
-	m.cache.makeRoom(m.cache.capacity)
-	m.chill(now)
+	m.advanceTo(now)
+	m.cache.evictFor(m.cache.capacityTokens)
+	m.becomeCold(now)
 }
 
-func privateTokens(job Job) int {
+// jobTokens returns the cache space that a job needs beside its prefixes.
+func jobTokens(job Job) int {
 	return job.PromptTokens + job.AnswerTokens
 }
 
--- a/internal/emulator/parameters.go
+++ b/internal/emulator/parameters.go
@@ -11,29 +11,29 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Kind says which service a replica emulates.
+// Kind is the kind of service that a replica emulates.
 type Kind string
 
 const (
-	// KindModel is a language model that prefills prompts and decodes tokens.
+	// KindModel emulates a language model that prefills prompts and decodes tokens.
 	KindModel Kind = "model"
-	// KindWeb is a small web service with short answers.
+	// KindWeb emulates a small web service with short answers.
 	KindWeb Kind = "web"
 )
 
-// Parameters describe one replica. They come from a YAML or JSON file; a field
-// that the file leaves out keeps the default of its kind.
+// Parameters describes one replica. It is read from a YAML or JSON file; a field that
+// the file leaves out keeps the default of its kind.
 type Parameters struct {
 	Kind Kind `yaml:"kind"`
-	// Slots is the number of requests worked on side by side.
+	// Slots is the number of requests that run concurrently.
 	Slots int `yaml:"slots"`
 	// QueueLength bounds the requests that wait for a slot.
 	QueueLength int `yaml:"queue_length"`
-	// PrefillTokensPerSecond is the prefill speed of a warm replica.
+	// PrefillTokensPerSecond is the prefill rate of a warm replica.
 	PrefillTokensPerSecond float64 `yaml:"prefill_tokens_per_second"`
 	// PrefillChunkTokens bounds the prefill work of one step, in tokens.
 	PrefillChunkTokens int `yaml:"prefill_chunk_tokens"`
-	// DecodeStepMS is the time of a decode step with one sequence, in milliseconds.
+	// DecodeStepMS is the duration of a decode step with one sequence, in milliseconds.
 	DecodeStepMS float64 `yaml:"decode_step_ms"`
 	// DecodeSequenceMS is added to a step for each further sequence, in milliseconds.
 	DecodeSequenceMS float64 `yaml:"decode_sequence_ms"`
@@ -43,18 +43,19 @@
 	ColdFactor float64 `yaml:"cold_factor"`
 	// WarmRequests is the number of answers after which a cold replica is warm.
 	WarmRequests int `yaml:"warm_requests"`
-	// WarmSeconds is the time after which a cold replica is warm in any case.
+	// WarmSeconds is the time in seconds after which a cold replica is warm even
+	// without answers.
 	WarmSeconds float64 `yaml:"warm_seconds"`
 	// WeightVersion names the model weights.
 	WeightVersion string `yaml:"weight_version"`
-	// Jitter is the largest relative deviation of a step's duration, 0 to below 1.
+	// Jitter is the largest relative deviation of a step's duration, in [0, 1).
 	Jitter float64 `yaml:"jitter"`
 	// WebMinimumMS and WebMaximumMS bound the answer time of KindWeb, in milliseconds.
 	WebMinimumMS float64 `yaml:"web_minimum_ms"`
 	WebMaximumMS float64 `yaml:"web_maximum_ms"`
 }
 
-// DefaultParameters are those of the documented replica of a kind.
+// DefaultParameters returns the parameters of a kind as docs/EMULATOR.md lists them.
 func DefaultParameters(kind Kind) Parameters {
 	parameters := Parameters{
 		Kind:                   kind,
@@ -81,21 +82,22 @@
 	return parameters
 }
 
-// LoadParameters reads a file over the defaults of the kind that the file names,
-// or of kind if it names none. An unknown field is an error.
+// LoadParameters reads a file over the defaults of the kind that the file names, or
+// of the given kind if it names none. An unknown field and a value that Validate
+// rejects are errors.
 func LoadParameters(path string, kind Kind) (Parameters, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return Parameters{}, fmt.Errorf("reading replica parameters: %w", err)
 	}
-	var named struct {
+	var header struct {
 		Kind Kind `yaml:"kind"`
 	}
-	if err := yaml.Unmarshal(content, &named); err != nil {
+	if err := yaml.Unmarshal(content, &header); err != nil {
 		return Parameters{}, fmt.Errorf("parsing %s: %w", path, err)
 	}
-	if named.Kind != "" {
-		kind = named.Kind
+	if header.Kind != "" {
+		kind = header.Kind
 	}
 	parameters := DefaultParameters(kind)
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
@@ -109,7 +111,7 @@
 	return parameters, nil
 }
 
-// Validate reports the first field that is out of range.
+// Validate returns an error that names the first field that is out of range.
 func (p Parameters) Validate() error {
 	if p.Kind != KindModel && p.Kind != KindWeb {
 		return fmt.Errorf("kind: %q is neither %q nor %q", p.Kind, KindModel, KindWeb)
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// milliseconds converts a parameter to a duration.
+// milliseconds converts a parameter in milliseconds to a duration.
 func milliseconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Millisecond))
 }
--- a/internal/emulator/web.go
+++ b/internal/emulator/web.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// webJob is a job with a worker and the time at which it is answered.
+// webJob is a running job with the time at which its answer is complete.
 type webJob struct {
 	job Job
 	end time.Duration
 }
 
-// webReplica is a small web service: a fixed number of workers, each answering
-// one job after a random short time.
+// webReplica is a small web service with a fixed number of slots. It answers each job
+// after a short random time.
 type webReplica struct {
-	common
+	replicaBase
 	waiting []Job
-	running []webJob // by end
+	running []webJob // sorted by end
 }
 
 // Submit implements Replica.
 func (w *webReplica) Submit(now time.Duration, job Job) error {
-	w.work(now)
+	w.advanceTo(now)
 	if w.draining {
 		return ErrDraining
 	}
@@ -37,22 +37,24 @@
 	return nil
 }
 
+// start gives a slot to a job and draws its duration.
 func (w *webReplica) start(now time.Duration, job Job) {
 	spread := w.parameters.WebMaximumMS - w.parameters.WebMinimumMS
 	duration := milliseconds(w.parameters.WebMinimumMS + w.random.Float64()*spread)
-	started := webJob{job: job, end: now + w.stretch(now, duration)}
+	started := webJob{job: job, end: now + w.scaleDuration(now, duration)}
 	index, _ := slices.BinarySearchFunc(w.running, started, func(a, b webJob) int { return cmp.Compare(a.end, b.end) })
 	w.running = slices.Insert(w.running, index, started)
 }
 
 // Cancel implements Replica.
 func (w *webReplica) Cancel(now time.Duration, id string) {
-	w.work(now)
+	w.advanceTo(now)
 	w.waiting = slices.DeleteFunc(w.waiting, func(job Job) bool { return job.ID == id })
 	w.running = slices.DeleteFunc(w.running, func(running webJob) bool { return running.job.ID == id })
 	w.startWaiting(now)
 }
 
+// startWaiting gives free slots to waiting jobs in order of arrival.
 func (w *webReplica) startWaiting(now time.Duration) {
 	for len(w.waiting) > 0 && len(w.running) < w.parameters.Slots {
 		w.start(now, w.waiting[0])
@@ -70,15 +72,16 @@
 
 // Advance implements Replica.
 func (w *webReplica) Advance(now time.Duration) []Event {
-	w.work(now)
+	w.advanceTo(now)
 	return w.takeEvents()
 }
 
-func (w *webReplica) work(now time.Duration) {
+// advanceTo completes the jobs that end by now and starts waiting ones.
+func (w *webReplica) advanceTo(now time.Duration) {
 	for len(w.running) > 0 && w.running[0].end <= now {
 		done := w.running[0]
 		w.running = w.running[1:]
-		w.answers++
+		w.answersSinceCold++
 		w.events = append(w.events, Event{Job: done.job.ID, Kind: EventEnd, At: done.end, Index: done.job.AnswerTokens})
 		w.startWaiting(done.end)
 	}
@@ -86,7 +89,7 @@
 
 // State implements Replica.
 func (w *webReplica) State(now time.Duration) State {
-	w.work(now)
+	w.advanceTo(now)
 	w.warmUp(now)
 	return State{
 		Running:  len(w.running),
@@ -99,6 +102,6 @@
 
 // MakeCold implements Replica.
 func (w *webReplica) MakeCold(now time.Duration) {
-	w.work(now)
-	w.chill(now)
+	w.advanceTo(now)
+	w.becomeCold(now)
 }
