--- a/internal/simulation/crashes.go
+++ b/internal/simulation/crashes.go
@@ -8,44 +8,44 @@
 
 // Faults that stop a machine, for a while or until it starts again.
 
-func (w *world) crashOne() {
-	m := w.target()
+func (w *world) crashMachine() {
+	m := w.pickTarget()
 	if m.node == nil {
 		return
 	}
-	w.count(FaultCrash)
+	w.countFault(FaultCrash)
 	m.crash()
-	w.after(w.between(restartLeast, restartMost), m.restart)
+	w.schedule(w.between(minDowntime, maxDowntime), m.restart)
 }
 
-func (w *world) planCrash() {
-	m := w.target()
+func (w *world) scheduleCrashAtWrite() {
+	m := w.pickTarget()
 	if m.node != nil {
-		m.store.ScheduleCrash(storage.CrashPlan{Write: 1 + w.random.IntN(writesAhead), AfterWrite: w.chance(0.5)})
+		m.store.ScheduleCrash(storage.CrashPlan{Write: 1 + w.random.IntN(maxWritesAhead), AfterWrite: w.chance(0.5)})
 	}
 }
 
 func (w *world) crashAll() {
-	w.count(FaultCrashAll)
-	for _, m := range w.present() {
+	w.countFault(FaultCrashAll)
+	for _, m := range w.activeMachines() {
 		m.crash()
-		w.after(w.between(restartLeast, restartMost), m.restart)
+		w.schedule(w.between(minDowntime, maxDowntime), m.restart)
 	}
 }
 
-func (w *world) freezeOne() {
-	m := w.target()
+func (w *world) freezeMachine() {
+	m := w.pickTarget()
 	if !m.up() {
 		return
 	}
-	w.count(FaultFreeze)
+	w.countFault(FaultFreeze)
 	m.frozen = true
-	w.after(w.between(freezeLeast, freezeMost), m.thaw)
+	w.schedule(w.between(minFreeze, maxFreeze), m.unfreeze)
 }
 
-// stallOne plans a slow write, or a freeze right after one.
-func (w *world) stallOne() {
-	if m := w.target(); m.up() {
-		m.stall = w.between(freezeLeast, pick(w, []time.Duration{2 * freezeLeast, freezeMost}))
+// stallMachine plans a slow write, or a freeze right after one.
+func (w *world) stallMachine() {
+	if m := w.pickTarget(); m.up() {
+		m.plannedStall = w.between(minFreeze, pick(w, []time.Duration{2 * minFreeze, maxFreeze}))
 	}
 }
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -8,107 +8,107 @@
 
 // Faults that lose a disk or replace a machine.
 
-// mayLose tells whether the group reports itself whole, so that it must bear
+// mayLoseDisk tells whether the group reports itself whole, so that it must bear
 // the loss of a disk.
-func (w *world) mayLose() bool {
+func (w *world) mayLoseDisk() bool {
 	for _, m := range w.machines {
-		if m.repairDone() && !w.holdsLost(m) {
+		if m.isRepaired() && !w.hasLostMember(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// holdsLost tells whether a leader has not yet noticed an earlier loss.
-func (w *world) holdsLost(m *machine) bool {
+// hasLostMember tells whether a leader has not yet noticed an earlier loss.
+func (w *world) hasLostMember(m *machine) bool {
 	for _, member := range m.node.Status().Membership.Members {
-		if w.faults.lost[member.ID] {
+		if w.faults.lostDisks[member.ID] {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) wipeOne() {
-	if w.mayLose() {
-		w.wipe(w.target(), FaultWipe)
+func (w *world) wipeTarget() {
+	if w.mayLoseDisk() {
+		w.wipeDisk(w.pickTarget(), FaultWipe)
 	}
 }
 
-// wipe takes a machine's disk away. It comes back empty at the same address.
-func (w *world) wipe(m *machine, kind FaultKind) {
-	if m.gone {
+// wipeDisk takes a machine's disk away. It comes back empty at the same address.
+func (w *world) wipeDisk(m *machine, kind FaultKind) {
+	if m.removed {
 		return
 	}
-	w.count(kind)
+	w.countFault(kind)
 	m.crash()
 	identity := w.newIdentity()
-	if w.has(defect.KeepIdentity) {
+	if w.hasDefect(defect.KeepIdentity) {
 		identity = m.identity
 	} else {
-		w.faults.lost[m.identity] = true
+		w.faults.lostDisks[m.identity] = true
 	}
 	m.store.Wipe(identity)
-	w.checks.owns(identity, m)
-	w.after(w.between(restartLeast, restartMost), m.restart)
+	w.checks.assignDisk(identity, m)
+	w.schedule(w.between(minDowntime, maxDowntime), m.restart)
 }
 
 // replaceable tells whether a machine votes and has no successor yet.
 func (w *world) replaceable(m *machine) bool {
-	if m.retiring || m.node == nil || !m.votes() {
+	if m.retiring || m.node == nil || !m.isVoter() {
 		return false
 	}
-	return replacedBy(m.node.Status().Membership, joining{member: m.member(m.identity), replaces: m.replaces}) < 0
+	return replacedBy(m.node.Status().Membership, joinRequest{member: m.asMember(m.identity), replaces: m.replaces}) < 0
 }
 
-// replaceOne takes a machine away for good and starts another one elsewhere.
-func (w *world) replaceOne() {
-	if !w.mayLose() {
+// replaceMachine takes a machine away for good and starts another one elsewhere.
+func (w *world) replaceMachine() {
+	if !w.mayLoseDisk() {
 		return
 	}
-	old := w.target()
+	old := w.pickTarget()
 	if !w.replaceable(old) {
 		return
 	}
-	w.count(FaultReplace)
-	w.faults.lost[old.identity] = true
+	w.countFault(FaultReplace)
+	w.faults.lostDisks[old.identity] = true
 	old.crash()
-	old.gone = true
-	w.named++
-	fresh := w.newMachine(fmt.Sprintf("control-%d", w.named), old.name)
+	old.removed = true
+	w.namesIssued++
+	fresh := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
 	held, _ := fresh.store.Load()
-	w.checks.owns(held.Identity, fresh)
-	w.after(w.between(restartLeast, restartMost), fresh.restart)
+	w.checks.assignDisk(held.Identity, fresh)
+	w.schedule(w.between(minDowntime, maxDowntime), fresh.restart)
 }
 
-// swapOne starts a machine that is to take the place of one that still runs.
-func (w *world) swapOne() {
-	if !w.mayLose() {
+// swapMachine starts a machine that is to take the place of one that still runs.
+func (w *world) swapMachine() {
+	if !w.mayLoseDisk() {
 		return
 	}
-	old := w.target()
+	old := w.pickTarget()
 	if !w.replaceable(old) {
 		return
 	}
-	w.count(FaultSwap)
+	w.countFault(FaultPlannedReplace)
 	old.retiring = true
-	w.named++
-	fresh := w.newMachine(fmt.Sprintf("control-%d", w.named), old.name)
+	w.namesIssued++
+	fresh := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
 	held, _ := fresh.store.Load()
-	w.checks.owns(held.Identity, fresh)
+	w.checks.assignDisk(held.Identity, fresh)
 	fresh.restart()
-	w.retireLater(old)
+	w.scheduleRetirement(old)
 }
 
-// retireLater switches a replaced machine off some time after its removal.
-func (w *world) retireLater(old *machine) {
-	w.after(w.between(restartLeast, restartMost), func() {
+// scheduleRetirement switches a replaced machine off some time after its removal.
+func (w *world) scheduleRetirement(old *machine) {
+	w.schedule(w.between(minDowntime, maxDowntime), func() {
 		leader := w.leader()
-		if leader == nil || leader.holds(old.identity) {
-			w.retireLater(old)
+		if leader == nil || leader.hasMember(old.identity) {
+			w.scheduleRetirement(old)
 			return
 		}
 		old.crash()
-		old.gone = true
+		old.removed = true
 	})
 }
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -42,15 +42,15 @@
 	sequence uint64
 }
 
-// after plans something.
-func (w *world) after(delay time.Duration, run func()) {
+// schedule plans something.
+func (w *world) schedule(delay time.Duration, run func()) {
 	w.queue.sequence++
 	heap.Push(&w.queue.events, event{at: w.now + delay, sequence: w.queue.sequence, run: run})
 }
 
 // runUntil plays events up to a moment, or to the first violation.
 func (w *world) runUntil(end time.Duration) {
-	for len(w.queue.events) > 0 && !w.broken() {
+	for len(w.queue.events) > 0 && !w.violated() {
 		if w.queue.events[0].at > end {
 			break
 		}
@@ -61,18 +61,18 @@
 
 // runUntilRecovered plays events until everything works again.
 func (w *world) runUntilRecovered(limit time.Duration) {
-	for !w.broken() && w.now < limit {
+	for !w.violated() && w.now < limit {
 		if w.recovered() {
 			return
 		}
-		w.runUntil(w.now + recoveryPoll)
+		w.runUntil(w.now + recoveryPollInterval)
 	}
-	if !w.broken() {
-		w.violate(RuleProgress, "%s", w.stuck())
+	if !w.violated() {
+		w.recordViolation(RuleProgress, "%s", w.describeUnrecovered())
 	}
 }
 
-const recoveryPoll = 100 * time.Millisecond
+const recoveryPollInterval = 100 * time.Millisecond
 
 func (w *world) step() {
 	next := heap.Pop(&w.queue.events).(event) //nolint:forcetypeassert // the heap holds events only
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -11,71 +11,71 @@
 
 // The kinds of faults.
 const (
-	FaultCrash           FaultKind = "crash"
-	FaultCrashAtWrite    FaultKind = "crash around a write"
-	FaultCrashAll        FaultKind = "crash of all machines"
-	FaultFreeze          FaultKind = "freeze"
-	FaultStall           FaultKind = "stop between disk and network"
-	FaultCutOneWay       FaultKind = "one-way cut"
-	FaultIsolate         FaultKind = "two-way cut of a machine"
-	FaultLossyNetwork    FaultKind = "loss, doubling and reordering"
-	FaultWipe            FaultKind = "wiped disk"
-	FaultWipeAfterAnswer FaultKind = "disk of the primary wiped after an answer"
-	FaultReplace         FaultKind = "replacement at a new address"
-	FaultTransfer        FaultKind = "leadership transfer"
-	FaultCrashAfterVote  FaultKind = "crash right after a vote"
-	FaultCrashElected    FaultKind = "crash or cut right after an election"
-	FaultSilenced        FaultKind = "leader cut off at its first commit"
-	FaultSplit           FaultKind = "group split in two"
-	FaultSwap            FaultKind = "planned replacement of a running machine"
-	FaultGatewayFreeze   FaultKind = "gateway frozen"
-	FaultGatewayRestart  FaultKind = "gateway restarted"
-	FaultGatewayCut      FaultKind = "gateway cut off"
+	FaultCrash                FaultKind = "crash"
+	FaultCrashAtWrite         FaultKind = "crash around a write"
+	FaultCrashAll             FaultKind = "crash of all machines"
+	FaultFreeze               FaultKind = "freeze"
+	FaultStallBeforeSend      FaultKind = "stop between disk and network"
+	FaultBlockOneWay          FaultKind = "one-way cut"
+	FaultIsolate              FaultKind = "two-way cut of a machine"
+	FaultLossyNetwork         FaultKind = "loss, doubling and reordering"
+	FaultWipe                 FaultKind = "wiped disk"
+	FaultWipeAfterAnswer      FaultKind = "disk of the primary wiped after an answer"
+	FaultReplace              FaultKind = "replacement at a new address"
+	FaultTransfer             FaultKind = "leadership transfer"
+	FaultCrashAfterVote       FaultKind = "crash right after a vote"
+	FaultAfterElection        FaultKind = "crash or cut right after an election"
+	FaultBlockedAtFirstCommit FaultKind = "leader cut off at its first commit"
+	FaultSplit                FaultKind = "group split in two"
+	FaultPlannedReplace       FaultKind = "planned replacement of a running machine"
+	FaultGatewayFreeze        FaultKind = "gateway frozen"
+	FaultGatewayRestart       FaultKind = "gateway restarted"
+	FaultGatewayIsolate       FaultKind = "gateway cut off"
 )
 
 // Bounds of the pauses between faults and of the length of each kind, and how bad
 // a lossy network gets: shares of the messages, and the longest extra delay.
 const (
-	faultLeast    = 60 * time.Millisecond
-	faultMost     = 700 * time.Millisecond
-	restartLeast  = 20 * time.Millisecond
-	restartMost   = 3 * time.Second
-	freezeLeast   = 50 * time.Millisecond
-	freezeMost    = 6 * time.Second
-	cutLeast      = 100 * time.Millisecond
-	cutMost       = 4 * time.Second
-	lossyLeast    = 300 * time.Millisecond
-	lossyMost     = 3 * time.Second
-	worstLoss     = 0.3
-	worstDoubling = 0.2
-	worstTail     = 400 * time.Millisecond
-	// writesAhead is how many writes ahead a power cut is planned.
-	writesAhead = 6
-	// wipeAfterAnswer is the chance that an answer is followed by a loss.
-	wipeAfterAnswer = 0.3
-	wipeDelayMost   = 50 * time.Millisecond
+	minFaultInterval = 60 * time.Millisecond
+	maxFaultInterval = 700 * time.Millisecond
+	minDowntime      = 20 * time.Millisecond
+	maxDowntime      = 3 * time.Second
+	minFreeze        = 50 * time.Millisecond
+	maxFreeze        = 6 * time.Second
+	minPartition     = 100 * time.Millisecond
+	maxPartition     = 4 * time.Second
+	minLossyPeriod   = 300 * time.Millisecond
+	maxLossyPeriod   = 3 * time.Second
+	maxLoss          = 0.3
+	maxDuplication   = 0.2
+	maxTailDelay     = 400 * time.Millisecond
+	// maxWritesAhead is how many writes ahead a power cut is planned.
+	maxWritesAhead = 6
+	// wipeAfterAnswerProbability is the chance that an answer is followed by a loss.
+	wipeAfterAnswerProbability = 0.3
+	maxWipeDelay               = 50 * time.Millisecond
 )
 
-// cutShares are the shares of the others that a struck leader no longer reaches.
-var cutShares = []float64{0.5, 1}
+// blockedShares are the shares of the others that a struck leader no longer reaches.
+var blockedShares = []float64{0.5, 1}
 
-// paces are how many times rarer than at most faults come, drawn for each
+// intervalFactors are how many times rarer than at most faults come, drawn for each
 // history: where faults come at most speed the group is seldom whole, so that few
 // disks may be lost.
-var paces = []time.Duration{1, 2, 4, 8}
+var intervalFactors = []time.Duration{1, 2, 4, 8}
 
 // faultPlan is what the injector of faults keeps.
 type faultPlan struct {
-	pace           time.Duration
-	voteStrike     float64
-	electionStrike float64
-	changeSplit    float64
-	// size is the number of voters that the group is to have.
-	size   int
-	ending time.Duration
-	// lost holds the identities whose disks are gone.
-	lost  map[consensus.ID]bool
-	kinds []weightedFault
+	intervalFactor           time.Duration
+	voteCrashProbability     float64
+	electionFaultProbability float64
+	changeSplitProbability   float64
+	// voterCount is the number of voters that the group is to have.
+	voterCount int
+	end        time.Duration
+	// lostDisks holds the identities whose disks are gone.
+	lostDisks map[consensus.ID]bool
+	injectors []weightedFault
 }
 
 type weightedFault struct {
@@ -86,50 +86,50 @@
 
 // startFaults injects faults until the end.
 func (w *world) startFaults(end time.Duration) {
-	w.faults.ending = end
-	w.faults.pace = pick(w, paces)
-	w.faults.voteStrike = pick(w, voteStrikes)
-	w.faults.electionStrike = pick(w, electionStrikes)
-	w.faults.changeSplit = pick(w, changeSplits)
-	w.faults.lost = make(map[consensus.ID]bool)
-	w.faults.kinds = []weightedFault{
-		{FaultCrash, 12, w.crashOne},
-		{FaultCrashAtWrite, 14, w.planCrash},
+	w.faults.end = end
+	w.faults.intervalFactor = pick(w, intervalFactors)
+	w.faults.voteCrashProbability = pick(w, voteCrashProbabilities)
+	w.faults.electionFaultProbability = pick(w, electionFaultProbabilities)
+	w.faults.changeSplitProbability = pick(w, changeSplitProbabilities)
+	w.faults.lostDisks = make(map[consensus.ID]bool)
+	w.faults.injectors = []weightedFault{
+		{FaultCrash, 12, w.crashMachine},
+		{FaultCrashAtWrite, 14, w.scheduleCrashAtWrite},
 		{FaultCrashAll, 1, w.crashAll},
-		{FaultFreeze, 10, w.freezeOne},
-		{FaultStall, 10, w.stallOne},
-		{FaultCutOneWay, 12, w.cutOneWay},
-		{FaultIsolate, 8, w.isolateOne},
+		{FaultFreeze, 10, w.freezeMachine},
+		{FaultStallBeforeSend, 10, w.stallMachine},
+		{FaultBlockOneWay, 12, w.blockOneWay},
+		{FaultIsolate, 8, w.isolateMachine},
 		{FaultLossyNetwork, 8, w.lossyNetwork},
-		{FaultWipe, 10, w.wipeOne},
-		{FaultReplace, 5, w.replaceOne},
-		{FaultTransfer, 4, w.transfer},
-		{FaultSplit, 6, w.split},
-		{FaultSwap, 14, w.swapOne},
+		{FaultWipe, 10, w.wipeTarget},
+		{FaultReplace, 5, w.replaceMachine},
+		{FaultTransfer, 4, w.transferLeadership},
+		{FaultSplit, 6, w.splitGroup},
+		{FaultPlannedReplace, 14, w.swapMachine},
 		{FaultGatewayFreeze, 5, w.freezeGateway},
 		{FaultGatewayRestart, 5, w.restartGateway},
-		{FaultGatewayCut, 5, w.cutGateway},
+		{FaultGatewayIsolate, 5, w.isolateGateway},
 	}
-	w.faultLater()
+	w.scheduleFault()
 }
 
-func (w *world) faultLater() {
-	w.after(w.faults.pace*w.between(faultLeast, faultMost), func() {
-		if w.now >= w.faults.ending {
+func (w *world) scheduleFault() {
+	w.schedule(w.faults.intervalFactor*w.between(minFaultInterval, maxFaultInterval), func() {
+		if w.now >= w.faults.end {
 			return
 		}
-		w.injectOne()
-		w.faultLater()
+		w.injectFault()
+		w.scheduleFault()
 	})
 }
 
-func (w *world) injectOne() {
+func (w *world) injectFault() {
 	total := 0
-	for _, choice := range w.faults.kinds {
+	for _, choice := range w.faults.injectors {
 		total += choice.weight
 	}
 	drawn := w.random.IntN(total)
-	for _, choice := range w.faults.kinds {
+	for _, choice := range w.faults.injectors {
 		drawn -= choice.weight
 		if drawn < 0 {
 			choice.inject()
@@ -138,27 +138,27 @@
 	}
 }
 
-func (w *world) count(kind FaultKind) {
+func (w *world) countFault(kind FaultKind) {
 	w.result.Faults[kind]++
 }
 
-// present returns the machines that have not been taken away for good.
-func (w *world) present() []*machine {
+// activeMachines returns the machines that have not been taken away for good.
+func (w *world) activeMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
-		if !m.gone {
+		if !m.removed {
 			present = append(present, m)
 		}
 	}
 	return present
 }
 
-// target prefers the leader, where faults hurt most.
-func (w *world) target() *machine {
+// pickTarget prefers the leader, where faults hurt most.
+func (w *world) pickTarget() *machine {
 	if leader := w.leader(); leader != nil && w.chance(0.4) {
 		return leader
 	}
-	return pick(w, w.present())
+	return pick(w, w.activeMachines())
 }
 
 // leader returns the running leader of the newest term.
@@ -176,7 +176,7 @@
 	return best
 }
 
-func (w *world) transfer() {
+func (w *world) transferLeadership() {
 	leader := w.leader()
 	if leader == nil || !leader.up() {
 		return
@@ -185,6 +185,6 @@
 	if to.ID == leader.identity || leader.node.TransferLeadership(leader.clock(), to.ID) != nil {
 		return
 	}
-	w.count(FaultTransfer)
-	leader.work()
+	w.countFault(FaultTransfer)
+	leader.processReady()
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	gatewayCount   = 3
-	placementEvery = 60 * time.Millisecond
+	gatewayCount      = 3
+	placementInterval = 60 * time.Millisecond
 )
 
 // gateway acts on the active serial while it has a lease. It has no disk: a
@@ -25,15 +25,15 @@
 	started     time.Duration
 	drift       float64
 	frozen      bool
-	buffer      []func()
+	buffered    []func()
 
 	holder *lease.Holder
-	copied *registry.Table
-	// held lists the serials of which there is a copy and which are newer than
+	table  *registry.Table
+	// receivedSerials lists the serials of which there is a copy and which are newer than
 	// active, in ascending order.
-	held    []uint32
-	active  uint32
-	primary *machine
+	receivedSerials []uint32
+	activeSerial    uint32
+	primary         *machine
 }
 
 // renewal is a request for a lease with the time at which it was sent.
@@ -42,8 +42,8 @@
 	sent    time.Duration
 }
 
-// grant is the answer to a renewal.
-type grant struct {
+// renewalReply is the answer to a renewal.
+type renewalReply struct {
 	from     *machine
 	decision lease.Decision
 	term     uint64
@@ -63,16 +63,16 @@
 	g.incarnation++
 	g.up = true
 	g.frozen = false
-	g.buffer = nil
+	g.buffered = nil
 	g.started = g.world.now
-	g.drift = mostDrift * (2*g.world.random.Float64() - 1)
+	g.drift = maxDrift * (2*g.world.random.Float64() - 1)
 	g.holder = lease.NewHolder(lease.DefaultConfig())
-	g.copied = registry.NewSecondary(apex, schema)
-	g.held = nil
-	g.active = 0
+	g.table = registry.NewSecondary(apex, schema)
+	g.receivedSerials = nil
+	g.activeSerial = 0
 	g.primary = nil
-	g.renewLater(g.incarnation)
-	g.placeLater(g.incarnation)
+	g.scheduleRenewal(g.incarnation)
+	g.schedulePlacement(g.incarnation)
 }
 
 func (g *gateway) clock() time.Duration {
@@ -86,50 +86,50 @@
 	case !g.up:
 	case !g.frozen:
 		run()
-	case len(g.buffer) < bufferLimit:
-		g.buffer = append(g.buffer, run)
+	case len(g.buffered) < maxBuffered:
+		g.buffered = append(g.buffered, run)
 	}
 }
 
-func (g *gateway) thaw() {
+func (g *gateway) unfreeze() {
 	if !g.frozen {
 		return
 	}
 	g.frozen = false
-	waited := g.buffer
-	g.buffer = nil
+	waited := g.buffered
+	g.buffered = nil
 	for _, run := range waited {
 		g.receive(run)
 	}
 }
 
-func (g *gateway) renewLater(incarnation int) {
-	g.world.after(lease.DefaultConfig().RenewalInterval, func() {
+func (g *gateway) scheduleRenewal(incarnation int) {
+	g.world.schedule(lease.DefaultConfig().RenewalInterval, func() {
 		if g.incarnation != incarnation || !g.up {
 			return
 		}
 		if !g.frozen {
-			g.renewSomewhere()
+			g.renewLease()
 		}
-		g.renewLater(incarnation)
+		g.scheduleRenewal(incarnation)
 	})
 }
 
-// renewSomewhere asks the known primary, and now and then another machine.
-func (g *gateway) renewSomewhere() {
+// renewLease asks the known primary, and now and then another machine.
+func (g *gateway) renewLease() {
 	if g.primary == nil || !g.holder.Valid(g.clock()) {
 		g.primary = pick(g.world, g.world.machines)
 	}
-	g.renew(g.primary)
+	g.sendRenewal(g.primary)
 }
 
-func (g *gateway) renew(to *machine) {
+func (g *gateway) sendRenewal(to *machine) {
 	now := g.clock()
 	asked := renewal{sent: now, request: lease.Request{
 		Holder:         g.name,
 		Incarnation:    fmt.Sprint(g.incarnation),
-		ReceivedSerial: g.newest(),
-		ActiveSerial:   g.active,
+		ReceivedSerial: g.receivedSerial(),
+		ActiveSerial:   g.activeSerial,
 		LeaseValid:     g.holder.Valid(now),
 		Term:           g.holder.Term(),
 	}}
@@ -137,92 +137,92 @@
 	g.world.network.send(g.name, to.name, func() {
 		to.receive(func() {
 			if g.incarnation == incarnation {
-				to.grant(g, asked)
+				to.answerRenewal(g, asked)
 			}
 		})
 	})
 }
 
-// leave gives the lease up before the process ends.
-func (g *gateway) leave() {
+// releaseLease gives the lease up before the process ends.
+func (g *gateway) releaseLease() {
 	g.holder.Release()
 	to := g.primary
 	asked := renewal{sent: g.clock(), request: lease.Request{
-		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.active, Release: true,
+		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.activeSerial, Release: true,
 	}}
 	g.world.network.send(g.name, to.name, func() {
-		to.receive(func() { to.grant(g, asked) })
+		to.receive(func() { to.answerRenewal(g, asked) })
 	})
 }
 
-func (g *gateway) newest() uint32 {
-	return g.copied.Serial()
+func (g *gateway) receivedSerial() uint32 {
+	return g.table.Serial()
 }
 
-// granted takes the answer to a renewal in.
-func (g *gateway) granted(asked renewal, reply grant) {
+// receiveReply takes the answer to a renewal in.
+func (g *gateway) receiveReply(asked renewal, reply renewalReply) {
 	if asked.request.Incarnation != fmt.Sprint(g.incarnation) {
 		return // the connection that it came on is gone
 	}
 	if !reply.decision.Authoritative {
 		if reply.hint != nil && reply.hint != g.primary {
 			g.primary = reply.hint
-			g.renew(g.primary)
+			g.sendRenewal(g.primary)
 		}
 		return
 	}
 	now, sent := g.clock(), asked.sent
-	if g.world.has(defect.LeaseFromArrival) {
+	if g.world.hasDefect(defect.LeaseFromArrival) {
 		sent = now
 	}
 	if err := g.holder.HandleGrant(now, sent, reply.term, clusterName, reply.decision.LeaseDuration); err != nil {
 		return
 	}
 	g.primary = reply.from
-	changed := g.take(reply.transfer)
+	changed := g.applyTransfer(reply.transfer)
 	if g.activate(reply.decision.ActivationSerial) || changed {
-		g.renew(g.primary)
+		g.sendRenewal(g.primary)
 	}
 }
 
-// take brings the copy up to date. A late transfer does not fit, and is dropped.
-func (g *gateway) take(transfer *registry.Transfer) bool {
+// applyTransfer brings the copy up to date. A late transfer does not fit, and is dropped.
+func (g *gateway) applyTransfer(transfer *registry.Transfer) bool {
 	if transfer == nil {
 		return false
 	}
-	before := g.newest()
-	if err := g.copied.ApplyTransfer(*transfer); err != nil || g.newest() == before {
+	before := g.receivedSerial()
+	if err := g.table.ApplyTransfer(*transfer); err != nil || g.receivedSerial() == before {
 		return false
 	}
-	g.held = append(g.held, g.newest())
+	g.receivedSerials = append(g.receivedSerials, g.receivedSerial())
 	return true
 }
 
 // activate makes the newest copy up to the permitted serial decide.
 func (g *gateway) activate(permitted uint32) bool {
 	changed := false
-	for len(g.held) > 0 && !registry.SerialLess(permitted, g.held[0]) && permitted != 0 {
-		g.active = g.held[0]
-		g.held = g.held[1:]
+	for len(g.receivedSerials) > 0 && !registry.SerialLess(permitted, g.receivedSerials[0]) && permitted != 0 {
+		g.activeSerial = g.receivedSerials[0]
+		g.receivedSerials = g.receivedSerials[1:]
 		changed = true
 	}
 	return changed
 }
 
-func (g *gateway) placeLater(incarnation int) {
-	g.world.after(placementEvery, func() {
+func (g *gateway) schedulePlacement(incarnation int) {
+	g.world.schedule(placementInterval, func() {
 		if g.incarnation != incarnation || !g.up {
 			return
 		}
-		if !g.frozen && g.mayPlace() {
+		if !g.frozen && g.canPlace() {
 			g.world.result.Placements++
-			g.world.checks.placed(g)
+			g.world.checks.checkPlacement(g)
 		}
-		g.placeLater(incarnation)
+		g.schedulePlacement(incarnation)
 	})
 }
 
-func (g *gateway) mayPlace() bool {
+func (g *gateway) canPlace() bool {
 	return g.up && g.holder.Valid(g.clock())
 }
 
@@ -231,9 +231,9 @@
 	if !g.up || g.frozen {
 		return
 	}
-	w.count(FaultGatewayFreeze)
+	w.countFault(FaultGatewayFreeze)
 	g.frozen = true
-	w.after(w.between(freezeLeast, freezeMost), g.thaw)
+	w.schedule(w.between(minFreeze, maxFreeze), g.unfreeze)
 }
 
 func (w *world) restartGateway() {
@@ -241,38 +241,38 @@
 	if !g.up {
 		return
 	}
-	w.count(FaultGatewayRestart)
+	w.countFault(FaultGatewayRestart)
 	if !g.frozen && g.primary != nil && w.chance(0.5) {
-		g.leave()
+		g.releaseLease()
 	}
 	g.up = false
-	w.after(w.between(restartLeast, restartMost), func() {
+	w.schedule(w.between(minDowntime, maxDowntime), func() {
 		if !g.up {
 			g.start()
 		}
 	})
 }
 
-// cutGateway cuts a gateway off, in one direction or both.
-func (w *world) cutGateway() {
+// isolateGateway cuts a gateway off, in one direction or both.
+func (w *world) isolateGateway() {
 	g := pick(w, w.gateways)
-	w.count(FaultGatewayCut)
+	w.countFault(FaultGatewayIsolate)
 	incoming, outgoing := w.chance(0.7), w.chance(0.7)
 	for _, m := range w.machines {
 		if incoming {
-			w.network.cut(m.name, g.name)
+			w.network.block(m.name, g.name)
 		}
 		if outgoing {
-			w.network.cut(g.name, m.name)
+			w.network.block(g.name, m.name)
 		}
 	}
-	w.after(w.between(cutLeast, cutMost), func() { w.mendAll(g.name) })
+	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(g.name) })
 }
 
-func (w *world) healGateways() {
+func (w *world) recoverGateways() {
 	for _, g := range w.gateways {
 		if g.up {
-			g.thaw()
+			g.unfreeze()
 		} else {
 			g.start()
 		}
@@ -282,17 +282,17 @@
 func (w *world) gatewaysRecovered() bool {
 	leader := w.leader()
 	for _, g := range w.gateways {
-		if !g.mayPlace() || g.active != leader.state.serial() {
+		if !g.canPlace() || g.activeSerial != leader.state.serial() {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) stuckGateways() string {
+func (w *world) describeGateways() string {
 	text := ""
 	for _, g := range w.gateways {
-		text += fmt.Sprintf("%s valid %v held %d active %d; ", g.name, g.mayPlace(), g.newest(), g.active)
+		text += fmt.Sprintf("%s valid %v held %d active %d; ", g.name, g.canPlace(), g.receivedSerial(), g.activeSerial)
 	}
 	return text
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -2,38 +2,38 @@
 
 // Faults of the links between machines.
 
-func (w *world) cutOneWay() {
-	from, to := w.target(), pick(w, w.present())
+func (w *world) blockOneWay() {
+	from, to := w.pickTarget(), pick(w, w.activeMachines())
 	if from == to {
 		return
 	}
 	if w.chance(0.5) {
 		from, to = to, from
 	}
-	w.count(FaultCutOneWay)
-	w.network.cut(from.name, to.name)
-	w.after(w.between(cutLeast, cutMost), func() { w.network.mend(from.name, to.name) })
+	w.countFault(FaultBlockOneWay)
+	w.network.block(from.name, to.name)
+	w.schedule(w.between(minPartition, maxPartition), func() { w.network.unblock(from.name, to.name) })
 }
 
-func (w *world) isolateOne() {
-	m := w.target()
-	w.count(FaultIsolate)
+func (w *world) isolateMachine() {
+	m := w.pickTarget()
+	w.countFault(FaultIsolate)
 	for _, other := range w.machines {
-		w.network.cut(m.name, other.name)
-		w.network.cut(other.name, m.name)
+		w.network.block(m.name, other.name)
+		w.network.block(other.name, m.name)
 	}
 	for _, g := range w.gateways {
 		if w.chance(0.5) {
-			w.network.cut(m.name, g.name)
-			w.network.cut(g.name, m.name)
+			w.network.block(m.name, g.name)
+			w.network.block(g.name, m.name)
 		}
 	}
-	w.after(w.between(cutLeast, cutMost), func() { w.mendAll(m.name) })
+	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(m.name) })
 }
 
-// split parts the machines in two, for a while.
-func (w *world) split() {
-	w.count(FaultSplit)
+// splitGroup parts the machines in two, for a while.
+func (w *world) splitGroup() {
+	w.countFault(FaultSplit)
 	var here, there []*machine
 	for _, m := range w.machines {
 		if w.chance(0.5) {
@@ -50,33 +50,33 @@
 			}
 		}
 	}
-	each(w.network.cut)
-	w.after(w.between(cutLeast, cutMost), func() { each(w.network.mend) })
+	each(w.network.block)
+	w.schedule(w.between(minPartition, maxPartition), func() { each(w.network.unblock) })
 }
 
-// silence cuts what a machine sends to some or all of the others.
-func (w *world) silence(m *machine) {
-	share := pick(w, cutShares)
+// blockOutgoing cuts what a machine sends to some or all of the others.
+func (w *world) blockOutgoing(m *machine) {
+	share := pick(w, blockedShares)
 	for _, other := range w.machines {
 		if w.chance(share) {
-			w.network.cut(m.name, other.name)
+			w.network.block(m.name, other.name)
 		}
 	}
-	w.after(w.between(cutLeast, cutMost), func() { w.mendAll(m.name) })
+	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(m.name) })
 }
 
-func (w *world) mendAll(name string) {
-	for pair := range w.network.cuts {
+func (w *world) unblockAll(name string) {
+	for pair := range w.network.blocked {
 		if pair.from == name || pair.to == name {
-			delete(w.network.cuts, pair)
+			delete(w.network.blocked, pair)
 		}
 	}
 }
 
 func (w *world) lossyNetwork() {
-	w.count(FaultLossyNetwork)
-	w.network.loss = worstLoss * w.random.Float64()
-	w.network.doubling = worstDoubling * w.random.Float64()
-	w.network.tail = w.between(usualTail, worstTail)
-	w.after(w.between(lossyLeast, lossyMost), w.network.setUsual)
+	w.countFault(FaultLossyNetwork)
+	w.network.loss = maxLoss * w.random.Float64()
+	w.network.duplication = maxDuplication * w.random.Float64()
+	w.network.tailDelay = w.between(baseTailDelay, maxTailDelay)
+	w.schedule(w.between(minLossyPeriod, maxLossyPeriod), w.network.resetConditions)
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	tickLeast = 15 * time.Millisecond
-	tickMost  = 30 * time.Millisecond
-	// mostDrift is how much faster or slower a clock may run.
-	mostDrift = 0.02
-	// bufferLimit bounds what waits for a frozen process.
-	bufferLimit = 256
-	// compactAfter is the number of applied entries between snapshots.
-	compactAfter = 12
-	keepAtMost   = 8
-	// lostWrites is how many writes the planted fault of a missing sync loses.
-	lostWrites = 2
+	minTickInterval = 15 * time.Millisecond
+	maxTickInterval = 30 * time.Millisecond
+	// maxDrift is how much faster or slower a clock may run.
+	maxDrift = 0.02
+	// maxBuffered bounds what waits for a frozen process.
+	maxBuffered = 256
+	// compactionInterval is the number of applied entries between snapshots.
+	compactionInterval   = 12
+	retainedEntriesLimit = 8
+	// droppedWrites is how many writes the planted fault of a missing sync loses.
+	droppedWrites = 2
 )
 
 // machine is one control node: a process with a disk and a clock of its own.
@@ -31,36 +31,36 @@
 	replaces string
 	store    *storage.Memory
 
-	// gone machines never come back; retiring ones run until they are replaced.
-	gone     bool
+	// removed machines never come back; retiring ones run until they are replaced.
+	removed  bool
 	retiring bool
 	// node is nil while the process is down.
 	node *consensus.Node
-	// process counts the starts; timers of an earlier one are void.
-	process  int
-	identity consensus.ID
-	state    *book
-	applied  uint64
-	compacts uint64 // index of the newest snapshot
-	started  time.Duration
-	drift    float64
-
-	frozen bool
-	buffer []func()
-	// stall stops the process before it sends what it writes next; unfinished is
+	// incarnation counts the starts; timers of an earlier one are void.
+	incarnation   int
+	identity      consensus.ID
+	state         *stateMachine
+	applied       uint64
+	snapshotIndex uint64 // index of the newest snapshot
+	started       time.Duration
+	drift         float64
+
+	frozen   bool
+	buffered []func()
+	// plannedStall stops the process before it sends what it writes next; unfinished is
 	// the batch that waits for that.
-	stall      time.Duration
-	unfinished *consensus.Ready
+	plannedStall time.Duration
+	stalledReady *consensus.Ready
 
-	// asked holds the orders that wait for their answer here, by id.
-	asked map[string][]waiting
-	joins map[consensus.ID]joining
+	// waiters holds the orders that wait for their answer here, by id.
+	waiters      map[string][]waiter
+	joinRequests map[consensus.ID]joinRequest
 	// leadership is nil unless the machine leads.
 	leadership *primary
 }
 
-// place is where a proposal stands in the log.
-type place struct {
+// logPosition is where a proposal stands in the log.
+type logPosition struct {
 	index, term uint64
 }
 
@@ -71,16 +71,16 @@
 		replaces: replaces,
 		store:    storage.NewMemory(w.newIdentity()),
 	}
-	if w.has(defect.MissingSync) {
-		m.store.DropSyncedWrites(lostWrites)
+	if w.hasDefect(defect.MissingSync) {
+		m.store.DropSyncedWrites(droppedWrites)
 	}
 	w.machines = append(w.machines, m)
 	return m
 }
 
 func (w *world) newIdentity() consensus.ID {
-	w.named++
-	return consensus.ID(fmt.Sprintf("disk-%d", w.named))
+	w.namesIssued++
+	return consensus.ID(fmt.Sprintf("disk-%d", w.namesIssued))
 }
 
 // populate forms a group, as the first start of a fleet does.
@@ -89,10 +89,10 @@
 	for i := range count {
 		m := w.newMachine(fmt.Sprintf("control-%d", i), "")
 		held, _ := m.store.Load()
-		group.Members = append(group.Members, m.member(held.Identity))
+		group.Members = append(group.Members, m.asMember(held.Identity))
 	}
-	w.faults.size = count
-	w.checks.formed(group)
+	w.faults.voterCount = count
+	w.checks.groupFormed(group)
 	for _, m := range w.machines {
 		first := consensus.Snapshot{Index: 1, Term: 1, Membership: group}
 		if err := m.store.SaveSnapshot(first, 2); err != nil {
@@ -104,7 +104,7 @@
 	w.populateGateways()
 }
 
-func (m *machine) member(identity consensus.ID) consensus.Member {
+func (m *machine) asMember(identity consensus.ID) consensus.Member {
 	return consensus.Member{ID: identity, Name: m.name, Address: m.name}
 }
 
@@ -114,8 +114,8 @@
 	return elapsed + time.Duration(float64(elapsed)*m.drift)
 }
 
-// global turns a time of this process's clock into the world's.
-func (m *machine) global(local time.Duration) time.Duration {
+// worldTime turns a time of this process's clock into the world's.
+func (m *machine) worldTime(local time.Duration) time.Duration {
 	return m.started + time.Duration(float64(local)/(1+m.drift))
 }
 
@@ -123,7 +123,7 @@
 func (m *machine) start() {
 	held, err := m.store.Load()
 	if err != nil {
-		m.world.violate(RuleDurable, "%s cannot read its disk: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot read its disk: %v", m.name, err)
 		return
 	}
 	node, err := consensus.New(consensus.Config{
@@ -139,37 +139,37 @@
 		MaxAppendBytes:    m.world.settings.appendBytes,
 	})
 	if err != nil {
-		m.world.violate(RuleDurable, "%s cannot start from its disk: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot start from its disk: %v", m.name, err)
 		return
 	}
 	node.InjectDefects(m.world.options.Defects)
 	m.node = node
 	m.identity = held.Identity
-	m.process++
+	m.incarnation++
 	m.started = m.world.now
-	m.drift = mostDrift * (2*m.world.random.Float64() - 1)
+	m.drift = maxDrift * (2*m.world.random.Float64() - 1)
 	m.frozen = false
-	m.buffer = nil
-	m.stall = 0
-	m.asked = make(map[string][]waiting)
-	m.joins = make(map[consensus.ID]joining)
+	m.buffered = nil
+	m.plannedStall = 0
+	m.waiters = make(map[string][]waiter)
+	m.joinRequests = make(map[consensus.ID]joinRequest)
 	m.leadership = nil
 	m.restoreState(held.Snapshot)
 	node.Tick(m.clock())
-	m.tickLater(m.process)
-	m.joinLater(m.process)
+	m.scheduleTick(m.incarnation)
+	m.scheduleJoinRequest(m.incarnation)
 }
 
 func (m *machine) restoreState(snapshot consensus.Snapshot) {
-	m.state = newBook()
-	m.state.reuse = m.world.has(defect.ReuseSerial)
+	m.state = newStateMachine()
+	m.state.reuseSerials = m.world.hasDefect(defect.ReuseSerial)
 	if err := m.state.restore(snapshot.Data); err != nil {
-		m.world.violate(RuleDurable, "%s cannot restore its state: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot restore its state: %v", m.name, err)
 	}
 	m.applied = snapshot.Index
-	m.compacts = snapshot.Index
+	m.snapshotIndex = snapshot.Index
 	if snapshot.Index > 0 {
-		m.world.checks.restored(m, snapshot)
+		m.world.checks.snapshotRestored(m, snapshot)
 	}
 }
 
@@ -177,14 +177,14 @@
 func (m *machine) crash() {
 	m.node = nil
 	m.frozen = false
-	m.buffer = nil
-	m.unfinished = nil
+	m.buffered = nil
+	m.stalledReady = nil
 	m.store.Crash()
 }
 
 // restart brings a crashed machine back with its disk.
 func (m *machine) restart() {
-	if m.node != nil || m.gone || m.world.broken() {
+	if m.node != nil || m.removed || m.world.violated() {
 		return
 	}
 	m.store.Reopen()
@@ -195,23 +195,23 @@
 	return m.node != nil && !m.frozen
 }
 
-func (m *machine) tickLater(process int) {
-	m.world.after(m.world.between(tickLeast, tickMost), func() {
-		if m.process != process || m.node == nil {
+func (m *machine) scheduleTick(process int) {
+	m.world.schedule(m.world.between(minTickInterval, maxTickInterval), func() {
+		if m.incarnation != process || m.node == nil {
 			return
 		}
 		if !m.frozen {
 			m.tick()
 		}
-		m.tickLater(process)
+		m.scheduleTick(process)
 	})
 }
 
 func (m *machine) tick() {
 	m.node.Tick(m.clock())
-	m.work()
+	m.processReady()
 	if m.node != nil {
-		m.lead()
+		m.leaderTick()
 	}
 }
 
@@ -221,26 +221,26 @@
 		return
 	}
 	if m.frozen {
-		if len(m.buffer) < bufferLimit {
-			m.buffer = append(m.buffer, run)
+		if len(m.buffered) < maxBuffered {
+			m.buffered = append(m.buffered, run)
 		}
 		return
 	}
 	run()
-	m.work()
+	m.processReady()
 }
 
-func (m *machine) thaw() {
+func (m *machine) unfreeze() {
 	if m.node == nil || !m.frozen {
 		return
 	}
 	m.frozen = false
-	waited := m.buffer
-	m.buffer = nil
-	if m.unfinished != nil {
-		batch := *m.unfinished
-		m.unfinished = nil
-		m.finish(batch)
+	waited := m.buffered
+	m.buffered = nil
+	if m.stalledReady != nil {
+		batch := *m.stalledReady
+		m.stalledReady = nil
+		m.completeReady(batch)
 	}
 	if m.node != nil && m.world.chance(0.5) {
 		m.tick()
@@ -250,36 +250,36 @@
 	}
 }
 
-// work does what the node asks for, in the order that Ready prescribes.
-func (m *machine) work() {
+// processReady does what the node asks for, in the order that Ready prescribes.
+func (m *machine) processReady() {
 	m.checkLeadership()
-	for m.up() && m.node.HasReady() && !m.world.broken() {
+	for m.up() && m.node.HasReady() && !m.world.violated() {
 		ready := m.node.Ready()
-		if m.world.has(defect.SendBeforeSync) {
+		if m.world.hasDefect(defect.SendBeforeSync) {
 			m.sendAll(ready.Messages)
 			ready.Messages = nil
 		}
 		if !m.persist(ready) {
 			return
 		}
-		if m.stall > 0 {
-			m.stop(ready)
+		if m.plannedStall > 0 {
+			m.stallBeforeSend(ready)
 			return
 		}
 		if len(ready.CommittedEntries) > 0 && m.leadership != nil && m.leadership.grantor == nil {
 			m.world.atFirstCommit(m)
 		}
-		m.finish(ready)
+		m.completeReady(ready)
 	}
 	if m.up() {
-		m.world.checks.afterStep(m)
-		m.answerOrders()
+		m.world.checks.observeLeadership(m)
+		m.answerOperations()
 		m.notifyGateways()
 	}
 }
 
-// finish does the part of a batch that follows the write.
-func (m *machine) finish(ready consensus.Ready) {
+// completeReady does the part of a batch that follows the write.
+func (m *machine) completeReady(ready consensus.Ready) {
 	m.sendAll(ready.Messages)
 	m.apply(ready)
 	m.node.Advance(ready)
@@ -289,34 +289,34 @@
 	}
 }
 
-// stop freezes the process between its disk and the network.
-func (m *machine) stop(ready consensus.Ready) {
-	m.world.count(FaultStall)
+// stallBeforeSend freezes the process between its disk and the network.
+func (m *machine) stallBeforeSend(ready consensus.Ready) {
+	m.world.countFault(FaultStallBeforeSend)
 	m.frozen = true
-	m.unfinished = &ready
-	m.world.after(m.stall, m.thaw)
-	m.stall = 0
+	m.stalledReady = &ready
+	m.world.schedule(m.plannedStall, m.unfreeze)
+	m.plannedStall = 0
 }
 
 func (m *machine) persist(ready consensus.Ready) bool {
-	if ready.HardState != nil && m.world.has(defect.ForgetVote) {
+	if ready.HardState != nil && m.world.hasDefect(defect.ForgetVote) {
 		forgetful := *ready.HardState
 		forgetful.Vote = consensus.None
 		ready.HardState = &forgetful
 	}
 	if err := storage.Persist(m.store, ready); err != nil {
-		m.powerCut()
+		m.failDiskWrite()
 		return false
 	}
-	m.world.checks.persisted(m, ready.Entries)
+	m.world.checks.entriesWritten(m, ready.Entries)
 	return true
 }
 
-// powerCut is the end of a process whose disk failed. It comes back later.
-func (m *machine) powerCut() {
+// failDiskWrite is the end of a process whose disk failed. It comes back later.
+func (m *machine) failDiskWrite() {
 	m.world.result.Faults[FaultCrashAtWrite]++
 	m.crash()
-	m.world.after(m.world.between(restartLeast, restartMost), m.restart)
+	m.world.schedule(m.world.between(minDowntime, maxDowntime), m.restart)
 }
 
 func (m *machine) sendAll(messages []consensus.Message) {
@@ -324,7 +324,7 @@
 		if message.Kind == consensus.MessageVoteReply && !message.Reject {
 			m.world.afterVote(m)
 		}
-		to := m.world.checks.holder(message.To)
+		to := m.world.checks.machineOf(message.To)
 		if to == nil {
 			continue
 		}
@@ -347,32 +347,32 @@
 	for _, entry := range ready.CommittedEntries {
 		if entry.Kind == consensus.EntryNormal {
 			if _, err := m.state.apply(entry.Data); err != nil {
-				m.world.violate(RuleAgreement, "%s cannot apply index %d: %v", m.name, entry.Index, err)
+				m.world.recordViolation(RuleStateMachineSafety, "%s cannot apply index %d: %v", m.name, entry.Index, err)
 			}
 		}
 		m.applied = entry.Index
-		m.world.checks.appliedEntry(m, entry)
-		m.noteApplied(entry)
+		m.world.checks.entryApplied(m, entry)
+		m.entryApplied(entry)
 	}
 }
 
 // compact takes a snapshot now and then.
 func (m *machine) compact() {
-	if m.applied < m.compacts+compactAfter {
+	if m.applied < m.snapshotIndex+compactionInterval {
 		return
 	}
-	data, err := m.state.snapshot(m.world.has(defect.SnapshotDropsOrders))
+	data, err := m.state.snapshot(m.world.hasDefect(defect.SnapshotDropsOrders))
 	if err != nil {
 		panic(err)
 	}
-	keep := uint64(m.world.random.IntN(keepAtMost))
+	keep := uint64(m.world.random.IntN(retainedEntriesLimit))
 	snapshot, err := m.node.Compact(m.applied, data, keep)
 	if err != nil {
-		m.world.violate(RuleDurable, "%s cannot compact: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot compact: %v", m.name, err)
 		return
 	}
-	m.compacts = snapshot.Index
+	m.snapshotIndex = snapshot.Index
 	if m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, keep)) != nil {
-		m.powerCut()
+		m.failDiskWrite()
 	}
 }
--- a/internal/simulation/normal_test.go
+++ b/internal/simulation/normal_test.go
@@ -2,8 +2,8 @@
 
 package simulation
 
-// histories and quickHunt are smaller with the race detector, see race_test.go.
+// historyCount and huntLimit are smaller with the race detector, see race_test.go.
 const (
-	histories = 2000
-	quickHunt = 300
+	historyCount = 2000
+	huntLimit    = 300
 )
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -9,9 +9,9 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// order replaces the one versioned value, or changes it, if it was built on the
+// operation replaces the one versioned value, or changes it, if it was built on the
 // newest version.
-type order struct {
+type operation struct {
 	ID   string
 	Base uint64
 	// Change says that the order's value is made of the one before it.
@@ -20,7 +20,7 @@
 
 // contentAfter is the value that an order leaves, as a hash of the orders that made
 // it: of itself alone, or of all since the last whole one.
-func (o *order) contentAfter(content uint64) uint64 {
+func (o *operation) contentAfter(content uint64) uint64 {
 	hash := fnv.New64a()
 	if o.Change {
 		_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, content))
@@ -39,16 +39,16 @@
 
 const (
 	typeVersion = registry.FirstPrivateType
-	typeOrder   = registry.FirstPrivateType + 1
+	typeAnswer  = registry.FirstPrivateType + 1
 	typeContent = registry.FirstPrivateType + 2
 
 	apex        registry.Name = "places."
 	versionName registry.Name = "version.places."
 	contentName registry.Name = "content.places."
-	ordersName  registry.Name = "orders.places."
+	answersName registry.Name = "orders.places."
 	firstSerial uint32        = 1
-	// reuseEvery is how often the planted fault of a serial used twice strikes.
-	reuseEvery = 5
+	// serialReuseInterval is how often the planted fault of a serial used twice strikes.
+	serialReuseInterval = 5
 )
 
 var schema = mustSchema()
@@ -56,7 +56,7 @@
 func mustSchema() *registry.Schema {
 	made, err := registry.NewSchema(
 		registry.Kind{Type: typeVersion, Name: "VERSION", Singleton: true},
-		registry.Kind{Type: typeOrder, Name: "ORDER", Singleton: true},
+		registry.Kind{Type: typeAnswer, Name: "ORDER", Singleton: true},
 		registry.Kind{Type: typeContent, Name: "CONTENT", Singleton: true},
 	)
 	if err != nil {
@@ -65,36 +65,36 @@
 	return made
 }
 
-// book is the replicated state: a registry table with the version of one value
+// stateMachine is the replicated state: a registry table with the version of one value
 // and the answers to all orders.
-type book struct {
+type stateMachine struct {
 	table *registry.Table
-	// since is the serial at which an answer was, at the latest, in the table.
-	since map[string]uint32
-	// restored is the serial of the newest snapshot taken in.
-	restored uint32
-	reuse    bool
+	// answerSerials is the serial at which an answer was, at the latest, in the table.
+	answerSerials map[string]uint32
+	// snapshotSerial is the serial of the newest snapshot taken in.
+	snapshotSerial uint32
+	reuseSerials   bool
 }
 
-func newBook() *book {
+func newStateMachine() *stateMachine {
 	head := registry.SOA{Primary: "none", Serial: firstSerial}
 	table, err := registry.New(apex, schema, head, []string{"control"})
 	if err != nil {
 		panic(err)
 	}
-	return &book{table: table, since: make(map[string]uint32), restored: firstSerial}
+	return &stateMachine{table: table, answerSerials: make(map[string]uint32), snapshotSerial: firstSerial}
 }
 
-func orderName(id string) registry.Name {
-	return ordersName.Child(id)
+func answerName(id string) registry.Name {
+	return answersName.Child(id)
 }
 
-func orderRecord(id string, given answer) registry.Record {
+func answerRecord(id string, given answer) registry.Record {
 	data, err := cbor.Marshal(given)
 	if err != nil {
 		panic(err)
 	}
-	return registry.Record{Name: orderName(id), Type: typeOrder, Class: registry.ClassTable, Data: data}
+	return registry.Record{Name: answerName(id), Type: typeAnswer, Class: registry.ClassTable, Data: data}
 }
 
 func versionRecord(version uint64) registry.Record {
@@ -108,12 +108,12 @@
 }
 
 // version returns the version of the value, zero at first.
-func (b *book) version() uint64 { return b.number(versionName, typeVersion) }
+func (b *stateMachine) version() uint64 { return b.lookupNumber(versionName, typeVersion) }
 
 // content returns the value, zero at first.
-func (b *book) content() uint64 { return b.number(contentName, typeContent) }
+func (b *stateMachine) content() uint64 { return b.lookupNumber(contentName, typeContent) }
 
-func (b *book) number(name registry.Name, kind registry.Type) uint64 {
+func (b *stateMachine) lookupNumber(name registry.Name, kind registry.Type) uint64 {
 	records := b.table.View().Lookup(name, kind)
 	if len(records) == 0 {
 		return 0
@@ -121,8 +121,8 @@
 	return binary.BigEndian.Uint64(records[0].Data)
 }
 
-func (b *book) answer(id string) (answer, bool) {
-	records := b.table.View().Lookup(orderName(id), typeOrder)
+func (b *stateMachine) answer(id string) (answer, bool) {
+	records := b.table.View().Lookup(answerName(id), typeAnswer)
 	if len(records) == 0 {
 		return answer{}, false
 	}
@@ -133,48 +133,48 @@
 	return given, true
 }
 
-// answeredBy returns a serial with which the answer is in the table.
-func (b *book) answeredBy(id string) uint32 {
-	if serial, known := b.since[id]; known {
+// answerSerial returns a serial with which the answer is in the table.
+func (b *stateMachine) answerSerial(id string) uint32 {
+	if serial, known := b.answerSerials[id]; known {
 		return serial
 	}
-	return b.restored
+	return b.snapshotSerial
 }
 
 // serial returns the serial that the machine shows to others.
-func (b *book) serial() uint32 {
+func (b *stateMachine) serial() uint32 {
 	serial := b.table.Serial()
-	if b.reuse {
-		return serial - serial/reuseEvery
+	if b.reuseSerials {
+		return serial - serial/serialReuseInterval
 	}
 	return serial
 }
 
-// decide makes the update that answers an order: the change with its answer, or
+// operationUpdate makes the update that answers an order: the change with its answer, or
 // the refusal. Both hold only if nothing has moved in the meantime. content is what
 // an order that changes the value is made to.
-func (b *book) decide(asked order, content uint64) registry.Update {
+func (b *stateMachine) operationUpdate(asked operation, content uint64) registry.Update {
 	version := b.version()
-	prerequisites := []registry.Record{registry.Absent(orderName(asked.ID), typeOrder)}
+	prerequisites := []registry.Record{registry.Absent(answerName(asked.ID), typeAnswer)}
 	if version == 0 {
 		prerequisites = append(prerequisites, registry.Absent(versionName, typeVersion))
 	} else {
 		prerequisites = append(prerequisites, registry.Equals(versionRecord(version)))
 	}
 	if asked.Base != version {
-		refusal := registry.Add(orderRecord(asked.ID, answer{Version: version}))
+		refusal := registry.Add(answerRecord(asked.ID, answer{Version: version}))
 		return registry.NewUpdate(apex, prerequisites, []registry.Record{refusal})
 	}
 	accepted := answer{Accepted: true, Version: version + 1, Content: asked.contentAfter(content)}
 	return registry.NewUpdate(apex, prerequisites, []registry.Record{
 		registry.Add(versionRecord(version + 1)),
 		registry.Add(contentRecord(accepted.Content)),
-		registry.Add(orderRecord(asked.ID, accepted)),
+		registry.Add(answerRecord(asked.ID, accepted)),
 	})
 }
 
-// claim makes the update that names a new primary in the head record.
-func (b *book) claim(primary string) registry.Update {
+// primaryUpdate makes the update that names a new primary in the head record.
+func (b *stateMachine) primaryUpdate(primary string) registry.Update {
 	head := b.table.SOA()
 	head.Primary = primary
 	head.Serial = registry.NextSerial(head.Serial)
@@ -182,7 +182,7 @@
 }
 
 // apply evaluates one update. Every machine does so in the log's order.
-func (b *book) apply(data []byte) (registry.Result, error) {
+func (b *stateMachine) apply(data []byte) (registry.Result, error) {
 	update, err := registry.DecodeUpdate(data)
 	if err != nil {
 		return registry.Result{}, err
@@ -190,28 +190,28 @@
 	result := b.table.Apply(&update, nil)
 	if result.Changed {
 		for _, record := range update.Changes {
-			if record.Type == typeOrder {
-				b.since[idOf(record)] = result.Serial
+			if record.Type == typeAnswer {
+				b.answerSerials[operationID(record)] = result.Serial
 			}
 		}
 	}
 	return result, nil
 }
 
-// idOf returns the order that a record answers.
-func idOf(record registry.Record) string {
+// operationID returns the order that a record answers.
+func operationID(record registry.Record) string {
 	return record.Name.Labels()[0]
 }
 
 // snapshot encodes the state, without the answers if that fault is planted.
-func (b *book) snapshot(dropAnswers bool) ([]byte, error) {
+func (b *stateMachine) snapshot(dropAnswers bool) ([]byte, error) {
 	if !dropAnswers {
 		return b.table.Snapshot()
 	}
 	whole := b.table.TransferSince(0)
 	kept := registry.Transfer{Full: true, To: whole.To}
 	for _, record := range whole.Added {
-		if record.Type != typeOrder {
+		if record.Type != typeAnswer {
 			kept.Added = append(kept.Added, record)
 		}
 	}
@@ -223,23 +223,23 @@
 }
 
 // restore replaces the state; empty data is that of a new group.
-func (b *book) restore(data []byte) error {
-	fresh := newBook()
-	fresh.reuse = b.reuse
+func (b *stateMachine) restore(data []byte) error {
+	fresh := newStateMachine()
+	fresh.reuseSerials = b.reuseSerials
 	if len(data) > 0 {
 		table, err := registry.Restore(schema, data)
 		if err != nil {
 			return err
 		}
 		fresh.table = table
-		fresh.restored = table.Serial()
+		fresh.snapshotSerial = table.Serial()
 	}
 	*b = *fresh
 	return nil
 }
 
 // digest identifies the whole state.
-func (b *book) digest() uint64 {
+func (b *stateMachine) digest() uint64 {
 	data, err := b.table.Snapshot()
 	if err != nil {
 		panic(err)
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -3,6 +3,6 @@
 package simulation
 
 const (
-	histories = 200
-	quickHunt = 300
+	historyCount = 200
+	huntLimit    = 300
 )
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -8,61 +8,61 @@
 
 // The end of a history: no more faults, and everything has to work again.
 
-// healEverything ends all faults.
-func (w *world) healEverything() {
-	clear(w.network.cuts)
-	w.network.usual = 0
-	w.network.setUsual()
-	for _, m := range w.present() {
-		if w.broken() {
+// endFaults ends all faults.
+func (w *world) endFaults() {
+	clear(w.network.blocked)
+	w.network.baseLoss = 0
+	w.network.resetConditions()
+	for _, m := range w.activeMachines() {
+		if w.violated() {
 			return
 		}
 		if m.node == nil {
 			m.restart()
 		} else {
 			m.store.ScheduleCrash(storage.CrashPlan{})
-			m.stall = 0
-			m.thaw()
+			m.plannedStall = 0
+			m.unfreeze()
 		}
 	}
-	w.healGateways()
+	w.recoverGateways()
 }
 
 // recovered tells whether everything works as before.
 func (w *world) recovered() bool {
 	for _, o := range w.operators {
-		if !o.done() {
+		if !o.idle() {
 			return false
 		}
 	}
 	leader := w.leader()
-	if leader == nil || !leader.repairDone() {
+	if leader == nil || !leader.isRepaired() {
 		return false
 	}
-	for _, m := range w.present() {
-		if m.retiring || !m.up() || !m.votes() {
+	for _, m := range w.activeMachines() {
+		if m.retiring || !m.up() || !m.isVoter() {
 			return false
 		}
 	}
 	return w.gatewaysRecovered()
 }
 
-// stuck says what has not recovered.
-func (w *world) stuck() string {
+// describeUnrecovered says what has not recovered.
+func (w *world) describeUnrecovered() string {
 	text := ""
 	for _, o := range w.operators {
-		if o.open != nil {
-			text += fmt.Sprintf("%s waits for %s; ", o.name, o.open.order.ID)
+		if o.pending != nil {
+			text += fmt.Sprintf("%s waits for %s; ", o.name, o.pending.operation.ID)
 		}
 	}
-	for _, m := range w.present() {
+	for _, m := range w.activeMachines() {
 		if m.node == nil {
 			text += m.name + " is down; "
 			continue
 		}
 		text += m.describe()
 	}
-	return text + w.stuckGateways()
+	return text + w.describeGateways()
 }
 
 func (m *machine) describe() string {
--- a/internal/simulation/repair.go
+++ b/internal/simulation/repair.go
@@ -10,47 +10,47 @@
 
 const (
 	joinInterval = 150 * time.Millisecond
-	// joinFresh is how recent a request to join must be.
-	joinFresh = time.Second
-	// learnerPatience is how long a silent learner stays a member.
-	learnerPatience = 2 * time.Second
-	// reachable is how recent an answer must be for a member to count as reachable.
-	reachable = 500 * time.Millisecond
+	// joinRequestTTL is how recent a request to join must be.
+	joinRequestTTL = time.Second
+	// learnerTimeout is how long a silent learner stays a member.
+	learnerTimeout = 2 * time.Second
+	// reachabilityWindow is how recent an answer must be for a member to count as reachabilityWindow.
+	reachabilityWindow = 500 * time.Millisecond
 )
 
-// joining is a machine that wants to be a member.
-type joining struct {
-	member   consensus.Member
-	replaces string
-	heard    time.Duration // on the local clock
+// joinRequest is a machine that wants to be a member.
+type joinRequest struct {
+	member     consensus.Member
+	replaces   string
+	receivedAt time.Duration // on the local clock
 }
 
-// joinLater lets a machine that is not a voter ask for membership.
-func (m *machine) joinLater(process int) {
-	m.world.after(joinInterval, func() {
-		if m.process != process || m.node == nil {
+// scheduleJoinRequest lets a machine that is not a voter ask for membership.
+func (m *machine) scheduleJoinRequest(process int) {
+	m.world.schedule(joinInterval, func() {
+		if m.incarnation != process || m.node == nil {
 			return
 		}
-		if !m.frozen && !m.retiring && !m.settled() {
-			m.askToJoin()
+		if !m.frozen && !m.retiring && !m.hasJoined() {
+			m.sendJoinRequests()
 		}
-		m.joinLater(process)
+		m.scheduleJoinRequest(process)
 	})
 }
 
-// settled tells whether the machine has its place in the group. A machine that
+// hasJoined tells whether the machine has its place in the group. A machine that
 // hears no leader asks again: the membership in which it votes may have been
 // lost with the leader that proposed it.
-func (m *machine) settled() bool {
+func (m *machine) hasJoined() bool {
 	status := m.node.Status()
 	if status.Leader == consensus.None {
 		return false
 	}
-	request := joining{member: m.member(m.identity), replaces: m.replaces}
-	return m.votes() && replacedBy(status.Membership, request) < 0
+	request := joinRequest{member: m.asMember(m.identity), replaces: m.replaces}
+	return m.isVoter() && replacedBy(status.Membership, request) < 0
 }
 
-func (m *machine) votes() bool {
+func (m *machine) isVoter() bool {
 	for _, member := range m.node.Status().Membership.Members {
 		if member.ID == m.identity {
 			return !member.Learner
@@ -59,8 +59,8 @@
 	return false
 }
 
-// holds tells whether an identity is a member, as far as this machine knows.
-func (m *machine) holds(identity consensus.ID) bool {
+// hasMember tells whether an identity is a member, as far as this machine knows.
+func (m *machine) hasMember(identity consensus.ID) bool {
 	for _, member := range m.node.Status().Membership.Members {
 		if member.ID == identity {
 			return true
@@ -69,24 +69,24 @@
 	return false
 }
 
-func (m *machine) askToJoin() {
+func (m *machine) sendJoinRequests() {
 	for _, other := range m.world.machines {
 		if other == m {
 			continue
 		}
-		request := joining{member: m.member(m.identity), replaces: m.replaces}
+		request := joinRequest{member: m.asMember(m.identity), replaces: m.replaces}
 		m.world.network.send(m.name, other.name, func() {
-			other.receive(func() { other.noteJoin(request) })
+			other.receive(func() { other.recordJoinRequest(request) })
 		})
 	}
 }
 
-func (m *machine) noteJoin(request joining) {
+func (m *machine) recordJoinRequest(request joinRequest) {
 	if m.leadership == nil {
 		return
 	}
-	request.heard = m.clock()
-	m.joins[request.member.ID] = request
+	request.receivedAt = m.clock()
+	m.joinRequests[request.member.ID] = request
 }
 
 // repair takes the next step for one machine that wants to join: add it as a
@@ -94,28 +94,28 @@
 // replaces.
 func (m *machine) repair() {
 	status := m.node.Status()
-	if m.dropSilentLearner(status) {
+	if m.removeUnresponsiveLearner(status) {
 		return
 	}
-	if !m.retiring && !m.settled() {
-		m.noteJoin(joining{member: m.member(m.identity), replaces: m.replaces})
+	if !m.retiring && !m.hasJoined() {
+		m.recordJoinRequest(joinRequest{member: m.asMember(m.identity), replaces: m.replaces})
 	}
-	for _, id := range m.freshJoins() {
-		next, changes := m.nextMembership(status, m.joins[id])
+	for _, id := range m.currentJoinRequests() {
+		next, changes := m.nextMembership(status, m.joinRequests[id])
 		if !changes {
 			continue
 		}
-		if _, _, err := m.node.ProposeMembership(m.clock(), next); err != nil && !m.world.has(defect.TwoMembershipChanges) {
+		if _, _, err := m.node.ProposeMembership(m.clock(), next); err != nil && !m.world.hasDefect(defect.TwoMembershipChanges) {
 			return
 		}
 		m.world.afterChange()
 	}
 }
 
-func (m *machine) freshJoins() []consensus.ID {
-	ids := make([]consensus.ID, 0, len(m.joins))
-	for id, request := range m.joins {
-		if m.clock()-request.heard <= joinFresh {
+func (m *machine) currentJoinRequests() []consensus.ID {
+	ids := make([]consensus.ID, 0, len(m.joinRequests))
+	for id, request := range m.joinRequests {
+		if m.clock()-request.receivedAt <= joinRequestTTL {
 			ids = append(ids, id)
 		}
 	}
@@ -123,12 +123,12 @@
 	return ids
 }
 
-// dropSilentLearner takes back the addition of a machine that has gone away, or
+// removeUnresponsiveLearner takes back the addition of a machine that has gone away, or
 // whose late request to join came after its removal.
-func (m *machine) dropSilentLearner(status consensus.Status) bool {
+func (m *machine) removeUnresponsiveLearner(status consensus.Status) bool {
 	for position, member := range status.Membership.Members {
-		heard := max(m.leadership.elected, status.LastContact[member.ID], m.joins[member.ID].heard)
-		if !member.Learner || m.clock()-heard < learnerPatience {
+		heard := max(m.leadership.elected, status.LastContact[member.ID], m.joinRequests[member.ID].receivedAt)
+		if !member.Learner || m.clock()-heard < learnerTimeout {
 			continue
 		}
 		rest := slices.Delete(slices.Clone(status.Membership.Members), position, position+1)
@@ -141,11 +141,11 @@
 // nextMembership returns the next membership on the way to the request. A
 // replaced voter that still works leaves only after the newcomer votes; one
 // that does not answer leaves first, since it would only raise the majority.
-func (m *machine) nextMembership(status consensus.Status, request joining) (consensus.Membership, bool) {
+func (m *machine) nextMembership(status consensus.Status, request joinRequest) (consensus.Membership, bool) {
 	members := slices.Clone(status.Membership.Members)
 	own := slices.IndexFunc(members, func(member consensus.Member) bool { return member.ID == request.member.ID })
 	replaced := replacedBy(status.Membership, request)
-	room := len(status.Membership.Voters()) < m.world.faults.size
+	room := len(status.Membership.Voters()) < m.world.faults.voterCount
 	switch {
 	case own < 0 && (room || replaced >= 0):
 		learner := request.member
@@ -153,9 +153,9 @@
 		return consensus.Membership{Members: append(members, learner)}, true
 	case own < 0 || members[own].Learner && !m.caughtUp(status, request.member.ID):
 		return consensus.Membership{}, false
-	case replaced >= 0 && (!members[own].Learner || !m.reaches(status, members[replaced].ID)):
+	case replaced >= 0 && (!members[own].Learner || !m.isReachable(status, members[replaced].ID)):
 		rest := consensus.Membership{Members: slices.Delete(members, replaced, replaced+1)}
-		return rest, m.works(status, rest)
+		return rest, m.quorumReachable(status, rest)
 	case members[own].Learner && (room || replaced >= 0):
 		members[own].Learner = false
 		return consensus.Membership{Members: members}, true
@@ -172,48 +172,48 @@
 
 // replacedBy returns the position of the member whose place the request takes,
 // or -1.
-func replacedBy(membership consensus.Membership, request joining) int {
+func replacedBy(membership consensus.Membership, request joinRequest) int {
 	return slices.IndexFunc(membership.Members, func(member consensus.Member) bool {
 		return member.ID != request.member.ID && (member.Name == request.member.Name || member.Name == request.replaces)
 	})
 }
 
-// reaches tells whether a member has answered lately.
-func (m *machine) reaches(status consensus.Status, id consensus.ID) bool {
+// isReachable tells whether a member has answered lately.
+func (m *machine) isReachable(status consensus.Status, id consensus.ID) bool {
 	heard, answered := status.LastContact[id]
-	return answered && m.clock()-heard <= reachable
+	return answered && m.clock()-heard <= reachabilityWindow
 }
 
-// works tells whether a majority of a membership's voters can be reached. One
+// quorumReachable tells whether a majority of a membership's voters can be reached. One
 // that cannot would never be committed, nor be taken back.
-func (m *machine) works(status consensus.Status, membership consensus.Membership) bool {
+func (m *machine) quorumReachable(status consensus.Status, membership consensus.Membership) bool {
 	voters := membership.Voters()
 	count := 0
 	for _, voter := range voters {
-		if m.reaches(status, voter.ID) {
+		if m.isReachable(status, voter.ID) {
 			count++
 		}
 	}
 	return count > len(voters)/2
 }
 
-// repairDone is what a leader reports as a whole group: a committed membership
+// isRepaired is what a leader reports as a whole group: a committed membership
 // of enough voters, all reachable and holding everything committed, and no
 // learner left.
-func (m *machine) repairDone() bool {
+func (m *machine) isRepaired() bool {
 	if !m.up() {
 		return false
 	}
 	status := m.node.Status()
 	contact, known := m.node.QuorumContact()
-	if !known || m.clock()-contact > reachable || status.Role != consensus.Leader {
+	if !known || m.clock()-contact > reachabilityWindow || status.Role != consensus.Leader {
 		return false
 	}
-	if !status.MembershipCommitted || len(status.Membership.Voters()) < m.world.faults.size {
+	if !status.MembershipCommitted || len(status.Membership.Voters()) < m.world.faults.voterCount {
 		return false
 	}
 	for _, member := range status.Membership.Members {
-		if member.Learner || !m.reaches(status, member.ID) || status.Match[member.ID] < status.Commit {
+		if member.Learner || !m.isReachable(status, member.ID) || status.Match[member.ID] < status.Commit {
 			return false
 		}
 	}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -46,13 +46,13 @@
 
 const (
 	defaultDuration = 12 * time.Second
-	// recoveryLimit is how long after the last fault everything must work again.
-	recoveryLimit = 20 * time.Second
-	// settleTime lets late messages arrive before the last checks.
-	settleTime = 2 * time.Second
+	// recoveryTimeout is how long after the last fault everything must work again.
+	recoveryTimeout = 20 * time.Second
+	// drainTime lets late messages arrive before the last checks.
+	drainTime = 2 * time.Second
 
-	leastMembers = 3
-	mostMembers  = 7
+	minMembers = 3
+	maxMembers = 7
 )
 
 // Run plays one history.
@@ -61,13 +61,13 @@
 		options.Duration = defaultDuration
 	}
 	w := newWorld(seed, options)
-	w.populate(leastMembers + w.random.IntN(mostMembers-leastMembers+1))
+	w.populate(minMembers + w.random.IntN(maxMembers-minMembers+1))
 	w.startFaults(options.Duration)
 	w.runUntil(options.Duration)
-	w.healEverything()
-	w.runUntilRecovered(options.Duration + recoveryLimit)
-	w.runUntil(w.now + settleTime)
-	w.checkEnd()
+	w.endFaults()
+	w.runUntilRecovered(options.Duration + recoveryTimeout)
+	w.runUntil(w.now + drainTime)
+	w.checkFinalState()
 	return w.result
 }
 
@@ -86,8 +86,8 @@
 	network   network
 	checks    *checks
 	faults    faultPlan
-	// named counts names and identities given out.
-	named int
+	// namesIssued counts names and identities given out.
+	namesIssued int
 }
 
 // settings are drawn for each history, the defaults among them.
@@ -103,10 +103,10 @@
 
 var (
 	electionTimeouts = []time.Duration{600 * time.Millisecond, 300 * time.Millisecond, 150 * time.Millisecond}
-	inflights        = []int{1, 4, 64}
-	// appendSizes make a message of one entry, of a few, or of all.
-	appendSizes = []int{1, 300, 256 << 10}
-	promoteLags = []uint64{0, 64}
+	inflightLimits   = []int{1, 4, 64}
+	// appendByteLimits make a message of one entry, of a few, or of all.
+	appendByteLimits = []int{1, 300, 256 << 10}
+	promoteLags      = []uint64{0, 64}
 )
 
 func newWorld(seed uint64, options Options) *world {
@@ -117,8 +117,8 @@
 	}
 	w.settings = settings{
 		electionTimeout: pick(w, electionTimeouts),
-		inflight:        pick(w, inflights),
-		appendBytes:     pick(w, appendSizes),
+		inflight:        pick(w, inflightLimits),
+		appendBytes:     pick(w, appendByteLimits),
 		promoteLag:      pick(w, promoteLags),
 	}
 	w.network = newNetwork(w)
@@ -126,18 +126,18 @@
 	return w
 }
 
-func (w *world) has(planted defect.Defect) bool {
+func (w *world) hasDefect(planted defect.Defect) bool {
 	return w.options.Defects.Has(planted)
 }
 
-// violate notes the first broken rule.
-func (w *world) violate(rule Rule, format string, arguments ...any) {
+// recordViolation notes the first broken rule.
+func (w *world) recordViolation(rule Rule, format string, arguments ...any) {
 	if w.result.Violation == nil {
 		w.result.Violation = &Violation{At: w.now, Rule: rule, Detail: fmt.Sprintf(format, arguments...)}
 	}
 }
 
-func (w *world) broken() bool {
+func (w *world) violated() bool {
 	return w.result.Violation != nil
 }
 
--- a/internal/simulation/strikes.go
+++ b/internal/simulation/strikes.go
@@ -6,86 +6,86 @@
 // commit, a change of the membership or an answer.
 
 const (
-	quickRestart = 40 * time.Millisecond
-	strikeDelay  = 40 * time.Millisecond
+	maxQuickDowntime = 40 * time.Millisecond
+	maxFollowUpDelay = 40 * time.Millisecond
 )
 
-// changeSplits are the chances that a change of the membership meets a split.
-var changeSplits = []float64{0.1, 0.6}
+// changeSplitProbabilities are the chances that a change of the membership meets a split.
+var changeSplitProbabilities = []float64{0.1, 0.6}
 
-// voteStrikes and electionStrikes are the chances that a vote is followed by a
+// voteCrashProbabilities and electionFaultProbabilities are the chances that a vote is followed by a
 // crash of the voter, and an election by a fault of the new leader.
 var (
-	voteStrikes     = []float64{0.02, 0.05, 0.5}
-	electionStrikes = []float64{0.05, 0.15, 0.7}
+	voteCrashProbabilities     = []float64{0.02, 0.05, 0.5}
+	electionFaultProbabilities = []float64{0.05, 0.15, 0.7}
 )
 
 // afterVote sometimes crashes a voter whose vote has just left.
 func (w *world) afterVote(m *machine) {
-	if w.now >= w.faults.ending || !w.chance(w.faults.voteStrike) {
+	if w.now >= w.faults.end || !w.chance(w.faults.voteCrashProbability) {
 		return
 	}
-	process := m.process
-	w.after(0, func() {
-		if m.process == process && m.node != nil {
-			w.count(FaultCrashAfterVote)
+	process := m.incarnation
+	w.schedule(0, func() {
+		if m.incarnation == process && m.node != nil {
+			w.countFault(FaultCrashAfterVote)
 			m.crash()
-			w.after(w.between(time.Millisecond, quickRestart), m.restart)
+			w.schedule(w.between(time.Millisecond, maxQuickDowntime), m.restart)
 		}
 	})
 }
 
 // afterElection sometimes strikes a leader before anybody holds its entries.
 func (w *world) afterElection(m *machine) {
-	if w.now >= w.faults.ending || !w.chance(w.faults.electionStrike) {
+	if w.now >= w.faults.end || !w.chance(w.faults.electionFaultProbability) {
 		return
 	}
-	process := m.process
-	w.after(w.between(0, strikeDelay), func() {
-		if m.process != process || m.node == nil || w.now >= w.faults.ending {
+	process := m.incarnation
+	w.schedule(w.between(0, maxFollowUpDelay), func() {
+		if m.incarnation != process || m.node == nil || w.now >= w.faults.end {
 			return
 		}
-		w.count(FaultCrashElected)
+		w.countFault(FaultAfterElection)
 		if w.chance(0.5) {
 			m.crash()
-			most := pick(w, []time.Duration{quickRestart, restartMost})
-			w.after(w.between(restartLeast, most), m.restart)
+			most := pick(w, []time.Duration{maxQuickDowntime, maxDowntime})
+			w.schedule(w.between(minDowntime, most), m.restart)
 			return
 		}
-		w.silence(m)
+		w.blockOutgoing(m)
 	})
 }
 
 // atFirstCommit sometimes silences a leader at the moment at which it learns of
 // its first commit, before anybody else does.
 func (w *world) atFirstCommit(m *machine) {
-	if w.now >= w.faults.ending || !w.chance(w.faults.electionStrike) {
+	if w.now >= w.faults.end || !w.chance(w.faults.electionFaultProbability) {
 		return
 	}
-	w.count(FaultSilenced)
-	w.silence(m)
+	w.countFault(FaultBlockedAtFirstCommit)
+	w.blockOutgoing(m)
 }
 
 // afterChange sometimes splits the group while a membership is under way.
 func (w *world) afterChange() {
-	if w.now >= w.faults.ending || !w.chance(w.faults.changeSplit) {
+	if w.now >= w.faults.end || !w.chance(w.faults.changeSplitProbability) {
 		return
 	}
 	if w.chance(0.5) {
-		w.split() // before anybody has heard of the change
+		w.splitGroup() // before anybody has heard of the change
 		return
 	}
-	w.after(w.between(0, strikeDelay), w.split)
+	w.schedule(w.between(0, maxFollowUpDelay), w.splitGroup)
 }
 
 // afterAnswer sometimes wipes the primary's disk right after an answer.
 func (w *world) afterAnswer(m *machine) {
-	if w.now >= w.faults.ending || !w.chance(wipeAfterAnswer) {
+	if w.now >= w.faults.end || !w.chance(wipeAfterAnswerProbability) {
 		return
 	}
-	w.after(w.between(0, wipeDelayMost), func() {
-		if w.now < w.faults.ending && w.mayLose() {
-			w.wipe(m, FaultWipeAfterAnswer)
+	w.schedule(w.between(0, maxWipeDelay), func() {
+		if w.now < w.faults.end && w.mayLoseDisk() {
+			w.wipeDisk(m, FaultWipeAfterAnswer)
 		}
 	})
 }
