--- a/internal/simulation/batch.go
+++ b/internal/simulation/batch.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// Each calls work for every position below count, from several workers.
+// Each calls work with every position from 0 to count-1, from the given number of
+// goroutines, and waits until all calls have returned.
 func Each(count, workers int, work func(position int)) {
 	positions := make(chan int)
 	var group sync.WaitGroup
@@ -20,8 +21,8 @@
 	group.Wait()
 }
 
-// Batch plays count histories from a first seed, and hands each result to
-// visit, one at a time, in no fixed order.
+// Batch runs count histories with consecutive seeds from firstSeed on. It passes each
+// result to visit, one at a time and in no particular order.
 func Batch(firstSeed uint64, count, workers int, options Options, visit func(Result)) {
 	var mutex sync.Mutex
 	Each(count, workers, func(position int) {
@@ -32,15 +33,16 @@
 	})
 }
 
-// Summary adds results up.
+// Summary is the sum of results. The zero value is empty.
 type Summary struct {
 	Histories int
-	Total     Result
-	// Failures are the results with a violation.
+	// Total has the sums of the counters; its Seed and Violation are not set.
+	Total Result
+	// Failures lists the results with a violation.
 	Failures []Result
 }
 
-// Add takes one more result in.
+// Add adds one result.
 func (s *Summary) Add(result Result) {
 	s.Histories++
 	s.Total.Steps += result.Steps
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"hash/fnv"
 	"time"
 
@@ -11,61 +10,54 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// Rule is something that must hold in every history.
-type Rule string
-
-// The rules.
-const (
-	RuleElectionSafety     Rule = "one leader a term"
-	RuleLeaderCompleteness Rule = "a new leader holds everything committed"
-	RuleLogMatching        Rule = "logs match"
-	RuleStateMachineSafety Rule = "state machines agree"
-	RuleSerialIncrease     Rule = "the serial rises with each change"
-	RuleSingleAnswer       Rule = "an order has one answer"
-	RuleDurability         Rule = "what was acknowledged stays"
-	RuleQuorumContact      Rule = "no fresh contact beside a successor"
-	RuleSerialInForce      Rule = "nobody acts on an older serial than acknowledged"
-	RuleLinearizability    Rule = "orders are linearizable"
-	RuleProgress           Rule = "service returns"
-)
-
-// clockResolution covers the rounding between two clocks.
+// clockResolution is the tolerance for rounding when times of two clocks are compared.
 const clockResolution = time.Microsecond
 
-// checks watches everything from outside.
+// checks observes all machines and gateways and records violations of the rules.
 type checks struct {
 	world *world
-	// diskOwners tells which machine has, or had, an identity's disk.
-	diskOwners   map[consensus.ID]*machine
+	// diskOwners holds the machine that has, or had, the disk with an identity.
+	diskOwners map[consensus.ID]*machine
+	// leaderByTerm holds the first machine that led in a term.
 	leaderByTerm map[uint64]consensus.ID
-	elections    []election
-	// writtenEntries holds each entry ever writtenEntries, by index and term.
+	// elections lists the elections in order of time.
+	elections []election
+	// writtenEntries holds every entry that was ever written to a disk.
 	writtenEntries map[logPosition]writtenEntry
-	// committedLog holds each committed entry, from index 1, as first applied.
-	committedLog     []committedEntry
+	// committedLog holds the committed entries as first applied; the position is the
+	// index, and position 0 is unused.
+	committedLog []committedEntry
+	// committedAnswers holds the answers in the committed state, by operation id.
 	committedAnswers map[string]answer
-	// serialInForce is the highest serial that any primary has reported in force.
-	serialInForce       uint32
+	// serialInForce is the highest serial that any primary has reported as in force.
+	serialInForce uint32
+	// acknowledgedAnswers holds the answers that were sent to operators, by operation id.
 	acknowledgedAnswers map[string]answer
-	history             []porcupine.Operation
+	// history has the answered operations, for the check of linearizability.
+	history []porcupine.Operation
 }
 
+// election is the first time that a machine was observed to lead in a term.
 type election struct {
 	term uint64
 	at   time.Duration
 }
 
+// writtenEntry describes an entry on a disk. previousTerm is the term of the entry before
+// it, 0 if unknown.
 type writtenEntry struct {
 	entryDigest  uint64
 	previousTerm uint64
 }
 
+// committedEntry describes a committed entry and the state after it.
 type committedEntry struct {
 	term        uint64
 	entryDigest uint64
 	stateDigest uint64
 	serial      uint32
-	// commitTerm is the term in which the entry was commitTerm as committed.
+	// commitTerm is the term of the machine that first applied the entry, by when the
+	// entry was committed.
 	commitTerm uint64
 }
 
@@ -80,27 +72,31 @@
 	}
 }
 
-// groupFormed notes the first membership, which stands at index 1 in term 1.
+// groupFormed records the first membership, which is the entry at index 1 in term 1.
 func (c *checks) groupFormed(group consensus.Membership) {
 	for position, member := range group.Members {
 		c.assignDisk(member.ID, c.world.machines[position])
 	}
-	fresh := newStateMachine()
-	c.committedLog = []committedEntry{{}, {term: 1, stateDigest: fresh.digest(), serial: fresh.serial(), commitTerm: 1}}
+	initial := newStateMachine()
+	c.committedLog = []committedEntry{{}, {term: 1, stateDigest: initial.digest(), serial: initial.serial(), commitTerm: 1}}
 }
 
+// assignDisk records the machine that has a disk.
 func (c *checks) assignDisk(identity consensus.ID, m *machine) {
 	c.diskOwners[identity] = m
 }
 
+// machineOf returns the machine that has, or had, a disk. It is nil for an unknown one.
 func (c *checks) machineOf(identity consensus.ID) *machine {
 	return c.diskOwners[identity]
 }
 
+// commitIndex returns the highest index that any machine has applied.
 func (c *checks) commitIndex() uint64 {
 	return uint64(len(c.committedLog) - 1)
 }
 
+// digestOf returns a hash of an entry's kind and data.
 func digestOf(entry consensus.Entry) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte{byte(entry.Kind)})
@@ -108,7 +104,8 @@
 	return hash.Sum64()
 }
 
-// observeLeadership checks a machine's leadership.
+// observeLeadership checks RuleElectionSafety, and for a new leader
+// RuleLeaderCompleteness. It runs after each step of a machine.
 func (c *checks) observeLeadership(m *machine) {
 	term, leading := m.node.Leadership()
 	if !leading {
@@ -127,22 +124,23 @@
 	c.checkContact(m, term)
 }
 
-// checkCompleteness looks at the disk of a new leader, which holds its whole
-// log, since the entry of its own term has just been written.
+// checkCompleteness checks RuleLeaderCompleteness. It reads the disk of a new leader,
+// which holds its complete log, because the first entry of its term has just been
+// written.
 func (c *checks) checkCompleteness(m *machine, term uint64) {
 	index := c.commitIndex()
 	for index > 1 && c.committedLog[index].commitTerm >= term {
 		index--
 	}
-	held, err := m.store.Load()
+	stored, err := m.store.Load()
 	if err != nil {
 		c.world.recordViolation(RuleDurability, "%s: %v", m.name, err)
 		return
 	}
-	if held.Snapshot.Index >= index {
+	if stored.Snapshot.Index >= index {
 		return
 	}
-	for _, entry := range held.Entries {
+	for _, entry := range stored.Entries {
 		if entry.Index == index && entry.Term == c.committedLog[index].term {
 			return
 		}
@@ -150,8 +148,8 @@
 	c.world.recordViolation(RuleLeaderCompleteness, "%s leads in term %d without index %d of term %d", m.name, term, index, c.committedLog[index].term)
 }
 
-// checkContact compares a leader's contact with its successors' elections: they
-// may follow it only.
+// checkContact checks RuleQuorumContact: the quorum contact that a leader reports is never
+// later than the election of a successor.
 func (c *checks) checkContact(m *machine, term uint64) {
 	contact, known := m.node.QuorumContact()
 	if !known {
@@ -166,32 +164,33 @@
 	}
 }
 
-// entriesWritten checks new entries against every other log (the log matching property).
+// entriesWritten checks RuleLogMatching: entries with equal index and term are equal on
+// all disks, and so are their predecessors.
 func (c *checks) entriesWritten(m *machine, entries []consensus.Entry) {
 	for position, entry := range entries {
-		fresh := writtenEntry{entryDigest: digestOf(entry)}
+		written := writtenEntry{entryDigest: digestOf(entry)}
 		if position > 0 {
-			fresh.previousTerm = entries[position-1].Term
+			written.previousTerm = entries[position-1].Term
 		}
 		key := logPosition{entry.Index, entry.Term}
 		before, known := c.writtenEntries[key]
 		if !known {
-			c.writtenEntries[key] = fresh
+			c.writtenEntries[key] = written
 			continue
 		}
-		differs := before.entryDigest != fresh.entryDigest ||
-			before.previousTerm != 0 && fresh.previousTerm != 0 && before.previousTerm != fresh.previousTerm
+		differs := before.entryDigest != written.entryDigest ||
+			before.previousTerm != 0 && written.previousTerm != 0 && before.previousTerm != written.previousTerm
 		if differs {
 			c.world.recordViolation(RuleLogMatching, "%s holds another entry at index %d of term %d", m.name, entry.Index, entry.Term)
 		}
 		if before.previousTerm == 0 {
-			c.writtenEntries[key] = fresh
+			c.writtenEntries[key] = written
 		}
 	}
 }
 
-// entryApplied compares an applied entry and the state after it with those of
-// the first machine that applied this index.
+// entryApplied checks RuleStateMachineSafety: it compares an applied entry and the state
+// after it with those of the first machine that applied this index.
 func (c *checks) entryApplied(m *machine, entry consensus.Entry) {
 	content, digest := digestOf(entry), m.state.digest()
 	if entry.Index <= c.commitIndex() {
@@ -220,6 +219,7 @@
 	c.recordAnswers(m, entry)
 }
 
+// recordAnswers checks RuleSingleAnswer for the answers that an entry brought.
 func (c *checks) recordAnswers(m *machine, entry consensus.Entry) {
 	if entry.Kind != consensus.EntryNormal {
 		return
@@ -243,7 +243,7 @@
 	}
 }
 
-// snapshotRestored checks the state that a snapshot brought.
+// snapshotRestored checks the state after a snapshot was restored.
 func (c *checks) snapshotRestored(m *machine, snapshot consensus.Snapshot) {
 	if snapshot.Index > c.commitIndex() {
 		c.world.recordViolation(RuleStateMachineSafety, "%s restored a snapshot at %d, committed is %d", m.name, snapshot.Index, c.commitIndex())
@@ -255,7 +255,7 @@
 	}
 }
 
-// answerAcknowledged checks an answer at the moment at which it is given.
+// answerAcknowledged checks an answer when a machine sends it.
 func (c *checks) answerAcknowledged(m *machine, id string, given answer) {
 	if committed, known := c.committedAnswers[id]; !known || committed != given {
 		c.world.recordViolation(RuleDurability, "%s acknowledged order %s with %+v, committed is %+v", m.name, id, given, committed)
@@ -267,7 +267,8 @@
 	c.world.afterAnswer(m)
 }
 
-// serialReported checks every gateway against what a primary has just reported.
+// serialReported checks all gateways against the serial that a primary has just reported
+// as in force.
 func (c *checks) serialReported(serial uint32) {
 	if serial <= c.serialInForce {
 		return
@@ -280,35 +281,16 @@
 	}
 }
 
-// checkPlacement checks a gateway that acts, or could act, on its active serial. The
-// serials of a history never wrap.
+// checkPlacement checks RuleSerialInForce for a gateway that places a request, or could
+// place one. Serials are compared as numbers, since they never wrap in a history.
 func (c *checks) checkPlacement(g *gateway) {
 	if g.activeSerial < c.serialInForce {
 		c.world.recordViolation(RuleSerialInForce, "%s acts on serial %d, %d was reported in force", g.name, g.activeSerial, c.serialInForce)
 	}
 }
 
-// recordOperation keeps one operation as its operator saw it.
-func (c *checks) recordOperation(o *operator, open *pendingOperation, given answer) {
-	c.history = append(c.history, porcupine.Operation{
-		ClientId: operatorIndex(c.world, o),
-		Input:    open.operation,
-		Output:   given,
-		Call:     int64(open.issuedAt),
-		Return:   int64(c.world.now),
-	})
-}
-
-func operatorIndex(w *world, wanted *operator) int {
-	for position, o := range w.operators {
-		if o == wanted {
-			return position
-		}
-	}
-	return -1
-}
-
-// checkFinalState compares everything once the group is at rest.
+// checkFinalState compares the states of all machines after the service has recovered,
+// and checks that the operations are linearizable.
 func (w *world) checkFinalState() {
 	if w.violated() {
 		return
@@ -324,69 +306,16 @@
 		}
 		w.checkAnswersKept(m)
 	}
-	if verdict := porcupine.CheckOperationsTimeout(operationModel, w.checks.history, linearizabilityTimeout); verdict == porcupine.Illegal {
-		w.recordViolation(RuleLinearizability, "%d operations have no order", len(w.checks.history))
-	} else if verdict == porcupine.Unknown {
-		w.recordViolation(RuleLinearizability, "undecided after %v: %d operations", linearizabilityTimeout, len(w.checks.history))
-	}
+	w.checks.checkLinearizability()
 }
 
+// checkAnswersKept checks that a machine's state has every answer that an operator got.
 func (w *world) checkAnswersKept(m *machine) {
 	for _, o := range w.operators {
 		for id, given := range o.answers {
-			if held, _ := m.state.answer(id); held != given {
-				w.recordViolation(RuleDurability, "%s holds %+v for order %s, its operator was told %+v", m.name, held, id, given)
+			if stored, _ := m.state.answer(id); stored != given {
+				w.recordViolation(RuleDurability, "%s holds %+v for order %s, its operator was told %+v", m.name, stored, id, given)
 			}
 		}
 	}
 }
-
-// linearizabilityTimeout bounds the search for an order; it takes milliseconds.
-const linearizabilityTimeout = time.Minute
-
-// registerState is the state of the sequential model: a value with a version,
-// and the answers to the orders so far.
-type registerState struct {
-	version uint64
-	content uint64
-	answers map[string]answer
-}
-
-// operationModel is what operators may rely on: each order takes effect once, at
-// one moment between its call and its answer.
-var operationModel = porcupine.Model{
-	Init: func() any { return registerState{} },
-	Step: func(state, input, output any) (bool, any) {
-		held, asked, given := state.(registerState), input.(operation), output.(answer) //nolint:forcetypeassert // porcupine hands back what record and Init gave it
-		if first, known := held.answers[asked.ID]; known {
-			return first == given, held
-		}
-		next := registerState{version: held.version, content: held.content, answers: make(map[string]answer, len(held.answers)+1)}
-		for id, past := range held.answers {
-			next.answers[id] = past
-		}
-		accepted := asked.Base == held.version
-		if accepted {
-			next.version++
-			next.content = asked.contentAfter(held.content)
-		}
-		next.answers[asked.ID] = given
-		whole := !accepted || given.Content == next.content
-		return given.Accepted == accepted && given.Version == next.version && whole, next
-	},
-	Equal: func(one, other any) bool {
-		a, b := one.(registerState), other.(registerState) //nolint:forcetypeassert // porcupine hands back what Init and Step gave it
-		if a.version != b.version || a.content != b.content || len(a.answers) != len(b.answers) {
-			return false
-		}
-		for id, given := range a.answers {
-			if b.answers[id] != given {
-				return false
-			}
-		}
-		return true
-	},
-	DescribeOperation: func(input, output any) string {
-		return fmt.Sprintf("%+v -> %+v", input, output)
-	},
-}
--- a/internal/simulation/crashes.go
+++ b/internal/simulation/crashes.go
@@ -6,7 +6,7 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// Faults that stop a machine, for a while or until it starts again.
+// This file has the faults that stop a machine for some time.
 
 func (w *world) crashMachine() {
 	m := w.pickTarget()
@@ -18,6 +18,7 @@
 	w.schedule(w.between(minDowntime, maxDowntime), m.restart)
 }
 
+// scheduleCrashAtWrite makes a machine crash before or after one of its next writes.
 func (w *world) scheduleCrashAtWrite() {
 	m := w.pickTarget()
 	if m.node != nil {
@@ -43,7 +44,8 @@
 	w.schedule(w.between(minFreeze, maxFreeze), m.unfreeze)
 }
 
-// stallMachine plans a slow write, or a freeze right after one.
+// stallMachine makes a machine stop after its next write, before it sends the messages
+// that depend on it: a slow write, or a freeze right after one.
 func (w *world) stallMachine() {
 	if m := w.pickTarget(); m.up() {
 		m.plannedStall = w.between(minFreeze, pick(w, []time.Duration{2 * minFreeze, maxFreeze}))
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -6,10 +6,10 @@
 	"github.com/deckpulley/deckpulley/internal/defect"
 )
 
-// Faults that lose a disk or replace a machine.
+// This file has the faults that lose a disk or replace a machine.
 
-// mayLoseDisk tells whether the group reports itself whole, so that it must bear
-// the loss of a disk.
+// mayLoseDisk reports whether some leader reports a complete group, so that the group
+// must tolerate the loss of a disk.
 func (w *world) mayLoseDisk() bool {
 	for _, m := range w.machines {
 		if m.isRepaired() && !w.hasLostMember(m) {
@@ -19,7 +19,8 @@
 	return false
 }
 
-// hasLostMember tells whether a leader has not yet noticed an earlier loss.
+// hasLostMember reports whether a machine's membership still contains a member whose
+// disk was lost.
 func (w *world) hasLostMember(m *machine) bool {
 	for _, member := range m.node.Status().Membership.Members {
 		if w.faults.lostDisks[member.ID] {
@@ -35,7 +36,8 @@
 	}
 }
 
-// wipeDisk takes a machine's disk away. It comes back empty at the same address.
+// wipeDisk crashes a machine and replaces its disk by an empty one with a new identity.
+// The machine restarts later at the same address.
 func (w *world) wipeDisk(m *machine, kind FaultKind) {
 	if m.removed {
 		return
@@ -53,15 +55,15 @@
 	w.schedule(w.between(minDowntime, maxDowntime), m.restart)
 }
 
-// replaceable tells whether a machine votes and has no successor yet.
+// replaceable reports whether a machine is a voter without a replacement under way.
 func (w *world) replaceable(m *machine) bool {
 	if m.retiring || m.node == nil || !m.isVoter() {
 		return false
 	}
-	return replacedBy(m.node.Status().Membership, joinRequest{member: m.asMember(m.identity), replaces: m.replaces}) < 0
+	return replacedBy(m.node.Status().Membership, m.joinRequest()) < 0
 }
 
-// replaceMachine takes a machine away for good and starts another one elsewhere.
+// replaceMachine removes a machine for good and starts another one at a new address.
 func (w *world) replaceMachine() {
 	if !w.mayLoseDisk() {
 		return
@@ -74,14 +76,20 @@
 	w.faults.lostDisks[old.identity] = true
 	old.crash()
 	old.removed = true
+	replacement := w.newReplacement(old)
+	w.schedule(w.between(minDowntime, maxDowntime), replacement.restart)
+}
+
+// newReplacement makes a stopped machine at a new address that replaces another one.
+func (w *world) newReplacement(old *machine) *machine {
 	w.namesIssued++
-	fresh := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
-	held, _ := fresh.store.Load()
-	w.checks.assignDisk(held.Identity, fresh)
-	w.schedule(w.between(minDowntime, maxDowntime), fresh.restart)
+	replacement := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
+	stored, _ := replacement.store.Load()
+	w.checks.assignDisk(stored.Identity, replacement)
+	return replacement
 }
 
-// swapMachine starts a machine that is to take the place of one that still runs.
+// swapMachine starts a machine that is to replace one that still runs.
 func (w *world) swapMachine() {
 	if !w.mayLoseDisk() {
 		return
@@ -92,15 +100,12 @@
 	}
 	w.countFault(FaultPlannedReplace)
 	old.retiring = true
-	w.namesIssued++
-	fresh := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
-	held, _ := fresh.store.Load()
-	w.checks.assignDisk(held.Identity, fresh)
-	fresh.restart()
+	w.newReplacement(old).restart()
 	w.scheduleRetirement(old)
 }
 
-// scheduleRetirement switches a replaced machine off some time after its removal.
+// scheduleRetirement stops a replaced machine some time after its removal from the
+// membership.
 func (w *world) scheduleRetirement(old *machine) {
 	w.schedule(w.between(minDowntime, maxDowntime), func() {
 		leader := w.leader()
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,9 +1,13 @@
-// Package simulation runs whole groups of control nodes in virtual time: the
-// real consensus.Node over storage.Memory, a replicated table of orders,
-// operators that resend, and gateways under leases. A seed decides everything,
-// so a history with a violation can be run again and again.
+// Package simulation is a deterministic simulator of groups of control nodes in
+// virtual time: the real consensus.Node over storage.Memory, a replicated table that
+// holds the answers to operations, operators that retry, and gateways under leases. A
+// seed determines everything that happens in a history, so that a history with a
+// violation can be repeated.
 //
-// A step is one message, timer or fault at one machine. The checks of checks.go
-// run after each. They read what the machines did, never what these say of
-// themselves.
+// A step is one message, timer or fault at one machine. After each step the checks
+// compare what the machines did with the rules. They read the state of disks,
+// logs and tables from outside and do not rely on what a machine reports of itself.
+//
+// Any change to the number or order of random draws changes every history, and with it
+// the seeds that are recorded as examples.
 package simulation
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// event is something that happens at one moment of virtual time.
+// event is a function that runs at one moment of virtual time.
 type event struct {
-	at       time.Duration
+	at time.Duration // since the start of the history
+	// sequence is the number of the call of schedule that made the event.
 	sequence uint64
 	run      func()
 }
 
-// eventHeap orders events by time, then by the order of their making.
+// eventHeap orders events by time and, at equal times, by sequence, so that the order
+// is deterministic.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -37,18 +39,19 @@
 	return last
 }
 
+// eventQueue holds the events that have not happened yet.
 type eventQueue struct {
 	events   eventHeap
 	sequence uint64
 }
 
-// schedule plans something.
+// schedule adds an event that happens after the delay.
 func (w *world) schedule(delay time.Duration, run func()) {
 	w.queue.sequence++
 	heap.Push(&w.queue.events, event{at: w.now + delay, sequence: w.queue.sequence, run: run})
 }
 
-// runUntil plays events up to a moment, or to the first violation.
+// runUntil runs the events up to a time or to the first violation, and sets the time.
 func (w *world) runUntil(end time.Duration) {
 	for len(w.queue.events) > 0 && !w.violated() {
 		if w.queue.events[0].at > end {
@@ -59,7 +62,8 @@
 	w.now = max(w.now, end)
 }
 
-// runUntilRecovered plays events until everything works again.
+// runUntilRecovered runs events until the service has recovered. Not having recovered
+// at the limit violates RuleProgress.
 func (w *world) runUntilRecovered(limit time.Duration) {
 	for !w.violated() && w.now < limit {
 		if w.recovered() {
@@ -72,8 +76,10 @@
 	}
 }
 
+// recoveryPollInterval is the virtual time between two checks for recovery.
 const recoveryPollInterval = 100 * time.Millisecond
 
+// step runs the next event.
 func (w *world) step() {
 	next := heap.Pop(&w.queue.events).(event) //nolint:forcetypeassert // the heap holds events only
 	w.now = next.at
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -6,10 +6,10 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// FaultKind is a kind of injected fault.
+// FaultKind is the kind of an injected fault, as reports show it.
 type FaultKind string
 
-// The kinds of faults.
+// The kinds of injected faults.
 const (
 	FaultCrash                FaultKind = "crash"
 	FaultCrashAtWrite         FaultKind = "crash around a write"
@@ -33,8 +33,8 @@
 	FaultGatewayIsolate       FaultKind = "gateway cut off"
 )
 
-// Bounds of the pauses between faults and of the length of each kind, and how bad
-// a lossy network gets: shares of the messages, and the longest extra delay.
+// Bounds of the intervals between faults and of their durations, and the worst
+// conditions of a lossy network.
 const (
 	minFaultInterval = 60 * time.Millisecond
 	maxFaultInterval = 700 * time.Millisecond
@@ -49,42 +49,46 @@
 	maxLoss          = 0.3
 	maxDuplication   = 0.2
 	maxTailDelay     = 400 * time.Millisecond
-	// maxWritesAhead is how many writes ahead a power cut is planned.
+	// maxWritesAhead bounds the number of writes until a scheduled crash.
 	maxWritesAhead = 6
-	// wipeAfterAnswerProbability is the chance that an answer is followed by a loss.
+	// wipeAfterAnswerProbability is the probability that the loss of the primary's disk
+	// follows an answer.
 	wipeAfterAnswerProbability = 0.3
 	maxWipeDelay               = 50 * time.Millisecond
 )
 
-// blockedShares are the shares of the others that a struck leader no longer reaches.
+// blockedShares are the fractions of the other machines that a leader no longer reaches
+// after a fault of its outgoing links.
 var blockedShares = []float64{0.5, 1}
 
-// intervalFactors are how many times rarer than at most faults come, drawn for each
-// history: where faults come at most speed the group is seldom whole, so that few
-// disks may be lost.
+// intervalFactors multiply the intervals between faults. One is drawn for each history:
+// with the shortest intervals the group is rarely complete, so that few disks may be
+// lost.
 var intervalFactors = []time.Duration{1, 2, 4, 8}
 
-// faultPlan is what the injector of faults keeps.
+// faultPlan is the state of the fault injector.
 type faultPlan struct {
+	// intervalFactor and the probabilities are drawn for each history.
 	intervalFactor           time.Duration
 	voteCrashProbability     float64
 	electionFaultProbability float64
 	changeSplitProbability   float64
-	// voterCount is the number of voters that the group is to have.
+	// voterCount is the number of voters that a complete group has.
 	voterCount int
 	end        time.Duration
-	// lostDisks holds the identities whose disks are gone.
+	// lostDisks is the set of identities whose disks were lost.
 	lostDisks map[consensus.ID]bool
 	injectors []weightedFault
 }
 
+// weightedFault is a fault with its relative frequency.
 type weightedFault struct {
 	kind   FaultKind
 	weight int
 	inject func()
 }
 
-// startFaults injects faults until the end.
+// startFaults draws the fault plan and injects faults until the end.
 func (w *world) startFaults(end time.Duration) {
 	w.faults.end = end
 	w.faults.intervalFactor = pick(w, intervalFactors)
@@ -113,6 +117,7 @@
 	w.scheduleFault()
 }
 
+// scheduleFault injects a fault after a random interval, and again until the end.
 func (w *world) scheduleFault() {
 	w.schedule(w.faults.intervalFactor*w.between(minFaultInterval, maxFaultInterval), func() {
 		if w.now >= w.faults.end {
@@ -123,6 +128,7 @@
 	})
 }
 
+// injectFault injects a fault drawn by weight.
 func (w *world) injectFault() {
 	total := 0
 	for _, choice := range w.faults.injectors {
@@ -142,7 +148,7 @@
 	w.result.Faults[kind]++
 }
 
-// activeMachines returns the machines that have not been taken away for good.
+// activeMachines returns the machines that were not removed, running or not.
 func (w *world) activeMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
@@ -153,7 +159,8 @@
 	return present
 }
 
-// pickTarget prefers the leader, where faults hurt most.
+// pickTarget draws a machine for a fault. It prefers the leader, where faults have the
+// most effect.
 func (w *world) pickTarget() *machine {
 	if leader := w.leader(); leader != nil && w.chance(0.4) {
 		return leader
@@ -161,7 +168,7 @@
 	return pick(w, w.activeMachines())
 }
 
-// leader returns the running leader of the newest term.
+// leader returns the running leader of the highest term, or nil.
 func (w *world) leader() *machine {
 	var best *machine
 	var bestTerm uint64
--- a/internal/simulation/strikes.go
+++ b/internal/simulation/followups.go
@@ -2,32 +2,36 @@
 
 import "time"
 
-// Faults that follow at once on what a machine just did: a vote, an election, a
-// commit, a change of the membership or an answer.
+// This file has the faults that follow directly on something that a machine did: a vote,
+// an election, a commit, a change of the membership or an answer. They hit the moments
+// at which a guarantee depends on few machines.
 
 const (
+	// maxQuickDowntime bounds the downtime of a machine that restarts quickly.
 	maxQuickDowntime = 40 * time.Millisecond
+	// maxFollowUpDelay bounds the time from what a machine did to the fault.
 	maxFollowUpDelay = 40 * time.Millisecond
 )
 
-// changeSplitProbabilities are the chances that a change of the membership meets a split.
+// changeSplitProbabilities are the values that the probability of a split during a
+// change of the membership is drawn from, once for each history.
 var changeSplitProbabilities = []float64{0.1, 0.6}
 
-// voteCrashProbabilities and electionFaultProbabilities are the chances that a vote is followed by a
-// crash of the voter, and an election by a fault of the new leader.
+// voteCrashProbabilities and electionFaultProbabilities are the values that the
+// probabilities of a crash after a vote and of a fault after an election are drawn from.
 var (
 	voteCrashProbabilities     = []float64{0.02, 0.05, 0.5}
 	electionFaultProbabilities = []float64{0.05, 0.15, 0.7}
 )
 
-// afterVote sometimes crashes a voter whose vote has just left.
+// afterVote sometimes crashes a voter right after it sent its vote.
 func (w *world) afterVote(m *machine) {
 	if w.now >= w.faults.end || !w.chance(w.faults.voteCrashProbability) {
 		return
 	}
-	process := m.incarnation
+	incarnation := m.incarnation
 	w.schedule(0, func() {
-		if m.incarnation == process && m.node != nil {
+		if m.incarnation == incarnation && m.node != nil {
 			w.countFault(FaultCrashAfterVote)
 			m.crash()
 			w.schedule(w.between(time.Millisecond, maxQuickDowntime), m.restart)
@@ -35,29 +39,30 @@
 	})
 }
 
-// afterElection sometimes strikes a leader before anybody holds its entries.
+// afterElection sometimes crashes or isolates a new leader before its entries are
+// replicated.
 func (w *world) afterElection(m *machine) {
 	if w.now >= w.faults.end || !w.chance(w.faults.electionFaultProbability) {
 		return
 	}
-	process := m.incarnation
+	incarnation := m.incarnation
 	w.schedule(w.between(0, maxFollowUpDelay), func() {
-		if m.incarnation != process || m.node == nil || w.now >= w.faults.end {
+		if m.incarnation != incarnation || m.node == nil || w.now >= w.faults.end {
 			return
 		}
 		w.countFault(FaultAfterElection)
 		if w.chance(0.5) {
 			m.crash()
-			most := pick(w, []time.Duration{maxQuickDowntime, maxDowntime})
-			w.schedule(w.between(minDowntime, most), m.restart)
+			downtime := pick(w, []time.Duration{maxQuickDowntime, maxDowntime})
+			w.schedule(w.between(minDowntime, downtime), m.restart)
 			return
 		}
 		w.blockOutgoing(m)
 	})
 }
 
-// atFirstCommit sometimes silences a leader at the moment at which it learns of
-// its first commit, before anybody else does.
+// atFirstCommit sometimes blocks the outgoing links of a leader when it learns of its
+// first commit, before any other machine does.
 func (w *world) atFirstCommit(m *machine) {
 	if w.now >= w.faults.end || !w.chance(w.faults.electionFaultProbability) {
 		return
@@ -66,19 +71,20 @@
 	w.blockOutgoing(m)
 }
 
-// afterChange sometimes splits the group while a membership is under way.
+// afterChange sometimes splits the group while a change of the membership is in progress.
 func (w *world) afterChange() {
 	if w.now >= w.faults.end || !w.chance(w.faults.changeSplitProbability) {
 		return
 	}
 	if w.chance(0.5) {
-		w.splitGroup() // before anybody has heard of the change
+		w.splitGroup() // before the change reaches any other machine
 		return
 	}
 	w.schedule(w.between(0, maxFollowUpDelay), w.splitGroup)
 }
 
-// afterAnswer sometimes wipes the primary's disk right after an answer.
+// afterAnswer sometimes wipes the primary's disk right after it acknowledged an
+// operation.
 func (w *world) afterAnswer(m *machine) {
 	if w.now >= w.faults.end || !w.chance(wipeAfterAnswerProbability) {
 		return
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -14,12 +14,13 @@
 	placementInterval = 60 * time.Millisecond
 )
 
-// gateway acts on the active serial while it has a lease. It has no disk: a
-// restart is a new incarnation.
+// gateway is a data-plane node that places requests by the table at its active serial
+// while its lease is valid. It has no disk, so that every restart begins with an empty
+// table.
 type gateway struct {
 	world *world
 	name  string
-	// incarnation counts the starts; timers of an earlier one are void.
+	// incarnation counts the starts. A timer of an earlier one does nothing.
 	incarnation int
 	up          bool
 	started     time.Duration
@@ -29,26 +30,26 @@
 
 	holder *lease.Holder
 	table  *registry.Table
-	// receivedSerials lists the serials of which there is a copy and which are newer than
-	// active, in ascending order.
+	// receivedSerials lists the received serials above the active one, in ascending
+	// order.
 	receivedSerials []uint32
 	activeSerial    uint32
 	primary         *machine
 }
 
-// renewal is a request for a lease with the time at which it was sent.
+// renewal is a lease request with the time on the gateway's clock at which it was sent.
 type renewal struct {
 	request lease.Request
 	sent    time.Duration
 }
 
-// renewalReply is the answer to a renewal.
+// renewalReply is a machine's reply to a renewal.
 type renewalReply struct {
 	from     *machine
 	decision lease.Decision
 	term     uint64
 	transfer *registry.Transfer
-	hint     *machine // who may be the primary
+	hint     *machine // possible primary, if the sender is not
 }
 
 func (w *world) populateGateways() {
@@ -59,6 +60,7 @@
 	}
 }
 
+// start starts a new incarnation without any state of the earlier one.
 func (g *gateway) start() {
 	g.incarnation++
 	g.up = true
@@ -75,12 +77,13 @@
 	g.schedulePlacement(g.incarnation)
 }
 
+// clock returns the time of the process's monotonic clock.
 func (g *gateway) clock() time.Duration {
 	elapsed := g.world.now - g.started
 	return elapsed + time.Duration(float64(elapsed)*g.drift)
 }
 
-// receive takes a message in, or lets it wait while the process is frozen.
+// receive handles a message, or buffers it while the process is frozen.
 func (g *gateway) receive(run func()) {
 	switch {
 	case !g.up:
@@ -96,13 +99,14 @@
 		return
 	}
 	g.frozen = false
-	waited := g.buffered
+	messages := g.buffered
 	g.buffered = nil
-	for _, run := range waited {
-		g.receive(run)
+	for _, message := range messages {
+		g.receive(message)
 	}
 }
 
+// scheduleRenewal renews the lease periodically while the incarnation lasts.
 func (g *gateway) scheduleRenewal(incarnation int) {
 	g.world.schedule(lease.DefaultConfig().RenewalInterval, func() {
 		if g.incarnation != incarnation || !g.up {
@@ -115,7 +119,8 @@
 	})
 }
 
-// renewLease asks the known primary, and now and then another machine.
+// renewLease sends a renewal to the known primary, or to any machine if there is none or
+// the lease has expired.
 func (g *gateway) renewLease() {
 	if g.primary == nil || !g.holder.Valid(g.clock()) {
 		g.primary = pick(g.world, g.world.machines)
@@ -123,9 +128,11 @@
 	g.sendRenewal(g.primary)
 }
 
+// sendRenewal sends a renewal to a machine. The machine ignores it if the gateway has
+// restarted in the meantime.
 func (g *gateway) sendRenewal(to *machine) {
 	now := g.clock()
-	asked := renewal{sent: now, request: lease.Request{
+	request := renewal{sent: now, request: lease.Request{
 		Holder:         g.name,
 		Incarnation:    fmt.Sprint(g.incarnation),
 		ReceivedSerial: g.receivedSerial(),
@@ -137,32 +144,34 @@
 	g.world.network.send(g.name, to.name, func() {
 		to.receive(func() {
 			if g.incarnation == incarnation {
-				to.answerRenewal(g, asked)
+				to.answerRenewal(g, request)
 			}
 		})
 	})
 }
 
-// releaseLease gives the lease up before the process ends.
+// releaseLease releases the lease before the process ends.
 func (g *gateway) releaseLease() {
 	g.holder.Release()
 	to := g.primary
-	asked := renewal{sent: g.clock(), request: lease.Request{
+	request := renewal{sent: g.clock(), request: lease.Request{
 		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.activeSerial, Release: true,
 	}}
 	g.world.network.send(g.name, to.name, func() {
-		to.receive(func() { to.answerRenewal(g, asked) })
+		to.receive(func() { to.answerRenewal(g, request) })
 	})
 }
 
+// receivedSerial returns the serial of the table.
 func (g *gateway) receivedSerial() uint32 {
 	return g.table.Serial()
 }
 
-// receiveReply takes the answer to a renewal in.
-func (g *gateway) receiveReply(asked renewal, reply renewalReply) {
-	if asked.request.Incarnation != fmt.Sprint(g.incarnation) {
-		return // the connection that it came on is gone
+// receiveReply handles the reply to a renewal. A change of the received or active serial
+// is reported to the primary at once, since acknowledgements wait for it.
+func (g *gateway) receiveReply(answered renewal, reply renewalReply) {
+	if answered.request.Incarnation != fmt.Sprint(g.incarnation) {
+		return // a reply to an earlier incarnation
 	}
 	if !reply.decision.Authoritative {
 		if reply.hint != nil && reply.hint != g.primary {
@@ -171,7 +180,7 @@
 		}
 		return
 	}
-	now, sent := g.clock(), asked.sent
+	now, sent := g.clock(), answered.sent
 	if g.world.hasDefect(defect.LeaseFromArrival) {
 		sent = now
 	}
@@ -185,7 +194,8 @@
 	}
 }
 
-// applyTransfer brings the copy up to date. A late transfer does not fit, and is dropped.
+// applyTransfer applies a transfer to the table and reports whether its serial changed.
+// A late transfer does not fit the table's serial and is ignored.
 func (g *gateway) applyTransfer(transfer *registry.Transfer) bool {
 	if transfer == nil {
 		return false
@@ -198,7 +208,8 @@
 	return true
 }
 
-// activate makes the newest copy up to the permitted serial decide.
+// activate moves the active serial to the highest received one that the primary permits,
+// and reports whether it changed. 0 permits none.
 func (g *gateway) activate(permitted uint32) bool {
 	changed := false
 	for len(g.receivedSerials) > 0 && !registry.SerialLess(permitted, g.receivedSerials[0]) && permitted != 0 {
@@ -209,6 +220,7 @@
 	return changed
 }
 
+// schedulePlacement places requests periodically while the incarnation lasts.
 func (g *gateway) schedulePlacement(incarnation int) {
 	g.world.schedule(placementInterval, func() {
 		if g.incarnation != incarnation || !g.up {
@@ -222,6 +234,7 @@
 	})
 }
 
+// canPlace reports whether the gateway may place requests.
 func (g *gateway) canPlace() bool {
 	return g.up && g.holder.Valid(g.clock())
 }
@@ -253,7 +266,7 @@
 	})
 }
 
-// isolateGateway cuts a gateway off, in one direction or both.
+// isolateGateway blocks the links to a gateway, from it, or both.
 func (w *world) isolateGateway() {
 	g := pick(w, w.gateways)
 	w.countFault(FaultGatewayIsolate)
--- a/internal/simulation/planted.go
+++ b/internal/simulation/hunt.go
@@ -2,19 +2,19 @@
 
 import "github.com/deckpulley/deckpulley/internal/defect"
 
-// Catch says how a planted defect fared.
+// Catch is the result of a hunt for a planted defect.
 type Catch struct {
 	Defect defect.Defect
-	// Violation is nil if no history showed it.
+	// Violation is the one that revealed the defect, nil if no history did.
 	Violation *Violation
-	// Seeds is the number of histories played, the catching one included.
+	// Seeds is the number of histories run, including the one with the violation.
 	Seeds int
-	// Seed is the catching one.
+	// Seed is that of the history with the violation, 0 if there is none.
 	Seed uint64
 }
 
-// Hunt plays histories with one planted defect until a check catches it, or the
-// limit is reached.
+// Hunt runs histories with one planted defect, with consecutive seeds from firstSeed
+// on, until a check reports a violation or the limit is reached.
 func Hunt(planted defect.Defect, firstSeed uint64, limit int) Catch {
 	catch := Catch{Defect: planted}
 	for catch.Seeds < limit {
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Faults of the links between machines.
+// This file has the faults of the links between machines.
 
 func (w *world) blockOneWay() {
 	from, to := w.pickTarget(), pick(w, w.activeMachines())
@@ -31,30 +31,30 @@
 	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(m.name) })
 }
 
-// splitGroup parts the machines in two, for a while.
+// splitGroup partitions the machines into two sets for some time.
 func (w *world) splitGroup() {
 	w.countFault(FaultSplit)
-	var here, there []*machine
+	var first, second []*machine
 	for _, m := range w.machines {
 		if w.chance(0.5) {
-			here = append(here, m)
+			first = append(first, m)
 		} else {
-			there = append(there, m)
+			second = append(second, m)
 		}
 	}
-	each := func(change func(from, to string)) {
-		for _, one := range here {
-			for _, other := range there {
+	eachLink := func(change func(from, to string)) {
+		for _, one := range first {
+			for _, other := range second {
 				change(one.name, other.name)
 				change(other.name, one.name)
 			}
 		}
 	}
-	each(w.network.block)
-	w.schedule(w.between(minPartition, maxPartition), func() { each(w.network.unblock) })
+	eachLink(w.network.block)
+	w.schedule(w.between(minPartition, maxPartition), func() { eachLink(w.network.unblock) })
 }
 
-// blockOutgoing cuts what a machine sends to some or all of the others.
+// blockOutgoing blocks the links from a machine to some or all of the others.
 func (w *world) blockOutgoing(m *machine) {
 	share := pick(w, blockedShares)
 	for _, other := range w.machines {
@@ -65,10 +65,11 @@
 	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(m.name) })
 }
 
+// unblockAll unblocks all links from and to a name.
 func (w *world) unblockAll(name string) {
-	for pair := range w.network.blocked {
-		if pair.from == name || pair.to == name {
-			delete(w.network.blocked, pair)
+	for blocked := range w.network.blocked {
+		if blocked.from == name || blocked.to == name {
+			delete(w.network.blocked, blocked)
 		}
 	}
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -10,33 +10,36 @@
 )
 
 const (
+	// A process ticks its node at random intervals between these bounds.
 	minTickInterval = 15 * time.Millisecond
 	maxTickInterval = 30 * time.Millisecond
-	// maxDrift is how much faster or slower a clock may run.
+	// maxDrift is the largest relative deviation of the rate of a clock.
 	maxDrift = 0.02
-	// maxBuffered bounds what waits for a frozen process.
+	// maxBuffered is the number of messages that wait for a frozen process at most.
 	maxBuffered = 256
 	// compactionInterval is the number of applied entries between snapshots.
-	compactionInterval   = 12
+	compactionInterval = 12
+	// retainedEntriesLimit bounds the number of entries that a snapshot leaves in the log.
 	retainedEntriesLimit = 8
-	// droppedWrites is how many writes the planted fault of a missing sync loses.
+	// droppedWrites is the number of writes that a crash loses with defect.MissingSync.
 	droppedWrites = 2
 )
 
-// machine is one control node: a process with a disk and a clock of its own.
+// machine is one control node: a process with a disk and a monotonic clock.
 type machine struct {
 	world *world
 	name  string
-	// replaces is the machine whose place this one takes, at a new address.
+	// replaces is the name of the machine that this one replaces, if any.
 	replaces string
 	store    *storage.Memory
 
-	// removed machines never come back; retiring ones run until they are replaced.
+	// A removed machine never restarts. A retiring one runs until it is replaced.
 	removed  bool
 	retiring bool
 	// node is nil while the process is down.
 	node *consensus.Node
-	// incarnation counts the starts; timers of an earlier one are void.
+	// incarnation counts the starts of the process. A timer of an earlier one does
+	// nothing.
 	incarnation   int
 	identity      consensus.ID
 	state         *stateMachine
@@ -47,19 +50,20 @@
 
 	frozen   bool
 	buffered []func()
-	// plannedStall stops the process before it sends what it writes next; unfinished is
-	// the batch that waits for that.
+	// plannedStall, if above 0, is how long the process stops after its next write.
+	// stalledReady is the batch whose messages wait meanwhile.
 	plannedStall time.Duration
 	stalledReady *consensus.Ready
 
-	// waiters holds the orders that wait for their answer here, by id.
+	// waiters holds the operators that wait for an answer from this machine, by the id
+	// of their operation.
 	waiters      map[string][]waiter
 	joinRequests map[consensus.ID]joinRequest
 	// leadership is nil unless the machine leads.
 	leadership *primary
 }
 
-// logPosition is where a proposal stands in the log.
+// logPosition identifies an entry of the log.
 type logPosition struct {
 	index, term uint64
 }
@@ -83,13 +87,14 @@
 	return consensus.ID(fmt.Sprintf("disk-%d", w.namesIssued))
 }
 
-// populate forms a group, as the first start of a fleet does.
+// populate forms a group with count voters, as the first start of a deployment does,
+// with operators and gateways.
 func (w *world) populate(count int) {
 	var group consensus.Membership
 	for i := range count {
 		m := w.newMachine(fmt.Sprintf("control-%d", i), "")
-		held, _ := m.store.Load()
-		group.Members = append(group.Members, m.asMember(held.Identity))
+		stored, _ := m.store.Load()
+		group.Members = append(group.Members, m.asMember(stored.Identity))
 	}
 	w.faults.voterCount = count
 	w.checks.groupFormed(group)
@@ -104,34 +109,36 @@
 	w.populateGateways()
 }
 
+// asMember returns the machine as a member with the identity of its disk.
 func (m *machine) asMember(identity consensus.ID) consensus.Member {
 	return consensus.Member{ID: identity, Name: m.name, Address: m.name}
 }
 
-// clock is the process's monotonic clock: it starts at zero, and drifts.
+// clock returns the time of the process's monotonic clock, which starts at zero with the
+// process and drifts.
 func (m *machine) clock() time.Duration {
 	elapsed := m.world.now - m.started
 	return elapsed + time.Duration(float64(elapsed)*m.drift)
 }
 
-// worldTime turns a time of this process's clock into the world's.
+// worldTime converts a time of the process's clock to virtual time.
 func (m *machine) worldTime(local time.Duration) time.Duration {
 	return m.started + time.Duration(float64(local)/(1+m.drift))
 }
 
-// start runs the process with what the disk holds.
+// start starts the process with the state of its disk.
 func (m *machine) start() {
-	held, err := m.store.Load()
+	stored, err := m.store.Load()
 	if err != nil {
 		m.world.recordViolation(RuleDurability, "%s cannot read its disk: %v", m.name, err)
 		return
 	}
 	node, err := consensus.New(consensus.Config{
-		ID:        held.Identity,
+		ID:        stored.Identity,
 		Seed:      m.world.random.Uint64(),
-		HardState: held.HardState,
-		Snapshot:  held.Snapshot,
-		Entries:   held.Entries,
+		HardState: stored.HardState,
+		Snapshot:  stored.Snapshot,
+		Entries:   stored.Entries,
 
 		ElectionTimeout:   m.world.settings.electionTimeout,
 		HeartbeatInterval: m.world.settings.electionTimeout / heartbeatsPerTimeout,
@@ -144,7 +151,7 @@
 	}
 	node.InjectDefects(m.world.options.Defects)
 	m.node = node
-	m.identity = held.Identity
+	m.identity = stored.Identity
 	m.incarnation++
 	m.started = m.world.now
 	m.drift = maxDrift * (2*m.world.random.Float64() - 1)
@@ -154,12 +161,13 @@
 	m.waiters = make(map[string][]waiter)
 	m.joinRequests = make(map[consensus.ID]joinRequest)
 	m.leadership = nil
-	m.restoreState(held.Snapshot)
+	m.restoreState(stored.Snapshot)
 	node.Tick(m.clock())
 	m.scheduleTick(m.incarnation)
 	m.scheduleJoinRequest(m.incarnation)
 }
 
+// restoreState sets the state machine to that of a snapshot.
 func (m *machine) restoreState(snapshot consensus.Snapshot) {
 	m.state = newStateMachine()
 	m.state.reuseSerials = m.world.hasDefect(defect.ReuseSerial)
@@ -173,7 +181,7 @@
 	}
 }
 
-// crash ends the process; what was not written is gone.
+// crash ends the process. Writes that were not synced are lost.
 func (m *machine) crash() {
 	m.node = nil
 	m.frozen = false
@@ -182,7 +190,7 @@
 	m.store.Crash()
 }
 
-// restart brings a crashed machine back with its disk.
+// restart starts a crashed machine again with its disk.
 func (m *machine) restart() {
 	if m.node != nil || m.removed || m.world.violated() {
 		return
@@ -191,19 +199,20 @@
 	m.start()
 }
 
+// up reports whether the process runs and is not frozen.
 func (m *machine) up() bool {
 	return m.node != nil && !m.frozen
 }
 
-func (m *machine) scheduleTick(process int) {
+func (m *machine) scheduleTick(incarnation int) {
 	m.world.schedule(m.world.between(minTickInterval, maxTickInterval), func() {
-		if m.incarnation != process || m.node == nil {
+		if m.incarnation != incarnation || m.node == nil {
 			return
 		}
 		if !m.frozen {
 			m.tick()
 		}
-		m.scheduleTick(process)
+		m.scheduleTick(incarnation)
 	})
 }
 
@@ -215,7 +224,7 @@
 	}
 }
 
-// receive takes a message in, or lets it wait while the process is frozen.
+// receive handles a message, or buffers it while the process is frozen.
 func (m *machine) receive(run func()) {
 	if m.node == nil {
 		return
@@ -230,12 +239,14 @@
 	m.processReady()
 }
 
+// unfreeze continues a frozen process: it completes the batch that waited, sometimes
+// ticks first, and handles the buffered messages.
 func (m *machine) unfreeze() {
 	if m.node == nil || !m.frozen {
 		return
 	}
 	m.frozen = false
-	waited := m.buffered
+	messages := m.buffered
 	m.buffered = nil
 	if m.stalledReady != nil {
 		batch := *m.stalledReady
@@ -245,12 +256,13 @@
 	if m.node != nil && m.world.chance(0.5) {
 		m.tick()
 	}
-	for _, run := range waited {
-		m.receive(run)
+	for _, message := range messages {
+		m.receive(message)
 	}
 }
 
-// processReady does what the node asks for, in the order that Ready prescribes.
+// processReady persists, sends and applies what the node has ready, in the order that
+// consensus.Ready prescribes.
 func (m *machine) processReady() {
 	m.checkLeadership()
 	for m.up() && m.node.HasReady() && !m.world.violated() {
@@ -278,7 +290,7 @@
 	}
 }
 
-// completeReady does the part of a batch that follows the write.
+// completeReady sends and applies a batch that is on disk.
 func (m *machine) completeReady(ready consensus.Ready) {
 	m.sendAll(ready.Messages)
 	m.apply(ready)
@@ -289,7 +301,8 @@
 	}
 }
 
-// stallBeforeSend freezes the process between its disk and the network.
+// stallBeforeSend freezes the process after it wrote a batch and before it sends the
+// messages.
 func (m *machine) stallBeforeSend(ready consensus.Ready) {
 	m.world.countFault(FaultStallBeforeSend)
 	m.frozen = true
@@ -298,11 +311,13 @@
 	m.plannedStall = 0
 }
 
+// persist writes a batch to the disk. It reports false if the disk failed, which crashes
+// the machine.
 func (m *machine) persist(ready consensus.Ready) bool {
 	if ready.HardState != nil && m.world.hasDefect(defect.ForgetVote) {
-		forgetful := *ready.HardState
-		forgetful.Vote = consensus.None
-		ready.HardState = &forgetful
+		withoutVote := *ready.HardState
+		withoutVote.Vote = consensus.None
+		ready.HardState = &withoutVote
 	}
 	if err := storage.Persist(m.store, ready); err != nil {
 		m.failDiskWrite()
@@ -312,13 +327,15 @@
 	return true
 }
 
-// failDiskWrite is the end of a process whose disk failed. It comes back later.
+// failDiskWrite crashes a machine whose disk failed, and restarts it later.
 func (m *machine) failDiskWrite() {
 	m.world.result.Faults[FaultCrashAtWrite]++
 	m.crash()
 	m.world.schedule(m.world.between(minDowntime, maxDowntime), m.restart)
 }
 
+// sendAll sends messages to the machines that have, or had, the disks they are addressed
+// to.
 func (m *machine) sendAll(messages []consensus.Message) {
 	for _, message := range messages {
 		if message.Kind == consensus.MessageVoteReply && !message.Reject {
@@ -334,12 +351,13 @@
 	}
 }
 
-// step hands a message over. One for an earlier disk at this address is refused
-// by the node.
+// step passes a message to the node, which refuses one that is addressed to an earlier
+// disk of this machine.
 func (m *machine) step(message consensus.Message) {
 	_ = m.node.Step(m.clock(), message)
 }
 
+// apply restores the snapshot of a batch and applies its committed entries.
 func (m *machine) apply(ready consensus.Ready) {
 	if ready.Snapshot != nil {
 		m.restoreState(*ready.Snapshot)
@@ -356,7 +374,7 @@
 	}
 }
 
-// compact takes a snapshot now and then.
+// compact takes a snapshot after every compactionInterval applied entries.
 func (m *machine) compact() {
 	if m.applied < m.snapshotIndex+compactionInterval {
 		return
@@ -365,14 +383,14 @@
 	if err != nil {
 		panic(err)
 	}
-	keep := uint64(m.world.random.IntN(retainedEntriesLimit))
-	snapshot, err := m.node.Compact(m.applied, data, keep)
+	retained := uint64(m.world.random.IntN(retainedEntriesLimit))
+	snapshot, err := m.node.Compact(m.applied, data, retained)
 	if err != nil {
 		m.world.recordViolation(RuleDurability, "%s cannot compact: %v", m.name, err)
 		return
 	}
 	m.snapshotIndex = snapshot.Index
-	if m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, keep)) != nil {
+	if m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, retained)) != nil {
 		m.failDiskWrite()
 	}
 }
--- a/internal/simulation/repair.go
+++ b/internal/simulation/membership.go
@@ -10,44 +10,44 @@
 
 const (
 	joinInterval = 150 * time.Millisecond
-	// joinRequestTTL is how recent a request to join must be.
+	// joinRequestTTL is the time after which a leader ignores a join request.
 	joinRequestTTL = time.Second
-	// learnerTimeout is how long a silent learner stays a member.
+	// learnerTimeout is how long a learner without contact stays a member.
 	learnerTimeout = 2 * time.Second
-	// reachabilityWindow is how recent an answer must be for a member to count as reachabilityWindow.
+	// reachabilityWindow is the time since its last reply within which a member counts as
+	// reachable.
 	reachabilityWindow = 500 * time.Millisecond
 )
 
-// joinRequest is a machine that wants to be a member.
+// joinRequest is the request of a machine to become a voter.
 type joinRequest struct {
 	member     consensus.Member
 	replaces   string
-	receivedAt time.Duration // on the local clock
+	receivedAt time.Duration // on the leader's clock
 }
 
-// scheduleJoinRequest lets a machine that is not a voter ask for membership.
-func (m *machine) scheduleJoinRequest(process int) {
+// scheduleJoinRequest sends join requests periodically while the machine is not a voter.
+func (m *machine) scheduleJoinRequest(incarnation int) {
 	m.world.schedule(joinInterval, func() {
-		if m.incarnation != process || m.node == nil {
+		if m.incarnation != incarnation || m.node == nil {
 			return
 		}
 		if !m.frozen && !m.retiring && !m.hasJoined() {
 			m.sendJoinRequests()
 		}
-		m.scheduleJoinRequest(process)
+		m.scheduleJoinRequest(incarnation)
 	})
 }
 
-// hasJoined tells whether the machine has its place in the group. A machine that
-// hears no leader asks again: the membership in which it votes may have been
-// lost with the leader that proposed it.
+// hasJoined reports whether the machine is a voter and has replaced its predecessor. A
+// machine without a known leader has not joined: the membership in which it is a voter
+// may have been lost with the leader that proposed it.
 func (m *machine) hasJoined() bool {
 	status := m.node.Status()
 	if status.Leader == consensus.None {
 		return false
 	}
-	request := joinRequest{member: m.asMember(m.identity), replaces: m.replaces}
-	return m.isVoter() && replacedBy(status.Membership, request) < 0
+	return m.isVoter() && replacedBy(status.Membership, m.joinRequest()) < 0
 }
 
 func (m *machine) isVoter() bool {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// hasMember tells whether an identity is a member, as far as this machine knows.
+// hasMember reports whether an identity is a member, as far as this machine knows.
 func (m *machine) hasMember(identity consensus.ID) bool {
 	for _, member := range m.node.Status().Membership.Members {
 		if member.ID == identity {
@@ -69,12 +69,17 @@
 	return false
 }
 
+// joinRequest returns the request of this machine.
+func (m *machine) joinRequest() joinRequest {
+	return joinRequest{member: m.asMember(m.identity), replaces: m.replaces}
+}
+
 func (m *machine) sendJoinRequests() {
 	for _, other := range m.world.machines {
 		if other == m {
 			continue
 		}
-		request := joinRequest{member: m.asMember(m.identity), replaces: m.replaces}
+		request := m.joinRequest()
 		m.world.network.send(m.name, other.name, func() {
 			other.receive(func() { other.recordJoinRequest(request) })
 		})
@@ -89,16 +94,16 @@
 	m.joinRequests[request.member.ID] = request
 }
 
-// repair takes the next step for one machine that wants to join: add it as a
-// learner, wait until it has caught up, put it into the place of whom it
-// replaces.
+// repair takes the next step for the machines that asked to join: add one as a learner,
+// wait until it has caught up, promote it and remove the member that it replaces. Only
+// one change of the membership is in progress at a time.
 func (m *machine) repair() {
 	status := m.node.Status()
 	if m.removeUnresponsiveLearner(status) {
 		return
 	}
 	if !m.retiring && !m.hasJoined() {
-		m.recordJoinRequest(joinRequest{member: m.asMember(m.identity), replaces: m.replaces})
+		m.recordJoinRequest(m.joinRequest())
 	}
 	for _, id := range m.currentJoinRequests() {
 		next, changes := m.nextMembership(status, m.joinRequests[id])
@@ -123,12 +128,12 @@
 	return ids
 }
 
-// removeUnresponsiveLearner takes back the addition of a machine that has gone away, or
-// whose late request to join came after its removal.
+// removeUnresponsiveLearner proposes to remove a learner that has gone away, or whose
+// late join request arrived after its removal. It reports whether it proposed one.
 func (m *machine) removeUnresponsiveLearner(status consensus.Status) bool {
 	for position, member := range status.Membership.Members {
-		heard := max(m.leadership.elected, status.LastContact[member.ID], m.joinRequests[member.ID].receivedAt)
-		if !member.Learner || m.clock()-heard < learnerTimeout {
+		lastContact := max(m.leadership.elected, status.LastContact[member.ID], m.joinRequests[member.ID].receivedAt)
+		if !member.Learner || m.clock()-lastContact < learnerTimeout {
 			continue
 		}
 		rest := slices.Delete(slices.Clone(status.Membership.Members), position, position+1)
@@ -138,16 +143,17 @@
 	return false
 }
 
-// nextMembership returns the next membership on the way to the request. A
-// replaced voter that still works leaves only after the newcomer votes; one
-// that does not answer leaves first, since it would only raise the majority.
+// nextMembership returns the next membership on the way to what the request asks for,
+// and false if there is nothing to do yet. A reachable voter is removed only after its
+// replacement is a voter. An unreachable one is removed first, since it would only raise
+// the quorum.
 func (m *machine) nextMembership(status consensus.Status, request joinRequest) (consensus.Membership, bool) {
 	members := slices.Clone(status.Membership.Members)
 	own := slices.IndexFunc(members, func(member consensus.Member) bool { return member.ID == request.member.ID })
 	replaced := replacedBy(status.Membership, request)
-	room := len(status.Membership.Voters()) < m.world.faults.voterCount
+	vacant := len(status.Membership.Voters()) < m.world.faults.voterCount
 	switch {
-	case own < 0 && (room || replaced >= 0):
+	case own < 0 && (vacant || replaced >= 0):
 		learner := request.member
 		learner.Learner = true
 		return consensus.Membership{Members: append(members, learner)}, true
@@ -156,7 +162,7 @@
 	case replaced >= 0 && (!members[own].Learner || !m.isReachable(status, members[replaced].ID)):
 		rest := consensus.Membership{Members: slices.Delete(members, replaced, replaced+1)}
 		return rest, m.quorumReachable(status, rest)
-	case members[own].Learner && (room || replaced >= 0):
+	case members[own].Learner && (vacant || replaced >= 0):
 		members[own].Learner = false
 		return consensus.Membership{Members: members}, true
 	default:
@@ -164,28 +170,27 @@
 	}
 }
 
-// caughtUp tells whether a learner lacks so little that it may vote.
+// caughtUp reports whether a learner lacks so few entries that it may be promoted.
 func (m *machine) caughtUp(status consensus.Status, id consensus.ID) bool {
 	match := status.Match[id]
 	return match > 0 && match+m.world.settings.promoteLag >= status.Commit
 }
 
-// replacedBy returns the position of the member whose place the request takes,
-// or -1.
+// replacedBy returns the position of the member that the request replaces, or -1.
 func replacedBy(membership consensus.Membership, request joinRequest) int {
 	return slices.IndexFunc(membership.Members, func(member consensus.Member) bool {
 		return member.ID != request.member.ID && (member.Name == request.member.Name || member.Name == request.replaces)
 	})
 }
 
-// isReachable tells whether a member has answered lately.
+// isReachable reports whether a member has replied within reachabilityWindow.
 func (m *machine) isReachable(status consensus.Status, id consensus.ID) bool {
-	heard, answered := status.LastContact[id]
-	return answered && m.clock()-heard <= reachabilityWindow
+	lastContact, known := status.LastContact[id]
+	return known && m.clock()-lastContact <= reachabilityWindow
 }
 
-// quorumReachable tells whether a majority of a membership's voters can be reached. One
-// that cannot would never be committed, nor be taken back.
+// quorumReachable reports whether a majority of a membership's voters is reachable.
+// Without one the membership could be neither committed nor reverted.
 func (m *machine) quorumReachable(status consensus.Status, membership consensus.Membership) bool {
 	voters := membership.Voters()
 	count := 0
@@ -197,9 +202,9 @@
 	return count > len(voters)/2
 }
 
-// isRepaired is what a leader reports as a whole group: a committed membership
-// of enough voters, all reachable and holding everything committed, and no
-// learner left.
+// isRepaired reports whether the machine leads a complete group: a committed membership
+// with enough voters and no learner, all of them reachable and with every committed
+// entry.
 func (m *machine) isRepaired() bool {
 	if !m.up() {
 		return false
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,26 +2,30 @@
 
 import "time"
 
-// network carries messages between places, which are machines, operators and
-// gateways by name.
+// network carries messages between machines, operators and gateways, which it knows by
+// name.
 type network struct {
 	world *world
-	// blocked holds the directed pairs that lose everything.
+	// blocked is the set of links that lose every message.
 	blocked map[link]bool
-	// maxDelay is the longest delay without a tail.
+	// maxDelay is the longest delay of a message that is not in the tail.
 	maxDelay time.Duration
-	// baseLoss is the loss while no fault is injected, loss that at present.
+	// loss is the probability that a message is lost, baseLoss its value while no fault
+	// is injected.
 	baseLoss, loss float64
-	// duplication is the probability that a message arrives twice.
+	// duplication is the probability that a message is delivered twice.
 	duplication float64
-	// tailDelay is the longest extra delay; it reorders messages.
+	// tailDelay is the longest additional delay of a message in the tail, which reorders
+	// messages.
 	tailDelay time.Duration
 }
 
+// link is the direction from one name to another.
 type link struct {
 	from, to string
 }
 
+// Conditions of the network while no fault is injected.
 const (
 	minDelay        = 200 * time.Microsecond
 	baseTailDelay   = 5 * time.Millisecond
@@ -29,10 +33,10 @@
 	tailProbability = 0.2
 )
 
-// maxDelays are the longest usual delays, one drawn for each history.
+// maxDelays are the values that maxDelay is drawn from, once for each history.
 var maxDelays = []time.Duration{3 * time.Millisecond, 3 * time.Millisecond, 40 * time.Millisecond}
 
-// baseLosses are the losses while no fault is injected, one drawn for each history.
+// baseLosses are the values that baseLoss is drawn from, once for each history.
 var baseLosses = []float64{0, 0, 0.15}
 
 func newNetwork(w *world) network {
@@ -41,7 +45,8 @@
 	return n
 }
 
-// resetConditions ends loss, doubling and reordering beyond the usual, but not the cuts.
+// resetConditions sets loss, duplication and tail delay to their values without faults.
+// Blocked links stay blocked.
 func (n *network) resetConditions() {
 	n.loss = n.baseLoss
 	n.duplication = baseDuplication
@@ -56,18 +61,19 @@
 	delete(n.blocked, link{from, to})
 }
 
-// send plans the arrival of a message, or of two, or of none. A cut that begins
-// while the message is under way does not hold it up.
-func (n *network) send(from, to string, arrive func()) {
+// send schedules the delivery of a message: once, twice or not at all. Blocking the link
+// later does not affect a message that is already in flight.
+func (n *network) send(from, to string, deliver func()) {
 	if n.blocked[link{from, to}] || n.world.chance(n.loss) {
 		return
 	}
-	n.world.schedule(n.delay(), arrive)
+	n.world.schedule(n.delay(), deliver)
 	if n.world.chance(n.duplication) {
-		n.world.schedule(n.delay(), arrive)
+		n.world.schedule(n.delay(), deliver)
 	}
 }
 
+// delay draws the delay of one delivery.
 func (n *network) delay() time.Duration {
 	delay := n.world.between(minDelay, n.maxDelay)
 	if n.world.chance(tailProbability) {
--- a/internal/simulation/normal_test.go
+++ b/internal/simulation/normal_test.go
@@ -2,7 +2,8 @@
 
 package simulation
 
-// historyCount and huntLimit are smaller with the race detector, see race_test.go.
+// historyCount is the number of histories to run, huntLimit the number in which a planted
+// defect must be caught. With the race detector there are fewer, see race_test.go.
 const (
 	historyCount = 2000
 	huntLimit    = 300
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Behaviour of the operators: their number, think times, timeouts and the probabilities
+// of a resent operation and of one on an old version.
 const (
 	operatorCount         = 3
 	operationsPerOperator = 14
@@ -14,16 +16,17 @@
 	maxAnswerTimeout      = 600 * time.Millisecond
 	resendProbability     = 0.3
 	staleBaseProbability  = 0.2
-	// changeInterval is how often an order changes the value and does not replace it.
+	// changeInterval is the number of operations of which one changes the value instead
+	// of replacing it.
 	changeInterval = 2
 )
 
-// operator sends orders one after another, each until it is answered, and
-// sometimes one again that has been answered long ago.
+// operator issues operations one after another. It resends each until it is answered,
+// and sometimes resends one that was answered earlier.
 type operator struct {
 	world *world
 	name  string
-	// knownVersion is the newest one that it has read.
+	// knownVersion is the highest version of the value in any answer so far.
 	knownVersion uint64
 	issued       int
 	pending      *pendingOperation
@@ -31,12 +34,12 @@
 	answers      map[string]answer
 }
 
-// pendingOperation is an order whose answer is awaited.
+// pendingOperation is an operation without an answer.
 type pendingOperation struct {
 	operation operation
 	attempt   int
 	issuedAt  time.Duration
-	resent    bool // has been answered before
+	resent    bool // was answered before
 }
 
 func (w *world) populateOperators() {
@@ -47,15 +50,17 @@
 	}
 }
 
+// scheduleNext issues an operation after a think time.
 func (o *operator) scheduleNext() {
 	o.world.schedule(o.world.between(minThinkTime, maxThinkTime), o.issue)
 }
 
+// idle reports whether no operation is pending.
 func (o *operator) idle() bool {
 	return o.pending == nil
 }
 
-// issue sends a new order, or an old one again.
+// issue sends a new operation, or resends a completed one.
 func (o *operator) issue() {
 	if o.issued >= operationsPerOperator || o.world.now >= o.world.options.Duration {
 		return
@@ -69,6 +74,8 @@
 	o.send()
 }
 
+// newOperation makes an operation on the newest version that the operator knows, or on
+// the version of a random machine.
 func (o *operator) newOperation() operation {
 	base := o.knownVersion
 	if reader := pick(o.world, o.world.machines); reader.up() && !o.world.chance(staleBaseProbability) {
@@ -77,23 +84,24 @@
 	return operation{ID: fmt.Sprintf("%s-%d", o.name, o.issued), Base: base, Change: o.issued%changeInterval == 0}
 }
 
-// send asks some machine, and another one when no answer comes.
+// send sends the pending operation to a random machine, and to another one after a
+// timeout.
 func (o *operator) send() {
-	open := o.pending
-	open.attempt++
-	attempt := open.attempt
+	pending := o.pending
+	pending.attempt++
+	attempt := pending.attempt
 	to := pick(o.world, o.world.machines)
 	o.world.network.send(o.name, to.name, func() {
-		to.receive(func() { to.receiveOperation(open.operation, waiter{operator: o}) })
+		to.receive(func() { to.receiveOperation(pending.operation, waiter{operator: o}) })
 	})
 	o.world.schedule(o.world.between(minAnswerTimeout, maxAnswerTimeout), func() {
-		if o.pending == open && open.attempt == attempt {
+		if o.pending == pending && pending.attempt == attempt {
 			o.send()
 		}
 	})
 }
 
-// receiveAnswer takes an answer in, which may be late or doubled.
+// receiveAnswer handles an answer, which may be late or a duplicate.
 func (o *operator) receiveAnswer(id string, given answer) {
 	if first, known := o.answers[id]; known && first != given {
 		o.world.recordViolation(RuleSingleAnswer, "order %s was answered %+v, and again %+v", id, first, given)
--- a/internal/simulation/primary.go
+++ b/internal/simulation/primary.go
@@ -10,38 +10,40 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// clusterName is the group's identity in grants.
+// clusterName is the identity of the group in grants.
 const clusterName = "group"
 
-// skippedWait is how far the planted fault of a skipped wait moves the election
-// into the past.
+// skippedWait is how far defect.LeaseNotWaitedOut moves the election into the past.
 const skippedWait = time.Minute
 
-// primary is what a machine keeps while it leads.
+// primary is the state of a machine while it leads.
 type primary struct {
 	term    uint64
-	elected time.Duration // on the local clock
-	// grantor is nil until every entry of earlier terms is applied.
+	elected time.Duration // on the machine's clock
+	// grantor grants leases. It is nil until every entry of earlier terms is applied.
 	grantor *lease.Grantor
-	// proposedOperations holds the orders that are in the log but not applied, by id.
+	// proposedOperations holds the log indexes of the operations that are proposed and
+	// not applied, by operation id.
 	proposedOperations map[string]uint64
-	// lastNotice is what the gateways were last told of.
+	// lastNotice is the notice that was last sent to the gateways.
 	lastNotice notice
-	// contentAtStart is the value when the node began to grant.
+	// contentAtStart is the value when the machine began to grant leases.
 	contentAtStart uint64
 }
 
+// notice is what makes gateways renew: a new serial, or one that they may activate.
 type notice struct {
 	serial, activate uint32
 }
 
-// waiter is one operator that waits for the answer to an order.
+// waiter is an operator that waits for the answer to an operation.
 type waiter struct {
 	operator  *operator
-	forwarded bool
+	forwarded bool // by another machine, so that it is not forwarded again
 }
 
-// checkLeadership notices that the machine has become or ceased to be the leader.
+// checkLeadership updates leadership when the machine has become leader or has lost
+// leadership.
 func (m *machine) checkLeadership() {
 	term, leading := m.node.Leadership()
 	if !leading {
@@ -53,8 +55,9 @@
 	}
 }
 
-// startGranting is called once the first entry of the own term is applied: the
-// table then holds everything that earlier primaries may have reported.
+// startGranting begins to grant leases. It must not be called before the first entry of
+// the machine's own term is applied: only then does the table contain everything that
+// earlier primaries may have acknowledged.
 func (m *machine) startGranting() {
 	elected := m.leadership.elected
 	if m.world.hasDefect(defect.LeaseNotWaitedOut) {
@@ -65,6 +68,8 @@
 	m.propose(m.state.primaryUpdate(m.name))
 }
 
+// propose proposes an update. It returns the log index and whether the node accepted the
+// proposal.
 func (m *machine) propose(update registry.Update) (index uint64, proposed bool) {
 	data, err := registry.EncodeUpdate(&update)
 	if err != nil {
@@ -74,7 +79,7 @@
 	return index, err == nil
 }
 
-// leaderTick does a leader's periodic work.
+// leaderTick does the periodic work of a leader.
 func (m *machine) leaderTick() {
 	if m.leadership == nil {
 		return
@@ -83,31 +88,31 @@
 	m.processReady()
 }
 
-// receiveOperation takes an operator's order in. Only a leader proposes; the others
-// forward it once.
-func (m *machine) receiveOperation(asked operation, from waiter) {
+// receiveOperation handles an operation. Only the leader proposes; the others forward
+// the operation once.
+func (m *machine) receiveOperation(requested operation, from waiter) {
 	if m.leadership == nil {
-		m.forwardOperation(asked, from)
+		m.forwardOperation(requested, from)
 		return
 	}
-	m.waiters[asked.ID] = append(m.waiters[asked.ID], from)
-	if _, known := m.state.answer(asked.ID); known {
-		return // answerOrders replies once it is in force
+	m.waiters[requested.ID] = append(m.waiters[requested.ID], from)
+	if _, known := m.state.answer(requested.ID); known {
+		return // answerOperations replies once the serial is in force
 	}
-	if _, open := m.leadership.proposedOperations[asked.ID]; open || m.leadership.grantor == nil {
+	if _, proposed := m.leadership.proposedOperations[requested.ID]; proposed || m.leadership.grantor == nil {
 		return
 	}
-	index, proposed := m.propose(m.state.operationUpdate(asked, m.contentToChange()))
+	index, proposed := m.propose(m.state.operationUpdate(requested, m.contentToChange()))
 	if !proposed {
 		return
 	}
-	m.leadership.proposedOperations[asked.ID] = index
+	m.leadership.proposedOperations[requested.ID] = index
 	if m.world.hasDefect(defect.AcknowledgeProposal) {
-		m.acknowledgeEarly(asked)
+		m.acknowledgeEarly(requested)
 	}
 }
 
-// contentToChange is the value that an order which changes it is made to.
+// contentToChange returns the value that an operation changes.
 func (m *machine) contentToChange() uint64 {
 	if m.world.hasDefect(defect.ChangeOldContent) {
 		return m.leadership.contentAtStart
@@ -115,19 +120,21 @@
 	return m.state.content()
 }
 
-func (m *machine) forwardOperation(asked operation, from waiter) {
+// forwardOperation forwards an operation to the leader, if one is known.
+func (m *machine) forwardOperation(requested operation, from waiter) {
 	leader := m.world.checks.machineOf(m.node.Status().Leader)
 	if from.forwarded || leader == nil || leader == m {
 		return
 	}
 	from.forwarded = true
 	m.world.network.send(m.name, leader.name, func() {
-		leader.receive(func() { leader.receiveOperation(asked, from) })
+		leader.receive(func() { leader.receiveOperation(requested, from) })
 	})
 }
 
-// acknowledgeEarly is a planted fault: it answers from a trial of the update.
-func (m *machine) acknowledgeEarly(asked operation) {
+// acknowledgeEarly implements defect.AcknowledgeProposal: it applies the update to a copy
+// of the state and answers from that, before the proposal is committed.
+func (m *machine) acknowledgeEarly(requested operation) {
 	trial := &stateMachine{}
 	data, err := m.state.snapshot(false)
 	if err != nil {
@@ -136,13 +143,13 @@
 	if err := trial.restore(data); err != nil {
 		panic(err)
 	}
-	update := trial.operationUpdate(asked, trial.content())
+	update := trial.operationUpdate(requested, trial.content())
 	trial.table.Apply(&update, nil)
-	given, _ := trial.answer(asked.ID)
-	m.sendAnswer(asked.ID, given)
+	result, _ := trial.answer(requested.ID)
+	m.sendAnswer(requested.ID, result)
 }
 
-// entryApplied tells the leadership of an applied entry.
+// entryApplied updates leadership after an entry was applied.
 func (m *machine) entryApplied(entry consensus.Entry) {
 	if m.leadership == nil {
 		return
@@ -160,7 +167,8 @@
 	}
 }
 
-// serialInForce returns the serial that every gateway with a lease decides by.
+// serialInForce returns the serial that every gateway with a valid lease has activated,
+// and false while it is unknown.
 func (m *machine) serialInForce() (uint32, bool) {
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return 0, false
@@ -175,7 +183,7 @@
 	return serial, known
 }
 
-// quorumContact is the proof of leadership.
+// quorumContact returns the latest time at which a quorum acknowledged the leadership.
 func (m *machine) quorumContact() (time.Duration, bool) {
 	if m.world.hasDefect(defect.GrantWithoutQuorumContact) {
 		return m.clock(), true
@@ -183,7 +191,9 @@
 	return m.node.QuorumContact()
 }
 
-// answerOperations answers what is applied here and in force everywhere.
+// answerOperations answers the operations whose answer is applied and whose serial is in
+// force at all gateways. It answers in order of their ids, so that the history is
+// deterministic.
 func (m *machine) answerOperations() {
 	if len(m.waiters) == 0 {
 		return
@@ -198,33 +208,35 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		given, answered := m.state.answer(id)
+		result, answered := m.state.answer(id)
 		if answered && !registry.SerialLess(serial, m.state.answerSerial(id)) {
-			m.sendAnswer(id, given)
+			m.sendAnswer(id, result)
 		}
 	}
 }
 
-func (m *machine) sendAnswer(id string, given answer) {
-	m.world.checks.answerAcknowledged(m, id, given)
+// sendAnswer answers all operators that wait for an operation.
+func (m *machine) sendAnswer(id string, result answer) {
+	m.world.checks.answerAcknowledged(m, id, result)
 	for _, from := range m.waiters[id] {
 		m.world.network.send(m.name, from.operator.name, func() {
-			from.operator.receiveAnswer(id, given)
+			from.operator.receiveAnswer(id, result)
 		})
 	}
 	delete(m.waiters, id)
 }
 
-// notifyGateways tells them that there is something to renew for.
+// notifyGateways makes the gateways renew when the serial or the one that they may
+// activate has changed.
 func (m *machine) notifyGateways() {
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return
 	}
-	now := notice{serial: m.state.serial(), activate: m.leadership.grantor.ActivationSerial()}
-	if now == m.leadership.lastNotice {
+	current := notice{serial: m.state.serial(), activate: m.leadership.grantor.ActivationSerial()}
+	if current == m.leadership.lastNotice {
 		return
 	}
-	m.leadership.lastNotice = now
+	m.leadership.lastNotice = current
 	for _, g := range m.world.gateways {
 		m.world.network.send(m.name, g.name, func() {
 			g.receive(func() { g.sendRenewal(m) })
@@ -232,22 +244,23 @@
 	}
 }
 
-// answerRenewal answers a gateway's renewal.
-func (m *machine) answerRenewal(g *gateway, asked renewal) {
+// answerRenewal replies to a gateway's renewal: with a lease decision and the changes
+// since the gateway's serial, or with a hint at the leader.
+func (m *machine) answerRenewal(g *gateway, received renewal) {
 	reply := renewalReply{from: m}
 	if m.leadership != nil && m.leadership.grantor != nil {
 		contact, known := m.quorumContact()
-		decision := m.leadership.grantor.Renew(m.clock(), contact, known, asked.request)
+		decision := m.leadership.grantor.Renew(m.clock(), contact, known, received.request)
 		reply.decision = decision
 		reply.term = m.leadership.term
-		if decision.Authoritative && registry.SerialLess(asked.request.ReceivedSerial, m.state.serial()) {
-			transfer := m.state.table.TransferSince(asked.request.ReceivedSerial)
+		if decision.Authoritative && registry.SerialLess(received.request.ReceivedSerial, m.state.serial()) {
+			transfer := m.state.table.TransferSince(received.request.ReceivedSerial)
 			reply.transfer = &transfer
 		}
 	} else {
 		reply.hint = m.world.checks.machineOf(m.node.Status().Leader)
 	}
 	m.world.network.send(m.name, g.name, func() {
-		g.receive(func() { g.receiveReply(asked, reply) })
+		g.receive(func() { g.receiveReply(received, reply) })
 	})
 }
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -6,9 +6,9 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// The end of a history: no more faults, and everything has to work again.
+// This file has the end of a history: the faults end and the service has to recover.
 
-// endFaults ends all faults.
+// endFaults ends all faults and starts whatever is stopped.
 func (w *world) endFaults() {
 	clear(w.network.blocked)
 	w.network.baseLoss = 0
@@ -28,7 +28,8 @@
 	w.recoverGateways()
 }
 
-// recovered tells whether everything works as before.
+// recovered reports whether every operation is answered, the group is complete and all
+// gateways place requests by the newest serial.
 func (w *world) recovered() bool {
 	for _, o := range w.operators {
 		if !o.idle() {
@@ -47,7 +48,7 @@
 	return w.gatewaysRecovered()
 }
 
-// describeUnrecovered says what has not recovered.
+// describeUnrecovered lists the state of everything for the violation of RuleProgress.
 func (w *world) describeUnrecovered() string {
 	text := ""
 	for _, o := range w.operators {
@@ -65,6 +66,7 @@
 	return text + w.describeGateways()
 }
 
+// describe returns the state of a running machine.
 func (m *machine) describe() string {
 	status := m.node.Status()
 	text := fmt.Sprintf("%s (%s, retiring %v) role %d term %d commit %d last %d serial %d, members", m.name, m.identity,
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -8,35 +8,36 @@
 	"github.com/deckpulley/deckpulley/internal/defect"
 )
 
-// Options chooses what a history contains.
+// Options determines, together with the seed, what a history contains.
 type Options struct {
-	// Duration is the part with faults, in virtual time. Default 12 s.
+	// Duration is the virtual time with faults. 0 selects the default of 12 s.
 	Duration time.Duration
-	// Defects are planted in every machine; empty for the true code.
+	// Defects are planted in every machine. The empty set tests the code as it is.
 	Defects defect.Set
 }
 
-// Violation is a broken rule.
+// Violation describes how a rule was violated.
 type Violation struct {
-	At     time.Duration // virtual
+	At     time.Duration // virtual time since the start of the history
 	Rule   Rule
 	Detail string
 }
 
-// String names the rule and what broke it.
+// String returns the rule, the time and the detail.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.Detail)
 }
 
-// Result is what one history showed.
+// Result is the outcome of one history.
 type Result struct {
 	Seed uint64
-	// Violation is the first broken rule, nil if there is none. The history
-	// ends there.
+	// Violation is the first violation, nil if there is none. The history ends there.
 	Violation *Violation
-	// Faults counts what was injected, by kind.
+	// Faults counts the injected faults by kind.
 	Faults map[FaultKind]int
-	// Steps, Elections, Committed, Answered and Placements say how much happened.
+	// Steps counts events, Elections elected leaders, Committed log entries, Answered
+	// operations that their operators got an answer to, and Placements decisions of
+	// gateways.
 	Steps      int
 	Elections  int
 	Committed  int
@@ -46,16 +47,18 @@
 
 const (
 	defaultDuration = 12 * time.Second
-	// recoveryTimeout is how long after the last fault everything must work again.
+	// recoveryTimeout is the time from the last fault until the service must have
+	// recovered.
 	recoveryTimeout = 20 * time.Second
-	// drainTime lets late messages arrive before the last checks.
+	// drainTime lets late messages arrive before the final checks.
 	drainTime = 2 * time.Second
 
+	// A group has from minMembers to maxMembers voters.
 	minMembers = 3
 	maxMembers = 7
 )
 
-// Run plays one history.
+// Run runs one history.
 func Run(seed uint64, options Options) Result {
 	if options.Duration <= 0 {
 		options.Duration = defaultDuration
@@ -71,7 +74,7 @@
 	return w.result
 }
 
-// world is everything there is in a history.
+// world is the whole state of a history.
 type world struct {
 	options Options
 	random  *rand.Rand
@@ -86,29 +89,33 @@
 	network   network
 	checks    *checks
 	faults    faultPlan
-	// namesIssued counts names and identities given out.
+	// namesIssued counts the names and disk identities that were issued.
 	namesIssued int
 }
 
-// settings are drawn for each history, the defaults among them.
+// settings are the configuration of the nodes, drawn for each history. The values to
+// draw from include the defaults.
 type settings struct {
 	electionTimeout time.Duration
 	inflight        int
 	appendBytes     int
-	// promoteLag is how many committed entries a learner may lack to be let vote.
+	// promoteLag is how many committed entries a learner may lack when it is promoted.
 	promoteLag uint64
 }
 
+// heartbeatsPerTimeout is the election timeout divided by the heartbeat interval.
 const heartbeatsPerTimeout = 6
 
+// Values that the settings are drawn from.
 var (
 	electionTimeouts = []time.Duration{600 * time.Millisecond, 300 * time.Millisecond, 150 * time.Millisecond}
 	inflightLimits   = []int{1, 4, 64}
-	// appendByteLimits make a message of one entry, of a few, or of all.
+	// appendByteLimits give messages with one entry, a few entries, or all entries.
 	appendByteLimits = []int{1, 300, 256 << 10}
 	promoteLags      = []uint64{0, 64}
 )
 
+// newWorld returns a world without machines, with its settings drawn.
 func newWorld(seed uint64, options Options) *world {
 	w := &world{
 		options: options,
@@ -126,31 +133,33 @@
 	return w
 }
 
-func (w *world) hasDefect(planted defect.Defect) bool {
-	return w.options.Defects.Has(planted)
+func (w *world) hasDefect(candidate defect.Defect) bool {
+	return w.options.Defects.Has(candidate)
 }
 
-// recordViolation notes the first broken rule.
+// recordViolation records a violation unless there already is one.
 func (w *world) recordViolation(rule Rule, format string, arguments ...any) {
 	if w.result.Violation == nil {
 		w.result.Violation = &Violation{At: w.now, Rule: rule, Detail: fmt.Sprintf(format, arguments...)}
 	}
 }
 
+// violated reports whether a rule was violated.
 func (w *world) violated() bool {
 	return w.result.Violation != nil
 }
 
-// between draws a duration from [least, most).
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)))
+// between draws a duration from [low, high).
+func (w *world) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
+// chance returns true with the given probability.
 func (w *world) chance(probability float64) bool {
 	return w.random.Float64() < probability
 }
 
-// pick draws one element.
-func pick[T any](w *world, from []T) T {
-	return from[w.random.IntN(len(from))]
+// pick draws one element of a nonempty slice.
+func pick[T any](w *world, values []T) T {
+	return values[w.random.IntN(len(values))]
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,12 +15,13 @@
 
 const testWorkers = 4
 
+// workers returns the number of histories to run at a time.
 func workers() int {
 	return min(testWorkers, runtime.GOMAXPROCS(0))
 }
 
-// TestHistoriesKeepAllRules plays histories of the true code. A failure names its seed,
-// which deckpulley-simulate --seeds 1 --first-seed plays again.
+// TestHistoriesKeepAllRules runs histories of the code without planted defects. A failure
+// names its seed; deckpulley-simulate --seeds 1 --first-seed SEED repeats it.
 func TestHistoriesKeepAllRules(t *testing.T) {
 	var summary Summary
 	Batch(1, historyCount, workers(), Options{}, summary.Add)
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestHistoriesAreDeterministic plays a history twice.
+// TestHistoriesAreDeterministic compares two runs with the same seed.
 func TestHistoriesAreDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		if difference := gocmp.Diff(Run(seed, Options{}), Run(seed, Options{})); difference != "" {
@@ -51,13 +52,14 @@
 	}
 }
 
-// faultlessHistories are played without faults; in each, service must be there within
-// faultlessRecoveryTimeout of the last order. Operators lose up to 15% of their messages and
-// ask again after up to 0.6 s, so one second is not enough for the unlucky.
+// faultlessHistories is the number of histories without faults. In each the service must
+// have recovered within faultlessRecoveryTimeout of the last operation. Up to 15% of the
+// operators' messages are lost and resent after up to 0.6 s, so that 1 s is too short.
 const (
 	faultlessHistories       = 100
 	faultlessRecoveryTimeout = 3 * time.Second
-	// maxReelections is in how many of them lost heartbeats may cost an election.
+	// maxReelections is the number of these histories in which lost heartbeats may cause
+	// a second election.
 	maxReelections = 1
 )
 
@@ -84,8 +86,8 @@
 	}
 }
 
-// TestHuntCatchesPlantedDefects hunts each defect that shows within few histories.
-// deckpulley-simulate --planted hunts all of them.
+// TestHuntCatchesPlantedDefects hunts the defects that few histories reveal.
+// deckpulley-simulate --planted hunts all defects.
 func TestHuntCatchesPlantedDefects(t *testing.T) {
 	quick := []defect.Defect{
 		defect.MissingSync, defect.SnapshotDropsOrders, defect.ReuseSerial,
@@ -93,8 +95,8 @@
 		defect.VoteIgnoresLog, defect.TwoMembershipChanges, defect.ContactFromArrival,
 		defect.ChangeOldContent,
 	}
-	// Histories that show a defect within huntLimit of the first are not there for
-	// each; the hunt for these begins where one is.
+	// No history below huntLimit reveals some of them; the hunt for these starts at a
+	// later seed.
 	first := map[defect.Defect]uint64{defect.TwoMembershipChanges: 1001}
 	Each(len(quick), workers(), func(position int) {
 		if catch := Hunt(quick[position], max(1, first[quick[position]]), huntLimit); catch.Violation == nil {
@@ -103,17 +105,18 @@
 	})
 }
 
-// lossHistories are played with disks lost while every other machine loses power in the
-// same moment, once the group reports itself whole, as often as it does.
+// lossHistories is the number of histories in which disks are lost while all other
+// machines lose power. Each has up to lossRounds such losses, each at a time at which the
+// group reports that it is complete.
 const (
 	lossHistories = 60
 	lossMembers   = 5
 	lossRounds    = 2
 )
 
-// TestDiskLossDuringPowerLoss: two of five disks are wiped while the power of
-// all others is cut. What was acknowledged is there afterwards, and service returns. A
-// wiped disk that passes for its old self is seen.
+// TestDiskLossDuringPowerLoss wipes two of five disks while all other machines lose power.
+// Acknowledged operations must survive and the service must recover. If wiped disks keep
+// their identity, which is a planted defect, a violation must be found.
 func TestDiskLossDuringPowerLoss(t *testing.T) {
 	Each(lossHistories, workers(), func(position int) {
 		seed := uint64(position + 1)
@@ -129,19 +132,19 @@
 	t.Errorf("a wiped disk with its old identity was not seen in %d histories", huntLimit)
 }
 
-// playDiskLosses plays one history with such losses.
+// playDiskLosses runs one history with such losses and returns its violation.
 func playDiskLosses(t *testing.T, seed uint64, planted defect.Set) *Violation {
 	t.Helper()
 	w := newWorld(seed, Options{Duration: 12 * time.Second, Defects: planted})
 	w.faults.lostDisks = make(map[consensus.ID]bool)
 	w.populate(lossMembers)
-	strikes := 0
-	for w.now < w.options.Duration && strikes < lossRounds {
+	losses := 0
+	for w.now < w.options.Duration && losses < lossRounds {
 		w.runUntil(w.now + w.between(time.Second, 3*time.Second))
 		if !w.mayLoseDisk() {
 			continue
 		}
-		strikes++
+		losses++
 		behind := w.cutOffFollower()
 		w.untilAnswer()
 		w.loseDisksAndPower(lossMembers/2, behind)
@@ -151,13 +154,13 @@
 	w.runUntilRecovered(w.options.Duration + recoveryTimeout)
 	w.runUntil(w.now + drainTime)
 	w.checkFinalState()
-	if w.result.Violation == nil && (strikes == 0 || w.result.Answered == 0) {
-		t.Errorf("seed %d: %d strikes, %d answers", seed, strikes, w.result.Answered)
+	if w.result.Violation == nil && (losses == 0 || w.result.Answered == 0) {
+		t.Errorf("seed %d: %d losses, %d answers", seed, losses, w.result.Answered)
 	}
 	return w.result.Violation
 }
 
-// untilAnswer plays on until an order is answered, and for a moment more.
+// untilAnswer runs until an operation is answered, and a random time of up to 10 ms more.
 func (w *world) untilAnswer() {
 	answered := w.result.Answered
 	for w.now < w.options.Duration && w.result.Answered == answered {
@@ -166,7 +169,8 @@
 	w.runUntil(w.now + w.between(0, 10*time.Millisecond))
 }
 
-// cutOffFollower cuts one machine off that does not lead, so that it falls behind.
+// cutOffFollower isolates a machine that is not the leader from the others, so that its
+// log falls behind.
 func (w *world) cutOffFollower() *machine {
 	var follower *machine
 	for _, m := range w.activeMachines() {
@@ -181,8 +185,8 @@
 	return follower
 }
 
-// loseDisksAndPower wipes some disks, the primary's among them and not that of the one
-// which is behind, and cuts the power of all other machines.
+// loseDisksAndPower wipes the disks of the primary and of other machines that are not
+// behind, and crashes all other machines.
 func (w *world) loseDisksAndPower(disks int, behind *machine) {
 	machines := w.activeMachines()
 	w.random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
@@ -200,7 +204,7 @@
 	}
 }
 
-// wipeOrder puts the primary first and the machine that is behind last.
+// wipeOrder ranks the primary first and the machine that is behind last.
 func wipeOrder(m, leader, behind *machine) int {
 	switch m {
 	case leader:
