--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -43,19 +43,20 @@
 // testSnapshotInterval makes snapshots frequent.
 const testSnapshotInterval = 256
 
-// patience bounds every wait of these tests, in virtual time.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait of these tests, in virtual time.
+const waitTimeout = 30 * time.Second
 
-func inFleet(t *testing.T, test func(*testing.T, *fleet)) {
+func inFleet(t *testing.T, test func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
-		test(t, f)
+		test(f)
 	})
 }
 
 func newFleet(t *testing.T) *fleet {
+	t.Helper()
 	f := &fleet{
 		t:        t,
 		network:  transport.NewMemory(),
@@ -134,10 +135,10 @@
 // await waits for a condition, in virtual time.
 func (f *fleet) await(what string, condition func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited %v in vain: %s", patience, what)
+			f.t.Fatalf("waited %v in vain: %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -150,7 +151,7 @@
 	f.await("a primary", func() bool {
 		found = nil
 		for name, node := range f.nodes {
-			if node.observe().primary && !contains(except, name) {
+			if node.engine.Observe().Primary && !contains(except, name) {
 				found = node
 			}
 		}
@@ -201,17 +202,17 @@
 func (f *fleet) send(node *Node, id string, base uint64, document string) (int, api.OperationResult) {
 	f.t.Helper()
 	var answer api.OperationResult
-	order := api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: "test", Document: document}
-	status := f.request(node, http.MethodPut, api.PathConfiguration, order, &answer)
+	operation := api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: "test", Document: document}
+	status := f.request(node, http.MethodPut, api.PathConfiguration, operation, &answer)
 	return status, answer
 }
 
-// mustSend is send for an order that must be accepted.
+// mustSend is send for an operation that must be accepted.
 func (f *fleet) mustSend(node *Node, id string, base uint64) api.OperationResult {
 	f.t.Helper()
 	status, answer := f.send(node, id, base, document(f.t))
 	if status != http.StatusOK || !answer.Accepted {
-		f.t.Fatalf("order %s answered %d %+v", id, status, answer)
+		f.t.Fatalf("operation %s answered %d %+v", id, status, answer)
 	}
 	return answer
 }
@@ -249,10 +250,10 @@
 	mutex    sync.Mutex
 	holder   *lease.Holder
 	copy     *registry.Table
-	held     uint32
+	received uint32
 	active   uint32
 	granted  map[uint64]int // leases granted, by term
-	unkind   error
+	failure  error
 	activeAt []uint32 // every serial that became active, in order
 }
 
@@ -296,8 +297,8 @@
 	delete(f.gateways, name)
 	g.cancel()
 	<-g.done
-	if g.unkind != nil {
-		f.t.Errorf("%s: %v", name, g.unkind)
+	if g.failure != nil {
+		f.t.Errorf("%s: %v", name, g.failure)
 	}
 }
 
@@ -342,7 +343,7 @@
 		Cluster:        g.holder.Cluster(),
 		Gateway:        peer.GatewayInfo{Name: g.name, Incarnation: "1", Zone: "zone-1", Region: "region-1", PeerAddress: g.address, HTTPAddress: g.name + ":2"},
 		Term:           g.holder.Term(),
-		ReceivedSerial: g.held,
+		ReceivedSerial: g.received,
 		ActiveSerial:   g.active,
 		LeaseValid:     g.holder.Valid(sent),
 	}
@@ -364,19 +365,19 @@
 	if length > 0 {
 		g.granted[grant.Term]++
 	}
-	before := [2]uint32{g.held, g.active}
+	before := [2]uint32{g.received, g.active}
 	if grant.Transfer != nil {
 		if err := g.copy.ApplyTransfer(*grant.Transfer); err != nil {
-			g.unkind = err
+			g.failure = err
 			return false
 		}
-		g.held = g.copy.Serial()
+		g.received = g.copy.Serial()
 	}
-	if grant.ActivationSerial != 0 && !registry.SerialLess(grant.ActivationSerial, g.held) && g.active != g.held {
-		g.active = g.held
+	if grant.ActivationSerial != 0 && !registry.SerialLess(grant.ActivationSerial, g.received) && g.active != g.received {
+		g.active = g.received
 		g.activeAt = append(g.activeAt, g.active)
 	}
-	return length == 0 || before != [2]uint32{g.held, g.active}
+	return length == 0 || before != [2]uint32{g.received, g.active}
 }
 
 func (g *testGateway) valid() bool {
@@ -411,12 +412,16 @@
 	return g.granted[term]
 }
 
-// cut separates one address from others, both ways.
-func (f *fleet) cut(address string, others ...string) { f.setCut(f.network.Partition, address, others) }
+// partition separates one address from others, both ways.
+func (f *fleet) partition(address string, others ...string) {
+	f.setPartition(f.network.Partition, address, others)
+}
 
-func (f *fleet) heal(address string, others ...string) { f.setCut(f.network.Heal, address, others) }
+func (f *fleet) heal(address string, others ...string) {
+	f.setPartition(f.network.Heal, address, others)
+}
 
-func (f *fleet) setCut(change func(from, to string), address string, others []string) {
+func (f *fleet) setPartition(change func(from, to string), address string, others []string) {
 	for _, other := range others {
 		change(address, other)
 		change(other, address)
@@ -425,5 +430,5 @@
 
 // freeze holds a node's event loop up, while what arrives queues before it.
 func (f *fleet) freeze(node *Node, length time.Duration) {
-	node.offer(func(time.Duration) { time.Sleep(length) })
+	node.queue.Offer(func(time.Duration) { time.Sleep(length) })
 }
--- a/gateway/run_test.go
+++ b/gateway/runner_test.go
@@ -6,11 +6,12 @@
 	"time"
 
 	"github.com/deckpulley/deckpulley/api"
+	"github.com/deckpulley/deckpulley/gateway/execution"
 )
 
-// TestRetryIsAdvisedOnlyWhereItIsSafe ends requests by their deadline. Whoever
-// is told unknown of a request that must not be repeated is not told to repeat it.
-func TestRetryIsAdvisedOnlyWhereItIsSafe(t *testing.T) {
+// TestRetryAdvice ends requests by their deadline. A caller must not be advised to
+// retry a request that may have run and is not repeatable.
+func TestRetryAdvice(t *testing.T) {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	<-ctx.Done()
@@ -26,10 +27,10 @@
 		{"may have run, repeatable", true, true, api.OutcomeUnknown, true},
 	}
 	for _, test := range tests {
-		run := newExecution("q", false, 1, func(error) {})
-		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, ran: test.ran}
-		r.fail(ctx, refusedLater(api.CodeDeadline, "no time is left"))
-		got := run.result.failure
+		run := execution.New("q", false, 1, func(error) {})
+		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, mayHaveRun: test.ran}
+		r.fail(ctx, newRetryableError(api.CodeDeadline, "no time is left"))
+		got := run.Result().Failure
 		if got.Outcome != test.outcome || got.Retry != test.retry || (got.RetryAfterMS > 0) != test.retry {
 			t.Errorf("%s: %s, retry %t after %d ms", test.name, got.Outcome, got.Retry, got.RetryAfterMS)
 		}
