--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// shortConfig is a run that tests can afford.
+// shortConfig returns a run that is short enough for tests.
 func shortConfig(profile *workload.Profile, policy NamedPolicy) FleetConfig {
 	return FleetConfig{
 		Profile:    profile,
@@ -23,71 +23,81 @@
 		Seed:       1,
 		Policy:     policy.New,
 		WarmUp:     20 * time.Second,
-		Length:     50 * time.Second,
+		Duration:   50 * time.Second,
 	}
 }
 
-// TestEveryRequestIsCountedOnce compares each policy's counts with the traffic,
-// and a run with its repetition.
-func TestEveryRequestIsCountedOnce(t *testing.T) {
+// TestRequestsAreCountedOnce compares the counts of each policy with the traffic, and a
+// run with its repetition.
+func TestRequestsAreCountedOnce(t *testing.T) {
 	profile := workload.Kodovka().Scale(1.6)
 	for _, policy := range Policies() {
-		config := shortConfig(profile, policy)
-		config.WarmUp = 0
-		result := Run(config)
-		sent := 0
-		generator := workload.New(profile, nil, config.Seed, "experiment")
-		for request := generator.Next(); request.At < config.Length; request = generator.Next() {
-			if request.Generate.Class != api.ClassFetch {
-				sent++
+		t.Run(policy.Name, func(t *testing.T) {
+			config := shortConfig(profile, policy)
+			config.WarmUp = 0
+			result := Run(config)
+			sent := countModelRequests(config)
+			if counted := result.Answered + result.Refused + result.Unfinished; counted != sent {
+				t.Errorf("%d of %d requests counted", counted, sent)
 			}
-		}
-		if counted := result.Answered + result.Refused + result.Unfinished; counted != sent {
-			t.Errorf("%s: %d of %d requests counted", policy.Name, counted, sent)
-		}
-		if result.HitRate <= 0 || result.HitRate > 1 {
-			t.Errorf("%s: hit rate %f", policy.Name, result.HitRate)
-		}
-		if difference := cmp.Diff(result, Run(config), cmpopts.EquateComparable(), cmp.AllowUnexported(Result{})); difference != "" {
-			t.Errorf("%s: equal runs differ:\n%s", policy.Name, difference)
+			if result.HitRate <= 0 || result.HitRate > 1 {
+				t.Errorf("hit rate %f", result.HitRate)
+			}
+			if difference := cmp.Diff(result, Run(config), cmpopts.EquateComparable(), cmp.AllowUnexported(Result{})); difference != "" {
+				t.Errorf("equal runs differ:\n%s", difference)
+			}
+		})
+	}
+}
+
+// countModelRequests returns the number of requests that a run sends to the model service.
+func countModelRequests(config FleetConfig) int {
+	sent := 0
+	generator := workload.New(config.Profile, nil, config.Seed, "experiment")
+	for request := generator.Next(); request.At < config.Duration; request = generator.Next() {
+		if request.Generate.Class != api.ClassFetch {
+			sent++
 		}
 	}
+	return sent
 }
 
-// TestTodaysLoadFits checks the sizes of replicas and requests against each
-// other: placed by prefix, today's load is served well; placed blindly, what the
-// replicas prefill again costs at least 40% more time to the first token.
-func TestTodaysLoadFits(t *testing.T) {
+// TestCurrentLoadMatchesReplicaCapacity checks that the sizes of replicas and requests fit
+// each other: placed by prefix, the profile's load is served well; placed without regard
+// to prefixes, repeated prefill makes the time to first token at least 40% longer.
+func TestCurrentLoadMatchesReplicaCapacity(t *testing.T) {
 	const firstTokenBound = 920 * time.Millisecond
 	policies := Policies()
-	for _, name := range []string{"kodovka", "georgia"} {
-		profile, err := workload.ByName(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if need := Utilization(profile, emulator.DefaultParameters(emulator.KindModel)); need < 0.3 || need > 0.5 {
-			t.Errorf("%s: today's load needs %.2f of the capacity, want 0.3 to 0.5", name, need)
-		}
-		byPrefix := Run(shortConfig(profile, policies[2]))
-		if byPrefix.Refused > 0 || byPrefix.FirstTokenP95 > firstTokenBound {
-			t.Errorf("%s by prefix: %d refused, first token p95 %v", name, byPrefix.Refused, byPrefix.FirstTokenP95)
-		}
-		blind := Run(shortConfig(profile, policies[0]))
-		if blind.HitRate > byPrefix.HitRate-0.1 || blind.FirstTokenP95 < byPrefix.FirstTokenP95*7/5 {
-			t.Errorf("%s: placing blindly makes no difference: hits %.2f and %.2f, first token p95 %v and %v",
-				name, blind.HitRate, byPrefix.HitRate, blind.FirstTokenP95, byPrefix.FirstTokenP95)
-		}
+	for _, deployment := range []string{"kodovka", "georgia"} {
+		t.Run(deployment, func(t *testing.T) {
+			profile, err := workload.ByName(deployment)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if need := Utilization(profile, emulator.DefaultParameters(emulator.KindModel)); need < 0.3 || need > 0.5 {
+				t.Errorf("the load needs %.2f of the capacity, want 0.3 to 0.5", need)
+			}
+			byPrefix := Run(shortConfig(profile, policies[2]))
+			if byPrefix.Refused > 0 || byPrefix.FirstTokenP95 > firstTokenBound {
+				t.Errorf("by prefix: %d refused, first token p95 %v", byPrefix.Refused, byPrefix.FirstTokenP95)
+			}
+			inTurn := Run(shortConfig(profile, policies[0]))
+			if inTurn.HitRate > byPrefix.HitRate-0.1 || inTurn.FirstTokenP95 < byPrefix.FirstTokenP95*7/5 {
+				t.Errorf("placement by prefix makes no difference: hits %.2f and %.2f, first token p95 %v and %v",
+					inTurn.HitRate, byPrefix.HitRate, inTurn.FirstTokenP95, byPrefix.FirstTokenP95)
+			}
+		})
 	}
 }
 
-// TestPlacementMeetsItsTarget holds our own placement against the best baseline
-// at 70% load.
-func TestPlacementMeetsItsTarget(t *testing.T) {
+// TestPlacementGainReachesTarget compares the gateways' own placement with the best
+// baseline at 70% load.
+func TestPlacementGainReachesTarget(t *testing.T) {
 	const target = 0.3
 	config := DefaultPlacementConfig()
 	config.Loads = []float64{0.7}
 	config.Seeds = 2
-	config.Length = 60 * time.Second
+	config.Duration = 60 * time.Second
 	points, err := Placement(config)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +115,7 @@
 	config.Loads = []float64{0.3, 0.5}
 	config.Seeds = 2
 	config.WarmUp = 5 * time.Second
-	config.Length = 10 * time.Second
+	config.Duration = 10 * time.Second
 	points, err := Placement(config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,6 +1,3 @@
-// Package experiment runs emulated replicas, generated callers and the deciding
-// packages together in virtual time, to compare and to tune decisions without a
-// fleet. Equal inputs give equal results.
 package experiment
 
 import (
@@ -14,48 +11,51 @@
 )
 
 const (
-	// pollInterval is the time between two reports of a replica to a gateway.
+	// pollInterval is the interval at which a gateway polls the replicas' reports.
 	pollInterval = 500 * time.Millisecond
-	// gatewaysPerRegion share a region's requests without knowing each other's.
+	// gatewaysPerRegion is the number of gateways of a region. Each knows only its own
+	// requests.
 	gatewaysPerRegion = 3
-	// holdSmoothing is the weight of one request in the time a slot is held.
-	holdSmoothing = 0.1
+	// serviceTimeSmoothing is the weight of one request in the moving average of the
+	// service time.
+	serviceTimeSmoothing = 0.1
 )
 
 // replica is one emulated replica of a region.
 type replica struct {
-	name  string
-	model emulator.Replica
+	name     string
+	emulated emulator.Replica
 }
 
-// View is what one gateway knows of one replica.
+// View is what a gateway knows about a replica.
 type View struct {
 	Name string
-	// Report is the last state that the replica reported.
+	// Report is the replica's last report.
 	Report emulator.State
-	// InFlight counts the gateway's own requests, Others those of other gateways
-	// by the last report.
-	InFlight int
-	Others   int
+	// InFlight is the number of the gateway's own requests on the replica,
+	// OtherInFlight that of other gateways' by the last report.
+	InFlight      int
+	OtherInFlight int
 	// SentTokens is the prefill work sent since the last report, in tokens.
 	SentTokens float64
-	// Hold is how long a request occupies a slot, smoothed, in seconds.
-	Hold float64
+	// ServiceTime is the moving average of the time from the arrival of a request to its
+	// end, in seconds.
+	ServiceTime float64
 
-	epoch uint64 // counts reports
+	reports uint64 // number of reports so far
 }
 
-// Busy counts the requests on the replica, as far as known.
-func (v *View) Busy() int {
-	return v.InFlight + v.Others
+// ActiveRequests returns the number of requests on the replica, as far as known.
+func (v *View) ActiveRequests() int {
+	return v.InFlight + v.OtherInFlight
 }
 
-// observe takes a report.
+// observe updates the view by a report.
 func (v *View) observe(state emulator.State) {
 	v.Report = state
-	v.Others = max(0, state.Running+state.Queued-v.InFlight)
+	v.OtherInFlight = max(0, state.Running+state.Queued-v.InFlight)
 	v.SentTokens = 0
-	v.epoch++
+	v.reports++
 }
 
 // gateway places requests on the replicas of its region.
@@ -65,7 +65,8 @@
 	nextPoll time.Duration
 }
 
-// regionFleet is one region: replicas and the gateways before them.
+// regionFleet is one region with its replicas and gateways. share is its weight when the
+// region of a request is drawn.
 type regionFleet struct {
 	name     string
 	share    float64
@@ -73,62 +74,64 @@
 	gateways []*gateway
 }
 
-// attempt is one request on its way.
+// attempt is a request that was sent to a replica and has not ended.
 type attempt struct {
-	request  *workload.Request
-	gateway  *gateway
-	target   int
-	expected int // cached tokens expected
-	uncached float64
-	epoch    uint64
-	started  bool
-	first    time.Duration
+	request         *workload.Request
+	gateway         *gateway
+	target          int
+	expectedCached  int // tokens
+	uncachedTokens  float64
+	reportsWhenSent uint64
+	firstTokenSeen  bool
+	firstTokenAt    time.Duration
 }
 
-// Fleet is a deployment's model service in virtual time.
+// Fleet is the model service of a deployment in virtual time.
 type Fleet struct {
 	regions  []*regionFleet
 	random   *rand.Rand
 	attempts map[string]*attempt
 	result   *Result
-	// measureFrom excludes the warm-up from the results.
+	// measureFrom is the end of the warm-up. Requests that arrived earlier do not count.
 	measureFrom time.Duration
 }
 
-// FleetConfig describes a run.
+// FleetConfig describes one run.
 type FleetConfig struct {
 	Profile    *workload.Profile
 	Parameters emulator.Parameters
 	Scenario   workload.Scenario
 	Seed       uint64
-	// Policy makes the policy of one gateway.
+	// Policy returns a new policy for one gateway.
 	Policy func(gatewayNumber int, replicas []string) Policy
-	// ByClients keeps each request in its client's region; otherwise requests go
-	// to the regions in proportion to their replicas.
-	ByClients bool
-	// WarmUp is left out of the results; Length is the whole run.
-	WarmUp, Length time.Duration
+	// ByClientRegion distributes the requests over the regions by client share instead
+	// of in proportion to the replicas.
+	ByClientRegion bool
+	// WarmUp is the part of Duration, at its beginning, that does not count in the
+	// results.
+	WarmUp, Duration time.Duration
 }
 
-// Run plays one load against one policy.
+// Run runs one load against one policy. Requests of the class fetch are left out, since
+// they do not go to the model service.
 func Run(config FleetConfig) *Result {
 	fleet := newFleet(config)
 	generator := workload.New(config.Profile, config.Scenario, config.Seed, "experiment")
 	for {
 		request := generator.Next()
-		if request.At >= config.Length {
+		if request.At >= config.Duration {
 			break
 		}
 		if request.Generate.Class == api.ClassFetch {
 			continue
 		}
-		fleet.advance(request.At)
-		fleet.place(&request)
+		fleet.advanceTo(request.At)
+		fleet.placeRequest(&request)
 	}
-	fleet.advance(config.Length)
+	fleet.advanceTo(config.Duration)
 	fleet.result.Unfinished = len(fleet.attempts)
-	fleet.result.length = config.Length - config.WarmUp
-	fleet.result.finish()
+	fleet.result.measuredTime = config.Duration - config.WarmUp
+	fleet.result.computeFigures()
 	return fleet.result
 }
 
@@ -139,29 +142,38 @@
 		result:      &Result{},
 		measureFrom: config.WarmUp,
 	}
-	number := 0
+	gatewayNumber := 0
 	for _, region := range config.Profile.Regions {
-		built := &regionFleet{name: region.Name, share: float64(region.ModelReplicas)}
-		if config.ByClients {
-			built.share = region.ClientShare
-		}
-		var names []string
-		for index := range region.ModelReplicas {
-			// The seed is part of the name, so that no single draw of hashes decides.
-			name := fmt.Sprintf("%s-%d-%d", region.Name, config.Seed, index)
-			seed := config.Seed*100 + uint64(number*20+index)
-			built.replicas = append(built.replicas, &replica{name: name, model: emulator.New(config.Parameters, seed, false)})
-			names = append(names, name)
-		}
-		for range gatewaysPerRegion {
-			built.gateways = append(built.gateways, newGateway(config.Policy(number, names), names, number))
-			number++
-		}
-		fleet.regions = append(fleet.regions, built)
+		fleet.regions = append(fleet.regions, newRegionFleet(config, region, gatewayNumber))
+		gatewayNumber += gatewaysPerRegion
+	}
+	return fleet
+}
+
+// newRegionFleet returns a region with warm replicas. Its gateways are numbered from
+// firstGateway on.
+func newRegionFleet(config FleetConfig, region workload.Region, firstGateway int) *regionFleet {
+	fleet := &regionFleet{name: region.Name, share: float64(region.ModelReplicas)}
+	if config.ByClientRegion {
+		fleet.share = region.ClientShare
+	}
+	var names []string
+	for index := range region.ModelReplicas {
+		// The seed is part of the name, so that the results over several seeds do not
+		// depend on the hashes of a single set of names.
+		name := fmt.Sprintf("%s-%d-%d", region.Name, config.Seed, index)
+		seed := config.Seed*100 + uint64(firstGateway*20+index)
+		fleet.replicas = append(fleet.replicas, &replica{name: name, emulated: emulator.New(config.Parameters, seed, false)})
+		names = append(names, name)
+	}
+	for index := range gatewaysPerRegion {
+		number := firstGateway + index
+		fleet.gateways = append(fleet.gateways, newGateway(config.Policy(number, names), names, number))
 	}
 	return fleet
 }
 
+// newGateway returns a gateway without reports. The gateways poll at different times.
 func newGateway(policy Policy, replicas []string, number int) *gateway {
 	g := &gateway{policy: policy, nextPoll: time.Duration(number) * pollInterval / 16}
 	for _, name := range replicas {
@@ -170,17 +182,18 @@
 	return g
 }
 
-// advance plays all replicas' events and all polls up to now, in time order.
-func (f *Fleet) advance(now time.Duration) {
+// advanceTo processes the events of all replicas and all polls before now, in order of
+// time.
+func (f *Fleet) advanceTo(now time.Duration) {
 	for {
 		next := now
 		var work func()
 		for _, region := range f.regions {
 			for index, candidate := range region.replicas {
-				at, pending := candidate.model.NextEvent()
+				at, pending := candidate.emulated.NextEvent()
 				if pending && at < next {
 					next = at
-					work = func() { f.step(region, index, at) }
+					work = func() { f.processEvents(region, index, at) }
 				}
 			}
 			for _, poller := range region.gateways {
@@ -197,62 +210,67 @@
 	}
 }
 
+// poll reads the reports of all replicas of the region.
 func (g *gateway) poll(region *regionFleet) {
 	for index, candidate := range region.replicas {
-		g.observe(index, candidate.model.State(g.nextPoll))
+		g.observe(index, candidate.emulated.State(g.nextPoll))
 	}
 	g.nextPoll += pollInterval
 }
 
+// observe updates the view of a replica by its report. The policy learns the gateway's
+// share of new evictions, rounded up.
 func (g *gateway) observe(target int, state emulator.State) {
 	view := g.views[target]
 	evictions := state.CacheEvictions - view.Report.CacheEvictions
 	view.observe(state)
 	if evictions > 0 {
-		g.policy.Evicted(target, int(evictions)/gatewaysPerRegion+1)
+		g.policy.RecordEvictions(target, int(evictions)/gatewaysPerRegion+1)
 	}
 }
 
-// step plays the events of one replica at a time.
-func (f *Fleet) step(region *regionFleet, index int, at time.Duration) {
-	for _, event := range region.replicas[index].model.Advance(at) {
+// processEvents processes the events of one replica up to a time.
+func (f *Fleet) processEvents(region *regionFleet, index int, at time.Duration) {
+	for _, event := range region.replicas[index].emulated.Advance(at) {
 		current := f.attempts[event.Job]
-		if !current.started {
-			current.started = true
-			current.first = event.At
+		if !current.firstTokenSeen {
+			current.firstTokenSeen = true
+			current.firstTokenAt = event.At
 			current.prefillDone()
-			current.gateway.policy.Answered(current.target, current.expected, event.CachedTokens)
+			current.gateway.policy.RecordAnswer(current.target, current.expectedCached, event.CachedTokens)
 		}
 		if event.Kind == emulator.EventEnd {
-			f.end(region, current, event)
+			f.endAttempt(region, current, event)
 		}
 	}
 }
 
-// prefillDone takes the request's prefill off what was sent since the last
-// report, unless a report has counted it since.
+// prefillDone subtracts the request's prefill from the tokens sent since the last report,
+// unless a report since the request was sent accounts for it.
 func (a *attempt) prefillDone() {
 	view := a.gateway.views[a.target]
-	if view.epoch == a.epoch {
-		view.SentTokens = max(0, view.SentTokens-a.uncached)
+	if view.reports == a.reportsWhenSent {
+		view.SentTokens = max(0, view.SentTokens-a.uncachedTokens)
 	}
 }
 
-func (f *Fleet) end(region *regionFleet, current *attempt, event emulator.Event) {
+// endAttempt updates the view of the gateway and the result after an answer. The answer
+// carries a report of the replica.
+func (f *Fleet) endAttempt(region *regionFleet, current *attempt, event emulator.Event) {
 	delete(f.attempts, event.Job)
 	view := current.gateway.views[current.target]
 	view.InFlight--
-	held := (event.At - current.request.At).Seconds()
-	view.Hold += holdSmoothing * (held - view.Hold)
-	current.gateway.observe(current.target, region.replicas[current.target].model.State(event.At))
+	serviceTime := (event.At - current.request.At).Seconds()
+	view.ServiceTime += serviceTimeSmoothing * (serviceTime - view.ServiceTime)
+	current.gateway.observe(current.target, region.replicas[current.target].emulated.State(event.At))
 	if current.request.At >= f.measureFrom {
-		f.result.add(current, event)
+		f.result.addAnswer(current, event)
 	}
 }
 
-// place sends a request to a region in proportion to its replicas, there to one
-// of the gateways, and from it to the replica that the policy picks.
-func (f *Fleet) place(request *workload.Request) {
+// placeRequest sends a request to a region drawn by its share, there to a random gateway,
+// and from it to the replica that the policy picks. A refused request is not retried.
+func (f *Fleet) placeRequest(request *workload.Request) {
 	region := f.drawRegion()
 	sender := region.gateways[f.random.IntN(len(region.gateways))]
 	target, expected := sender.policy.Pick(request, sender.views)
@@ -262,7 +280,7 @@
 		PromptTokens: request.Generate.PromptTokens,
 		AnswerTokens: request.Generate.MaxTokens,
 	}
-	if err := region.replicas[target].model.Submit(request.At, job); err != nil {
+	if err := region.replicas[target].emulated.Submit(request.At, job); err != nil {
 		if request.At >= f.measureFrom {
 			f.result.Refused++
 		}
@@ -273,10 +291,11 @@
 	view.InFlight++
 	view.SentTokens += uncached
 	f.attempts[job.ID] = &attempt{
-		request: request, gateway: sender, target: target, expected: expected, uncached: uncached, epoch: view.epoch,
+		request: request, gateway: sender, target: target, expectedCached: expected, uncachedTokens: uncached, reportsWhenSent: view.reports,
 	}
 }
 
+// drawRegion draws a region by its share.
 func (f *Fleet) drawRegion() *regionFleet {
 	total := 0.0
 	for _, region := range f.regions {
@@ -292,6 +311,7 @@
 	return f.regions[0]
 }
 
+// promptTokens returns the length of the whole prompt with its prefixes.
 func promptTokens(request *workload.Request) float64 {
 	return float64(prefixTokens(request) + request.Generate.PromptTokens)
 }
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -2,14 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"math/rand/v2"
-	"slices"
 	"sync"
 	"time"
 
-	"github.com/deckpulley/deckpulley/api"
 	"github.com/deckpulley/deckpulley/catalog"
 	"github.com/deckpulley/deckpulley/configuration"
 	"github.com/deckpulley/deckpulley/internal/emulator"
@@ -19,74 +15,62 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Intervals of the loops around the routers.
+// Intervals of the loops that a gateway runs around its router.
 const (
-	liveConditions = 200 * time.Millisecond
-	liveLoads      = 200 * time.Millisecond
-	// liveActivation is the time from a change of the table to its activation.
-	liveActivation = 100 * time.Millisecond
+	conditionInterval = 200 * time.Millisecond
+	loadInterval      = 200 * time.Millisecond
+	// activationDelay is the time from a change of the table to its activation, which in
+	// a deployment passes until the change is replicated.
+	activationDelay = 100 * time.Millisecond
 )
 
-// primaryName is the primary in the head record of the experiment's table.
+// primaryName is the primary in the SOA record of the table.
 const primaryName = "control-1"
 
-// live is a deployment's routing in real time and in one process: real routers
-// over emulated replicas, with a table of its own and no network.
-type live struct {
+// liveFleet is the routing of a deployment in real time and in one process: real routers
+// over emulated replicas, with a registry table and without a network.
+type liveFleet struct {
 	profile  *workload.Profile
 	gateways []*liveGateway
 
 	table *registry.Table
-	// activation keeps plans in the order of the table.
-	activation sync.Mutex
+	// activationMutex makes the routers receive plans in the order of the table's
+	// serials.
+	activationMutex sync.Mutex
 
-	mutex    sync.Mutex
-	replicas map[string]*standin.Server
-	lost     map[string]bool // regions that do not answer
-	cold     int             // restarts, for seeds
+	mutex         sync.Mutex
+	replicas      map[string]*standin.Server
+	disconnected  map[string]bool // regions
+	replicaStarts int             // seed of the next replica, less one
 
 	meter *meter
 }
 
-// liveGateway is one router with its name.
+// liveGateway is the router of one gateway.
 type liveGateway struct {
 	name   string
 	region string
 	router *routing.Router
 }
 
-// newLive builds the fleet with the example document of the deployment, applied
-// as version 1, with warm replicas.
-func newLive(profile *workload.Profile) (*live, error) {
+// newLiveFleet returns a fleet with warm replicas. Its table contains the example document
+// of the deployment as version 1. The caller must call close.
+func newLiveFleet(profile *workload.Profile) (*liveFleet, error) {
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: primaryName, Serial: 1}, []string{primaryName})
 	if err != nil {
 		return nil, fmt.Errorf("making the table: %w", err)
 	}
-	l := &live{
+	l := &liveFleet{
 		profile: profile, table: table, meter: newMeter(),
-		replicas: make(map[string]*standin.Server), lost: make(map[string]bool),
+		replicas: make(map[string]*standin.Server), disconnected: make(map[string]bool),
 	}
 	records, err := exampleRecords(table, profile.Name)
 	if err != nil {
 		return nil, err
 	}
-	service := profile.Mixes[0].Service
 	for _, region := range profile.Regions {
-		for index := range region.ModelReplicas {
-			name := fmt.Sprintf("%s-replica-%d", region.Name, index+1)
-			listed := catalog.Replica{Service: service, Zone: region.Zone, Region: region.Name, Address: name}
-			records = append(records, registry.Add(catalog.ReplicaRecord(name, listed)))
-			l.startReplica(name, false)
-		}
-		for index := range gatewaysPerRegion {
-			name := fmt.Sprintf("%s-gateway-%d", region.Name, index+1)
-			member := catalog.Gateway{Incarnation: "1", Zone: region.Zone, Region: region.Name, Up: true}
-			records = append(records, registry.Add(catalog.GatewayRecord(name, member)))
-			l.gateways = append(l.gateways, &liveGateway{
-				name: name, region: region.Name,
-				router: routing.New(routing.Config{Region: region.Name, Gateway: name, Seed: uint64(len(l.gateways)), PollInterval: pollInterval}),
-			})
-		}
+		records = append(records, l.addReplicas(region)...)
+		records = append(records, l.addGateways(region)...)
 	}
 	update := registry.NewUpdate(catalog.Apex, nil, records)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
@@ -95,7 +79,41 @@
 	return l, l.activate()
 }
 
-// exampleRecords are the changes that apply a deployment's example document.
+// addReplicas starts the replicas of a region and returns the changes that register them.
+func (l *liveFleet) addReplicas(region workload.Region) []registry.Record {
+	var records []registry.Record
+	service := l.profile.Mixes[0].Service
+	for index := range region.ModelReplicas {
+		name := replicaName(region.Name, index)
+		listed := catalog.Replica{Service: service, Zone: region.Zone, Region: region.Name, Address: name}
+		records = append(records, registry.Add(catalog.ReplicaRecord(name, listed)))
+		l.startReplica(name, false)
+	}
+	return records
+}
+
+// replicaName returns the name of a region's replica; index counts from 0.
+func replicaName(region string, index int) string {
+	return fmt.Sprintf("%s-replica-%d", region, index+1)
+}
+
+// addGateways makes the routers of a region and returns the changes that register its
+// gateways.
+func (l *liveFleet) addGateways(region workload.Region) []registry.Record {
+	var records []registry.Record
+	for index := range gatewaysPerRegion {
+		name := fmt.Sprintf("%s-gateway-%d", region.Name, index+1)
+		listed := catalog.Gateway{Incarnation: "1", Zone: region.Zone, Region: region.Name, Up: true}
+		records = append(records, registry.Add(catalog.GatewayRecord(name, listed)))
+		router := routing.New(routing.Config{
+			Region: region.Name, Gateway: name, Seed: uint64(len(l.gateways)), PollInterval: pollInterval,
+		})
+		l.gateways = append(l.gateways, &liveGateway{name: name, region: region.Name, router: router})
+	}
+	return records
+}
+
+// exampleRecords returns the changes that apply a deployment's example document.
 func exampleRecords(table *registry.Table, deployment string) ([]registry.Record, error) {
 	text, err := configuration.Example(deployment)
 	if err != nil {
@@ -108,35 +126,36 @@
 	return configuration.Changes(table.View(), document, 1, "experiment", text)
 }
 
-// activate makes the table's present state the plan of every router.
-func (l *live) activate() error {
-	l.activation.Lock()
-	defer l.activation.Unlock()
-	contents, err := catalog.Read(l.table.View())
+// activate makes the current state of the table the plan of every router.
+func (l *liveFleet) activate() error {
+	l.activationMutex.Lock()
+	defer l.activationMutex.Unlock()
+	state, err := catalog.Read(l.table.View())
 	if err != nil {
 		return fmt.Errorf("reading the table: %w", err)
 	}
 	for _, gateway := range l.gateways {
-		gateway.router.SetPlan(contents)
+		gateway.router.SetPlan(state)
 	}
 	return nil
 }
 
-// startReplica starts a replica, or starts it anew.
-func (l *live) startReplica(name string, cold bool) {
+// startReplica starts a replica. It closes the replica of the same name, if there is one.
+func (l *liveFleet) startReplica(name string, cold bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if former := l.replicas[name]; former != nil {
-		former.Close()
+	if previous := l.replicas[name]; previous != nil {
+		previous.Close()
 	}
-	l.cold++
+	l.replicaStarts++
 	l.replicas[name] = standin.NewServer(standin.Config{
-		ID: name, Service: l.profile.Mixes[0].Service, Seed: uint64(l.cold), Cold: cold,
+		ID: name, Service: l.profile.Mixes[0].Service, Seed: uint64(l.replicaStarts), Cold: cold,
 		Parameters: emulator.DefaultParameters(emulator.KindModel),
 	})
 }
 
-func (l *live) close() {
+// close closes all replicas.
+func (l *liveFleet) close() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, replica := range l.replicas {
@@ -144,37 +163,40 @@
 	}
 }
 
-// setLost cuts a region off from everything, or brings it back.
-func (l *live) setLost(region string, lost bool) {
+// setDisconnected disconnects a region from all others and from its clients, or
+// reconnects it.
+func (l *liveFleet) setDisconnected(region string, lost bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.lost[region] = lost
+	l.disconnected[region] = lost
 }
 
-func (l *live) isLost(region string) bool {
+func (l *liveFleet) isDisconnected(region string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.lost[region]
+	return l.disconnected[region]
 }
 
-func (l *live) replica(name string) *standin.Server {
+// replicaNamed returns the current replica with a name.
+func (l *liveFleet) replicaNamed(name string) *standin.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.replicas[name]
 }
 
-// run drives the loops until ctx ends.
-func (l *live) run(ctx context.Context) {
+// run runs the loops of all gateways until ctx is done, and waits for them.
+func (l *liveFleet) run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, gateway := range l.gateways {
-		group.Go(func() { every(ctx, pollInterval, func() { l.poll(gateway) }) })
-		group.Go(func() { every(ctx, liveConditions, func() { l.writeConditions(gateway) }) })
-		group.Go(func() { every(ctx, liveLoads, func() { l.tellLoad(gateway) }) })
+		group.Go(func() { runEvery(ctx, pollInterval, func() { l.poll(gateway) }) })
+		group.Go(func() { runEvery(ctx, conditionInterval, func() { l.updateConditions(gateway) }) })
+		group.Go(func() { runEvery(ctx, loadInterval, func() { l.exchangeLoad(gateway) }) })
 	}
 	group.Wait()
 }
 
-func every(ctx context.Context, interval time.Duration, work func()) {
+// runEvery calls work at once and then at every interval until ctx is done.
+func runEvery(ctx context.Context, interval time.Duration, work func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -187,188 +209,58 @@
 	}
 }
 
-func (l *live) poll(gateway *liveGateway) {
+// poll passes the reports of the replicas that a router watches to it.
+func (l *liveFleet) poll(gateway *liveGateway) {
 	for _, name := range gateway.router.Watched() {
-		if l.isLost(gateway.region) {
+		if l.isDisconnected(gateway.region) {
 			gateway.router.RecordPollFailure(name, time.Now())
 			continue
 		}
-		gateway.router.Observe(name, *l.replica(name).Report(), time.Now())
+		gateway.router.Observe(name, *l.replicaNamed(name).Report(), time.Now())
 	}
 }
 
-// writeConditions applies what a gateway has seen to the table and activates it.
-func (l *live) writeConditions(gateway *liveGateway) {
-	if l.isLost(gateway.region) {
+// updateConditions writes the replica conditions that a gateway observed to the table.
+func (l *liveFleet) updateConditions(gateway *liveGateway) {
+	if l.isDisconnected(gateway.region) {
 		return
 	}
 	for _, change := range gateway.router.Conditions(time.Now()) {
-		l.writeCondition(change)
+		l.updateCondition(change)
 	}
 }
 
-func (l *live) writeCondition(change routing.ConditionChange) {
+// updateCondition writes one condition, unless it has changed in the meantime, and
+// activates it after a delay.
+func (l *liveFleet) updateCondition(change routing.ConditionChange) {
 	name := catalog.ReplicaName(change.Replica)
-	before := registry.Absent(name, catalog.TypeCondition)
+	prerequisite := registry.Absent(name, catalog.TypeCondition)
 	if change.Old != nil {
-		before = registry.Equals(catalog.ConditionRecord(change.Replica, *change.Old))
+		prerequisite = registry.Equals(catalog.ConditionRecord(change.Replica, *change.Old))
 	}
 	changes := []registry.Record{
 		registry.DeleteSet(name, catalog.TypeCondition),
 		registry.Add(catalog.ConditionRecord(change.Replica, change.New)),
 	}
-	update := registry.NewUpdate(catalog.Apex, []registry.Record{before}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite}, changes)
 	if result := l.table.Apply(&update, nil); result.Code != registry.NoError {
-		return // the watcher offers the change again
+		return // the router reports the change again
 	}
-	time.Sleep(liveActivation)
+	time.Sleep(activationDelay)
 	if err := l.activate(); err != nil {
-		l.meter.note(err)
+		l.meter.recordError(err)
 	}
 }
 
-func (l *live) tellLoad(gateway *liveGateway) {
-	if l.isLost(gateway.region) {
+// exchangeLoad passes the load of a gateway's region to the gateways of other regions.
+func (l *liveFleet) exchangeLoad(gateway *liveGateway) {
+	if l.isDisconnected(gateway.region) {
 		return
 	}
 	load := gateway.router.Load()
 	for _, other := range l.gateways {
-		if other.region != gateway.region && !l.isLost(other.region) {
+		if other.region != gateway.region && !l.isDisconnected(other.region) {
 			other.router.SetRemoteLoad(gateway.region, load, time.Now())
 		}
 	}
 }
-
-// call sends one request as a caller would and meters what becomes of it.
-func (l *live) call(run context.Context, request workload.Request, random *rand.Rand) {
-	start := time.Now()
-	entry := l.entry(request.Region, random)
-	resolved, refused := entry.router.Resolve(request.Generate, start)
-	if refused != nil {
-		l.meter.refused(refused.Code)
-		return
-	}
-	ctx, cancel := context.WithDeadline(run, resolved.Deadline)
-	defer cancel()
-	for range mostRestarts {
-		slot, placing, refused := l.acquire(ctx, entry, resolved, random)
-		if run.Err() != nil {
-			if slot != nil {
-				slot.Finish(routing.ResultNotStarted, nil, time.Now())
-			}
-			return // the experiment is over
-		}
-		if refused != nil {
-			l.meter.refused(refused.Code)
-			return
-		}
-		if l.restarted(slot, placing) {
-			continue
-		}
-		if placing.region != request.Region {
-			l.meter.spilled()
-		}
-		entry.router.RecordAttempt()
-		l.execute(run, ctx, slot, placing.region, request, start)
-		return
-	}
-	l.meter.refused(api.CodeRestarted)
-}
-
-// mostRestarts bounds the replicas that refuse one request for their predecessor.
-const mostRestarts = 8
-
-// restarted does what a gateway does with the refusal of a replica that is of
-// another incarnation than the one placed on: it asks for a report at once.
-func (l *live) restarted(slot *routing.Reservation, placing *liveGateway) bool {
-	report := l.replica(slot.Replica).Report()
-	if report.Incarnation == slot.Incarnation {
-		return false
-	}
-	now := time.Now()
-	placing.router.Suspect(slot.Replica, slot.Incarnation, now)
-	slot.Finish(routing.ResultNotStarted, nil, now)
-	placing.router.Observe(slot.Replica, *report, now)
-	return true
-}
-
-// entry is a gateway of the client's region, or of another if that is lost.
-func (l *live) entry(region string, random *rand.Rand) *liveGateway {
-	var candidates []*liveGateway
-	for _, gateway := range l.gateways {
-		usable := gateway.region == region || l.isLost(region)
-		if usable && !l.isLost(gateway.region) {
-			candidates = append(candidates, gateway)
-		}
-	}
-	return candidates[random.IntN(len(candidates))]
-}
-
-// spillWait is how long a spilled request may wait in the other region's queue.
-const spillWait = 2 * time.Second
-
-// acquire tries the regions in the order that the router gives, as a gateway
-// does: the own one by its queue, one that the request is spilled to by a bounded
-// wait in that queue, others by an offer that is taken at once or not at all.
-func (l *live) acquire(ctx context.Context, entry *liveGateway, request routing.Request, random *rand.Rand) (*routing.Reservation, *liveGateway, *api.Error) {
-	regions := entry.router.Regions(request)
-	refused := entry.router.Rejection(request)
-	for position, region := range regions {
-		if region == entry.region {
-			slot, failure := entry.router.Acquire(ctx, request)
-			if failure == nil {
-				return slot, entry, nil
-			}
-			refused = failure
-			continue
-		}
-		if l.isLost(region) {
-			continue
-		}
-		other := l.entry(region, random)
-		var slot *routing.Reservation
-		var failure *api.Error
-		if position == 0 && slices.Contains(regions, entry.region) {
-			waiting, cancel := context.WithTimeout(ctx, spillWait)
-			slot, failure = other.router.Acquire(waiting, request)
-			cancel()
-		} else {
-			slot, failure = other.router.Reserve(request)
-		}
-		if failure == nil {
-			return slot, other, nil
-		}
-		refused = failure
-	}
-	return nil, nil, refused
-}
-
-func (l *live) execute(run, ctx context.Context, slot *routing.Reservation, region string, request workload.Request, start time.Time) {
-	replica := l.replica(slot.Replica)
-	generate := request.Generate
-	answer, err := replica.Generate(ctx, &api.ReplicaRequest{
-		RequestID: generate.RequestID, Model: generate.Model, Class: generate.Class,
-		Prefixes: generate.Prefixes, PromptTokens: generate.PromptTokens, MaxTokens: generate.MaxTokens,
-		TimeLeftMS: generate.WaitMS, Stamp: api.Stamp{ConfigurationVersion: slot.Version, ReplicaIncarnation: slot.Incarnation, Attempt: 1},
-	}, func() {
-		now := time.Now()
-		slot.RecordFirstToken(now)
-		l.meter.firstToken(now.Sub(start))
-	})
-	now := time.Now()
-	var refused *api.Error
-	switch {
-	case errors.As(err, &refused):
-		slot.Finish(routing.ResultNotStarted, nil, now)
-		l.meter.refused(refused.Code)
-	case err != nil && run.Err() != nil:
-		slot.Finish(routing.ResultCanceled, nil, now)
-	case err != nil || l.isLost(region):
-		slot.Finish(routing.ResultFailed, nil, now)
-		l.meter.failed()
-	default:
-		slot.RecordCachedTokens(answer.CachedTokens)
-		slot.Finish(routing.ResultSuccess, answer.Report, now)
-		l.meter.answered()
-	}
-}
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -7,45 +7,47 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// meter counts what becomes of requests between two samples.
+// meter counts the outcomes of requests, in total and since the last sample. It is safe
+// for concurrent use.
 type meter struct {
 	mutex  sync.Mutex
 	window counts
 	total  counts
-	errors []error
+	errors []error // unexpected errors
 }
 
-// counts are sums over a time.
+// counts are the outcomes over some time.
 type counts struct {
 	answers     int
 	refusals    int
 	failures    int
 	spills      int
 	firstTokens []time.Duration
-	codes       map[api.Code]int
+	codes       map[api.Code]int // refusals by code; nil if not counted
 }
 
 func newMeter() *meter {
 	return &meter{total: counts{codes: make(map[api.Code]int)}}
 }
 
-func (m *meter) change(work func(*counts)) {
+// update applies a change to both counts.
+func (m *meter) update(change func(*counts)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	work(&m.window)
-	work(&m.total)
+	change(&m.window)
+	change(&m.total)
 }
 
-func (m *meter) answered() { m.change(func(c *counts) { c.answers++ }) }
-func (m *meter) failed()   { m.change(func(c *counts) { c.failures++ }) }
-func (m *meter) spilled()  { m.change(func(c *counts) { c.spills++ }) }
+func (m *meter) countAnswer()  { m.update(func(c *counts) { c.answers++ }) }
+func (m *meter) countFailure() { m.update(func(c *counts) { c.failures++ }) }
+func (m *meter) countSpill()   { m.update(func(c *counts) { c.spills++ }) }
 
-func (m *meter) firstToken(after time.Duration) {
-	m.change(func(c *counts) { c.firstTokens = append(c.firstTokens, after) })
+func (m *meter) recordFirstToken(latency time.Duration) {
+	m.update(func(c *counts) { c.firstTokens = append(c.firstTokens, latency) })
 }
 
-func (m *meter) refused(code api.Code) {
-	m.change(func(c *counts) {
+func (m *meter) countRefusal(code api.Code) {
+	m.update(func(c *counts) {
 		c.refusals++
 		if c.codes != nil {
 			c.codes[code]++
@@ -53,15 +55,15 @@
 	})
 }
 
-// note keeps an error that should not happen.
-func (m *meter) note(err error) {
+// recordError records an error that makes the experiment fail.
+func (m *meter) recordError(err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.errors = append(m.errors, err)
 }
 
-// take returns the counts since the last call.
-func (m *meter) take() counts {
+// takeWindow returns the counts since the last call.
+func (m *meter) takeWindow() counts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	window := m.window
@@ -69,8 +71,8 @@
 	return window
 }
 
-// sum returns the counts since the start and the first error noted.
-func (m *meter) sum() (counts, error) {
+// totals returns the counts since the start and the first recorded error.
+func (m *meter) totals() (counts, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if len(m.errors) > 0 {
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -12,17 +12,17 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// NamedPolicy is one contender of the placement experiment.
+// NamedPolicy is one of the policies that the placement experiment compares.
 type NamedPolicy struct {
 	Name string
-	// New makes the policy of one gateway for its region's replicas.
+	// New returns the policy of one gateway for the replicas of its region.
 	New func(gatewayNumber int, replicas []string) Policy
 }
 
-// CacheAwareName names our own policy in tables and plots.
+// CacheAwareName is the name of the gateways' own policy in tables and figures.
 const CacheAwareName = "cache aware"
 
-// Policies lists the baselines and, last, our own.
+// Policies returns the baselines and, last, the gateways' own policy.
 func Policies() []NamedPolicy {
 	return []NamedPolicy{
 		{"round robin", func(number int, _ []string) Policy { return &RoundRobin{next: number} }},
@@ -34,26 +34,27 @@
 
 // PlacementConfig describes the placement experiment.
 type PlacementConfig struct {
-	// Deployments are names of package workload.
+	// Deployments are names that workload.ByName accepts.
 	Deployments []string
-	// Loads are parts of the capacity, as Utilization counts it.
+	// Loads are fractions of the capacity, as Utilization computes it.
 	Loads []float64
-	// Seeds is the number of runs per point, with seeds from 1.
+	// Seeds is the number of runs per point, with the seeds 1 to Seeds.
 	Seeds int
-	// WarmUp is left out of the results; Length is the whole of one run.
-	WarmUp, Length time.Duration
-	// Parallel bounds the runs at a time.
+	// WarmUp is the part of Duration, at its beginning, that does not count in the
+	// results.
+	WarmUp, Duration time.Duration
+	// Parallel is the largest number of concurrent runs.
 	Parallel int
 }
 
-// DefaultPlacementConfig is the experiment as documented.
+// DefaultPlacementConfig returns the documented experiment.
 func DefaultPlacementConfig() PlacementConfig {
 	return PlacementConfig{
 		Deployments: []string{"kodovka", "georgia", "skewed"},
 		Loads:       []float64{0.4, 0.5, 0.6, 0.7, 0.8},
 		Seeds:       4,
 		WarmUp:      20 * time.Second,
-		Length:      80 * time.Second,
+		Duration:    80 * time.Second,
 		Parallel:    4,
 	}
 }
@@ -62,13 +63,14 @@
 type PlacementPoint struct {
 	Deployment string
 	Load       float64
-	// Scale is the load over today's.
+	// Scale is the load divided by the profile's load.
 	Scale  float64
 	Policy string
 	Result *Result
 }
 
-// Placement runs every policy on the same seeded loads.
+// Placement runs every policy on the same seeded loads. An unknown deployment is an
+// error.
 func Placement(config PlacementConfig) ([]PlacementPoint, error) {
 	parameters := emulator.DefaultParameters(emulator.KindModel)
 	var points []PlacementPoint
@@ -77,12 +79,12 @@
 		if err != nil {
 			return nil, err
 		}
-		today := Utilization(profile, parameters)
+		base := Utilization(profile, parameters)
 		for _, load := range config.Loads {
 			for _, policy := range Policies() {
 				points = append(points, PlacementPoint{
-					Deployment: deployment, Load: load, Scale: load / today, Policy: policy.Name,
-					Result: placementRuns(config, profile.Scale(load/today), parameters, policy),
+					Deployment: deployment, Load: load, Scale: load / base, Policy: policy.Name,
+					Result: runSeeds(config, profile.Scale(load/base), parameters, policy),
 				})
 			}
 		}
@@ -90,8 +92,8 @@
 	return points, nil
 }
 
-// placementRuns merges one run per seed.
-func placementRuns(config PlacementConfig, profile *workload.Profile, parameters emulator.Parameters, policy NamedPolicy) *Result {
+// runSeeds runs a policy once with each seed and merges the results.
+func runSeeds(config PlacementConfig, profile *workload.Profile, parameters emulator.Parameters, policy NamedPolicy) *Result {
 	results := make([]*Result, config.Seeds)
 	var group errgroup.Group
 	group.SetLimit(config.Parallel)
@@ -103,7 +105,7 @@
 				Seed:       uint64(index + 1),
 				Policy:     policy.New,
 				WarmUp:     config.WarmUp,
-				Length:     config.Length,
+				Duration:   config.Duration,
 			})
 			return nil
 		})
@@ -117,7 +119,7 @@
 	return merged
 }
 
-// WritePlacementTable writes one row per point.
+// WritePlacementTable writes a table with a row for each point.
 func WritePlacementTable(w io.Writer, points []PlacementPoint) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "deployment\tload\tof today\tpolicy\tprefix hits\tfirst token p50\tp95\tp99\tgap p95\tanswered\trefused\t")
@@ -131,7 +133,7 @@
 	return table.Flush()
 }
 
-// Comparison sets our own policy against the best baseline at one load.
+// Comparison compares the gateways' own policy with the best baseline at one load.
 type Comparison struct {
 	Deployment string
 	Load       float64
@@ -144,12 +146,13 @@
 	OwnRefused  int
 }
 
-// Gain is the part of the best baseline's p95 that our own saves.
+// Gain returns the fraction by which the own p95 is below the best baseline's.
 func (c Comparison) Gain() float64 {
 	return 1 - c.OwnP95.Seconds()/c.BestP95.Seconds()
 }
 
-// Compare lists a comparison per deployment and load.
+// Compare returns a comparison for each deployment and load. The points must be complete
+// and in the order in which Placement returns them.
 func Compare(points []PlacementPoint) []Comparison {
 	var comparisons []Comparison
 	for start := 0; start < len(points); start += len(Policies()) {
@@ -170,7 +173,7 @@
 	return comparisons
 }
 
-// WriteComparisons writes one row per comparison.
+// WriteComparisons writes a table with a row for each comparison.
 func WriteComparisons(w io.Writer, comparisons []Comparison) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "deployment\tload\tbest baseline\tits p95\tits refusals\tour p95\tour refusals\tgain\t")
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -9,24 +9,26 @@
 
 // Policy picks the replica for a request in one gateway.
 type Policy interface {
-	// Pick returns the position of the chosen view and the tokens that it
-	// expects to find in that replica's cache.
+	// Pick returns the index of the picked view and the number of tokens that the policy
+	// expects in that replica's cache.
 	Pick(request *workload.Request, views []*View) (target, cached int)
-	// Answered tells what was expected and what the replica found in its cache.
-	Answered(target, expected, found int)
-	// Evicted tells that a replica reports evictions, this gateway's part of them.
-	Evicted(target, count int)
+	// RecordAnswer reports the expected number of cached tokens and the number that the
+	// replica found.
+	RecordAnswer(target, expected, found int)
+	// RecordEvictions reports this gateway's share of the evictions of a replica.
+	RecordEvictions(target, count int)
 }
 
-// unaware is the part of a policy that keeps no record of caches.
-type unaware struct{}
+// withoutCacheRecord implements the methods of Policy that report on caches, for policies
+// that do not use them.
+type withoutCacheRecord struct{}
 
-func (unaware) Answered(int, int, int) {}
-func (unaware) Evicted(int, int)       {}
+func (withoutCacheRecord) RecordAnswer(int, int, int) {}
+func (withoutCacheRecord) RecordEvictions(int, int)   {}
 
-// RoundRobin takes the replicas in turn.
+// RoundRobin picks the replicas in turn.
 type RoundRobin struct {
-	unaware
+	withoutCacheRecord
 	next int
 }
 
@@ -37,10 +39,9 @@
 	return target, 0
 }
 
-// LeastLoaded takes the replica with the fewest known requests; equals are taken
-// in turn.
+// LeastLoaded picks the replica with the fewest known requests, and in turn among equals.
 type LeastLoaded struct {
-	unaware
+	withoutCacheRecord
 	next int
 }
 
@@ -50,28 +51,28 @@
 	target = p.next % len(views)
 	for offset := range views {
 		candidate := (p.next + offset) % len(views)
-		if views[candidate].Busy() < views[target].Busy() {
+		if views[candidate].ActiveRequests() < views[target].ActiveRequests() {
 			target = candidate
 		}
 	}
 	return target, 0
 }
 
-// AffinityOnly takes the replica that rendezvous hashing gives the document,
-// whatever its load.
+// AffinityOnly picks the replica that rendezvous hashing assigns to the document,
+// regardless of its load.
 type AffinityOnly struct {
-	unaware
+	withoutCacheRecord
 }
 
-// documentDepth is the position of the document in a prefix sequence.
+// documentDepth is the index of the document in the prefixes of a request.
 const documentDepth = 1
 
 // Pick implements Policy.
 func (AffinityOnly) Pick(request *workload.Request, views []*View) (target, cached int) {
-	key := affinityKey(request.Generate.Prefixes)
+	key := documentKey(request.Generate.Prefixes)
 	var best uint64
 	for index, view := range views {
-		score := hash(key, view.Name)
+		score := rendezvousScore(key, view.Name)
 		if index == 0 || score > best {
 			best = score
 			target = index
@@ -80,19 +81,21 @@
 	return target, 0
 }
 
-func affinityKey(prefixes []api.Prefix) string {
+// documentKey returns the id of the document, or of the last prefix if there is none.
+func documentKey(prefixes []api.Prefix) string {
 	if len(prefixes) == 0 {
 		return ""
 	}
 	return prefixes[min(documentDepth, len(prefixes)-1)].ID
 }
 
-// hash mixes two names; the finalizer spreads names that differ little.
-func hash(first, second string) uint64 {
+// rendezvousScore hashes two names. The finalizer of MurmurHash3 spreads the hashes of
+// names that differ little.
+func rendezvousScore(key, replica string) uint64 {
 	sum := fnv.New64a()
-	sum.Write([]byte(first))
+	sum.Write([]byte(key))
 	sum.Write([]byte{0})
-	sum.Write([]byte(second))
+	sum.Write([]byte(replica))
 	mixed := sum.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
--- a/internal/experiment/aware.go
+++ b/internal/experiment/policy_cacheaware.go
@@ -5,30 +5,33 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// trustSmoothing is the weight of one answer in the trust in expected caches.
-const trustSmoothing = 0.1
+// cacheTrustSmoothing is the weight of one answer in the moving average cacheTrust.
+const cacheTrustSmoothing = 0.1
 
-// CacheAware is the gateways' own placement: the earliest expected first token,
-// by what was sent to each replica and what the replicas report.
+// CacheAware is the placement policy that gateways run: it picks the replica with the
+// earliest expected first token, by the requests that the gateway sent to each replica
+// and by the replicas' reports.
 type CacheAware struct {
-	index      *placement.Index
-	hashes     []uint64
-	trust      []float64
+	index  *placement.Index
+	hashes []uint64
+	// cacheTrust is, by replica, the fraction of the expected cached tokens that was
+	// found, as a moving average.
+	cacheTrust []float64
 	cached     []int
 	candidates []placement.Candidate
 }
 
-// NewCacheAware returns the policy of one gateway for its region's replicas.
+// NewCacheAware returns the policy of one gateway for the replicas of its region.
 func NewCacheAware(replicas []string) *CacheAware {
 	policy := &CacheAware{
-		index:  placement.NewIndex(len(replicas)),
-		hashes: make([]uint64, len(replicas)),
-		trust:  make([]float64, len(replicas)),
-		cached: make([]int, len(replicas)),
+		index:      placement.NewIndex(len(replicas)),
+		hashes:     make([]uint64, len(replicas)),
+		cacheTrust: make([]float64, len(replicas)),
+		cached:     make([]int, len(replicas)),
 	}
 	for index, name := range replicas {
 		policy.hashes[index] = placement.Hash(name)
-		policy.trust[index] = 1
+		policy.cacheTrust[index] = 1
 	}
 	return policy
 }
@@ -52,30 +55,31 @@
 	return target, p.cached[target]
 }
 
+// candidate converts a view to what package placement compares.
 func (p *CacheAware) candidate(index int, view *View) placement.Candidate {
 	return placement.Candidate{
 		Number:         index,
 		Hash:           p.hashes[index],
 		PendingTokens:  float64(view.Report.PendingPrefillTokens) + view.SentTokens,
 		PrefillRate:    view.Report.PrefillTokensPerSecond,
-		ActiveRequests: float64(view.Busy()),
+		ActiveRequests: float64(view.ActiveRequests()),
 		Slots:          float64(max(1, view.Report.Slots)),
-		ServiceTime:    view.Hold,
-		CachedTokens:   float64(p.cached[index]) * p.trust[index],
+		ServiceTime:    view.ServiceTime,
+		CachedTokens:   float64(p.cached[index]) * p.cacheTrust[index],
 	}
 }
 
-// Answered implements Policy.
-func (p *CacheAware) Answered(target, expected, found int) {
+// RecordAnswer implements Policy.
+func (p *CacheAware) RecordAnswer(target, expected, found int) {
 	if expected <= 0 {
 		return
 	}
-	share := min(1, float64(found)/float64(expected))
-	p.trust[target] += trustSmoothing * (share - p.trust[target])
+	fraction := min(1, float64(found)/float64(expected))
+	p.cacheTrust[target] += cacheTrustSmoothing * (fraction - p.cacheTrust[target])
 	p.index.Correct(target, expected, found)
 }
 
-// Evicted implements Policy.
-func (p *CacheAware) Evicted(target, count int) {
+// RecordEvictions implements Policy.
+func (p *CacheAware) RecordEvictions(target, count int) {
 	p.index.Evicted(target, count)
 }
--- a/internal/experiment/response_test.go
+++ b/internal/experiment/response_test.go
@@ -12,9 +12,10 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// TestColdReplicasStayOnTheirRamp runs the cold experiment in the fake time of a
-// bubble: real routers, replicas that all come back cold into today's load.
-func TestColdReplicasStayOnTheirRamp(t *testing.T) {
+// TestColdReplicasStayWithinSlowStartLimit runs the cold experiment in the fake time of a
+// synctest bubble: real routers, and replicas that all restart cold under the profile's
+// load.
+func TestColdReplicasStayWithinSlowStartLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		response, err := Respond(t.Context(), "georgia", DisturbCold, 1)
 		if err != nil {
@@ -23,12 +24,11 @@
 		seenCold := 0
 		for _, sample := range response.Samples {
 			seenCold = max(seenCold, sample.Cold)
-			// Each gateway may have sent one request that it took for the replica
-			// before the restart.
+			// Each gateway may have sent one request before it knew of the restart.
 			if sample.ColdInFlight > sample.ColdLimit+gatewaysPerRegion {
 				t.Errorf("at %v: %d in flight on a cold replica, its ramp is %d", sample.At, sample.ColdInFlight, sample.ColdLimit)
 			}
-			if sample.Cold > 0 && sample.At < responseBegin {
+			if sample.Cold > 0 && sample.At < disturbanceStart {
 				t.Errorf("at %v: a replica is cold before the restart", sample.At)
 			}
 		}
@@ -39,7 +39,7 @@
 			t.Errorf("%d replicas are cold at the end", last.Cold)
 		}
 		const rate = 38
-		sent := rate * responseLength.Seconds()
+		sent := rate * responseDuration.Seconds()
 		counted := float64(response.Answers + response.Refusals + response.Failures)
 		if counted < 0.9*sent || counted > 1.1*sent {
 			t.Errorf("%.0f requests counted, about %.0f were sent", counted, sent)
@@ -55,7 +55,7 @@
 	})
 }
 
-// TestReactions judges made-up courses of one value with a set point of 0.8.
+// TestReactions checks the reactions of synthetic values with a set point of 0.8.
 func TestReactions(t *testing.T) {
 	const steady = 0.5
 	cases := []struct {
@@ -72,25 +72,35 @@
 			}
 			return 0.6
 		}, Reaction{Peak: 1.2, Overshoot: 0.5, Settled: true}, 10 * time.Second},
-		{"above to the end", func(time.Duration) float64 { return 1.6 }, Reaction{Peak: 1.6, Overshoot: 1}, responseLength - responseBegin},
+		{"above to the end", func(time.Duration) float64 { return 1.6 }, Reaction{Peak: 1.6, Overshoot: 1}, responseDuration - disturbanceStart},
 	}
 	for _, test := range cases {
-		response := &Response{Regions: []string{"north"}, Limits: catalog.Limits{TargetUtilization: 0.8, FirstTokenMS: 920}}
-		for at := time.Duration(0); at < responseLength; at += sampleInterval {
-			value := steady
-			if at >= responseBegin {
-				value = test.value(at - responseBegin)
+		t.Run(test.name, func(t *testing.T) {
+			response := syntheticResponse(func(at time.Duration) float64 {
+				if at < disturbanceStart {
+					return steady
+				}
+				return test.value(at - disturbanceStart)
+			})
+			got := response.Reactions()[0]
+			same := math.Abs(got.Peak-test.want.Peak) < 1e-6 && math.Abs(got.Overshoot-test.want.Overshoot) < 1e-6 &&
+				got.Settled == test.want.Settled && math.Abs(got.Before-steady) < 1e-6
+			if !same {
+				t.Errorf("%+v, want %+v", got, test.want)
 			}
-			response.Samples = append(response.Samples, Sample{At: at, Utilization: map[string]float64{"north": value}})
-		}
-		got := response.Reactions()[0]
-		same := math.Abs(got.Peak-test.want.Peak) < 1e-6 && math.Abs(got.Overshoot-test.want.Overshoot) < 1e-6 &&
-			got.Settled == test.want.Settled && math.Abs(got.Before-steady) < 1e-6
-		if !same {
-			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
-		}
-		if late := got.Settling - test.settling; late < -sampleInterval || late > smoothing*sampleInterval {
-			t.Errorf("%s: settled after %v, want %v", test.name, got.Settling, test.settling)
-		}
+			if late := got.Settling - test.settling; late < -sampleInterval || late > smoothingSamples*sampleInterval {
+				t.Errorf("settled after %v, want %v", got.Settling, test.settling)
+			}
+		})
+	}
+}
+
+// syntheticResponse returns samples of a region with the given utilization over time and
+// a set point of 0.8.
+func syntheticResponse(utilization func(at time.Duration) float64) *Response {
+	response := &Response{Regions: []string{"north"}, Limits: catalog.Limits{TargetUtilization: 0.8, FirstTokenMS: 920}}
+	for at := time.Duration(0); at < responseDuration; at += sampleInterval {
+		response.Samples = append(response.Samples, Sample{At: at, Utilization: map[string]float64{"north": utilization(at)}})
 	}
+	return response
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,59 +7,60 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// Result sums up one run after its warm-up.
+// Result has the figures of one run, or of several merged ones, after the warm-up.
 type Result struct {
-	// Answered and Refused count requests; Unfinished were still on their way.
+	// Answered, Refused and Unfinished count requests. An unfinished one was in flight at
+	// the end of the run.
 	Answered   int
 	Refused    int
 	Unfinished int
-	// HitRate is the part of the shared prefix tokens found in KV caches.
+	// HitRate is the fraction of the prefix tokens that was found in KV caches.
 	HitRate float64
-	// FirstToken and Gap are quantiles over the requests; the gap is the mean
-	// time between two tokens of a request. A refused request counts as one with
-	// the slowest first token, so that refusing makes nothing look faster.
+	// FirstToken is the time to first token and Gap the mean time between two tokens of a
+	// request; both are quantiles over the requests. A refused request counts as one with
+	// the slowest first token, so that refusals do not improve the figures.
 	FirstTokenP50, FirstTokenP95, FirstTokenP99 time.Duration
 	GapP50, GapP95                              time.Duration
-	// InFlight is the mean number of requests on the whole fleet.
+	// InFlight is the mean number of requests in flight in the fleet.
 	InFlight float64
 
-	prefix, cached int
-	firstTokens    []time.Duration
-	gaps           []time.Duration
-	held           time.Duration
-	length         time.Duration
+	totalPrefixTokens, cachedTokens int
+	firstTokens                     []time.Duration
+	gaps                            []time.Duration
+	inFlightTime                    time.Duration
+	measuredTime                    time.Duration
 }
 
-// add counts one whole answer.
-func (r *Result) add(done *attempt, end emulator.Event) {
+// addAnswer adds one complete answer.
+func (r *Result) addAnswer(done *attempt, end emulator.Event) {
 	r.Answered++
-	r.prefix += prefixTokens(done.request)
-	r.cached += end.CachedTokens
-	r.firstTokens = append(r.firstTokens, done.first-done.request.At)
-	r.held += end.At - done.request.At
+	r.totalPrefixTokens += prefixTokens(done.request)
+	r.cachedTokens += end.CachedTokens
+	r.firstTokens = append(r.firstTokens, done.firstTokenAt-done.request.At)
+	r.inFlightTime += end.At - done.request.At
 	if end.Index > 1 {
-		r.gaps = append(r.gaps, (end.At-done.first)/time.Duration(end.Index-1))
+		r.gaps = append(r.gaps, (end.At-done.firstTokenAt)/time.Duration(end.Index-1))
 	}
 }
 
-// merge adds another run of the same kind.
+// merge adds another run with the same configuration but for the seed.
 func (r *Result) merge(other *Result) {
 	r.Answered += other.Answered
 	r.Refused += other.Refused
 	r.Unfinished += other.Unfinished
-	r.prefix += other.prefix
-	r.cached += other.cached
+	r.totalPrefixTokens += other.totalPrefixTokens
+	r.cachedTokens += other.cachedTokens
 	r.firstTokens = append(r.firstTokens, other.firstTokens...)
 	r.gaps = append(r.gaps, other.gaps...)
-	r.held += other.held
-	r.length += other.length
-	r.finish()
+	r.inFlightTime += other.inFlightTime
+	r.measuredTime += other.measuredTime
+	r.computeFigures()
 }
 
-// finish computes the figures from what was added.
-func (r *Result) finish() {
-	r.HitRate = float64(r.cached) / float64(max(1, r.prefix))
-	r.InFlight = float64(r.held) / float64(max(1, r.length))
+// computeFigures computes the exported figures from the added answers.
+func (r *Result) computeFigures() {
+	r.HitRate = float64(r.cachedTokens) / float64(max(1, r.totalPrefixTokens))
+	r.InFlight = float64(r.inFlightTime) / float64(max(1, r.measuredTime))
 	r.FirstTokenP50 = quantile(r.firstTokens, r.Refused, 0.5)
 	r.FirstTokenP95 = quantile(r.firstTokens, r.Refused, 0.95)
 	r.FirstTokenP99 = quantile(r.firstTokens, r.Refused, 0.99)
@@ -67,13 +68,14 @@
 	r.GapP95 = quantile(r.gaps, 0, 0.95)
 }
 
-// quantile sorts the values and returns the one at the rank among them and a
-// number of others that are as large as the largest; 0 without values.
-func quantile(values []time.Duration, largest int, rank float64) time.Duration {
+// quantile returns the value at a rank (0 to 1) among the values and, in addition, as many
+// copies of the largest value as extra says. It returns 0 if there are no values. It sorts
+// the values.
+func quantile(values []time.Duration, extra int, rank float64) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	slices.Sort(values)
-	position := int(rank * float64(len(values)+largest))
+	position := int(rank * float64(len(values)+extra))
 	return values[min(len(values)-1, position)]
 }
--- a/internal/experiment/utilization.go
+++ b/internal/experiment/utilization.go
@@ -6,19 +6,19 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// utilizationSample is the number of requests that the mean cost is taken over.
-const utilizationSample = 20_000
+// utilizationSampleSize is the number of requests over which the mean cost is computed.
+const utilizationSampleSize = 20_000
 
-// Utilization is the part of the model replicas' capacity that a profile's
-// traffic needs at best: if every shared prefix were cached, all slots were
-// filled and all replicas were used evenly. It does not depend on any policy.
+// Utilization returns the fraction of the model replicas' capacity that a profile's
+// traffic needs at least: with every prefix cached, all slots in use and all replicas
+// equally loaded. It does not depend on the placement policy.
 func Utilization(profile *workload.Profile, parameters emulator.Parameters) float64 {
 	fullStep := parameters.DecodeStepMS + float64(parameters.Slots-1)*parameters.DecodeSequenceMS
 	secondsPerToken := fullStep / 1000 / float64(parameters.Slots)
 	generator := workload.New(profile, nil, 1, "utilization")
 	work := 0.0
 	var last workload.Request
-	for range utilizationSample {
+	for range utilizationSampleSize {
 		last = generator.Next()
 		if last.Generate.Class == api.ClassFetch {
 			continue
