--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -18,15 +18,9 @@
 // while its lease is valid. It has no disk, so that every restart begins with an empty
 // table.
 type gateway struct {
-	world *world
-	name  string
-	// incarnation counts the starts. A timer of an earlier one does nothing.
-	incarnation int
-	up          bool
-	started     time.Duration
-	drift       float64
-	frozen      bool
-	buffered    []func()
+	process
+	name string
+	up   bool
 
 	holder *lease.Holder
 	table  *registry.Table
@@ -54,7 +48,7 @@
 
 func (w *world) populateGateways() {
 	for i := range gatewayCount {
-		g := &gateway{world: w, name: fmt.Sprintf("gateway-%d", i)}
+		g := &gateway{process: process{world: w}, name: fmt.Sprintf("gateway-%d", i)}
 		w.gateways = append(w.gateways, g)
 		g.start()
 	}
@@ -62,12 +56,8 @@
 
 // start starts a new incarnation without any state of the earlier one.
 func (g *gateway) start() {
-	g.incarnation++
+	g.begin()
 	g.up = true
-	g.frozen = false
-	g.buffered = nil
-	g.started = g.world.now
-	g.drift = maxDrift * (2*g.world.random.Float64() - 1)
 	g.holder = lease.NewHolder(lease.DefaultConfig())
 	g.table = registry.NewSecondary(apex, schema)
 	g.receivedSerials = nil
@@ -77,20 +67,14 @@
 	g.schedulePlacement(g.incarnation)
 }
 
-// clock returns the time of the process's monotonic clock.
-func (g *gateway) clock() time.Duration {
-	elapsed := g.world.now - g.started
-	return elapsed + time.Duration(float64(elapsed)*g.drift)
-}
-
 // receive handles a message, or buffers it while the process is frozen.
 func (g *gateway) receive(run func()) {
 	switch {
 	case !g.up:
 	case !g.frozen:
 		run()
-	case len(g.buffered) < maxBuffered:
-		g.buffered = append(g.buffered, run)
+	default:
+		g.buffer(run)
 	}
 }
 
@@ -98,10 +82,7 @@
 	if !g.frozen {
 		return
 	}
-	g.frozen = false
-	messages := g.buffered
-	g.buffered = nil
-	for _, message := range messages {
+	for _, message := range g.endFreeze() {
 		g.receive(message)
 	}
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -13,10 +13,6 @@
 	// A process ticks its node at random intervals between these bounds.
 	minTickInterval = 15 * time.Millisecond
 	maxTickInterval = 30 * time.Millisecond
-	// maxDrift is the largest relative deviation of the rate of a clock.
-	maxDrift = 0.02
-	// maxBuffered is the number of messages that wait for a frozen process at most.
-	maxBuffered = 256
 	// compactionInterval is the number of applied entries between snapshots.
 	compactionInterval = 12
 	// retainedEntriesLimit bounds the number of entries that a snapshot leaves in the log.
@@ -27,8 +23,8 @@
 
 // machine is one control node: a process with a disk and a monotonic clock.
 type machine struct {
-	world *world
-	name  string
+	process
+	name string
 	// replaces is the name of the machine that this one replaces, if any.
 	replaces string
 	store    *storage.Memory
@@ -37,19 +33,12 @@
 	removed  bool
 	retiring bool
 	// node is nil while the process is down.
-	node *consensus.Node
-	// incarnation counts the starts of the process. A timer of an earlier one does
-	// nothing.
-	incarnation   int
+	node          *consensus.Node
 	identity      consensus.ID
 	state         *stateMachine
 	applied       uint64
 	snapshotIndex uint64 // index of the newest snapshot
-	started       time.Duration
-	drift         float64
 
-	frozen   bool
-	buffered []func()
 	// plannedStall, if above 0, is how long the process stops after its next write.
 	// stalledReady is the batch whose messages wait meanwhile.
 	plannedStall time.Duration
@@ -70,7 +59,7 @@
 
 func (w *world) newMachine(name, replaces string) *machine {
 	m := &machine{
-		world:    w,
+		process:  process{world: w},
 		name:     name,
 		replaces: replaces,
 		store:    storage.NewMemory(w.newIdentity()),
@@ -114,18 +103,6 @@
 	return consensus.Member{ID: identity, Name: m.name, Address: m.name}
 }
 
-// clock returns the time of the process's monotonic clock, which starts at zero with the
-// process and drifts.
-func (m *machine) clock() time.Duration {
-	elapsed := m.world.now - m.started
-	return elapsed + time.Duration(float64(elapsed)*m.drift)
-}
-
-// worldTime converts a time of the process's clock to virtual time.
-func (m *machine) worldTime(local time.Duration) time.Duration {
-	return m.started + time.Duration(float64(local)/(1+m.drift))
-}
-
 // start starts the process with the state of its disk.
 func (m *machine) start() {
 	stored, err := m.store.Load()
@@ -152,11 +129,7 @@
 	node.InjectDefects(m.world.options.Defects)
 	m.node = node
 	m.identity = stored.Identity
-	m.incarnation++
-	m.started = m.world.now
-	m.drift = maxDrift * (2*m.world.random.Float64() - 1)
-	m.frozen = false
-	m.buffered = nil
+	m.begin()
 	m.plannedStall = 0
 	m.waiters = make(map[string][]waiter)
 	m.joinRequests = make(map[consensus.ID]joinRequest)
@@ -184,8 +157,7 @@
 // crash ends the process. Writes that were not synced are lost.
 func (m *machine) crash() {
 	m.node = nil
-	m.frozen = false
-	m.buffered = nil
+	m.endFreeze()
 	m.stalledReady = nil
 	m.store.Crash()
 }
@@ -230,9 +202,7 @@
 		return
 	}
 	if m.frozen {
-		if len(m.buffered) < maxBuffered {
-			m.buffered = append(m.buffered, run)
-		}
+		m.buffer(run)
 		return
 	}
 	run()
@@ -245,9 +215,7 @@
 	if m.node == nil || !m.frozen {
 		return
 	}
-	m.frozen = false
-	messages := m.buffered
-	m.buffered = nil
+	messages := m.endFreeze()
 	if m.stalledReady != nil {
 		batch := *m.stalledReady
 		m.stalledReady = nil
