--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -168,57 +168,75 @@
 		parameters.QueueLength = 2
 		parameters.CacheTokens = 6000
 		seed := rapid.Uint64().Draw(t, "seed")
-		replica := New(parameters, seed, false)
-		twin := New(parameters, seed, false)
-		var now time.Duration
-		var events, twinEvents []Event
-		accepted := make(map[string]int)
-		canceled := make(map[string]bool)
+		history := &drawnHistory{
+			replica:  New(parameters, seed, false),
+			twin:     New(parameters, seed, false),
+			accepted: make(map[string]int),
+			canceled: make(map[string]bool),
+		}
 		for index := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "wait")) * time.Millisecond
-			events = append(events, replica.Advance(now)...)
-			twinEvents = append(twinEvents, twin.Advance(now)...)
-			id := fmt.Sprint(index)
-			switch rapid.IntRange(0, 9).Draw(t, "action") {
-			case 0:
-				victim := fmt.Sprint(rapid.IntRange(0, index).Draw(t, "victim"))
-				replica.Cancel(now, victim)
-				twin.Cancel(now, victim)
-				canceled[victim] = true
-			case 1:
-				replica.MakeCold(now)
-				twin.MakeCold(now)
-			default:
-				job := Job{
-					ID:           id,
-					Prefixes:     prefixChain("a", rapid.SampledFrom([]string{"b", "c", "d", "e"}).Draw(t, "leaf")),
-					PromptTokens: rapid.IntRange(0, 900).Draw(t, "prompt"),
-					AnswerTokens: rapid.IntRange(1, 20).Draw(t, "answer"),
-				}
-				err := replica.Submit(now, job)
-				if twinErr := twin.Submit(now, job); !errors.Is(twinErr, err) {
-					t.Fatalf("equal replicas differ: %v and %v", err, twinErr)
-				}
-				if err == nil {
-					accepted[id] = job.AnswerTokens
-				}
-			}
-			if state := replica.State(now); state.Running > 3 || state.Queued > 5 || state.CacheUsed > 1 {
+			history.step(t, index)
+			if state := history.replica.State(history.now); state.Running > 3 || state.Queued > 5 || state.CacheUsed > 1 {
 				t.Fatalf("state out of bounds: %+v", state)
 			}
 		}
-		events = append(events, runUntilIdle(replica)...)
-		twinEvents = append(twinEvents, runUntilIdle(twin)...)
-		if difference := cmp.Diff(twinEvents, events); difference != "" {
+		history.events = append(history.events, runUntilIdle(history.replica)...)
+		history.twinEvents = append(history.twinEvents, runUntilIdle(history.twin)...)
+		if difference := cmp.Diff(history.twinEvents, history.events); difference != "" {
 			t.Fatalf("equal replicas differ:\n%s", difference)
 		}
-		checkEventSequence(t, kind, events, accepted, canceled)
-		if model, isModel := replica.(*modelReplica); isModel {
+		checkEventSequence(t, kind, history.events, history.accepted, history.canceled)
+		if model, isModel := history.replica.(*modelReplica); isModel {
 			checkCacheAccounting(t, model)
 		}
 	})
 }
 
+// drawnHistory is a history of the same calls on two replicas with the same seed.
+type drawnHistory struct {
+	replica, twin      Replica
+	now                time.Duration
+	events, twinEvents []Event
+	accepted           map[string]int // answer length by job
+	canceled           map[string]bool
+}
+
+// step waits for a drawn time and makes a drawn call, with the index as the job's id.
+func (h *drawnHistory) step(t *rapid.T, index int) {
+	h.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "wait")) * time.Millisecond
+	h.events = append(h.events, h.replica.Advance(h.now)...)
+	h.twinEvents = append(h.twinEvents, h.twin.Advance(h.now)...)
+	switch rapid.IntRange(0, 9).Draw(t, "action") {
+	case 0:
+		victim := fmt.Sprint(rapid.IntRange(0, index).Draw(t, "victim"))
+		h.replica.Cancel(h.now, victim)
+		h.twin.Cancel(h.now, victim)
+		h.canceled[victim] = true
+	case 1:
+		h.replica.MakeCold(h.now)
+		h.twin.MakeCold(h.now)
+	default:
+		h.submit(t, fmt.Sprint(index))
+	}
+}
+
+// submit submits a drawn job and checks that both replicas give the same answer.
+func (h *drawnHistory) submit(t *rapid.T, id string) {
+	job := Job{
+		ID:           id,
+		Prefixes:     prefixChain("a", rapid.SampledFrom([]string{"b", "c", "d", "e"}).Draw(t, "leaf")),
+		PromptTokens: rapid.IntRange(0, 900).Draw(t, "prompt"),
+		AnswerTokens: rapid.IntRange(1, 20).Draw(t, "answer"),
+	}
+	err := h.replica.Submit(h.now, job)
+	if twinErr := h.twin.Submit(h.now, job); !errors.Is(twinErr, err) {
+		t.Fatalf("equal replicas differ: %v and %v", err, twinErr)
+	}
+	if err == nil {
+		h.accepted[id] = job.AnswerTokens
+	}
+}
+
 // checkEventSequence checks that times do not decrease, that tokens are in order and
 // that every accepted job ends once and completely unless it was canceled.
 func checkEventSequence(t *rapid.T, kind Kind, events []Event, accepted map[string]int, canceled map[string]bool) {
