--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -6,109 +6,114 @@
 	"github.com/deckpulley/deckpulley/internal/defect"
 )
 
-// Faults that lose a disk or replace a machine.
+// This file has the faults that lose a disk or replace a machine.
 
-// mayLose tells whether the group reports itself whole, so that it must bear
-// the loss of a disk.
-func (w *world) mayLose() bool {
+// mayLoseDisk reports whether some leader reports a complete group, so that the group
+// must tolerate the loss of a disk.
+func (w *world) mayLoseDisk() bool {
 	for _, m := range w.machines {
-		if m.repairDone() && !w.holdsLost(m) {
+		if m.isRepaired() && !w.hasLostMember(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// holdsLost tells whether a leader has not yet noticed an earlier loss.
-func (w *world) holdsLost(m *machine) bool {
+// hasLostMember reports whether a machine's membership still contains a member whose
+// disk was lost.
+func (w *world) hasLostMember(m *machine) bool {
 	for _, member := range m.node.Status().Membership.Members {
-		if w.faults.lost[member.ID] {
+		if w.faults.lostDisks[member.ID] {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) wipeOne() {
-	if w.mayLose() {
-		w.wipe(w.target(), FaultWipe)
+func (w *world) wipeTarget() {
+	if w.mayLoseDisk() {
+		w.wipeDisk(w.pickTarget(), FaultWipe)
 	}
 }
 
-// wipe takes a machine's disk away. It comes back empty at the same address.
-func (w *world) wipe(m *machine, kind FaultKind) {
-	if m.gone {
+// wipeDisk crashes a machine and replaces its disk by an empty one with a new identity.
+// The machine restarts later at the same address.
+func (w *world) wipeDisk(m *machine, kind FaultKind) {
+	if m.removed {
 		return
 	}
-	w.count(kind)
+	w.countFault(kind)
 	m.crash()
 	identity := w.newIdentity()
-	if w.has(defect.KeepIdentity) {
+	if w.hasDefect(defect.KeepIdentity) {
 		identity = m.identity
 	} else {
-		w.faults.lost[m.identity] = true
+		w.faults.lostDisks[m.identity] = true
 	}
 	m.store.Wipe(identity)
-	w.checks.owns(identity, m)
-	w.after(w.between(restartLeast, restartMost), m.restart)
+	w.checks.assignDisk(identity, m)
+	w.schedule(w.between(minDowntime, maxDowntime), m.restart)
 }
 
-// replaceable tells whether a machine votes and has no successor yet.
+// replaceable reports whether a machine is a voter without a replacement under way.
 func (w *world) replaceable(m *machine) bool {
-	if m.retiring || m.node == nil || !m.votes() {
+	if m.retiring || m.node == nil || !m.isVoter() {
 		return false
 	}
-	return replacedBy(m.node.Status().Membership, joining{member: m.member(m.identity), replaces: m.replaces}) < 0
+	return replacedBy(m.node.Status().Membership, m.joinRequest()) < 0
 }
 
-// replaceOne takes a machine away for good and starts another one elsewhere.
-func (w *world) replaceOne() {
-	if !w.mayLose() {
+// replaceMachine removes a machine for good and starts another one at a new address.
+func (w *world) replaceMachine() {
+	if !w.mayLoseDisk() {
 		return
 	}
-	old := w.target()
+	old := w.pickTarget()
 	if !w.replaceable(old) {
 		return
 	}
-	w.count(FaultReplace)
-	w.faults.lost[old.identity] = true
+	w.countFault(FaultReplace)
+	w.faults.lostDisks[old.identity] = true
 	old.crash()
-	old.gone = true
-	w.named++
-	fresh := w.newMachine(fmt.Sprintf("control-%d", w.named), old.name)
-	held, _ := fresh.store.Load()
-	w.checks.owns(held.Identity, fresh)
-	w.after(w.between(restartLeast, restartMost), fresh.restart)
+	old.removed = true
+	replacement := w.newReplacement(old)
+	w.schedule(w.between(minDowntime, maxDowntime), replacement.restart)
 }
 
-// swapOne starts a machine that is to take the place of one that still runs.
-func (w *world) swapOne() {
-	if !w.mayLose() {
+// newReplacement makes a stopped machine at a new address that replaces another one.
+func (w *world) newReplacement(old *machine) *machine {
+	w.namesIssued++
+	replacement := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
+	stored, _ := replacement.store.Load()
+	w.checks.assignDisk(stored.Identity, replacement)
+	return replacement
+}
+
+// swapMachine starts a machine that is to replace one that still runs.
+func (w *world) swapMachine() {
+	if !w.mayLoseDisk() {
 		return
 	}
-	old := w.target()
+	old := w.pickTarget()
 	if !w.replaceable(old) {
 		return
 	}
-	w.count(FaultSwap)
+	w.countFault(FaultPlannedReplace)
 	old.retiring = true
-	w.named++
-	fresh := w.newMachine(fmt.Sprintf("control-%d", w.named), old.name)
-	held, _ := fresh.store.Load()
-	w.checks.owns(held.Identity, fresh)
-	fresh.restart()
-	w.retireLater(old)
+	w.newReplacement(old).restart()
+	w.scheduleRetirement(old)
 }
 
-// retireLater switches a replaced machine off some time after its removal.
-func (w *world) retireLater(old *machine) {
-	w.after(w.between(restartLeast, restartMost), func() {
+// scheduleRetirement stops a replaced machine some time after its removal from the
+// membership.
+func (w *world) scheduleRetirement(old *machine) {
+	w.schedule(w.between(minDowntime, maxDowntime), func() {
 		leader := w.leader()
-		if leader == nil || leader.holds(old.identity) {
-			w.retireLater(old)
+		if leader == nil || leader.hasMember(old.identity) {
+			w.scheduleRetirement(old)
 			return
 		}
 		old.crash()
-		old.gone = true
+		old.removed = true
 	})
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -10,126 +10,114 @@
 )
 
 const (
-	gatewayCount   = 3
-	placementEvery = 60 * time.Millisecond
+	gatewayCount      = 3
+	placementInterval = 60 * time.Millisecond
 )
 
-// gateway acts on the active serial while it has a lease. It has no disk: a
-// restart is a new incarnation.
+// gateway is a data-plane node that places requests by the table at its active serial
+// while its lease is valid. It has no disk, so that every restart begins with an empty
+// table.
 type gateway struct {
-	world *world
-	name  string
-	// incarnation counts the starts; timers of an earlier one are void.
-	incarnation int
-	up          bool
-	started     time.Duration
-	drift       float64
-	frozen      bool
-	buffer      []func()
+	process
+	name string
+	up   bool
 
 	holder *lease.Holder
-	copied *registry.Table
-	// held lists the serials of which there is a copy and which are newer than
-	// active, in ascending order.
-	held    []uint32
-	active  uint32
-	primary *machine
+	table  *registry.Table
+	// receivedSerials lists the received serials above the active one, in ascending
+	// order.
+	receivedSerials []uint32
+	activeSerial    uint32
+	primary         *machine
 }
 
-// renewal is a request for a lease with the time at which it was sent.
+// renewal is a lease request with the time on the gateway's clock at which it was sent.
 type renewal struct {
 	request lease.Request
 	sent    time.Duration
 }
 
-// grant is the answer to a renewal.
-type grant struct {
+// renewalReply is a machine's reply to a renewal.
+type renewalReply struct {
 	from     *machine
 	decision lease.Decision
 	term     uint64
 	transfer *registry.Transfer
-	hint     *machine // who may be the primary
+	hint     *machine // possible primary, if the sender is not
 }
 
 func (w *world) populateGateways() {
 	for i := range gatewayCount {
-		g := &gateway{world: w, name: fmt.Sprintf("gateway-%d", i)}
+		g := &gateway{process: process{world: w}, name: fmt.Sprintf("gateway-%d", i)}
 		w.gateways = append(w.gateways, g)
 		g.start()
 	}
 }
 
+// start starts a new incarnation without any state of the earlier one.
 func (g *gateway) start() {
-	g.incarnation++
+	g.begin()
 	g.up = true
-	g.frozen = false
-	g.buffer = nil
-	g.started = g.world.now
-	g.drift = mostDrift * (2*g.world.random.Float64() - 1)
 	g.holder = lease.NewHolder(lease.DefaultConfig())
-	g.copied = registry.NewSecondary(apex, schema)
-	g.held = nil
-	g.active = 0
+	g.table = registry.NewSecondary(apex, schema)
+	g.receivedSerials = nil
+	g.activeSerial = 0
 	g.primary = nil
-	g.renewLater(g.incarnation)
-	g.placeLater(g.incarnation)
+	g.scheduleRenewal(g.incarnation)
+	g.schedulePlacement(g.incarnation)
 }
 
-func (g *gateway) clock() time.Duration {
-	elapsed := g.world.now - g.started
-	return elapsed + time.Duration(float64(elapsed)*g.drift)
-}
-
-// receive takes a message in, or lets it wait while the process is frozen.
+// receive handles a message, or buffers it while the process is frozen.
 func (g *gateway) receive(run func()) {
 	switch {
 	case !g.up:
 	case !g.frozen:
 		run()
-	case len(g.buffer) < bufferLimit:
-		g.buffer = append(g.buffer, run)
+	default:
+		g.buffer(run)
 	}
 }
 
-func (g *gateway) thaw() {
+func (g *gateway) unfreeze() {
 	if !g.frozen {
 		return
 	}
-	g.frozen = false
-	waited := g.buffer
-	g.buffer = nil
-	for _, run := range waited {
-		g.receive(run)
+	for _, message := range g.endFreeze() {
+		g.receive(message)
 	}
 }
 
-func (g *gateway) renewLater(incarnation int) {
-	g.world.after(lease.DefaultConfig().RenewalInterval, func() {
+// scheduleRenewal renews the lease periodically while the incarnation lasts.
+func (g *gateway) scheduleRenewal(incarnation int) {
+	g.world.schedule(lease.DefaultConfig().RenewalInterval, func() {
 		if g.incarnation != incarnation || !g.up {
 			return
 		}
 		if !g.frozen {
-			g.renewSomewhere()
+			g.renewLease()
 		}
-		g.renewLater(incarnation)
+		g.scheduleRenewal(incarnation)
 	})
 }
 
-// renewSomewhere asks the known primary, and now and then another machine.
-func (g *gateway) renewSomewhere() {
+// renewLease sends a renewal to the known primary, or to any machine if there is none or
+// the lease has expired.
+func (g *gateway) renewLease() {
 	if g.primary == nil || !g.holder.Valid(g.clock()) {
 		g.primary = pick(g.world, g.world.machines)
 	}
-	g.renew(g.primary)
+	g.sendRenewal(g.primary)
 }
 
-func (g *gateway) renew(to *machine) {
+// sendRenewal sends a renewal to a machine. The machine ignores it if the gateway has
+// restarted in the meantime.
+func (g *gateway) sendRenewal(to *machine) {
 	now := g.clock()
-	asked := renewal{sent: now, request: lease.Request{
+	request := renewal{sent: now, request: lease.Request{
 		Holder:         g.name,
 		Incarnation:    fmt.Sprint(g.incarnation),
-		ReceivedSerial: g.newest(),
-		ActiveSerial:   g.active,
+		ReceivedSerial: g.receivedSerial(),
+		ActiveSerial:   g.activeSerial,
 		LeaseValid:     g.holder.Valid(now),
 		Term:           g.holder.Term(),
 	}}
@@ -137,92 +125,98 @@
 	g.world.network.send(g.name, to.name, func() {
 		to.receive(func() {
 			if g.incarnation == incarnation {
-				to.grant(g, asked)
+				to.answerRenewal(g, request)
 			}
 		})
 	})
 }
 
-// leave gives the lease up before the process ends.
-func (g *gateway) leave() {
+// releaseLease releases the lease before the process ends.
+func (g *gateway) releaseLease() {
 	g.holder.Release()
 	to := g.primary
-	asked := renewal{sent: g.clock(), request: lease.Request{
-		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.active, Release: true,
+	request := renewal{sent: g.clock(), request: lease.Request{
+		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.activeSerial, Release: true,
 	}}
 	g.world.network.send(g.name, to.name, func() {
-		to.receive(func() { to.grant(g, asked) })
+		to.receive(func() { to.answerRenewal(g, request) })
 	})
 }
 
-func (g *gateway) newest() uint32 {
-	return g.copied.Serial()
+// receivedSerial returns the serial of the table.
+func (g *gateway) receivedSerial() uint32 {
+	return g.table.Serial()
 }
 
-// granted takes the answer to a renewal in.
-func (g *gateway) granted(asked renewal, reply grant) {
-	if asked.request.Incarnation != fmt.Sprint(g.incarnation) {
-		return // the connection that it came on is gone
+// receiveReply handles the reply to a renewal. A change of the received or active serial
+// is reported to the primary at once, since acknowledgements wait for it.
+func (g *gateway) receiveReply(answered renewal, reply renewalReply) {
+	if answered.request.Incarnation != fmt.Sprint(g.incarnation) {
+		return // a reply to an earlier incarnation
 	}
 	if !reply.decision.Authoritative {
 		if reply.hint != nil && reply.hint != g.primary {
 			g.primary = reply.hint
-			g.renew(g.primary)
+			g.sendRenewal(g.primary)
 		}
 		return
 	}
-	now, sent := g.clock(), asked.sent
-	if g.world.has(defect.LeaseFromArrival) {
+	now, sent := g.clock(), answered.sent
+	if g.world.hasDefect(defect.LeaseFromArrival) {
 		sent = now
 	}
 	if err := g.holder.HandleGrant(now, sent, reply.term, clusterName, reply.decision.LeaseDuration); err != nil {
 		return
 	}
 	g.primary = reply.from
-	changed := g.take(reply.transfer)
+	changed := g.applyTransfer(reply.transfer)
 	if g.activate(reply.decision.ActivationSerial) || changed {
-		g.renew(g.primary)
+		g.sendRenewal(g.primary)
 	}
 }
 
-// take brings the copy up to date. A late transfer does not fit, and is dropped.
-func (g *gateway) take(transfer *registry.Transfer) bool {
+// applyTransfer applies a transfer to the table and reports whether its serial changed.
+// A late transfer does not fit the table's serial and is ignored.
+func (g *gateway) applyTransfer(transfer *registry.Transfer) bool {
 	if transfer == nil {
 		return false
 	}
-	before := g.newest()
-	if err := g.copied.ApplyTransfer(*transfer); err != nil || g.newest() == before {
+	before := g.receivedSerial()
+	if err := g.table.ApplyTransfer(*transfer); err != nil || g.receivedSerial() == before {
 		return false
 	}
-	g.held = append(g.held, g.newest())
+	g.receivedSerials = append(g.receivedSerials, g.receivedSerial())
 	return true
 }
 
-// activate makes the newest copy up to the permitted serial decide.
+// activate moves the active serial to the highest received one that the primary permits,
+// and reports whether it changed. 0 permits none.
 func (g *gateway) activate(permitted uint32) bool {
 	changed := false
-	for len(g.held) > 0 && !registry.SerialLess(permitted, g.held[0]) && permitted != 0 {
-		g.active = g.held[0]
-		g.held = g.held[1:]
+	for len(g.receivedSerials) > 0 && !registry.SerialLess(permitted, g.receivedSerials[0]) && permitted != 0 {
+		g.activeSerial = g.receivedSerials[0]
+		g.receivedSerials = g.receivedSerials[1:]
 		changed = true
 	}
 	return changed
 }
 
-func (g *gateway) placeLater(incarnation int) {
-	g.world.after(placementEvery, func() {
+// schedulePlacement places requests periodically while the incarnation lasts.
+func (g *gateway) schedulePlacement(incarnation int) {
+	g.world.schedule(placementInterval, func() {
 		if g.incarnation != incarnation || !g.up {
 			return
 		}
-		if !g.frozen && g.mayPlace() {
+		if !g.frozen && g.canPlace() {
 			g.world.result.Placements++
-			g.world.checks.placed(g)
+			g.world.checks.checkPlacement(g)
 		}
-		g.placeLater(incarnation)
+		g.schedulePlacement(incarnation)
 	})
 }
 
-func (g *gateway) mayPlace() bool {
+// canPlace reports whether the gateway may place requests.
+func (g *gateway) canPlace() bool {
 	return g.up && g.holder.Valid(g.clock())
 }
 
@@ -231,9 +225,9 @@
 	if !g.up || g.frozen {
 		return
 	}
-	w.count(FaultGatewayFreeze)
+	w.countFault(FaultGatewayFreeze)
 	g.frozen = true
-	w.after(w.between(freezeLeast, freezeMost), g.thaw)
+	w.schedule(w.between(minFreeze, maxFreeze), g.unfreeze)
 }
 
 func (w *world) restartGateway() {
@@ -241,38 +235,38 @@
 	if !g.up {
 		return
 	}
-	w.count(FaultGatewayRestart)
+	w.countFault(FaultGatewayRestart)
 	if !g.frozen && g.primary != nil && w.chance(0.5) {
-		g.leave()
+		g.releaseLease()
 	}
 	g.up = false
-	w.after(w.between(restartLeast, restartMost), func() {
+	w.schedule(w.between(minDowntime, maxDowntime), func() {
 		if !g.up {
 			g.start()
 		}
 	})
 }
 
-// cutGateway cuts a gateway off, in one direction or both.
-func (w *world) cutGateway() {
+// isolateGateway blocks the links to a gateway, from it, or both.
+func (w *world) isolateGateway() {
 	g := pick(w, w.gateways)
-	w.count(FaultGatewayCut)
+	w.countFault(FaultGatewayIsolate)
 	incoming, outgoing := w.chance(0.7), w.chance(0.7)
 	for _, m := range w.machines {
 		if incoming {
-			w.network.cut(m.name, g.name)
+			w.network.block(m.name, g.name)
 		}
 		if outgoing {
-			w.network.cut(g.name, m.name)
+			w.network.block(g.name, m.name)
 		}
 	}
-	w.after(w.between(cutLeast, cutMost), func() { w.mendAll(g.name) })
+	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(g.name) })
 }
 
-func (w *world) healGateways() {
+func (w *world) recoverGateways() {
 	for _, g := range w.gateways {
 		if g.up {
-			g.thaw()
+			g.unfreeze()
 		} else {
 			g.start()
 		}
@@ -282,17 +276,17 @@
 func (w *world) gatewaysRecovered() bool {
 	leader := w.leader()
 	for _, g := range w.gateways {
-		if !g.mayPlace() || g.active != leader.state.serial() {
+		if !g.canPlace() || g.activeSerial != leader.state.serial() {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) stuckGateways() string {
+func (w *world) describeGateways() string {
 	text := ""
 	for _, g := range w.gateways {
-		text += fmt.Sprintf("%s valid %v held %d active %d; ", g.name, g.mayPlace(), g.newest(), g.active)
+		text += fmt.Sprintf("%s valid %v held %d active %d; ", g.name, g.canPlace(), g.receivedSerial(), g.activeSerial)
 	}
 	return text
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -1,82 +1,83 @@
 package simulation
 
-// Faults of the links between machines.
+// This file has the faults of the links between machines.
 
-func (w *world) cutOneWay() {
-	from, to := w.target(), pick(w, w.present())
+func (w *world) blockOneWay() {
+	from, to := w.pickTarget(), pick(w, w.activeMachines())
 	if from == to {
 		return
 	}
 	if w.chance(0.5) {
 		from, to = to, from
 	}
-	w.count(FaultCutOneWay)
-	w.network.cut(from.name, to.name)
-	w.after(w.between(cutLeast, cutMost), func() { w.network.mend(from.name, to.name) })
+	w.countFault(FaultBlockOneWay)
+	w.network.block(from.name, to.name)
+	w.schedule(w.between(minPartition, maxPartition), func() { w.network.unblock(from.name, to.name) })
 }
 
-func (w *world) isolateOne() {
-	m := w.target()
-	w.count(FaultIsolate)
+func (w *world) isolateMachine() {
+	m := w.pickTarget()
+	w.countFault(FaultIsolate)
 	for _, other := range w.machines {
-		w.network.cut(m.name, other.name)
-		w.network.cut(other.name, m.name)
+		w.network.block(m.name, other.name)
+		w.network.block(other.name, m.name)
 	}
 	for _, g := range w.gateways {
 		if w.chance(0.5) {
-			w.network.cut(m.name, g.name)
-			w.network.cut(g.name, m.name)
+			w.network.block(m.name, g.name)
+			w.network.block(g.name, m.name)
 		}
 	}
-	w.after(w.between(cutLeast, cutMost), func() { w.mendAll(m.name) })
+	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(m.name) })
 }
 
-// split parts the machines in two, for a while.
-func (w *world) split() {
-	w.count(FaultSplit)
-	var here, there []*machine
+// splitGroup partitions the machines into two sets for some time.
+func (w *world) splitGroup() {
+	w.countFault(FaultSplit)
+	var first, second []*machine
 	for _, m := range w.machines {
 		if w.chance(0.5) {
-			here = append(here, m)
+			first = append(first, m)
 		} else {
-			there = append(there, m)
+			second = append(second, m)
 		}
 	}
-	each := func(change func(from, to string)) {
-		for _, one := range here {
-			for _, other := range there {
+	eachLink := func(change func(from, to string)) {
+		for _, one := range first {
+			for _, other := range second {
 				change(one.name, other.name)
 				change(other.name, one.name)
 			}
 		}
 	}
-	each(w.network.cut)
-	w.after(w.between(cutLeast, cutMost), func() { each(w.network.mend) })
+	eachLink(w.network.block)
+	w.schedule(w.between(minPartition, maxPartition), func() { eachLink(w.network.unblock) })
 }
 
-// silence cuts what a machine sends to some or all of the others.
-func (w *world) silence(m *machine) {
-	share := pick(w, cutShares)
+// blockOutgoing blocks the links from a machine to some or all of the others.
+func (w *world) blockOutgoing(m *machine) {
+	share := pick(w, blockedShares)
 	for _, other := range w.machines {
 		if w.chance(share) {
-			w.network.cut(m.name, other.name)
+			w.network.block(m.name, other.name)
 		}
 	}
-	w.after(w.between(cutLeast, cutMost), func() { w.mendAll(m.name) })
+	w.schedule(w.between(minPartition, maxPartition), func() { w.unblockAll(m.name) })
 }
 
-func (w *world) mendAll(name string) {
-	for pair := range w.network.cuts {
-		if pair.from == name || pair.to == name {
-			delete(w.network.cuts, pair)
+// unblockAll unblocks all links from and to a name.
+func (w *world) unblockAll(name string) {
+	for blocked := range w.network.blocked {
+		if blocked.from == name || blocked.to == name {
+			delete(w.network.blocked, blocked)
 		}
 	}
 }
 
 func (w *world) lossyNetwork() {
-	w.count(FaultLossyNetwork)
-	w.network.loss = worstLoss * w.random.Float64()
-	w.network.doubling = worstDoubling * w.random.Float64()
-	w.network.tail = w.between(usualTail, worstTail)
-	w.after(w.between(lossyLeast, lossyMost), w.network.setUsual)
+	w.countFault(FaultLossyNetwork)
+	w.network.loss = maxLoss * w.random.Float64()
+	w.network.duplication = maxDuplication * w.random.Float64()
+	w.network.tailDelay = w.between(baseTailDelay, maxTailDelay)
+	w.schedule(w.between(minLossyPeriod, maxLossyPeriod), w.network.resetConditions)
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -10,89 +10,83 @@
 )
 
 const (
-	tickLeast = 15 * time.Millisecond
-	tickMost  = 30 * time.Millisecond
-	// mostDrift is how much faster or slower a clock may run.
-	mostDrift = 0.02
-	// bufferLimit bounds what waits for a frozen process.
-	bufferLimit = 256
-	// compactAfter is the number of applied entries between snapshots.
-	compactAfter = 12
-	keepAtMost   = 8
-	// lostWrites is how many writes the planted fault of a missing sync loses.
-	lostWrites = 2
+	// A process ticks its node at random intervals between these bounds.
+	minTickInterval = 15 * time.Millisecond
+	maxTickInterval = 30 * time.Millisecond
+	// compactionInterval is the number of applied entries between snapshots.
+	compactionInterval = 12
+	// retainedEntriesLimit bounds the number of entries that a snapshot leaves in the log.
+	retainedEntriesLimit = 8
+	// droppedWrites is the number of writes that a crash loses with defect.MissingSync.
+	droppedWrites = 2
 )
 
-// machine is one control node: a process with a disk and a clock of its own.
+// machine is one control node: a process with a disk and a monotonic clock.
 type machine struct {
-	world *world
-	name  string
-	// replaces is the machine whose place this one takes, at a new address.
+	process
+	name string
+	// replaces is the name of the machine that this one replaces, if any.
 	replaces string
 	store    *storage.Memory
 
-	// gone machines never come back; retiring ones run until they are replaced.
-	gone     bool
+	// A removed machine never restarts. A retiring one runs until it is replaced.
+	removed  bool
 	retiring bool
 	// node is nil while the process is down.
-	node *consensus.Node
-	// process counts the starts; timers of an earlier one are void.
-	process  int
-	identity consensus.ID
-	state    *book
-	applied  uint64
-	compacts uint64 // index of the newest snapshot
-	started  time.Duration
-	drift    float64
-
-	frozen bool
-	buffer []func()
-	// stall stops the process before it sends what it writes next; unfinished is
-	// the batch that waits for that.
-	stall      time.Duration
-	unfinished *consensus.Ready
-
-	// asked holds the orders that wait for their answer here, by id.
-	asked map[string][]waiting
-	joins map[consensus.ID]joining
+	node          *consensus.Node
+	identity      consensus.ID
+	state         *stateMachine
+	applied       uint64
+	snapshotIndex uint64 // index of the newest snapshot
+
+	// plannedStall, if above 0, is how long the process stops after its next write.
+	// stalledReady is the batch whose messages wait meanwhile.
+	plannedStall time.Duration
+	stalledReady *consensus.Ready
+
+	// waiters holds the operators that wait for an answer from this machine, by the id
+	// of their operation.
+	waiters      map[string][]waiter
+	joinRequests map[consensus.ID]joinRequest
 	// leadership is nil unless the machine leads.
 	leadership *primary
 }
 
-// place is where a proposal stands in the log.
-type place struct {
+// logPosition identifies an entry of the log.
+type logPosition struct {
 	index, term uint64
 }
 
 func (w *world) newMachine(name, replaces string) *machine {
 	m := &machine{
-		world:    w,
+		process:  process{world: w},
 		name:     name,
 		replaces: replaces,
 		store:    storage.NewMemory(w.newIdentity()),
 	}
-	if w.has(defect.MissingSync) {
-		m.store.DropSyncedWrites(lostWrites)
+	if w.hasDefect(defect.MissingSync) {
+		m.store.DropSyncedWrites(droppedWrites)
 	}
 	w.machines = append(w.machines, m)
 	return m
 }
 
 func (w *world) newIdentity() consensus.ID {
-	w.named++
-	return consensus.ID(fmt.Sprintf("disk-%d", w.named))
+	w.namesIssued++
+	return consensus.ID(fmt.Sprintf("disk-%d", w.namesIssued))
 }
 
-// populate forms a group, as the first start of a fleet does.
+// populate forms a group with count voters, as the first start of a deployment does,
+// with operators and gateways.
 func (w *world) populate(count int) {
 	var group consensus.Membership
 	for i := range count {
 		m := w.newMachine(fmt.Sprintf("control-%d", i), "")
-		held, _ := m.store.Load()
-		group.Members = append(group.Members, m.member(held.Identity))
+		stored, _ := m.store.Load()
+		group.Members = append(group.Members, m.asMember(stored.Identity))
 	}
-	w.faults.size = count
-	w.checks.formed(group)
+	w.faults.voterCount = count
+	w.checks.groupFormed(group)
 	for _, m := range w.machines {
 		first := consensus.Snapshot{Index: 1, Term: 1, Membership: group}
 		if err := m.store.SaveSnapshot(first, 2); err != nil {
@@ -104,34 +98,24 @@
 	w.populateGateways()
 }
 
-func (m *machine) member(identity consensus.ID) consensus.Member {
+// asMember returns the machine as a member with the identity of its disk.
+func (m *machine) asMember(identity consensus.ID) consensus.Member {
 	return consensus.Member{ID: identity, Name: m.name, Address: m.name}
 }
 
-// clock is the process's monotonic clock: it starts at zero, and drifts.
-func (m *machine) clock() time.Duration {
-	elapsed := m.world.now - m.started
-	return elapsed + time.Duration(float64(elapsed)*m.drift)
-}
-
-// global turns a time of this process's clock into the world's.
-func (m *machine) global(local time.Duration) time.Duration {
-	return m.started + time.Duration(float64(local)/(1+m.drift))
-}
-
-// start runs the process with what the disk holds.
+// start starts the process with the state of its disk.
 func (m *machine) start() {
-	held, err := m.store.Load()
+	stored, err := m.store.Load()
 	if err != nil {
-		m.world.violate(RuleDurable, "%s cannot read its disk: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot read its disk: %v", m.name, err)
 		return
 	}
 	node, err := consensus.New(consensus.Config{
-		ID:        held.Identity,
+		ID:        stored.Identity,
 		Seed:      m.world.random.Uint64(),
-		HardState: held.HardState,
-		Snapshot:  held.Snapshot,
-		Entries:   held.Entries,
+		HardState: stored.HardState,
+		Snapshot:  stored.Snapshot,
+		Entries:   stored.Entries,
 
 		ElectionTimeout:   m.world.settings.electionTimeout,
 		HeartbeatInterval: m.world.settings.electionTimeout / heartbeatsPerTimeout,
@@ -139,147 +123,143 @@
 		MaxAppendBytes:    m.world.settings.appendBytes,
 	})
 	if err != nil {
-		m.world.violate(RuleDurable, "%s cannot start from its disk: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot start from its disk: %v", m.name, err)
 		return
 	}
 	node.InjectDefects(m.world.options.Defects)
 	m.node = node
-	m.identity = held.Identity
-	m.process++
-	m.started = m.world.now
-	m.drift = mostDrift * (2*m.world.random.Float64() - 1)
-	m.frozen = false
-	m.buffer = nil
-	m.stall = 0
-	m.asked = make(map[string][]waiting)
-	m.joins = make(map[consensus.ID]joining)
+	m.identity = stored.Identity
+	m.begin()
+	m.plannedStall = 0
+	m.waiters = make(map[string][]waiter)
+	m.joinRequests = make(map[consensus.ID]joinRequest)
 	m.leadership = nil
-	m.restoreState(held.Snapshot)
+	m.restoreState(stored.Snapshot)
 	node.Tick(m.clock())
-	m.tickLater(m.process)
-	m.joinLater(m.process)
+	m.scheduleTick(m.incarnation)
+	m.scheduleJoinRequest(m.incarnation)
 }
 
+// restoreState sets the state machine to that of a snapshot.
 func (m *machine) restoreState(snapshot consensus.Snapshot) {
-	m.state = newBook()
-	m.state.reuse = m.world.has(defect.ReuseSerial)
+	m.state = newStateMachine()
+	m.state.reuseSerials = m.world.hasDefect(defect.ReuseSerial)
 	if err := m.state.restore(snapshot.Data); err != nil {
-		m.world.violate(RuleDurable, "%s cannot restore its state: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot restore its state: %v", m.name, err)
 	}
 	m.applied = snapshot.Index
-	m.compacts = snapshot.Index
+	m.snapshotIndex = snapshot.Index
 	if snapshot.Index > 0 {
-		m.world.checks.restored(m, snapshot)
+		m.world.checks.snapshotRestored(m, snapshot)
 	}
 }
 
-// crash ends the process; what was not written is gone.
+// crash ends the process. Writes that were not synced are lost.
 func (m *machine) crash() {
 	m.node = nil
-	m.frozen = false
-	m.buffer = nil
-	m.unfinished = nil
+	m.endFreeze()
+	m.stalledReady = nil
 	m.store.Crash()
 }
 
-// restart brings a crashed machine back with its disk.
+// restart starts a crashed machine again with its disk.
 func (m *machine) restart() {
-	if m.node != nil || m.gone || m.world.broken() {
+	if m.node != nil || m.removed || m.world.violated() {
 		return
 	}
 	m.store.Reopen()
 	m.start()
 }
 
+// up reports whether the process runs and is not frozen.
 func (m *machine) up() bool {
 	return m.node != nil && !m.frozen
 }
 
-func (m *machine) tickLater(process int) {
-	m.world.after(m.world.between(tickLeast, tickMost), func() {
-		if m.process != process || m.node == nil {
+func (m *machine) scheduleTick(incarnation int) {
+	m.world.schedule(m.world.between(minTickInterval, maxTickInterval), func() {
+		if m.incarnation != incarnation || m.node == nil {
 			return
 		}
 		if !m.frozen {
 			m.tick()
 		}
-		m.tickLater(process)
+		m.scheduleTick(incarnation)
 	})
 }
 
 func (m *machine) tick() {
 	m.node.Tick(m.clock())
-	m.work()
+	m.processReady()
 	if m.node != nil {
-		m.lead()
+		m.leaderTick()
 	}
 }
 
-// receive takes a message in, or lets it wait while the process is frozen.
+// receive handles a message, or buffers it while the process is frozen.
 func (m *machine) receive(run func()) {
 	if m.node == nil {
 		return
 	}
 	if m.frozen {
-		if len(m.buffer) < bufferLimit {
-			m.buffer = append(m.buffer, run)
-		}
+		m.buffer(run)
 		return
 	}
 	run()
-	m.work()
+	m.processReady()
 }
 
-func (m *machine) thaw() {
+// unfreeze continues a frozen process: it completes the batch that waited, sometimes
+// ticks first, and handles the buffered messages.
+func (m *machine) unfreeze() {
 	if m.node == nil || !m.frozen {
 		return
 	}
-	m.frozen = false
-	waited := m.buffer
-	m.buffer = nil
-	if m.unfinished != nil {
-		batch := *m.unfinished
-		m.unfinished = nil
-		m.finish(batch)
+	messages := m.endFreeze()
+	if m.stalledReady != nil {
+		batch := *m.stalledReady
+		m.stalledReady = nil
+		m.completeReady(batch)
 	}
 	if m.node != nil && m.world.chance(0.5) {
 		m.tick()
 	}
-	for _, run := range waited {
-		m.receive(run)
+	for _, message := range messages {
+		m.receive(message)
 	}
 }
 
-// work does what the node asks for, in the order that Ready prescribes.
-func (m *machine) work() {
+// processReady persists, sends and applies what the node has ready, in the order that
+// consensus.Ready prescribes.
+func (m *machine) processReady() {
 	m.checkLeadership()
-	for m.up() && m.node.HasReady() && !m.world.broken() {
+	for m.up() && m.node.HasReady() && !m.world.violated() {
 		ready := m.node.Ready()
-		if m.world.has(defect.SendBeforeSync) {
+		if m.world.hasDefect(defect.SendBeforeSync) {
 			m.sendAll(ready.Messages)
 			ready.Messages = nil
 		}
 		if !m.persist(ready) {
 			return
 		}
-		if m.stall > 0 {
-			m.stop(ready)
+		if m.plannedStall > 0 {
+			m.stallBeforeSend(ready)
 			return
 		}
 		if len(ready.CommittedEntries) > 0 && m.leadership != nil && m.leadership.grantor == nil {
 			m.world.atFirstCommit(m)
 		}
-		m.finish(ready)
+		m.completeReady(ready)
 	}
 	if m.up() {
-		m.world.checks.afterStep(m)
-		m.answerOrders()
+		m.world.checks.observeLeadership(m)
+		m.answerOperations()
 		m.notifyGateways()
 	}
 }
 
-// finish does the part of a batch that follows the write.
-func (m *machine) finish(ready consensus.Ready) {
+// completeReady sends and applies a batch that is on disk.
+func (m *machine) completeReady(ready consensus.Ready) {
 	m.sendAll(ready.Messages)
 	m.apply(ready)
 	m.node.Advance(ready)
@@ -289,42 +269,47 @@
 	}
 }
 
-// stop freezes the process between its disk and the network.
-func (m *machine) stop(ready consensus.Ready) {
-	m.world.count(FaultStall)
+// stallBeforeSend freezes the process after it wrote a batch and before it sends the
+// messages.
+func (m *machine) stallBeforeSend(ready consensus.Ready) {
+	m.world.countFault(FaultStallBeforeSend)
 	m.frozen = true
-	m.unfinished = &ready
-	m.world.after(m.stall, m.thaw)
-	m.stall = 0
+	m.stalledReady = &ready
+	m.world.schedule(m.plannedStall, m.unfreeze)
+	m.plannedStall = 0
 }
 
+// persist writes a batch to the disk. It reports false if the disk failed, which crashes
+// the machine.
 func (m *machine) persist(ready consensus.Ready) bool {
-	if ready.HardState != nil && m.world.has(defect.ForgetVote) {
-		forgetful := *ready.HardState
-		forgetful.Vote = consensus.None
-		ready.HardState = &forgetful
+	if ready.HardState != nil && m.world.hasDefect(defect.ForgetVote) {
+		withoutVote := *ready.HardState
+		withoutVote.Vote = consensus.None
+		ready.HardState = &withoutVote
 	}
 	if err := storage.Persist(m.store, ready); err != nil {
-		m.powerCut()
+		m.failDiskWrite()
 		return false
 	}
-	m.world.checks.persisted(m, ready.Entries)
+	m.world.checks.entriesWritten(m, ready.Entries)
 	return true
 }
 
-// powerCut is the end of a process whose disk failed. It comes back later.
-func (m *machine) powerCut() {
+// failDiskWrite crashes a machine whose disk failed, and restarts it later.
+func (m *machine) failDiskWrite() {
 	m.world.result.Faults[FaultCrashAtWrite]++
 	m.crash()
-	m.world.after(m.world.between(restartLeast, restartMost), m.restart)
+	m.world.schedule(m.world.between(minDowntime, maxDowntime), m.restart)
 }
 
+// sendAll sends messages to the machines that have, or had, the disks they are addressed
+// to.
 func (m *machine) sendAll(messages []consensus.Message) {
 	for _, message := range messages {
 		if message.Kind == consensus.MessageVoteReply && !message.Reject {
 			m.world.afterVote(m)
 		}
-		to := m.world.checks.holder(message.To)
+		to := m.world.checks.machineOf(message.To)
 		if to == nil {
 			continue
 		}
@@ -334,12 +319,13 @@
 	}
 }
 
-// step hands a message over. One for an earlier disk at this address is refused
-// by the node.
+// step passes a message to the node, which refuses one that is addressed to an earlier
+// disk of this machine.
 func (m *machine) step(message consensus.Message) {
 	_ = m.node.Step(m.clock(), message)
 }
 
+// apply restores the snapshot of a batch and applies its committed entries.
 func (m *machine) apply(ready consensus.Ready) {
 	if ready.Snapshot != nil {
 		m.restoreState(*ready.Snapshot)
@@ -347,32 +333,32 @@
 	for _, entry := range ready.CommittedEntries {
 		if entry.Kind == consensus.EntryNormal {
 			if _, err := m.state.apply(entry.Data); err != nil {
-				m.world.violate(RuleAgreement, "%s cannot apply index %d: %v", m.name, entry.Index, err)
+				m.world.recordViolation(RuleStateMachineSafety, "%s cannot apply index %d: %v", m.name, entry.Index, err)
 			}
 		}
 		m.applied = entry.Index
-		m.world.checks.appliedEntry(m, entry)
-		m.noteApplied(entry)
+		m.world.checks.entryApplied(m, entry)
+		m.entryApplied(entry)
 	}
 }
 
-// compact takes a snapshot now and then.
+// compact takes a snapshot after every compactionInterval applied entries.
 func (m *machine) compact() {
-	if m.applied < m.compacts+compactAfter {
+	if m.applied < m.snapshotIndex+compactionInterval {
 		return
 	}
-	data, err := m.state.snapshot(m.world.has(defect.SnapshotDropsOrders))
+	data, err := m.state.snapshot(m.world.hasDefect(defect.SnapshotDropsOrders))
 	if err != nil {
 		panic(err)
 	}
-	keep := uint64(m.world.random.IntN(keepAtMost))
-	snapshot, err := m.node.Compact(m.applied, data, keep)
+	retained := uint64(m.world.random.IntN(retainedEntriesLimit))
+	snapshot, err := m.node.Compact(m.applied, data, retained)
 	if err != nil {
-		m.world.violate(RuleDurable, "%s cannot compact: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot compact: %v", m.name, err)
 		return
 	}
-	m.compacts = snapshot.Index
-	if m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, keep)) != nil {
-		m.powerCut()
+	m.snapshotIndex = snapshot.Index
+	if m.store.SaveSnapshot(snapshot, consensus.FirstRetainedIndex(snapshot, retained)) != nil {
+		m.failDiskWrite()
 	}
 }
--- a/internal/simulation/normal_test.go
+++ b/internal/simulation/normal_test.go
@@ -2,8 +2,9 @@
 
 package simulation
 
-// histories and quickHunt are smaller with the race detector, see race_test.go.
+// historyCount is the number of histories to run, huntLimit the number in which a planted
+// defect must be caught. With the race detector there are fewer, see race_test.go.
 const (
-	histories = 2000
-	quickHunt = 300
+	historyCount = 2000
+	huntLimit    = 300
 )
--- a/internal/simulation/primary.go
+++ b/internal/simulation/primary.go
@@ -10,38 +10,40 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// clusterName is the group's identity in grants.
+// clusterName is the identity of the group in grants.
 const clusterName = "group"
 
-// notWaited is how far the planted fault of a skipped wait moves the election
-// into the past.
-const notWaited = time.Minute
+// skippedWait is how far defect.LeaseNotWaitedOut moves the election into the past.
+const skippedWait = time.Minute
 
-// primary is what a machine keeps while it leads.
+// primary is the state of a machine while it leads.
 type primary struct {
 	term    uint64
-	elected time.Duration // on the local clock
-	// grantor is nil until every entry of earlier terms is applied.
+	elected time.Duration // on the machine's clock
+	// grantor grants leases. It is nil until every entry of earlier terms is applied.
 	grantor *lease.Grantor
-	// proposed holds the orders that are in the log but not applied, by id.
-	proposed map[string]uint64
-	// notified is what the gateways were last told of.
-	notified notice
-	// contentAtFirst is the value when the node began to grant.
-	contentAtFirst uint64
+	// proposedOperations holds the log indexes of the operations that are proposed and
+	// not applied, by operation id.
+	proposedOperations map[string]uint64
+	// lastNotice is the notice that was last sent to the gateways.
+	lastNotice notice
+	// contentAtStart is the value when the machine began to grant leases.
+	contentAtStart uint64
 }
 
+// notice is what makes gateways renew: a new serial, or one that they may activate.
 type notice struct {
 	serial, activate uint32
 }
 
-// waiting is one operator that waits for the answer to an order.
-type waiting struct {
+// waiter is an operator that waits for the answer to an operation.
+type waiter struct {
 	operator  *operator
-	forwarded bool
+	forwarded bool // by another machine, so that it is not forwarded again
 }
 
-// checkLeadership notices that the machine has become or ceased to be the leader.
+// checkLeadership updates leadership when the machine has become leader or has lost
+// leadership.
 func (m *machine) checkLeadership() {
 	term, leading := m.node.Leadership()
 	if !leading {
@@ -49,22 +51,25 @@
 		return
 	}
 	if m.leadership == nil || m.leadership.term != term {
-		m.leadership = &primary{term: term, elected: m.clock(), proposed: make(map[string]uint64)}
+		m.leadership = &primary{term: term, elected: m.clock(), proposedOperations: make(map[string]uint64)}
 	}
 }
 
-// beginGranting is called once the first entry of the own term is applied: the
-// table then holds everything that earlier primaries may have reported.
-func (m *machine) beginGranting() {
+// startGranting begins to grant leases. It must not be called before the first entry of
+// the machine's own term is applied: only then does the table contain everything that
+// earlier primaries may have acknowledged.
+func (m *machine) startGranting() {
 	elected := m.leadership.elected
-	if m.world.has(defect.LeaseNotWaitedOut) {
-		elected -= notWaited
+	if m.world.hasDefect(defect.LeaseNotWaitedOut) {
+		elected -= skippedWait
 	}
-	m.leadership.contentAtFirst = m.state.content()
+	m.leadership.contentAtStart = m.state.content()
 	m.leadership.grantor = lease.NewGrantor(lease.DefaultConfig(), m.leadership.term, elected, m.state.serial())
-	m.propose(m.state.claim(m.name))
+	m.propose(m.state.primaryUpdate(m.name))
 }
 
+// propose proposes an update. It returns the log index and whether the node accepted the
+// proposal.
 func (m *machine) propose(update registry.Update) (index uint64, proposed bool) {
 	data, err := registry.EncodeUpdate(&update)
 	if err != nil {
@@ -74,61 +79,63 @@
 	return index, err == nil
 }
 
-// lead does a leader's periodic work.
-func (m *machine) lead() {
+// leaderTick does the periodic work of a leader.
+func (m *machine) leaderTick() {
 	if m.leadership == nil {
 		return
 	}
 	m.repair()
-	m.work()
+	m.processReady()
 }
 
-// askOrder takes an operator's order in. Only a leader proposes; the others
-// forward it once.
-func (m *machine) askOrder(asked order, from waiting) {
+// receiveOperation handles an operation. Only the leader proposes; the others forward
+// the operation once.
+func (m *machine) receiveOperation(requested operation, from waiter) {
 	if m.leadership == nil {
-		m.forwardOrder(asked, from)
+		m.forwardOperation(requested, from)
 		return
 	}
-	m.asked[asked.ID] = append(m.asked[asked.ID], from)
-	if _, known := m.state.answer(asked.ID); known {
-		return // answerOrders replies once it is in force
+	m.waiters[requested.ID] = append(m.waiters[requested.ID], from)
+	if _, known := m.state.answer(requested.ID); known {
+		return // answerOperations replies once the serial is in force
 	}
-	if _, open := m.leadership.proposed[asked.ID]; open || m.leadership.grantor == nil {
+	if _, proposed := m.leadership.proposedOperations[requested.ID]; proposed || m.leadership.grantor == nil {
 		return
 	}
-	index, proposed := m.propose(m.state.decide(asked, m.contentToChange()))
+	index, proposed := m.propose(m.state.operationUpdate(requested, m.contentToChange()))
 	if !proposed {
 		return
 	}
-	m.leadership.proposed[asked.ID] = index
-	if m.world.has(defect.AcknowledgeProposal) {
-		m.acknowledgeEarly(asked)
+	m.leadership.proposedOperations[requested.ID] = index
+	if m.world.hasDefect(defect.AcknowledgeProposal) {
+		m.acknowledgeEarly(requested)
 	}
 }
 
-// contentToChange is the value that an order which changes it is made to.
+// contentToChange returns the value that an operation changes.
 func (m *machine) contentToChange() uint64 {
-	if m.world.has(defect.ChangeOldContent) {
-		return m.leadership.contentAtFirst
+	if m.world.hasDefect(defect.ChangeOldContent) {
+		return m.leadership.contentAtStart
 	}
 	return m.state.content()
 }
 
-func (m *machine) forwardOrder(asked order, from waiting) {
-	leader := m.world.checks.holder(m.node.Status().Leader)
+// forwardOperation forwards an operation to the leader, if one is known.
+func (m *machine) forwardOperation(requested operation, from waiter) {
+	leader := m.world.checks.machineOf(m.node.Status().Leader)
 	if from.forwarded || leader == nil || leader == m {
 		return
 	}
 	from.forwarded = true
 	m.world.network.send(m.name, leader.name, func() {
-		leader.receive(func() { leader.askOrder(asked, from) })
+		leader.receive(func() { leader.receiveOperation(requested, from) })
 	})
 }
 
-// acknowledgeEarly is a planted fault: it answers from a trial of the update.
-func (m *machine) acknowledgeEarly(asked order) {
-	trial := &book{}
+// acknowledgeEarly implements defect.AcknowledgeProposal: it applies the update to a copy
+// of the state and answers from that, before the proposal is committed.
+func (m *machine) acknowledgeEarly(requested operation) {
+	trial := &stateMachine{}
 	data, err := m.state.snapshot(false)
 	if err != nil {
 		panic(err)
@@ -136,118 +143,124 @@
 	if err := trial.restore(data); err != nil {
 		panic(err)
 	}
-	update := trial.decide(asked, trial.content())
+	update := trial.operationUpdate(requested, trial.content())
 	trial.table.Apply(&update, nil)
-	given, _ := trial.answer(asked.ID)
-	m.reply(asked.ID, given)
+	result, _ := trial.answer(requested.ID)
+	m.sendAnswer(requested.ID, result)
 }
 
-// noteApplied tells the leadership of an applied entry.
-func (m *machine) noteApplied(entry consensus.Entry) {
+// entryApplied updates leadership after an entry was applied.
+func (m *machine) entryApplied(entry consensus.Entry) {
 	if m.leadership == nil {
 		return
 	}
 	if m.leadership.grantor == nil && entry.Term == m.leadership.term {
-		m.beginGranting()
+		m.startGranting()
 	}
 	if m.leadership.grantor != nil {
 		m.leadership.grantor.SetSerial(m.state.serial())
 	}
-	for id, index := range m.leadership.proposed {
+	for id, index := range m.leadership.proposedOperations {
 		if index <= entry.Index {
-			delete(m.leadership.proposed, id)
+			delete(m.leadership.proposedOperations, id)
 		}
 	}
 }
 
-// inForce returns the serial that every gateway with a lease decides by.
-func (m *machine) inForce() (uint32, bool) {
+// serialInForce returns the serial that every gateway with a valid lease has activated,
+// and false while it is unknown.
+func (m *machine) serialInForce() (uint32, bool) {
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return 0, false
 	}
-	if contact, known := m.contact(); known {
+	if contact, known := m.quorumContact(); known {
 		m.leadership.grantor.SetQuorumContact(contact)
 	}
 	serial, known := m.leadership.grantor.SerialInForce()
 	if known {
-		m.world.checks.reportedInForce(serial)
+		m.world.checks.serialReported(serial)
 	}
 	return serial, known
 }
 
-// contact is the proof of leadership.
-func (m *machine) contact() (time.Duration, bool) {
-	if m.world.has(defect.GrantWithoutQuorumContact) {
+// quorumContact returns the latest time at which a quorum acknowledged the leadership.
+func (m *machine) quorumContact() (time.Duration, bool) {
+	if m.world.hasDefect(defect.GrantWithoutQuorumContact) {
 		return m.clock(), true
 	}
 	return m.node.QuorumContact()
 }
 
-// answerOrders answers what is applied here and in force everywhere.
-func (m *machine) answerOrders() {
-	if len(m.asked) == 0 {
+// answerOperations answers the operations whose answer is applied and whose serial is in
+// force at all gateways. It answers in order of their ids, so that the history is
+// deterministic.
+func (m *machine) answerOperations() {
+	if len(m.waiters) == 0 {
 		return
 	}
-	serial, known := m.inForce()
+	serial, known := m.serialInForce()
 	if !known {
 		return
 	}
-	ids := make([]string, 0, len(m.asked))
-	for id := range m.asked {
+	ids := make([]string, 0, len(m.waiters))
+	for id := range m.waiters {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		given, answered := m.state.answer(id)
-		if answered && !registry.SerialLess(serial, m.state.answeredBy(id)) {
-			m.reply(id, given)
+		result, answered := m.state.answer(id)
+		if answered && !registry.SerialLess(serial, m.state.answerSerial(id)) {
+			m.sendAnswer(id, result)
 		}
 	}
 }
 
-func (m *machine) reply(id string, given answer) {
-	m.world.checks.acknowledged(m, id, given)
-	for _, from := range m.asked[id] {
+// sendAnswer answers all operators that wait for an operation.
+func (m *machine) sendAnswer(id string, result answer) {
+	m.world.checks.answerAcknowledged(m, id, result)
+	for _, from := range m.waiters[id] {
 		m.world.network.send(m.name, from.operator.name, func() {
-			from.operator.answered(id, given)
+			from.operator.receiveAnswer(id, result)
 		})
 	}
-	delete(m.asked, id)
+	delete(m.waiters, id)
 }
 
-// notifyGateways tells them that there is something to renew for.
+// notifyGateways makes the gateways renew when the serial or the one that they may
+// activate has changed.
 func (m *machine) notifyGateways() {
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return
 	}
-	now := notice{serial: m.state.serial(), activate: m.leadership.grantor.ActivationSerial()}
-	if now == m.leadership.notified {
+	current := notice{serial: m.state.serial(), activate: m.leadership.grantor.ActivationSerial()}
+	if current == m.leadership.lastNotice {
 		return
 	}
-	m.leadership.notified = now
+	m.leadership.lastNotice = current
 	for _, g := range m.world.gateways {
 		m.world.network.send(m.name, g.name, func() {
-			g.receive(func() { g.renew(m) })
+			g.receive(func() { g.sendRenewal(m) })
 		})
 	}
 }
 
-// grant answers a gateway's renewal.
-func (m *machine) grant(g *gateway, asked renewal) {
-	reply := grant{from: m}
+// answerRenewal replies to a gateway's renewal: with a lease decision and the changes
+// since the gateway's serial, or with a hint at the leader.
+func (m *machine) answerRenewal(g *gateway, received renewal) {
+	reply := renewalReply{from: m}
 	if m.leadership != nil && m.leadership.grantor != nil {
-		contact, known := m.contact()
-		decision := m.leadership.grantor.Renew(m.clock(), contact, known, asked.request)
+		contact, known := m.quorumContact()
+		decision := m.leadership.grantor.Renew(m.clock(), contact, known, received.request)
 		reply.decision = decision
 		reply.term = m.leadership.term
-		if decision.Authoritative && registry.SerialLess(asked.request.ReceivedSerial, m.state.serial()) {
-			transfer := m.state.table.TransferSince(asked.request.ReceivedSerial)
+		if decision.Authoritative && registry.SerialLess(received.request.ReceivedSerial, m.state.serial()) {
+			transfer := m.state.table.TransferSince(received.request.ReceivedSerial)
 			reply.transfer = &transfer
 		}
 	} else {
-		reply.hint = m.world.checks.holder(m.node.Status().Leader)
+		reply.hint = m.world.checks.machineOf(m.node.Status().Leader)
 	}
 	m.world.network.send(m.name, g.name, func() {
-		g.receive(func() { g.granted(asked, reply) })
+		g.receive(func() { g.receiveReply(received, reply) })
 	})
 }
