--- a/cmd/deckpulley-experiment/main.go
+++ b/cmd/deckpulley-experiment/main.go
@@ -59,7 +59,7 @@
 
 // comparePlacement runs the comparison, prints its tables and plots its figure.
 func comparePlacement(out io.Writer, figures *figureOutput, config experiment.PlacementConfig) error {
-	points, err := experiment.Placement(config)
+	points, err := experiment.RunPlacement(config)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	ctx context.Context, out io.Writer, figures *figureOutput,
 	deployment string, disturbance experiment.Disturbance, seed uint64,
 ) error {
-	response, err := experiment.Respond(ctx, deployment, disturbance, seed)
+	response, err := experiment.RunResponse(ctx, deployment, disturbance, seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/deckpulley-simulate/main.go
+++ b/cmd/deckpulley-simulate/main.go
@@ -107,7 +107,7 @@
 func simulate(out io.Writer, flags options) error {
 	var summary simulation.Summary
 	started := time.Now()
-	simulation.Batch(flags.firstSeed, flags.seeds, flags.workers, simulation.Options{Duration: flags.duration}, summary.Add)
+	simulation.RunBatch(flags.firstSeed, flags.seeds, flags.workers, simulation.Options{Duration: flags.duration}, summary.Add)
 	writeReport(out, summary, time.Since(started))
 	if len(summary.Failures) > 0 {
 		return fmt.Errorf("%w in %d of %d histories", errViolations, len(summary.Failures), summary.Histories)
@@ -145,8 +145,8 @@
 	defects := slices.DeleteFunc(defect.All(), func(planted defect.Defect) bool {
 		return !strings.Contains(planted.String(), flags.only)
 	})
-	catches := make([]simulation.Catch, len(defects))
-	simulation.Each(len(defects), flags.workers, func(index int) {
+	catches := make([]simulation.HuntResult, len(defects))
+	simulation.ForEach(len(defects), flags.workers, func(index int) {
 		catches[index] = simulation.Hunt(defects[index], flags.firstSeed, limit)
 		fmt.Fprintf(progress, "%s: %d histories\n", defects[index], catches[index].Seeds)
 	})
@@ -157,7 +157,7 @@
 }
 
 // writeCatches prints one row a defect and returns how many were missed.
-func writeCatches(out io.Writer, catches []simulation.Catch) (missed int) {
+func writeCatches(out io.Writer, catches []simulation.HuntResult) (missed int) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "planted defect\thistories until caught\tseed\trule that caught it")
 	for _, catch := range catches {
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -102,7 +102,7 @@
 	r.add(at+1, with(placed, eventlog.ReplicaExecuted))
 	if caller.Stream {
 		for sequence := 1; sequence <= 2; sequence++ {
-			chunk := with(caller, eventlog.CallerPiece)
+			chunk := with(caller, eventlog.CallerChunk)
 			chunk.Sequence = sequence
 			r.add(at+2+int64(sequence), chunk)
 		}
@@ -122,9 +122,9 @@
 }
 
 func (r *run) addOperation(at int64, id, detail string, base, version uint64, serial uint32, outcome string) {
-	sent := eventlog.Event{Kind: eventlog.OrderSent, Order: id, Detail: detail, Base: base, Zone: "south-1", Target: "digest-" + id}
+	sent := eventlog.Event{Kind: eventlog.OperationSent, Operation: id, Detail: detail, Base: base, Zone: "south-1", Target: "digest-" + id}
 	r.add(at, sent)
-	r.add(at+100, eventlog.Event{Kind: eventlog.OrderAnswered, Order: id, Outcome: outcome, Version: version, Serial: serial})
+	r.add(at+100, eventlog.Event{Kind: eventlog.OperationAnswered, Operation: id, Outcome: outcome, Version: version, Serial: serial})
 }
 
 func (r *run) addFault(at int64, detail, class, target string) {
@@ -184,7 +184,7 @@
 	},
 	"P4": func(r *run) {
 		r.rewrite(func(e eventlog.Event) bool {
-			return e.Kind == eventlog.CallerPiece && e.Request == "request-3" && e.Sequence == 2
+			return e.Kind == eventlog.CallerChunk && e.Request == "request-3" && e.Sequence == 2
 		}, func(e *eventlog.Event) { e.Run = "another" })
 	},
 	"P5": func(r *run) {
@@ -201,10 +201,10 @@
 		r.add(lastOperationAt+500, eventlog.Event{Kind: eventlog.ConfigurationRead, Version: 4, Target: "digest-outraced"})
 	},
 	"P9": func(r *run) {
-		r.add(secondOperationAt+700, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "second", Outcome: OperationRefused, Code: "version_conflict"})
+		r.add(secondOperationAt+700, eventlog.Event{Kind: eventlog.OperationAnswered, Operation: "second", Outcome: OperationRefused, Code: "version_conflict"})
 	},
 	"P10": func(r *run) {
-		r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.OrderAnswered && e.Order == "last" },
+		r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.OperationAnswered && e.Operation == "last" },
 			func(e *eventlog.Event) { e.Serial = 21 })
 	},
 	"P11": func(r *run) {
@@ -297,8 +297,8 @@
 		{"an operation accepted by a partitioned node", "P10", func(r *run) {
 			r.add(-10, eventlog.Event{Kind: eventlog.Inventory, Class: TargetControl, Target: "control-east", Gateway: "10.0.0.1:1"})
 			r.addFault(crowdAt, FaultCut, TargetControl, "control-east")
-			r.add(crowdAt+5000, eventlog.Event{Kind: eventlog.OrderSent, Order: "alone", Detail: DetailWithdraw, Gateway: "10.0.0.1:1"})
-			r.add(crowdAt+5100, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "alone", Outcome: OperationAccepted, Gateway: "10.0.0.1:1", Serial: 31, Version: 3})
+			r.add(crowdAt+5000, eventlog.Event{Kind: eventlog.OperationSent, Operation: "alone", Detail: DetailWithdraw, Gateway: "10.0.0.1:1"})
+			r.add(crowdAt+5100, eventlog.Event{Kind: eventlog.OperationAnswered, Operation: "alone", Outcome: OperationAccepted, Gateway: "10.0.0.1:1", Serial: 31, Version: 3})
 			r.addFault(crowdAt+24_000, FaultHeal, TargetControl, "control-east")
 		}},
 		{"a success of a run that never began", "P3", func(r *run) {
--- a/internal/checker/index.go
+++ b/internal/checker/index.go
@@ -65,7 +65,7 @@
 		request.executed = append(request.executed, event)
 	case eventlog.ReplicaEnded:
 		x.ended[event.Run] = event
-	case eventlog.CallerAsked, eventlog.CallerSent, eventlog.CallerPiece, eventlog.CallerAnswered, eventlog.CallerAbandoned:
+	case eventlog.CallerRouted, eventlog.CallerSent, eventlog.CallerChunk, eventlog.CallerAnswered, eventlog.CallerAbandoned:
 		x.addCaller(event)
 	case eventlog.ConfigurationRead, eventlog.ZonesRead:
 		x.reads = append(x.reads, event)
@@ -83,7 +83,7 @@
 		x.ordered = append(x.ordered, request)
 	}
 	switch event.Kind {
-	case eventlog.CallerPiece:
+	case eventlog.CallerChunk:
 		request.chunks[event.Attempt] = append(request.chunks[event.Attempt], event)
 	case eventlog.CallerAnswered:
 		request.answers = append(request.answers, event)
--- a/internal/checker/operation.go
+++ b/internal/checker/operation.go
@@ -51,16 +51,16 @@
 }
 
 func (x *operationIndex) add(event eventlog.Event) {
-	known, ok := x.byID[event.Order]
+	known, ok := x.byID[event.Operation]
 	switch event.Kind {
-	case eventlog.OrderSent:
+	case eventlog.OperationSent:
 		if !ok {
-			known = &operation{id: event.Order}
-			x.byID[event.Order] = known
+			known = &operation{id: event.Operation}
+			x.byID[event.Operation] = known
 			x.ordered = append(x.ordered, known)
 		}
 		known.sends = append(known.sends, event)
-	case eventlog.OrderAnswered:
+	case eventlog.OperationAnswered:
 		if ok && event.Outcome != OperationUnknown {
 			known.answers = append(known.answers, event)
 		}
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -33,14 +33,14 @@
 
 // Events written by callers.
 const (
-	// CallerAsked reports the answer to a where-to-go request. Sets Version, Gateway
+	// CallerRouted reports the answer to a where-to-go request. Sets Version, Gateway
 	// (which answered) and Target (the gateway to send the request to).
-	CallerAsked Kind = "caller_asked"
+	CallerRouted Kind = "caller_asked"
 	// CallerSent reports that a request was sent. Sets Request, Attempt, Gateway,
 	// Home, Repeatable.
 	CallerSent Kind = "caller_sent"
-	// CallerPiece reports a received stream chunk. Sets Run, Sequence.
-	CallerPiece Kind = "caller_piece"
+	// CallerChunk reports a received stream chunk. Sets Run, Sequence.
+	CallerChunk Kind = "caller_piece"
 	// CallerAnswered reports the final answer. Sets Outcome, Code, Run, Tokens,
 	// FirstTokenMS, ElapsedMS.
 	CallerAnswered Kind = "caller_answered"
@@ -50,12 +50,12 @@
 
 // Events written by operators, the platform and the fleet tool.
 const (
-	// OrderSent reports that an operation was sent. Sets Order, Base, Zone, and
+	// OperationSent reports that an operation was sent. Sets Order, Base, Zone, and
 	// Detail: configuration, evacuate or withdraw.
-	OrderSent Kind = "order_sent"
-	// OrderAnswered reports the answer to an operation. Sets Order, Version, Serial,
+	OperationSent Kind = "order_sent"
+	// OperationAnswered reports the answer to an operation. Sets Order, Version, Serial,
 	// Code, and Outcome: accepted, refused or unknown.
-	OrderAnswered Kind = "order_answered"
+	OperationAnswered Kind = "order_answered"
 	// PlatformDrain reports that the platform listed a replica as draining and that
 	// this was acknowledged. Sets Replica.
 	PlatformDrain Kind = "platform_drain"
@@ -106,7 +106,7 @@
 	HomeRegions  []string `json:"home_regions,omitempty"`
 	Repeatable   bool     `json:"repeatable,omitempty"`
 	Stream       bool     `json:"stream,omitempty"`
-	Order        string   `json:"order,omitempty"`
+	Operation    string   `json:"order,omitempty"`
 	Base         uint64   `json:"base,omitempty"`
 	Outcome      string   `json:"outcome,omitempty"`
 	Code         string   `json:"code,omitempty"`
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -17,8 +17,8 @@
 // goldenKinds lists all kinds, in the order of the golden log.
 var goldenKinds = []Kind{
 	ReplicaStarted, ReplicaReceived, ReplicaExecuted, ReplicaRefused, ReplicaEnded, ReplicaDraining, ReplicaWarm, ReplicaFault,
-	CallerAsked, CallerSent, CallerPiece, CallerAnswered, CallerAbandoned,
-	OrderSent, OrderAnswered, PlatformDrain, FaultInjected, FleetReady, Note,
+	CallerRouted, CallerSent, CallerChunk, CallerAnswered, CallerAbandoned,
+	OperationSent, OperationAnswered, PlatformDrain, FaultInjected, FleetReady, Note,
 	ConfigurationRead, ZonesRead, Inventory,
 }
 
@@ -29,7 +29,7 @@
 		At: 1_000_000_001, Kind: CallerAnswered, Source: "caller-1", Request: "request-1", Run: "run-1", Sequence: 3,
 		Attempt: 2, Replica: "replica-1", Region: "north", Zone: "north-1", Gateway: "gateway-1", Incarnation: "i-3",
 		Version: 12, Serial: 40, Class: "quick", Service: "explain", Home: "north-only",
-		HomeRegions: []string{"north", "south"}, Repeatable: true, Stream: true, Order: "order-9", Base: 11,
+		HomeRegions: []string{"north", "south"}, Repeatable: true, Stream: true, Operation: "order-9", Base: 11,
 		Outcome: "success", Code: "duplicate", Tokens: 5, CachedTokens: 1200, PromptTokens: 40, Cold: true, InFlight: 7,
 		FirstTokenMS: 41.5, ElapsedMS: 120.25, MaxGapMS: 9.75, Target: "control-1", Detail: "one <two> & \"three\"",
 	}}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -98,7 +98,7 @@
 	config.Loads = []float64{0.7}
 	config.Seeds = 2
 	config.Duration = 60 * time.Second
-	points, err := Placement(config)
+	points, err := RunPlacement(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	config.Seeds = 2
 	config.WarmUp = 5 * time.Second
 	config.Duration = 10 * time.Second
-	points, err := Placement(config)
+	points, err := RunPlacement(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 			t.Errorf("the figure does not name %s", policy.Name)
 		}
 	}
-	if _, err := Placement(PlacementConfig{Deployments: []string{"nowhere"}}); err == nil {
+	if _, err := RunPlacement(PlacementConfig{Deployments: []string{"nowhere"}}); err == nil {
 		t.Error("an unknown deployment was accepted")
 	}
 }
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -69,9 +69,9 @@
 	Result *Result
 }
 
-// Placement runs every policy on the same seeded loads. An unknown deployment is an
+// RunPlacement runs every policy on the same seeded loads. An unknown deployment is an
 // error.
-func Placement(config PlacementConfig) ([]PlacementPoint, error) {
+func RunPlacement(config PlacementConfig) ([]PlacementPoint, error) {
 	parameters := emulator.DefaultParameters(emulator.KindModel)
 	var points []PlacementPoint
 	for _, deployment := range config.Deployments {
--- a/internal/experiment/response.go
+++ b/internal/experiment/response.go
@@ -62,9 +62,9 @@
 	Codes                               map[api.Code]int
 }
 
-// Respond runs the routers of a deployment in real time through a disturbance, which takes
+// RunResponse runs the routers of a deployment in real time through a disturbance, which takes
 // responseDuration. It returns what was sampled even if there was an error during the run.
-func Respond(ctx context.Context, deployment string, disturbance Disturbance, seed uint64) (*Response, error) {
+func RunResponse(ctx context.Context, deployment string, disturbance Disturbance, seed uint64) (*Response, error) {
 	profile, err := workload.ByName(deployment)
 	if err != nil {
 		return nil, err
@@ -103,9 +103,9 @@
 func callerScenario(disturbance Disturbance) workload.Scenario {
 	switch disturbance {
 	case DisturbStep:
-		return workload.Crowd(disturbanceStart, disturbanceEnd-disturbanceStart, 3)
+		return workload.FlashCrowd(disturbanceStart, disturbanceEnd-disturbanceStart, 3)
 	case DisturbSwing:
-		return workload.Swing(disturbanceStart, (disturbanceEnd-disturbanceStart)/2, disturbanceEnd, 3)
+		return workload.AlternateLengths(disturbanceStart, (disturbanceEnd-disturbanceStart)/2, disturbanceEnd, 3)
 	default:
 		return nil
 	}
--- a/internal/experiment/response_test.go
+++ b/internal/experiment/response_test.go
@@ -17,7 +17,7 @@
 // load.
 func TestColdReplicasStayWithinSlowStartLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		response, err := Respond(t.Context(), "georgia", DisturbCold, 1)
+		response, err := RunResponse(t.Context(), "georgia", DisturbCold, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/caller/events.go
+++ b/internal/fleet/caller/events.go
@@ -19,7 +19,7 @@
 }
 
 func (s *session) logAsked(gateway string, answer api.WhereAnswer) {
-	event := s.event(eventlog.CallerAsked)
+	event := s.event(eventlog.CallerRouted)
 	event.Gateway, event.Target, event.Version = gateway, answer.Gateway, answer.ConfigurationVersion
 	event.ElapsedMS = s.elapsed()
 	s.pool.config.Log.Write(event)
@@ -32,7 +32,7 @@
 }
 
 func (s *session) logChunk(attempt int, gateway string, chunk api.StreamChunk) {
-	event := s.event(eventlog.CallerPiece)
+	event := s.event(eventlog.CallerChunk)
 	event.Attempt, event.Gateway, event.Run, event.Sequence = attempt, gateway, chunk.RunID, chunk.Sequence
 	s.pool.config.Log.Write(event)
 }
--- a/internal/fleet/caller/session.go
+++ b/internal/fleet/caller/session.go
@@ -141,7 +141,7 @@
 func (s *session) where(gateway string) (api.WhereAnswer, *api.Error, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), whereTimeout)
 	defer cancel()
-	response, err := s.post(ctx, gateway, api.PathWhere, s.arrival.Where())
+	response, err := s.post(ctx, gateway, api.PathWhere, s.arrival.WhereRequest())
 	if err != nil {
 		return api.WhereAnswer{}, nil, err
 	}
--- a/internal/fleet/deployment_test.go
+++ b/internal/fleet/deployment_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(profile.Homes) == 0 || len(profile.Regions) != 3 || profile.Clients == "" {
+		if len(profile.Homes) == 0 || len(profile.Regions) != 3 || profile.ClientPrefix == "" {
 			t.Errorf("%s: %+v", name, profile)
 		}
 		changed, err := deployment.WithRoute("extra")
--- a/internal/fleet/operator/operation.go
+++ b/internal/fleet/operator/operation.go
@@ -31,7 +31,7 @@
 	return Operation{
 		ID: id, method: http.MethodPut, path: api.PathConfiguration,
 		body:  api.ConfigurationOperation{OperationID: id, BaseVersion: base, Author: o.name, Document: document},
-		event: eventlog.Event{Order: id, Detail: checker.DetailConfiguration, Base: base, Target: digest(document)},
+		event: eventlog.Event{Operation: id, Detail: checker.DetailConfiguration, Base: base, Target: digest(document)},
 	}
 }
 
@@ -45,7 +45,7 @@
 	return Operation{
 		ID: id, method: http.MethodPost, path: api.PathEvacuations,
 		body:  api.EvacuationOperation{OperationID: id, Zone: zone, Withdraw: withdraw, Author: o.name},
-		event: eventlog.Event{Order: id, Detail: detail, Zone: zone},
+		event: eventlog.Event{Operation: id, Detail: detail, Zone: zone},
 	}
 }
 
--- a/internal/fleet/operator/operator.go
+++ b/internal/fleet/operator/operator.go
@@ -119,13 +119,13 @@
 
 func (o *Operator) logSent(operation Operation, address string) {
 	event := operation.event
-	event.Kind, event.Source, event.Gateway = eventlog.OrderSent, o.name, address
+	event.Kind, event.Source, event.Gateway = eventlog.OperationSent, o.name, address
 	o.log.Write(event)
 }
 
 func (o *Operator) logAnswered(operation Operation, address, outcome string, answer Answer) {
 	event := operation.event
-	event.Kind, event.Source, event.Gateway = eventlog.OrderAnswered, o.name, address
+	event.Kind, event.Source, event.Gateway = eventlog.OperationAnswered, o.name, address
 	event.Outcome, event.Version, event.Serial = outcome, answer.Version, answer.Serial
 	event.Code = string(answer.Code)
 	if outcome != checker.OperationAccepted {
--- a/internal/fleet/operator/operator_test.go
+++ b/internal/fleet/operator/operator_test.go
@@ -80,7 +80,7 @@
 		}
 		var list []string
 		for _, event := range events {
-			if event.Kind == eventlog.OrderAnswered {
+			if event.Kind == eventlog.OperationAnswered {
 				list = append(list, event.Outcome)
 			}
 		}
--- a/internal/fleet/profile.go
+++ b/internal/fleet/profile.go
@@ -32,7 +32,7 @@
 	for _, name := range sortedNames(document.Homes) {
 		profile.Homes = append(profile.Homes, workload.Home{Name: name, Regions: document.Homes[name]})
 	}
-	if profile.Clients, err = clientPrefix(document, d.Regions); err != nil {
+	if profile.ClientPrefix, err = clientPrefix(document, d.Regions); err != nil {
 		return nil, err
 	}
 	for i := range profile.Mixes {
--- a/internal/report/operations.go
+++ b/internal/report/operations.go
@@ -40,13 +40,13 @@
 	seen := map[string]bool{}
 	for _, event := range events {
 		switch {
-		case event.Kind == eventlog.OrderSent:
-			if _, ok := sent[event.Order]; !ok {
-				sent[event.Order] = event
+		case event.Kind == eventlog.OperationSent:
+			if _, ok := sent[event.Operation]; !ok {
+				sent[event.Operation] = event
 			}
-		case event.Kind == eventlog.OrderAnswered && event.Outcome == checker.OperationAccepted && !seen[event.Order]:
-			seen[event.Order] = true
-			measured = append(measured, measureOperation(events, zones, sent[event.Order], event))
+		case event.Kind == eventlog.OperationAnswered && event.Outcome == checker.OperationAccepted && !seen[event.Operation]:
+			seen[event.Operation] = true
+			measured = append(measured, measureOperation(events, zones, sent[event.Operation], event))
 		}
 	}
 	return measured
@@ -54,7 +54,7 @@
 
 func measureOperation(events []eventlog.Event, zones map[string]string, sent, answered eventlog.Event) Operation {
 	operation := Operation{
-		ID: answered.Order, Detail: answered.Detail, Zone: sent.Zone, Version: answered.Version, At: sent.At,
+		ID: answered.Operation, Detail: answered.Detail, Zone: sent.Zone, Version: answered.Version, At: sent.At,
 		Acknowledged: time.Duration(answered.At - sent.At),
 	}
 	from := sort.Search(len(events), func(i int) bool { return events[i].At >= sent.At })
@@ -71,8 +71,8 @@
 
 // withdrawnBy reports whether an event sends the withdrawal of the operation's zone.
 func (o *Operation) withdrawnBy(event eventlog.Event) bool {
-	return event.Kind == eventlog.OrderSent && event.Detail == checker.DetailWithdraw &&
-		event.Order != o.ID && event.Zone == o.Zone
+	return event.Kind == eventlog.OperationSent && event.Detail == checker.DetailWithdraw &&
+		event.Operation != o.ID && event.Zone == o.Zone
 }
 
 func (o *Operation) addReceipt(event eventlog.Event, zone string) {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -17,7 +17,7 @@
 		return event
 	}
 	asked := func(id, region string) eventlog.Event {
-		return eventlog.Event{Kind: eventlog.CallerAsked, Request: id, Class: "quick", Region: region, PromptTokens: 100}
+		return eventlog.Event{Kind: eventlog.CallerRouted, Request: id, Class: "quick", Region: region, PromptTokens: 100}
 	}
 	answered := func(id, outcome string) eventlog.Event {
 		return eventlog.Event{Kind: eventlog.CallerAnswered, Request: id, Class: "quick", Outcome: outcome, Code: "code", FirstTokenMS: 40, ElapsedMS: 90, CachedTokens: 25}
@@ -27,14 +27,14 @@
 		at(1, asked("one", "south")),
 		at(2, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "south-replica", Request: "one", Attempt: 1, Version: 1}),
 		at(2, eventlog.Event{Kind: eventlog.ReplicaExecuted, Replica: "south-replica", Region: "south", Request: "one", Version: 1}),
-		at(50, eventlog.Event{Kind: eventlog.OrderSent, Order: "order", Detail: checker.DetailConfiguration}),
-		at(60, eventlog.Event{Kind: eventlog.OrderSent, Order: "empty", Detail: checker.DetailEvacuate, Zone: "south-1"}),
+		at(50, eventlog.Event{Kind: eventlog.OperationSent, Operation: "order", Detail: checker.DetailConfiguration}),
+		at(60, eventlog.Event{Kind: eventlog.OperationSent, Operation: "empty", Detail: checker.DetailEvacuate, Zone: "south-1"}),
 		at(91, answered("one", OutcomeSuccess)),
 		at(100, asked("two", "north")),
 		at(110, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "south-replica", Request: "two", Attempt: 2, Version: 1}),
 		at(110, eventlog.Event{Kind: eventlog.ReplicaExecuted, Replica: "south-replica", Region: "south", Request: "two", Version: 1}),
-		at(150, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "order", Detail: checker.DetailConfiguration, Outcome: checker.OperationAccepted, Version: 2}),
-		at(160, eventlog.Event{Kind: eventlog.OrderAnswered, Order: "empty", Detail: checker.DetailEvacuate, Outcome: checker.OperationAccepted, Version: 2}),
+		at(150, eventlog.Event{Kind: eventlog.OperationAnswered, Operation: "order", Detail: checker.DetailConfiguration, Outcome: checker.OperationAccepted, Version: 2}),
+		at(160, eventlog.Event{Kind: eventlog.OperationAnswered, Operation: "empty", Detail: checker.DetailEvacuate, Outcome: checker.OperationAccepted, Version: 2}),
 		at(190, answered("two", OutcomeSuccess)),
 		at(1200, asked("three", "north")),
 		at(1300, answered("three", OutcomeRefused)),
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -130,9 +130,9 @@
 	switch event.Kind {
 	case eventlog.Inventory:
 		s.regions[event.Replica], s.zones[event.Replica] = event.Region, event.Zone
-	case eventlog.CallerAsked, eventlog.CallerSent:
+	case eventlog.CallerRouted, eventlog.CallerSent:
 		s.request(event)
-	case eventlog.CallerPiece:
+	case eventlog.CallerChunk:
 		s.addChunk(event)
 	case eventlog.CallerAnswered:
 		s.request(event).addAnswer(event)
@@ -151,7 +151,7 @@
 		s.Executed++
 	case eventlog.FaultInjected:
 		s.Faults = append(s.Faults, event)
-	case eventlog.OrderAnswered:
+	case eventlog.OperationAnswered:
 		if event.Outcome == checker.OperationAccepted {
 			s.Acknowledgements = append(s.Acknowledgements, event)
 		}
--- a/internal/report/timeline.go
+++ b/internal/report/timeline.go
@@ -68,7 +68,7 @@
 		add(fault.At, fault.Detail+" "+fault.Target, faultColor)
 	}
 	for _, answer := range s.Acknowledgements {
-		add(answer.At, fmt.Sprintf("%s acknowledged (%s)", answer.Detail, answer.Order), operationColor)
+		add(answer.At, fmt.Sprintf("%s acknowledged (%s)", answer.Detail, answer.Operation), operationColor)
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 	return list
--- a/internal/scenario/perform.go
+++ b/internal/scenario/perform.go
@@ -59,10 +59,10 @@
 		r.load.removeCrowd()
 	case Swing:
 		r.fleet.LogFault(detailSwing, checker.TargetLoad, "load", "")
-		r.load.setOrdinary(ctx, workload.Swing(0, length/swingPeriods, length, step.Factor))
+		r.load.setOrdinary(ctx, workload.AlternateLengths(0, length/swingPeriods, length, step.Factor))
 	case Move:
 		r.fleet.LogFault(detailMove, checker.TargetLoad, step.Target+" to "+step.To, "")
-		r.load.setOrdinary(ctx, workload.Move(0, length, r.load.profile, step.Target, step.To))
+		r.load.setOrdinary(ctx, workload.ShiftClients(0, length, r.load.profile, step.Target, step.To))
 	}
 	return nil
 }
--- a/internal/simulation/batch.go
+++ b/internal/simulation/batch.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Each calls work with every position from 0 to count-1, from the given number of
+// ForEach calls work with every position from 0 to count-1, from the given number of
 // goroutines, and waits until all calls have returned.
-func Each(count, workers int, work func(position int)) {
+func ForEach(count, workers int, work func(position int)) {
 	positions := make(chan int)
 	var group sync.WaitGroup
 	for range workers {
@@ -21,11 +21,11 @@
 	group.Wait()
 }
 
-// Batch runs count histories with consecutive seeds from firstSeed on. It passes each
+// RunBatch runs count histories with consecutive seeds from firstSeed on. It passes each
 // result to visit, one at a time and in no particular order.
-func Batch(firstSeed uint64, count, workers int, options Options, visit func(Result)) {
+func RunBatch(firstSeed uint64, count, workers int, options Options, visit func(Result)) {
 	var mutex sync.Mutex
-	Each(count, workers, func(position int) {
+	ForEach(count, workers, func(position int) {
 		result := Run(firstSeed+uint64(position), options)
 		mutex.Lock()
 		defer mutex.Unlock()
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -2,8 +2,8 @@
 
 import "github.com/deckpulley/deckpulley/internal/defect"
 
-// Catch is the result of a hunt for a planted defect.
-type Catch struct {
+// HuntResult is the result of a hunt for a planted defect.
+type HuntResult struct {
 	Defect defect.Defect
 	// Violation is the one that revealed the defect, nil if no history did.
 	Violation *Violation
@@ -15,8 +15,8 @@
 
 // Hunt runs histories with one planted defect, with consecutive seeds from firstSeed
 // on, until a check reports a violation or the limit is reached.
-func Hunt(planted defect.Defect, firstSeed uint64, limit int) Catch {
-	catch := Catch{Defect: planted}
+func Hunt(planted defect.Defect, firstSeed uint64, limit int) HuntResult {
+	catch := HuntResult{Defect: planted}
 	for catch.Seeds < limit {
 		seed := firstSeed + uint64(catch.Seeds)
 		catch.Seeds++
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -24,7 +24,7 @@
 // names its seed; deckpulley-simulate --seeds 1 --first-seed SEED repeats it.
 func TestHistoriesKeepAllRules(t *testing.T) {
 	var summary Summary
-	Batch(1, historyCount, workers(), Options{}, summary.Add)
+	RunBatch(1, historyCount, workers(), Options{}, summary.Add)
 	for _, failure := range summary.Failures {
 		t.Errorf("seed %d: %v", failure.Seed, failure.Violation)
 	}
@@ -98,7 +98,7 @@
 	// No history below huntLimit reveals some of them; the hunt for these starts at a
 	// later seed.
 	first := map[defect.Defect]uint64{defect.TwoMembershipChanges: 1001}
-	Each(len(quick), workers(), func(position int) {
+	ForEach(len(quick), workers(), func(position int) {
 		if catch := Hunt(quick[position], max(1, first[quick[position]]), huntLimit); catch.Violation == nil {
 			t.Errorf("%s was not caught in %d histories", quick[position], catch.Seeds)
 		}
@@ -118,7 +118,7 @@
 // Acknowledged operations must survive and the service must recover. If wiped disks keep
 // their identity, which is a planted defect, a violation must be found.
 func TestDiskLossDuringPowerLoss(t *testing.T) {
-	Each(lossHistories, workers(), func(position int) {
+	ForEach(lossHistories, workers(), func(position int) {
 		seed := uint64(position + 1)
 		if violation := playDiskLosses(t, seed, defect.Set{}); violation != nil {
 			t.Errorf("seed %d: %v", seed, violation)
--- a/internal/workload/deployments.go
+++ b/internal/workload/deployments.go
@@ -40,10 +40,10 @@
 		{Name: "bank", Share: 0.08, Home: "bank-home"},
 	}}
 	return &Profile{
-		Name:    "kodovka",
-		Regions: threeRegions(5, 4, 3),
-		Homes:   []Home{{Name: "bank-home", Regions: []string{"north"}}},
-		Clients: "developers-",
+		Name:         "kodovka",
+		Regions:      threeRegions(5, 4, 3),
+		Homes:        []Home{{Name: "bank-home", Regions: []string{"north"}}},
+		ClientPrefix: "developers-",
 		Mixes: []Mix{
 			{
 				Class: api.ClassQuick, Model: "explain-quick", Service: "explain", Rate: 52.0 * 2 / 3,
@@ -105,7 +105,7 @@
 			{Name: "dossier-home", Regions: []string{"north", "central"}},
 			{Name: "field-home", Regions: []string{"south"}},
 		},
-		Clients: "offices-",
+		ClientPrefix: "offices-",
 		Mixes: []Mix{
 			{
 				Class: api.ClassQuick, Model: "tariff-question", Service: "tariff-model", Rate: 38.0 * 2 / 3,
--- a/internal/workload/generator.go
+++ b/internal/workload/generator.go
@@ -25,8 +25,8 @@
 	Generate api.GenerateRequest
 }
 
-// Where returns the where-to-go request that precedes the request.
-func (r *Request) Where() api.WhereRequest {
+// WhereRequest returns the where-to-go request that precedes the request.
+func (r *Request) WhereRequest() api.WhereRequest {
 	return api.WhereRequest{
 		RequestID:  r.Generate.RequestID,
 		Tenant:     r.Generate.Tenant,
@@ -181,7 +181,7 @@
 			PromptTokens: scaleTokens(g.drawInt(mix.PromptTokens), phase.PromptFactor),
 			MaxTokens:    scaleTokens(g.drawInt(mix.AnswerTokens), phase.AnswerFactor),
 			Stream:       mix.Stream,
-			Client:       g.profile.Clients + region,
+			Client:       g.profile.ClientPrefix + region,
 			WaitMS:       int64(g.drawInt(mix.WaitMS)),
 			Repeatable:   g.random.Float64() >= mix.NonRepeatableShare,
 		},
--- a/internal/workload/profile.go
+++ b/internal/workload/profile.go
@@ -87,9 +87,9 @@
 	Name    string
 	Regions []Region
 	Homes   []Home
-	// Clients is the prefix of the client groups' names: "<prefix><region>".
-	Clients string
-	Mixes   []Mix
+	// ClientPrefix is the prefix of the client groups' names: "<prefix><region>".
+	ClientPrefix string
+	Mixes        []Mix
 }
 
 // Rate returns the arrival rate of all kinds together, in requests per second.
--- a/internal/workload/scenario.go
+++ b/internal/workload/scenario.go
@@ -30,15 +30,15 @@
 	return Scenario{{Start: start, End: forever, RateFactor: factor}}
 }
 
-// Crowd multiplies the arrival rate by factor for the given length of time.
-func Crowd(start, length time.Duration, factor float64) Scenario {
+// FlashCrowd multiplies the arrival rate by factor for the given length of time.
+func FlashCrowd(start, length time.Duration, factor float64) Scenario {
 	return Scenario{{Start: start, End: start + length, RateFactor: factor}}
 }
 
-// Swing alternates between long prompts with short answers and short prompts with
+// AlternateLengths alternates between long prompts with short answers and short prompts with
 // long answers, each for half a period, from start to end. Lengths are multiplied
 // and divided by factor.
-func Swing(start, period, end time.Duration, factor float64) Scenario {
+func AlternateLengths(start, period, end time.Duration, factor float64) Scenario {
 	var scenario Scenario
 	half := period / 2
 	for at := start; at < end; at += period {
@@ -50,8 +50,8 @@
 	return scenario
 }
 
-// Move moves all clients of one region to another from start to end.
-func Move(start, end time.Duration, profile *Profile, from, to string) Scenario {
+// ShiftClients moves all clients of one region to another from start to end.
+func ShiftClients(start, end time.Duration, profile *Profile, from, to string) Scenario {
 	shares := map[string]float64{from: 0}
 	for _, region := range profile.Regions {
 		if region.Name == from {
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -159,7 +159,7 @@
 		if !reflect.DeepEqual(listed.Zones, []string{region.Zone}) || listed.Capacity != region.ModelReplicas {
 			t.Errorf("region %+v, the document has %+v", region, listed)
 		}
-		if client := profile.Clients + region.Name; document.Clients[client] != region.Name {
+		if client := profile.ClientPrefix + region.Name; document.Clients[client] != region.Name {
 			t.Errorf("client %s is mapped to %q", client, document.Clients[client])
 		}
 	}
@@ -204,11 +204,11 @@
 		before, during, after float64
 	}{
 		{"step", Step(100*second, 3), arrivalRate, 65, 195, 195},
-		{"crowd", Crowd(100*second, 100*second, 4), arrivalRate, 65, 260, 65},
-		{"overlap", append(Crowd(100*second, 100*second, 2), Crowd(100*second, 200*second, 1.5)...), arrivalRate, 65, 195, 97.5},
+		{"crowd", FlashCrowd(100*second, 100*second, 4), arrivalRate, 65, 260, 65},
+		{"overlap", append(FlashCrowd(100*second, 100*second, 2), FlashCrowd(100*second, 200*second, 1.5)...), arrivalRate, 65, 195, 97.5},
 		{"long answers", Scenario{{Start: 100 * second, End: 200 * second, AnswerFactor: 3}}, meanAnswerTokens, 47.3, 142, 47.3},
-		{"swing", Swing(100*second, 200*second, 300*second, 2), meanAnswerTokens, 47.3, 23.7, 94.7},
-		{"move", Move(100*second, 200*second, profile, "north", "south"), southernShare, 1.0 / 3, 2.0 / 3, 1.0 / 3},
+		{"swing", AlternateLengths(100*second, 200*second, 300*second, 2), meanAnswerTokens, 47.3, 23.7, 94.7},
+		{"move", ShiftClients(100*second, 200*second, profile, "north", "south"), southernShare, 1.0 / 3, 2.0 / 3, 1.0 / 3},
 		{"more long", Scenario{{Start: 100 * second, End: 200 * second, LongFactor: 4}}, arrivalRate, 65, 65 + 52, 65},
 	}
 	for _, test := range cases {
