--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -88,10 +88,10 @@
 			if node == primary {
 				continue
 			}
-			if !f.givesTable(network, node, peer.Renew{}) {
+			if !f.givesTable(network, primary, node, peer.Renew{}) {
 				t.Errorf("%s gives no table", name)
 			}
-			if f.givesTable(network, node, peer.Renew{ReceivedSerial: 1}) || f.givesTable(network, node, peer.Renew{Cluster: "another"}) {
+			if f.givesTable(network, primary, node, peer.Renew{ReceivedSerial: 1}) || f.givesTable(network, primary, node, peer.Renew{Cluster: "another"}) {
 				t.Errorf("%s gives a table to one that has one, or of another group", name)
 			}
 		}
@@ -109,14 +109,14 @@
 
 // givesTable renews at a node that is not the primary, and says whether it answers
 // with the table. It must give no lease.
-func (f *fleet) givesTable(network transport.Network, node *Node, renew peer.Renew) bool {
+func (f *fleet) givesTable(network transport.Network, primary, node *Node, renew peer.Renew) bool {
 	f.t.Helper()
 	var grant peer.Grant
 	renew.Gateway = peer.GatewayInfo{Name: "gateway-9", Incarnation: "1", Region: "region-1", PeerAddress: "gateway-9:1"}
 	if err := network.Call(f.t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
 		f.t.Fatal(err)
 	}
-	if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != f.primary().options.PeerAddress {
+	if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
 		f.t.Errorf("%s answers %+v", node.options.Name, grant)
 	}
 	transfer, err := grant.UnpackTransfer()
--- a/registry/transfer_test.go
+++ b/registry/transfer_test.go
@@ -104,6 +104,9 @@
 			if err := secondary.ApplyTransfer(full); err != nil {
 				t.Fatal(err)
 			}
+			if secondary.Serial() != serial {
+				t.Errorf("serial %d after the complete transfer, want %d", secondary.Serial(), serial)
+			}
 			checkRejectedTransfer(t, secondary, c.transfer, c.want)
 			if err := secondary.ApplyTransfer(next); err != nil || secondary.Serial() != primary.Serial() {
 				t.Errorf("the right transfer afterwards: %v", err)
