--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -14,7 +14,8 @@
 	benchmarkSnapshotInterval = 4096
 )
 
-// benchmarkGroup is a group whose messages arrive at once and whose disks are free.
+// benchmarkGroup is a group whose messages arrive at once and whose disk writes take no
+// time.
 type benchmarkGroup struct {
 	b     *testing.B
 	now   time.Duration
@@ -45,7 +46,7 @@
 	return g
 }
 
-// tick passes time at every member and lets each do what follows from it.
+// tick advances the time at every member and processes the resulting work.
 func (g *benchmarkGroup) tick(step time.Duration) {
 	g.now += step
 	for _, node := range g.nodes {
@@ -54,8 +55,9 @@
 	g.deliver()
 }
 
-// deliver works until no member has anything left to do. It has no b.Helper, which would
-// be a third of what BenchmarkPropose/1 measures.
+// deliver processes Readies and delivers messages until no member has work left. It does
+// not call b.Helper, which would take a third of the time that BenchmarkPropose/1
+// measures.
 func (g *benchmarkGroup) deliver() {
 	for idle := false; !idle; {
 		idle = true
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// compact drops every member's log, which would grow without end otherwise.
+// compact drops every member's log, which would otherwise grow without limit.
 func (g *benchmarkGroup) compact() {
 	g.b.Helper()
 	for _, node := range g.nodes {
@@ -99,8 +101,8 @@
 	}
 }
 
-// BenchmarkPropose is one entry of 512 bytes from its proposal to its commit at
-// every member.
+// BenchmarkPropose measures one entry of 512 bytes, from its proposal until every member
+// has committed it.
 func BenchmarkPropose(b *testing.B) {
 	for _, size := range []int{1, 3, 5} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -122,8 +124,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is one heartbeat round of a group of five, and the leader's
-// look at its quorum contact after it.
+// BenchmarkHeartbeat measures one heartbeat round of a group of five, followed by a call
+// of QuorumContact at the leader.
 func BenchmarkHeartbeat(b *testing.B) {
 	g := newBenchmarkGroup(b, 5)
 	leader := g.leader()
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	testElection  = 600 * time.Millisecond
-	testHeartbeat = 100 * time.Millisecond
-	testStep      = 10 * time.Millisecond
+	testElectionTimeout   = 600 * time.Millisecond
+	testHeartbeatInterval = 100 * time.Millisecond
+	testStep              = 10 * time.Millisecond
 )
 
-// cluster runs nodes in virtual time over a network without delay.
+// cluster runs nodes in simulated time over a network without delay.
 type cluster struct {
 	t       *testing.T
 	now     time.Duration
 	nodes   map[ID]*Node
-	disks   map[ID]*Config // what each node's Readies asked to persist
+	disks   map[ID]*Config // the configuration of each node with its persisted state
 	applied map[ID][]Entry
-	frozen  map[ID]bool         // neither ticked nor reached by messages
-	drop    func(Message) bool  // reports which messages are lost
-	sent    map[MessageKind]int // lost ones included
+	frozen  map[ID]bool         // nodes that are not ticked and receive no messages
+	drop    func(Message) bool  // reports whether a message is lost
+	sent    map[MessageKind]int // number of messages sent, including lost ones
 }
 
 func membersOf(ids ...ID) Membership {
@@ -45,7 +45,7 @@
 	return c
 }
 
-// newSeededCluster is newCluster with election timeouts that depend on the seed.
+// newSeededCluster is like newCluster, with election timeouts that depend on the seed.
 func newSeededCluster(t *testing.T, seed uint64, ids ...ID) *cluster {
 	t.Helper()
 	c := newCluster(t, ids...)
@@ -59,7 +59,7 @@
 func (c *cluster) add(id ID, snapshot Snapshot) {
 	c.t.Helper()
 	c.disks[id] = &Config{
-		ID: id, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
+		ID: id, ElectionTimeout: testElectionTimeout, HeartbeatInterval: testHeartbeatInterval,
 		Seed: 7, HardState: HardState{Term: snapshot.Term}, Snapshot: snapshot, MaxInflight: 8,
 	}
 	c.restart(id)
@@ -85,12 +85,12 @@
 	return ids
 }
 
-// deliverAll delivers until nothing is left to do.
+// deliverAll processes Readies and delivers messages until no node has work left.
 func (c *cluster) deliverAll() {
 	c.t.Helper()
 	for round := 0; ; round++ {
 		if round > 10_000 {
-			c.t.Fatal("the group does not come to rest")
+			c.t.Fatal("the nodes still have work after 10000 rounds of delivery")
 		}
 		var messages []Message
 		for _, id := range c.ids() {
@@ -116,6 +116,7 @@
 	return false
 }
 
+// drive processes one Ready of a node and returns the messages to send.
 func (c *cluster) drive(id ID) []Message {
 	node, disk := c.nodes[id], c.disks[id]
 	ready := node.Ready()
@@ -143,7 +144,7 @@
 		return
 	}
 	if err := node.Step(c.now, message); err != nil {
-		c.t.Fatalf("step %+v: %v", message, err)
+		c.t.Fatalf("Step(%+v): %v", message, err)
 	}
 }
 
@@ -160,7 +161,8 @@
 	}
 }
 
-// leader runs until the running nodes agree on one, and returns it.
+// leader runs the cluster until it has a leader that has committed its whole log, and
+// returns that leader.
 func (c *cluster) leader() *Node {
 	c.t.Helper()
 	for range 2000 {
@@ -176,7 +178,7 @@
 			return newest
 		}
 	}
-	c.t.Fatal("no leader")
+	c.t.Fatal("no leader was elected")
 	return nil
 }
 
@@ -189,7 +191,7 @@
 	return index
 }
 
-// appliedTexts lists what a node's state machine was given.
+// appliedTexts returns the data of the normal entries that a node has applied.
 func (c *cluster) appliedTexts(id ID) []string {
 	var texts []string
 	for _, entry := range c.applied[id] {
@@ -200,21 +202,22 @@
 	return texts
 }
 
-func (c *cluster) other(than ...ID) *Node {
+// other returns the first node that is not excluded.
+func (c *cluster) other(excluded ...ID) *Node {
 	for _, id := range c.ids() {
-		if !slices.Contains(than, id) {
+		if !slices.Contains(excluded, id) {
 			return c.nodes[id]
 		}
 	}
 	return nil
 }
 
-// isolate drops the messages from and to a node.
+// isolate drops all messages from and to a node.
 func (c *cluster) isolate(id ID) {
 	c.drop = func(message Message) bool { return message.From == id || message.To == id }
 }
 
-// partition drops the messages between two sets of nodes.
+// partition drops all messages between two sets of nodes.
 func (c *cluster) partition(left, right []ID) {
 	c.drop = func(message Message) bool {
 		return slices.Contains(left, message.From) && slices.Contains(right, message.To) ||
--- a/consensus/config.go
+++ b/consensus/config.go
@@ -9,36 +9,38 @@
 	defaultMaxInflight       = 64
 )
 
-// Config configures a Node. Times are monotonic and counted from any fixed start.
+// Config configures a Node.
 type Config struct {
-	// ID is the member's own identity. It is required.
+	// ID is the identity of this member. It is required.
 	ID ID
-	// ElectionTimeout is the least time without contact to a leader before an
-	// election; the actual one is drawn from [ElectionTimeout, 2*ElectionTimeout).
-	// Default 600 ms.
+	// ElectionTimeout is the minimum time without a message from a leader after which
+	// a member starts an election. The actual timeout is drawn at random from
+	// [ElectionTimeout, 2*ElectionTimeout). Default 600 ms.
 	ElectionTimeout time.Duration
-	// StartupTimeout, if set, replaces ElectionTimeout at a member that is restored
-	// from its disk, until it has contact to a leader: if there is one, the other
-	// members refuse the pre-vote, and if there is none, waiting helps nobody. The
-	// actual time is drawn from [StartupTimeout, 4*StartupTimeout). Default 0: unset.
+	// StartupTimeout, if set, is used in place of ElectionTimeout by a member restored
+	// from disk, until it receives a message from a leader. It may be shorter: if there
+	// is a leader, the other members refuse the pre-vote, and if there is none, a longer
+	// wait only delays the election. The actual timeout is drawn at random from
+	// [StartupTimeout, 4*StartupTimeout). Default 0: ElectionTimeout applies.
 	StartupTimeout time.Duration
-	// HeartbeatInterval is the time between two heartbeat rounds of a leader.
+	// HeartbeatInterval is the time between a leader's heartbeat rounds.
 	// Default 100 ms.
 	HeartbeatInterval time.Duration
-	// MaxAppendBytes bounds the entries of one message. Default 256 KiB.
+	// MaxAppendBytes limits the size of the entries in one append message. Default
+	// 256 KiB.
 	MaxAppendBytes int
-	// MaxInflight bounds the appends in flight to one member. Default 64.
+	// MaxInflight limits the unacknowledged appends to one member. Default 64.
 	MaxInflight int
-	// Seed seeds the random part of the election timeouts.
+	// Seed seeds the random number generator that draws the election timeouts.
 	Seed uint64
 
-	// HardState, Snapshot and Entries are restored from the disk; all are zero on a
-	// first start.
+	// HardState, Snapshot and Entries are the member's state as read from disk; all are
+	// zero on the first start.
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
-	// Applied is the highest index that the restored state machine has applied: that
-	// of its snapshot, or 0.
+	// Applied is the highest index that the restored state machine has applied: the
+	// index of its snapshot, or 0 without one.
 	Applied uint64
 }
 
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -1,25 +1,29 @@
-// Package consensus implements Raft (Ongaro and Ousterhout, 2014) as a pure step
-// machine, in the manner of etcd's raft. Messages, proposals and the time go in;
-// batches of "persist, then send, then apply" come out, see Ready. A Node does no
-// I/O, starts no goroutine and reads no clock, so a seeded simulation replays it.
+// Package consensus implements Raft (Ongaro and Ousterhout, 2014) as a
+// deterministic state machine, in the manner of etcd's raft. Its inputs are
+// messages, proposals and the current time; its output is a batch of state to
+// persist, messages to send and entries to apply, see Ready. A Node does no I/O,
+// starts no goroutine and reads no clock, so a simulation with a fixed seed is
+// reproducible. All times are durations on a monotonic clock whose origin is
+// arbitrary but fixed for each Node.
 //
-// Beyond the paper's core it has pre-vote, check quorum, leadership transfer,
-// learners, membership changes of one member at a time, and the quorum contact
-// (Node.QuorumContact), on which leases rest.
+// Beyond the core of the paper it has pre-vote, check quorum, leadership transfer,
+// learners, membership changes of one member at a time, and Node.QuorumContact,
+// the time at which a quorum last confirmed the leader. Leases depend on it.
 package consensus
 
-// ID is the random identity of a member's disk. A wiped disk gets a new one, so
-// that a member that has lost its vote and log is never taken for the old one.
+// ID is the random identity of a member's disk. A wiped disk gets a new ID, so that
+// a member that has lost its vote and log is never mistaken for its predecessor.
 type ID string
 
 // None is the ID of no member.
 const None ID = ""
 
-// EntryKind says what the data of an Entry is. The numbers are stored and sent.
+// EntryKind determines how the data of an Entry is interpreted. The numbers are
+// stored and sent.
 type EntryKind uint8
 
 const (
-	// EntryNormal is an entry whose data belongs to the state machine.
+	// EntryNormal is an entry whose data is a command for the state machine.
 	EntryNormal EntryKind = 0
 	// EntryMembership is an entry whose data is an encoded Membership.
 	EntryMembership EntryKind = 1
@@ -35,8 +39,8 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is the part of a member's state that must be on its disk before any
-// message that depends on it is sent. Its CBOR form is stored.
+// HardState is the part of a member's state that must be on disk before any message
+// that depends on it is sent. Its CBOR form is stored.
 type HardState struct {
 	Term   uint64 `cbor:"1,keyasint"`
 	Vote   ID     `cbor:"2,keyasint,omitempty"` // None if no vote was given in Term
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -22,11 +22,11 @@
 	c.deliverAll()
 	for _, id := range c.ids() {
 		if difference := cmp.Diff(want, c.appliedTexts(id)); difference != "" {
-			t.Errorf("%s: %s", id, difference)
+			t.Errorf("entries applied by %s (-want +got):\n%s", id, difference)
 		}
 	}
 	if batched := c.sent[MessageAppend] - appends; batched > 10 {
-		t.Errorf("100 proposals of one instant took %d appends", batched)
+		t.Errorf("100 proposals made at the same time were sent in %d appends, want at most 10", batched)
 	}
 }
 
@@ -36,22 +36,22 @@
 	index := c.propose(leader, "alone")
 	c.deliverAll()
 	if leader.Status().Applied != index {
-		t.Fatalf("applied %d, want %d", leader.Status().Applied, index)
+		t.Fatalf("applied index %d, want %d", leader.Status().Applied, index)
 	}
-	if contact, known := leader.QuorumContact(); !known || c.now-contact > testHeartbeat {
-		t.Fatalf("contact %v, %v at %v", contact, known, c.now)
+	if contact, known := leader.QuorumContact(); !known || c.now-contact > testHeartbeatInterval {
+		t.Fatalf("quorum contact %v (known: %v) at %v, want at most one heartbeat interval earlier", contact, known, c.now)
 	}
 }
 
-// TestOlderTermIsNotCommittedByCounting is figure 8 of the Raft paper: every
-// member holds an entry of an older term, and the new leader knows it.
-// The same scenario with the rule switched off shows that it would be seen.
+// TestOlderTermIsNotCommittedByCounting is figure 8 of the Raft paper: every member has
+// an entry of an older term, and the new leader knows it, but must not commit it by
+// counting replicas. With the rule disabled, the same scenario must commit the entry.
 func TestOlderTermIsNotCommittedByCounting(t *testing.T) {
 	if commit, index := commitOfOlderTerm(t, defect.Set{}); commit >= index {
-		t.Errorf("index %d of an older term was committed by counting", index)
+		t.Errorf("entry %d of an older term was committed by counting replicas", index)
 	}
 	if commit, index := commitOfOlderTerm(t, defect.Of(defect.CommitOlderTerm)); commit < index {
-		t.Error("the scenario does not show the planted defect")
+		t.Error("the scenario does not detect the planted defect")
 	}
 }
 
@@ -69,14 +69,14 @@
 	node.campaign(true)
 	c.deliverAll()
 	if node.role != Leader {
-		t.Fatal("the member with the longest log lost the election")
+		t.Fatal("the member with the longest log was not elected")
 	}
 	for _, id := range c.ids() {
 		if id == old {
 			continue
 		}
 		if !c.nodes[id].log.matches(index, node.term-1) {
-			t.Fatalf("%s does not hold the entry", id)
+			t.Fatalf("member %s does not have the entry", id)
 		}
 		reply := Message{Kind: MessageAppendReply, From: id, To: old, Term: node.term, Index: index}
 		if err := node.Step(c.now, reply); err != nil {
@@ -87,7 +87,7 @@
 	c.heal()
 	c.run(time.Second)
 	if c.leader().commit <= index {
-		t.Fatal("the entry was never committed by one of a newer term")
+		t.Fatal("the entry was not committed along with an entry of a newer term")
 	}
 	return commit, index
 }
@@ -96,17 +96,17 @@
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	term := leader.term
-	away := c.other(leader.config.ID)
-	c.isolate(away.config.ID)
+	returning := c.other(leader.config.ID)
+	c.isolate(returning.config.ID)
 	c.run(10 * time.Second)
 	c.heal()
 	c.run(2 * time.Second)
-	if leader.role != Leader || leader.term != term || away.leader != leader.config.ID {
-		t.Fatalf("leader %v in term %d, was term %d; returned member follows %q", leader.role, leader.term, term, away.leader)
+	if leader.role != Leader || leader.term != term || returning.leader != leader.config.ID {
+		t.Fatalf("the leader has role %v in term %d, want Leader in term %d; the returned member follows %q", leader.role, leader.term, term, returning.leader)
 	}
 }
 
-func TestOneWayPartitionDoesNotElect(t *testing.T) {
+func TestOneWayPartitionDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	term := leader.term
@@ -114,36 +114,37 @@
 	c.drop = func(message Message) bool { return message.To == follower && message.From == leader.config.ID }
 	c.run(10 * time.Second)
 	if leader.role != Leader || leader.term != term {
-		t.Fatalf("a follower without heartbeats deposed the leader: %v in term %d", leader.role, leader.term)
+		t.Fatalf("a follower without heartbeats deposed the leader: its role is %v in term %d", leader.role, leader.term)
 	}
 }
 
-// TestLeaderThatCannotSendStepsDown drops all messages from a leader: the others
-// replace it, and it steps down by itself within an election timeout.
+// TestLeaderThatCannotSendStepsDown drops all messages from a leader: the others must
+// elect a successor, and the leader must step down on its own after an election timeout.
 func TestLeaderThatCannotSendStepsDown(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
 	term := old.term
 	c.drop = func(message Message) bool { return message.From == old.config.ID }
-	c.run(testElection + 2*testHeartbeat)
+	c.run(testElectionTimeout + 2*testHeartbeatInterval)
 	if old.role == Leader {
-		t.Fatal("a leader without a majority still leads")
+		t.Fatal("a leader without a quorum did not step down")
 	}
 	if _, _, err := old.Propose(c.now, nil); !errors.Is(err, ErrNotLeader) {
-		t.Fatalf("it took a proposal: %v", err)
+		t.Fatalf("Propose at the former leader returned %v, want ErrNotLeader", err)
 	}
 	if successor := c.leader(); successor == old || successor.term <= term {
-		t.Fatal("no successor")
+		t.Fatal("no successor was elected")
 	}
 }
 
-// TestFrozenLeaderGainsNoQuorumContact freezes a leader, elects a successor, and
-// delivers replies that waited in the old one's buffers: none renews its quorum contact.
+// TestFrozenLeaderGainsNoQuorumContact freezes a leader until a successor is elected, and
+// then delivers the replies that were buffered for it: they must not advance its quorum
+// contact.
 func TestFrozenLeaderGainsNoQuorumContact(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
 	var buffered []Message
-	c.now += testHeartbeat
+	c.now += testHeartbeatInterval
 	old.Tick(c.now)
 	for _, message := range c.drive(old.config.ID) {
 		if err := c.nodes[message.To].Step(c.now, message); err != nil {
@@ -166,20 +167,20 @@
 	}
 	contact, known := old.QuorumContact()
 	if !known || contact > frozenAt {
-		t.Fatalf("contact %v (%v) after a freeze at %v", contact, known, frozenAt)
+		t.Fatalf("quorum contact %v (known: %v), want one no later than the freeze at %v", contact, known, frozenAt)
 	}
-	if _, _, err := old.Propose(c.now, []byte("beside the successor")); !errors.Is(err, ErrNotLeader) {
-		t.Fatalf("thawed leader took a proposal: %v", err)
+	if _, _, err := old.Propose(c.now, []byte("proposed at the former leader")); !errors.Is(err, ErrNotLeader) {
+		t.Fatalf("Propose at the thawed leader returned %v, want ErrNotLeader", err)
 	}
 	c.frozen[old.config.ID] = false
 	c.run(time.Second)
 	if old.role == Leader || old.leader != successor.config.ID {
-		t.Fatalf("thawed leader is %v and follows %q", old.role, old.leader)
+		t.Fatalf("the thawed leader has role %v and follows %q, want a follower of its successor", old.role, old.leader)
 	}
 }
 
-// TestRejectHintSkipsTerms leaves a deposed leader with a long tail of uncommitted
-// entries, and counts the rejections until the logs match.
+// TestRejectHintSkipsTerms gives a deposed leader many uncommitted entries at the end of
+// its log, and checks that few appends are rejected until the logs match.
 func TestRejectHintSkipsTerms(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	old := c.leader()
@@ -212,15 +213,15 @@
 		t.Fatal(difference)
 	}
 	if rejections == 0 || rejections > 6 {
-		t.Fatalf("%d rejections until the logs matched", rejections)
+		t.Fatalf("%d rejections until the logs matched, want 1 to 6", rejections)
 	}
 }
 
-func TestLaggingMemberIsSentSnapshotOnce(t *testing.T) {
+func TestLaggingMemberReceivesSnapshot(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
-	away := c.other(leader.config.ID).config.ID
-	c.isolate(away)
+	lagging := c.other(leader.config.ID).config.ID
+	c.isolate(lagging)
 	var last uint64
 	for _, text := range numbered("update", 50) {
 		last = c.propose(leader, text)
@@ -231,30 +232,30 @@
 		t.Fatal(err)
 	}
 	if from := FirstRetainedIndex(snapshot, 5); leader.log.boundaryIndex != from-1 || from != last-4 {
-		t.Fatalf("log begins after %d, keep from %d, last %d", leader.log.boundaryIndex, from, last)
+		t.Fatalf("the log begins after index %d and FirstRetainedIndex is %d, last index %d", leader.log.boundaryIndex, from, last)
 	}
 	if _, err := leader.Compact(last, nil, 5); !errors.Is(err, ErrCompacted) {
-		t.Fatalf("compacting twice: %v", err)
+		t.Fatalf("second Compact returned %v, want ErrCompacted", err)
 	}
-	c.drop = func(message Message) bool { return message.To == away && message.Kind == MessageSnapshot }
+	c.drop = func(message Message) bool { return message.To == lagging && message.Kind == MessageSnapshot }
 	c.run(3 * time.Second)
 	if sent := c.sent[MessageSnapshot]; sent > 3 {
-		t.Fatalf("a lost snapshot was sent %d times in 3 s", sent)
+		t.Fatalf("a lost snapshot was sent %d times in 3 s, want at most 3", sent)
 	}
 	c.heal()
 	c.run(4 * time.Second)
-	if got := c.nodes[away].Status().Applied; got != last {
-		t.Fatalf("applied %d, want %d", got, last)
+	if got := c.nodes[lagging].Status().Applied; got != last {
+		t.Fatalf("applied index %d, want %d", got, last)
 	}
 	c.propose(leader, "after")
 	c.deliverAll()
-	if difference := cmp.Diff([]string{"after"}, c.appliedTexts(away)); difference != "" {
+	if difference := cmp.Diff([]string{"after"}, c.appliedTexts(lagging)); difference != "" {
 		t.Fatal(difference)
 	}
-	c.restart(away)
+	c.restart(lagging)
 	c.run(time.Second)
-	if c.nodes[away].Status().Applied != last+1 {
-		t.Fatal("a restart lost the snapshot")
+	if c.nodes[lagging].Status().Applied != last+1 {
+		t.Fatal("the restarted member has not applied the last entry")
 	}
 }
 
@@ -280,15 +281,15 @@
 		{"duplicate member", leader, duplicate, ErrMembershipInvalid},
 		{"no members", leader, Membership{}, ErrMembershipInvalid},
 		{"one member added", leader, oneAdded, nil},
-		{"another one while that is pending", leader, twoAdded, ErrMembershipPending},
+		{"another change while the first is pending", leader, twoAdded, ErrMembershipPending},
 	}
 	for _, step := range steps {
 		if _, _, err := step.node.ProposeMembership(c.now, step.membership); !errors.Is(err, step.want) {
-			t.Errorf("%s: %v, want %v", step.name, err, step.want)
+			t.Errorf("%s: ProposeMembership returned %v, want %v", step.name, err, step.want)
 		}
 	}
 	if !leader.membership().contains("d") {
-		t.Error("a change must be in effect as soon as it is appended")
+		t.Error("the membership change is not in effect although it is appended")
 	}
 	fresh := newCluster(t, "a", "b", "c")
 	fresh.drop = func(message Message) bool { return message.Kind == MessageAppendReply }
@@ -297,12 +298,12 @@
 		fresh.deliverAll()
 	}
 	if _, _, err := fresh.nodes["a"].ProposeMembership(fresh.now, oneAdded); !errors.Is(err, ErrMembershipPending) {
-		t.Errorf("a leader that has committed nothing of its term proposed a change: %v", err)
+		t.Errorf("leader without a committed entry of its term: ProposeMembership returned %v, want ErrMembershipPending", err)
 	}
 }
 
-// TestReplaceEveryMember replaces all three voters one after another, the leader
-// included, and reads every entry back from the new ones.
+// TestReplaceEveryMember replaces all three voters one after another, including the
+// leader, and checks that the new members have applied every entry.
 func TestReplaceEveryMember(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	var want []string
@@ -312,10 +313,10 @@
 		want = append(want, text)
 		c.propose(leader, text)
 		c.deliverAll()
-		newcomer := Member{ID: pair[1], Name: "node-" + string(pair[1]), Learner: true}
+		learner := Member{ID: pair[1], Name: "node-" + string(pair[1]), Learner: true}
 		c.add(pair[1], Snapshot{})
 		c.change(func(m Membership) Membership {
-			m.Members = append(m.Members, newcomer)
+			m.Members = append(m.Members, learner)
 			return m
 		})
 		c.change(func(m Membership) Membership {
@@ -324,7 +325,7 @@
 		})
 		c.run(3 * time.Second)
 		if c.nodes[pair[0]].role == Leader {
-			t.Fatalf("removed %s still leads", pair[0])
+			t.Fatalf("removed member %s still leads", pair[0])
 		}
 		delete(c.nodes, pair[0])
 		c.change(func(m Membership) Membership {
@@ -337,15 +338,16 @@
 	c.run(time.Second)
 	for _, id := range []ID{"d", "e", "f"} {
 		if got := c.appliedTexts(id); !slices.Equal(got, want) {
-			t.Errorf("%s holds %v, want %v", id, got, want)
+			t.Errorf("%s applied %v, want %v", id, got, want)
 		}
 	}
 	if voters := c.leader().Status().Membership.Voters(); len(voters) != 3 {
-		t.Fatalf("%d voters", len(voters))
+		t.Fatalf("the group has %d voters, want 3", len(voters))
 	}
 }
 
-// change proposes a membership at the leader and waits for its commit.
+// change proposes an edited membership at the leader and runs the cluster for a second,
+// in which the membership is committed.
 func (c *cluster) change(edit func(Membership) Membership) {
 	c.t.Helper()
 	leader := c.leader()
@@ -368,12 +370,12 @@
 	index := c.propose(leader, "needs the other voter")
 	c.deliverAll()
 	if leader.commit >= index || c.nodes["d"].log.lastIndex() < index {
-		t.Fatalf("commit %d, learner at %d, entry %d", leader.commit, c.nodes["d"].log.lastIndex(), index)
+		t.Fatalf("commit index %d, last index of the learner %d, want the learner to have entry %d and the entry uncommitted", leader.commit, c.nodes["d"].log.lastIndex(), index)
 	}
 	c.frozen[leader.config.ID] = true
 	c.run(5 * time.Second)
 	if c.nodes["d"].role != Follower || c.nodes["d"].term != leader.term {
-		t.Fatal("a learner campaigned")
+		t.Fatal("the learner started an election")
 	}
 }
 
@@ -382,20 +384,20 @@
 	old := c.leader()
 	next := c.other(old.config.ID)
 	if err := old.TransferLeadership(c.now, "nobody"); !errors.Is(err, ErrNotVoter) {
-		t.Fatalf("transfer to a node outside of the group: %v", err)
+		t.Fatalf("transfer to a node outside the group returned %v, want ErrNotVoter", err)
 	}
 	if err := old.TransferLeadership(c.now, next.config.ID); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := old.Propose(c.now, nil); !errors.Is(err, ErrLeadershipTransfer) {
-		t.Fatalf("proposal during a transfer: %v", err)
+		t.Fatalf("Propose during a transfer returned %v, want ErrLeadershipTransfer", err)
 	}
 	c.deliverAll()
 	if next.role != Leader || old.role != Follower {
-		t.Fatalf("successor is %v, predecessor %v", next.role, old.role)
+		t.Fatalf("the target has role %v and the former leader %v, want Leader and Follower", next.role, old.role)
 	}
 	if _, known := old.QuorumContact(); known {
-		t.Fatal("the predecessor reports a contact")
+		t.Fatal("the former leader still reports a quorum contact")
 	}
 }
 
@@ -407,11 +409,11 @@
 	if err := leader.TransferLeadership(c.now, target); err != nil {
 		t.Fatal(err)
 	}
-	c.run(testElection + testHeartbeat)
-	index := c.propose(leader, "after the transfer was given up")
+	c.run(testElectionTimeout + testHeartbeatInterval)
+	index := c.propose(leader, "after the transfer timed out")
 	c.deliverAll()
 	if leader.commit != index {
-		t.Fatalf("commit %d, want %d", leader.commit, index)
+		t.Fatalf("commit index %d, want %d", leader.commit, index)
 	}
 }
 
@@ -419,11 +421,11 @@
 	c := newCluster(t, "a", "b", "c")
 	err := c.nodes["a"].Step(0, Message{Kind: MessageVote, From: "b", To: "wiped", Term: 9})
 	if !errors.Is(err, ErrMisaddressed) || c.nodes["a"].term != 1 {
-		t.Fatalf("got %v, term %d", err, c.nodes["a"].term)
+		t.Fatalf("Step returned %v, want ErrMisaddressed; term %d, want 1", err, c.nodes["a"].term)
 	}
 	bad := Message{Kind: MessageAppend, From: "b", To: "a", Term: 9, Index: 1, LogTerm: 1, Entries: entriesOf(5, 6)}
 	if err := c.nodes["a"].Step(0, bad); !errors.Is(err, ErrMalformed) {
-		t.Fatalf("a gap in an append: %v", err)
+		t.Fatalf("append with a gap between entries: Step returned %v, want ErrMalformed", err)
 	}
 }
 
@@ -435,8 +437,8 @@
 	return entries
 }
 
-// TestRestoreSnapshotWithoutHardState restarts a member that lost power between the
-// writes of the snapshot and the hard state: its term must not be below its log's.
+// TestRestoreSnapshotWithoutHardState restores a member that crashed between writing the
+// snapshot and writing the hard state: its term must not be lower than the snapshot's.
 func TestRestoreSnapshotWithoutHardState(t *testing.T) {
 	node, err := New(Config{
 		ID:        "a",
@@ -447,9 +449,9 @@
 		t.Fatal(err)
 	}
 	if status := node.Status(); status.Term != 5 || status.Commit != 9 || node.vote != None {
-		t.Fatalf("term %d, commit %d, vote %q", status.Term, status.Commit, node.vote)
+		t.Fatalf("term %d, commit index %d, vote %q, want 5, 9 and no vote", status.Term, status.Commit, node.vote)
 	}
 	if _, err := New(Config{ID: "a", Entries: entriesOf(1, 3)}); !errors.Is(err, ErrInvalidConfig) {
-		t.Fatalf("a gap in the log: %v", err)
+		t.Fatalf("log with a gap: New returned %v, want ErrInvalidConfig", err)
 	}
 }
--- a/consensus/defects.go
+++ b/consensus/defects.go
@@ -10,8 +10,8 @@
 	defectContactFromArrival = defect.ContactFromArrival
 )
 
-// InjectDefects switches deliberate faults on, for the simulation that proves that
-// its checks find them. A non-empty set cannot be made outside of this module.
+// InjectDefects enables deliberate faults. A simulation uses it to verify that its
+// checks detect them. Code outside this module cannot construct a non-empty set.
 func (n *Node) InjectDefects(defects defect.Set) {
 	n.defects = defects
 }
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -3,38 +3,39 @@
 import "time"
 
 // Elections. Invariants:
-//   - a member gives one vote a term, and only to a candidate whose log is at least as
-//     up-to-date as its own; so there are never two leaders of one term, nor a leader
-//     that lacks a committed entry
-//   - a pre-vote changes nothing at its receiver, so a member that was frozen or
-//     partitioned does not disturb the group when it returns
-//   - a member that has had contact to its leader within ElectionTimeout supports no
+//   - a member grants at most one vote per term, and only to a candidate whose log is
+//     at least as up-to-date as its own; so no term has two leaders, and no leader
+//     lacks a committed entry
+//   - a pre-vote changes no state at its receiver, so a member that was frozen or
+//     partitioned does not disrupt the group when it returns
+//   - a member that has heard from its leader within ElectionTimeout supports no
 //     election, unless the leader itself requested it
-//   - a member that has just given its vote neither starts nor supports another
-//     election until the winner's first message can have arrived
+//   - a member that has just granted its vote neither starts nor supports another
+//     election until the winner's first message has had time to arrive
 
 const (
 	// startupSpread is the width of the range from which the first election timeout
-	// after a start is drawn, in StartupTimeouts.
+	// after a start is drawn, as a multiple of StartupTimeout.
 	startupSpread = 3
-	// voteHoldOffDivisor divides ElectionTimeout into the time for which a member that
-	// has given its vote supports no other candidate.
+	// voteHoldOffDivisor determines how long a member that has granted its vote supports
+	// no other candidate: ElectionTimeout divided by voteHoldOffDivisor.
 	voteHoldOffDivisor = 2
 )
 
 func (n *Node) resetElectionDeadline() {
-	least := n.config.ElectionTimeout
-	spread := least
+	minimum := n.config.ElectionTimeout
+	spread := minimum
 	if n.awaitingFirstLeader && n.config.StartupTimeout > 0 {
-		// A wide spread, or members that start together would keep splitting the vote.
-		least = n.config.StartupTimeout
-		spread = startupSpread * least
+		// With a narrow range, members that start together would split the vote repeatedly.
+		minimum = n.config.StartupTimeout
+		spread = startupSpread * minimum
 	}
-	n.electionDeadline = n.now + least + time.Duration(n.random.Int64N(int64(spread)))
+	n.electionDeadline = n.now + minimum + time.Duration(n.random.Int64N(int64(spread)))
 }
 
-// tickElection starts an election at the deadline. In one that is in progress it asks
-// the voters again that have not replied: they may have been started since.
+// tickElection starts an election at the election deadline. While an election is in
+// progress, it periodically repeats the request to the voters that have not replied:
+// they may not have been running when the last one was sent.
 func (n *Node) tickElection() {
 	if n.now >= n.electionDeadline {
 		n.handleElectionTimeout()
@@ -60,8 +61,8 @@
 	n.preCampaign()
 }
 
-// preCampaign asks the voters whether an election could be won (Raft thesis, section
-// 9.6), without a new term that would depose a leader.
+// preCampaign asks the voters whether this member could win an election (Raft thesis,
+// section 9.6). It does not increment the term, which would depose a current leader.
 func (n *Node) preCampaign() {
 	n.role = PreCandidate
 	n.leader = None
@@ -70,7 +71,8 @@
 	n.tallyVotes()
 }
 
-// campaign starts an election in a new term.
+// campaign starts an election in a new term. transfer is true if the leader requested
+// the election.
 func (n *Node) campaign(transfer bool) {
 	n.role = Candidate
 	n.leader = None
@@ -106,10 +108,10 @@
 }
 
 // handlePreVote replies whether this member would grant its vote in the message's term.
-// It does not reply to a candidate whose election it must not support at present, which
-// therefore asks again instead of counting a rejection.
+// It does not reply while it must not support another election: the candidate then
+// repeats its request instead of counting a rejection.
 func (n *Node) handlePreVote(message Message) {
-	if n.hasCurrentLeader() && !message.LeadershipTransfer || n.holdsOff(message.From) {
+	if n.hasCurrentLeader() && !message.LeadershipTransfer || n.inVoteHoldOff(message.From) {
 		return
 	}
 	granted := message.Term > n.term && n.candidateLogUpToDate(message)
@@ -122,10 +124,11 @@
 }
 
 // handleVote grants this member's vote of the term to the first candidate whose log is
-// up-to-date, and grants it again if the reply was lost.
+// up-to-date. A repeated request of that candidate is granted again, since the reply may
+// have been lost.
 func (n *Node) handleVote(message Message) {
-	free := n.vote == None && n.leader == None || n.vote == message.From
-	granted := free && n.candidateLogUpToDate(message)
+	canVote := n.vote == None && n.leader == None || n.vote == message.From
+	granted := canVote && n.candidateLogUpToDate(message)
 	if granted {
 		n.vote = message.From
 		n.startVoteHoldOff()
@@ -133,8 +136,8 @@
 	n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: !granted})
 }
 
-// hasCurrentLeader reports whether this member leads, or had contact to its leader
-// within ElectionTimeout. A leader that has lost its quorum steps down first.
+// hasCurrentLeader reports whether this member leads, or has heard from its leader
+// within ElectionTimeout. If it leads but has lost its quorum, it steps down first.
 func (n *Node) hasCurrentLeader() bool {
 	if n.role == Leader {
 		n.checkQuorum()
@@ -143,17 +146,17 @@
 	return n.leader != None && n.now-n.lastLeaderContact < n.config.ElectionTimeout
 }
 
-// startVoteHoldOff is called when this member gives its vote. Until the candidate's
-// first message as a leader can have arrived, another election would depose the winner
-// for nothing.
+// startVoteHoldOff is called when this member grants its vote. Until the candidate's
+// first message as leader has had time to arrive, another election could only depose a
+// working leader.
 func (n *Node) startVoteHoldOff() {
 	n.voteHoldOffEnd = n.now + n.config.ElectionTimeout/voteHoldOffDivisor
 	n.resetElectionDeadline()
 	n.electionDeadline = max(n.electionDeadline, n.voteHoldOffEnd)
 }
 
-// holdsOff reports whether this member has just voted for somebody else than candidate.
-func (n *Node) holdsOff(candidate ID) bool {
+// inVoteHoldOff reports whether this member has just voted for a member other than candidate.
+func (n *Node) inVoteHoldOff(candidate ID) bool {
 	return n.now < n.voteHoldOffEnd && n.vote != candidate
 }
 
@@ -166,8 +169,8 @@
 	return n.log.isUpToDate(message.Index, message.LogTerm)
 }
 
-// handleVoteReply counts a reply to the present pre-vote or election. A grant of an
-// earlier pre-vote is told apart by the term that it is for.
+// handleVoteReply counts a reply to the current pre-vote or election. A grant for an
+// earlier pre-vote is recognized by its term and ignored.
 func (n *Node) handleVoteReply(message Message) {
 	expected := Candidate
 	if message.Kind == MessagePreVoteReply {
@@ -207,7 +210,8 @@
 	}
 }
 
-// becomeFollower ends whatever role the member has. In a newer term it has no vote yet.
+// becomeFollower makes the member a follower, whatever its role was. If term is newer
+// than the member's, the member has not voted in it yet.
 func (n *Node) becomeFollower(term uint64, leader ID) {
 	if term > n.term {
 		n.term = term
@@ -220,7 +224,7 @@
 	n.resetElectionDeadline()
 }
 
-// recordLeaderContact records a message of the present term's leader.
+// recordLeaderContact records that a message from the current term's leader arrived.
 func (n *Node) recordLeaderContact(leader ID) {
 	if n.role != Follower || n.leader != leader {
 		n.becomeFollower(n.term, leader)
--- a/consensus/election_test.go
+++ b/consensus/election_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestVotersThatStartLaterAreAskedAgain: of members that restart together after a loss
-// of power, later ones miss the first vote request of the earliest; that must not cost
-// another election timeout.
-func TestVotersThatStartLaterAreAskedAgain(t *testing.T) {
+// TestVoteRequestIsRepeated drops the first vote requests. When all members restart
+// together, for example after a power failure, those that start later miss the first
+// requests; this must not delay the election by another election timeout.
+func TestVoteRequestIsRepeated(t *testing.T) {
 	requests := map[string]MessageKind{"pre-vote": MessagePreVote, "vote": MessageVote}
 	for name, lost := range requests {
 		t.Run(name, func(t *testing.T) {
@@ -22,19 +22,19 @@
 				c.run(testStep)
 			}
 			c.drop = func(Message) bool { return false }
-			c.run(2 * testHeartbeat)
+			c.run(2 * testHeartbeatInterval)
 			for _, id := range c.ids() {
 				if c.nodes[id].role == Leader {
 					return
 				}
 			}
-			t.Error("no leader two heartbeats after the voters could be reached")
+			t.Error("no leader two heartbeat intervals after the requests were no longer dropped")
 		})
 	}
 }
 
-// TestRepeatedVoteRequestGetsTheSameVote loses the vote replies, so that the voter is
-// asked again: it must give the same vote.
+// TestRepeatedVoteRequestGetsTheSameVote drops the vote replies, so that the candidate
+// repeats its request: the voter must grant the same vote again.
 func TestRepeatedVoteRequestGetsTheSameVote(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.drop = func(message Message) bool {
@@ -48,7 +48,7 @@
 		}
 		return inner(message)
 	}
-	c.run(4 * testElection)
+	c.run(4 * testElectionTimeout)
 	terms := map[uint64]map[ID]bool{}
 	for _, id := range []ID{"a", "b"} {
 		node := c.nodes[id]
@@ -59,10 +59,10 @@
 	}
 	for term, votes := range terms {
 		if len(votes) > 1 {
-			t.Errorf("votes %v in term %d: the candidate and its voter must agree", votes, term)
+			t.Errorf("the candidate and the voter voted for different members in term %d: %v", term, votes)
 		}
 	}
 	if len(requests) == 0 {
-		t.Error("no vote was requested")
+		t.Error("no vote request was sent")
 	}
 }
--- a/consensus/example_test.go
+++ b/consensus/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// A group of one commits what it proposes as soon as the entry is on its disk.
+// A group with a single member commits a proposal as soon as the entry is on disk.
 func Example() {
 	group := consensus.Membership{Members: []consensus.Member{{ID: "disk-1", Name: "control-a"}}}
 	node, err := consensus.New(consensus.Config{
@@ -18,11 +18,11 @@
 		fmt.Println(err)
 		return
 	}
-	work := func() {
+	processReady := func() {
 		for node.HasReady() {
 			ready := node.Ready()
-			// Persist ready.HardState, ready.Snapshot and ready.Entries with a
-			// sync, then send ready.Messages, then apply.
+			// A real driver persists ready.HardState, ready.Snapshot and ready.Entries
+			// with a sync and then sends ready.Messages before it applies the entries.
 			for _, entry := range ready.CommittedEntries {
 				if entry.Kind == consensus.EntryNormal {
 					fmt.Printf("index %d: %s\n", entry.Index, entry.Data)
@@ -32,11 +32,11 @@
 		}
 	}
 	node.Tick(0)
-	node.Tick(2 * time.Second) // past every election timeout
-	work()
+	node.Tick(2 * time.Second) // longer than any election timeout
+	processReady()
 	if _, _, err := node.Propose(2*time.Second, []byte("change")); err != nil {
 		fmt.Println(err)
 	}
-	work()
+	processReady()
 	// Output: index 3: change
 }
--- a/consensus/golden_encoding_test.go
+++ b/consensus/golden_encoding_test.go
@@ -15,21 +15,21 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The golden files hold what this package's types look like on a disk and between
-// members. A later version must read and write the same bytes: the data folders of
-// older versions are opened by newer ones, and members of both run side by side
-// during a rolling update. New files are written with -update-golden; a change of an
-// existing line is a break of the format.
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew")
-
-// goldenCase is one value in its encoded form.
+// The golden files contain the encodings of this package's types as they are stored on
+// disk and sent between members. Later versions must read and write the same bytes:
+// newer versions open the data folders of older ones, and members of both versions run
+// side by side during a rolling update. Use -update-golden to write new files; a change
+// of an existing line breaks the format.
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files")
+
+// goldenCase is a value whose encoding is compared with a golden file.
 type goldenCase struct {
 	name   string
 	value  any
 	decode func(data []byte) (any, error)
 }
 
-// decodeAs decodes into a T as storage and peer do, with the default options.
+// decodeAs decodes into a T with the default options, as packages storage and peer do.
 func decodeAs[T any](data []byte) (any, error) {
 	var value T
 	err := cbor.Unmarshal(data, &value)
@@ -55,8 +55,8 @@
 	return data
 }
 
-// TestGoldenState covers what storage keeps of a member: log entries of each
-// kind, hard states, snapshots and memberships.
+// TestGoldenState covers the types that package storage writes to disk: log entries of
+// each kind, hard states, snapshots and memberships.
 func TestGoldenState(t *testing.T) {
 	checkGolden(t, "state.golden", []goldenCase{
 		stored("entry normal", Entry{Term: 3, Index: 17, Kind: EntryNormal, Data: []byte("change")}),
@@ -126,12 +126,12 @@
 	}
 	for kind := MessagePreVote; kind <= MessageTimeoutNow; kind++ {
 		if !covered[kind] {
-			t.Errorf("message kind %d has no golden form", kind)
+			t.Errorf("message kind %d has no golden encoding", kind)
 		}
 	}
 }
 
-// TestGoldenNumbers fixes the numbers of kinds that are stored and sent.
+// TestGoldenNumbers checks the numbers of the kinds that are stored and sent.
 func TestGoldenNumbers(t *testing.T) {
 	cases := []struct {
 		name string
@@ -159,8 +159,8 @@
 	}
 }
 
-// checkGolden compares a golden file with its cases, in both directions: the old
-// bytes decode to the value, and the value encodes to the old bytes.
+// checkGolden compares a golden file with its cases in both directions: the bytes in the
+// file must decode to the value, and the value must encode to these bytes.
 func checkGolden(t *testing.T, file string, cases []goldenCase) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -169,13 +169,13 @@
 	}
 	golden := readGolden(t, path)
 	if len(golden) != len(cases) {
-		t.Errorf("%s has %d values, want %d", path, len(golden), len(cases))
+		t.Errorf("%s contains %d values, want %d", path, len(golden), len(cases))
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			want, found := golden[c.name]
 			if !found {
-				t.Fatalf("%s has no value of this name", path)
+				t.Fatalf("%s contains no value with this name", path)
 			}
 			c.check(t, want)
 		})
@@ -200,7 +200,8 @@
 	}
 }
 
-// readGolden reads lines of a name, a colon and the encoded value in hexadecimal.
+// readGolden reads a golden file. Each line has a name, a colon and the encoded value in
+// hexadecimal.
 func readGolden(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	content, err := os.ReadFile(path)
--- a/consensus/heartbeat.go
+++ b/consensus/heartbeat.go
@@ -6,20 +6,22 @@
 	"github.com/deckpulley/deckpulley/internal/planted"
 )
 
-// Heartbeat rounds. A leader numbers its heartbeats; appends carry the newest number,
-// and replies echo it. A member that echoes a round was in the leader's term at some
-// time after the round was sent, and had not voted in a later one. Once a quorum has
-// echoed, no successor can have been elected before the round's send time.
+// Heartbeat rounds. A leader numbers its heartbeat rounds. Heartbeats and appends carry
+// the newest number, and replies echo it. A member that echoes a round was in the
+// leader's term at some time after the round was sent, and had not voted in a later
+// term. Once a quorum has echoed a round, no successor can have been elected before the
+// round's send time.
 //
-// Only send times on the leader's own clock count, never the arrival of a reply: one
-// that waited in a buffer while the leader was frozen proves nothing newer.
+// Only the send time on the leader's own clock counts, never the arrival time of a
+// reply: a reply that waited in a buffer while the leader was frozen proves nothing
+// about the time after the round was sent.
 
 // roundRetentionTimeouts is the number of election timeouts for which the send time of
-// a heartbeat round is retained. A leader without a newer quorum contact has stepped
-// down long before.
+// a heartbeat round is retained. A leader whose quorum contact is that old has already
+// stepped down.
 const roundRetentionTimeouts = 8
 
-// startHeartbeatRound sends the next heartbeat to every other member.
+// startHeartbeatRound starts the next round and sends a heartbeat to every other member.
 func (n *Node) startHeartbeatRound() {
 	l := n.leadership
 	l.round++
@@ -37,8 +39,9 @@
 	}
 }
 
-// ConfirmLeadership starts a heartbeat round now instead of at the end of the interval,
-// so that QuorumContact is renewed sooner. It does nothing unless the member leads.
+// ConfirmLeadership starts a heartbeat round at once instead of at the end of the
+// interval, so that QuorumContact advances sooner. It does nothing unless the member
+// leads.
 func (n *Node) ConfirmLeadership(now time.Duration) {
 	n.now = max(n.now, now)
 	if n.role == Leader {
@@ -46,8 +49,8 @@
 	}
 }
 
-// sendHeartbeat sends no more of the commit index than the member's match: beyond it,
-// the member's log may have entries that conflict with the committed ones.
+// sendHeartbeat sends a heartbeat with the commit index, limited to the member's match
+// index: beyond it, the member's log may conflict with the committed entries.
 func (n *Node) sendHeartbeat(to ID) {
 	match := n.leadership.progress[to].match
 	n.send(Message{
@@ -78,8 +81,8 @@
 	}
 }
 
-// recordResponse records a reply of a member and the heartbeat round that it echoes.
-// It returns the member's progress, nil if it is a member no more.
+// recordResponse records a reply from a member and the heartbeat round that it echoes.
+// It returns the member's progress, or nil if it is no longer a member.
 func (n *Node) recordResponse(from ID, round uint64) *progress {
 	member := n.leadership.progress[from]
 	if member == nil {
@@ -98,9 +101,9 @@
 }
 
 // QuorumContact returns the send time of the newest heartbeat round that a quorum of
-// voters has acknowledged in this term, and false if there is none or the member does
-// not lead. No successor was elected before that time: its age bounds how long one may
-// have been leading already.
+// voters has acknowledged in this term. It returns false if there is none or the member
+// does not lead. No successor was elected before that time, so its age is an upper bound
+// on how long a successor may already have been leading.
 func (n *Node) QuorumContact() (time.Duration, bool) {
 	if n.role != Leader {
 		return 0, false
@@ -122,8 +125,8 @@
 	return quorumValue(acknowledged, voters)
 }
 
-// checkQuorum makes a leader step down that has had no quorum contact for an
-// ElectionTimeout: the others may have elected a successor.
+// checkQuorum makes a leader step down if its quorum contact, or else its election, is
+// more than one ElectionTimeout ago: the others may have elected a successor.
 func (n *Node) checkQuorum() {
 	latest := n.leadership.electedAt
 	if contact, known := n.QuorumContact(); known {
--- a/consensus/leadership.go
+++ b/consensus/leadership.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// leadership is a leader's volatile state, from its election to the end of its term.
+// leadership is the volatile state of a leader, from its election until it steps down.
 type leadership struct {
 	electedAt       time.Duration
 	nextHeartbeatAt time.Duration
 	// round is the number of the newest heartbeat round, from 1.
 	round uint64
-	// roundSentAt is when each round was sent, for as long as replies to it count.
+	// roundSentAt has the send time of each recent round, see roundRetentionTimeouts.
 	roundSentAt map[uint64]time.Duration
-	// progress has each other member of the newest membership.
+	// progress has an item for every other member of the newest membership.
 	progress map[ID]*progress
 
 	transferTo       ID // None unless a leadership transfer is in progress
@@ -27,7 +27,7 @@
 	return l
 }
 
-// trackMembers makes progress that of the newest membership's members.
+// trackMembers adds and removes items of progress to match the newest membership.
 func (l *leadership) trackMembers(n *Node) {
 	membership := n.membership()
 	for id := range l.progress {
@@ -42,8 +42,9 @@
 	}
 }
 
-// becomeLeader starts the leadership. It appends an entry of the new term at once,
-// since entries of earlier terms are only committed with one (Raft, section 5.4.2).
+// becomeLeader makes the member the leader. It appends an entry of the new term at once,
+// since entries of earlier terms are committed only together with one of the leader's
+// own term (Raft, section 5.4.2).
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.awaitingFirstLeader = false
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -6,29 +6,29 @@
 	// entryOverheadBytes is the size of an entry without its data, as counted against
 	// Config.MaxAppendBytes.
 	entryOverheadBytes = 24
-	// unlimitedBytes makes slice return everything.
+	// unlimitedBytes, passed to slice, disables its size limit.
 	unlimitedBytes = math.MaxInt
 )
 
-// replicatedLog is the part of the log that is kept in memory, with the newest
+// replicatedLog is the part of the log that is held in memory, and the newest
 // snapshot. Invariants:
 //   - entries are contiguous and begin right after boundaryIndex
-//   - terms never fall along the log
+//   - terms never decrease along the log
 //   - stable <= lastIndex(); entries up to stable are on this member's disk
 //   - boundaryIndex <= snapshot.Index <= lastIndex()
 type replicatedLog struct {
 	snapshot Snapshot
-	// boundaryIndex is the index before the first of entries, boundaryTerm its term,
-	// which is needed to check an append that begins there.
+	// boundaryIndex is the index before the first of entries. boundaryTerm is its term,
+	// which is needed to check an append that follows it.
 	boundaryIndex uint64
 	boundaryTerm  uint64
 	entries       []Entry
 	stable        uint64
 }
 
-// newLog restores a log from a disk. The entries may begin before the snapshot; since
-// the term before the first of them is unknown, that one only serves as the boundary.
-// It returns ErrInvalidConfig if there are gaps.
+// newLog restores a log from disk. The entries may begin before the snapshot's index;
+// since the term before the first entry is unknown, that entry only serves as the
+// boundary. It returns ErrInvalidConfig if the log has gaps or its terms decrease.
 func newLog(snapshot Snapshot, entries []Entry) (*replicatedLog, error) {
 	log := &replicatedLog{
 		snapshot:      snapshot,
@@ -60,7 +60,7 @@
 	return log, nil
 }
 
-// contiguous reports whether the indexes have no gap and the terms never fall.
+// contiguous reports whether the indexes have no gap and the terms never decrease.
 func contiguous(entries []Entry) bool {
 	for i := 1; i < len(entries); i++ {
 		if entries[i].Index != entries[i-1].Index+1 || entries[i].Term < entries[i-1].Term {
@@ -70,55 +70,55 @@
 	return true
 }
 
-func (log *replicatedLog) lastIndex() uint64 {
-	return log.boundaryIndex + uint64(len(log.entries))
+func (l *replicatedLog) lastIndex() uint64 {
+	return l.boundaryIndex + uint64(len(l.entries))
 }
 
-func (log *replicatedLog) lastTerm() uint64 {
-	term, _ := log.term(log.lastIndex())
+func (l *replicatedLog) lastTerm() uint64 {
+	term, _ := l.term(l.lastIndex())
 	return term
 }
 
-// term returns the term of the entry at an index, and false if that is compacted or
-// beyond the end.
-func (log *replicatedLog) term(index uint64) (uint64, bool) {
-	if index == log.snapshot.Index {
-		return log.snapshot.Term, true
+// term returns the term of the entry at an index, or false if the entry is compacted or
+// beyond the end of the log.
+func (l *replicatedLog) term(index uint64) (uint64, bool) {
+	if index == l.snapshot.Index {
+		return l.snapshot.Term, true
 	}
-	if index == log.boundaryIndex {
-		return log.boundaryTerm, true
+	if index == l.boundaryIndex {
+		return l.boundaryTerm, true
 	}
-	if index < log.boundaryIndex || index > log.lastIndex() {
+	if index < l.boundaryIndex || index > l.lastIndex() {
 		return 0, false
 	}
-	return log.entries[index-log.boundaryIndex-1].Term, true
+	return l.entries[index-l.boundaryIndex-1].Term, true
 }
 
-// matches reports whether the log has an entry of this index and term. By the log
-// matching property (Raft, section 5.3) it then agrees with any other log that has
-// it, up to this index.
-func (log *replicatedLog) matches(index, term uint64) bool {
-	localTerm, known := log.term(index)
+// matches reports whether the log has an entry with this index and term. By the log
+// matching property (Raft, section 5.3), it is then identical up to this index to any
+// other log that has the entry.
+func (l *replicatedLog) matches(index, term uint64) bool {
+	localTerm, known := l.term(index)
 	return known && localTerm == term
 }
 
 // isUpToDate reports whether a log that ends with (index, term) is at least as
 // up-to-date as this one (Raft, section 5.4.1).
-func (log *replicatedLog) isUpToDate(index, term uint64) bool {
-	if term != log.lastTerm() {
-		return term > log.lastTerm()
+func (l *replicatedLog) isUpToDate(index, term uint64) bool {
+	if term != l.lastTerm() {
+		return term > l.lastTerm()
 	}
-	return index >= log.lastIndex()
+	return index >= l.lastIndex()
 }
 
-// slice returns the entries of [from, to] that fit into maxBytes, at least one; nil
-// if the log does not have the whole range. The entries are copies, so a truncation
-// does not change them; their data is shared and never written.
-func (log *replicatedLog) slice(from, to uint64, maxBytes int) []Entry {
-	if from <= log.boundaryIndex || to > log.lastIndex() || from > to {
+// slice returns the first entries of [from, to] that fit into maxBytes, but at least
+// one. It returns nil if the log does not have the whole range. The entries are copies,
+// so a truncation does not change them; their data is shared and never modified.
+func (l *replicatedLog) slice(from, to uint64, maxBytes int) []Entry {
+	if from <= l.boundaryIndex || to > l.lastIndex() || from > to {
 		return nil
 	}
-	window := log.entries[from-log.boundaryIndex-1 : to-log.boundaryIndex]
+	window := l.entries[from-l.boundaryIndex-1 : to-l.boundaryIndex]
 	size := 0
 	count := 0
 	for _, entry := range window {
@@ -131,63 +131,63 @@
 	return append([]Entry(nil), window[:count]...)
 }
 
-// append adds entries after the end.
-func (log *replicatedLog) append(entries ...Entry) {
-	log.entries = append(log.entries, entries...)
+// append adds entries at the end.
+func (l *replicatedLog) append(entries ...Entry) {
+	l.entries = append(l.entries, entries...)
 }
 
-// truncate removes the entries from index on.
-func (log *replicatedLog) truncate(index uint64) {
-	kept := index - log.boundaryIndex - 1
-	log.entries = append([]Entry(nil), log.entries[:kept]...)
-	log.stable = min(log.stable, index-1)
+// truncate removes the entries at and after index.
+func (l *replicatedLog) truncate(index uint64) {
+	remaining := index - l.boundaryIndex - 1
+	l.entries = append([]Entry(nil), l.entries[:remaining]...)
+	l.stable = min(l.stable, index-1)
 }
 
 // unstable returns the entries that are not on the disk yet.
-func (log *replicatedLog) unstable() []Entry {
-	return log.slice(log.stable+1, log.lastIndex(), unlimitedBytes)
+func (l *replicatedLog) unstable() []Entry {
+	return l.slice(l.stable+1, l.lastIndex(), unlimitedBytes)
 }
 
-// stableTo records that the log up to (index, term) is on the disk. If the entry was
-// overwritten since it was handed out for writing, nothing changes: what replaced it
-// is still to be written.
-func (log *replicatedLog) stableTo(index, term uint64) {
-	if index > log.stable && log.matches(index, term) {
-		log.stable = index
+// stableTo records that the log up to (index, term) is on the disk. If the entry has
+// been overwritten since unstable returned it, nothing changes: its replacement still
+// has to be written.
+func (l *replicatedLog) stableTo(index, term uint64) {
+	if index > l.stable && l.matches(index, term) {
+		l.stable = index
 	}
 }
 
 // restore replaces the log by a snapshot.
-func (log *replicatedLog) restore(snapshot Snapshot) {
-	log.snapshot = snapshot
-	log.boundaryIndex = snapshot.Index
-	log.boundaryTerm = snapshot.Term
-	log.entries = nil
-	log.stable = snapshot.Index
-}
-
-// compact replaces the snapshot by a newer one of the applied state, and drops the
-// entries up to and including boundary.
-func (log *replicatedLog) compact(snapshot Snapshot, boundary uint64) {
-	term, known := log.term(boundary)
-	log.snapshot = snapshot
-	if !known || boundary <= log.boundaryIndex {
+func (l *replicatedLog) restore(snapshot Snapshot) {
+	l.snapshot = snapshot
+	l.boundaryIndex = snapshot.Index
+	l.boundaryTerm = snapshot.Term
+	l.entries = nil
+	l.stable = snapshot.Index
+}
+
+// compact replaces the snapshot by a newer one, and drops the entries up to and
+// including boundary.
+func (l *replicatedLog) compact(snapshot Snapshot, boundary uint64) {
+	term, known := l.term(boundary)
+	l.snapshot = snapshot
+	if !known || boundary <= l.boundaryIndex {
 		return
 	}
-	// A copy, so that the array of the dropped entries is released.
-	log.entries = append([]Entry(nil), log.entries[boundary-log.boundaryIndex:]...)
-	log.boundaryIndex = boundary
-	log.boundaryTerm = term
+	// A copy, so that the array with the dropped entries can be garbage collected.
+	l.entries = append([]Entry(nil), l.entries[boundary-l.boundaryIndex:]...)
+	l.boundaryIndex = boundary
+	l.boundaryTerm = term
 }
 
-// findConflictByTerm returns the highest index, at most the given one, whose term is
-// not above the given one; the boundary's if there is none. What lies beyond it cannot
-// match a log that has this term there, so that one rejection skips whole terms (Raft,
-// end of section 5.3).
-func (log *replicatedLog) findConflictByTerm(index, term uint64) uint64 {
-	index = min(index, log.lastIndex())
-	for index > log.boundaryIndex {
-		localTerm, known := log.term(index)
+// findConflictByTerm returns the highest index, at most the given one, whose term is at
+// most the given one, or boundaryIndex if there is none. Entries after it have higher
+// terms and cannot match a log that has the given term at the given index, so one
+// rejection skips whole terms (Raft, end of section 5.3).
+func (l *replicatedLog) findConflictByTerm(index, term uint64) uint64 {
+	index = min(index, l.lastIndex())
+	for index > l.boundaryIndex {
+		localTerm, known := l.term(index)
 		if !known || localTerm <= term {
 			return index
 		}
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -10,11 +10,11 @@
 // Member is one member of the group. Its CBOR form is stored and sent.
 type Member struct {
 	ID      ID     `cbor:"1,keyasint"`
-	Name    string `cbor:"2,keyasint"` // node name of the settings
+	Name    string `cbor:"2,keyasint"` // node name from the settings
 	Address string `cbor:"3,keyasint"` // where other members reach it
 	Zone    string `cbor:"4,keyasint"`
-	// Learner marks a member that receives the log, but neither votes nor counts for a
-	// quorum.
+	// Learner marks a member that receives the log, but neither votes nor counts toward
+	// a quorum.
 	Learner bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -30,7 +30,7 @@
 }
 
 // DecodeMembership decodes the data of an EntryMembership entry. It returns
-// ErrMembershipInvalid if that fails.
+// ErrMembershipInvalid if the data cannot be decoded.
 func DecodeMembership(data []byte) (Membership, error) {
 	var membership Membership
 	if err := cbor.Unmarshal(data, &membership); err != nil {
@@ -58,7 +58,7 @@
 	return found && !member.Learner
 }
 
-// Voters returns the members that vote.
+// Voters returns the members that are not learners.
 func (m Membership) Voters() []Member {
 	var voters []Member
 	for _, member := range m.Members {
@@ -73,7 +73,8 @@
 	return Membership{Members: slices.Clone(m.Members)}
 }
 
-// Validate returns ErrMembershipInvalid if a group cannot work with this membership.
+// Validate returns ErrMembershipInvalid if an identity is empty or duplicate, or if
+// there is no voter.
 func (m Membership) Validate() error {
 	seen := make(map[ID]bool)
 	for _, member := range m.Members {
--- a/consensus/message.go
+++ b/consensus/message.go
@@ -14,20 +14,20 @@
 	// MessageVote is the paper's RequestVote.
 	MessageVote      MessageKind = 3
 	MessageVoteReply MessageKind = 4
-	// MessageAppend is the paper's AppendEntries with a log position to check,
-	// with or without entries.
+	// MessageAppend is the paper's AppendEntries: a log position to check, with or
+	// without entries.
 	MessageAppend MessageKind = 5
-	// MessageAppendReply answers MessageAppend and MessageSnapshot, and tells the
-	// sender of an older term the newer one.
+	// MessageAppendReply answers MessageAppend and MessageSnapshot. It also informs a
+	// leader of an older term about the newer term.
 	MessageAppendReply MessageKind = 6
 	// MessageHeartbeat is sent once to each member in every heartbeat round. Unlike
-	// MessageAppend it is never held back by flow control.
+	// MessageAppend it is not subject to flow control.
 	MessageHeartbeat      MessageKind = 7
 	MessageHeartbeatReply MessageKind = 8
 	// MessageSnapshot is the paper's InstallSnapshot in one message.
 	MessageSnapshot MessageKind = 9
-	// MessageTimeoutNow makes the receiver start an election at once, at the request
-	// of the leader.
+	// MessageTimeoutNow is the leader's request that the receiver start an election at
+	// once, see Node.TransferLeadership.
 	MessageTimeoutNow MessageKind = 10
 )
 
@@ -37,14 +37,15 @@
 	Kind MessageKind `cbor:"1,keyasint"`
 	From ID          `cbor:"2,keyasint"`
 	To   ID          `cbor:"3,keyasint"`
-	// Term is the sender's term; in a pre-vote, and in its reply if the vote would
-	// be granted, it is the term that the sender would campaign in.
+	// Term is the sender's term. In MessagePreVote, and in a MessagePreVoteReply that
+	// grants it, it is the term in which the candidate would campaign.
 	Term uint64 `cbor:"4,keyasint"`
 	// Index depends on the kind. MessageAppend: the index before the first entry.
-	// MessageAppendReply: the highest index known to match, or with Reject the
-	// rejected one. MessageVote and MessagePreVote: the candidate's last index.
+	// MessageAppendReply: the highest index known to match, or the rejected index if
+	// Reject is set. MessageVote and MessagePreVote: the candidate's last index.
 	Index uint64 `cbor:"5,keyasint,omitempty"`
-	// LogTerm is the term of the entry at Index; in a rejection, of that at RejectHint.
+	// LogTerm is the term of the entry at Index; in a rejected MessageAppendReply, of the
+	// entry at RejectHint.
 	LogTerm uint64  `cbor:"6,keyasint,omitempty"`
 	Commit  uint64  `cbor:"7,keyasint,omitempty"` // the leader's commit index
 	Entries []Entry `cbor:"8,keyasint,omitempty"`
@@ -52,12 +53,12 @@
 	// RejectHint is the highest index at which the follower's log may match the
 	// leader's. It is set in a rejected MessageAppendReply only.
 	RejectHint uint64 `cbor:"10,keyasint,omitempty"`
-	// HeartbeatRound is the leader's newest heartbeat round, echoed by replies, see
+	// HeartbeatRound is the leader's newest heartbeat round; replies echo it. See
 	// Node.QuorumContact.
 	HeartbeatRound uint64    `cbor:"11,keyasint,omitempty"`
 	Snapshot       *Snapshot `cbor:"12,keyasint,omitempty"` // in MessageSnapshot only
 	// LeadershipTransfer marks a MessageVote of an election that the leader itself
-	// requested: voters grant it although they have a current leader.
+	// requested: voters may grant it although they have a current leader.
 	LeadershipTransfer bool `cbor:"13,keyasint,omitempty"`
 }
 
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -10,10 +10,10 @@
 )
 
 // Node is one member's state machine. It is not safe for concurrent use. Invariants:
-//   - the term never falls; in one term at most one vote is given
-//   - the commit index never falls, and never exceeds the log
-//   - no message leaves before the Ready that carries it has been persisted, so
-//     whatever a message promises is on the disk
+//   - the term never decreases, and at most one vote is granted per term
+//   - the commit index never decreases, and never exceeds the last index of the log
+//   - no message is sent before the state in the same Ready has been persisted, so the
+//     state that a message refers to is on disk
 type Node struct {
 	config  Config
 	random  *rand.Rand
@@ -24,46 +24,49 @@
 	vote    ID
 	leader  ID
 	commit  uint64
-	applied uint64 // what the driver has acknowledged as applied
+	applied uint64 // the highest index that the driver has acknowledged as applied
 
 	log *replicatedLog
-	// configurations are the memberships in the log by index; the last one is in effect.
+	// configurations are the memberships in the log, ordered by index; the last one is in
+	// effect.
 	configurations []configuration
 
-	// persistedHardState is the hard state of the last Ready.
+	// persistedHardState is the hard state that the last Ready asked to persist.
 	persistedHardState HardState
-	// pendingSnapshot is received, but not acknowledged as applied yet.
+	// pendingSnapshot is a received snapshot that the driver has not acknowledged as
+	// applied yet, or nil.
 	pendingSnapshot *Snapshot
 	outbox          []Message
-	// replicatePending makes the next Ready send members what they lack, so that the
-	// proposals between two Readies share their appends.
+	// replicatePending makes the next Ready send the other members the entries that they
+	// lack. All proposals between two calls of Ready are thus sent in the same appends.
 	replicatePending bool
 
 	clockStarted bool
 	now          time.Duration
-	// awaitingFirstLeader is true at a member that is restored from its disk and has
-	// had no contact to a leader since, see Config.StartupTimeout.
+	// awaitingFirstLeader is true at a member that was restored from disk and has not
+	// heard from a leader since, see Config.StartupTimeout.
 	awaitingFirstLeader bool
 	electionDeadline    time.Duration
 	lastLeaderContact   time.Duration
 
-	// votes are the replies in the present election or pre-vote, true if granted.
+	// votes are the replies in the current election or pre-vote, true if granted.
 	votes map[ID]bool
-	// voteHoldOffEnd is until when this member neither starts nor supports another
-	// election, see startVoteHoldOff.
+	// voteHoldOffEnd is the time until which this member neither starts nor supports
+	// another election, see startVoteHoldOff.
 	voteHoldOffEnd time.Duration
-	// nextVoteRequest is when voters that have not replied are asked again.
+	// nextVoteRequest is the time at which the request to the voters that have not replied
+	// is repeated.
 	nextVoteRequest time.Duration
-	// electedByTransfer is true in an election that the leader requested.
+	// electedByTransfer is true if the leader requested the current election.
 	electedByTransfer bool
 
 	// leadership is nil unless the member leads.
 	leadership *leadership
 }
 
-// New returns a Node that is restored from what its disk holds, or one that belongs to
-// no group yet and receives its log from a leader. It returns ErrInvalidConfig or
-// ErrMembershipInvalid if the restored state is not valid.
+// New returns a Node that is restored from the state in config. Without any state, the
+// Node belongs to no group yet and receives its log from a leader. New returns
+// ErrInvalidConfig or ErrMembershipInvalid if the restored state is not valid.
 func New(config Config) (*Node, error) {
 	if config.ID == None {
 		return nil, fmt.Errorf("%w: no identity", ErrInvalidConfig)
@@ -83,7 +86,7 @@
 		applied: max(config.Applied, config.Snapshot.Index),
 	}
 	if node.applied > node.commit {
-		return nil, fmt.Errorf("%w: applied %d is beyond the commit %d", ErrInvalidConfig, node.applied, node.commit)
+		return nil, fmt.Errorf("%w: applied index %d exceeds commit index %d", ErrInvalidConfig, node.applied, node.commit)
 	}
 	node.raiseTermToLog()
 	if err := node.restoreConfigurations(); err != nil {
@@ -92,22 +95,25 @@
 	node.persistedHardState = node.hardState()
 	node.awaitingFirstLeader = node.term > 0
 	node.resetElectionDeadline()
-	// The log has them now; the Config would keep their memory for good.
+	// The log holds them now; references in the Config would prevent their memory from
+	// being freed after a compaction.
 	node.config.Entries = nil
 	node.config.Snapshot = Snapshot{}
 	return node, nil
 }
 
-// identitySeed makes members of one Config.Seed draw different election timeouts.
+// identitySeed returns a seed that differs between members, so that members with the
+// same Config.Seed draw different election timeouts.
 func identitySeed(id ID) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	return hash.Sum64()
 }
 
-// raiseTermToLog covers a crash between the write of a snapshot and that of the hard
-// state. The term of the log's end was this member's term then, and it cannot have
-// voted in it, since a vote would be in the hard state.
+// raiseTermToLog raises the term to that of the last log entry if the log is newer. This
+// happens after a crash between the write of a snapshot and that of the hard state. The
+// member had reached the term of the log, but cannot have voted in it, since the vote
+// would be in the hard state.
 func (n *Node) raiseTermToLog() {
 	if n.log.lastTerm() > n.term {
 		n.term = n.log.lastTerm()
@@ -116,8 +122,8 @@
 }
 
 // Tick advances the clock, and starts elections and heartbeat rounds that are due.
-// Call it several times in each Config.HeartbeatInterval, and at once after a pause of
-// the process.
+// Call it several times in each Config.HeartbeatInterval, and immediately after the
+// process has been paused.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == Leader {
@@ -127,8 +133,8 @@
 	n.tickElection()
 }
 
-// advanceClock never turns the clock back. The first call starts it: before, the
-// election deadline had no time to count from.
+// advanceClock sets the time to now, unless that is in the past. The first call also sets
+// the election deadline, which could not be computed before the time was known.
 func (n *Node) advanceClock(now time.Duration) {
 	if !n.clockStarted {
 		n.clockStarted = true
@@ -138,9 +144,9 @@
 	n.now = max(n.now, now)
 }
 
-// Step processes a message from another member. It returns ErrMisaddressed or
-// ErrMalformed, and leaves the node as it is, if the message is not for this member or
-// not valid.
+// Step processes a message from another member. It returns ErrMisaddressed if the
+// message is not for this member, or ErrMalformed if it is not valid; the node is then
+// unchanged.
 func (n *Node) Step(now time.Duration, message Message) error {
 	if message.To != n.config.ID {
 		return ErrMisaddressed
@@ -170,13 +176,13 @@
 	}
 }
 
-// handleNewerTerm adopts the message's term, unless it is only that of an election that
-// may follow, or of one that a member with a current leader must not support. It reports
-// whether the message is to be handled.
+// handleNewerTerm adopts the message's term, except for a pre-vote, whose term has not
+// begun, and for a vote request that this member must ignore because it has a current
+// leader. It reports whether the message is to be handled.
 func (n *Node) handleNewerTerm(message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
-		return true // nobody is in that term yet
+		return true // the candidate has not entered that term yet
 	case MessagePreVoteReply:
 		if !message.Reject {
 			return true // the term that this member asked about
@@ -190,10 +196,10 @@
 	return true
 }
 
-// rejectOlderTerm sends a deposed leader or a late candidate the newer term. If this
-// member is the one with the higher term, the leader learns it so and steps down:
-// otherwise this member could never rejoin, since the others ignore its vote requests
-// while they have contact to the leader.
+// rejectOlderTerm replies to a leader or candidate of an older term with this member's
+// term, upon which it steps down. Without the reply, a single member with a newer term
+// could never rejoin: it rejects the leader's messages, and the others ignore its vote
+// requests while they hear from the leader.
 func (n *Node) rejectOlderTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -205,7 +211,7 @@
 	}
 }
 
-// handle handles a message of the present term, or of a pre-vote for a later one.
+// handle handles a message of the current term, or a pre-vote message for a later one.
 func (n *Node) handle(message Message) {
 	switch message.Kind {
 	case MessagePreVote:
@@ -229,7 +235,7 @@
 	}
 }
 
-// send queues a message for the next Ready. A message without a term gets the present
+// send queues a message for the next Ready. A message without a term gets the current
 // one.
 func (n *Node) send(message Message) {
 	message.From = n.config.ID
--- a/consensus/partition_test.go
+++ b/consensus/partition_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// TestPartialPartitionKeepsOneLeader: two halves of a group can't reach each other while
-// one member reaches both. Whoever leads, before or after an election, stays leader, and
-// what is proposed to it is committed.
+// TestPartialPartitionKeepsOneLeader cuts the connections between two pairs of members,
+// while a fifth member still reaches both. Once the partition has lasted for two election
+// timeouts, the leader must not change, and must commit its proposals.
 func TestPartialPartitionKeepsOneLeader(t *testing.T) {
-	const partitionSettles = 2 * testElection
+	const settleTime = 2 * testElectionTimeout
 	for seed := range uint64(20) {
 		c := newSeededCluster(t, seed, "a", "b", "c", "d", "e")
 		c.leader()
 		c.partition([]ID{"a", "b"}, []ID{"d", "e"})
-		c.run(partitionSettles)
+		c.run(settleTime)
 		leader := c.leader()
 		term := leader.term
 		index := c.propose(leader, "proposed during the partition")
 		c.run(20 * time.Second)
 		if leader.role != Leader || leader.term != term {
-			t.Errorf("seed %d: %s leads no more after 20 s of the partition: term %d, was %d", seed, leader.config.ID, leader.term, term)
+			t.Errorf("seed %d: %s lost the leadership within 20 s of the partition: its term is %d, was %d", seed, leader.config.ID, leader.term, term)
 		}
 		if leader.commit < index {
 			t.Errorf("seed %d: entry %d is not committed", seed, index)
@@ -30,14 +30,14 @@
 		c.run(2 * time.Second)
 		for _, id := range c.ids() {
 			if texts := c.appliedTexts(id); len(texts) != 1 {
-				t.Errorf("seed %d: %s has %q after the partition", seed, id, texts)
+				t.Errorf("seed %d: %s applied %q after the partition, want one entry", seed, id, texts)
 			}
 		}
 	}
 }
 
-// TestMessageLossDoesNotDeposeLeader: with a tenth of all messages lost, a leader stays
-// leader, and what is proposed to it is committed within a second.
+// TestMessageLossDoesNotDeposeLeader drops a tenth of all messages at random: the leader
+// must keep its role and commit each proposal within a second.
 func TestMessageLossDoesNotDeposeLeader(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -49,7 +49,7 @@
 			index := c.propose(leader, "x")
 			c.run(time.Second)
 			if leader.role != Leader || leader.term != term {
-				t.Fatalf("seed %d: lost messages deposed %s: term %d, was %d", seed, leader.config.ID, leader.term, term)
+				t.Fatalf("seed %d: %s lost the leadership: its term is %d, was %d", seed, leader.config.ID, leader.term, term)
 			}
 			if leader.commit < index {
 				t.Errorf("seed %d: entry %d is not committed within a second", seed, index)
--- a/consensus/progress.go
+++ b/consensus/progress.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// progressState says how a leader sends log entries to a member.
+// progressState is the mode in which a leader sends log entries to a member.
 type progressState uint8
 
 const (
-	// progressProbe sends one append at a time, until one is accepted and the match
-	// index is known.
+	// progressProbe sends one append at a time until one is accepted, which determines
+	// the match index.
 	progressProbe progressState = iota
 	// progressReplicate sends appends without waiting for replies, up to
 	// Config.MaxInflight.
@@ -16,30 +16,30 @@
 	progressSnapshot
 )
 
-// snapshotResendTimeouts is the number of election timeouts after which a snapshot
-// that was not acknowledged is sent again.
+// snapshotResendTimeouts is the number of election timeouts after which an
+// unacknowledged snapshot is sent again.
 const snapshotResendTimeouts = 4
 
 // progress is a leader's view of another member (Raft's matchIndex and nextIndex).
 // Invariants:
-//   - match <= what the member has on its disk, since it replies after the write
+//   - match <= the last index on the member's disk, since it replies after the write
 //   - match < next
 type progress struct {
 	state progressState
 	match uint64
 	next  uint64
-	// inflight is the last index of each append that is not acknowledged, ascending.
+	// inflight has the last index of each unacknowledged append, in ascending order.
 	inflight []uint64
-	// probeInFlight is true in progressProbe while an append is not answered.
+	// probeInFlight is true in progressProbe while an append is unanswered.
 	probeInFlight bool
-	// sentCommit is the commit index of the last append.
+	// sentCommit is the commit index that the last append carried.
 	sentCommit     uint64
 	snapshotSentAt time.Duration
 
 	responded    bool // in this term
 	lastResponse time.Duration
-	// acknowledgedRound is the newest heartbeat round that the member has echoed, 0 if
-	// none; acknowledgedRoundSentAt is when that round was sent.
+	// acknowledgedRound is the newest heartbeat round that the member has echoed, or 0;
+	// acknowledgedRoundSentAt is when that round was sent.
 	acknowledgedRound       uint64
 	acknowledgedRoundSentAt time.Duration
 }
@@ -48,8 +48,9 @@
 	return &progress{next: next}
 }
 
-// resume permits one more append when the member has responded to a heartbeat: an
-// append or its reply may have been lost, and nothing else would ever free its place.
+// resume allows one more append after the member has responded to a heartbeat. An append
+// or its reply may have been lost, and would otherwise occupy its place in inflight
+// forever.
 func (p *progress) resume() {
 	p.probeInFlight = false
 	if len(p.inflight) > 0 {
@@ -57,7 +58,7 @@
 	}
 }
 
-// becomeProbe goes back to sending one append at a time, from next on.
+// becomeProbe switches to sending one append at a time, starting at next.
 func (p *progress) becomeProbe(next uint64) {
 	p.state = progressProbe
 	p.next = max(next, p.match+1)
@@ -65,7 +66,8 @@
 	p.probeInFlight = false
 }
 
-// becomeReplicate starts to send appends without waiting, from the match index on.
+// becomeReplicate switches to sending appends without waiting for replies, starting
+// after the match index.
 func (p *progress) becomeReplicate() {
 	p.becomeProbe(p.match + 1)
 	p.state = progressReplicate
@@ -83,7 +85,7 @@
 	return advanced
 }
 
-// isPaused reports whether flow control holds appends to the member back.
+// isPaused reports whether flow control currently forbids appends to the member.
 func (n *Node) isPaused(member *progress) bool {
 	switch member.state {
 	case progressProbe:
--- a/consensus/quorum.go
+++ b/consensus/quorum.go
@@ -8,8 +8,9 @@
 // quorum returns the size of a majority of voters. Any two majorities share a voter.
 func quorum(voters int) int { return voters/2 + 1 }
 
-// quorumValue returns the highest value that a quorum has reached, and false if fewer
-// voters than a quorum have one. It sorts values, which has at most one of each voter.
+// quorumValue returns the highest value that a quorum of voters has reached, or false if
+// fewer voters than a quorum have a value. values has at most one value per voter; it is
+// sorted in place.
 func quorumValue[T cmp.Ordered](values []T, voters int) (T, bool) {
 	needed := quorum(voters)
 	if len(values) < needed {
--- a/consensus/ready.go
+++ b/consensus/ready.go
@@ -7,8 +7,9 @@
 //  3. applies Snapshot and then CommittedEntries to its state machine,
 //  4. calls Node.Advance.
 //
-// The order is what safety rests on: a message promises what the member has on its
-// disk, so it may not leave before the sync. A nil HardState or Snapshot is unchanged.
+// The order is required for safety: a message refers to state that must be on the
+// sender's disk, so it must not be sent before the sync. A nil HardState or Snapshot
+// means that it has not changed.
 type Ready struct {
 	HardState        *HardState
 	Snapshot         *Snapshot
@@ -27,8 +28,8 @@
 		n.commit > n.applied
 }
 
-// Ready returns the next batch of work. Call Advance with it before the next Ready;
-// ticks, messages and proposals may come in between.
+// Ready returns the next batch of work. Call Advance with it before calling Ready again;
+// calls of Tick, Step and Propose may come in between.
 func (n *Node) Ready() Ready {
 	if n.replicatePending {
 		n.replicatePending = false
@@ -41,7 +42,7 @@
 		Messages:         n.outbox,
 	}
 	if n.pendingSnapshot != nil {
-		// The snapshot is applied first, so what it covers is not applied again.
+		// The snapshot is applied first, so the entries that it covers are left out.
 		ready.CommittedEntries = n.log.slice(n.pendingSnapshot.Index+1, n.commit, unlimitedBytes)
 	}
 	n.outbox = nil
@@ -54,13 +55,13 @@
 	return ready
 }
 
-// Advance acknowledges that the driver has persisted, sent and applied ready, which
-// is what the last call of Ready returned.
+// Advance acknowledges that the driver has persisted, sent and applied the contents of
+// ready, which is the result of the last call of Ready.
 func (n *Node) Advance(ready Ready) {
 	if ready.Snapshot != nil {
 		n.applied = max(n.applied, ready.Snapshot.Index)
 		if n.pendingSnapshot == ready.Snapshot {
-			n.pendingSnapshot = nil // unless a newer one has come in between
+			n.pendingSnapshot = nil // no newer one has arrived in the meantime
 		}
 	}
 	if count := len(ready.Entries); count > 0 {
@@ -79,9 +80,9 @@
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.commit}
 }
 
-// mustPersistHardState reports whether the term or vote changed since the last Ready.
-// A change of the commit index alone is not worth a sync of its own: a restarted
-// member learns it again from the leader.
+// mustPersistHardState reports whether the term or vote has changed since the last Ready.
+// A change of the commit index alone does not justify a sync: a restarted member
+// receives it again from the leader.
 func (n *Node) mustPersistHardState() bool {
 	return n.persistedHardState.Term != n.term || n.persistedHardState.Vote != n.vote
 }
--- a/consensus/reconfiguration.go
+++ b/consensus/reconfiguration.go
@@ -5,9 +5,9 @@
 // Membership changes (Raft thesis, section 4.1). Invariants:
 //   - a membership is in effect as soon as it is in the log, committed or not
 //   - successive memberships differ by one member, so their quorums overlap
-//   - at most one of them is not committed, and a leader proposes one only after it has
-//     committed an entry of its own term; without the latter, uncommitted changes of two
-//     leaders could have quorums that do not overlap
+//   - at most one membership is uncommitted, and a leader proposes one only after it has
+//     committed an entry of its own term; otherwise, uncommitted changes by two leaders
+//     could have quorums that do not overlap
 
 // configuration is a membership and the index from which it is in effect.
 type configuration struct {
@@ -15,7 +15,7 @@
 	membership Membership
 }
 
-// membership returns the one in effect: the newest in the log.
+// membership returns the membership in effect: the newest in the log.
 func (n *Node) membership() Membership {
 	if len(n.configurations) == 0 {
 		return Membership{}
@@ -23,7 +23,7 @@
 	return n.configurations[len(n.configurations)-1].membership
 }
 
-// membershipAt returns the one in effect at an index of the log.
+// membershipAt returns the membership that was in effect at an index of the log.
 func (n *Node) membershipAt(index uint64) Membership {
 	var found Membership
 	for _, configuration := range n.configurations {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// appendConfigurations puts the memberships among new entries into effect. Step has
-// validated their encoding.
+// appendConfigurations puts the memberships among the new entries into effect. Step has
+// already validated their encoding.
 func (n *Node) appendConfigurations(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
@@ -64,8 +64,8 @@
 	}
 }
 
-// truncateConfigurations goes back to the membership before index from, where the log
-// is truncated.
+// truncateConfigurations drops the memberships at and after index from, at which the log
+// is truncated, so that the one before takes effect again.
 func (n *Node) truncateConfigurations(from uint64) {
 	for len(n.configurations) > 1 && n.configurations[len(n.configurations)-1].index >= from {
 		n.configurations = n.configurations[:len(n.configurations)-1]
@@ -79,10 +79,10 @@
 	}
 }
 
-// ProposeMembership appends a membership that differs from the present one by a single
-// member, and returns the entry's index and term, see Propose. It takes effect at once.
-// Beside Propose's errors it returns ErrMembershipInvalid, ErrMembershipPending or
-// ErrMembershipMultipleChanges.
+// ProposeMembership appends a membership that differs from the current one by a single
+// member, and returns the entry's index and term, see Propose. The membership takes
+// effect at once. In addition to the errors of Propose it returns ErrMembershipInvalid,
+// ErrMembershipPending or ErrMembershipMultipleChanges.
 func (n *Node) ProposeMembership(now time.Duration, membership Membership) (index, term uint64, err error) {
 	n.advanceClock(now)
 	if err := n.checkCanPropose(); err != nil {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// membershipCommitted reports whether the newest membership and an entry of the own
-// term are committed.
+// membershipCommitted reports whether the newest membership and an entry of the leader's
+// current term are committed.
 func (n *Node) membershipCommitted() bool {
 	if len(n.configurations) > 0 && n.configurations[len(n.configurations)-1].index > n.commit {
 		return false
@@ -128,10 +128,10 @@
 	return term == n.term
 }
 
-// stepDownIfRemoved ends the leadership of a leader that is no voter of the committed
-// membership. It sends the others the commit index first, since nobody else knows that
-// the membership is committed, and asks the most up-to-date voter to take over, which
-// spares the group an election timeout.
+// stepDownIfRemoved makes the leader step down if it is not a voter of the committed
+// membership. First it sends the others the commit index, since no other member knows
+// yet that the membership is committed, and asks the most up-to-date voter to start an
+// election, which avoids waiting for an election timeout.
 func (n *Node) stepDownIfRemoved() {
 	newest := n.configurations[len(n.configurations)-1]
 	if newest.index > n.commit || newest.membership.isVoter(n.config.ID) {
@@ -144,8 +144,8 @@
 	n.becomeFollower(n.term, None)
 }
 
-// mostUpToDateVoter returns the other voter with the highest match index, None if there
-// is no other voter.
+// mostUpToDateVoter returns the other voter with the highest match index, or None if
+// there is no other voter.
 func (n *Node) mostUpToDateVoter() ID {
 	best := None
 	var match uint64
--- a/consensus/replication.go
+++ b/consensus/replication.go
@@ -4,11 +4,11 @@
 
 // Replication. Invariant: the leader commits an entry only when a quorum of voters has
 // it on disk and it belongs to the leader's own term. An entry of an earlier term is
-// committed by one of the own term after it (Raft, section 5.4.2).
+// committed along with a later entry of the leader's own term (Raft, section 5.4.2).
 
 // Propose appends an entry with data to the log and returns its index and term. The
-// entry is committed if, and only if, Ready.CommittedEntries later has an entry of this
-// index with this term. It returns ErrNotLeader or ErrLeadershipTransfer.
+// entry is committed if and only if Ready.CommittedEntries later contains an entry with
+// this index and term. Propose returns ErrNotLeader or ErrLeadershipTransfer.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, err error) {
 	n.advanceClock(now)
 	if err := n.checkCanPropose(); err != nil {
@@ -18,7 +18,7 @@
 }
 
 // checkCanPropose returns nil if the member leads and no leadership transfer is in
-// progress. A leader that has lost its quorum steps down first.
+// progress. If the member leads but has lost its quorum, it steps down first.
 func (n *Node) checkCanPropose() error {
 	if n.role == Leader {
 		n.checkQuorum()
@@ -41,8 +41,8 @@
 	return entry.Index
 }
 
-// replicateToAll sends every other member what it lacks. It does nothing unless the
-// member leads: it may have been deposed since replicatePending was set.
+// replicateToAll sends every other member the entries that it lacks. It does nothing
+// unless this member leads: it may have been deposed since replicatePending was set.
 func (n *Node) replicateToAll() {
 	if n.role != Leader {
 		return
@@ -64,9 +64,9 @@
 	}
 }
 
-// sendAppend sends a member one append from its next index on, or a snapshot if that is
-// compacted. Without entries to send it does so only if permitEmpty. It reports whether
-// another append may follow at once.
+// sendAppend sends a member one append that starts at its next index, or a snapshot if
+// that index is compacted. An append without entries is sent only if permitEmpty is set.
+// sendAppend reports whether another append may follow at once.
 func (n *Node) sendAppend(to ID, member *progress, permitEmpty bool) bool {
 	if n.isPaused(member) {
 		return false
@@ -102,13 +102,13 @@
 	return true
 }
 
-// handleAppend takes in a leader's entries if the log matches the message's position,
-// and rejects it with a hint otherwise (Raft, section 5.3).
+// handleAppend accepts a leader's entries if the log matches the message's log position,
+// and otherwise rejects them with a hint where the logs may match (Raft, section 5.3).
 func (n *Node) handleAppend(message Message) {
 	n.recordLeaderContact(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, HeartbeatRound: message.HeartbeatRound}
 	if message.Index < n.commit {
-		// Committed entries are the same in every log: it matches up to there.
+		// Committed entries are the same in every log, so the logs match up to n.commit.
 		reply.Index = n.commit
 		n.send(reply)
 		return
@@ -127,8 +127,9 @@
 	n.send(reply)
 }
 
-// acceptEntries appends a leader's entries that the log lacks. Only a conflict
-// truncates the log: a delayed append must not remove what a newer one has added.
+// acceptEntries appends those of a leader's entries that the log lacks. The log is
+// truncated only at a conflicting entry: a delayed append must not remove entries that a
+// newer append has added.
 func (n *Node) acceptEntries(entries []Entry) {
 	for position, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
@@ -176,14 +177,14 @@
 	}
 }
 
-// handleRejection probes for the match index further back, skipping whole terms by the
-// follower's hint and by the leader's own log.
+// handleRejection continues the search for the match index at a lower index. The
+// follower's hint and the leader's own log let it skip whole terms.
 func (n *Node) handleRejection(message Message, member *progress) {
 	if message.Index <= member.match || member.state == progressSnapshot {
 		return // delayed
 	}
 	if member.state == progressProbe && message.Index != member.next-1 {
-		return // the reply to an earlier probe
+		return // a reply to an earlier probe
 	}
 	hint := message.RejectHint
 	if message.LogTerm > 0 {
@@ -193,7 +194,8 @@
 	n.sendAppend(message.From, member, true)
 }
 
-// advanceCommit commits what a quorum of voters has on disk, see the invariant above.
+// advanceCommit raises the commit index to the highest index that a quorum of voters has
+// on disk, if the invariant at the top of this file permits it.
 func (n *Node) advanceCommit() {
 	index := n.quorumMatch()
 	if index <= n.commit {
@@ -208,7 +210,8 @@
 	n.stepDownIfRemoved()
 }
 
-// quorumMatch returns the highest index that a quorum of voters has on disk.
+// quorumMatch returns the highest index up to which a quorum of voters has the log on
+// disk.
 func (n *Node) quorumMatch() uint64 {
 	var matches []uint64
 	for _, member := range n.membership().Members {
--- a/consensus/restart_test.go
+++ b/consensus/restart_test.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// restartGroup is a group of five members in three regions that restart after a loss of
-// all power, each at a random time. Messages take time, and so do a sync and the first
-// connection between two members, which fails if the other one is not started yet.
+// restartGroup is a group of five members in three regions that all restart after a power
+// failure, each at a random time. It simulates the delays of messages, disk syncs and new
+// connections. A connection attempt fails if the other member has not started yet.
 type restartGroup struct {
 	*cluster
 	random        *rand.Rand
 	startAt       map[ID]time.Duration
 	lastTick      map[ID]time.Duration
-	diskBusyUntil map[ID]time.Duration // with a sync
+	diskBusyUntil map[ID]time.Duration // end of the current sync
 	links         map[[2]ID]*restartLink
 	inFlight      []messageInFlight
 }
 
-// restartLink is the connection from one member to another one.
+// restartLink is the connection from one member to another.
 type restartLink struct {
 	connectedAt  time.Duration // 0 if there is no connection
-	dialingUntil time.Duration // until when a failing dial loses messages
-	dialTimeout  time.Duration // of the next dial
+	dialingUntil time.Duration // messages are lost until this time, when a failing dial times out
+	dialTimeout  time.Duration // timeout of the next dial
 }
 
-// messageInFlight is one message and when it arrives.
+// messageInFlight is a message and its arrival time.
 type messageInFlight struct {
 	arrival time.Duration
 	message Message
 }
 
 const (
-	restartStep        = time.Millisecond
-	restartTick        = 25 * time.Millisecond
-	restartSync        = 5 * time.Millisecond
-	restartStartup     = 100 * time.Millisecond
-	restartElection    = testElection
-	restartHeartbeat   = testHeartbeat
-	restartDialTimeout = 100 * time.Millisecond
-	maxDialTimeout     = 400 * time.Millisecond
-	connectRoundTrips  = 3                     // round trips of a connection and its handshake
-	restartJitter      = 30 * time.Millisecond // of a busy processor
-	betweenRegions     = 20 * time.Millisecond
-	betweenZones       = 1400 * time.Microsecond
-	startSpread        = 450 * time.Millisecond
+	restartStep              = time.Millisecond
+	restartTickInterval      = 25 * time.Millisecond
+	restartSyncDuration      = 5 * time.Millisecond
+	restartStartupTimeout    = 100 * time.Millisecond
+	restartElectionTimeout   = testElectionTimeout
+	restartHeartbeatInterval = testHeartbeatInterval
+	restartDialTimeout       = 100 * time.Millisecond
+	maxDialTimeout           = 400 * time.Millisecond
+	connectRoundTrips        = 3                     // round trips to open a connection, including its handshake
+	restartJitter            = 30 * time.Millisecond // maximum extra delay caused by a busy processor
+	interRegionDelay         = 20 * time.Millisecond
+	interZoneDelay           = 1400 * time.Microsecond
+	maxStartDelay            = 450 * time.Millisecond
 )
 
 var restartRegions = map[ID]string{"a": "west", "b": "west", "c": "middle", "d": "middle", "e": "east"}
@@ -63,16 +63,16 @@
 	}
 	for _, id := range g.ids() {
 		disk := g.disks[id]
-		disk.ElectionTimeout, disk.HeartbeatInterval = restartElection, restartHeartbeat
-		disk.StartupTimeout = restartStartup
+		disk.ElectionTimeout, disk.HeartbeatInterval = restartElectionTimeout, restartHeartbeatInterval
+		disk.StartupTimeout = restartStartupTimeout
 		disk.Seed = random.Uint64()
-		g.startAt[id] = time.Duration(random.Int64N(int64(startSpread)))
+		g.startAt[id] = time.Duration(random.Int64N(int64(maxStartDelay)))
 		g.frozen[id] = true
 	}
 	return g
 }
 
-// step advances the time by restartStep.
+// step advances the time by restartStep and starts the members that are due.
 func (g *restartGroup) step() {
 	g.now += restartStep
 	for _, id := range g.ids() {
@@ -90,7 +90,8 @@
 	}
 }
 
-// deliverDue delivers the messages in flight that arrive now, in the order of sending.
+// deliverDue delivers the messages whose arrival time has come, in the order in which they
+// were sent.
 func (g *restartGroup) deliverDue() {
 	var later, due []messageInFlight
 	for _, sent := range g.inFlight {
@@ -106,9 +107,10 @@
 	}
 }
 
-// runMember ticks a member when that is due, and sends its messages after the sync.
+// runMember ticks a member if a tick is due, processes its Ready, and sends its messages
+// after the sync.
 func (g *restartGroup) runMember(id ID) {
-	if g.now-g.lastTick[id] >= restartTick {
+	if g.now-g.lastTick[id] >= restartTickInterval {
 		g.lastTick[id] = g.now
 		g.nodes[id].Tick(g.now)
 	}
@@ -120,7 +122,7 @@
 	messages := g.drive(id)
 	sent := g.now
 	if stored != g.disks[id].HardState || entries != len(g.disks[id].Entries) {
-		sent += restartSync
+		sent += restartSyncDuration
 		g.diskBusyUntil[id] = sent
 	}
 	for _, message := range messages {
@@ -130,11 +132,11 @@
 	}
 }
 
-// transmit returns when a message arrives, and false if it is lost.
+// transmit returns the arrival time of a message, or false if the message is lost.
 func (g *restartGroup) transmit(sent time.Duration, message Message) (arrival time.Duration, arrives bool) {
-	delay := betweenRegions
+	delay := interRegionDelay
 	if restartRegions[message.From] == restartRegions[message.To] {
-		delay = betweenZones
+		delay = interZoneDelay
 	}
 	name := [2]ID{message.From, message.To}
 	link, known := g.links[name]
@@ -158,13 +160,13 @@
 	}
 }
 
-// electionResult is the outcome of the election after a loss of all power.
+// electionResult is the outcome of the election after all members have restarted.
 type electionResult struct {
-	wait        time.Duration // from the start of the third member to the election of the last leader
-	depositions int           // leaders that were replaced by another one
+	wait        time.Duration // from the start of the third member, which completes a quorum, to the election of the last leader
+	depositions int           // number of leaders that were replaced by a successor
 }
 
-// observe runs the group for a while and says how its election went.
+// observe runs the group for six seconds and returns the outcome of its election.
 func (g *restartGroup) observe() electionResult {
 	g.t.Helper()
 	var starts []time.Duration
@@ -175,7 +177,7 @@
 	result := electionResult{}
 	var leader *Node
 	var term uint64
-	var since time.Duration
+	var electedAt time.Duration
 	for g.now < 6*time.Second {
 		g.step()
 		for _, id := range g.ids() {
@@ -186,19 +188,19 @@
 			if leader != nil {
 				result.depositions++
 			}
-			leader, term, since = node, node.term, g.now
+			leader, term, electedAt = node, node.term, g.now
 		}
 	}
 	if leader == nil || leader.role != Leader {
-		g.t.Fatal("nobody leads")
+		g.t.Fatal("the group has no leader")
 	}
-	result.wait = since - starts[2]
+	result.wait = electedAt - starts[2]
 	return result
 }
 
-// TestElectionAfterALossOfAllPower: members that start within half a second of one
-// another elect soon, and whom they elect goes on leading.
-func TestElectionAfterALossOfAllPower(t *testing.T) {
+// TestElectionAfterRestartOfAllMembers restarts all members within half a second of each
+// other: the first leader that they elect must not be deposed.
+func TestElectionAfterRestartOfAllMembers(t *testing.T) {
 	const groups = 300
 	var waits []time.Duration
 	deposed := 0
@@ -207,9 +209,9 @@
 		waits = append(waits, result.wait)
 		if result.depositions > 0 {
 			deposed++
-			t.Errorf("seed %d: %d leaders deposed, %v until the last", seed, result.depositions, result.wait)
+			t.Errorf("seed %d: %d leaders were deposed; the last was elected after %v", seed, result.depositions, result.wait)
 		}
 	}
 	slices.Sort(waits)
-	t.Logf("median %v, 9 in 10 %v, longest %v, deposed leaders in %d of %d", waits[groups/2], waits[groups*9/10], waits[groups-1], deposed, groups)
+	t.Logf("time to elect: median %v, 90th percentile %v, maximum %v; leaders deposed in %d of %d groups", waits[groups/2], waits[groups*9/10], waits[groups-1], deposed, groups)
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -1,9 +1,10 @@
 package consensus
 
-// Compact makes a snapshot of the state machine's data at an applied index and drops
-// the log before it, except for keep entries, which spare a member that lags a little
-// the transfer of a snapshot. The driver stores the snapshot, and the log from
-// FirstRetainedIndex(snapshot, keep) on. It returns ErrCompacted or ErrNotApplied.
+// Compact makes a snapshot from the state machine's data at an applied index and drops
+// the log up to that index, except for the last keep entries: with them, a member that
+// lags slightly can catch up without a snapshot. The driver stores the snapshot and the
+// log from FirstRetainedIndex(snapshot, keep) on. Compact returns ErrCompacted or
+// ErrNotApplied.
 func (n *Node) Compact(index uint64, data []byte, keep uint64) (Snapshot, error) {
 	if index <= n.log.snapshot.Index {
 		return Snapshot{}, ErrCompacted
@@ -26,8 +27,8 @@
 	return snapshot, nil
 }
 
-// FirstRetainedIndex returns the first index that stays in the log when it is compacted
-// and keep entries, up to and including the snapshot's index, are retained.
+// FirstRetainedIndex returns the first index that stays in the log after a compaction
+// that retains keep entries up to and including the snapshot's index.
 func FirstRetainedIndex(snapshot Snapshot, keep uint64) uint64 {
 	if keep >= snapshot.Index {
 		return 1
@@ -36,7 +37,8 @@
 }
 
 // sendSnapshot sends the newest snapshot to a member whose next entry is compacted.
-// It may be large, so isPaused holds the next one back for several election timeouts.
+// Since the snapshot may be large, isPaused delays the next one for several election
+// timeouts.
 func (n *Node) sendSnapshot(to ID, member *progress) {
 	snapshot := n.log.snapshot
 	member.state = progressSnapshot
@@ -51,7 +53,7 @@
 }
 
 // handleSnapshot replaces the log by the leader's snapshot, unless the log already
-// contains the snapshot's last entry: then the entries after it are worth keeping.
+// contains the snapshot's last entry: then the entries after it are retained.
 func (n *Node) handleSnapshot(message Message) {
 	n.recordLeaderContact(message.From)
 	snapshot := *message.Snapshot
--- a/consensus/stalemessage_test.go
+++ b/consensus/stalemessage_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// newMember returns member a of a group of three that hears of no leader, at term 1.
+// newMember returns member a of a group of three, in term 1 and without a leader.
 func newMember(t *testing.T) *Node {
 	t.Helper()
 	node, err := New(Config{
-		ID: "a", ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
+		ID: "a", ElectionTimeout: testElectionTimeout, HeartbeatInterval: testHeartbeatInterval,
 		HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: membersOf("a", "b", "c")},
 	})
 	if err != nil {
@@ -19,7 +19,7 @@
 	return node
 }
 
-// mustStep hands one message to a member and returns what the member sends.
+// mustStep passes one message to a member and returns the messages that the member sends.
 func mustStep(t *testing.T, node *Node, now time.Duration, message Message) []Message {
 	t.Helper()
 	if err := node.Step(now, message); err != nil {
@@ -30,9 +30,9 @@
 	return ready.Messages
 }
 
-// TestLateAppendDropsNothing: messages overtake one another. An append that comes after
-// a longer one holds entries that are there already, and truncates nothing.
-func TestLateAppendDropsNothing(t *testing.T) {
+// TestDelayedAppendDoesNotTruncate delivers an append after a newer, longer one: all its
+// entries are already in the log, which must not be truncated.
+func TestDelayedAppendDoesNotTruncate(t *testing.T) {
 	node := newMember(t)
 	entries := []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
 	appendOf := func(count int) Message {
@@ -41,30 +41,32 @@
 	mustStep(t, node, 0, appendOf(3))
 	mustStep(t, node, 0, appendOf(1))
 	if last := node.Status().LastIndex; last != 4 {
-		t.Errorf("the log ends at %d after a late append, want 4", last)
+		t.Errorf("last index %d after a delayed append, want 4", last)
 	}
 }
 
-// TestMemberOfANewerTermRejoins: the others hear their leader and ignore the questions of
-// a member that has reached a newer term. It must tell the leader of that term.
-func TestMemberOfANewerTermRejoins(t *testing.T) {
+// TestMemberWithNewerTermRejoins restarts a member with a newer term. The others hear from
+// their leader and ignore the member's vote requests, so it must report its term to the
+// leader in order to rejoin.
+func TestMemberWithNewerTermRejoins(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
-	stray := c.other(c.leader().Status().ID)
-	id := stray.Status().ID
-	c.disks[id].HardState = HardState{Term: stray.Status().Term + 5}
+	rejoining := c.other(c.leader().Status().ID)
+	id := rejoining.Status().ID
+	c.disks[id].HardState = HardState{Term: rejoining.Status().Term + 5}
 	c.restart(id)
-	c.run(10 * testElection)
+	c.run(10 * testElectionTimeout)
 	c.propose(c.leader(), "x")
-	c.run(testElection)
+	c.run(testElectionTimeout)
 	if texts := c.appliedTexts(id); len(texts) != 1 {
-		t.Errorf("the member of a newer term was given %q", texts)
+		t.Errorf("the member with a newer term applied %q, want one entry", texts)
 	}
 }
 
-// TestAppendBelowTheCommitIsNotRejected: what is committed is the same everywhere. A late
-// append from before it is answered by the commit, also where the log begins later.
-func TestAppendBelowTheCommitIsNotRejected(t *testing.T) {
+// TestAppendBelowCommitIndexIsNotRejected delivers a delayed append that starts below the
+// commit index. Committed entries are the same at all members, so the reply must
+// acknowledge the commit index, even if the log before it is compacted.
+func TestAppendBelowCommitIndexIsNotRejected(t *testing.T) {
 	node := newMember(t)
 	message := Message{
 		Kind: MessageAppend, From: "b", To: "a", Term: 2, Index: 1, LogTerm: 1, Commit: 4,
@@ -77,13 +79,14 @@
 	}
 	replies := mustStep(t, node, 0, message)
 	if len(replies) != 1 || replies[0].Reject || replies[0].Index != 4 {
-		t.Errorf("a late append is answered by %+v, want the commit 4", replies)
+		t.Errorf("replies to a delayed append: %+v, want one that acknowledges index 4", replies)
 	}
 }
 
-// TestSnapshotThatTheLogLeadsThroughDropsNothing: a member that holds the snapshot's last
-// entry already commits up to it, and keeps what comes after.
-func TestSnapshotThatTheLogLeadsThroughDropsNothing(t *testing.T) {
+// TestSnapshotWithinLogRetainsLaterEntries sends a snapshot to a member whose log already
+// contains the snapshot's last entry: the member must commit up to that entry and retain
+// the entries after it.
+func TestSnapshotWithinLogRetainsLaterEntries(t *testing.T) {
 	node := newMember(t)
 	mustStep(t, node, 0, Message{
 		Kind: MessageAppend, From: "b", To: "a", Term: 2, Index: 1, LogTerm: 1,
@@ -92,13 +95,14 @@
 	snapshot := &Snapshot{Index: 3, Term: 2, Membership: membersOf("a", "b", "c")}
 	mustStep(t, node, 0, Message{Kind: MessageSnapshot, From: "b", To: "a", Term: 2, Snapshot: snapshot})
 	if status := node.Status(); status.LastIndex != 4 || status.Commit != 3 {
-		t.Errorf("the log ends at %d and is committed to %d, want 4 and 3", status.LastIndex, status.Commit)
+		t.Errorf("last index %d and commit index %d, want 4 and 3", status.LastIndex, status.Commit)
 	}
 }
 
-// TestHeartbeatCommitsNothingUnmatched: beyond what a member has acknowledged it may hold
-// entries of a leader that is gone. A heartbeat must not commit those.
-func TestHeartbeatCommitsNothingUnmatched(t *testing.T) {
+// TestHeartbeatDoesNotCommitUnmatchedEntries sends heartbeats, but no appends, to a former
+// leader with uncommitted entries. Beyond its match index, a member's log may have entries
+// of a former leader, and a heartbeat must not commit them.
+func TestHeartbeatDoesNotCommitUnmatchedEntries(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	former := c.leader()
 	id := former.Status().ID
@@ -114,20 +118,21 @@
 	}
 	c.deliverAll()
 	c.drop = func(message Message) bool { return message.To == id && message.Kind == MessageAppend }
-	c.run(2 * testElection)
+	c.run(2 * testElectionTimeout)
 	if texts := c.appliedTexts(id); len(texts) != 0 {
-		t.Errorf("heartbeats alone committed %q", texts)
+		t.Errorf("heartbeats without appends committed %q", texts)
 	}
 	c.heal()
-	c.run(2 * testElection)
+	c.run(2 * testElectionTimeout)
 	if texts := c.appliedTexts(id); len(texts) != 3 {
-		t.Errorf("the former leader was given %q at last", texts)
+		t.Errorf("the former leader applied %q, want the three entries of its successor", texts)
 	}
 }
 
-// TestOverwrittenBatchIsNotTakenForTheNewOne: while a batch is being written, another
-// leader's entries may replace it. They still have to be written.
-func TestOverwrittenBatchIsNotTakenForTheNewOne(t *testing.T) {
+// TestOverwrittenEntriesAreNotMarkedStable replaces entries by another leader's entries
+// while they are being written: the new entries must still be returned by Ready for
+// writing.
+func TestOverwrittenEntriesAreNotMarkedStable(t *testing.T) {
 	node := newMember(t)
 	appendOf := func(from ID, term uint64) Message {
 		return Message{
@@ -145,6 +150,6 @@
 	node.Advance(overwritten)
 	ready := node.Ready()
 	if len(ready.Entries) != 2 || ready.Entries[0].Term != 3 {
-		t.Errorf("to be written are %+v, want both entries of term 3", ready.Entries)
+		t.Errorf("entries to persist: %+v, want both entries of term 3", ready.Entries)
 	}
 }
--- a/consensus/status.go
+++ b/consensus/status.go
@@ -13,7 +13,7 @@
 	Leader
 )
 
-// Status is a member's state as operators and the driver see it.
+// Status is a member's state, for operators and the driver.
 type Status struct {
 	ID        ID
 	Role      Role
@@ -25,18 +25,18 @@
 	// Membership is the newest membership in the log, committed or not.
 	Membership Membership
 	// MembershipCommitted is true at a leader that has committed an entry of its own
-	// term and its newest membership. Only then are Commit and Membership what a
-	// successor would have too, so a change of the group is complete only then.
+	// term and its newest membership. Only then would a successor have the same
+	// committed log and Membership, so a membership change is complete only then.
 	MembershipCommitted bool
-	// Match is the highest index known to be on the disk of each member. It is nil
-	// unless the member leads.
+	// Match has the highest index known to be on the disk of each member. It is nil
+	// unless this member leads.
 	Match map[ID]uint64
-	// LastContact is the time of the last response of each member that has responded
-	// in this term. It is nil unless the member leads.
+	// LastContact has the time of the last response from each member that has responded
+	// in this term. It is nil unless this member leads.
 	LastContact map[ID]time.Duration
 }
 
-// Status returns the member's present state. Its maps and slices are copies.
+// Status returns the member's current state. Its maps and slices are copies.
 func (n *Node) Status() Status {
 	status := Status{
 		ID:         n.config.ID,
@@ -65,8 +65,8 @@
 	return match
 }
 
-// lastContactByMember returns the time of the last response of each member; the
-// leader's own is now.
+// lastContactByMember returns the time of the last response from each member; the
+// leader's own time is the current time.
 func (n *Node) lastContactByMember() map[ID]time.Duration {
 	contact := map[ID]time.Duration{n.config.ID: n.now}
 	for id, member := range n.leadership.progress {
@@ -77,7 +77,7 @@
 	return contact
 }
 
-// Leadership returns the present term, and whether the node leads in it. It is
+// Leadership returns the current term and reports whether the node leads in it. It is
 // cheaper than Status.
 func (n *Node) Leadership() (term uint64, leading bool) {
 	return n.term, n.role == Leader
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// TransferLeadership starts to transfer the leadership to a voter (Raft thesis,
+// TransferLeadership starts to transfer the leadership to another voter (Raft thesis,
 // section 3.10): once that voter's log is complete, it is asked to start an election.
-// Until then proposals fail with ErrLeadershipTransfer. The transfer is aborted after
-// one ElectionTimeout. It returns ErrNotVoter if the target is no other voter.
+// Until the transfer ends, proposals fail with ErrLeadershipTransfer. The transfer is
+// aborted after one ElectionTimeout. TransferLeadership returns ErrNotVoter if the target
+// is not a voter or is this member, and otherwise the errors of Propose.
 func (n *Node) TransferLeadership(now time.Duration, to ID) error {
 	n.advanceClock(now)
 	if err := n.checkCanPropose(); err != nil {
@@ -23,7 +24,7 @@
 }
 
 // finishTransfer asks the transfer's target to start an election once its log is as
-// long as the leader's. A target that lacks entries would lose it.
+// long as the leader's. A target that lacks entries could lose the election.
 func (n *Node) finishTransfer(id ID) {
 	if n.role != Leader || n.leadership.transferTo != id {
 		return
@@ -39,8 +40,8 @@
 	}
 }
 
-// handleTimeoutNow starts an election at the request of the leader. There is no
-// pre-vote: the others have a current leader and would refuse it.
+// handleTimeoutNow starts an election at the request of the leader. It skips the
+// pre-vote, which the others would ignore because they have a current leader.
 func (n *Node) handleTimeoutNow(message Message) {
 	if n.role != Follower || !n.membership().isVoter(n.config.ID) {
 		return
