--- a/registry/changelog.go
+++ b/registry/changelog.go
@@ -1,19 +1,20 @@
 package registry
 
-// recordKey is what section 1.1.1 compares, within one table.
+// recordKey identifies a record within one table by the fields that section 1.1.1
+// compares.
 type recordKey struct {
 	name       Name
 	recordType Type
 	data       string
 }
 
-// recordChange is a record before and after a change; nil is absent.
+// recordChange is a record before and after a change; nil means absent.
 type recordChange struct {
 	before, after *Record
 }
 
-// changeLog accumulates the net difference of consecutive changes. Its order is
-// that in which the records were first touched, so equal changes give equal logs.
+// changeLog accumulates the net difference of consecutive changes. The records are in
+// the order in which they were first changed, so equal changes give equal logs.
 type changeLog struct {
 	keys    []recordKey
 	changes map[recordKey]*recordChange
@@ -23,7 +24,8 @@
 	return recordKey{name: record.Name, recordType: record.Type, data: string(record.Data)}
 }
 
-// change returns the record's entry. A new one starts from before.
+// change returns the record's entry. If there is none yet, it adds one whose state before
+// the changes is before.
 func (l *changeLog) change(record Record, before *Record) *recordChange {
 	key := keyOf(record)
 	if found := l.changes[key]; found != nil {
@@ -46,8 +48,8 @@
 	l.change(record, nil).after = &record
 }
 
-// net returns the records that differ between the state before the first change
-// and that after the last. A record whose TTL changed is in both lists.
+// net returns the records that differ between the state before the first change and
+// the state after the last one. A record whose TTL has changed is in both lists.
 func (l *changeLog) net() (removed, added []Record) {
 	for _, key := range l.keys {
 		change := l.changes[key]
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -8,7 +8,8 @@
 	"github.com/deckpulley/deckpulley/internal/canonical"
 )
 
-// ErrMalformed is wrapped by the errors of decoding.
+// ErrMalformed is wrapped by errors about input that cannot be decoded, or a value that
+// would not decode again.
 var ErrMalformed = errors.New("registry: malformed encoding")
 
 var (
@@ -20,7 +21,7 @@
 	})
 )
 
-// encode encodes a value of a type that cannot fail to encode.
+// encode encodes a value of a type whose encoding cannot fail.
 func encode(value any) []byte {
 	data, err := encoding.Marshal(value)
 	if err != nil {
@@ -29,7 +30,8 @@
 	return data
 }
 
-// encodeWithin encodes a value and enforces the limit in octets on the result.
+// encodeWithin encodes a value and returns a *LimitError if the result has more than
+// limit octets.
 func encodeWithin(limit int, what string, value any) ([]byte, error) {
 	data := encode(value)
 	if err := checkEncodedSize(data, what, limit); err != nil {
@@ -38,7 +40,8 @@
 	return data, nil
 }
 
-// decode reads exactly one value of at most limit octets.
+// decode decodes data, which must be exactly one value of at most limit octets. what
+// names the value in errors.
 func decode(data []byte, limit int, what string, value any) error {
 	if err := checkEncodedSize(data, what, limit); err != nil {
 		return err
@@ -58,7 +61,7 @@
 }
 
 // EncodeUpdate returns the encoding of an update, which DecodeUpdate accepts.
-// Equal updates encode equally.
+// Equal updates have equal encodings.
 func EncodeUpdate(update *Update) ([]byte, error) {
 	if err := update.checkLimits(); err != nil {
 		return nil, err
@@ -69,8 +72,8 @@
 	return encodeWithin(MaxUpdateBytes, "update", update)
 }
 
-// DecodeUpdate reads an encoded update, within the limits of this package. It
-// checks form only: Table.Apply judges what the update asks for.
+// DecodeUpdate decodes an update and enforces the limits of this package. It checks
+// only the form of the update; Table.Apply checks its content.
 func DecodeUpdate(data []byte) (Update, error) {
 	var update Update
 	if err := decode(data, MaxUpdateBytes, "update", &update); err != nil {
@@ -82,7 +85,7 @@
 	return update, nil
 }
 
-// checkUTF8 requires every text to be UTF-8, since decoding accepts no other.
+// checkUTF8 requires every text to be valid UTF-8, since decoding rejects other texts.
 func (u *Update) checkUTF8() error {
 	texts := []string{u.Requestor}
 	for _, entry := range u.Tables {
@@ -106,7 +109,7 @@
 	return encodeWithin(MaxTransferBytes, "transfer", transfer)
 }
 
-// DecodeTransfer reads an encoded transfer. Table.ApplyTransfer judges its content.
+// DecodeTransfer decodes a transfer. Table.ApplyTransfer checks its content.
 func DecodeTransfer(data []byte) (Transfer, error) {
 	var transfer Transfer
 	if err := decode(data, MaxTransferBytes, "transfer", &transfer); err != nil {
--- a/registry/codec_test.go
+++ b/registry/codec_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if difference := cmp.Diff(update, decoded); difference != "" {
-		t.Errorf("decoded differs:\n%s", difference)
+		t.Errorf("decoded update differs (-want +got):\n%s", difference)
 	}
 }
 
@@ -32,11 +32,11 @@
 	update := NewUpdate(testApex, nil, nil)
 	update.Requestor = "\xff"
 	if _, err := EncodeUpdate(&update); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a requestor that is not UTF-8: %v, want ErrMalformed", err)
+		t.Errorf("EncodeUpdate with a requestor that is not UTF-8 returned %v, want ErrMalformed", err)
 	}
 	update = NewUpdate(testApex, nil, []Record{DeleteName("\xff.t.")})
 	if _, err := EncodeUpdate(&update); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a name that is not UTF-8: %v, want ErrMalformed", err)
+		t.Errorf("EncodeUpdate with a name that is not UTF-8 returned %v, want ErrMalformed", err)
 	}
 }
 
@@ -63,46 +63,46 @@
 			c.update.Tables = NewUpdate(testApex, nil, nil).Tables
 			var limit *LimitError
 			if result := testTable(t).Apply(&c.update, nil); result.Code != FormErr || !errors.As(result.Reason, &limit) {
-				t.Errorf("applying: %+v", result)
+				t.Errorf("Apply returned %+v, want FORMERR and a LimitError", result)
 			}
 		})
 	}
 	var limit *LimitError
 	if _, err := DecodeUpdate(make([]byte, MaxUpdateBytes+1)); !errors.As(err, &limit) {
-		t.Errorf("octets: %v", err)
+		t.Errorf("DecodeUpdate of an encoding that is too long returned %v, want a LimitError", err)
 	}
 }
 
-// checkUpdateLimit requires that an update one beyond a limit is neither decoded nor
-// encoded.
+// checkUpdateLimit checks that an update that exceeds a limit by one is neither decoded
+// nor encoded.
 func checkUpdateLimit(t *testing.T, update Update, what string) {
 	t.Helper()
 	var limit *LimitError
 	if _, err := DecodeUpdate(encode(update)); !errors.As(err, &limit) || limit.What != what || limit.Got != limit.Limit+1 {
-		t.Errorf("decoding: %v", err)
+		t.Errorf("DecodeUpdate returned %v, want a LimitError", err)
 	}
 	if _, err := EncodeUpdate(&update); !errors.As(err, &limit) {
-		t.Errorf("encoding: %v", err)
+		t.Errorf("EncodeUpdate returned %v, want a LimitError", err)
 	}
 }
 
 func TestDecodeUpdateRejectsMalformed(t *testing.T) {
 	valid := encode(NewUpdate(testApex, nil, nil))
 	cases := map[string][]byte{
-		"empty":              nil,
-		"trailing octet":     append(slices.Clone(valid), 0),
-		"truncated":          valid[:len(valid)-1],
-		"unknown field":      encode(map[int]any{1: []any{}, 99: 1}),
-		"field twice":        {0xa2, 0x01, 0x80, 0x01, 0x80},
-		"indefinite length":  {0xa1, 0x01, 0x9f, 0xff},
-		"tag":                encode(cbor.Tag{Number: 55799, Content: map[int]any{}}),
-		"array for a map":    {0x80},
-		"announced too long": {0xa1, 0x02, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0},
+		"empty":                  nil,
+		"trailing octet":         append(slices.Clone(valid), 0),
+		"truncated":              valid[:len(valid)-1],
+		"unknown field":          encode(map[int]any{1: []any{}, 99: 1}),
+		"duplicate field":        {0xa2, 0x01, 0x80, 0x01, 0x80},
+		"indefinite length":      {0xa1, 0x01, 0x9f, 0xff},
+		"tag":                    encode(cbor.Tag{Number: 55799, Content: map[int]any{}}),
+		"array instead of a map": {0x80},
+		"length beyond the data": {0xa1, 0x02, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0},
 	}
 	for name, data := range cases {
 		t.Run(name, func(t *testing.T) {
 			if _, err := DecodeUpdate(data); !errors.Is(err, ErrMalformed) {
-				t.Errorf("error %v, want ErrMalformed", err)
+				t.Errorf("DecodeUpdate returned %v, want ErrMalformed", err)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 	}
 	long := strings.Repeat(strings.Repeat("x", 49)+".", 5)
 	if _, err := ParseName(long + "xxx."); err != nil {
-		t.Errorf("255 octets: %v", err)
+		t.Errorf("ParseName of a name of 255 octets returned %v", err)
 	}
 	for _, text := range []string{"", "..", ".a.", "a..b.", `a\`, `a\1.`, `a\256.`, strings.Repeat("x", 64), long + "xxxx."} {
 		if got, err := ParseName(text); !errors.Is(err, ErrName) {
@@ -134,8 +134,9 @@
 	}
 }
 
-// TestNameProperties checks that any label is kept, that canonical names are
-// fixed points, and that keys sort a name directly before all names below it.
+// TestNameProperties checks that labels are preserved, that ParseName returns canonical
+// names unchanged, and that a name's key is a prefix of exactly the keys of the names at
+// and below it.
 func TestNameProperties(t *testing.T) {
 	octet := rapid.OneOf(rapid.SampledFrom([]byte(`aab.\0`)), rapid.Byte())
 	rapid.Check(t, func(t *rapid.T) {
@@ -152,7 +153,7 @@
 		}
 		below := slices.Equal(lastLabels(one.Labels(), len(other.Labels())), other.Labels())
 		if one.In(other) != below || strings.HasPrefix(one.key(), other.key()) != below {
-			t.Fatalf("%q in %q: %v by labels, %v by name, keys %q and %q", one, other, below, one.In(other), one.key(), other.key())
+			t.Fatalf("%q is below %q: %v by its labels, %v by In, keys %q and %q", one, other, below, one.In(other), one.key(), other.key())
 		}
 		if (one.key() == other.key()) != (one == other) {
 			t.Fatalf("%q and %q have keys %q and %q", one, other, one.key(), other.key())
@@ -160,7 +161,7 @@
 	})
 }
 
-// lastLabels returns the last labels, nil if there are fewer.
+// lastLabels returns the last count labels, or nil if there are fewer.
 func lastLabels(labels []string, count int) []string {
 	if len(labels) < count {
 		return nil
@@ -168,11 +169,12 @@
 	return labels[len(labels)-count:]
 }
 
-// FuzzDecodeUpdate feeds octets to decoding and what decodes to a table: neither
-// may panic, an update must survive encoding again, and a failed one must change nothing.
+// FuzzDecodeUpdate decodes arbitrary octets and applies the decoded update to a table.
+// Neither may panic, a decoded update must be encodable again without loss, and an update
+// that fails must not change the table.
 func FuzzDecodeUpdate(f *testing.F) {
 	update := NewUpdate(testApex, []Record{InUse(testApex), Absent("x.t.", typeMany)},
-		[]Record{Add(rr("x.t.", typeMany, "1")), DeleteName("y.t."), DeleteRecord(members[0])})
+		[]Record{Add(rr("x.t.", typeMany, "1")), DeleteName("y.t."), DeleteRecord(nsRecords[0])})
 	f.Add(encode(update))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		decoded, err := DecodeUpdate(data)
@@ -181,19 +183,19 @@
 		}
 		encoded, err := EncodeUpdate(&decoded)
 		if err != nil {
-			t.Fatalf("encoding what decoded: %v", err)
+			t.Fatalf("encoding the decoded update: %v", err)
 		}
 		if again, err := DecodeUpdate(encoded); err != nil || string(encode(again)) != string(encoded) {
-			t.Fatalf("decoding again: %v", err)
+			t.Fatalf("the update differs after encoding and decoding it again, error %v", err)
 		}
 		table := testTable(t)
 		before := dump(table.View())
 		result := table.Apply(&decoded, nil)
 		if result.Code != NoError && (result.Changed || !slices.Equal(before, dump(table.View()))) {
-			t.Fatalf("%s has changed the table", result.Code)
+			t.Fatalf("an update that was answered with %s changed the table", result.Code)
 		}
 		if len(table.View().Lookup(testApex, TypeNS)) == 0 || table.Serial() == 0 {
-			t.Fatal("the table has lost its SOA or its NS records")
+			t.Fatal("the table has no SOA record or no NS record after the update")
 		}
 	})
 }
--- a/registry/doc.go
+++ b/registry/doc.go
@@ -1,11 +1,11 @@
 // Package registry implements the update path of DNS UPDATE (the Internet-Draft
 // "Dynamic Updates in the Domain Name System", November 1996, which became RFC
-// 2136) over record types of the embedder's own. It is pure: no I/O, no clock, no
-// goroutine.
+// 2136) for record types that the embedding program declares. It performs no I/O,
+// reads no clock and starts no goroutine.
 //
-// Section numbers in comments are the draft's. Where its text and its pseudocode
-// disagree, the text decides; docs/UPDATE.md goes through both.
+// Section numbers in comments refer to the draft. Where its text and its pseudocode
+// disagree, this package follows the text; docs/UPDATE.md covers both.
 //
-// One Table is what the draft calls a zone. The word zone is kept for availability
-// zones everywhere else in this module.
+// A Table is what the draft calls a zone. Elsewhere in this module, the word zone
+// means an availability zone.
 package registry
--- a/registry/exchange.go
+++ b/registry/exchange.go
@@ -10,22 +10,22 @@
 // DefaultServerTimeout is how long a requestor or forwarder waits for one server.
 const DefaultServerTimeout = 2 * time.Second
 
-// ErrNoServer means that no server gave a usable answer (section 4.6).
-var ErrNoServer = errors.New("registry: no server left to try")
+// ErrNoServer means that no server gave a conclusive answer (section 4.6).
+var ErrNoServer = errors.New("registry: no server gave a conclusive answer")
 
 // Exchanger sends an update to one server and returns its answer. An error means
-// that no answer came: the update may or may not have been applied. hops is the
-// number of times that the update has been forwarded.
+// that no answer was received: the update may or may not have been applied. hops is
+// the number of times that the update has been forwarded.
 type Exchanger interface {
 	Exchange(ctx context.Context, server string, hops int, update *Update) (Result, error)
 }
 
-// ServerError reports why a server was given up.
+// ServerError reports that a server gave no conclusive answer.
 type ServerError struct {
 	Server string
-	// Code is the answer that ruled the server out, NoError if none came.
+	// Code is the server's inconclusive answer, or NoError if there was no answer.
 	Code ResponseCode
-	// Err is why no answer came, nil if one did.
+	// Err is the reason why there was no answer, or nil if there was one.
 	Err error
 }
 
@@ -37,20 +37,20 @@
 	return fmt.Sprintf("server %s answered %s", e.Server, e.Code)
 }
 
-// Unwrap returns why no answer came, nil if one did.
+// Unwrap returns the reason why there was no answer, or nil if there was one.
 func (e *ServerError) Unwrap() error { return e.Err }
 
 // serverSequence tries servers in order.
 type serverSequence struct {
 	exchanger Exchanger
-	timeout   time.Duration // for one server; 0 is DefaultServerTimeout
+	timeout   time.Duration // for one server; 0 selects DefaultServerTimeout
 	hops      int
 	// conclusive reports whether an answer ends the sequence; otherwise the next
 	// server is tried.
 	conclusive func(ResponseCode) bool
 }
 
-// send returns the first conclusive answer. Without one the code is ServFail, and
+// send returns the first conclusive answer. If there is none, the code is ServFail and
 // the error wraps ErrNoServer and a *ServerError for each server tried.
 func (s *serverSequence) send(ctx context.Context, servers []string, update *Update) (Result, error) {
 	failures := []error{ErrNoServer}
@@ -67,7 +67,7 @@
 	return unanswered(), errors.Join(failures...)
 }
 
-// exchange sends the update to one server within the timeout.
+// exchange sends the update to one server and waits at most the timeout for its answer.
 func (s *serverSequence) exchange(ctx context.Context, server string, update *Update) (Result, error) {
 	timeout := s.timeout
 	if timeout <= 0 {
--- a/registry/golden_encoding_test.go
+++ b/registry/golden_encoding_test.go
@@ -10,12 +10,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// updateGolden writes the files of testdata/golden anew. What is in them is
-// stored on disks and sent between builds, so a file is added, never changed.
-var updateGolden = flag.Bool("update-golden", false, "write the files of testdata/golden anew")
+// updateGolden rewrites the files in testdata/golden. They contain encodings that are
+// stored on disk and sent between versions, so files may be added but never changed.
+var updateGolden = flag.Bool("update-golden", false, "rewrite the files in testdata/golden")
 
-// checkGolden compares an encoding with the file that an earlier build left, and
-// returns the file's bytes.
+// checkGolden compares an encoding with the golden file of this name, and returns the
+// file's content.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".cbor")
@@ -44,8 +44,8 @@
 	return SOA{Primary: "control-1", Serial: serial, Refresh: 900, Expire: 3600}
 }
 
-// goldenRecords has a record of each type that this package gives rules for, and
-// two of the embedder's types, with names and data that need escapes or are empty.
+// goldenRecords returns records of each type for which this package has rules and of
+// types of the embedding program, some with escapes in the name or with empty data.
 func goldenRecords() map[string]Record {
 	return map[string]Record{
 		"ns":           NSRecord(goldenApex, "control-1"),
@@ -92,8 +92,8 @@
 	}
 }
 
-// goldenUpdates has each form of a prerequisite and of a change (RFC 2136, 2.4
-// and 2.5), and updates with every section and with none.
+// goldenUpdates returns updates with each form of prerequisite and of change (RFC 2136,
+// sections 2.4 and 2.5), one with every section and one without any.
 func goldenUpdates() map[string]Update {
 	route := goldenRecords()["private"]
 	prerequisite := func(records ...Record) Update { return NewUpdate(goldenApex, records, nil) }
@@ -139,8 +139,8 @@
 	}
 }
 
-// goldenTable returns a table at serial 12. The update to serial 11 added two
-// records; that to serial 12 replaced one, deleted the other and added a third.
+// goldenTable returns a table at serial 12. The update to serial 11 added two records;
+// the update to serial 12 replaced one, deleted the other and added a third.
 func goldenTable(t *testing.T) *Table {
 	t.Helper()
 	table, err := New(goldenApex, testSchema(), goldenSOA(10), []string{"control-1", "control-2"})
@@ -153,7 +153,7 @@
 	} {
 		update := NewUpdate(goldenApex, nil, changes)
 		if result := table.Apply(&update, nil); result.Code != NoError || !result.Changed {
-			t.Fatalf("preparing the table: %+v", result)
+			t.Fatalf("cannot prepare the table: %+v", result)
 		}
 	}
 	return table
@@ -171,10 +171,10 @@
 		t.Fatal(err)
 	}
 	if again, err := restored.Snapshot(); err != nil || !bytes.Equal(again, golden) {
-		t.Errorf("restored table encodes as %x, %v, want %x", again, err, golden)
+		t.Errorf("the restored table is encoded as %x, error %v, want %x", again, err, golden)
 	}
 	if restored.SOA() != goldenSOA(12) {
-		t.Errorf("restored table has %+v, want %+v", restored.SOA(), goldenSOA(12))
+		t.Errorf("the restored table has SOA %+v, want %+v", restored.SOA(), goldenSOA(12))
 	}
 	if difference := cmp.Diff(dump(table.View()), dump(restored.View())); difference != "" {
 		t.Errorf("restored table differs (-want +got):\n%s", difference)
@@ -222,7 +222,7 @@
 	}
 }
 
-// TestGoldenNumbers holds the numbers that are stored and sent.
+// TestGoldenNumbers checks the numbers that are stored and sent.
 func TestGoldenNumbers(t *testing.T) {
 	types := map[Type]uint16{
 		TypeNS: 2, TypeCNAME: 5, TypeSOA: 6, TypeWKS: 11, TypeAXFR: 252,
@@ -230,13 +230,13 @@
 	}
 	for got, want := range types {
 		if uint16(got) != want {
-			t.Errorf("type %d, want %d", got, want)
+			t.Errorf("record type is %d, want %d", got, want)
 		}
 	}
 	classes := map[Class]uint16{ClassTable: 1, ClassNone: 254, ClassAny: 255}
 	for got, want := range classes {
 		if uint16(got) != want {
-			t.Errorf("class %d, want %d", got, want)
+			t.Errorf("class is %d, want %d", got, want)
 		}
 	}
 	codes := map[ResponseCode]uint8{
@@ -245,10 +245,10 @@
 	}
 	for got, want := range codes {
 		if uint8(got) != want {
-			t.Errorf("response code %d, want %d", got, want)
+			t.Errorf("response code is %d, want %d", got, want)
 		}
 	}
 	if snapshotFormat != 1 {
-		t.Errorf("snapshot format %d, want 1", snapshotFormat)
+		t.Errorf("snapshot format is %d, want 1", snapshotFormat)
 	}
 }
--- a/registry/limits.go
+++ b/registry/limits.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Limits of what is decoded and applied. An update or transfer beyond one of them
-// is rejected with a *LimitError: octets are checked before decoding, counts after.
+// Limits of updates, transfers and tables. An update or transfer that exceeds one is
+// rejected with a *LimitError. Encoded sizes are checked before decoding, counts after.
 const (
 	MaxUpdateBytes    = 16 << 20 // octets of an encoded update
 	MaxTransferBytes  = 256 << 20
 	MaxPrerequisites  = 4096
 	MaxChanges        = 1 << 17
 	MaxAdditional     = 64
-	MaxDataBytes      = 64 << 10 // octets of one record's data, the limit of DNS
+	MaxDataBytes      = 64 << 10 // octets of one record's data, as in DNS
 	MaxRequestorBytes = 255
 	MaxTableRecords   = 1 << 20 // records in one table
 	maxTableEntries   = 16      // entries in an update's table section
@@ -20,14 +20,14 @@
 
 // LimitError reports an input that exceeds a limit.
 type LimitError struct {
-	What  string // what was counted
+	What  string // the quantity that exceeds the limit
 	Got   int
 	Limit int
 }
 
 // Error names the quantity, its value and the limit.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("registry: %s: %d, at most %d", e.What, e.Got, e.Limit)
+	return fmt.Sprintf("registry: limit exceeded: %s: %d, at most %d", e.What, e.Got, e.Limit)
 }
 
 // checkLimits enforces the limits on counts and sizes.
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// checkEncodedSize enforces the limit of one encoding.
+// checkEncodedSize enforces the limit of octets of one encoded value.
 func checkEncodedSize(data []byte, what string, limit int) error {
 	if len(data) > limit {
 		return &LimitError{What: "octets of " + what, Got: len(data), Limit: limit}
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// model is the reference implementation of a table: a list of records that every
-// step walks.
+// model is a simple reference implementation of a table: a list of records that each
+// step scans.
 type model struct {
 	records []Record // without the SOA record
 	soa     SOA
@@ -41,7 +41,7 @@
 	return name != "t." && !strings.HasSuffix(name, ".t.")
 }
 
-// prerequisite judges sections 3.2.1 to 3.2.3 for one record.
+// prerequisite checks one record as in sections 3.2.1 to 3.2.3.
 func (m *model) prerequisite(record Record) ResponseCode {
 	inUse := m.count(func(r Record) bool { return sameName(r, record) }) > 0
 	exists := m.count(func(r Record) bool { return sameSet(r, record) }) > 0
@@ -81,14 +81,15 @@
 	return NoError
 }
 
-// hasExactly judges section 3.2.3 for the RRset of one required record: the table
-// has some, the section has all of the table's, and the table all of the section's.
+// hasExactly checks the RRset of one required record as in section 3.2.3: it must exist,
+// and the table and the section must contain the same records of it.
 func (m *model) hasExactly(required Record, section []Record) bool {
 	exists := m.count(func(r Record) bool { return sameSet(r, required) }) > 0
 	return exists && containsSet(section, m.all(), required) && containsSet(m.all(), section, required)
 }
 
-// containsSet reports whether records has every record of the set that others has.
+// containsSet reports whether records has every record in others that belongs to the
+// RRset of set.
 func containsSet(records, others []Record, set Record) bool {
 	for _, other := range others {
 		if other.Class != ClassTable || !sameSet(other, set) {
@@ -123,11 +124,11 @@
 	return NoError
 }
 
-func (m *model) drop(match func(Record) bool) {
+func (m *model) remove(match func(Record) bool) {
 	m.records = slices.DeleteFunc(m.records, match)
 }
 
-// change applies sections 3.4.2.2 to 3.4.2.4 for one record.
+// change applies one record of the update section as in sections 3.4.2.2 to 3.4.2.4.
 func (m *model) change(record Record) {
 	record.Name = Name(strings.ToLower(string(record.Name)))
 	atApex := record.Name == testApex
@@ -135,16 +136,16 @@
 	case ClassTable:
 		m.add(record)
 	case ClassAny:
-		m.drop(func(r Record) bool {
-			kept := atApex && (r.Type == TypeNS || r.Type == TypeSOA)
-			return sameName(r, record) && !kept && (record.Type == TypeANY || record.Type == r.Type)
+		m.remove(func(r Record) bool {
+			protected := atApex && (r.Type == TypeNS || r.Type == TypeSOA)
+			return sameName(r, record) && !protected && (record.Type == TypeANY || record.Type == r.Type)
 		})
 	case ClassNone:
 		lastMember := m.count(func(r Record) bool { return r.Name == testApex && r.Type == TypeNS }) == 1
 		if atApex && record.Type == TypeNS && lastMember {
 			return
 		}
-		m.drop(func(r Record) bool { return sameSet(r, record) && bytes.Equal(r.Data, record.Data) })
+		m.remove(func(r Record) bool { return sameSet(r, record) && bytes.Equal(r.Data, record.Data) })
 	}
 }
 
@@ -161,7 +162,7 @@
 			return
 		}
 	}
-	m.drop(func(r Record) bool {
+	m.remove(func(r Record) bool {
 		if !sameSet(r, record) {
 			return false
 		}
@@ -172,7 +173,8 @@
 	m.records = append(m.records, record)
 }
 
-// apply returns the code; the serial rises once if anything differs afterwards.
+// apply applies an update and returns its code. The serial is incremented once if any
+// record has changed and the update has not set the serial.
 func (m *model) apply(update Update) ResponseCode {
 	if code := m.prerequisites(update.Prerequisites); code != NoError {
 		return code
@@ -204,7 +206,7 @@
 	return lines
 }
 
-// drawRecord draws a record of few names and values, so that records often meet.
+// drawRecord draws a record from few names and values, so that records often coincide.
 func drawRecord(t *rapid.T, serial uint32) Record {
 	record := Record{
 		Name:  rapid.SampledFrom([]Name{"t.", "a.t.", "A.t.", "b.t.", "x.b.t.", "*.t.", "u."}).Draw(t, "name"),
@@ -217,14 +219,14 @@
 		record.Data = encodeSOA(SOA{Primary: "a", Serial: serial + offset})
 		return record
 	}
-	if record.Class != ClassAny || rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
+	if record.Class != ClassAny || rapid.IntRange(0, 9).Draw(t, "unexpected data") == 0 {
 		record.Data = []byte(rapid.SampledFrom([]string{"a1", "a2", "b1", ""}).Draw(t, "data"))
 	}
 	return record
 }
 
-// drawPrerequisite mostly draws well-formed ones that the model satisfies or
-// fails by value, not by form.
+// drawPrerequisite draws the records of a prerequisite. Most are well-formed, so that
+// they are satisfied or not by the content of the table.
 func drawPrerequisite(t *rapid.T, m *model) []Record {
 	switch rapid.IntRange(0, 5).Draw(t, "prerequisite") {
 	case 0:
@@ -250,16 +252,16 @@
 	return []Record{drawRecord(t, m.soa.Serial)}
 }
 
-// takenView is a view and its records when it was taken.
+// takenView is a view with its serial and records at the time when it was taken.
 type takenView struct {
 	view   View
 	serial uint32
 	dump   []string
 }
 
-// TestTableEqualsModel applies random updates to a table, to the model, and by
-// transfers to a secondary that falls behind at random; views taken on the way
-// must not change, and a snapshot must restore the same table.
+// TestTableEqualsModel applies random updates to a table and to the model, and compares
+// them. A secondary receives transfers at random intervals. Views must not change after
+// they are taken, and restoring a snapshot must give an equal table.
 func TestTableEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := rapid.SampledFrom([]uint32{1, 10, 1<<31 - 2, 1<<32 - 3}).Draw(t, "start")
@@ -268,7 +270,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reference := &model{records: slices.Clone(members), soa: soa}
+		reference := &model{records: slices.Clone(nsRecords), soa: soa}
 		secondary := NewSecondary(testApex, testSchema())
 		var views []takenView
 		for range rapid.IntRange(1, 12).Draw(t, "updates") {
@@ -281,21 +283,21 @@
 		replicate(t, table, secondary)
 		for _, taken := range views {
 			if taken.view.Serial() != taken.serial || !slices.Equal(dump(taken.view), taken.dump) {
-				t.Fatalf("the view of serial %d has changed", taken.serial)
+				t.Fatalf("the view at serial %d changed after it was taken", taken.serial)
 			}
 		}
 	})
 }
 
-// applyToBoth applies a random update to the table and the model, which must agree
-// on the result.
+// applyToBoth applies a random update to the table and the model, and checks that their
+// results and records are equal.
 func applyToBoth(t *rapid.T, table *Table, reference *model) {
 	t.Helper()
 	update := drawUpdate(t, reference)
 	want := reference.apply(update)
 	result := table.Apply(&update, nil)
 	if result.Code != want || table.SOA() != reference.soa {
-		t.Fatalf("code %s, SOA %+v, want %s, %+v", result.Code, table.SOA(), want, reference.soa)
+		t.Fatalf("the table has code %s and SOA %+v, the model %s and %+v", result.Code, table.SOA(), want, reference.soa)
 	}
 	if difference := cmp.Diff(reference.dump(), sorted(dump(table.View()))); difference != "" {
 		t.Fatalf("records differ (-model +table):\n%s", difference)
@@ -313,9 +315,10 @@
 	return update
 }
 
-// replicate updates the secondary by an encoded transfer, compares snapshots and
-// returns the secondary. One whose serial is 2^31 or more behind must reject the
-// transfer, since RFC 1982 does not order the two, and is replaced by an empty one.
+// replicate updates the secondary by an encoded transfer, compares its snapshot with the
+// table's and returns the secondary. A secondary that is 2^31 or more serials behind must
+// reject the transfer, since by RFC 1982 the new serial is not higher, and is replaced by
+// an empty one.
 func replicate(t *rapid.T, table, secondary *Table) *Table {
 	t.Helper()
 	data, err := EncodeTransfer(table.TransferSince(secondary.Serial()))
@@ -327,7 +330,7 @@
 		t.Fatal(err)
 	}
 	if transfer.Full != (secondary.Serial() == 0) {
-		t.Fatalf("full transfer: %v, secondary at %d", transfer.Full, secondary.Serial())
+		t.Fatalf("full transfer: %v, want it only for an empty secondary; serial of the secondary %d", transfer.Full, secondary.Serial())
 	}
 	serial := secondary.Serial()
 	unordered := serial != 0 && serial != table.Serial() && !SerialLess(serial, table.Serial())
@@ -336,7 +339,7 @@
 		return replicate(t, table, NewSecondary(testApex, testSchema()))
 	}
 	if unordered || err != nil {
-		t.Fatalf("serial %d, transfer to %d: %v", serial, transfer.To, err)
+		t.Fatalf("ApplyTransfer from serial %d to %d returned %v", serial, transfer.To, err)
 	}
 	want, err := table.Snapshot()
 	if err != nil {
@@ -344,14 +347,14 @@
 	}
 	got, err := secondary.Snapshot()
 	if err != nil || !bytes.Equal(got, want) {
-		t.Fatalf("secondary differs after %+v, error %v", transfer, err)
+		t.Fatalf("the secondary differs from the table after %+v, error %v", transfer, err)
 	}
 	restored, err := Restore(testSchema(), want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again, err := restored.Snapshot(); err != nil || !bytes.Equal(again, want) {
-		t.Fatalf("the restored table differs, error %v", err)
+		t.Fatalf("the restored table differs from the table, error %v", err)
 	}
 	return secondary
 }
--- a/registry/name.go
+++ b/registry/name.go
@@ -7,7 +7,7 @@
 )
 
 // Name is a canonical domain name: lower case, absolute, dot-terminated
-// (section 1.1.2). Use ParseName to make one from outside input.
+// (section 1.1.2). Use ParseName to create one from untrusted input.
 type Name string
 
 // Limits of names, in octets of the wire form (RFC 1035, 2.3.4).
@@ -16,14 +16,14 @@
 	MaxNameBytes  = 255
 )
 
-// Root is the name that every other is below.
+// Root is the name of the root; every other name is below it.
 const Root Name = "."
 
-// ErrName is wrapped by every error about the form of a name.
+// ErrName is wrapped by the errors about malformed names.
 var ErrName = errors.New("registry: malformed name")
 
 // ParseName returns the canonical form of text: ASCII letters in lower case, a
-// final dot, escapes only where needed. It accepts the escapes \X and \DDD of
+// trailing dot, and escapes only where needed. It accepts the escapes \X and \DDD of
 // master files (RFC 1035, 5.1).
 func ParseName(text string) (Name, error) {
 	labels, err := splitLabels(text)
@@ -41,14 +41,14 @@
 			return "", fmt.Errorf("%w: %q has an empty label", ErrName, text)
 		}
 		if len(label) > MaxLabelBytes {
-			return "", fmt.Errorf("%w: label of %d octets, at most %d", ErrName, len(label), MaxLabelBytes)
+			return "", fmt.Errorf("%w: label has %d octets, at most %d", ErrName, len(label), MaxLabelBytes)
 		}
 		wire += 1 + len(label)
 		writeLabel(&canonical, label)
 		canonical.WriteByte('.')
 	}
 	if wire > MaxNameBytes {
-		return "", fmt.Errorf("%w: %d octets, at most %d", ErrName, wire, MaxNameBytes)
+		return "", fmt.Errorf("%w: name has %d octets, at most %d", ErrName, wire, MaxNameBytes)
 	}
 	return Name(canonical.String()), nil
 }
@@ -65,12 +65,12 @@
 	if !found {
 		return false
 	}
-	// After an odd number of backslashes the dot belongs to a label.
+	// A dot after an odd number of backslashes is escaped and belongs to a label.
 	backslashes := len(labels) - len(strings.TrimRight(labels, `\`))
 	return backslashes%2 == 0
 }
 
-// Child returns the name one label below n. The label is raw: dots and other
+// Child returns the name one label below n. The label is given unescaped: dots and other
 // special octets in it are escaped.
 func (n Name) Child(label string) Name {
 	var text strings.Builder
@@ -82,8 +82,8 @@
 	return Name(text.String())
 }
 
-// Labels returns the raw labels, the leftmost first. It returns nil for a
-// malformed name and for Root.
+// Labels returns the unescaped labels, leftmost first. It returns nil for a malformed
+// name and for Root.
 func (n Name) Labels() []string {
 	labels, err := splitLabels(string(n))
 	if err != nil {
@@ -96,8 +96,8 @@
 	return raw
 }
 
-// canonicalName returns the canonical form of a name from outside. It does not
-// allocate for the names that are common in a table.
+// canonicalName returns the canonical form of an untrusted name. It does not allocate
+// for names that are already canonical and need no escapes.
 func canonicalName(n Name) (Name, error) {
 	if isPlainCanonical(n) {
 		return n, nil
@@ -105,7 +105,8 @@
 	return ParseName(string(n))
 }
 
-// isPlainCanonical recognizes the common canonical names without allocating.
+// isPlainCanonical reports whether a name other than Root is canonical and has only
+// lower-case letters, digits, hyphens, underscores and dots. It does not allocate.
 func isPlainCanonical(n Name) bool {
 	if len(n) < 2 || len(n) > MaxNameBytes-1 || n[len(n)-1] != '.' {
 		return false
@@ -129,7 +130,7 @@
 }
 
 // key returns the sort key of the name: its labels from the root down, each followed
-// by a zero octet, so that a name and all below it are adjacent.
+// by a zero octet, so that a name and all names below it are adjacent.
 func (n Name) key() string {
 	text := string(n)
 	if text == "." || text == "" {
@@ -158,10 +159,10 @@
 	return count%2 == 1
 }
 
-// splitLabels undoes escapes and splits at the dots that are not escaped.
+// splitLabels splits a name at the dots that are not escaped and unescapes the labels.
 func splitLabels(text string) ([][]byte, error) {
 	if text == "" {
-		return nil, fmt.Errorf("%w: empty", ErrName)
+		return nil, fmt.Errorf("%w: name is empty", ErrName)
 	}
 	if text == "." {
 		return nil, nil
@@ -188,14 +189,13 @@
 	return labels, nil
 }
 
-// unescape returns the first octet of text and the number of characters it is
-// written with.
+// unescape returns the first octet of text and the width of its notation in text.
 func unescape(text string) (octet byte, width int, err error) {
 	if text[0] != '\\' {
 		return text[0], 1, nil
 	}
 	if len(text) < 2 {
-		return 0, 0, fmt.Errorf("%w: ends in a backslash", ErrName)
+		return 0, 0, fmt.Errorf("%w: ends with an incomplete escape", ErrName)
 	}
 	if !isDigit(text[1]) {
 		return text[1], 2, nil
@@ -205,14 +205,14 @@
 	}
 	value := int(text[1]-'0')*100 + int(text[2]-'0')*10 + int(text[3]-'0')
 	if value > 255 {
-		return 0, 0, fmt.Errorf("%w: octet escape %d", ErrName, value)
+		return 0, 0, fmt.Errorf("%w: octet escape %d exceeds 255", ErrName, value)
 	}
 	return byte(value), 4, nil
 }
 
 func isDigit(character byte) bool { return character >= '0' && character <= '9' }
 
-// writeLabel writes a raw label in canonical form.
+// writeLabel writes an unescaped label in canonical form.
 func writeLabel(text *strings.Builder, label []byte) {
 	for _, octet := range label {
 		switch {
--- a/registry/prerequisite.go
+++ b/registry/prerequisite.go
@@ -1,16 +1,16 @@
 package registry
 
-// rrsetKey names one RRset within a table.
+// rrsetKey identifies an RRset within a table.
 type rrsetKey struct {
 	name       Name
 	recordType Type
 }
 
-// checkPrerequisites is section 3.2. Records are judged in order; RRsets required
-// by value are compared after the last record, as the pseudocode has it.
+// checkPrerequisites implements section 3.2. Records are checked in order; RRsets
+// required by value are compared after the last record, as in the pseudocode.
 func checkPrerequisites(state *tableState, section []Record) Result {
 	required := map[rrsetKey][]Record{}
-	var keys []rrsetKey // of required, in order of appearance
+	var keys []rrsetKey // keys of required, in order of first appearance
 	firstIndex := map[rrsetKey]int{}
 	for i, record := range section {
 		name, code, reason := checkName(state.apex, record.Name)
@@ -51,9 +51,9 @@
 	return canonical, NoError, nil
 }
 
-// checkPrerequisite judges one record by sections 3.2.1 to 3.2.3. The
-// pseudocode's last else would also reject classes ANY and NONE; the text rejects
-// only classes that are none of the three.
+// checkPrerequisite checks one record as in sections 3.2.1 to 3.2.3. The last else of
+// the pseudocode would also reject the classes ANY and NONE; the text rejects only
+// classes other than these two and the table's.
 func checkPrerequisite(state *tableState, record Record) ResponseCode {
 	if record.TTL != 0 {
 		return FormErr
@@ -77,8 +77,8 @@
 	return checkExistence(required, found, NXRRSet, YXRRSet)
 }
 
-// checkExistence returns missing for what is required but not found, and present
-// for what is found but must not be.
+// checkExistence returns missing if existence is required but nothing was found, and
+// present if absence is required but something was found.
 func checkExistence(required, found bool, missing, present ResponseCode) ResponseCode {
 	switch {
 	case required && !found:
@@ -89,8 +89,8 @@
 	return NoError
 }
 
-// rrsetEquals compares two RRsets of one name and type. TTLs are not compared, and
-// a record that is required twice counts once.
+// rrsetEquals reports whether an RRset has exactly the data of the required records.
+// TTLs are not compared, and duplicate required records count once.
 func rrsetEquals(records, required []Record) bool {
 	distinct := map[string]bool{}
 	for _, record := range required {
--- a/registry/prescan.go
+++ b/registry/prescan.go
@@ -1,7 +1,7 @@
 package registry
 
-// prescan is section 3.4.1: it finds every error of the update section before the
-// first change is made.
+// prescan implements section 3.4.1: it checks all records of the update section before
+// the first change is made, and returns the first error.
 func prescan(apex Name, schema *Schema, section []Record) Result {
 	for i, record := range section {
 		if code, reason := prescanRecord(apex, schema, record); code != NoError {
@@ -11,8 +11,8 @@
 	return Result{FailedIndex: noFailedRecord}
 }
 
-// prescanRecord checks class, then name, then type, TTL and data, in the order of
-// the text; the pseudocode looks at the name first.
+// prescanRecord checks class, then name, then type, TTL and data, in the order of the
+// text; the pseudocode checks the name first.
 func prescanRecord(apex Name, schema *Schema, record Record) (ResponseCode, error) {
 	if record.Class != ClassTable && record.Class != ClassAny && record.Class != ClassNone {
 		return FormErr, nil
--- a/registry/requestor.go
+++ b/registry/requestor.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Requestor sends updates as in section 4. It keeps no state between updates.
+// Requestor sends updates as in section 4. It has no state between updates.
 type Requestor struct {
 	Exchanger Exchanger
-	// Timeout limits the wait for one server; 0 is DefaultServerTimeout.
+	// Timeout limits the wait for one server; 0 selects DefaultServerTimeout.
 	Timeout time.Duration
 }
 
@@ -27,11 +27,11 @@
 	return servers
 }
 
-// Send tries the servers in order until one answers with another code than
-// ServFail or NotImp (sections 4.4 to 4.6). The error wraps ErrNoServer and one
-// *ServerError for each server tried. After an error, or after a prerequisite's
-// code from any server but the first, an earlier attempt may have applied the
-// update: only a marker in the update shows whether it did (section 5.3).
+// Send tries the servers in order until one answers with a code other than ServFail
+// and NotImp (sections 4.4 to 4.6). If none does, the error wraps ErrNoServer and a
+// *ServerError for each server tried. After an error, or after a failed prerequisite at
+// any server but the first, an earlier attempt may have applied the update: only a
+// marker record in the update shows whether it did (section 5.3).
 func (r *Requestor) Send(ctx context.Context, servers []string, update *Update) (Result, error) {
 	sequence := serverSequence{
 		exchanger:  r.Exchanger,
--- a/registry/result.go
+++ b/registry/result.go
@@ -33,7 +33,7 @@
 	NotZone:  "NOTZONE",
 }
 
-// String returns the mnemonic of section 2.2.
+// String returns the mnemonic from section 2.2.
 func (c ResponseCode) String() string {
 	if int(c) < len(responseNames) {
 		return responseNames[c]
@@ -49,7 +49,7 @@
 	SectionChange       = "change"
 )
 
-// noFailedRecord is the FailedIndex of a result that no single record decided.
+// noFailedRecord is the FailedIndex of a result that was not caused by a single record.
 const noFailedRecord = -1
 
 // Result is the outcome of applying one update.
@@ -59,11 +59,11 @@
 	Serial uint32
 	// Changed is false if the update left every record as it was.
 	Changed bool
-	// FailedIndex is the index within Section of the record that decided an error,
-	// -1 if there is none.
+	// FailedIndex is the index within Section of the record that caused the error, or
+	// -1 if no single record did.
 	FailedIndex int
 	Section     string // one of the Section constants, "" after success
-	// Reason is the error behind Refused, ServFail or a FormErr about data; nil
-	// otherwise.
+	// Reason is the cause of Refused, ServFail, or a FormErr about a limit, a name or
+	// data; nil otherwise.
 	Reason error
 }
--- a/registry/rrset.go
+++ b/registry/rrset.go
@@ -7,13 +7,14 @@
 	"github.com/google/btree"
 )
 
-// treeDegree balances the nodes copied by a change against the depth of a search.
+// treeDegree is a compromise between the size of the nodes that a change copies and the
+// depth of the tree.
 const treeDegree = 16
 
-// rrset is all records of one name and type, sorted by data. It is immutable once
-// it is in a tree.
+// rrset has all records of one name and type, sorted by data. It is immutable once it is
+// in a tree.
 type rrset struct {
-	key        string // the name's sort key
+	key        string // sort key of the name, see Name.key
 	recordType Type
 	records    []Record
 }
@@ -29,7 +30,7 @@
 	return btree.NewG(treeDegree, lessRRset)
 }
 
-// findRRset returns the RRset of the name and type, one without records if there is
+// findRRset returns the RRset of the name and type, or one without records if there is
 // none.
 func findRRset(tree *btree.BTreeG[rrset], key string, recordType Type) rrset {
 	set, _ := tree.Get(rrset{key: key, recordType: recordType})
@@ -52,8 +53,8 @@
 	return found
 }
 
-// insertRecord returns a copy of the records with one more, sorted by data. The
-// record must not be among them.
+// insertRecord returns a copy of the records with the record inserted, sorted by data.
+// The record must not be among them yet.
 func insertRecord(records []Record, record Record) []Record {
 	at := sort.Search(len(records), func(i int) bool {
 		return bytes.Compare(records[i].Data, record.Data) >= 0
@@ -64,7 +65,7 @@
 	return append(inserted, records[at:]...)
 }
 
-// filterOut returns a copy of the records without those that match.
+// filterOut returns the records that do not match, in a new slice.
 func filterOut(records []Record, match func(Record) bool) []Record {
 	var remaining []Record
 	for _, record := range records {
--- a/registry/schema.go
+++ b/registry/schema.go
@@ -16,25 +16,25 @@
 	// Singleton types have at most one record at a name: adding one replaces it, as
 	// with SOA and CNAME (section 1.1.5).
 	Singleton bool
-	// Key, if set, extracts the part of the data by which records replace each
-	// other: adding one replaces that with an equal key, as with WKS (section 1.1.5).
+	// Key, if set, extracts a key from the data: adding a record replaces one with an
+	// equal key, as with WKS (section 1.1.5).
 	Key func(data []byte) []byte
-	// Check, if set, validates added data during the prescan (section 7.14). An
-	// error is answered as FormErr.
+	// Check, if set, validates added data during the prescan (section 7.14). If it
+	// fails, the update is answered with FormErr.
 	Check func(data []byte) error
 }
 
-// Schema is the set of record types that a table recognizes; others are
-// unrecognized types (section 3.4.1.2).
+// Schema is the set of record types that a table recognizes (section 3.4.1.2).
 type Schema struct {
 	kinds map[Type]Kind
 }
 
-// wksKeyBytes are the address and the protocol that lead the data of a WKS record.
+// wksKeyBytes is the size of the address and protocol at the start of WKS data.
 const wksKeyBytes = 5
 
-// NewSchema returns a schema with NS, CNAME, SOA and WKS and the kinds given. It
-// fails on a type below FirstPrivateType and on a type or name declared twice.
+// NewSchema returns a schema with NS, CNAME, SOA, WKS and the given kinds. It returns
+// ErrSchema if a type is below FirstPrivateType, a name is empty, or a type or name is
+// declared twice.
 func NewSchema(kinds ...Kind) (*Schema, error) {
 	schema := &Schema{kinds: standardKinds()}
 	names := map[string]bool{}
@@ -49,7 +49,7 @@
 			return nil, fmt.Errorf("%w: type %d is declared twice", ErrSchema, kind.Type)
 		}
 		if kind.Name == "" || names[kind.Name] {
-			return nil, fmt.Errorf("%w: name %q of type %d is empty or taken", ErrSchema, kind.Name, kind.Type)
+			return nil, fmt.Errorf("%w: name %q of type %d is empty or already declared", ErrSchema, kind.Name, kind.Type)
 		}
 		names[kind.Name] = true
 		schema.kinds[kind.Type] = kind
@@ -63,7 +63,7 @@
 	return kind, known
 }
 
-// standardKinds declares the types that the draft gives rules for (section 1.1.5).
+// standardKinds declares the types for which the draft defines rules (section 1.1.5).
 func standardKinds() map[Type]Kind {
 	return map[Type]Kind{
 		TypeNS:    {Type: TypeNS, Name: "NS"},
@@ -79,7 +79,7 @@
 
 func checkWKS(data []byte) error {
 	if len(data) < wksKeyBytes {
-		return fmt.Errorf("registry: WKS data of %d octets, at least %d", len(data), wksKeyBytes)
+		return fmt.Errorf("registry: WKS data has %d octets, at least %d required", len(data), wksKeyBytes)
 	}
 	return nil
 }
--- a/registry/serial.go
+++ b/registry/serial.go
@@ -1,7 +1,6 @@
 package registry
 
-// NextSerial returns the serial after serial modulo 2^32, skipping zero
-// (section 7.11).
+// NextSerial returns the successor of serial modulo 2^32, skipping zero (section 7.11).
 func NextSerial(serial uint32) uint32 {
 	serial++
 	if serial == 0 {
@@ -10,8 +9,8 @@
 	return serial
 }
 
-// SerialLess reports whether a is lower than b by RFC 1982. Serials 2^31 apart
-// are not ordered: then neither is lower.
+// SerialLess reports whether a is lower than b as defined in RFC 1982. Of two serials
+// that are 2^31 apart, neither is lower.
 func SerialLess(a, b uint32) bool {
 	return a != b && int32(b-a) > 0
 }
--- a/registry/snapshot.go
+++ b/registry/snapshot.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// snapshotFormat is raised when the encoding of snapshots changes.
+// snapshotFormat must be incremented when the encoding of snapshots changes.
 const snapshotFormat = 1
 
 // snapshot is the encoded form of a table.
@@ -12,14 +12,14 @@
 	Records []Record `cbor:"3,keyasint"`
 }
 
-// Snapshot returns the encoding of the table. Equal tables encode equally.
+// Snapshot returns the encoding of the table. Equal tables have equal encodings.
 func (t *Table) Snapshot() ([]byte, error) {
 	state := t.current.Load()
 	return encodeWithin(MaxTransferBytes, "snapshot", snapshot{Format: snapshotFormat, Apex: state.apex, Records: allRecords(state)})
 }
 
 // Restore returns a primary replica with the content of a snapshot. Its journal is
-// empty, so a secondary at another serial first takes a full transfer.
+// empty, so a secondary at another serial first receives a full transfer.
 func Restore(schema *Schema, data []byte) (*Table, error) {
 	saved, err := decodeSnapshot(data)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return table, nil
 }
 
-// decodeSnapshot reads a snapshot of a known format with a canonical apex.
+// decodeSnapshot decodes a snapshot. It requires the current format and a canonical apex.
 func decodeSnapshot(data []byte) (snapshot, error) {
 	var saved snapshot
 	if err := decode(data, MaxTransferBytes, "snapshot", &saved); err != nil {
@@ -48,7 +48,7 @@
 	}
 	apex, err := canonicalName(saved.Apex)
 	if err != nil || apex != saved.Apex {
-		return snapshot{}, fmt.Errorf("%w: apex %q of snapshot", ErrMalformed, saved.Apex)
+		return snapshot{}, fmt.Errorf("%w: apex %q of snapshot is not canonical", ErrMalformed, saved.Apex)
 	}
 	return saved, nil
 }
--- a/registry/table.go
+++ b/registry/table.go
@@ -9,39 +9,39 @@
 
 // Errors of creating and updating a table.
 var (
-	// ErrSOA means that a new table's SOA data or list of members is invalid.
+	// ErrSOA means that the SOA data or the list of members of a new table is invalid.
 	ErrSOA = errors.New("registry: invalid SOA")
-	// ErrTableFull is the reason behind ServFail for an update that would leave more
-	// than MaxTableRecords records.
+	// ErrTableFull is the Result.Reason of ServFail for an update that would leave more
+	// than MaxTableRecords records in the table.
 	ErrTableFull = errors.New("registry: table is full")
-	// ErrSecondary is the reason behind Refused on a secondary: the update must be
-	// forwarded (section 6).
-	ErrSecondary = errors.New("registry: secondary copy, forward the update")
+	// ErrSecondary is the Result.Reason of Refused at a secondary: the update must be
+	// forwarded to the primary (section 6).
+	ErrSecondary = errors.New("registry: replica is a secondary, forward the update to the primary")
 )
 
-// Policy judges whether the requestor may make the update (section 3.3). An
-// error refuses it. It must decide the same on every replica.
+// Policy checks whether the requestor has permission for the update (section 3.3). If it
+// returns an error, the update is refused. It must return the same on every replica.
 type Policy func(*Update) error
 
-// PersistFunc makes a change stable before it becomes visible (section 3.5). An
-// error rolls the update back, which is then answered with ServFail.
+// PersistFunc writes a change to stable storage before it becomes visible (section 3.5).
+// If it returns an error, the update is rolled back and answered with ServFail.
 type PersistFunc func(Result, Transfer) error
 
-// Table is a replica of one registry, the draft's zone. It applies one update at a
-// time; any goroutine may take and read views.
+// Table is a replica of one registry, called a zone in the draft. It is safe for
+// concurrent use. Updates are applied one at a time; views never wait for them.
 type Table struct {
 	schema     *Schema
 	apex       Name
 	secondary  bool
 	maxRecords int
 
-	mutex   sync.Mutex // guards journal, and is held while a change is made
+	mutex   sync.Mutex // guards journal and serializes changes
 	journal journal
 	current atomic.Pointer[tableState]
 }
 
-// New returns a primary replica of an empty table at apex, with its SOA record and
-// an NS record for each member. There must be a member, and the serial must not be
+// New returns a primary replica of a new table at apex, with its SOA record and an NS
+// record for each member. There must be at least one member, and the serial must not be
 // zero.
 func New(apex Name, schema *Schema, soa SOA, members []string) (*Table, error) {
 	apex, err := canonicalName(apex)
@@ -52,7 +52,7 @@
 		return nil, fmt.Errorf("%w: serial is zero", ErrSOA)
 	}
 	if len(members) == 0 {
-		return nil, fmt.Errorf("%w: no member", ErrSOA)
+		return nil, fmt.Errorf("%w: no members", ErrSOA)
 	}
 	table := newTable(apex, schema)
 	tx := &transaction{apex: apex, schema: schema, tree: newTree()}
@@ -64,7 +64,8 @@
 	return table, nil
 }
 
-// NewSecondary returns an empty secondary replica, to be filled by ApplyTransfer.
+// NewSecondary returns an empty secondary replica, which receives its records by
+// ApplyTransfer.
 func NewSecondary(apex Name, schema *Schema) *Table {
 	if canonical, err := canonicalName(apex); err == nil {
 		apex = canonical
@@ -79,23 +80,23 @@
 	return &Table{schema: schema, apex: apex, maxRecords: MaxTableRecords}
 }
 
-// Serial returns the serial of the newest applied change, 0 for an empty secondary.
+// Serial returns the serial of the newest applied change, or 0 for an empty secondary.
 func (t *Table) Serial() uint32 { return t.View().Serial() }
 
-// SOA returns the data of the SOA record, the zero SOA for an empty secondary.
+// SOA returns the data of the SOA record, or the zero SOA for an empty secondary.
 func (t *Table) SOA() SOA { return t.View().SOA() }
 
 // View returns a snapshot of the table at its newest serial.
 func (t *Table) View() View { return View{state: t.current.Load()} }
 
-// Apply processes one update through all the steps of section 3: all of it takes
-// effect or none, and the result is the same on every replica in the same state.
+// Apply processes one update by all steps of section 3. It takes effect entirely or not
+// at all, and the result is the same on every replica in the same state.
 func (t *Table) Apply(update *Update, policy Policy) Result {
 	return t.ApplyAndPersist(update, policy, nil)
 }
 
-// ApplyAndPersist is Apply with a step that makes the change stable before it
-// becomes visible. persist is not called for an update that changes nothing.
+// ApplyAndPersist is like Apply, but calls persist to write the change to stable storage
+// before it becomes visible. persist is not called for an update that changes nothing.
 func (t *Table) ApplyAndPersist(update *Update, policy Policy, persist PersistFunc) Result {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -108,8 +109,8 @@
 	return t.commit(state, update, persist)
 }
 
-// check runs every step that may answer an error before the first change is made
-// (sections 3.1 to 3.4.1).
+// check performs the steps that precede the first change (sections 3.1 to 3.4.1), and
+// returns the first error.
 func (t *Table) check(state *tableState, update *Update, policy Policy) Result {
 	if err := update.checkLimits(); err != nil {
 		return Result{Code: FormErr, FailedIndex: noFailedRecord, Reason: err}
@@ -128,7 +129,7 @@
 	return prescan(t.apex, t.schema, update.Changes)
 }
 
-// checkTableSection is section 3.1.
+// checkTableSection implements section 3.1.
 func (t *Table) checkTableSection(entries []TableEntry) Result {
 	if len(entries) != 1 {
 		return Result{Code: FormErr, FailedIndex: noFailedRecord, Section: SectionTable}
@@ -150,18 +151,18 @@
 	return failed
 }
 
-// begin returns a transaction on the state.
+// begin returns a transaction on a clone of the state.
 func (t *Table) begin(state *tableState) transaction {
 	return transaction{apex: t.apex, soa: state.soa, schema: t.schema, tree: state.tree.Clone(), count: state.count}
 }
 
-// commit applies the changes in order to a clone of the state, persists them and
-// then publishes the clone (sections 3.4.2 to 3.7). What is published without being
-// stable could be read and then lost.
+// commit applies the changes in order to a clone of the state, persists them and then
+// publishes the clone (sections 3.4.2 to 3.7). A change that was published before it is
+// persisted could be read and then lost.
 func (t *Table) commit(state *tableState, update *Update, persist PersistFunc) Result {
 	tx := t.begin(state)
 	for _, change := range update.Changes {
-		change.Name, _ = canonicalName(change.Name) // the prescan has checked it
+		change.Name, _ = canonicalName(change.Name) // the prescan has checked the name
 		tx.apply(change)
 	}
 	serial := state.soa.Serial
@@ -186,8 +187,8 @@
 	return result
 }
 
-// rolledBack is the result of an update that passed every check and still could not
-// be made.
+// rolledBack returns the result of an update that passed every check but could not be
+// committed.
 func rolledBack(serial uint32, reason error) Result {
 	return Result{Code: ServFail, Serial: serial, FailedIndex: noFailedRecord, Section: SectionChange, Reason: reason}
 }
--- a/registry/transaction.go
+++ b/registry/transaction.go
@@ -6,8 +6,8 @@
 	"github.com/google/btree"
 )
 
-// transaction is a change of a table that is not published yet. It works on a clone
-// of the tree, so discarding it rolls everything back (section 3.4.2.1).
+// transaction is a change of a table that is not published yet. It modifies a clone of
+// the tree, so discarding the transaction rolls it back (section 3.4.2.1).
 type transaction struct {
 	apex    Name
 	soa     SOA
@@ -17,8 +17,8 @@
 	changes changeLog
 }
 
-// replaceRRset stores the records as the RRset of one name and type, and deletes it
-// if there are none.
+// replaceRRset stores the records as the RRset of one name and type, or deletes the
+// RRset if there are no records.
 func (tx *transaction) replaceRRset(key string, recordType Type, records []Record) {
 	set := rrset{key: key, recordType: recordType, records: records}
 	if len(records) == 0 {
@@ -45,7 +45,7 @@
 	tx.replaceRRset(key, recordType, remaining)
 }
 
-// insert stores a record that is not in its RRset yet.
+// insert adds a record to its RRset, which must not contain it yet.
 func (tx *transaction) insert(key string, record Record) {
 	set := findRRset(tx.tree, key, record.Type)
 	tx.replaceRRset(key, record.Type, insertRecord(set.records, record))
@@ -53,8 +53,8 @@
 	tx.count++
 }
 
-// apply processes one record of the update section (section 3.4.2). Its name is
-// canonical.
+// apply processes one record of the update section (section 3.4.2). The record's name
+// must be canonical.
 func (tx *transaction) apply(record Record) {
 	switch record.Class {
 	case ClassTable:
@@ -66,7 +66,7 @@
 	}
 }
 
-// add is section 3.4.2.2.
+// add implements section 3.4.2.2.
 func (tx *transaction) add(record Record) {
 	key := record.Name.key()
 	if record.Type == TypeSOA {
@@ -89,9 +89,9 @@
 	tx.insert(key, record)
 }
 
-// replaceSOA ignores an SOA record that is not at the apex, or whose serial is zero
-// or not higher than the current one: the text's "lower or equal" outranks the
-// pseudocode's "greater".
+// replaceSOA replaces the SOA record. It ignores a record that is not at the apex, or
+// whose serial is zero or not higher than the current one: the text ignores serials that
+// are "lower or equal", while the pseudocode ignores only lower ones.
 func (tx *transaction) replaceSOA(record Record) {
 	soa, err := decodeSOA(record.Data)
 	if err != nil || record.Name != tx.apex {
@@ -103,8 +103,8 @@
 	tx.putSOA(tx.apex.key(), soa, record.TTL)
 }
 
-// cnameConflict reports whether a CNAME and a record of another type would share a
-// name.
+// cnameConflict reports whether adding a record of the type would place a CNAME and a
+// record of another type at the same name.
 func (tx *transaction) cnameConflict(key string, recordType Type) bool {
 	if recordType != TypeCNAME {
 		return len(findRRset(tx.tree, key, TypeCNAME).records) > 0
@@ -117,7 +117,8 @@
 	return conflict
 }
 
-// deleteRRsets is section 3.4.2.3. The apex keeps its SOA and NS records.
+// deleteRRsets implements section 3.4.2.3. The SOA and NS records at the apex are never
+// deleted by it.
 func (tx *transaction) deleteRRsets(record Record) {
 	key := record.Name.key()
 	var types []Type
@@ -135,7 +136,8 @@
 	}
 }
 
-// deleteRecord is section 3.4.2.4. The apex keeps its SOA and its last NS record.
+// deleteRecord implements section 3.4.2.4. The SOA record and the last NS record at the
+// apex are never deleted.
 func (tx *transaction) deleteRecord(record Record) {
 	key := record.Name.key()
 	if record.Name == tx.apex {
@@ -151,7 +153,7 @@
 	})
 }
 
-// raiseSerial increments the serial if the update did not (section 3.6).
+// raiseSerial increments the serial if the update has not changed it (section 3.6).
 func (tx *transaction) raiseSerial(before uint32) {
 	if tx.soa.Serial != before {
 		return
@@ -174,7 +176,7 @@
 	tx.put(key, record)
 }
 
-// state returns the state that the transaction leads to.
+// state returns the table state that results from the transaction.
 func (tx *transaction) state() *tableState {
 	return &tableState{apex: tx.apex, soa: tx.soa, tree: tx.tree, count: tx.count}
 }
--- a/registry/transfer.go
+++ b/registry/transfer.go
@@ -7,12 +7,12 @@
 
 // Errors of Table.ApplyTransfer.
 var (
-	// ErrGap means that the transfer does not start at the secondary's serial.
-	ErrGap = errors.New("registry: transfer does not start at the held serial")
-	// ErrNotNewer means that the transfer does not lead to a higher serial. A
-	// secondary whose serial is 2^31 or more behind gets it too, since RFC 1982 does
-	// not order the two: it must start again from an empty table.
-	ErrNotNewer = errors.New("registry: transfer is not newer than the held serial")
+	// ErrGap means that an incremental transfer does not start at the secondary's serial.
+	ErrGap = errors.New("registry: transfer does not start at the current serial")
+	// ErrNotNewer means that the transfer's new serial is not higher than the secondary's.
+	// This also happens if the secondary is 2^31 or more serials behind, since by RFC
+	// 1982 the new serial is then not higher: it must start again from an empty table.
+	ErrNotNewer = errors.New("registry: transfer is not newer than the current serial")
 	// ErrTransfer means that the transfer contradicts itself or the table.
 	ErrTransfer = errors.New("registry: inconsistent transfer")
 )
@@ -21,16 +21,16 @@
 // secondary (AXFR and IXFR of DNS).
 type Transfer struct {
 	Full bool   `cbor:"1,keyasint,omitempty"`
-	From uint32 `cbor:"2,keyasint,omitempty"` // serial before; 0 for a full transfer
-	To   uint32 `cbor:"3,keyasint"`           // serial after
+	From uint32 `cbor:"2,keyasint,omitempty"` // serial before the transfer; 0 if Full
+	To   uint32 `cbor:"3,keyasint"`           // serial after the transfer
 	// Removed and Added are applied in this order. A full transfer has no Removed.
 	Removed []Record `cbor:"4,keyasint,omitempty"`
 	Added   []Record `cbor:"5,keyasint,omitempty"`
 }
 
-// TransferSince returns what a secondary at the serial from needs to reach this
-// table: an incremental transfer if the journal reaches back to it, otherwise a
-// full one.
+// TransferSince returns the transfer that brings a secondary at the serial from to this
+// table's current serial. It is incremental if the journal reaches back to from,
+// otherwise full.
 func (t *Table) TransferSince(from uint32) Transfer {
 	t.mutex.Lock()
 	state := t.current.Load()
@@ -75,8 +75,8 @@
 	return Transfer{From: entries[0].From, To: entries[len(entries)-1].To, Removed: removed, Added: added}
 }
 
-// ApplyTransfer brings a secondary to the transfer's serial, entirely or not at
-// all. A transfer to the current serial that changes nothing is accepted.
+// ApplyTransfer brings a secondary to the transfer's serial, entirely or not at all. A
+// transfer to the current serial is accepted and ignored.
 func (t *Table) ApplyTransfer(transfer Transfer) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if serial != 0 && !SerialLess(serial, transfer.To) {
-		return fmt.Errorf("%w: held %d, transfer to %d", ErrNotNewer, serial, transfer.To)
+		return fmt.Errorf("%w: current serial %d, transfer to %d", ErrNotNewer, serial, transfer.To)
 	}
 	next, err := t.stateAfter(state, transfer)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// stateAfter returns the state that the transfer leads to.
+// stateAfter returns the state of the table after the transfer.
 func (t *Table) stateAfter(state *tableState, transfer Transfer) (*tableState, error) {
 	tx, err := t.beginTransfer(state, transfer)
 	if err != nil {
@@ -124,18 +124,18 @@
 func (t *Table) beginTransfer(state *tableState, transfer Transfer) (transaction, error) {
 	if transfer.Full {
 		if len(transfer.Removed) != 0 {
-			return transaction{}, fmt.Errorf("%w: full, with removed records", ErrTransfer)
+			return transaction{}, fmt.Errorf("%w: full transfer with removed records", ErrTransfer)
 		}
 		return transaction{apex: t.apex, soa: state.soa, schema: t.schema, tree: newTree()}, nil
 	}
 	if transfer.From != state.soa.Serial || transfer.From == 0 {
-		return transaction{}, fmt.Errorf("%w: held %d, transfer from %d", ErrGap, state.soa.Serial, transfer.From)
+		return transaction{}, fmt.Errorf("%w: current serial %d, transfer from %d", ErrGap, state.soa.Serial, transfer.From)
 	}
 	return t.begin(state), nil
 }
 
-// applyTransfer removes, then adds, exactly what is listed: the primary has already
-// applied the rules of adding.
+// applyTransfer removes and then adds exactly the listed records. It does not apply the
+// rules of section 3.4.2, which the primary has already applied.
 func (tx *transaction) applyTransfer(transfer Transfer) error {
 	for _, record := range transfer.Removed {
 		if err := tx.removeListed(record); err != nil {
@@ -158,7 +158,7 @@
 	before := tx.count
 	tx.remove(record.Name.key(), record.Type, func(existing Record) bool { return sameRecord(existing, record) })
 	if tx.count != before-1 {
-		return fmt.Errorf("%w: removed record of %s is absent", ErrTransfer, record.Name)
+		return fmt.Errorf("%w: record to remove at %s does not exist", ErrTransfer, record.Name)
 	}
 	return nil
 }
@@ -171,30 +171,30 @@
 	key := record.Name.key()
 	for _, existing := range findRRset(tx.tree, key, record.Type).records {
 		if sameRecord(existing, record) {
-			return fmt.Errorf("%w: added record of %s is present", ErrTransfer, record.Name)
+			return fmt.Errorf("%w: record to add at %s already exists", ErrTransfer, record.Name)
 		}
 	}
 	tx.insert(key, record)
 	return nil
 }
 
-// checkReceived checks the form of a record that another node sent.
+// checkReceived checks the form of a record received in a transfer.
 func (tx *transaction) checkReceived(record Record) error {
 	canonical, err := canonicalName(record.Name)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
 	}
 	if canonical != record.Name || !record.Name.In(tx.apex) {
-		return fmt.Errorf("%w: name %q", ErrTransfer, record.Name)
+		return fmt.Errorf("%w: name %q is not canonical or outside the table", ErrTransfer, record.Name)
 	}
 	if _, known := tx.schema.kinds[record.Type]; !known || record.Class != ClassTable {
-		return fmt.Errorf("%w: type %d, class %s", ErrTransfer, record.Type, record.Class)
+		return fmt.Errorf("%w: unexpected type %d or class %s", ErrTransfer, record.Type, record.Class)
 	}
 	return checkRecordLimits([]Record{record})
 }
 
-// loadSOA reads the SOA data that a transfer brought. There must be exactly
-// one SOA record, with the serial announced, and an NS record.
+// loadSOA sets the SOA data of the transaction from its SOA record after a transfer. The
+// apex must have exactly one SOA record, with the transfer's serial, and an NS record.
 func (tx *transaction) loadSOA(serial uint32) error {
 	key := tx.apex.key()
 	records := findRRset(tx.tree, key, TypeSOA).records
@@ -206,7 +206,7 @@
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
 	}
 	if soa.Serial != serial || serial == 0 {
-		return fmt.Errorf("%w: SOA record has serial %d, transfer %d", ErrTransfer, soa.Serial, serial)
+		return fmt.Errorf("%w: SOA record has serial %d, transfer has serial %d", ErrTransfer, soa.Serial, serial)
 	}
 	if len(findRRset(tx.tree, key, TypeNS).records) == 0 {
 		return fmt.Errorf("%w: no NS record", ErrTransfer)
--- a/registry/view.go
+++ b/registry/view.go
@@ -11,20 +11,20 @@
 	apex  Name
 	soa   SOA
 	tree  *btree.BTreeG[rrset]
-	count int // records
+	count int // number of records
 }
 
-// View is an immutable snapshot of a table at one serial. Taking one costs O(1).
-// Any number of goroutines may use it while the table goes on changing. The zero
-// View is empty. The Data of the records it returns must not be modified.
+// View is an immutable snapshot of a table at one serial. Taking one costs O(1). It is
+// safe for concurrent use, also while the table changes. The zero View is empty. Callers
+// must not modify the Data of the records that its methods return.
 type View struct {
 	state *tableState
 }
 
-// Serial returns the serial of the view, 0 for an empty one.
+// Serial returns the serial of the view, or 0 if it is empty.
 func (v View) Serial() uint32 { return v.SOA().Serial }
 
-// SOA returns the data of the SOA record, the zero SOA for an empty view.
+// SOA returns the data of the SOA record, or the zero SOA if the view is empty.
 func (v View) SOA() SOA {
 	if v.state == nil {
 		return SOA{}
@@ -32,7 +32,7 @@
 	return v.state.soa
 }
 
-// Apex returns the name of the table, "" for an empty view.
+// Apex returns the name of the table, or "" for the zero View.
 func (v View) Apex() Name {
 	if v.state == nil {
 		return ""
@@ -49,7 +49,7 @@
 }
 
 // Lookup returns a copy of the records of the type at the name, sorted by data.
-// TypeANY matches every type. A malformed name has no records.
+// TypeANY matches every type. The result for a malformed name is empty.
 func (v View) Lookup(name Name, recordType Type) []Record {
 	if v.state == nil {
 		return nil
@@ -70,7 +70,7 @@
 	return records
 }
 
-// InUse reports whether any record is at the name itself (section 2.4.4).
+// InUse reports whether there is a record at exactly this name (section 2.4.4).
 func (v View) InUse(name Name) bool {
 	if v.state == nil {
 		return false
@@ -79,8 +79,8 @@
 	return err == nil && nameInUse(v.state.tree, name.key())
 }
 
-// Walk calls visit for the records of the type (TypeANY for all) at and below
-// the name, each name before those below it, until visit returns false.
+// Walk calls visit for the records of the type (TypeANY for all types) at and below the
+// name, with each name before the names below it, until visit returns false.
 func (v View) Walk(under Name, recordType Type, visit func(Record) bool) {
 	if v.state == nil {
 		return
