--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRenew is one renewal at a primary with as many holders.
+// BenchmarkRenew measures one renewal at a primary with various numbers of holders.
 func BenchmarkRenew(b *testing.B) {
 	for _, holders := range []int{8, 400} {
 		b.Run(fmt.Sprint(holders), func(b *testing.B) {
@@ -19,7 +19,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += step
 				if !grantor.Renew(now, now, true, requests[i%holders]).Authoritative {
-					b.Fatal("not granted")
+					b.Fatal("the decision is not authoritative")
 				}
 			}
 		})
--- a/lease/config.go
+++ b/lease/config.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// minRenewalsPerLease is how many renewals a lease must last, so that the loss of one
-// does not end it.
+// minRenewalsPerLease is the minimum duration of a lease in renewal intervals. With two,
+// the loss of a single renewal does not end the lease.
 const minRenewalsPerLease = 2
 
-// Config has the constants that grantors and holders must agree on.
+// Config has the parameters of leases. They must be the same at grantors and holders.
 type Config struct {
-	// Duration is the duration of a lease, counted from the holder's sending of the
-	// renewal. Default 1800 ms.
+	// Duration is the duration of a lease, counted from the time at which the holder sent
+	// the renewal. Default 1800 ms.
 	Duration time.Duration
-	// ClockDriftMargin covers the drift of two monotonic clocks over a lease. Default
-	// 200 ms.
+	// ClockDriftMargin is an upper bound on the drift between two monotonic clocks during
+	// a lease. Default 200 ms.
 	ClockDriftMargin time.Duration
-	// MaxQuorumContactAge is the greatest age of the quorum contact
-	// (consensus.Node.QuorumContact) with which a primary grants. Default 400 ms.
+	// MaxQuorumContactAge is the maximum age of the quorum contact
+	// (consensus.Node.QuorumContact) at which a primary still grants leases. Default
+	// 400 ms.
 	MaxQuorumContactAge time.Duration
-	// RenewalInterval is the time between two renewals of a holder. Default 300 ms.
+	// RenewalInterval is the time between the renewals of a holder. Default 300 ms.
 	RenewalInterval time.Duration
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns a Config with the default of each field.
 func DefaultConfig() Config {
 	return Config{
 		Duration:            1800 * time.Millisecond,
@@ -35,8 +36,8 @@
 	}
 }
 
-// Validate returns an error that names the setting if leases cannot be kept up with
-// this configuration.
+// Validate returns an error if a value is not positive or a lease is too short to be
+// renewed in time. The error contains the name of the setting.
 func (c Config) Validate() error {
 	switch {
 	case c.Duration <= 0:
@@ -53,9 +54,9 @@
 	return nil
 }
 
-// GracePeriod is how long a new primary waits for leases of earlier primaries of which
-// it does not know. An earlier one may have granted until MaxQuorumContactAge after the
-// election.
+// GracePeriod returns the time for which a new primary waits until unknown leases of
+// earlier primaries have expired. An earlier primary may have granted leases until
+// MaxQuorumContactAge after the election.
 func (c Config) GracePeriod() time.Duration {
 	return c.Duration + c.MaxQuorumContactAge + c.ClockDriftMargin
 }
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/lease"
 )
 
-// A primary grants leases from its first quorum contact on. It knows the serial in force
+// A primary grants leases as soon as it has a quorum contact. It returns a serial in force
 // only once the grace period is over.
 func Example() {
 	config := lease.DefaultConfig()
--- a/lease/expiry.go
+++ b/lease/expiry.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// NoDeadline is returned by Grantor.NextDeadline when nothing is due.
+// NoDeadline is returned by Grantor.NextDeadline if there is no deadline.
 const NoDeadline = time.Duration(math.MaxInt64)
 
-// Expired returns the holders whose leases have expired by the grantor's clock since
-// the last call, each once, in the order of their names. It drops the leases that are
-// expired as of the quorum contact too, released ones included; until then they still
-// hold SerialInForce back.
+// Expired returns the holders whose leases have expired by the grantor's clock since the
+// last call, sorted by holder and incarnation. It does not return holders that released
+// their lease. It deletes the leases, including released ones, that had already expired
+// at the time of the quorum contact; until then they still count for SerialInForce.
 func (g *Grantor) Expired(now time.Duration) []HolderID {
 	var expired []HolderID
 	for id, entry := range g.leases {
@@ -31,8 +31,8 @@
 	return expired
 }
 
-// Holders returns the leases that have not expired by the grantor's clock, in the order
-// of their holders' names.
+// Holders returns the leases that have not expired by the grantor's clock, sorted by
+// holder and incarnation.
 func (g *Grantor) Holders(now time.Duration) []HolderStatus {
 	holders := make([]HolderStatus, 0, len(g.leases))
 	for id, entry := range g.leases {
@@ -55,8 +55,8 @@
 	return HolderID{Holder: s.Holder, Incarnation: s.Incarnation}
 }
 
-// NextDeadline returns when something changes by the passing of time alone: the end of
-// the grace period or the expiry of the next lease. It is NoDeadline if nothing does.
+// NextDeadline returns the time of the next event that needs no message: the end of the
+// grace period or the expiry of a lease. It returns NoDeadline if there is none.
 func (g *Grantor) NextDeadline(now time.Duration) time.Duration {
 	next := NoDeadline
 	if g.gracePeriodEnd > now {
--- a/lease/grantor.go
+++ b/lease/grantor.go
@@ -6,41 +6,43 @@
 	"github.com/deckpulley/deckpulley/internal/planted"
 )
 
-// Grantor is the primary's side for one term of leadership. It is not safe for
-// concurrent use. Discard it when the leadership is lost.
+// Grantor grants the leases of a primary during one term of leadership. It is not safe
+// for concurrent use. Discard it when the leadership is lost.
 type Grantor struct {
 	config Config
 	term   uint64
 	leases map[HolderID]*lease
-	// summary is of all live leases.
+	// summary is the cached summary of all live leases.
 	summary leaseSummary
-	// released is until when delayed renewals of a holder that has released its lease
-	// are not granted.
+	// released has the holders that have released their lease. Until the time in it,
+	// renewals from the holder get no lease, since they may be delayed.
 	released map[HolderID]time.Duration
 
 	quorumContact      time.Duration
 	quorumContactKnown bool
 
-	// serial is the newest of the table. electionSerial is the one at the election: no
-	// earlier primary can have returned a newer one as in force.
+	// serial is the newest serial of the table. electionSerial is the serial at the
+	// election: no earlier primary can have returned a newer one as in force.
 	serial           uint32
 	electionSerial   uint32
 	activationSerial uint32
-	serialInForce    uint32 // the newest that was returned
+	serialInForce    uint32 // the newest that SerialInForce has returned
 
 	gracePeriodEnd time.Duration
-	// pendingReclaims has the incarnation of each holder, by name, that may have a lease
-	// of an earlier primary and is not accounted for; nil if that is not known.
+	// pendingReclaims has, by name, the incarnation of each holder that may have a lease
+	// of an earlier primary and is not accounted for yet. It is nil if ExpectReclaims was
+	// not called.
 	pendingReclaims map[string]string
-	// lastReclaim is when the last one of pendingReclaims was accounted for.
+	// lastReclaim is the time at which a holder was last accounted for, or else that of
+	// ExpectReclaims.
 	lastReclaim time.Duration
 }
 
-// slowTakeover is what planted.SlowTakeover adds to the grace period.
+// slowTakeover is the time that the defect planted.SlowTakeover adds to the grace period.
 const slowTakeover = 15 * time.Second
 
-// NewGrantor returns a Grantor for a term that began at the time elected. Its serial is
-// the table's once every entry of earlier terms is applied.
+// NewGrantor returns a Grantor for a term that began at the time elected. serial is the
+// serial of the table after every entry of earlier terms has been applied.
 func NewGrantor(config Config, term uint64, elected time.Duration, serial uint32) *Grantor {
 	gracePeriodEnd := elected + config.GracePeriod()
 	if planted.Active(planted.SlowTakeover) {
@@ -60,7 +62,7 @@
 // Term returns the term of the leadership.
 func (g *Grantor) Term() uint64 { return g.term }
 
-// SetSerial sets the newest serial of the table. An older one changes nothing.
+// SetSerial sets the newest serial of the table. An older serial is ignored.
 func (g *Grantor) SetSerial(serial uint32) {
 	if serialLess(g.serial, serial) {
 		g.serial = serial
@@ -68,9 +70,10 @@
 	}
 }
 
-// SetQuorumContact sets the send time of the newest heartbeat round that a quorum
-// acknowledged in this term; an older one changes nothing. Call it whenever it changes
-// and before SerialInForce, since leases are judged as expired only up to it.
+// SetQuorumContact sets the quorum contact: the send time of the newest heartbeat round
+// that a quorum has acknowledged in this term. An older time is ignored. Call it whenever
+// the quorum contact changes and before SerialInForce, since a lease counts as expired
+// only if it had already expired at the time of the quorum contact.
 func (g *Grantor) SetQuorumContact(contact time.Duration) {
 	if g.quorumContactKnown && contact <= g.quorumContact {
 		return
@@ -82,8 +85,8 @@
 	}
 }
 
-// Renew decides one renewal. The contact is as in SetQuorumContact; contactKnown is
-// false while there is none in this term.
+// Renew processes one renewal request and returns the decision. contact is the quorum
+// contact as in SetQuorumContact; contactKnown is false while there is none in this term.
 func (g *Grantor) Renew(now, contact time.Duration, contactKnown bool, request Request) Decision {
 	id := HolderID{Holder: request.Holder, Incarnation: request.Incarnation}
 	if contactKnown {
@@ -117,10 +120,12 @@
 	return g.quorumContactKnown && now-g.quorumContact <= g.config.MaxQuorumContactAge
 }
 
-// isEligible reports whether the holder may get a lease: only if it is not behind any
-// serial that this or an earlier primary has returned as in force. A holder that is
-// behind, but has kept a valid lease of an earlier primary, changes nothing by keeping
-// it, as long as the grace period holds SerialInForce back anyway.
+// isEligible reports whether the holder may get a lease. Its active serial must not be
+// older than any serial that this or an earlier primary may have returned as in force.
+// During the grace period, a holder with an older active serial may also extend a lease
+// that was valid when it sent the request, if it knew this term then. This is safe since
+// SerialInForce returns no serial until the grace period is over, and takes the extended
+// lease into account afterwards.
 func (g *Grantor) isEligible(request Request) bool {
 	if request.ActiveSerial == 0 {
 		return false
@@ -129,8 +134,8 @@
 	if serial, known := g.SerialInForce(); known {
 		bound = serial
 	}
-	reclaims := !g.GracePeriodOver() && request.LeaseValid && request.Term == g.term
-	return reclaims || !serialLess(request.ActiveSerial, bound)
+	extendsValidLease := !g.GracePeriodOver() && request.LeaseValid && request.Term == g.term
+	return extendsValidLease || !serialLess(request.ActiveSerial, bound)
 }
 
 func (g *Grantor) grant(now time.Duration, id HolderID, request Request) {
@@ -148,8 +153,9 @@
 	entry.recordActiveSerial(now, request.ActiveSerial)
 }
 
-// release ends a lease now. It counts as expired only with a quorum contact after now:
-// until then another primary may have granted to holders that are behind.
+// release ends a lease at the time now. The lease counts as expired only once the quorum
+// contact is not before now: until then, another primary may have granted a lease to a
+// holder with an older active serial.
 func (g *Grantor) release(now time.Duration, id HolderID) {
 	if entry, known := g.leases[id]; known {
 		entry.expiry = min(entry.expiry, now)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Errors of Holder's methods. The caller must ignore the complete message then, not
-// only the lease in it.
+// Errors of Holder's methods. After any of them the caller must ignore the whole message,
+// not only the lease in it.
 var (
-	// ErrStaleTerm means that the message is of an older term than the newest known one.
-	ErrStaleTerm = errors.New("lease: from an older term")
-	// ErrOtherCluster means that the message is of another cluster than the first one.
-	ErrOtherCluster = errors.New("lease: from another cluster")
-	// ErrReleased means that the holder has released its lease for good.
-	ErrReleased = errors.New("lease: released")
+	// ErrStaleTerm means that the message has an older term than the newest observed one.
+	ErrStaleTerm = errors.New("lease: message is from an older term")
+	// ErrOtherCluster means that the message is from another cluster than the first message.
+	ErrOtherCluster = errors.New("lease: message is from another cluster")
+	// ErrReleased means that the holder has released its lease and accepts no other one.
+	ErrReleased = errors.New("lease: lease has been released")
 )
 
-// Holder is a gateway's side. It is not safe for concurrent use.
+// Holder has the lease of a gateway. It is not safe for concurrent use.
 type Holder struct {
 	config   Config
 	term     uint64
-	cluster  string        // empty before the first message
-	expiry   time.Duration // with hasLease only
-	hasLease bool          // a lease was granted, expired or not
+	cluster  string        // cluster of the first message, empty before it
+	expiry   time.Duration // only valid if hasLease
+	hasLease bool          // a lease has been granted; it may have expired
 	released bool
 }
 
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// HandleGrant extends the lease by a grant for the renewal that was sent at the time
-// sent: it is valid for duration from then on, at most for Config.Duration. A duration
-// of 0, or a grant that would end earlier, leaves the lease as it is. It returns
-// ErrReleased or an error of Observe.
+// HandleGrant processes a grant in reply to the renewal that the holder sent at the time
+// sent. The lease is then valid until duration after sent, but at most until
+// Config.Duration after sent. A duration of 0, or one that would end the lease earlier,
+// leaves the lease unchanged. HandleGrant returns ErrReleased or an error of Observe.
 func (h *Holder) HandleGrant(now, sent time.Duration, term uint64, cluster string, duration time.Duration) error {
 	if h.released {
 		return ErrReleased
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Release gives the lease up for good. Call it before the primary is sent the release:
-// it may let others act as soon as it has received that.
+// Release ends the lease permanently. Call it before sending the release to the primary,
+// which may stop waiting for this holder as soon as it has received the release.
 func (h *Holder) Release() { h.released = true }
 
 // Valid reports whether the holder may act on its active serial.
@@ -78,7 +78,7 @@
 	return h.hasLease && !h.released && now < h.expiry
 }
 
-// Remaining returns the time until the lease expires, 0 without a valid lease.
+// Remaining returns the time until the lease expires, or 0 without a valid lease.
 func (h *Holder) Remaining(now time.Duration) time.Duration {
 	if !h.Valid(now) {
 		return 0
@@ -86,8 +86,8 @@
 	return h.expiry - now
 }
 
-// Term returns the newest term observed, 0 before.
+// Term returns the newest term observed, or 0 before the first message.
 func (h *Holder) Term() uint64 { return h.term }
 
-// Cluster returns the cluster of the first message observed, empty before.
+// Cluster returns the cluster of the first message, or an empty string before it.
 func (h *Holder) Cluster() string { return h.cluster }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -10,13 +10,14 @@
 
 const ms = time.Millisecond
 
-// renewalRequest is a renewal of term 7 without a valid lease.
+// renewalRequest returns a renewal request of a holder that knows term 7 and has no valid
+// lease.
 func renewalRequest(holder string, received, active uint32) Request {
 	return Request{Holder: holder, Incarnation: "1", ReceivedSerial: received, ActiveSerial: active, Term: 7}
 }
 
 // grantorAfterGracePeriod returns a grantor of term 7 with serial 5, and the time at which
-// its grace period is over.
+// its grace period is over, which is also its quorum contact.
 func grantorAfterGracePeriod() (*Grantor, time.Duration) {
 	config := DefaultConfig()
 	grantor := NewGrantor(config, 7, 0, 5)
@@ -29,7 +30,7 @@
 	t.Helper()
 	grantor.SetQuorumContact(now)
 	if serial, known := grantor.SerialInForce(); serial != want || known != wantKnown {
-		t.Fatalf("in force at %v: %d (%v), want %d (%v)", now, serial, known, want, wantKnown)
+		t.Fatalf("serial in force at %v: %d (known: %v), want %d (known: %v)", now, serial, known, want, wantKnown)
 	}
 }
 
@@ -66,9 +67,9 @@
 	grantor.Renew(end-ms, end-ms, true, renewalRequest("a", 6, 5))
 	wantInForce(t, grantor, end-ms, 5, true)
 	if expired := grantor.Expired(end - ms); len(expired) != 0 {
-		t.Fatalf("expired too early: %v", expired)
+		t.Fatalf("leases expired too early: %v", expired)
 	}
-	wantInForce(t, grantor, end, 5, true) // a has not reported 6 yet
+	wantInForce(t, grantor, end, 5, true) // holder a has not reported 6 as active yet
 	if activation := grantor.ActivationSerial(); activation != 6 {
 		t.Fatalf("activation serial %d, want 6", activation)
 	}
@@ -76,14 +77,14 @@
 		t.Fatal(diff)
 	}
 	if again := grantor.Expired(end); len(again) != 0 {
-		t.Fatalf("expired twice: %v", again)
+		t.Fatalf("expired leases were returned again: %v", again)
 	}
 	grantor.Renew(end, end, true, renewalRequest("a", 6, 6))
 	wantInForce(t, grantor, end, 6, true)
 
 	returned := grantor.Renew(end, end, true, renewalRequest("partitioned", 5, 5))
 	if diff := cmp.Diff(Decision{Authoritative: true, ActivationSerial: 6}, returned); diff != "" {
-		t.Fatalf("a holder that is behind: %s", diff)
+		t.Fatalf("decision for a holder with an older active serial (-want +got):\n%s", diff)
 	}
 }
 
@@ -93,20 +94,20 @@
 	grantor.SetSerial(6)
 	late := now + 5*time.Second
 	if got := grantor.Renew(late, now, true, renewalRequest("b", 6, 6)); got != (Decision{}) {
-		t.Fatalf("granted on an old quorum contact: %+v", got)
+		t.Fatalf("decision with an old quorum contact: %+v, want the zero Decision", got)
 	}
 	if serial, known := grantor.SerialInForce(); serial != 5 || !known {
-		t.Fatalf("in force %d (%v): judged beyond the quorum contact", serial, known)
+		t.Fatalf("serial in force %d (known: %v), want 5: a lease counted as expired after the quorum contact", serial, known)
 	}
 	unknown := NewGrantor(DefaultConfig(), 1, 0, 1)
 	if got := unknown.Renew(0, 0, false, renewalRequest("a", 1, 1)); got != (Decision{}) {
-		t.Fatalf("granted without a quorum contact: %+v", got)
+		t.Fatalf("decision without a quorum contact: %+v, want the zero Decision", got)
 	}
 }
 
-// TestReportsAndReleasesNeedLaterQuorumContact: after this primary's quorum contact,
-// another one may grant to a holder that is behind. So what is reported later must not
-// raise the serial in force.
+// TestReportsAndReleasesNeedLaterQuorumContact reports a new active serial and releases a
+// lease after the quorum contact. Since then another primary may have granted a lease to a
+// holder with an older active serial, so the serial in force must not increase.
 func TestReportsAndReleasesNeedLaterQuorumContact(t *testing.T) {
 	grantor, now := grantorAfterGracePeriod()
 	grantor.Renew(now, now, true, renewalRequest("a", 5, 5))
@@ -118,7 +119,7 @@
 	release.Release = true
 	grantor.Renew(later, now, true, release)
 	if serial, _ := grantor.SerialInForce(); serial != 5 {
-		t.Fatalf("in force %d on a quorum contact from before the reports", serial)
+		t.Fatalf("serial in force %d with a quorum contact before the reports, want 5", serial)
 	}
 	wantInForce(t, grantor, later, 6, true)
 }
@@ -132,15 +133,15 @@
 		request Request
 		want    Decision
 	}{
-		{"fresh", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
-		{"expired and behind", renewalRequest("expired", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
-		{"valid, sent before it knew the term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
-		{"valid and behind", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
-		{"expired and up to date", renewalRequest("d", 5, 5), Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 5}},
+		{"no active serial", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
+		{"no valid lease, older active serial", renewalRequest("expired", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
+		{"valid lease, older active serial and older term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
+		{"valid lease, older active serial", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
+		{"no valid lease, current active serial", renewalRequest("d", 5, 5), Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 5}},
 	}
 	for _, c := range cases {
 		if diff := cmp.Diff(c.want, grantor.Renew(now, now, true, c.request)); diff != "" {
-			t.Errorf("%s: %s", c.name, diff)
+			t.Errorf("%s: decision differs (-want +got):\n%s", c.name, diff)
 		}
 	}
 	wantInForce(t, grantor, now, 0, false)
@@ -173,7 +174,7 @@
 	grantor.Renew(now, now, true, release)
 	wantInForce(t, grantor, now, 6, true)
 	if got := grantor.Renew(now, now, true, renewalRequest("a", 6, 6)); got.LeaseDuration != 0 {
-		t.Fatal("a delayed renewal of a holder that has released its lease was granted")
+		t.Fatal("a delayed renewal of a holder that has released its lease got a lease")
 	}
 }
 
@@ -190,7 +191,7 @@
 func TestHolderCountsLeaseFromSending(t *testing.T) {
 	holder := NewHolder(DefaultConfig())
 	if holder.Valid(0) || holder.Remaining(0) != 0 {
-		t.Fatal("valid before any grant")
+		t.Fatal("the lease is valid before any grant")
 	}
 	steps := []struct {
 		name      string
@@ -201,28 +202,28 @@
 		want      error
 		expiry    time.Duration
 	}{
-		{"first", 100 * ms, 50 * ms, 3, "x", 1800 * ms, nil, 1850 * ms},
+		{"first grant", 100 * ms, 50 * ms, 3, "x", 1800 * ms, nil, 1850 * ms},
 		{"older term", 200 * ms, 200 * ms, 2, "x", 1800 * ms, ErrStaleTerm, 1850 * ms},
 		{"other cluster", 200 * ms, 200 * ms, 3, "y", 1800 * ms, ErrOtherCluster, 1850 * ms},
-		{"no duration keeps the lease", 300 * ms, 250 * ms, 4, "x", 0, nil, 1850 * ms},
+		{"zero duration", 300 * ms, 250 * ms, 4, "x", 0, nil, 1850 * ms},
 		{"delayed reply to an old renewal", 400 * ms, 10 * ms, 4, "x", 1800 * ms, nil, 1850 * ms},
-		{"longer than configured", 500 * ms, 400 * ms, 4, "x", time.Hour, nil, 2200 * ms},
+		{"duration longer than configured", 500 * ms, 400 * ms, 4, "x", time.Hour, nil, 2200 * ms},
 	}
 	for _, step := range steps {
 		err := holder.HandleGrant(step.now, step.sent, step.term, step.cluster, step.duration)
 		if !errors.Is(err, step.want) {
-			t.Fatalf("%s: %v, want %v", step.name, err, step.want)
+			t.Fatalf("%s: HandleGrant returned %v, want %v", step.name, err, step.want)
 		}
 		if !holder.Valid(step.expiry-1) || holder.Valid(step.expiry) {
-			t.Fatalf("%s: not valid until %v exactly", step.name, step.expiry)
+			t.Fatalf("%s: the lease does not expire at %v", step.name, step.expiry)
 		}
 	}
 	if holder.Term() != 4 || holder.Cluster() != "x" {
-		t.Fatalf("term %d of %q", holder.Term(), holder.Cluster())
+		t.Fatalf("term %d of cluster %q, want term 4 of cluster x", holder.Term(), holder.Cluster())
 	}
 	holder.Release()
 	if holder.Valid(500*ms) || !errors.Is(holder.HandleGrant(500*ms, 500*ms, 5, "x", 1800*ms), ErrReleased) {
-		t.Fatal("valid after the release")
+		t.Fatal("the lease is valid, or a grant is accepted, after the release")
 	}
 }
 
@@ -240,7 +241,7 @@
 		config := DefaultConfig()
 		edit(&config)
 		if config.Validate() == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: Validate accepted the configuration", name)
 		}
 	}
 }
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// The simulation runs primaries and holders in virtual time, which none of them sees:
-// each has a clock of its own. Primaries are deposed without knowing it; messages take
-// any time, get lost and arrive twice.
+// The simulation runs primaries and holders in simulated time. Each process reads it only
+// through a clock of its own, with an offset and a drift. Primaries may be deposed without
+// knowing it. Messages are delayed, reordered, lost and duplicated.
 
 const (
 	simulatedHolders = 3
-	// Clocks run within 3% of true time, so that two of them drift by less than
-	// ClockDriftMargin over a lease: 1800 ms * 1.03/0.97 is 1911 ms.
+	// The rates of the clocks are within 3% of true time, so that the drift between two
+	// of them is less than ClockDriftMargin over a lease: 1800 ms * 1.03/0.97 is 1911 ms.
 	slowestClock = 0.97
 	fastestClock = 1.03
 )
 
-// chooser picks a number in [0, n).
+// chooser returns a number in [0, n).
 type chooser func(n int) int
 
-// clock is one process's monotonic clock.
+// clock is the monotonic clock of one process.
 type clock struct {
 	offset time.Duration
 	rate   float64
@@ -45,8 +45,8 @@
 type simulatedPrimary struct {
 	clock   clock
 	grantor *Grantor
-	// quorumContact is by this primary's clock. It is not renewed any more once the next
-	// primary is elected, of which this one may not know.
+	// quorumContact is a time on this primary's clock. It no longer changes once the next
+	// primary has been elected, which this one may not know.
 	quorumContact      time.Duration
 	quorumContactKnown bool
 }
@@ -63,7 +63,7 @@
 type renewal struct {
 	holder  int
 	primary int
-	sent    time.Duration // by the holder's clock
+	sent    time.Duration // on the holder's clock
 	request Request
 }
 
@@ -80,27 +80,28 @@
 	choose    chooser
 	config    Config
 	trueTime  time.Duration
-	serial    uint32 // newest committed
+	serial    uint32 // newest committed serial
 	primaries []*simulatedPrimary
 	holders   []*simulatedHolder
 	renewals  []renewal
 	grants    []grant
 	inForce   uint32 // newest serial that any primary returned as in force
-	// mayHold is what the registry says: the incarnation of each holder that may have a
-	// lease. superseded are incarnations that the newest primary has seen replaced.
-	mayHold    map[string]string
+	// registered simulates the registry's record of the incarnation of each holder that
+	// may have a lease. superseded has the incarnations that the newest primary has
+	// replaced in that record.
+	registered map[string]string
 	superseded map[HolderID]bool
 
-	granted         int // leases
-	advances        int // of inForce
-	earlyAdvances   int // before the end of the grace period
+	granted         int // number of leases granted
+	advances        int // number of increases of inForce
+	earlyAdvances   int // number of these before the regular end of the grace period
 	grantorDefect   func(*Grantor)
-	ignoresContact  bool // injected defect: leases are judged by the clock alone
-	ignoresRegistry bool // injected defect: leases are granted without a record
+	ignoresContact  bool // injected defect: the quorum contact is taken to be the current time
+	ignoresRegistry bool // injected defect: leases are granted to holders that are not registered
 }
 
 func newSimulation(choose chooser) *simulation {
-	s := &simulation{choose: choose, config: DefaultConfig(), serial: 1, mayHold: make(map[string]string)}
+	s := &simulation{choose: choose, config: DefaultConfig(), serial: 1, registered: make(map[string]string)}
 	for i := range simulatedHolders {
 		s.holders = append(s.holders, &simulatedHolder{
 			clock:  chooseClock(choose),
@@ -113,7 +114,7 @@
 
 func (s *simulation) newest() *simulatedPrimary { return s.primaries[len(s.primaries)-1] }
 
-// step takes one random step and returns a violation of the invariant, if any.
+// step performs one random action and returns a violation of the invariant, if any.
 func (s *simulation) step() error {
 	if len(s.primaries) == 0 {
 		s.elect()
@@ -150,8 +151,8 @@
 	return s.check()
 }
 
-// maxPauseMilliseconds is mostly short, so that leases are renewed in time, and
-// sometimes long.
+// maxPauseMilliseconds returns the maximum duration of the next pause. It is mostly short,
+// so that leases are renewed in time, and sometimes long.
 func (s *simulation) maxPauseMilliseconds() int {
 	if s.choose(5) == 0 {
 		return 900
@@ -159,7 +160,7 @@
 	return 120
 }
 
-// pickInFlight picks one of n messages in flight, a newer one more often.
+// pickInFlight picks one of n messages in flight, with a preference for newer ones.
 func (s *simulation) pickInFlight(n int) int {
 	if s.choose(3) > 0 {
 		return n - 1 - s.choose(min(n, 3))
@@ -174,7 +175,7 @@
 	return serial
 }
 
-// elect makes a new primary. The old one goes on without new quorum contacts.
+// elect adds a new primary. The previous one continues, but gets no new quorum contacts.
 func (s *simulation) elect() {
 	primary := &simulatedPrimary{clock: chooseClock(s.choose)}
 	term := uint64(len(s.primaries) + 1)
@@ -185,34 +186,35 @@
 	s.primaries = append(s.primaries, primary)
 	s.superseded = make(map[HolderID]bool)
 	if s.choose(4) == 0 {
-		return // waits for the complete grace period
+		return // the new primary waits for the whole grace period
 	}
 	var expected []HolderID
-	for name, incarnation := range s.mayHold {
+	for name, incarnation := range s.registered {
 		expected = append(expected, HolderID{Holder: name, Incarnation: incarnation})
 	}
 	primary.grantor.ExpectReclaims(primary.clock.read(s.trueTime), expected)
 }
 
-// mayHoldLease keeps the rule that a lease is granted only to a holder that the registry
-// names. Only the newest primary can write there. It accepts a new incarnation only if
-// that knows its term, and none that it has seen replaced.
-func (s *simulation) mayHoldLease(index int, request Request) bool {
-	registered, known := s.mayHold[request.Holder]
-	if s.ignoresRegistry || known && registered == request.Incarnation {
+// isRegistered enforces the rule that a lease is granted only to a registered holder. It
+// reports whether the holder's incarnation was registered already. If it was not, the
+// newest primary registers it, but only if the holder knows the primary's term and the
+// incarnation has not been superseded. Other primaries cannot change the registry.
+func (s *simulation) isRegistered(index int, request Request) bool {
+	incarnation, known := s.registered[request.Holder]
+	if s.ignoresRegistry || known && incarnation == request.Incarnation {
 		return true
 	}
 	id := HolderID{Holder: request.Holder, Incarnation: request.Incarnation}
 	newest := index == len(s.primaries)-1
 	if newest && request.Term == s.newest().grantor.Term() && !s.superseded[id] {
-		s.superseded[HolderID{Holder: request.Holder, Incarnation: registered}] = true
-		s.mayHold[request.Holder] = request.Incarnation
+		s.superseded[HolderID{Holder: request.Holder, Incarnation: incarnation}] = true
+		s.registered[request.Holder] = request.Incarnation
 	}
 	return false
 }
 
-// refreshQuorumContact may renew a primary's quorum contact to a time that is not after
-// now. Only the newest primary can get one.
+// refreshQuorumContact returns a primary's quorum contact. At the newest primary, it may
+// first advance it to a time that is not in the future.
 func (s *simulation) refreshQuorumContact(index int) (time.Duration, bool) {
 	primary := s.primaries[index]
 	if index == len(s.primaries)-1 && s.choose(4) > 0 {
@@ -272,11 +274,11 @@
 	}
 	index := s.pickInFlight(len(s.renewals))
 	message := s.renewals[index]
-	if s.choose(5) > 0 { // otherwise it will be received again
+	if s.choose(5) > 0 { // otherwise the message is duplicated
 		s.renewals = append(s.renewals[:index], s.renewals[index+1:]...)
 	}
 	if s.choose(8) == 0 {
-		return // lost
+		return // the message is lost
 	}
 	primary := s.primaries[message.primary]
 	contact, known := s.refreshQuorumContact(message.primary)
@@ -285,7 +287,7 @@
 	if !decision.Authoritative {
 		decision.ActivationSerial = 0
 	}
-	if !s.mayHoldLease(message.primary, message.request) {
+	if !s.isRegistered(message.primary, message.request) {
 		decision.LeaseDuration = 0
 	}
 	var incarnation int
@@ -327,8 +329,9 @@
 	h.activateUpTo(message.decision.ActivationSerial)
 }
 
-// sendFirstTable lets a follower of a primary send a holder the primary's term and, if
-// it has received no table yet, a committed one, which may be old.
+// sendFirstTable simulates a reply from a follower of a primary to a holder. It contains
+// the primary's term and, if the holder has not received a table yet, a committed table,
+// which may be old.
 func (s *simulation) sendFirstTable() {
 	primary := s.primaries[s.choose(len(s.primaries))]
 	h := s.holders[s.choose(len(s.holders))]
@@ -341,7 +344,8 @@
 	}
 }
 
-// sendActivation sends a holder the activation serial, whether it has a lease or not.
+// sendActivation sends a holder the activation serial of a primary, whether the holder has
+// a lease or not.
 func (s *simulation) sendActivation() {
 	primary := s.primaries[s.choose(len(s.primaries))]
 	h := s.holders[s.choose(len(s.holders))]
@@ -359,7 +363,7 @@
 	}
 }
 
-// readSerialInForce asks a primary, deposed or not, for the serial in force.
+// readSerialInForce reads the serial in force from a primary, which may be deposed.
 func (s *simulation) readSerialInForce(index int) {
 	primary := s.primaries[index]
 	if contact, known := s.refreshQuorumContact(index); known {
@@ -375,11 +379,11 @@
 	}
 }
 
-// check returns a violation of the invariant, if any.
+// check returns a violation of the package's invariant, if any.
 func (s *simulation) check() error {
 	for _, h := range s.holders {
 		if h.holder.Valid(h.clock.read(s.trueTime)) && serialLess(h.activeSerial, s.inForce) {
-			return fmt.Errorf("%s holds a valid lease at serial %d after %d was returned as in force", h.name, h.activeSerial, s.inForce)
+			return fmt.Errorf("%s has a valid lease with active serial %d after serial %d was returned as in force", h.name, h.activeSerial, s.inForce)
 		}
 	}
 	return nil
@@ -390,8 +394,8 @@
 	deterministicRuns = 1000
 )
 
-// TestValidHolderIsNotBehindSerialInForce checks the invariant of the package over
-// arbitrary schedules.
+// TestValidHolderIsNotBehindSerialInForce checks the invariant of the package in
+// simulations with random schedules.
 func TestValidHolderIsNotBehindSerialInForce(t *testing.T) {
 	for seed := range uint64(deterministicRuns) {
 		if violation := newSimulation(seededChooser(seed)).run(); violation != nil {
@@ -410,7 +414,7 @@
 	return rand.New(rand.NewPCG(seed, 1)).IntN
 }
 
-// run returns the first violation of the invariant, nil if there is none.
+// run performs all steps and returns the first violation of the invariant, or nil.
 func (s *simulation) run() error {
 	for range simulatedSteps {
 		if violation := s.step(); violation != nil {
@@ -420,8 +424,8 @@
 	return nil
 }
 
-// TestSimulationMakesProgress keeps the invariant's test from passing because
-// nothing is ever granted or reported.
+// TestSimulationMakesProgress checks that the simulation grants leases and increases the
+// serial in force often enough for the test of the invariant to be meaningful.
 func TestSimulationMakesProgress(t *testing.T) {
 	granted, advances, elections, early := 0, 0, 0, 0
 	for seed := range uint64(50) {
@@ -436,26 +440,27 @@
 	}
 	t.Logf("50 runs: %d leases granted, %d serials returned as in force (%d before the end of the grace period), %d primaries", granted, advances, early, elections)
 	if granted < 500 || advances < 100 || elections < 200 || early < 20 {
-		t.Fatalf("too little happened: %d leases, %d advances (%d early), %d primaries", granted, advances, early, elections)
+		t.Fatalf("the simulation makes too little progress: %d leases, %d serials returned as in force (%d before the end of the grace period), %d primaries", granted, advances, early, elections)
 	}
 }
 
-// TestSimulationFindsInjectedDefects shows that the invariant's test can fail.
-func TestSimulationFindsInjectedDefects(t *testing.T) {
+// TestSimulationDetectsInjectedDefects checks that the simulation detects violations of the
+// invariant that injected defects cause.
+func TestSimulationDetectsInjectedDefects(t *testing.T) {
 	defects := map[string]func(*simulation){
-		"a new primary has no grace period": func(s *simulation) {
+		"no grace period": func(s *simulation) {
 			s.grantorDefect = func(g *Grantor) { g.gracePeriodEnd -= s.config.GracePeriod() }
 		},
-		"the margin does not cover the drift": func(s *simulation) {
+		"the margin is smaller than the clock drift": func(s *simulation) {
 			s.grantorDefect = func(g *Grantor) { g.config.ClockDriftMargin = -100 * time.Millisecond }
 		},
-		"leadership is assumed without quorum contact": func(s *simulation) {
+		"the quorum contact is ignored": func(s *simulation) {
 			s.ignoresContact = true
 		},
-		"leases are granted to holders that no record names": func(s *simulation) {
+		"leases are granted to unregistered holders": func(s *simulation) {
 			s.ignoresRegistry = true
 		},
-		"holders that are behind get leases": func(s *simulation) {
+		"leases are granted to holders with an older active serial": func(s *simulation) {
 			s.grantorDefect = func(g *Grantor) { g.electionSerial = 0 }
 		},
 	}
@@ -470,7 +475,7 @@
 					return
 				}
 			}
-			t.Fatalf("not found in %d runs", seeds)
+			t.Fatalf("the defect was not detected in %d runs", seeds)
 		})
 	}
 }
