--- a/consensus/heartbeat.go
+++ b/consensus/heartbeat.go
@@ -125,8 +125,8 @@
 	return quorumValue(acknowledged, voters)
 }
 
-// checkQuorum makes a leader step down if its quorum contact, or else its election, is
-// more than one ElectionTimeout ago: the others may have elected a successor.
+// checkQuorum makes a leader step down if both its election and its quorum contact, if
+// any, are more than one ElectionTimeout ago: the others may have elected a successor.
 func (n *Node) checkQuorum() {
 	latest := n.leadership.electedAt
 	if contact, known := n.QuorumContact(); known {
