--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -195,11 +195,11 @@
 	primary.grantor.ExpectReclaims(primary.clock.read(s.trueTime), expected)
 }
 
-// isRegistered enforces the rule that a lease is granted only to a registered holder. It
-// reports whether the holder's incarnation was registered already. If it was not, the
+// checkAndRegister enforces the rule that a lease is granted only to a registered holder.
+// It reports whether the holder's incarnation was registered already. If it was not, the
 // newest primary registers it, but only if the holder knows the primary's term and the
 // incarnation has not been superseded. Other primaries cannot change the registry.
-func (s *simulation) isRegistered(index int, request Request) bool {
+func (s *simulation) checkAndRegister(index int, request Request) bool {
 	incarnation, known := s.registered[request.Holder]
 	if s.ignoresRegistry || known && incarnation == request.Incarnation {
 		return true
@@ -287,7 +287,7 @@
 	if !decision.Authoritative {
 		decision.ActivationSerial = 0
 	}
-	if !s.isRegistered(message.primary, message.request) {
+	if !s.checkAndRegister(message.primary, message.request) {
 		decision.LeaseDuration = 0
 	}
 	var incarnation int
