--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -133,7 +133,7 @@
 		request Request
 		want    Decision
 	}{
-		{"no active serial", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
+		{"fresh", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
 		{"no valid lease, older active serial", renewalRequest("expired", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
 		{"valid lease, older active serial and older term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
 		{"valid lease, older active serial", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
@@ -202,7 +202,7 @@
 		want      error
 		expiry    time.Duration
 	}{
-		{"first grant", 100 * ms, 50 * ms, 3, "x", 1800 * ms, nil, 1850 * ms},
+		{"first", 100 * ms, 50 * ms, 3, "x", 1800 * ms, nil, 1850 * ms},
 		{"older term", 200 * ms, 200 * ms, 2, "x", 1800 * ms, ErrStaleTerm, 1850 * ms},
 		{"other cluster", 200 * ms, 200 * ms, 3, "y", 1800 * ms, ErrOtherCluster, 1850 * ms},
 		{"zero duration", 300 * ms, 250 * ms, 4, "x", 0, nil, 1850 * ms},
