--- a/registry/transfer.go
+++ b/registry/transfer.go
@@ -185,7 +185,7 @@
 		return fmt.Errorf("%w: %w", ErrTransfer, err)
 	}
 	if canonical != record.Name || !record.Name.In(tx.apex) {
-		return fmt.Errorf("%w: name %q is not canonical or outside the table", ErrTransfer, record.Name)
+		return fmt.Errorf("%w: name %q is outside the table or not canonical", ErrTransfer, record.Name)
 	}
 	if _, known := tx.schema.kinds[record.Type]; !known || record.Class != ClassTable {
 		return fmt.Errorf("%w: unexpected type %d or class %s", ErrTransfer, record.Type, record.Class)
