--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -11,30 +11,32 @@
 )
 
 const (
-	// maxUnsentAttempts bounds the attempts of a request that do not reach a replica.
+	// maxUnsentAttempts is the number of attempts that did not reach a replica after
+	// which the request fails.
 	maxUnsentAttempts = 4
-	// maxRejections bounds the replicas that may reject a request because of load, and
-	// maxReplacedRejections those that turn out to be replaced: they reject at once, and
-	// many are replaced together.
+	// maxRejections is the number of rejected attempts after which the request fails if a
+	// replica rejects it because of load. maxReplacedRejections is the limit if another
+	// replica has taken over the address: it is higher because such a rejection is
+	// immediate, and often many replicas are replaced at the same time.
 	maxRejections         = 2
 	maxReplacedRejections = 4
-	// minAnnouncedPrefill is the shortest prefill of shared prefixes that is announced to
-	// other gateways, in seconds.
+	// minAnnouncedPrefill is the shortest prefill of shared prefixes, in seconds, for
+	// which the prefixes are announced to the other gateways.
 	minAnnouncedPrefill = 0.01
 )
 
-// placedAttempt is one attempt at a selected replica.
+// placedAttempt is one attempt with the replica that was selected for it.
 type placedAttempt struct {
 	service  *service
 	replica  *replica
 	endpoint Endpoint
-	use      *replicaUse
+	load     *attemptLoad
 	// expected is the expected time to the first event.
 	expected time.Duration
 }
 
-// place selects the replica of the next attempt, reserves it, and announces the prompt
-// to the other gateways.
+// place selects the replica of the next attempt, adds the attempt to the replica's load,
+// and announces the prompt to the other gateways.
 func (t *transaction) place() (*placedAttempt, *RequestError) {
 	d := t.dispatcher
 	d.mutex.Lock()
@@ -44,8 +46,8 @@
 		return nil, noReplicaError()
 	}
 	now := time.Now()
-	if !t.budgeted {
-		t.budgeted = true
+	if !t.countedInBudget {
+		t.countedInBudget = true
 		d.budget.RecordFirstAttempt(now)
 	}
 	selector := &selector{
@@ -55,7 +57,7 @@
 		route:      t.route,
 		request:    t.request,
 		tried:      t.tried,
-		mayHaveRun: t.attempts > 0,
+		mayHaveRun: t.possibleRuns > 0,
 		now:        now,
 	}
 	selected, requestErr := selector.find()
@@ -64,22 +66,22 @@
 	}
 	r := selected.replica
 	t.tried[r.id] = true
-	use := r.reserve(now, t.estimate(known, selected.cachedTokens), t.request.PromptTokens)
+	load := r.addAttempt(now, t.estimatePrefill(known, selected.cachedTokens), t.request.PromptTokens)
 	if known.spec.CacheTokens > 0 {
-		t.announce(known, use)
+		t.announcePrompt(known, load)
 	}
 	return &placedAttempt{
 		service:  known,
 		replica:  r,
 		endpoint: Endpoint{ID: r.id, Address: r.address},
-		use:      use,
+		load:     load,
 		expected: selected.expected,
 	}, nil
 }
 
-// estimate returns the prefill of the request's prompt at a replica that has so many
-// tokens of it in its cache.
-func (t *transaction) estimate(known *service, cachedTokens int) prefillEstimate {
+// estimatePrefill returns the estimated prefill of the request's prompt at a replica that has
+// cachedTokens of the prompt's tokens in its cache.
+func (t *transaction) estimatePrefill(known *service, cachedTokens int) prefillEstimate {
 	if known.spec.CacheTokens == 0 {
 		return prefillEstimate{}
 	}
@@ -95,26 +97,28 @@
 	}
 }
 
-// announce records the shared prefixes that the replica will have in its cache, and
-// announces them and the prompt to the other gateways. The caller holds the mutex.
-func (t *transaction) announce(known *service, use *replicaUse) {
+// announcePrompt records in the prefix index that the replica will cache the prompt's shared
+// prefixes, and announces the prompt and these prefixes to the other gateways. The caller
+// holds the Dispatcher's mutex.
+func (t *transaction) announcePrompt(known *service, load *attemptLoad) {
 	d := t.dispatcher
 	prefixes := placement.Hashes(t.request.PrefixChain)
-	known.index.RecordHashes(use.replica.number, prefixes)
-	if d.options.OnPlaced == nil || use.prefill == 0 {
+	known.index.RecordHashes(load.replica.number, prefixes)
+	if d.options.OnPlaced == nil || load.prefill == 0 {
 		return
 	}
 	if t.sharedPrefill(known) < minAnnouncedPrefill {
 		prefixes = nil
 	}
 	d.options.OnPlaced(peer.PlacedPrompt{
-		Replica:   use.replica.key,
-		PrefillMS: int(use.prefill.Milliseconds()),
+		Replica:   load.replica.key,
+		PrefillMS: int(load.prefill.Milliseconds()),
 		Prefixes:  prefixes,
 	})
 }
 
-// sharedPrefill returns the time to prefill the shared prefixes, in seconds.
+// sharedPrefill returns the time to prefill the prompt's shared prefixes up to the
+// affinity link, in seconds, if none of it is cached.
 func (t *transaction) sharedPrefill(known *service) float64 {
 	link, found := placement.Affinity(t.request.PrefixChain)
 	if !found {
@@ -123,8 +127,8 @@
 	return known.prefill.model.factor * prefillWork(float64(link.Tokens), 0)
 }
 
-// send sends the request once and relays the response. It reports whether another
-// attempt is to be made.
+// send makes one attempt and relays the response. It reports whether to make another
+// attempt.
 func (t *transaction) send(ctx context.Context, attempt *placedAttempt) (retry bool, requestErr *RequestError) {
 	t.dispatcher.countAttempt()
 	defer t.dispatcher.release(attempt)
@@ -143,12 +147,12 @@
 		return t.handleFailure(ctx, attempt, err)
 	}
 	defer response.Body.Close()
-	t.attempts++
+	t.possibleRuns++
 	if response.EventStream && response.Status < http.StatusMultipleChoices {
 		return t.relayEvents(ctx, attempt, response, watchdog)
 	}
 	if t.responseStarted {
-		return false, &RequestError{Code: CodeOutcomeUnknown} // cannot continue the events that were sent
+		return false, &RequestError{Code: CodeOutcomeUnknown} // this body cannot continue the event stream that has started
 	}
 	return t.relayBody(ctx, attempt, response)
 }
@@ -163,15 +167,16 @@
 func (d *Dispatcher) release(attempt *placedAttempt) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	attempt.use.release()
+	attempt.load.release()
 }
 
-// handleFailure decides what follows an attempt without a response.
+// handleFailure classifies the error of an attempt without a response and reports whether
+// to make another attempt.
 func (t *transaction) handleFailure(ctx context.Context, attempt *placedAttempt, err error) (retry bool, requestErr *RequestError) {
 	failure := &AttemptError{Reason: FailureIndeterminate, Err: err}
 	errors.As(err, &failure)
 	if failure.Reason == FailureIndeterminate {
-		t.attempts++
+		t.possibleRuns++
 	}
 	if requestErr := t.checkDone(ctx); requestErr != nil {
 		return false, requestErr
@@ -197,22 +202,26 @@
 	}
 }
 
-// afterUnsent tries another replica, within a number of them. The retry budget does not
-// count these attempts, as they reached no replica.
+// afterUnsent records an attempt that did not reach its replica. It reports whether to
+// make another attempt: yes, until there were maxUnsentAttempts of them. The retry budget
+// does not apply, because no replica received anything. The caller holds the Dispatcher's
+// mutex.
 func (t *transaction) afterUnsent(attempt *placedAttempt, now time.Time, noResponse bool) (retry bool, requestErr *RequestError) {
 	attempt.replica.recordUnreachable(now)
 	if noResponse {
 		t.dispatcher.zone(attempt.replica.zone).recordNoResponse(now, attempt.replica.id)
 	}
-	t.unsent++
-	if t.unsent >= maxUnsentAttempts {
+	t.unsentAttempts++
+	if t.unsentAttempts >= maxUnsentAttempts {
 		return false, noReplicaError()
 	}
 	return true, nil
 }
 
-// afterRejection tries another replica within a number of rejections and the retry
-// budget: the rejected attempt arrived at a replica like any other.
+// afterRejection records an attempt that a replica rejected. It reports whether to make
+// another attempt, which depends on the limit of rejections and on the retry budget: a
+// rejected attempt has arrived at a replica like any other. Otherwise it returns
+// requestErr. The caller holds the Dispatcher's mutex.
 func (t *transaction) afterRejection(now time.Time, limit int, requestErr *RequestError) (bool, *RequestError) {
 	t.rejections++
 	if t.rejections >= limit || !t.dispatcher.budget.Allow(now) {
@@ -222,8 +231,12 @@
 	return true, nil
 }
 
-// afterIndeterminate retries a request that may run again, or resumes its event stream
-// after the last event, within the route's attempts and the retry budget.
+// afterIndeterminate records a failed attempt that may have run, because its response is
+// missing or was interrupted: the replica is avoided for a while, and outlier detection
+// counts a failure. It reports whether to make another attempt, which starts the request
+// again or, if a part of the response was sent, resumes the event stream after the last
+// event. That depends on mayRepeat and on the retry budget; if either does not permit it,
+// the error is CodeOutcomeUnknown. The caller holds the Dispatcher's mutex.
 func (t *transaction) afterIndeterminate(attempt *placedAttempt, now time.Time) (retry bool, requestErr *RequestError) {
 	attempt.replica.recordUnreachable(now)
 	attempt.service.outliers.RecordFailure(now, attempt.replica.id)
@@ -239,11 +252,12 @@
 }
 
 // mayRepeat reports whether the route permits another attempt of a request that may
-// have run.
+// already have run. Once a part of the response was sent, that takes a resumable event
+// stream with a known last event.
 func (t *transaction) mayRepeat() bool {
 	resumable := t.route.Resumable && t.lastEventID != ""
 	if t.responseStarted && !resumable {
 		return false
 	}
-	return t.route.Retryable() && t.attempts < t.route.MaxAttempts
+	return t.route.Retryable() && t.possibleRuns < t.route.MaxAttempts
 }
--- a/dispatch/bounds.go
+++ b/dispatch/bounds.go
@@ -1,12 +1,13 @@
 package dispatch
 
-// Bounds limit what all gateways together do. A zero field stands for its default.
+// Bounds are limits on the traffic of all gateways together. A zero field selects the
+// default.
 type Bounds struct {
-	// RetryRatio limits the attempts that arrive at replicas beyond the first of each
-	// request, as a ratio of the requests.
+	// RetryRatio is the maximum ratio of additional attempts, those that arrive at
+	// replicas after the first one of the same request, to requests.
 	RetryRatio float64
-	// WarmupOvershoot is the factor by which a replica that is warming up may receive
-	// more than its slow-start rate.
+	// WarmupOvershoot is the maximum rate at which a replica that is warming up may
+	// receive requests, as a multiple of its slow-start rate.
 	WarmupOvershoot float64
 }
 
@@ -17,18 +18,18 @@
 )
 
 const (
-	// retryShare is the share of the retry ratio that each gateway aims at. Replicas
-	// count arrivals a little later than gateways, and in other windows.
+	// retryShare is the share of RetryRatio that each gateway uses. The rest is a margin:
+	// replicas count arrivals a little later than gateways, and in different windows.
 	retryShare = 0.6
-	// maxSlowStartOwners is how many gateways may consider themselves the slow-start
-	// owner of one replica, as on both sides of a partition.
+	// maxSlowStartOwners is the number of gateways that may consider themselves the
+	// slow-start owner of one replica at the same time, one on each side of a partition.
 	maxSlowStartOwners = 2
-	// slowStartShare leaves room for requests that arrive closer together than they
-	// were sent.
+	// slowStartShare is the share of WarmupOvershoot that the owners use. The rest is a
+	// margin for requests that arrive closer together than they were sent.
 	slowStartShare = 14.0 / 15
 )
 
-// withDefaults returns the bounds with their zero fields set.
+// withDefaults returns the bounds with each zero field set to its default.
 func (b Bounds) withDefaults() Bounds {
 	if b.RetryRatio == 0 {
 		b.RetryRatio = DefaultRetryRatio
@@ -39,10 +40,11 @@
 	return b
 }
 
-// retryRatio returns the ratio of retries to first attempts that one gateway aims at.
+// retryRatio returns the ratio of retries to first attempts that one gateway allows itself.
 func (b Bounds) retryRatio() float64 { return retryShare * b.RetryRatio }
 
-// slowStartRatio returns the ratio of a replica's slow-start rate that its owner sends.
+// slowStartRatio returns the rate at which the slow-start owner of a replica sends
+// requests to it, as a ratio of the replica's slow-start rate.
 func (b Bounds) slowStartRatio() float64 {
 	return min(1, slowStartShare*b.WarmupOvershoot/maxSlowStartOwners)
 }
--- a/dispatch/bounds_test.go
+++ b/dispatch/bounds_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestBounds checks the ratios that one gateway derives from the bounds.
+// TestBounds checks the ratios that one gateway computes from the bounds.
 func TestBounds(t *testing.T) {
 	tests := map[string]struct {
 		bounds                     Bounds
@@ -19,13 +19,13 @@
 		t.Run(name, func(t *testing.T) {
 			bounds := test.bounds.withDefaults()
 			if got := bounds.retryRatio(); math.Abs(got-test.retryRatio) > 1e-9 {
-				t.Errorf("retry ratio: %v, want %v", got, test.retryRatio)
+				t.Errorf("retryRatio() = %v, want %v", got, test.retryRatio)
 			}
 			if got := bounds.slowStartRatio(); math.Abs(got-test.slowStartRatio) > 1e-9 {
-				t.Errorf("slow-start ratio: %v, want %v", got, test.slowStartRatio)
+				t.Errorf("slowStartRatio() = %v, want %v", got, test.slowStartRatio)
 			}
 			if bounds.slowStartRatio()*maxSlowStartOwners > bounds.WarmupOvershoot {
-				t.Error("the owners exceed the overshoot")
+				t.Error("the slow-start owners together exceed WarmupOvershoot")
 			}
 		})
 	}
--- a/dispatch/deadline_test.go
+++ b/dispatch/deadline_test.go
@@ -13,8 +13,7 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// stalledStream is a stream that returns its first bytes and then nothing until its request
-// is aborted.
+// stalledStream returns its first bytes and then blocks until its request is aborted.
 type stalledStream struct {
 	ctx   context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
 	first io.Reader
@@ -28,9 +27,9 @@
 	return 0, s.ctx.Err()
 }
 
-// TestResponseEndsAtRouteTimeout checks that a request that takes longer than its route's
-// timeout ends then, whatever its replica does, and that the error says whether a part of
-// the response was sent.
+// TestResponseEndsAtRouteTimeout checks that a request ends when its route's timeout has
+// passed, whatever its replica does, and that the error reports whether a part of the
+// response was sent.
 func TestResponseEndsAtRouteTimeout(t *testing.T) {
 	const timeout = 2 * time.Second
 	responses := map[string]func(ctx context.Context) (*Response, error){
@@ -60,22 +59,22 @@
 				began := time.Now()
 				client, requestErr := f.serve(func(r *Request) { r.ClientTimeout = time.Minute })
 				if took := time.Since(began); took != timeout {
-					t.Errorf("ended after %v, want %v", took, timeout)
+					t.Errorf("Serve returned after %v, want %v", took, timeout)
 				}
 				if requestErr == nil || requestErr.Code != CodeTimedOut {
-					t.Fatalf("got %+v", requestErr)
+					t.Fatalf("error %+v, want the code of a timeout", requestErr)
 				}
 				if started := client.status != 0; started != requestErr.ResponseStarted {
-					t.Errorf("started %v, reported %v", started, requestErr.ResponseStarted)
+					t.Errorf("response started: %v, but the error reports %v", started, requestErr.ResponseStarted)
 				}
 			})
 		})
 	}
 }
 
-// TestEventsAreRelayedUnchanged checks that lines that the gateway does not know, such as a
-// change of the weights' version before an event, reach the client unchanged, also from a
-// replica that resumes the stream.
+// TestEventsAreRelayedUnchanged checks that fields and comments that the gateway does not
+// interpret, such as a field before the id of an event, reach the client unchanged, also from
+// a replica that resumes the stream.
 func TestEventsAreRelayedUnchanged(t *testing.T) {
 	first := "x-weight-versions: 3\nid: 1\ndata: a\n\n"
 	second := ": a comment\r\nid: 2\r\nevent: piece\r\ndata: b\r\n\r\n"
@@ -92,6 +91,6 @@
 	}
 	client, requestErr := f.serve(nil)
 	if requestErr != nil || client.body.String() != first+second {
-		t.Errorf("got %v, %q", requestErr, client.body.String())
+		t.Errorf("error %v, response body %q; want both events unchanged", requestErr, client.body.String())
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,11 +1,11 @@
 // Package dispatch forwards requests that are routed by host and path to replicas that
-// serve HTTP of any kind. It looks up the route, selects a replica, sends the request at
-// most as often as the route permits, and relays the response. It knows no names of
+// serve HTTP. It looks up the route, selects a replica, sends the request at most as often
+// as the route permits, and relays the response. It is independent of the names of
 // headers: a Backend sends the attempts, and a ResponseWriter receives the response.
 //
-// A request is forwarded in a transaction of one or more attempts. A RequestError is
-// honest about them: only a code that says that the request has not run may be followed
-// by a retry of a request that must run at most once.
+// A request is forwarded in a transaction of one or more attempts. The code of a
+// RequestError states whether the request may have run in any of them. A request that must
+// run at most once may be retried only after a code which guarantees that it has not run.
 package dispatch
 
 import (
@@ -21,21 +21,21 @@
 
 // Options configure a Dispatcher.
 type Options struct {
-	// Gateway is the name of the own gateway, and Zone and Region its location.
+	// Gateway is the name of this gateway, and Zone and Region are its location.
 	Gateway string
 	Zone    string
 	Region  string
 	// Backend sends the attempts. It is required.
 	Backend Backend
-	// Bounds limit all gateways together. A zero field stands for its default.
+	// Bounds are limits on all gateways together. A zero field selects the default.
 	Bounds Bounds
-	// OnPlaced, if set, is called for each prompt that is placed at a replica. It must
-	// not block.
+	// OnPlaced, if set, is called for each prompt that is placed at a replica, and again
+	// with a negative prefill time if the placement is canceled. It must not block.
 	OnPlaced func(prompt peer.PlacedPrompt)
 	// OnPrefill, if set, is called for each measurement of the prefill speed of a
-	// replica in the own region. It must not block.
+	// replica in this gateway's region. It must not block.
 	OnPrefill func(sample peer.PrefillSample)
-	// Random draws from [0, 1). Default math/rand/v2.
+	// Random returns random numbers in [0, 1). It defaults to math/rand/v2.Float64.
 	Random func() float64
 	// Logger defaults to slog.Default.
 	Logger *slog.Logger
@@ -45,12 +45,12 @@
 type Dispatcher struct {
 	options Options
 	log     *slog.Logger
-	// snapshot is nil until the first configuration is known.
+	// snapshot is nil until the first configuration has arrived.
 	snapshot atomic.Pointer[snapshot]
 	// ready is closed when snapshot is set for the first time.
 	ready chan struct{}
 
-	// mutex guards what follows, replicas and services included.
+	// mutex guards the following fields, and the contents of the replicas and services.
 	mutex      sync.Mutex
 	replicas   map[string]*replica
 	byKey      map[peer.ReplicaKey]*replica
@@ -62,22 +62,22 @@
 	counts     Counts
 }
 
-// Counts are totals since the start.
+// Counts are totals since the Dispatcher was created.
 type Counts struct {
 	Requests uint64
-	// Served counts requests whose whole response was relayed.
+	// Served counts requests whose complete response was relayed.
 	Served   uint64
 	Attempts uint64
-	// Retries counts attempts after one that reached a replica, and Resumed those of
-	// them that continued an event stream.
+	// Retries counts the attempts that followed one which had reached a replica, and
+	// Resumed those among them that continued an event stream.
 	Retries        uint64
 	Resumed        uint64
 	Rejected       map[Code]uint64
 	FailedAttempts map[FailureReason]uint64
 }
 
-// New returns a Dispatcher that rejects requests with CodeNotReady until Update is
-// called with a configuration.
+// New returns a Dispatcher. It rejects requests with CodeNotReady until Update is called
+// with a registry state that contains a configuration.
 func New(options Options) *Dispatcher {
 	if options.Random == nil {
 		options.Random = rand.Float64
@@ -101,7 +101,7 @@
 	}
 }
 
-// Counts returns the totals since the start.
+// Counts returns a copy of the totals.
 func (d *Dispatcher) Counts() Counts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -111,5 +111,5 @@
 	return counts
 }
 
-// Ready reports whether a configuration is known.
+// Ready reports whether a configuration has arrived.
 func (d *Dispatcher) Ready() bool { return d.snapshot.Load() != nil }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -26,7 +26,7 @@
 	otherRegion = "west"
 )
 
-// fixture is a dispatcher on a registry of its own, and the Backend of its replicas.
+// fixture is a dispatcher with its own registry. It is also the dispatcher's Backend.
 type fixture struct {
 	t          *testing.T
 	table      *registry.Table
@@ -36,11 +36,11 @@
 	sent         []Attempt
 	respond      func(ctx context.Context, attempt *Attempt) (*Response, error)
 	lastReceived time.Time
-	// connected are the addresses with an idle connection; nil is all.
+	// connected holds the addresses with an idle connection; nil means all addresses.
 	connected map[string]bool
 }
 
-// newFixture returns the fixture of a gateway called g1.
+// newFixture returns the fixture of a gateway named g1.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	return newFixtureOf(t, "g1")
@@ -106,7 +106,8 @@
 
 var zones = map[string]string{"east-1": ownRegion, "east-2": ownRegion, "west-1": otherRegion}
 
-// configure publishes a route map with one route and one service, changed as given.
+// configure publishes a route map with one route and one service, to which change was
+// applied.
 func (f *fixture) configure(change func(*routemap.Route, *routemap.Service)) {
 	f.t.Helper()
 	state, err := catalog.Read(f.table.View())
@@ -134,7 +135,7 @@
 	f.apply(registry.Add(catalog.ReplicaRecord(id, catalog.Replica{Service: "s", Zone: zone, Region: zones[zone], Address: id + ":1"})))
 }
 
-// serve sends one request.
+// serve sends one request, to which change was applied, and returns the response.
 func (f *fixture) serve(change func(*Request)) (*recorder, *RequestError) {
 	f.t.Helper()
 	request := &Request{ID: "id", Method: http.MethodPost, Host: "h", Path: "/x", Target: "/x", Header: http.Header{}, Arrived: time.Now()}
@@ -185,7 +186,8 @@
 	return &Response{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// events returns an event stream that ends with an error, or completely if that is nil.
+// events returns an event stream with the given text. It ends with err or, if that is nil,
+// with io.EOF.
 func events(text string, err error) *Response {
 	var reader io.Reader = strings.NewReader(text)
 	if err != nil {
@@ -208,28 +210,29 @@
 func TestRequestErrorsBeforeFirstAttempt(t *testing.T) {
 	f := newFixture(t)
 	if _, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeNotReady || requestErr.RetryAfter == 0 {
-		t.Errorf("without a configuration: %v", requestErr)
+		t.Errorf("error without a configuration: %v", requestErr)
 	}
 	f.configure(nil)
 	if _, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeNoReplica || requestErr.RetryAfter == 0 {
-		t.Errorf("without replicas: %v", requestErr)
+		t.Errorf("error without replicas: %v", requestErr)
 	}
 	if _, requestErr := f.serve(func(r *Request) { r.Host = "other" }); requestErr == nil || requestErr.Code != CodeNoRoute {
-		t.Errorf("without a route: %v", requestErr)
+		t.Errorf("error without a route: %v", requestErr)
 	}
 	f.addReplica("a", "east-1")
 	if _, requestErr := f.serve(func(r *Request) { r.Arrived = time.Now().Add(-time.Minute) }); requestErr == nil || requestErr.Code != CodeExpiredUnsent {
-		t.Errorf("without time: %v", requestErr)
+		t.Errorf("error after the deadline: %v", requestErr)
 	}
 	if attempted := f.attemptedReplicas(); len(attempted) != 0 {
-		t.Errorf("sent to %v", attempted)
+		t.Errorf("attempts at %v, want none", attempted)
 	}
 	if client, requestErr := f.serve(nil); requestErr != nil || client.status != 200 || client.body.String() != "ok" {
-		t.Errorf("got %v, %d", requestErr, client.status)
+		t.Errorf("error %v, status %d; want a response with status 200", requestErr, client.status)
 	}
 }
 
-// TestRegistryChangesTakeEffect adds and removes records and checks where requests go.
+// TestRegistryChangesTakeEffect changes records of the registry one after another, and checks
+// after each change which replica serves requests.
 func TestRegistryChangesTakeEffect(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
@@ -240,10 +243,10 @@
 		f.sent = nil
 		_, requestErr := f.serve(nil)
 		if got := strings.Join(f.attemptedReplicas(), ","); got != want || (requestErr != nil) != (want == "") {
-			t.Errorf("%s: sent to %q (%v), want %q", what, got, requestErr, want)
+			t.Errorf("%s: attempts at %q (error %v), want %q", what, got, requestErr, want)
 		}
 	}
-	expect("at first", "near")
+	expect("initially", "near")
 	f.apply(registry.Add(catalog.DrainRecord("near", catalog.Drain{})))
 	expect("drained", "far")
 	f.apply(registry.DeleteSet(catalog.ReplicaName("near"), catalog.TypeDrain))
@@ -255,16 +258,16 @@
 	f.apply(registry.DeleteName(catalog.ReplicaName("near")))
 	expect("removed", "far")
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.HomeRegions = []string{ownRegion} })
-	expect("bound to a region without replicas", "")
+	expect("home region without replicas", "")
 	f.addReplica("new", "east-2")
-	expect("a new replica in the home", "new")
+	expect("new replica in the home region", "new")
 	f.apply(registry.DeleteSet(catalog.PathRouteName("r"), catalog.TypePathRoute))
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Host = "elsewhere" })
-	expect("without the route", "")
+	expect("no route for the host", "")
 }
 
-// TestAtMostOnce checks that a request of which a byte was sent goes to another replica
-// only if the first one rejected it or its route permits repetition.
+// TestAtMostOnce checks that a request of which a byte was sent is sent to another replica
+// only if the first one rejected it or the route permits a repetition.
 func TestAtMostOnce(t *testing.T) {
 	tests := map[string]struct {
 		kind      routemap.Kind
@@ -301,20 +304,20 @@
 			client, requestErr := f.serve(nil)
 			attempted := f.attemptedReplicas()
 			if len(attempted) != test.attempts || len(attempted) == 2 && attempted[0] == attempted[1] {
-				t.Errorf("sent to %v, want %d replicas", attempted, test.attempts)
+				t.Errorf("attempts at %v, want %d different replicas", attempted, test.attempts)
 			}
 			switch {
 			case test.code == "" && (requestErr != nil || client.body.String() != "second"):
-				t.Errorf("got %v, %q", requestErr, client.body.String())
+				t.Errorf("error %v, response body %q; want the second response", requestErr, client.body.String())
 			case test.code != "" && (requestErr == nil || requestErr.Code != test.code || client.status != 0):
-				t.Errorf("got %v, want %s", requestErr, test.code)
+				t.Errorf("error %v, want code %s and no response", requestErr, test.code)
 			}
 		})
 	}
 }
 
-// TestIdleConnectionsArePreferred checks that among replicas that are about equally good, a
-// gateway uses those to which it has a connection, but not if another one is clearly
+// TestIdleConnectionsArePreferred checks that among replicas of about the same cost, a
+// gateway selects one to which it has an idle connection, unless another one is clearly
 // better.
 func TestIdleConnectionsArePreferred(t *testing.T) {
 	synctest.Test(t, checkIdleConnections)
@@ -340,14 +343,14 @@
 	}
 	for _, name := range f.attemptedReplicas() {
 		if name != "r3" {
-			t.Fatalf("attempted %v", f.attemptedReplicas())
+			t.Fatalf("attempts at %v, want only r3, which has an idle connection", f.attemptedReplicas())
 		}
 	}
 	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
 	f.sent = nil
 	send(20)
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 || attempted[0] == "r3" {
-		t.Errorf("a busy replica is used: %v", attempted)
+		t.Errorf("attempts at %v, want one at another replica than r3, which is busy", attempted)
 	}
 }
 
@@ -382,14 +385,14 @@
 		}
 	}
 	if timeouts != unresponsiveReplicas || time.Since(began) > unresponsiveReplicas*connectTimeout {
-		t.Errorf("%d connections timed out, in %v", timeouts, time.Since(began))
+		t.Errorf("%d connections timed out, and the requests took %v", timeouts, time.Since(began))
 	}
 	time.Sleep(zoneAvoidance)
 	partitioned = false
 	f.sent = nil
 	f.serve(nil)
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 || !strings.HasPrefix(attempted[0], "cut") {
-		t.Errorf("after the partition: attempted %v", attempted)
+		t.Errorf("after the partition: attempts at %v, want one in the zone", attempted)
 	}
 	for _, id := range []string{"cut0", "cut1", "cut2"} {
 		f.dispatcher.zone("east-1").recordNoResponse(time.Now(), id)
@@ -398,13 +401,14 @@
 	f.sent = nil
 	f.serve(nil)
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 || !strings.HasPrefix(attempted[0], "cut") {
-		t.Errorf("after a response: attempted %v", attempted)
+		t.Errorf("after a response: attempts at %v, want one in the zone", attempted)
 	}
 }
 
-// TestReplacedReplicasAreSkipped checks that several replaced replicas in a row are
-// skipped, as when many are replaced at once and the registry is behind. They reject at
-// once; replicas that reject because of load are skipped less often.
+// TestReplacedReplicasAreSkipped checks that a request is served after several attempts at
+// replaced replicas, as happens when many are replaced at the same time and the registry's
+// update is delayed. They reject immediately; the limit for rejections because of load is
+// lower.
 func TestReplacedReplicasAreSkipped(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
@@ -423,17 +427,17 @@
 	}
 	client, requestErr := f.serve(nil)
 	if requestErr != nil || client.body.String() != "served" {
-		t.Errorf("got %v, %q after %v", requestErr, client.body.String(), f.attemptedReplicas())
+		t.Errorf("error %v, response body %q after attempts at %v", requestErr, client.body.String(), f.attemptedReplicas())
 	}
 	f.sent = nil
 	f.respond = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureRejected) }
 	if _, requestErr := f.serve(nil); requestErr == nil || len(f.attemptedReplicas()) > maxRejections {
-		t.Errorf("replicas that reject: %v after %v", requestErr, f.attemptedReplicas())
+		t.Errorf("all replicas reject: error %v after attempts at %v", requestErr, f.attemptedReplicas())
 	}
 }
 
-// TestIndeterminateAttemptMakesOutcomeUnknown checks that no later error says of a request
-// that may have run that it has not.
+// TestIndeterminateAttemptMakesOutcomeUnknown checks that a request that may have run never
+// ends with an error which states that it has not.
 func TestIndeterminateAttemptMakesOutcomeUnknown(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Idempotent })
@@ -443,11 +447,11 @@
 	}
 	f.respond = func(context.Context, *Attempt) (*Response, error) { return nil, attemptError(FailureIndeterminate) }
 	if _, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeOutcomeUnknown || requestErr.RetryAfter != 0 {
-		t.Errorf("got %v", requestErr)
+		t.Errorf("error %v, want CodeOutcomeUnknown", requestErr)
 	}
 }
 
-// TestRetryBudget checks that retries stay within their ratio.
+// TestRetryBudget checks that there are retries, and that their ratio to requests is limited.
 func TestRetryBudget(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Kind = routemap.Idempotent })
@@ -460,24 +464,24 @@
 		f.serve(nil)
 	}
 	if retries := len(f.attemptedReplicas()) - requests; retries > requests/5 || retries == 0 {
-		t.Errorf("%d retries of %d requests", retries, requests)
+		t.Errorf("%d retries for %d requests, want at least 1 and at most a fifth", retries, requests)
 	}
 }
 
-// TestReplicaErrorIsRelayed checks that a replica's own error is the response.
+// TestReplicaErrorIsRelayed checks that an error response of a replica is relayed.
 func TestReplicaErrorIsRelayed(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
 	f.respond = func(context.Context, *Attempt) (*Response, error) { return fullResponse(500, "failed"), nil }
 	if client, requestErr := f.serve(nil); requestErr != nil || client.status != 500 || client.body.String() != "failed" {
-		t.Errorf("got %v, %d", requestErr, client.status)
+		t.Errorf("error %v, status %d; want the replica's response with status 500", requestErr, client.status)
 	}
 }
 
-// TestInterruptedBodyIsNotStarted checks that nothing of a short body is sent before it is
-// complete.
-func TestInterruptedBodyIsNotStarted(t *testing.T) {
+// TestInterruptedShortBodyIsNotRelayed checks that no part of a short body is sent before the
+// body is complete.
+func TestInterruptedShortBodyIsNotRelayed(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
 	f.addReplica("a", "east-1")
@@ -485,11 +489,12 @@
 		return &Response{Status: 200, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(strings.NewReader("part"), failing{errReset}))}, nil
 	}
 	if client, requestErr := f.serve(nil); requestErr == nil || requestErr.Code != CodeOutcomeUnknown || requestErr.ResponseStarted || client.status != 0 {
-		t.Errorf("got %v, status %d", requestErr, client.status)
+		t.Errorf("error %v, status %d; want CodeOutcomeUnknown and no response", requestErr, client.status)
 	}
 }
 
-// TestRouteTimeout checks that a request ends at its route's timeout.
+// TestRouteTimeout checks that a request ends when its route's timeout has passed, and that
+// the replica receives this deadline.
 func TestRouteTimeout(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Timeout = 50 * time.Millisecond })
@@ -501,14 +506,15 @@
 	started := time.Now()
 	_, requestErr := f.serve(func(r *Request) { r.ClientTimeout = time.Minute })
 	if took := time.Since(started); requestErr == nil || requestErr.Code != CodeTimedOut || took > time.Second {
-		t.Errorf("got %v after %v", requestErr, took)
+		t.Errorf("error %v after %v, want CodeTimedOut after about 50 ms", requestErr, took)
 	}
 	if deadline := f.sent[0].Deadline; time.Until(deadline) > 50*time.Millisecond {
-		t.Errorf("the replica got the deadline %v", deadline)
+		t.Errorf("the replica received the deadline %v", deadline)
 	}
 }
 
-// TestClientDisconnectAbortsAttempt checks that an attempt ends with its client.
+// TestClientDisconnectAbortsAttempt checks that an attempt is aborted if its client
+// disconnects.
 func TestClientDisconnectAbortsAttempt(t *testing.T) {
 	f := newFixture(t)
 	f.configure(nil)
@@ -521,6 +527,6 @@
 	}
 	request := &Request{ID: "id", Method: http.MethodPost, Host: "h", Path: "/", Arrived: time.Now()}
 	if requestErr := f.dispatcher.Serve(ctx, request, &recorder{}); requestErr == nil || requestErr.Code != CodeClientClosed {
-		t.Errorf("got %v", requestErr)
+		t.Errorf("error %v, want CodeClientClosed", requestErr)
 	}
 }
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -10,22 +10,22 @@
 const (
 	// eventBuffer is the size of a stream's read buffer in bytes.
 	eventBuffer = 2 << 10
-	// maxEventBytes bounds the size of one event.
+	// maxEventBytes is the maximum size of one event.
 	maxEventBytes = 1 << 20
 )
 
 var (
-	errEventTooLong   = errors.New("event is too long")
+	errEventTooLong   = errors.New("event exceeds the maximum size")
 	errTruncatedEvent = errors.New("stream ended within an event")
 )
 
-// event is one event of a stream, with the empty line that terminates it.
+// event is one event of a stream, including the empty line that terminates it.
 type event struct {
 	text []byte // valid until the next event is read
 	id   string
 }
 
-// eventReader splits a text/event-stream into events, and changes no byte of them.
+// eventReader splits a text/event-stream into events without changing any byte.
 type eventReader struct {
 	reader *bufio.Reader
 	text   []byte
@@ -37,8 +37,8 @@
 
 var idField = []byte("id:")
 
-// next returns the next whole event, io.EOF at the end of the stream, or why the stream
-// was interrupted.
+// next returns the next complete event. It returns io.EOF if the stream ended after a
+// complete event, and another error if the stream was interrupted.
 func (e *eventReader) next() (event, error) {
 	e.text = e.text[:0]
 	id := ""
@@ -69,8 +69,8 @@
 	}
 }
 
-// endError returns the error of a stream that ended: errTruncatedEvent if it ended
-// within an event.
+// endError returns the error for a read error: errTruncatedEvent if the stream ended
+// within an event, and otherwise the read error itself.
 func (e *eventReader) endError(err error) error {
 	if errors.Is(err, io.EOF) && len(e.text) > 0 {
 		return errTruncatedEvent
--- a/dispatch/events_test.go
+++ b/dispatch/events_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestEventReader checks that a stream is split into whole events without any change.
+// TestEventReader checks that a stream is split into complete events without any change.
 func TestEventReader(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 3*eventBuffer) + "\n\n"
 	tests := map[string]struct {
@@ -31,7 +31,7 @@
 				next, err := reader.next()
 				if err != nil {
 					if !errors.Is(err, test.err) {
-						t.Errorf("ends with %v, want %v", err, test.err)
+						t.Errorf("last error %v, want %v", err, test.err)
 					}
 					break
 				}
@@ -39,10 +39,10 @@
 				text += string(next.text)
 			}
 			if strings.Join(ids, ",") != strings.Join(test.want, ",") {
-				t.Errorf("ids %v, want %v", ids, test.want)
+				t.Errorf("event ids %v, want %v", ids, test.want)
 			}
 			if errors.Is(test.err, io.EOF) && text != test.text {
-				t.Errorf("text %q", text)
+				t.Errorf("the text of the events is %q, want that of the stream", text)
 			}
 		})
 	}
--- a/dispatch/idle_watchdog.go
+++ b/dispatch/idle_watchdog.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// idleTimeout is how long a replica with requests in flight may send nothing before it
-// is avoided, and its attempts are aborted that may be retried.
+// idleTimeout is how long a replica with requests in flight may send nothing. After that
+// it is avoided, and those of its attempts that can be retried are aborted.
 const idleTimeout = 700 * time.Millisecond
 
-// idleWatchdog aborts an attempt when its replica sends nothing on any connection for
-// the idle timeout.
+// idleWatchdog aborts an attempt if its replica sends nothing on any connection for
+// idleTimeout.
 type idleWatchdog struct {
 	lastReceived func() time.Time
 	started      time.Time
@@ -22,11 +22,11 @@
 	stopped bool
 }
 
-// newIdleWatchdog starts a watchdog that aborts an attempt by cancel. It does nothing
-// for a request that could not be sent again. The caller stops it.
+// newIdleWatchdog starts a watchdog that calls cancel to abort an attempt. The watchdog is
+// inactive if the route permits no attempt after this one. The caller must stop it.
 func (t *transaction) newIdleWatchdog(attempt *placedAttempt, cancel context.CancelFunc) *idleWatchdog {
 	w := &idleWatchdog{cancel: cancel, started: time.Now()}
-	if !t.route.Retryable() || t.attempts+1 >= t.route.MaxAttempts {
+	if !t.route.Retryable() || t.possibleRuns+1 >= t.route.MaxAttempts {
 		return w
 	}
 	backend := t.dispatcher.options.Backend
@@ -35,8 +35,8 @@
 	return w
 }
 
-// check aborts the attempt, or sets the timer to the earliest time at which the replica
-// may have been idle for the timeout.
+// check aborts the attempt if the replica has been idle for idleTimeout. Otherwise it sets
+// the timer to the earliest time at which that can be the case.
 func (w *idleWatchdog) check() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -55,7 +55,7 @@
 	w.timer.Reset(remaining)
 }
 
-// stop ends the watch. It may be called more than once.
+// stop stops the watchdog. It may be called more than once.
 func (w *idleWatchdog) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -6,14 +6,15 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// loadReportTTL is how long a report of other gateways' loads counts.
+// loadReportTTL is how long a report of other gateways' loads is used.
 const loadReportTTL = 2500 * time.Millisecond
 
-// loadTable has the loads of all other gateways.
+// loadTable holds the load that all other gateways have placed on each replica.
 type loadTable struct {
-	// reports are by the aggregator that sent them.
+	// reports holds the last report of each aggregator, by its name.
 	reports map[string]loadReport
-	// sums adds up the reports, until the first of them expires at expiry.
+	// sums is the total of the reports by replica. It is valid until expiry, when the
+	// first of the reports expires.
 	sums   map[peer.ReplicaKey]peer.Load
 	expiry time.Time
 }
@@ -50,7 +51,7 @@
 	}
 }
 
-// at returns what all other gateways have in flight at a replica.
+// at returns the load that all other gateways have in flight at a replica.
 func (t *loadTable) at(replica peer.ReplicaKey, now time.Time) peer.Load {
 	if now.After(t.expiry) {
 		t.sum(now)
@@ -58,9 +59,10 @@
 	return t.sums[replica]
 }
 
-// Observe processes what other gateways have in flight, placed and measured. Their
-// prompts are added to the backlogs here too, and their measurements count like those
-// of this gateway.
+// Observe processes a message about the other gateways of the region: their requests in
+// flight, the prompts that they placed, and the prefill times that they measured. Their
+// prompts are added to this gateway's copy of the backlogs, and their measurements are used
+// like its own.
 func (d *Dispatcher) Observe(loads *peer.RegionLoads) {
 	now := time.Now()
 	d.mutex.Lock()
@@ -77,7 +79,7 @@
 		if r, known := d.byKey[prompt.Replica]; known {
 			prefill := time.Duration(prompt.PrefillMS) * time.Millisecond
 			r.addPrompt(now, prefill)
-			r.addReservation(now, prompt.Gateway, prefill)
+			r.addAnnouncedPrompt(now, prompt.Gateway, prefill)
 			d.recordPrefixes(r, prompt.Prefixes)
 		}
 	}
@@ -88,7 +90,7 @@
 	}
 }
 
-// microsecondsPerSecond converts the times of prefill samples.
+// microsecondsPerSecond converts between microseconds and seconds.
 const microsecondsPerSecond = 1e6
 
 // secondsOf converts microseconds to seconds.
@@ -97,15 +99,16 @@
 // microsecondsOf converts seconds to microseconds.
 func microsecondsOf(seconds float64) uint32 { return uint32(microsecondsPerSecond * seconds) }
 
-// recordPrefixes records the shared prefixes that a replica will have in its cache.
+// recordPrefixes records that a replica will have shared prefixes in its cache.
 func (d *Dispatcher) recordPrefixes(r *replica, prefixes []uint64) {
 	if known, found := d.services[r.service]; found && len(prefixes) > 0 {
 		known.index.RecordHashes(r.number, prefixes)
 	}
 }
 
-// observePrefill learns from a sample of any gateway: a prefill that a replica did
-// alone. The work is in seconds of the reference replica, took in seconds.
+// observePrefill updates the prefill model of the service and the slowdown of the replica
+// with a sample of any gateway: the time of a prefill during which the replica prefilled
+// no other prompt. work is in seconds of the reference replica, took in seconds.
 func (d *Dispatcher) observePrefill(r *replica, work, took float64) {
 	known, found := d.services[r.service]
 	if !found || work <= 0 {
@@ -116,7 +119,7 @@
 	r.observeSlowdown((took - model.overhead) / (model.factor * work))
 }
 
-// Loads returns this gateway's own load by replica.
+// Loads returns the load that this gateway has in flight, by replica.
 func (d *Dispatcher) Loads() map[peer.ReplicaKey]peer.Load {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -129,7 +132,7 @@
 	return loads
 }
 
-// RegionOf returns the region of a replica, "" if it is not known.
+// RegionOf returns the region of a replica, or "" if the replica is not known.
 func (d *Dispatcher) RegionOf(replica peer.ReplicaKey) string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/dispatch/prefill.go
+++ b/dispatch/prefill.go
@@ -1,38 +1,41 @@
 package dispatch
 
-// The time that a replica takes to prefill a prompt grows with the tokens that are not
-// in its cache, and with the tokens that each of them attends to. The work of a prefill
-// is measured in seconds of a reference replica, a large model on one machine with eight
-// accelerators. How a service's engines compare with it is its prefillModel, and how one
-// replica compares with its service is its slowdown; both are learned.
+// The time that a replica takes to prefill a prompt grows with the number of tokens that
+// are not in its cache, and with the number of tokens that each of these attends to. The
+// work of a prefill is the time that it takes on a reference replica, a large model on one
+// machine with eight accelerators. The prefillModel of a service compares its engines with
+// the reference replica, and the slowdown of a replica compares it with its service. Both
+// are estimated from measurements.
 const (
 	// referencePrefillRate is the rate of the reference replica, in tokens a second.
 	referencePrefillRate = 59_000
-	// attentionTokens is the length of a prompt whose attention alone takes a second.
+	// attentionTokens is the length of a prompt whose attention alone takes one second on
+	// the reference replica.
 	attentionTokens = 85_000
 
-	// minSampledPrefill is the shortest expected prefill that is a sample of a replica's
-	// speed, in seconds: the network has too large a share in shorter ones.
+	// minSampledPrefill is the shortest expected prefill, in seconds, that is used as a
+	// sample of a replica's speed: network latency distorts shorter ones too much.
 	minSampledPrefill = 0.02
 	// maxSampledBacklog is the largest backlog ahead of a sampled prefill, as a ratio of
-	// the prefill.
+	// the expected prefill.
 	maxSampledBacklog = 0.05
-	// maxUnknownCached is the largest share of a prefill that the replica may have in its
-	// cache without this gateway's knowledge, for its size to be certain.
+	// maxUnknownCached is the largest share of a prefill that a replica may have in its
+	// cache without this gateway's knowledge for the estimate to count as certain.
 	maxUnknownCached = 0.1
-	// minUncertainSlowdown is the lowest slowdown that is believed of a prefill whose
-	// size is not certain.
+	// minUncertainSlowdown is the lowest slowdown that is accepted as a sample from a
+	// prefill whose estimate is not certain. A lower one probably means that more of the
+	// prompt was cached.
 	minUncertainSlowdown = 0.9
 )
 
-// prefillEstimate is the prefill of one prompt at one replica.
+// prefillEstimate is the estimated prefill of one prompt at one replica.
 type prefillEstimate struct {
 	// work is in seconds of the reference replica.
 	work float64
-	// model is that of the service when the prompt was placed.
+	// model is the service's model at the time when the prompt was placed.
 	model prefillModel
-	// certain says that the replica can have little more of the prompt in its cache than
-	// is known.
+	// certain is set if the replica can have at most maxUnknownCached more of the prompt
+	// in its cache than is known.
 	certain bool
 }
 
--- a/dispatch/prefill_model.go
+++ b/dispatch/prefill_model.go
@@ -2,36 +2,37 @@
 
 import "math"
 
-// The prefill model of a service is how long its engines take to a first event, by the
-// work of the prefill. Services differ in their engines, and the replicas of one service
-// hardly do, so each sample of a replica is one of the whole service.
+// The prefill model of a service gives the time to the first event as a function of the
+// work of the prefill. Services differ in their engines, but the replicas of one service
+// hardly do, so each sample of a replica is used as a sample of the whole service.
 const (
 	// initialOverhead is the assumed overhead before any sample, in seconds.
 	initialOverhead = 0.012
-	// maxOverhead bounds the overhead, in seconds.
+	// maxOverhead is the upper bound on the overhead, in seconds.
 	maxOverhead = 0.3
-	// minPrefillFactor and maxPrefillFactor bound the factor.
+	// minPrefillFactor and maxPrefillFactor are the bounds on the factor.
 	minPrefillFactor = 1.0 / 16
 	maxPrefillFactor = 8
 	// sampleDecay is the factor by which each sample reduces the weight of earlier ones.
 	sampleDecay = 0.98
-	// initialWeight is the weight of each of the two samples that stand for the initial
-	// model, and initialShortWork and initialLongWork are their work.
+	// The estimator starts with two artificial samples that agree with the initial model.
+	// initialWeight is the weight of each of them, and initialShortWork and
+	// initialLongWork are their work in seconds.
 	initialWeight    = 2
 	initialShortWork = 0.03
 	initialLongWork  = 0.2
 	// toleratedError is the ratio by which a sample may differ from the expected time
-	// before it weighs less: slow replicas and unknown caches are not the service's
-	// engines.
+	// before its weight is reduced: a large difference probably comes from a slow replica
+	// or a cached prefix that is not known, and not from the service's engines.
 	toleratedError = 0.25
 	// toleratedJitter is added to the tolerated error, in seconds.
 	toleratedJitter = 0.008
-	// minSpread is the smallest spread of the samples' work from which the factor can be
-	// determined, as a ratio of the squared weight.
+	// minSpread is the smallest spread of the samples' work that suffices to determine
+	// the factor, as a ratio of the squared weight.
 	minSpread = 1e-9
 )
 
-// prefillModel gives the time to a first event in seconds: overhead + factor * work.
+// prefillModel predicts the time to the first event in seconds as overhead + factor * work.
 type prefillModel struct {
 	overhead float64
 	factor   float64
@@ -62,9 +63,9 @@
 	e.workTime += weight * work * took
 }
 
-// observe updates the model with a sample: the work of a prefill, and the time to its
-// first event in seconds. The further the time is from the expected one, the less it
-// weighs.
+// observe updates the model with a sample: the work of a prefill and the time to its first
+// event, in seconds. The further that time is from the expected one, the lower the weight
+// of the sample.
 func (e *prefillEstimator) observe(work, took float64) {
 	expected := e.model.overhead + e.model.factor*work
 	scale := toleratedError*expected + toleratedJitter
@@ -76,8 +77,8 @@
 	e.fit()
 }
 
-// fit solves for the model. If the works of the samples are all alike, it keeps the
-// factor.
+// fit computes the model from the sums. If the work of all samples is about the same, it
+// leaves the factor unchanged.
 func (e *prefillEstimator) fit() {
 	spread := e.weight*e.workWork - e.work*e.work
 	factor := e.model.factor
--- a/dispatch/prefill_model_test.go
+++ b/dispatch/prefill_model_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// TestPrefillModelConverges checks that 150 samples suffice to learn the model of any
-// engines, even if some replicas are slow and some prompts were cached without any
-// gateway's knowledge.
+// TestPrefillModelConverges checks that 150 samples suffice to estimate the model of various
+// engines, even if some samples come from slow replicas or from prompts that were cached
+// without the gateway's knowledge.
 func TestPrefillModelConverges(t *testing.T) {
 	engines := map[string]prefillModel{
-		"reference":      {overhead: initialOverhead, factor: 1},
-		"quick":          {overhead: 0.028, factor: 0.37},
-		"very quick":     {overhead: 0.005, factor: 0.1},
-		"slow":           {overhead: 0.05, factor: 3},
-		"far from first": {overhead: 0.15, factor: 1.4},
+		"reference":     {overhead: initialOverhead, factor: 1},
+		"fast":          {overhead: 0.028, factor: 0.37},
+		"very fast":     {overhead: 0.005, factor: 0.1},
+		"slow":          {overhead: 0.05, factor: 3},
+		"high overhead": {overhead: 0.15, factor: 1.4},
 	}
 	for name, engine := range engines {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 					want := engine.overhead + engine.factor*work
 					got := estimator.model.overhead + estimator.model.factor*work
 					if got < 0.8*want || got > 1.35*want {
-						t.Errorf("seed %d: %.3f s for %.2f of work, want %.3f: %+v", seed, got, work, want, estimator.model)
+						t.Errorf("seed %d: predicted %.3f s for work of %.2f s, want %.3f s; model %+v", seed, got, work, want, estimator.model)
 					}
 				}
 			}
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestPrefillModelStaysInBounds checks samples that are all alike, or out of all bounds.
+// TestPrefillModelStaysInBounds checks that the model stays within its bounds if all samples
+// are equal, also if their time is extreme.
 func TestPrefillModelStaysInBounds(t *testing.T) {
 	for _, took := range []float64{0, 1e-9, 1e9, math.MaxFloat64 / 1e10} {
 		estimator := newPrefillEstimator()
@@ -55,19 +56,19 @@
 		now := estimator.model
 		bounded := now.factor >= minPrefillFactor && now.factor <= maxPrefillFactor && now.overhead >= 0 && now.overhead <= maxOverhead
 		if !bounded {
-			t.Errorf("%v seconds each: %+v", took, now)
+			t.Errorf("model after samples of %v s: %+v, want one within the bounds", took, now)
 		}
 	}
 }
 
-// TestFirstPrefillSampleDoesNotOvershoot checks that one sample moves the model towards
-// the engines, and not beyond them.
+// TestFirstPrefillSampleDoesNotOvershoot checks that one sample changes the factor towards
+// the true one, and not beyond it.
 func TestFirstPrefillSampleDoesNotOvershoot(t *testing.T) {
 	for _, factor := range []float64{0.3, 3} {
 		estimator := newPrefillEstimator()
 		estimator.observe(0.2, initialOverhead+factor*0.2)
 		if got := estimator.model.factor; (got-1)*(factor-1) <= 0 || math.Abs(got-1) > math.Abs(factor-1) {
-			t.Errorf("a factor of %.2f after one prompt of %.1f", got, factor)
+			t.Errorf("factor %.2f after one sample of engines with factor %.1f", got, factor)
 		}
 	}
 }
--- a/dispatch/relay.go
+++ b/dispatch/relay.go
@@ -11,8 +11,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// maxBufferedBody is the size in bytes up to which a body is read whole before any of
-// it is relayed, so that the request can be retried if the body is interrupted.
+// maxBufferedBody is the largest size in bytes of a body that is read completely before any
+// of it is relayed, so that the request can be retried if the body is interrupted.
 const maxBufferedBody = 256 << 10
 
 // relayBody relays a response that is not an event stream.
@@ -26,7 +26,7 @@
 			response.Header.Set("Content-Length", strconv.Itoa(len(buffered)))
 		}
 		t.writeHead(response)
-		_, _ = t.client.Write(buffered) // the replica has served the request, whoever receives the response
+		_, _ = t.client.Write(buffered) // the request counts as served even if the client has disconnected
 		t.dispatcher.recordSuccess(attempt, response.Status)
 		return false, nil
 	}
@@ -41,7 +41,8 @@
 	return false, nil
 }
 
-// writeHead sends the head of the first response. A resumed one continues it.
+// writeHead sends the head of a response to the client, unless the response resumes an
+// event stream whose head was sent already.
 func (t *transaction) writeHead(response *Response) {
 	if t.responseStarted {
 		return
@@ -50,8 +51,9 @@
 	t.client.WriteHead(response.Status, response.Header)
 }
 
-// relayEvents relays an event stream, whole events only. The head of the response waits
-// for the first event, so that an attempt that is interrupted before it can be retried.
+// relayEvents relays an event stream, in complete events only. It sends the head of the
+// response together with the first event, so that an attempt that is interrupted before
+// that event can be retried.
 func (t *transaction) relayEvents(ctx context.Context, attempt *placedAttempt, response *Response, watchdog *idleWatchdog) (retry bool, requestErr *RequestError) {
 	events := newEventReader(response.Body)
 	for {
@@ -81,8 +83,9 @@
 	}
 }
 
-// isDuplicate reports whether the client already has an event. It compares ids that are
-// numbers, which rise within a stream; an event with any other id is no duplicate.
+// isDuplicate reports whether an event was already relayed to the client. It compares
+// numeric ids, which increase within a stream; an event without a numeric id is never a
+// duplicate.
 func isDuplicate(id, lastEventID string) bool {
 	if id == "" || lastEventID == "" {
 		return false
@@ -92,7 +95,8 @@
 	return err == nil && lastErr == nil && number <= last
 }
 
-// handleInterruption decides what follows a response that was interrupted.
+// handleInterruption handles a response that was interrupted. It reports whether to make
+// another attempt.
 func (t *transaction) handleInterruption(ctx context.Context, attempt *placedAttempt, err error) (retry bool, requestErr *RequestError) {
 	if requestErr := t.checkDone(ctx); requestErr != nil {
 		return false, requestErr
@@ -106,33 +110,34 @@
 	return t.afterIndeterminate(attempt, now)
 }
 
-// recordFirstEvent records the first event of an attempt. Only samples of the own
-// region are learned from and announced: the network has too large a share in others.
+// recordFirstEvent records the first event of an attempt. Its prefill time updates the
+// prefill model and is announced to the other gateways only if the replica is in this
+// gateway's region: network latency distorts the samples of other regions too much.
 func (d *Dispatcher) recordFirstEvent(attempt *placedAttempt) {
-	if attempt.use.firstEvent {
+	if attempt.load.firstEvent {
 		return
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	r, use := attempt.replica, attempt.use
-	if took, sampled := use.recordFirstEvent(now); sampled && r.region == d.options.Region {
-		d.observePrefill(r, use.estimate.work, took)
+	r, load := attempt.replica, attempt.load
+	if took, sampled := load.recordFirstEvent(now); sampled && r.region == d.options.Region {
+		d.observePrefill(r, load.estimate.work, took)
 		if d.options.OnPrefill != nil {
 			d.options.OnPrefill(peer.PrefillSample{
 				Replica:     r.key,
-				ReferenceUS: microsecondsOf(use.estimate.work),
+				ReferenceUS: microsecondsOf(load.estimate.work),
 				MeasuredUS:  microsecondsOf(took),
 			})
 		}
 	}
 	r.recordResponse()
 	d.zone(r.zone).recordResponse()
-	d.log.Debug("first event received", "replica", attempt.endpoint.ID, "took", now.Sub(use.began), "expected", attempt.expected, "tokens", use.tokens, "prefill", use.prefill, "backlog", use.backlog, "in_flight", r.inFlight, "slowdown", r.slowdown)
+	d.log.Debug("first event received", "replica", attempt.endpoint.ID, "took", now.Sub(load.began), "expected", attempt.expected, "tokens", load.tokens, "prefill", load.prefill, "backlog", load.backlog, "in_flight", r.inFlight, "slowdown", r.slowdown)
 }
 
-// recordSuccess records a whole response. An error of the replica counts as a failure
-// in outlier detection only.
+// recordSuccess records a complete response. If it is a server error of the replica, that
+// counts as a failure in outlier detection, but not as a failure to reach the replica.
 func (d *Dispatcher) recordSuccess(attempt *placedAttempt, status int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -144,6 +149,6 @@
 		return
 	}
 	attempt.service.outliers.RecordSuccess(now, attempt.replica.id)
-	took := now.Sub(attempt.use.began).Seconds()
+	took := now.Sub(attempt.load.began).Seconds()
 	attempt.service.serviceTime += serviceTimeWeight * (took - attempt.service.serviceTime)
 }
--- a/dispatch/relay_test.go
+++ b/dispatch/relay_test.go
@@ -10,15 +10,16 @@
 
 const threeEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
 
-// streaming configures a route for event streams.
+// streaming returns a change that configures a route for event streams.
 func streaming(resumable bool) func(*routemap.Route, *routemap.Service) {
 	return func(route *routemap.Route, _ *routemap.Service) {
 		route.Kind, route.Resumable = routemap.Stream, resumable
 	}
 }
 
-// TestEventStreams checks that a stream is relayed in whole events, resumed only if its
-// route permits, and otherwise aborted with an honest error.
+// TestEventStreams checks that a stream is relayed in complete events, resumed only if its
+// route permits, and otherwise aborted with an error that reports whether a part of the
+// response was sent.
 func TestEventStreams(t *testing.T) {
 	truncated := threeEvents[:len("id: 1\ndata: a\n\nid: 2\nda")] // interrupted within the second event
 	rest := "id: 2\ndata: b\n\nid: 3\ndata: c\n\n"
@@ -50,17 +51,17 @@
 			f.respond = func(context.Context, *Attempt) (*Response, error) { return test.responses[len(f.sent)-1], nil }
 			client, requestErr := f.serve(nil)
 			if got := client.body.String(); got != test.want {
-				t.Errorf("the client has %q, want %q", got, test.want)
+				t.Errorf("the client received %q, want %q", got, test.want)
 			}
 			if (requestErr != nil) != (test.code != "") || requestErr != nil && (requestErr.Code != test.code || requestErr.ResponseStarted != test.started) {
-				t.Errorf("got %+v, want %q, started %v", requestErr, test.code, test.started)
+				t.Errorf("error %+v, want code %q and ResponseStarted %v", requestErr, test.code, test.started)
 			}
 		})
 	}
 }
 
-// TestResumedStreamSendsLastEventID checks that the next replica is told the last event
-// that the client has received.
+// TestResumedStreamSendsLastEventID checks that the attempt that resumes a stream carries the
+// id of the last event that was relayed to the client.
 func TestResumedStreamSendsLastEventID(t *testing.T) {
 	f := newFixture(t)
 	f.configure(streaming(true))
@@ -75,13 +76,14 @@
 	}
 	client, requestErr := f.serve(nil)
 	if requestErr != nil || client.body.String() != threeEvents || f.sent[1].LastEventID != "2" {
-		t.Errorf("got %v, %q after %q", requestErr, client.body.String(), f.sent[1].LastEventID)
+		t.Errorf("error %v, response body %q, resumed after event %q", requestErr, client.body.String(), f.sent[1].LastEventID)
 	}
 }
 
-// TestIdleReplicaIsAbandoned checks that an attempt at a replica that sends nothing on any
-// connection is aborted if the request may be repeated.
-func TestIdleReplicaIsAbandoned(t *testing.T) {
+// TestAttemptAtIdleReplicaIsAborted checks that an attempt at a replica that sends nothing on
+// any connection is aborted if the request may be repeated, and that another replica then
+// serves the request.
+func TestAttemptAtIdleReplicaIsAborted(t *testing.T) {
 	f := newFixture(t)
 	f.configure(streaming(true))
 	f.addReplica("a", "east-1")
@@ -97,9 +99,9 @@
 	started := time.Now()
 	client, requestErr := f.serve(nil)
 	if requestErr != nil || client.body.String() != threeEvents {
-		t.Errorf("got %v, %q", requestErr, client.body.String())
+		t.Errorf("error %v, response body %q; want all three events", requestErr, client.body.String())
 	}
 	if took := time.Since(started); took < idleTimeout || took > 4*idleTimeout {
-		t.Errorf("abandoned after %v, want about %v", took, idleTimeout)
+		t.Errorf("Serve took %v, want a little more than the idle timeout of %v", took, idleTimeout)
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -12,17 +12,19 @@
 	ID     string
 	Method string
 	Host   string
-	// Path is matched against the routes. Target is sent to the replica unchanged.
+	// Path is matched against the routes. Target is the request target that is sent to the
+	// replica unchanged.
 	Path   string
 	Target string
 	// Header is sent to the replica. The Dispatcher does not read it.
 	Header http.Header
 	Body   []byte
-	// ClientTimeout is how long the client waits from Arrived on; 0 if it is not known.
+	// ClientTimeout is how long after Arrived the client waits for the response; 0 if that
+	// is not known.
 	ClientTimeout time.Duration
 	Arrived       time.Time
-	// PrefixChain are the shared prefixes of the prompt, and PromptTokens is the size of
-	// the whole prompt.
+	// PrefixChain is the chain of the prompt's shared prefixes, and PromptTokens is the
+	// length of the whole prompt.
 	PrefixChain  []placement.Link
 	PromptTokens float64
 }
@@ -31,42 +33,42 @@
 type ResponseWriter interface {
 	// WriteHead sends the head of the response. It is called at most once.
 	WriteHead(status int, header http.Header)
-	// Write writes a part of the body.
+	// Write writes the next part of the body.
 	Write(part []byte) (int, error)
-	// Flush sends what was written.
+	// Flush sends all buffered data to the client.
 	Flush()
 }
 
-// Code says why a request was not served.
+// Code is the reason why a request was not served.
 type Code string
 
-// Codes of request errors. Those up to CodeExpiredUnsent say that the request has not
-// run.
+// Codes of request errors. The codes up to CodeExpiredUnsent guarantee that the request has
+// not run.
 const (
-	CodeNotReady       Code = "not_ready"   // no configuration is known yet
+	CodeNotReady       Code = "not_ready"   // no configuration has arrived yet
 	CodeNoRoute        Code = "no_route"    // the configuration has no route for the request
 	CodeNoReplica      Code = "no_replica"  // no replica is available
-	CodeOverloaded     Code = "overloaded"  // the request would wait too long
+	CodeOverloaded     Code = "overloaded"  // the replicas reject requests, or the request would wait too long
 	CodeExpiredUnsent  Code = "no_time"     // the deadline passed before the request was sent
 	CodeOutcomeUnknown Code = "unknown"     // the request may have run, and its response is lost
 	CodeTimedOut       Code = "timed_out"   // the request may have run, and its deadline has passed
 	CodeClientClosed   Code = "client_gone" // the client has closed its connection
 )
 
-// RequestError is why a request was not served.
+// RequestError is the error of a request that was not served.
 type RequestError struct {
 	Code Code
-	// RetryAfter is when the client may retry a request that has not run; 0 if it is
-	// not known.
+	// RetryAfter is the time after which the client may retry a request that has not run;
+	// 0 if that is not known or the request may have run.
 	RetryAfter time.Duration
-	// ResponseStarted says that a part of the response was sent, so that the caller can
-	// only abort the response.
+	// ResponseStarted is set if a part of the response was sent. The caller can then only
+	// abort the response.
 	ResponseStarted bool
 }
 
 func (e *RequestError) Error() string { return "dispatch: " + string(e.Code) }
 
-// hasNotRun reports whether a code says that the request has not run.
+// hasNotRun reports whether the code guarantees that the request has not run.
 func (c Code) hasNotRun() bool {
 	switch c {
 	case CodeNotReady, CodeNoRoute, CodeNoReplica, CodeOverloaded, CodeExpiredUnsent:
@@ -77,12 +79,13 @@
 }
 
 const (
-	// overloadedRetryAfter is when a request may be retried that was rejected because of
-	// load, and noReplicaRetryAfter one for which no replica was available.
+	// overloadedRetryAfter is the time after which a client may retry a request that was
+	// rejected because of load, and noReplicaRetryAfter is that for a request without an
+	// available replica.
 	overloadedRetryAfter = 400 * time.Millisecond
 	noReplicaRetryAfter  = 500 * time.Millisecond
-	// notReadyRetryAfter is when a gateway that has just started is likely to have its
-	// configuration.
+	// notReadyRetryAfter is the time in which a gateway that has just started is likely
+	// to receive its configuration.
 	notReadyRetryAfter = 600 * time.Millisecond
 )
 
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -7,80 +7,87 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Gateways that decide at the same moment select the same replica as the best. A long
-// prompt is therefore reserved before it is sent: the placement is announced to the
-// other gateways, and after the time that this takes the selection is made again unless
-// the reservation holds. Of two reservations that crossed, the longer one holds.
+// Gateways that place prompts at the same moment would select the same replica, because
+// they do not yet know of each other's placements. A gateway therefore announces the
+// placement of a long prompt to the other gateways and waits for confirmationDelay before it
+// sends the prompt. If the announcement of another gateway for the same replica arrives in
+// this time, the longer prompt keeps the replica, and the other gateway cancels its
+// placement and selects again.
 
 const (
-	// minReservedPrefill is the shortest prefill that is reserved, in seconds.
-	minReservedPrefill = 0.1
-	// reservationDelay is how long a reservation waits for those that crossed it.
-	reservationDelay = 5 * time.Millisecond
-	// reservationTTL bounds how long other gateways' reservations are kept.
-	reservationTTL = 4 * reservationDelay
+	// minConfirmedPrefill is the shortest prefill, in seconds, whose placement waits for
+	// conflicting announcements.
+	minConfirmedPrefill = 0.1
+	// confirmationDelay is how long a placement waits for conflicting announcements, and
+	// how long before the placement such an announcement may have arrived.
+	confirmationDelay = 5 * time.Millisecond
+	// announcedPromptTTL is how long announcements of other gateways are retained.
+	announcedPromptTTL = 4 * confirmationDelay
 )
 
-// reservation is a prompt that another gateway has placed at a replica.
-type reservation struct {
+// announcedPrompt is a prompt that another gateway has announced as placed at a replica.
+type announcedPrompt struct {
 	receivedAt time.Time
 	gateway    peer.ReplicaKey
 	prefill    time.Duration
 }
 
-// precedes reports whether the reservation holds against one of the given gateway.
-// Prefill times are announced in whole milliseconds, and both sides compare them so.
-func (r *reservation) precedes(prefill time.Duration, gateway peer.ReplicaKey) bool {
+// precedes reports whether this prompt takes precedence over a prompt with the given
+// prefill time that the given gateway has placed at the same replica. The longer prefill
+// wins, and the lower gateway key on a tie. Prefill times are announced in whole
+// milliseconds, so the comparison truncates them to give the same result at both gateways.
+func (p *announcedPrompt) precedes(prefill time.Duration, gateway peer.ReplicaKey) bool {
 	prefill = prefill.Truncate(time.Millisecond)
-	if r.prefill != prefill {
-		return r.prefill > prefill
+	if p.prefill != prefill {
+		return p.prefill > prefill
 	}
-	return r.gateway < gateway
+	return p.gateway < gateway
 }
 
-// addReservation records a prompt of another gateway for as long as it may cross one of
-// this gateway.
-func (r *replica) addReservation(now time.Time, gateway peer.ReplicaKey, prefill time.Duration) {
-	kept := r.reservations[:0]
-	for _, known := range r.reservations {
-		if now.Sub(known.receivedAt) < reservationTTL {
-			kept = append(kept, known)
+// addAnnouncedPrompt records a prompt that another gateway has announced, and removes those
+// that are too old to conflict with a placement of this gateway.
+func (r *replica) addAnnouncedPrompt(now time.Time, gateway peer.ReplicaKey, prefill time.Duration) {
+	recent := r.announcedPrompts[:0]
+	for _, known := range r.announcedPrompts {
+		if now.Sub(known.receivedAt) < announcedPromptTTL {
+			recent = append(recent, known)
 		}
 	}
-	kept = append(kept, reservation{receivedAt: now, gateway: gateway, prefill: prefill})
-	r.reservations = kept
+	recent = append(recent, announcedPrompt{receivedAt: now, gateway: gateway, prefill: prefill})
+	r.announcedPrompts = recent
 }
 
-// confirm waits for reservations that crossed that of a long prompt. It returns the
-// attempt, or one at another replica that takes its place.
-func (t *transaction) confirm(ctx context.Context, attempt *placedAttempt) (*placedAttempt, *RequestError) {
-	if attempt.use.estimate.seconds() < minReservedPrefill {
+// confirmPlacement waits for announcements that conflict with the placement of a long
+// prompt. It returns the attempt itself or, if another gateway's prompt takes precedence, a
+// new attempt at the replica that is then selected.
+func (t *transaction) confirmPlacement(ctx context.Context, attempt *placedAttempt) (*placedAttempt, *RequestError) {
+	if attempt.load.estimate.seconds() < minConfirmedPrefill {
 		return attempt, nil
 	}
-	timer := time.NewTimer(reservationDelay)
+	timer := time.NewTimer(confirmationDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 		return attempt, nil
 	}
-	if !t.yield(attempt) {
+	if !t.cancelIfPreceded(attempt) {
 		return attempt, nil
 	}
 	return t.place()
 }
 
-// yield cancels an attempt if another gateway's reservation holds against it. It
-// reports whether it did.
-func (t *transaction) yield(attempt *placedAttempt) bool {
+// cancelIfPreceded cancels the placement of an attempt if the prompt of another gateway takes
+// precedence over it, and reports whether it did.
+func (t *transaction) cancelIfPreceded(attempt *placedAttempt) bool {
 	d := t.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	crossedSince := attempt.use.began.Add(-reservationDelay)
+	conflictsSince := attempt.load.began.Add(-confirmationDelay)
 	gateway := peer.NewReplicaKey(d.options.Gateway)
-	for i := range attempt.replica.reservations {
-		other := &attempt.replica.reservations[i]
-		if other.receivedAt.After(crossedSince) && other.precedes(attempt.use.prefill, gateway) {
+	for i := range attempt.replica.announcedPrompts {
+		other := &attempt.replica.announcedPrompts[i]
+		if other.receivedAt.After(conflictsSince) && other.precedes(attempt.load.prefill, gateway) {
 			d.cancelPlacement(attempt)
 			delete(t.tried, attempt.replica.id)
 			return true
@@ -89,15 +96,15 @@
 	return false
 }
 
-// cancelPlacement removes an attempt that was not sent from its replica's load, here and
-// at the other gateways. The caller holds the mutex.
+// cancelPlacement removes an attempt that was not sent from its replica's load, and
+// announces the removal to the other gateways. The caller holds the Dispatcher's mutex.
 func (d *Dispatcher) cancelPlacement(attempt *placedAttempt) {
-	attempt.use.release()
-	attempt.replica.backlog.add(time.Now(), -attempt.use.prefill)
+	attempt.load.release()
+	attempt.replica.backlog.add(time.Now(), -attempt.load.prefill)
 	if d.options.OnPlaced != nil {
 		d.options.OnPlaced(peer.PlacedPrompt{
 			Replica:   attempt.replica.key,
-			PrefillMS: -int(attempt.use.prefill.Milliseconds()),
+			PrefillMS: -int(attempt.load.prefill.Milliseconds()),
 		})
 	}
 }
--- a/dispatch/reservation_test.go
+++ b/dispatch/reservation_test.go
@@ -17,13 +17,13 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// announcementDelay is the delay of updates between the gateways of these tests.
+// announcementDelay is the delay of announcements between the gateways of these tests.
 const announcementDelay = time.Millisecond
 
-// longPrompt is the size of a prompt that takes about half a second to prefill.
+// longPrompt is the length of a prompt that takes about half a second to prefill.
 const longPrompt = 25_000
 
-// gatewayPair is two gateways of one region that announce their prompts to each other.
+// gatewayPair holds two gateways of one region that announce their prompts to each other.
 type gatewayPair struct {
 	first, second *fixture
 }
@@ -56,7 +56,7 @@
 	service.CacheTokens = 400_000
 }
 
-// connect delivers the updates of one gateway to another.
+// connect delivers the announcements of one gateway to another.
 func connect(from, to *fixture) {
 	name := from.dispatcher.options.Gateway
 	report := func(update peer.RegionLoads) {
@@ -76,14 +76,14 @@
 	return []placement.Link{{Hash: placement.Hash(name), Tokens: tokens}}
 }
 
-// longRequest gives a request a long prompt.
+// longRequest changes a request to one with a long prompt.
 func longRequest(r *Request) {
 	r.PromptTokens = longPrompt
 	r.PrefixChain = chainOf("shared", 500)
 }
 
-// TestSimultaneousPromptsUseDifferentReplicas checks that of two gateways that select the
-// same replica at the same moment, one yields.
+// TestSimultaneousPromptsUseDifferentReplicas checks that if two gateways select the same
+// replica at the same moment, one of them selects another replica.
 func TestSimultaneousPromptsUseDifferentReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pair := newGatewayPair(t, "a", "b")
@@ -91,7 +91,7 @@
 		for _, f := range []*fixture{pair.first, pair.second} {
 			requests.Go(func() {
 				if _, requestErr := f.serve(longRequest); requestErr != nil {
-					t.Errorf("rejected: %v", requestErr)
+					t.Errorf("request rejected: %v", requestErr)
 				}
 			})
 		}
@@ -99,19 +99,19 @@
 		attempted := slices.Concat(pair.first.attemptedReplicas(), pair.second.attemptedReplicas())
 		slices.Sort(attempted)
 		if strings.Join(attempted, ",") != "a,b" {
-			t.Errorf("attempted %v, want each replica once", attempted)
+			t.Errorf("attempts at %v, want one at each replica", attempted)
 		}
 		for _, f := range []*fixture{pair.first, pair.second} {
 			if counts := f.dispatcher.Counts(); counts.Attempts != 1 || counts.Retries != 0 {
-				t.Errorf("counted %+v, want one attempt", counts)
+				t.Errorf("counts %+v, want one attempt and no retry", counts)
 			}
 		}
 	})
 }
 
-// TestCanceledReservationLeavesNoBacklog checks that a canceled reservation is taken off
-// the backlog at both gateways.
-func TestCanceledReservationLeavesNoBacklog(t *testing.T) {
+// TestCanceledPlacementLeavesNoBacklog checks that the prompt of a canceled placement is
+// removed from the replica's backlog at both gateways.
+func TestCanceledPlacementLeavesNoBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pair := newGatewayPair(t, "a", "b")
 		var requests sync.WaitGroup
@@ -124,7 +124,7 @@
 			f.dispatcher.mutex.Lock()
 			for id, r := range f.dispatcher.replicas {
 				if remaining := r.backlog.remaining(time.Now()); remaining > time.Duration(1.5*prefillWork(longPrompt, 0)*float64(time.Second)) {
-					t.Errorf("%s has a backlog of %v for %s, more than one prompt", f.dispatcher.options.Gateway, remaining, id)
+					t.Errorf("gateway %s has a backlog of %v for replica %s, want at most one prompt", f.dispatcher.options.Gateway, remaining, id)
 				}
 			}
 			f.dispatcher.mutex.Unlock()
@@ -132,43 +132,43 @@
 	})
 }
 
-// TestReservationPrecedence checks which of two reservations that crossed holds.
-func TestReservationPrecedence(t *testing.T) {
+// TestAnnouncedPromptPrecedence checks which of two conflicting prompts takes precedence.
+func TestAnnouncedPromptPrecedence(t *testing.T) {
 	tests := map[string]struct {
-		other reservation
+		other announcedPrompt
 		want  bool
 	}{
-		"longer":             {reservation{gateway: 9, prefill: 2 * time.Second}, true},
-		"shorter":            {reservation{gateway: 1, prefill: time.Millisecond}, false},
-		"equal, lower key":   {reservation{gateway: 1, prefill: time.Second}, true},
-		"equal, higher key":  {reservation{gateway: 9, prefill: time.Second}, false},
-		"canceled, negative": {reservation{gateway: 1, prefill: -time.Second}, false},
+		"longer":             {announcedPrompt{gateway: 9, prefill: 2 * time.Second}, true},
+		"shorter":            {announcedPrompt{gateway: 1, prefill: time.Millisecond}, false},
+		"equal, lower key":   {announcedPrompt{gateway: 1, prefill: time.Second}, true},
+		"equal, higher key":  {announcedPrompt{gateway: 9, prefill: time.Second}, false},
+		"canceled, negative": {announcedPrompt{gateway: 1, prefill: -time.Second}, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := test.other.precedes(time.Second, 5); got != test.want {
-				t.Errorf("got %v", got)
+				t.Errorf("precedes() = %v", got)
 			}
 		})
 	}
 }
 
-// TestShortPromptsAreNotReserved checks that a short prompt is sent without delay.
-func TestShortPromptsAreNotReserved(t *testing.T) {
+// TestShortPromptsAreSentWithoutDelay checks that a short prompt is sent without delay.
+func TestShortPromptsAreSentWithoutDelay(t *testing.T) {
 	f := newFixture(t)
 	f.configure(withPrompts)
 	f.addReplica("a", "east-1")
 	short := &transaction{dispatcher: f.dispatcher}
-	attempt := &placedAttempt{use: &replicaUse{estimate: referencePrefill(minReservedPrefill / 2)}}
+	attempt := &placedAttempt{load: &attemptLoad{estimate: referencePrefill(minConfirmedPrefill / 2)}}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got, requestErr := short.confirm(ctx, attempt); got != attempt || requestErr != nil {
-		t.Errorf("got %v, %v", got, requestErr)
+	if got, requestErr := short.confirmPlacement(ctx, attempt); got != attempt || requestErr != nil {
+		t.Errorf("confirmPlacement() = %v, %v; want the same attempt", got, requestErr)
 	}
 }
 
-// TestPrefixesAnnouncedByOtherGateways checks that a request goes to the replica at which
-// another gateway has placed its prefix, whichever of several that is.
+// TestPrefixesAnnouncedByOtherGateways checks that a request is sent to the replica at which
+// another gateway has placed a prompt with the same prefix, for each of several replicas.
 func TestPrefixesAnnouncedByOtherGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := []string{"a", "b", "c", "d", "e"}
@@ -182,14 +182,14 @@
 				r.PrefixChain = chainOf("shared", 9000)
 			})
 			if attempted := pair.second.attemptedReplicas(); len(attempted) != 1 || attempted[0] != holder {
-				t.Errorf("attempted %v, want %s, which has the prefix in its cache", attempted, holder)
+				t.Errorf("attempts at %v, want one at %s, which has the prefix in its cache", attempted, holder)
 			}
 		}
 	})
 }
 
-// TestPrefillSamplesFromOtherGateways checks that a sample of one gateway counts at the
-// others.
+// TestPrefillSamplesFromOtherGateways checks that a sample of one gateway updates the
+// slowdown of the replica at both gateways.
 func TestPrefillSamplesFromOtherGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pair := newGatewayPair(t, "a")
@@ -201,19 +201,19 @@
 		time.Sleep(10 * announcementDelay)
 		for _, f := range []*fixture{pair.first, pair.second} {
 			if status := f.dispatcher.Replicas()[0]; status.Slowness < 1.2 {
-				t.Errorf("%s has a slowdown of %.2f after a prefill of twice the expected time", f.dispatcher.options.Gateway, status.Slowness)
+				t.Errorf("gateway %s: slowdown %.2f after a prefill that took twice the expected time, want at least 1.2", f.dispatcher.options.Gateway, status.Slowness)
 			}
 		}
 	})
 }
 
-// referencePrefill returns an estimate by the initial model.
+// referencePrefill returns an estimate with the initial prefill model.
 func referencePrefill(work float64) prefillEstimate {
 	return prefillEstimate{work: work, model: prefillModel{overhead: initialOverhead, factor: 1}}
 }
 
-// TestPrefillSampleConditions checks which prefills are samples of a replica's speed:
-// none that other prompts or an unknown cache may have a share in.
+// TestPrefillSampleConditions checks which prefills are used as samples of a replica's speed:
+// none whose time may depend on other prompts or on cached tokens that are not known.
 func TestPrefillSampleConditions(t *testing.T) {
 	certain := referencePrefill(0.2)
 	certain.certain = true
@@ -223,8 +223,8 @@
 		estimate prefillEstimate
 		backlog  time.Duration
 		took     time.Duration
-		joined   bool // another prompt was placed at the replica meanwhile
-		want     float64
+		joined   bool    // another prompt was placed at the replica during the prefill
+		want     float64 // slowdown, 0 if the prefill is not a sample
 	}{
 		"alone":                    {certain, 0, 312 * time.Millisecond, false, 1.5},
 		"short":                    {short, 0, time.Second, false, 0},
@@ -239,50 +239,50 @@
 			now := time.Now()
 			r := newReplica("a")
 			r.addPrompt(now, test.backlog)
-			use := r.reserve(now, test.estimate, 0)
+			load := r.addAttempt(now, test.estimate, 0)
 			if test.joined {
 				r.addPrompt(now, time.Millisecond)
 			}
-			took, sampled := use.recordFirstEvent(now.Add(test.took))
+			took, sampled := load.recordFirstEvent(now.Add(test.took))
 			got := 0.0
 			if sampled {
 				got = (took - initialOverhead) / test.estimate.seconds()
 			}
 			if got < test.want-0.01 || got > test.want+0.01 {
-				t.Errorf("got %.3f, want %.3f", got, test.want)
+				t.Errorf("sampled slowdown %.3f, want %.3f", got, test.want)
 			}
-			if again, sampled := use.recordFirstEvent(now.Add(time.Hour)); sampled {
-				t.Errorf("sampled %.2f a second time", again)
+			if again, sampled := load.recordFirstEvent(now.Add(time.Hour)); sampled {
+				t.Errorf("a second call returned another sample, %.2f s", again)
 			}
 		})
 	}
 }
 
-// TestSlowdownEstimate checks that the slowdown converges and stays in its bounds.
+// TestSlowdownEstimate checks that the slowdown converges and stays within its bounds.
 func TestSlowdownEstimate(t *testing.T) {
 	r := newReplica("a")
 	for range 4 {
 		r.observeSlowdown(1.3)
 	}
 	if r.slowdown < 1.2 || r.slowdown > 1.3 {
-		t.Errorf("%.3f after four samples of 1.3", r.slowdown)
+		t.Errorf("slowdown %.3f after four samples of 1.3", r.slowdown)
 	}
 	r.observeSlowdown(100)
 	if r.slowdown > maxSlowdown {
-		t.Errorf("%.3f after one sample of 100", r.slowdown)
+		t.Errorf("slowdown %.3f after one sample of 100", r.slowdown)
 	}
 }
 
-// TestLongWaitIsRejected checks that a request is rejected if it would be late because of
-// its wait, and not if it would be late because of its own prefill.
+// TestLongWaitIsRejected checks that a request is rejected if the backlog would make it late,
+// but not if only its own prefill would.
 func TestLongWaitIsRejected(t *testing.T) {
 	tests := map[string]waitingCase{
 		"idle":                                  {0, 2000, false},
 		"in time":                               {800 * time.Millisecond, 2000, false},
-		"late because of its wait":              {1100 * time.Millisecond, 2000, true},
+		"late because of the backlog":           {1100 * time.Millisecond, 2000, true},
 		"long, idle":                            {0, 60_000, false},
 		"long, short wait":                      {200 * time.Millisecond, 60_000, false},
-		"long, and a long wait":                 {400 * time.Millisecond, 60_000, true},
+		"long, long wait":                       {400 * time.Millisecond, 60_000, true},
 		"in time alone, not behind the backlog": {700 * time.Millisecond, 30_000, true},
 		"in time behind the backlog":            {200 * time.Millisecond, 30_000, false},
 	}
@@ -293,8 +293,8 @@
 	}
 }
 
-// TestRetryIsNotRejectedForWaiting checks that a request whose first attempt may have run
-// is not rejected because of its wait: a late response is better than none.
+// TestRetryIsNotRejectedForWaiting checks that a request whose first attempt may have run is
+// not rejected because of a long wait: a late response is better than none.
 func TestRetryIsNotRejectedForWaiting(t *testing.T) {
 	for _, started := range []bool{false, true} {
 		t.Run(fmt.Sprint("response started ", started), func(t *testing.T) {
@@ -331,11 +331,11 @@
 	}
 	client, requestErr := f.serve(nil)
 	if requestErr != nil || len(f.attemptedReplicas()) != 2 || !strings.HasSuffix(client.body.String(), "data: y\n\n") {
-		t.Errorf("got %v, %q, attempted %v", requestErr, client.body.String(), f.attemptedReplicas())
+		t.Errorf("error %v, response body %q, attempts at %v; want a second attempt that is served", requestErr, client.body.String(), f.attemptedReplicas())
 	}
 }
 
-// waitingCase is a request that arrives while the replica has a backlog.
+// waitingCase describes a request that arrives while the only replica has a backlog.
 type waitingCase struct {
 	backlog  time.Duration
 	tokens   float64
@@ -351,9 +351,9 @@
 	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("a"), PrefillMS: int(test.backlog.Milliseconds())}}})
 	_, requestErr := f.serve(func(r *Request) { r.PromptTokens = test.tokens })
 	if rejected := requestErr != nil; rejected != test.rejected {
-		t.Errorf("rejected: %v, %v", rejected, requestErr)
+		t.Errorf("rejected: %v, with error %v", rejected, requestErr)
 	}
 	if requestErr != nil && (requestErr.Code != CodeOverloaded || requestErr.RetryAfter == 0 || len(f.attemptedReplicas()) > 0) {
-		t.Errorf("got %+v, attempted %v", requestErr, f.attemptedReplicas())
+		t.Errorf("error %+v after attempts at %v, want CodeOverloaded without an attempt", requestErr, f.attemptedReplicas())
 	}
 }
--- a/dispatch/round_trip.go
+++ b/dispatch/round_trip.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// Round-trip times that are assumed before any connection was made.
-	initialZoneRoundTrip        = 500 * time.Microsecond // within the own zone
-	initialRegionRoundTrip      = 3 * time.Millisecond   // to another zone of the own region
+	// Round-trip times that are assumed before the first measurement.
+	initialZoneRoundTrip        = 500 * time.Microsecond // within the gateway's zone
+	initialRegionRoundTrip      = 3 * time.Millisecond   // to another zone of the same region
 	initialCrossRegionRoundTrip = 40 * time.Millisecond  // to another region
 
-	// The estimate follows shorter times faster than longer ones, which may have been
-	// queued somewhere: these are the weights of one measurement.
+	// Weights of one measurement in the estimate. A shorter time than the estimate has a
+	// higher weight than a longer one, which may include queueing delay.
 	shorterWeight = 0.5
 	longerWeight  = 0.05
-	// maxRoundTripRatio bounds a longer measurement, as a multiple of the estimate.
+	// maxRoundTripRatio is the limit to which a measurement is reduced, as a multiple of
+	// the estimate.
 	maxRoundTripRatio = 4
 
-	// crossZonePenalty is what a request to another zone costs others, in round trips:
-	// the bytes of the request and of its response take the long way.
+	// crossZonePenalty is the cost of a distant replica in the selection, as a multiple of
+	// its round-trip time. It is added to the latency of the request itself, because the
+	// transfer of request and response over a long path also affects other requests.
 	crossZonePenalty = 2
 )
 
@@ -27,8 +29,8 @@
 
 func newRoundTrips() roundTrips { return roundTrips{estimates: make(map[string]time.Duration)} }
 
-// observe updates the estimate of a zone with a measurement. initial stands for the
-// estimate of a zone that has none.
+// observe updates the estimate of a zone with a measurement. initial is used as the
+// previous estimate if the zone has none.
 func (r *roundTrips) observe(zone string, initial, took time.Duration) {
 	known := r.estimate(zone, initial)
 	weight := longerWeight
--- a/dispatch/round_trip_test.go
+++ b/dispatch/round_trip_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRoundTripEstimate checks that the estimate follows shorter round trips soon, longer
-// ones slowly, and hardly one that was queued somewhere.
+// TestRoundTripEstimate checks that the estimate adapts quickly to shorter round trips and
+// slowly to longer ones, and that a single delayed one hardly changes it.
 func TestRoundTripEstimate(t *testing.T) {
 	const initial = 40 * time.Millisecond
 	tests := map[string]struct {
@@ -14,10 +14,10 @@
 		least time.Duration
 		most  time.Duration
 	}{
-		"none":                {nil, initial, initial},
-		"shorter":             {repeat(5*time.Millisecond, 8), 5 * time.Millisecond, 6 * time.Millisecond},
-		"longer":              {repeat(160*time.Millisecond, 60), 140 * time.Millisecond, 160 * time.Millisecond},
-		"one that was queued": {append(repeat(initial, 5), time.Minute), initial, 50 * time.Millisecond},
+		"none":        {nil, initial, initial},
+		"shorter":     {repeat(5*time.Millisecond, 8), 5 * time.Millisecond, 6 * time.Millisecond},
+		"longer":      {repeat(160*time.Millisecond, 60), 140 * time.Millisecond, 160 * time.Millisecond},
+		"one delayed": {append(repeat(initial, 5), time.Minute), initial, 50 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -26,7 +26,7 @@
 				r.observe("zone", initial, took)
 			}
 			if got := r.estimate("zone", initial); got < test.least || got > test.most {
-				t.Errorf("got %v, want %v to %v", got, test.least, test.most)
+				t.Errorf("estimate %v, want one between %v and %v", got, test.least, test.most)
 			}
 		})
 	}
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -9,25 +9,28 @@
 )
 
 const (
-	// uncachedPrefixWeight weighs the prefill of a shared prefix that another replica
-	// has in its cache, as a multiple of the time that it takes.
+	// uncachedPrefixWeight is the additional cost of prefilling a shared prefix that the
+	// replica has not cached, as a multiple of the prefill time.
 	uncachedPrefixWeight = 1
-	// warmupPenalty keeps requests off a replica that is warming up while a warm one is
-	// nearly as good, in seconds.
+	// warmupPenalty is the additional cost of a replica in slow start, in seconds. It makes
+	// a warm replica preferred unless it is clearly worse.
 	warmupPenalty = 0.05
-	// newConnectionPenalty is what a new connection costs beside its round trip, in
-	// seconds: work at both ends, and a share of the replica's connections.
+	// newConnectionPenalty is the cost of a new connection in addition to its round trip,
+	// in seconds: work at both ends, and one more of the replica's limited connections.
 	newConnectionPenalty = 0.005
-	// connectionShare is the share of a replica's connections that all gateways use.
+	// connectionShare is the share of a replica's MaxConnections that all gateways
+	// together use.
 	connectionShare = 0.8
-	// minConnections is what every gateway may use.
+	// minConnections is the number of connections to a replica that every gateway may
+	// use, however many gateways there are.
 	minConnections = 2
-	// memoryShare is the share of a replica's memory that requests in flight may fill.
+	// memoryShare is the share of a replica's CacheTokens that requests in flight may
+	// fill.
 	memoryShare = 0.85
-	// defaultSlots is assumed for replicas whose slots are not known.
+	// defaultSlots is the assumed number of slots of a replica if it is not configured.
 	defaultSlots = 8
-	// waitShare is the share of the target for the first event that a request may wait
-	// whose own prefill takes the rest of the target or more.
+	// waitShare is the share of the route's FirstEventTarget that a request may always
+	// wait, even if its own prefill takes most of the target or exceeds it.
 	waitShare = 0.25
 )
 
@@ -38,34 +41,36 @@
 	service    *service
 	route      *routemap.Route
 	request    *Request
-	// tried are the replicas of earlier attempts, by id.
+	// tried holds the ids of the replicas of earlier attempts.
 	tried map[string]bool
-	// mayHaveRun says that an earlier attempt may have run, so that the request cannot
-	// be rejected as one that has not.
+	// mayHaveRun is set if an earlier attempt may have run. The request can then no longer
+	// be rejected as one that has not run.
 	mayHaveRun bool
 	now        time.Time
 }
 
-// preference orders replicas: one is used only if there is none of a lower value.
+// preference is the rank of a replica. A replica is used only if there is none with a lower
+// value, and never if it is excluded.
 type preference int
 
 const (
-	preferred preference = iota // warm, or warming up and due for a request
-	avoided                     // failed recently, or idle
-	excluded
+	preferred preference = iota // no known problem; in slow start only if a request is due
+	avoided                     // failed recently, idle, ejected, or in an avoided zone
+	excluded                    // in slow start and not due for a request of this gateway
 )
 
-// selection is the replica of one attempt.
+// selection is the replica that was selected for one attempt.
 type selection struct {
 	replica *replica
 	// expected is the expected time to the first event.
 	expected time.Duration
-	// cachedTokens of the prompt are known to be in the replica's cache.
+	// cachedTokens is the number of the prompt's tokens that are known to be in the
+	// replica's cache.
 	cachedTokens int
 }
 
-// find returns the replica of the next attempt, or why there is none. The caller holds
-// the Dispatcher's mutex.
+// find selects the replica of the next attempt. It returns an error if no replica is
+// available or the request would wait too long. The caller holds the Dispatcher's mutex.
 func (s *selector) find() (*selection, *RequestError) {
 	var byPreference [excluded][]*replica
 	full := false
@@ -92,7 +97,8 @@
 	return nil, noReplicaError()
 }
 
-// isAllowed reports whether the registry and the earlier attempts permit the replica.
+// isAllowed reports whether the replica may be selected: it is in service, in a home region
+// of the route, and not one that was tried before.
 func (s *selector) isAllowed(r *replica) bool {
 	if r.draining || r.evacuated || r.replaced || s.tried[r.id] {
 		return false
@@ -100,7 +106,7 @@
 	return len(s.route.HomeRegions) == 0 || slices.Contains(s.route.HomeRegions, r.region)
 }
 
-// connectionsExhausted reports whether this gateway uses its share of the replica's
+// connectionsExhausted reports whether this gateway has used up its share of the replica's
 // connections.
 func (s *selector) connectionsExhausted(r *replica) bool {
 	limit := s.service.spec.MaxConnections
@@ -111,7 +117,7 @@
 	return r.inFlight >= max(share, minConnections)
 }
 
-// preference returns how a replica ranks that is allowed.
+// preference returns the rank of a replica that is allowed.
 func (s *selector) preference(r *replica) preference {
 	d := s.dispatcher
 	if s.inSlowStart(r) && (s.now.Before(r.nextSlowStart) || s.snapshot.slowStartOwner(r) != d.options.Gateway) {
@@ -126,12 +132,13 @@
 	return preferred
 }
 
-// inSlowStart reports whether the slow-start rate limits the replica.
+// inSlowStart reports whether the replica is warming up and the service has a slow-start
+// rate.
 func (s *selector) inSlowStart(r *replica) bool {
 	return s.service.spec.SlowStartRate > 0 && r.isWarmingUp(s.now)
 }
 
-// best selects one of replicas of the same preference.
+// best selects one of several replicas of the same preference.
 func (s *selector) best(replicas []*replica) (*selection, *RequestError) {
 	work := s.work()
 	cachedTokens := s.cachedTokens()
@@ -152,14 +159,14 @@
 	}, nil
 }
 
-// isRejectable reports whether the request may be rejected because it would wait too
-// long. One that may have run could not be retried as one that has not, so that a late
-// response is worth more to it.
+// isRejectable reports whether the request may be rejected because it would wait too long.
+// A request that may have run is not rejected: its client could not safely retry it, so a
+// late response is better than an error.
 func (s *selector) isRejectable() bool { return s.route.FirstEventTarget > 0 && !s.mayHaveRun }
 
-// maxExpected returns the expected time to the first event, in seconds, beyond which
-// the request is rejected: it would be late because of its wait, and delay others. When
-// the client retries, it may be in time.
+// maxExpected returns the longest acceptable expected time to the first event, in seconds.
+// Beyond it the request is rejected: the wait would make it late, and it would delay other
+// requests. It may be in time when the client retries it.
 func (s *selector) maxExpected(selected *placement.Candidate, work placement.Work) float64 {
 	target := s.route.FirstEventTarget.Seconds()
 	prefill := 0.0
@@ -169,8 +176,9 @@
 	return max(target, prefill+waitShare*target)
 }
 
-// work describes the request to the placement. Its tokens stand for the prefill time,
-// so that a long prompt counts as the long time that it takes.
+// work describes the request for placement.Choose. Its number of tokens is not the length of
+// the prompt, but the number that the reference replica would prefill in the same time at
+// referencePrefillRate, so that it includes the attention of a long prompt.
 func (s *selector) work() placement.Work {
 	tokens := prefillWork(s.request.PromptTokens, 0) * referencePrefillRate
 	link, found := placement.Affinity(s.request.PrefixChain)
@@ -185,15 +193,15 @@
 	}
 }
 
-// cachedTokens returns the tokens of the prompt that replicas are known to have in
-// their caches, by the replica's number.
+// cachedTokens returns the number of the prompt's tokens that each replica is known to have
+// in its cache, by the replica's number.
 func (s *selector) cachedTokens() map[int]int {
 	cachedTokens := make(map[int]int)
 	s.service.index.Cached(s.request.PrefixChain, func(number, tokens int) { cachedTokens[number] = tokens })
 	return cachedTokens
 }
 
-// candidates describes the replicas to the placement.
+// candidates describes the replicas for placement.Choose.
 func (s *selector) candidates(replicas []*replica, cachedTokens map[int]int) []placement.Candidate {
 	candidates := make([]placement.Candidate, 0, len(replicas))
 	for position, r := range replicas {
@@ -227,7 +235,7 @@
 	return c
 }
 
-// addPrefill adds to a candidate what matters for a service that prefills prompts.
+// addPrefill sets the fields of a candidate that matter for a service that prefills prompts.
 func (s *selector) addPrefill(c *placement.Candidate, r *replica, cachedTokens, othersTokens float64) {
 	model := s.service.prefill.model
 	c.PrefillRate = referencePrefillRate / (model.factor * r.slowdown)
@@ -239,7 +247,7 @@
 	}
 }
 
-// slots returns how many requests a replica runs at once.
+// slots returns the number of requests that a replica runs concurrently.
 func (s *selector) slots(r *replica) int {
 	switch {
 	case s.service.spec.Slots > 0:
--- a/dispatch/simulation_checks_test.go
+++ b/dispatch/simulation_checks_test.go
@@ -11,64 +11,65 @@
 )
 
 const (
-	// timeoutSlack is how long after its deadline a request may get its response.
+	// timeoutSlack is how long after its deadline a request may still end.
 	timeoutSlack = 50 * time.Millisecond
-	// budgetWindow, budgetShare and budgetSlack bound the arrivals beyond the first.
+	// The arrivals at replicas after the first of each client attempt are limited in each
+	// budgetWindow to budgetShare of the client attempts plus budgetSlack.
 	budgetWindow = 10 * time.Second
 	budgetShare  = 0.2
 	budgetSlack  = 62
-	// slowStartWindow, slowStartFactor and slowStartSlack bound what a replica receives
-	// while it is warming up, by its slowStartRate.
+	// The arrivals at a replica that is warming up are limited in each slowStartWindow to
+	// slowStartFactor times its slowStartRate plus slowStartSlack.
 	slowStartWindow = time.Second
 	slowStartFactor = 1.5
 	slowStartSlack  = 5
 	slowStartRate   = 10
-	// recoveredShare of the requests must be served after the recovery.
+	// recoveredShare is the share of the requests that must be served after the recovery.
 	recoveredShare = 0.95
 )
 
-// clientAttempt is one sending of a request by a client to one gateway.
+// clientAttempt is one attempt of a client to send a request to a gateway.
 type clientAttempt struct {
 	request    *Request
-	began      time.Duration // into the run
+	began      time.Duration // since the start of the run
 	took       time.Duration
 	wait       time.Duration
 	requestErr *RequestError
 	text       string
-	ran        []string // the replicas that ran it
-	arrived    int
+	ran        []string // ids of the replicas that ran it
+	arrived    int      // number of arrivals at replicas
 }
 
-// retryAfter returns when the client may retry, 0 if it may not.
-func (t *clientAttempt) retryAfter() time.Duration {
-	if t.requestErr == nil {
+// retryAfter returns the time after which the client may retry, 0 if it may not.
+func (a *clientAttempt) retryAfter() time.Duration {
+	if a.requestErr == nil {
 		return 0
 	}
-	return t.requestErr.RetryAfter
+	return a.requestErr.RetryAfter
 }
 
-// warmupPeriod is the time from which one replica is warming up.
+// warmupPeriod is the start of the time in which a replica is warming up.
 type warmupPeriod struct {
 	replica string
 	from    time.Time
 }
 
-// evacuation is the time from which nothing may arrive in a zone.
+// evacuation is the start of the time in which no request may arrive in a zone.
 type evacuation struct {
 	zone string
 	from time.Time
 }
 
-// simulatedRecord records what happened in one run of the simulation.
+// simulatedRecord records the events of one run of the simulation, and checks them.
 type simulatedRecord struct {
 	mutex        sync.Mutex
 	attempts     map[string]*clientAttempt
 	arrivals     map[string][]time.Time // by replica
-	extra        []time.Time            // arrivals beyond the first of a client attempt
-	firsts       []time.Time
+	extra        []time.Time            // arrivals after the first of a client attempt
+	firsts       []time.Time            // starts of client attempts
 	warmups      []warmupPeriod
 	evacuations  []evacuation
-	recoveryTime time.Duration // into the run; 0 if there is no recovery
+	recoveryTime time.Duration // since the start of the run; 0 if there is no recovery
 	violations   []string
 }
 
@@ -112,12 +113,12 @@
 	}
 	for _, zone := range r.evacuations {
 		if zone.zone == replica.zone && now.After(zone.from) && !from.partitioned.Load() {
-			r.violations = append(r.violations, fmt.Sprintf("EVACUATION: %s reaches %s %v after the acknowledgement", name, replica.id, now.Sub(zone.from)))
+			r.violations = append(r.violations, fmt.Sprintf("EVACUATION: %s arrived at %s %v after the evacuation took effect", name, replica.id, now.Sub(zone.from)))
 		}
 	}
 }
 
-// ran records that a replica runs a request.
+// ran records that a replica started to run a request.
 func (r *simulatedRecord) ran(name string, replica *simulatedReplica) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -125,7 +126,7 @@
 	attempt.ran = append(attempt.ran, replica.id)
 	route := trueRoute(attempt.request.Path)
 	if region := simulatedZones[replica.zone]; len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, region) {
-		r.violations = append(r.violations, fmt.Sprintf("HOME: %s runs in %s", name, region))
+		r.violations = append(r.violations, fmt.Sprintf("HOME: %s ran in region %s, which is not a home region of its route", name, region))
 	}
 }
 
@@ -139,7 +140,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	// Attempts that were placed before the change was active are still in flight.
-	r.evacuations = append(r.evacuations, evacuation{zone: zone, from: time.Now().Add(updateDelay + reservationDelay + crossZoneDelay + localDelay)})
+	r.evacuations = append(r.evacuations, evacuation{zone: zone, from: time.Now().Add(updateDelay + confirmationDelay + crossZoneDelay + localDelay)})
 }
 
 func (r *simulatedRecord) evacuationEnded(zone string) {
@@ -166,7 +167,7 @@
 	for name, attempt := range r.attempts {
 		route := trueRoute(attempt.request.Path)
 		if !route.Retryable() && runs[attempt.request.ID] > 1 {
-			r.violations = append(r.violations, fmt.Sprintf("TWICE: %s ran %d times", name, runs[attempt.request.ID]))
+			r.violations = append(r.violations, fmt.Sprintf("AT-MOST-ONCE: the request of %s ran %d times", name, runs[attempt.request.ID]))
 		}
 	}
 	r.checkBudget()
@@ -182,23 +183,23 @@
 		r.violations = append(r.violations, fmt.Sprintf("%s: %s %s", rule, name, fmt.Sprintf(format, values...)))
 	}
 	if len(attempt.ran) > route.MaxAttempts {
-		report("ATTEMPTS", "ran at %v", attempt.ran)
+		report("ATTEMPTS", "ran at more replicas than its route permits: %v", attempt.ran)
 	}
 	if attempt.took > min(route.Timeout, attempt.wait)+timeoutSlack {
-		report("TIME", "took %v of %v", attempt.took, attempt.wait)
+		report("TIME", "took %v, with a client timeout of %v", attempt.took, attempt.wait)
 	}
 	if requestErr := attempt.requestErr; requestErr != nil && requestErr.RetryAfter > 0 && len(attempt.ran) > 0 {
-		report("REFUSED", "was rejected as not run and ran at %v", attempt.ran)
+		report("REFUSED", "was rejected as not run, but ran at %v", attempt.ran)
 	}
 	if attempt.requestErr == nil && attempt.text != wholeText(route, attempt.request.ID) {
-		report("ANSWER", "got %q", attempt.text)
+		report("RESPONSE", "has the wrong body %q", attempt.text)
 	}
 	if attempt.requestErr != nil && !strings.HasPrefix(wholeText(route, attempt.request.ID), attempt.text) {
-		report("ANSWER", "was interrupted after %q", attempt.text)
+		report("RESPONSE", "was interrupted after the wrong text %q", attempt.text)
 	}
 }
 
-// wholeText returns the correct response body to a request.
+// wholeText returns the correct and complete response body for a request.
 func wholeText(route *routemap.Route, request string) string {
 	if route.Kind != routemap.Stream {
 		return pageText(request)
@@ -215,7 +216,7 @@
 		extra := countBetween(r.extra, at, at.Add(budgetWindow))
 		firsts := countBetween(r.firsts, at, at.Add(budgetWindow))
 		if float64(extra) > budgetShare*float64(firsts)+budgetSlack {
-			r.violations = append(r.violations, fmt.Sprintf("BUDGET: %d arrivals beyond the first in a window with %d requests", extra, firsts))
+			r.violations = append(r.violations, fmt.Sprintf("RETRY-BUDGET: %d arrivals after the first in a window with %d client attempts", extra, firsts))
 			return
 		}
 	}
@@ -230,7 +231,7 @@
 			}
 			count := countBetween(r.arrivals[period.replica], at, at.Add(slowStartWindow))
 			if float64(count) > slowStartFactor*slowStartRate+slowStartSlack {
-				r.violations = append(r.violations, fmt.Sprintf("COLD: %s gets %d requests in a second", period.replica, count))
+				r.violations = append(r.violations, fmt.Sprintf("COLD: %s received %d requests in one second while it was warming up", period.replica, count))
 				break
 			}
 		}
@@ -253,11 +254,11 @@
 		}
 	}
 	if attempted == 0 || float64(served) < recoveredShare*float64(attempted) {
-		r.violations = append(r.violations, fmt.Sprintf("SETTLED: %d of %d served after the recovery", served, attempted))
+		r.violations = append(r.violations, fmt.Sprintf("RECOVERY: %d of %d requests were served after the recovery", served, attempted))
 	}
 }
 
-// countBetween counts the times from one time up to another.
+// countBetween counts the times in the half-open interval from one time to another.
 func countBetween(times []time.Time, from, to time.Time) int {
 	count := 0
 	for _, at := range times {
--- a/dispatch/simulation_faults_test.go
+++ b/dispatch/simulation_faults_test.go
@@ -18,24 +18,25 @@
 
 const (
 	faultStart = 3 * time.Second
-	// faultEnd is when the faults end, and recoveryPeriod how long the fleet may take to
-	// recover.
+	// faultEnd is the time at which the faults end, and recoveryPeriod is how long after it
+	// the fleet may take to recover.
 	faultEnd       = 8 * time.Second
 	recoveryPeriod = 2 * time.Second
 )
 
-// at sleeps until a time of the run.
+// at sleeps until the given time since the start of the run.
 func (f *simulatedFleet) at(when time.Duration) { time.Sleep(time.Until(f.began.Add(when))) }
 
-// later calls a function at a time of the run.
+// later calls a function at the given time since the start of the run.
 func (f *simulatedFleet) later(when time.Duration, do func()) {
 	time.AfterFunc(time.Until(f.began.Add(when)), do)
 }
 
-// recover says that the faults are over, so that nearly all requests must be served soon.
+// recover records that the faults have ended, so that nearly all requests must be served
+// after recoveryPeriod.
 func (f *simulatedFleet) recover() { f.record.recoveredAt(faultEnd + recoveryPeriod) }
 
-// faultScenarios are the five kinds of fault scenarios.
+// faultScenarios holds the fault scenarios by name.
 var faultScenarios = map[string]func(*simulatedFleet){
 	"replicas":          replicasFail,
 	"gateways":          gatewaysFail,
@@ -44,8 +45,9 @@
 	"bursts, operators": operatorsChange,
 }
 
-// replicasFail: one replica crashes and another takes its address, one of each service
-// stops responding, one is slow, and one joins and warms up.
+// replicasFail is the scenario in which one replica crashes and another one takes over its
+// address, one replica of the model service and one of the web service stop responding, one
+// is slow, and a new one warms up.
 func replicasFail(f *simulatedFleet) {
 	models := f.replicasOf("model", "")
 	f.at(faultStart)
@@ -59,7 +61,7 @@
 	slow.mutex.Unlock()
 	f.at(faultStart + 500*time.Millisecond)
 	other := &simulatedReplica{id: "other-at-" + crashed.id, zone: crashed.zone, service: "web-2", address: crashed.address, slowdown: 1, prefillFactor: 0.5}
-	f.place(other) // the registry still has the one that crashed
+	f.place(other) // the registry still lists the crashed replica
 	f.at(faultStart + 1500*time.Millisecond)
 	f.change(registry.DeleteName(catalog.ReplicaName(crashed.id)))
 	f.addReplica("new-"+crashed.id, crashed.zone, "model")
@@ -72,8 +74,8 @@
 	f.recover()
 }
 
-// gatewaysFail: one gateway is killed and restarts without any state, and one is lost for
-// good.
+// gatewaysFail is the scenario in which one gateway is killed and restarts without any
+// state, and another one is lost permanently.
 func gatewaysFail(f *simulatedFleet) {
 	f.at(faultStart)
 	killed, lost := f.gateways[0], f.gateways[3]
@@ -87,7 +89,8 @@
 	f.recover()
 }
 
-// controlFails: no change reaches any gateway while replicas leave and join.
+// controlFails is the scenario in which no change of the registry reaches any gateway while
+// replicas leave and join.
 func controlFails(f *simulatedFleet) {
 	f.at(faultStart)
 	f.controlDown = true
@@ -108,8 +111,8 @@
 	f.recover()
 }
 
-// regionsFail: the south is lost, and the east is partitioned from the registry and from
-// the other gateways while a replica there is warming up.
+// regionsFail is the scenario in which the south region is lost, and the east region is
+// partitioned from the registry and the other gateways while a replica there warms up.
 func regionsFail(f *simulatedFleet) {
 	f.at(faultStart)
 	for _, g := range f.gateways {
@@ -141,8 +144,8 @@
 	f.recover()
 }
 
-// operatorsChange: a burst of requests, a new configuration that moves pages to another
-// service, and a zone that is evacuated for a while.
+// operatorsChange is the scenario with a burst of requests, a new configuration that routes
+// pages to another service, and a temporary evacuation of a zone.
 func operatorsChange(f *simulatedFleet) {
 	f.at(faultStart)
 	f.burst("north-1", 60)
@@ -154,11 +157,11 @@
 	f.record.evacuationEnded("north-1")
 	f.change(registry.DeleteSet(catalog.ZoneName("north-1"), catalog.TypeEvacuation))
 	f.configure("web")
-	f.at(faultEnd + recoveryPeriod) // the zone's replicas are in slow start for a while
+	f.at(faultEnd + recoveryPeriod) // the zone's replicas are in slow start after the evacuation
 	f.record.recoveredAt(faultEnd + 2*recoveryPeriod)
 }
 
-// burst sends many requests of one zone at once.
+// burst sends count requests from one zone at the same time.
 func (f *simulatedFleet) burst(zone string, count int) {
 	for i := range count {
 		request := f.newRequest(fmt.Sprint("crowd-", i, "-", f.draw()))
@@ -168,10 +171,10 @@
 
 // TestSimulatedFaults runs each fault scenario with several seeds.
 func TestSimulatedFaults(t *testing.T) {
-	for name, play := range faultScenarios {
+	for name, run := range faultScenarios {
 		t.Run(name, func(t *testing.T) {
 			for seed := range *simulatedRuns {
-				for _, violation := range simulate(t, seed+1, scenario{play: play}) {
+				for _, violation := range simulate(t, seed+1, scenario{run: run}) {
 					t.Errorf("seed %d: %s", seed+1, violation)
 				}
 			}
@@ -179,7 +182,8 @@
 	}
 }
 
-// injectedDefects are defects that the checks must detect.
+// injectedDefects are defects that the checks must detect. rule is the prefix of the
+// violation that the defect causes.
 var injectedDefects = map[string]struct {
 	rule     string
 	scenario string
@@ -187,9 +191,9 @@
 	// distort, if set, changes each route map before it is published.
 	distort func(*routemap.Map)
 }{
-	"indeterminate reported as unsent":   {rule: "TWICE", scenario: "replicas", inject: misreporting(FailureUnsent)},
+	"indeterminate reported as unsent":   {rule: "AT-MOST-ONCE", scenario: "replicas", inject: misreporting(FailureUnsent)},
 	"indeterminate reported as rejected": {rule: "REFUSED", scenario: "replicas", inject: misreporting(FailureRejected)},
-	"home regions are dropped":           {rule: "HOME", scenario: "control nodes", distort: forRoutes(func(r *routemap.Route) { r.HomeRegions = nil })},
+	"home regions are ignored":           {rule: "HOME", scenario: "control nodes", distort: forRoutes(func(r *routemap.Route) { r.HomeRegions = nil })},
 	"attempts are not limited": {
 		rule: "ATTEMPTS", scenario: "gateways",
 		inject: func(f *simulatedFleet) {
@@ -205,21 +209,22 @@
 		inject:  func(f *simulatedFleet) { f.hideTimeouts.Store(true) },
 		distort: forRoutes(func(r *routemap.Route) { r.Timeout = time.Hour }),
 	},
-	"slow-start rate is not known": {
+	"slow-start rate is ignored": {
 		rule: "COLD", scenario: "replicas",
 		inject: func(f *simulatedFleet) {
 			f.later(faultStart+1700*time.Millisecond, func() { f.burst("north-1", 250) })
 		},
 		distort: func(m *routemap.Map) { m.Services[0].SlowStartRate = 0 },
 	},
-	"evacuation is missed": {rule: "EVACUATION", scenario: "bursts, operators", inject: func(f *simulatedFleet) {
+	"a gateway misses the evacuation": {rule: "EVACUATION", scenario: "bursts, operators", inject: func(f *simulatedFleet) {
 		f.at(faultStart)
 		f.gateways[0].missesUpdates.Store(true)
 	}},
 }
 
-// misreporting makes every gateway report an indeterminate failure with another reason,
-// and sends a burst that the crash of a replica interrupts.
+// misreporting returns a defect that makes every gateway report indeterminate failures with
+// the given reason. It also sends a burst of requests shortly before a replica crashes, so
+// that there are such failures.
 func misreporting(failure FailureReason) func(*simulatedFleet) {
 	return func(f *simulatedFleet) {
 		f.later(faultStart-20*time.Millisecond, func() { f.burst("east-1", 150) })
@@ -243,12 +248,13 @@
 	}
 }
 
-// TestInjectedDefectsAreDetected checks that each check can fail.
+// TestInjectedDefectsAreDetected checks that each injected defect is detected, so that the
+// checks of the simulation can fail.
 func TestInjectedDefectsAreDetected(t *testing.T) {
 	const maxSeeds = 8
 	for name, defect := range injectedDefects {
 		t.Run(name, func(t *testing.T) {
-			faults := scenario{distort: defect.distort, play: func(f *simulatedFleet) {
+			faults := scenario{distort: defect.distort, run: func(f *simulatedFleet) {
 				if defect.inject != nil {
 					defect.inject(f)
 				}
@@ -261,7 +267,7 @@
 					}
 				}
 			}
-			t.Errorf("no run of %d violated %s", maxSeeds, defect.rule)
+			t.Errorf("none of %d runs violated the rule %s", maxSeeds, defect.rule)
 		})
 	}
 }
--- a/dispatch/simulation_optimum_test.go
+++ b/dispatch/simulation_optimum_test.go
@@ -16,14 +16,15 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// The placement is compared with an omniscient one, which knows every replica's queue and
-// cache at every moment, with the same requests and replicas. The sizes are a sixth of a
-// large deployment: gateways, replicas and requests in its proportions.
+// The placement is compared with an omniscient one for the same requests and replicas. The
+// omniscient placement always knows the current queue and cache of every replica. The fleet
+// has a sixth of the size of a large deployment, with the same proportions of gateways,
+// replicas and requests.
 const (
 	gatewaysPerZone = 22
 	replicasPerZone = 12
 	optimumLength   = 8 * time.Second
-	// reviewsPerSecond and asksPerSecond are for each replica.
+	// reviewsPerSecond and asksPerSecond are rates per replica.
 	reviewsPerSecond   = 1.6
 	asksPerSecond      = 3.5
 	reviewSharedTokens = 5400
@@ -34,7 +35,7 @@
 	sharedPrefixes     = 40
 )
 
-// timedClient records when its response began.
+// timedClient records the time at which its response began.
 type timedClient struct {
 	recorder
 	began time.Time
@@ -66,8 +67,8 @@
 	return o.times[int(fraction*float64(len(o.times)-1))].Round(time.Millisecond)
 }
 
-// optimumFleet is a fleet without faults whose requests are placed by its dispatchers, or
-// by an omniscient placement.
+// optimumFleet is a fleet without faults, whose requests are placed by its dispatchers or by
+// the omniscient placement.
 type optimumFleet struct {
 	*simulatedFleet
 	seed       uint64
@@ -79,8 +80,8 @@
 
 func newOptimumFleet(t *testing.T, seed uint64, omniscient bool) *optimumFleet {
 	t.Helper()
-	b := &optimumFleet{seed: seed, omniscient: omniscient, byKind: map[string]*kindOutcome{"review": {}, "ask": {}}}
-	b.simulatedFleet = &simulatedFleet{
+	f := &optimumFleet{seed: seed, omniscient: omniscient, byKind: map[string]*kindOutcome{"review": {}, "ask": {}}}
+	f.simulatedFleet = &simulatedFleet{
 		t: t, table: newTable(t), random: rand.New(rand.NewPCG(seed, 3)), began: time.Now(),
 		replicas: make(map[string]*simulatedReplica), record: newSimulatedRecord(),
 		distort: func(routes *routemap.Map) {
@@ -89,24 +90,24 @@
 			}
 		},
 	}
-	b.configure("web")
+	f.configure("web")
 	for zone := range simulatedZones {
 		for i := range replicasPerZone {
 			id := fmt.Sprintf("model-%s-%d", zone, i)
-			slowdown := 0.7 + 0.3*b.random.Float64()
-			b.place(&simulatedReplica{id: id, zone: zone, service: "model", address: id + ":80", slowdown: slowdown, prefillFactor: 0.9})
+			slowdown := 0.7 + 0.3*f.random.Float64()
+			f.place(&simulatedReplica{id: id, zone: zone, service: "model", address: id + ":80", slowdown: slowdown, prefillFactor: 0.9})
 		}
 	}
 	for zone := range simulatedZones {
 		for i := range gatewaysPerZone {
-			b.addGateway(fmt.Sprintf("gateway-%s-%d", zone, i), zone)
+			f.addGateway(fmt.Sprintf("gateway-%s-%d", zone, i), zone)
 		}
 	}
 	time.Sleep(2 * updateDelay)
-	return b
+	return f
 }
 
-// prompt returns a random request of a kind.
+// prompt returns a random request of the given kind.
 func prompt(random *rand.Rand, kind, id string) *Request {
 	shared, own := askSharedTokens, float64(askOwnTokens)
 	if kind == "review" {
@@ -121,9 +122,10 @@
 }
 
 // send sends the requests of one kind from one zone.
-func (b *optimumFleet) send(ctx context.Context, zone, kind string, perSecond float64, requests *sync.WaitGroup) {
-	// The generator is not shared, so that both placements get the same requests.
-	random := rand.New(rand.NewPCG(b.seed, placement.Hash(zone+kind)))
+func (f *optimumFleet) send(ctx context.Context, zone, kind string, perSecond float64, requests *sync.WaitGroup) {
+	// Each zone and kind has its own generator, so that both placements get the same
+	// requests.
+	random := rand.New(rand.NewPCG(f.seed, placement.Hash(zone+kind)))
 	for count := 0; ; count++ {
 		pause := time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		time.Sleep(pause)
@@ -131,27 +133,27 @@
 			return
 		}
 		request := prompt(random, kind, fmt.Sprint(kind, "-", zone, "-", count))
-		g := b.gatewayFor(zone)
-		requests.Go(func() { b.forward(g, kind, request) })
+		g := f.gatewayFor(zone)
+		requests.Go(func() { f.forward(g, kind, request) })
 	}
 }
 
 // forward sends one request and records when its response began.
-func (b *optimumFleet) forward(g *simulatedGateway, kind string, request *Request) {
+func (f *optimumFleet) forward(g *simulatedGateway, kind string, request *Request) {
 	request.Arrived = time.Now()
 	request.Header.Set(headerAttempt, request.ID)
-	b.record.begin(request.ID, request, b.began)
+	f.record.begin(request.ID, request, f.began)
 	client := &timedClient{}
 	var served bool
-	if b.omniscient {
-		served = b.forwardOptimally(g, request, client)
+	if f.omniscient {
+		served = f.forwardOptimally(g, request, client)
 	} else {
 		dispatcher, _ := g.current()
 		served = dispatcher.Serve(context.Background(), request, client) == nil
 	}
-	b.outcomes.Lock()
-	defer b.outcomes.Unlock()
-	outcome := b.byKind[kind]
+	f.outcomes.Lock()
+	defer f.outcomes.Unlock()
+	outcome := f.byKind[kind]
 	if !served {
 		outcome.rejected++
 		return
@@ -163,11 +165,11 @@
 	}
 }
 
-// forwardOptimally sends a request to the replica with the earliest first event.
-func (b *optimumFleet) forwardOptimally(g *simulatedGateway, request *Request, client ResponseWriter) bool {
+// forwardOptimally sends a request to the replica that will send its first event earliest.
+func (f *optimumFleet) forwardOptimally(g *simulatedGateway, request *Request, client ResponseWriter) bool {
 	attempt := &Attempt{Request: request}
 	least := time.Duration(math.MaxInt64)
-	for _, r := range b.replicasOf("model", "") {
+	for _, r := range f.replicasOf("model", "") {
 		if first := r.timeToFirstEvent(request) + 2*delayBetween(g.zone, r.zone); first < least {
 			least = first
 			attempt.Replica = Endpoint{ID: r.id, Address: r.address}
@@ -185,7 +187,8 @@
 	return true
 }
 
-// timeToFirstEvent returns how long the replica would take to prefill a prompt now.
+// timeToFirstEvent returns how long the replica would now take to send the first event of a
+// request.
 func (r *simulatedReplica) timeToFirstEvent(request *Request) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -204,36 +207,36 @@
 	t.Helper()
 	var outcomes map[string]*kindOutcome
 	synctest.Test(t, func(t *testing.T) {
-		b := newOptimumFleet(t, seed, omniscient)
+		f := newOptimumFleet(t, seed, omniscient)
 		ctx, cancel := context.WithTimeout(t.Context(), optimumLength)
 		defer cancel()
 		var requests sync.WaitGroup
 		for zone := range simulatedZones {
-			requests.Go(func() { b.send(ctx, zone, "review", reviewsPerSecond*replicasPerZone, &requests) })
-			requests.Go(func() { b.send(ctx, zone, "ask", asksPerSecond*replicasPerZone, &requests) })
+			requests.Go(func() { f.send(ctx, zone, "review", reviewsPerSecond*replicasPerZone, &requests) })
+			requests.Go(func() { f.send(ctx, zone, "ask", asksPerSecond*replicasPerZone, &requests) })
 		}
 		requests.Wait()
-		for _, g := range b.gateways {
+		for _, g := range f.gateways {
 			g.end()
 		}
 		time.Sleep(updateDelay)
-		outcomes = b.byKind
+		outcomes = f.byKind
 	})
 	return outcomes
 }
 
-// TestPlacementIsCloseToOptimum bounds how many more requests are late than under a
-// placement that knows every queue and cache at once.
+// TestPlacementIsCloseToOptimum checks that the share of late requests exceeds that of the
+// omniscient placement only a little.
 func TestPlacementIsCloseToOptimum(t *testing.T) {
-	const maxLateDifference = 0.02 // share of requests that are late
+	const maxLateDifference = 0.02 // difference of the shares of late requests
 	for seed := range uint64(2) {
 		actual, omniscient := simulateOptimum(t, seed, false), simulateOptimum(t, seed, true)
 		for kind, own := range actual {
 			optimum := omniscient[kind]
-			t.Logf("seed %d, %s: late %.1f%% of %d, %.1f%% of %d at the optimum; p50 %v and %v, p99 %v and %v", seed, kind,
+			t.Logf("seed %d, %s: late %.1f%% of %d, with the omniscient placement %.1f%% of %d; p50 %v and %v, p99 %v and %v", seed, kind,
 				100*own.lateRatio(), len(own.times), 100*optimum.lateRatio(), len(optimum.times), own.quantile(0.5), optimum.quantile(0.5), own.quantile(0.99), optimum.quantile(0.99))
 			if own.lateRatio() > optimum.lateRatio()+maxLateDifference {
-				t.Errorf("seed %d: %.3f of %s is late, %.3f at the optimum", seed, own.lateRatio(), kind, optimum.lateRatio())
+				t.Errorf("seed %d: late share %.3f of %s requests, %.3f with the omniscient placement", seed, own.lateRatio(), kind, optimum.lateRatio())
 			}
 		}
 	}
--- a/dispatch/simulation_replica_test.go
+++ b/dispatch/simulation_replica_test.go
@@ -18,15 +18,16 @@
 )
 
 const (
-	// simulatedEvents is the number of events of a stream, and simulatedGap the time
-	// between two.
+	// simulatedEvents is the number of events in a stream, and simulatedGap is the time
+	// between two of them.
 	simulatedEvents = 5
 	simulatedGap    = 8 * time.Millisecond
-	// pageTime is the time that a request without a prompt takes.
+	// pageTime is the processing time of a request without a prompt.
 	pageTime = 30 * time.Millisecond
-	// maxQueuedPrefill is the queued prefill beyond which a replica rejects requests.
+	// maxQueuedPrefill is the amount of queued prefill above which a replica rejects
+	// requests.
 	maxQueuedPrefill = 4 * time.Second
-	// dialRefused is the time until a connection is refused.
+	// dialRefused is the time that it takes until a connection is refused.
 	dialRefused = time.Millisecond
 )
 
@@ -39,24 +40,26 @@
 	zone    string
 	service string
 	address string
-	// slowdown is its prefill time as a ratio of the usual one.
+	// slowdown is its prefill time as a ratio of that of its service.
 	slowdown float64
-	// prefillFactor compares its service's engines with the reference replica.
+	// prefillFactor is the prefill time of its service as a ratio of that of the reference
+	// replica.
 	prefillFactor float64
 
 	mutex        sync.Mutex
 	prefillEnd   time.Time
 	received     time.Time
 	cached       map[uint64]bool // shared prefixes in its cache
-	unresponsive bool            // accepts attempts and sends nothing
-	crashed      chan struct{}   // closed when it ends
+	unresponsive bool            // accepts attempts but sends nothing
+	crashed      chan struct{}   // closed when the replica crashes
 }
 
 func (f *simulatedFleet) addReplica(id, zone, service string) {
 	f.place(&simulatedReplica{id: id, zone: zone, service: service, address: id + ":80", slowdown: 1, prefillFactor: 0.5})
 }
 
-// place starts a replica at its address, in the place of any other one there.
+// place starts a replica at its address and adds it to the registry. It replaces any other
+// replica at this address.
 func (f *simulatedFleet) place(r *simulatedReplica) {
 	r.fleet = f
 	r.cached = make(map[uint64]bool)
@@ -88,7 +91,7 @@
 	return list
 }
 
-// crash ends a replica at once.
+// crash stops a replica immediately.
 func (r *simulatedReplica) crash() {
 	r.fleet.mutex.Lock()
 	if r.fleet.replicas[r.address] == r {
@@ -110,8 +113,8 @@
 	return r.received
 }
 
-// accept queues an attempt's prompt and returns when it will be prefilled, and false if
-// the queue is full.
+// accept queues the prompt of an attempt. It returns the time at which the prompt will be
+// prefilled, and false if the queue is full.
 func (r *simulatedReplica) accept(attempt *Attempt) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -137,8 +140,8 @@
 	return r.prefillEnd, true
 }
 
-// wait sleeps until a time, and returns early if the replica ends or the attempt is
-// aborted. While the replica does not respond, it waits for one of these.
+// wait sleeps until the given time. It returns an error early if the replica crashes or the
+// attempt is aborted. If the replica is unresponsive, it waits until one of these happens.
 func (r *simulatedReplica) wait(ctx context.Context, until time.Time) error {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -186,13 +189,13 @@
 		return fail(FailureIndeterminate, ctx.Err())
 	}
 	if r.id != attempt.Replica.ID {
-		return fail(FailureReplaced, errors.New("another replica"))
+		return fail(FailureReplaced, errors.New("another replica has the address"))
 	}
 	name := attempt.Request.Header.Get(headerAttempt)
 	g.fleet.record.arrived(name, r, g)
 	prefilled, accepted := r.accept(attempt)
 	if !accepted {
-		return fail(FailureRejected, errors.New("full"))
+		return fail(FailureRejected, errors.New("prefill queue is full"))
 	}
 	g.fleet.record.ran(name, r)
 	if err := r.wait(ctx, prefilled); err != nil {
@@ -246,7 +249,8 @@
 
 func (s *simulatedStream) Close() error { return nil }
 
-// setWarmingUp publishes whether a replica is warming up, and has the checks watch it.
+// setWarmingUp publishes whether a replica is warming up, and records the start of the
+// warm-up for the checks.
 func (f *simulatedFleet) setWarmingUp(r *simulatedReplica, warmingUp bool) {
 	state := catalog.ConditionUp
 	if warmingUp {
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -21,23 +21,23 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// The simulation sends requests through the dispatchers of several gateways in virtual
-// time, to replicas that prefill prompts one after another, and compares what ran with
-// the responses to the clients. The faults are in simulation_faults_test.go, the checks in
-// simulation_checks_test.go.
+// The simulation runs the dispatchers of several gateways in virtual time. They forward the
+// requests of simulated clients to simulated replicas, which prefill one prompt after
+// another. The checks compare the attempts that ran with the responses to the clients. The
+// faults are in simulation_faults_test.go, the checks in simulation_checks_test.go.
 
 const (
 	simulatedDuration = 14 * time.Second
 	// burstInterval is the mean time between two bursts of requests in a zone, and maxBurst
-	// the largest number of requests in one.
+	// is the largest number of requests in a burst.
 	burstInterval = 120 * time.Millisecond
 	maxBurst      = 3
-	// Delays between machines.
+	// Network delays, one way, within a zone and between zones.
 	localDelay     = 200 * time.Microsecond
 	crossZoneDelay = 10 * time.Millisecond
 	// updateDelay is how long a change of the registry takes to reach a gateway.
 	updateDelay = 60 * time.Millisecond
-	// maxClientAttempts is how often a client sends a request.
+	// maxClientAttempts is the maximum number of times that a client sends a request.
 	maxClientAttempts = 2
 )
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// trueRoute returns the route of a path as the operators configured it.
+// trueRoute returns the route of a path without any injected defect.
 func trueRoute(path string) *routemap.Route {
 	return routemap.NewTable(simulatedRoutes(1, "web").Routes).Lookup("h", path)
 }
@@ -79,7 +79,7 @@
 	version  uint64
 	gateways []*simulatedGateway
 	replicas map[string]*simulatedReplica // by address
-	// controlDown says that no change reaches any gateway.
+	// controlDown is set while no change of the registry reaches any gateway.
 	controlDown bool
 	// distort, if set, changes each route map before it is published: an injected defect.
 	distort func(*routemap.Map)
@@ -94,24 +94,26 @@
 	zone       string
 	dispatcher *Dispatcher
 	exchange   *loadexchange.Node
-	alive      context.Context //nolint:containedctx // the life of the current process, which ends with kill
+	alive      context.Context //nolint:containedctx // of the current process; kill cancels it
 	kill       context.CancelFunc
-	// partitioned gateways receive nothing from the registry and from other gateways.
+	// partitioned is set while the gateway receives nothing from the registry and
+	// exchanges messages only with other partitioned gateways.
 	partitioned atomic.Bool
 	serial      uint32
 	mutex       sync.Mutex
 	// misreport, if set, changes the error of an attempt: an injected defect.
 	misreport func(err error) error
-	// missesUpdates makes the gateway miss all further changes: an injected defect.
+	// missesUpdates makes the gateway ignore all further changes of the registry: an
+	// injected defect.
 	missesUpdates atomic.Bool
 }
 
 func (g *simulatedGateway) region() string { return simulatedZones[g.zone] }
 
-// scenario is what happens in a run. distort, if set, changes each route map before it is
-// published: an injected defect.
+// scenario describes a run. run injects its faults; distort, if set, changes each route map
+// before it is published: an injected defect.
 type scenario struct {
-	play    func(*simulatedFleet)
+	run     func(*simulatedFleet)
 	distort func(*routemap.Map)
 }
 
@@ -127,7 +129,7 @@
 		for zone := range simulatedZones {
 			clients.Go(func() { f.sendFrom(ctx, zone, &clients) })
 		}
-		scenario.play(f)
+		scenario.run(f)
 		clients.Wait()
 		for _, g := range f.gateways {
 			g.end()
@@ -168,7 +170,7 @@
 	f.change(registry.Add(catalog.GatewayRecord(name, catalog.Gateway{Region: simulatedZones[zone], Zone: zone, Up: true})))
 }
 
-// start starts a process without any state.
+// start starts a new process of the gateway, without any state.
 func (g *simulatedGateway) start() {
 	f := g.fleet
 	g.mutex.Lock()
@@ -198,7 +200,7 @@
 	return f.random.Float64()
 }
 
-// configure publishes a new route map, which routes pages to the given service.
+// configure publishes a new route map that routes pages and orders to the given service.
 func (f *simulatedFleet) configure(pages string) {
 	f.t.Helper()
 	f.version++
@@ -223,7 +225,7 @@
 	f.publish()
 }
 
-// publish sends the current state of the registry to all gateways that it reaches.
+// publish sends the current state of the registry to all gateways that can receive it.
 func (f *simulatedFleet) publish() {
 	f.t.Helper()
 	state, err := catalog.Read(f.table.View())
@@ -238,7 +240,7 @@
 	}
 }
 
-// update makes a state of the registry current unless a newer one is.
+// update makes state the gateway's current state of the registry unless it has a newer one.
 func (g *simulatedGateway) update(state *catalog.State) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -256,14 +258,14 @@
 	g.exchange.SetGateways(up)
 }
 
-// end kills the process.
+// end kills the gateway's current process.
 func (g *simulatedGateway) end() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.kill()
 }
 
-// setMisreport injects a wrong report of failed attempts.
+// setMisreport sets a function that replaces the errors of attempts.
 func (g *simulatedGateway) setMisreport(misreport func(error) error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -280,14 +282,16 @@
 	return g.misreport(err)
 }
 
-// current returns the dispatcher of the current process, and the context of its life.
+// current returns the dispatcher of the current process, and the context that is canceled
+// when the process ends.
 func (g *simulatedGateway) current() (*Dispatcher, context.Context) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.dispatcher, g.alive
 }
 
-// currentExchange returns the load exchange of the current process, nil if it has ended.
+// currentExchange returns the load exchange of the current process, or nil if the process
+// has ended.
 func (g *simulatedGateway) currentExchange() *loadexchange.Node {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -333,7 +337,7 @@
 // CloseIdleConnections implements Backend.
 func (g *simulatedGateway) CloseIdleConnections(string) {}
 
-// sendFrom sends the requests of the clients in one zone.
+// sendFrom sends random requests from the clients in one zone until ctx is done.
 func (f *simulatedFleet) sendFrom(ctx context.Context, zone string, clients *sync.WaitGroup) {
 	for count := 0; ; {
 		f.mutex.Lock()
@@ -369,8 +373,8 @@
 	return request
 }
 
-// send sends a request as a client does: again after an error that says that it has not
-// run, and, if it may be repeated, after the gateway has ended.
+// send sends a request like a client. It sends it again after an error which states that the
+// request has not run, and if the gateway has ended and the request may be repeated.
 func (f *simulatedFleet) send(zone string, request *Request) {
 	route := trueRoute(request.Path)
 	end := time.Now().Add(route.Timeout)
@@ -408,10 +412,11 @@
 	return attempt
 }
 
-// headerAttempt identifies to the replicas which attempt of a client a request belongs to.
+// headerAttempt is the header with the client attempt that a request belongs to.
 const headerAttempt = "Try"
 
-// gatewayFor returns a running gateway of a client's zone, or of any other if there is none.
+// gatewayFor returns a random running gateway of the client's zone, or of any zone if there
+// is none there. It returns nil if no gateway is running.
 func (f *simulatedFleet) gatewayFor(zone string) *simulatedGateway {
 	var near, all []*simulatedGateway
 	for _, g := range f.gateways {
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -24,7 +24,7 @@
 		f.serve(nil)
 	}
 	if attempted := f.attemptedReplicas(); strings.Contains(strings.Join(attempted, ","), "a") {
-		t.Errorf("a replica that is warming up was used beside a warm one: %v", attempted)
+		t.Errorf("a replica that is warming up got requests although there is a warm one: %v", attempted)
 	}
 	f.apply(registry.DeleteName(catalog.ReplicaName("b")))
 	f.sent = nil
@@ -32,9 +32,9 @@
 		f.serve(nil)
 	}
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 {
-		t.Errorf("%d requests at once to a replica that is warming up", len(attempted))
+		t.Errorf("%d of 10 immediate requests reached a replica that is warming up, want 1", len(attempted))
 	}
-	// Of several gateways, one is its owner.
+	// Exactly one of several gateways is the slow-start owner.
 	f.apply(
 		registry.Add(catalog.GatewayRecord("g2", catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
 		registry.Add(catalog.GatewayRecord("g3", catalog.Gateway{Region: ownRegion, Zone: "east-1", Up: true})),
@@ -49,12 +49,12 @@
 		}
 	}
 	if owners != 1 {
-		t.Errorf("%d gateways are slow-start owners", owners)
+		t.Errorf("%d gateways are slow-start owners, want 1", owners)
 	}
 }
 
-// TestSlowStartAfterEvacuation checks that the replicas of a zone are in slow start when
-// its evacuation ends, as their caches may have gone cold.
+// TestSlowStartAfterEvacuation checks that the replicas of a zone are in slow start after its
+// evacuation has ended, because their caches may have become cold.
 func TestSlowStartAfterEvacuation(t *testing.T) {
 	f := newFixture(t)
 	f.configure(func(_ *routemap.Route, service *routemap.Service) {
@@ -67,6 +67,6 @@
 		f.serve(nil)
 	}
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 {
-		t.Errorf("%d requests at once to a zone whose evacuation just ended", len(attempted))
+		t.Errorf("%d of 5 immediate requests reached a zone whose evacuation just ended, want 1", len(attempted))
 	}
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -15,25 +15,24 @@
 const (
 	// snapshotTimeout is how long a request waits for the first snapshot.
 	snapshotTimeout = 400 * time.Millisecond
-	// slowStartMargin is added to the time for which the replicas of a zone are taken to
-	// be warming up after its evacuation ended: the delay of the registry's updates on
-	// those that are warm.
+	// slowStartMargin is added to SlowStartDuration after the evacuation of a zone ended.
+	// Until then its replicas are assumed to be warming up. The margin allows for the
+	// delay until the registry reports which of them are warm.
 	slowStartMargin = 1500 * time.Millisecond
 )
 
-// snapshot is what the registry says of routes and gateways at one serial. It is
-// immutable.
+// snapshot holds the routes and gateways of the registry at one serial. It is immutable.
 type snapshot struct {
 	// version is the configuration version.
 	version uint64
 	routes  *routemap.Table
-	// gateways are the names of the gateways that are up.
+	// gateways holds the names of the gateways that are up.
 	gateways         []string
 	gatewaysByRegion map[string][]string
 }
 
-// slowStartOwner returns the one gateway that sends to a replica while it is warming
-// up: one of its region, or of all regions if none is up there.
+// slowStartOwner returns the gateway that alone sends requests to a replica while it is
+// warming up. It is a gateway of the replica's region, or of any region if none is up there.
 func (s *snapshot) slowStartOwner(r *replica) string {
 	if local := s.gatewaysByRegion[r.region]; len(local) > 0 {
 		return placement.Owner(r.id, local)
@@ -46,14 +45,14 @@
 	spec     routemap.Service
 	replicas []*replica // sorted by id
 	outliers *outlier.Group
-	// index has the shared prefixes that each replica has in its cache.
+	// index estimates which shared prefixes each replica has in its cache.
 	index *placement.Index
 	// serviceTime is the smoothed time in seconds for which a request occupies a slot.
 	serviceTime float64
 	prefill     prefillEstimator
 }
 
-// Update makes a state of the registry the one by which requests are forwarded.
+// Update makes state the current state of the registry, by which requests are forwarded.
 func (d *Dispatcher) Update(state *catalog.State) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -76,8 +75,9 @@
 	}
 }
 
-// awaitSnapshot returns the current snapshot, nil if there is none. It waits for the
-// first one for a moment: it is about to arrive, and clients retry only a few times.
+// awaitSnapshot returns the current snapshot, or nil if there is none. It waits up to
+// snapshotTimeout for the first one, which usually arrives soon after the start: clients
+// retry only a few times.
 func (d *Dispatcher) awaitSnapshot(ctx context.Context) *snapshot {
 	if current := d.snapshot.Load(); current != nil {
 		return current
@@ -112,7 +112,8 @@
 	return all, byRegion
 }
 
-// updateServices adds and removes services. It keeps what was learned of the others.
+// updateServices adds, updates and removes services. Existing services retain their
+// measurements.
 func (d *Dispatcher) updateServices(state *catalog.State) {
 	for name, spec := range state.Pools() {
 		known, found := d.services[name]
@@ -138,7 +139,8 @@
 	}
 }
 
-// updateReplicas adds and removes replicas. It keeps what was learned of the others.
+// updateReplicas adds, updates and removes replicas. Existing replicas retain their load and
+// measurements.
 func (d *Dispatcher) updateReplicas(state *catalog.State, now time.Time) {
 	for id := range d.replicas {
 		if _, listed := state.Replicas()[id]; !listed {
@@ -158,7 +160,7 @@
 }
 
 // removeReplica removes a replica, and closes the idle connections to its address unless
-// another replica has that.
+// another replica has the same address.
 func (d *Dispatcher) removeReplica(id string) {
 	address := d.replicas[id].address
 	delete(d.byKey, d.replicas[id].key)
@@ -171,7 +173,8 @@
 	d.options.Backend.CloseIdleConnections(address)
 }
 
-// updateReplica copies the registry's records of a replica.
+// updateReplica copies the registry's records to a replica. When the evacuation of its zone
+// has ended, it assumes that the replica is warming up for a while.
 func (d *Dispatcher) updateReplica(r *replica, listed catalog.Replica, state *catalog.State, now time.Time) {
 	r.service = listed.Service
 	r.zone = listed.Zone
@@ -190,7 +193,7 @@
 	r.evacuated = evacuated
 }
 
-// groupReplicas lists the replicas of each service anew.
+// groupReplicas rebuilds the list of replicas of each service.
 func (d *Dispatcher) groupReplicas() {
 	for _, known := range d.services {
 		known.replicas = known.replicas[:0:0]
@@ -205,8 +208,8 @@
 	}
 }
 
-// numberReplicas sorts the replicas, and gives new ones the lowest free numbers in the
-// prefix index.
+// numberReplicas sorts the replicas by id, updates the members of outlier detection, and
+// assigns the lowest free numbers in the prefix index to new replicas.
 func (s *service) numberReplicas() {
 	slices.SortFunc(s.replicas, func(a, b *replica) int { return cmp.Compare(a.id, b.id) })
 	ids := make([]string, 0, len(s.replicas))
@@ -228,7 +231,7 @@
 	s.index.SetCount(len(s.replicas))
 }
 
-// lowestFree returns the lowest number that is not used.
+// lowestFree returns the lowest number that is not in used.
 func lowestFree(used map[int]bool) int {
 	number := 0
 	for used[number] {
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// state returns the state of a replica: the first one listed here that applies.
+// state returns the state of a replica. If several states apply, the first case determines
+// the result.
 func (d *Dispatcher) state(r *replica, now time.Time) api.HTTPReplicaState {
 	known, found := d.services[r.service]
 	switch {
--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// transaction is one request with all of its attempts. Its fields belong to the
-// goroutine that serves the request.
+// transaction is one request with all of its attempts. Only the goroutine that serves the
+// request uses its fields.
 type transaction struct {
 	dispatcher *Dispatcher
 	snapshot   *snapshot
@@ -20,24 +20,24 @@
 	service  string
 	deadline time.Time
 
-	// tried are the replicas of the attempts so far, by id.
+	// tried holds the ids of the replicas of the attempts so far.
 	tried map[string]bool
-	// budgeted says that the retry budget has counted the request.
-	budgeted bool
-	// attempts counts the attempts that may have run, unsent those that did not reach a
-	// replica, and rejections those that a replica rejected.
-	attempts   int
-	unsent     int
-	rejections int
-	// responseStarted says that the client has a part of the response, and lastEventID
-	// is the id of the last event of it.
+	// countedInBudget is set once the retry budget has counted the request.
+	countedInBudget bool
+	// possibleRuns counts the attempts that may have run, unsentAttempts those that did not
+	// reach a replica, and rejections those that a replica rejected.
+	possibleRuns   int
+	unsentAttempts int
+	rejections     int
+	// responseStarted is set once a part of the response was sent to the client, and
+	// lastEventID is the id of the last event in it.
 	responseStarted bool
 	lastEventID     string
 }
 
-// Serve forwards one request. It returns nil if a whole response was relayed, even if
-// that is an error of the replica, and otherwise why not. It returns no later than the
-// route's timeout and the client's.
+// Serve forwards one request. It returns nil if a complete response was relayed, even if the
+// response is an error of the replica, and otherwise an error. It returns at the latest when
+// the timeout of the route or that of the client has passed.
 func (d *Dispatcher) Serve(ctx context.Context, request *Request, client ResponseWriter) *RequestError {
 	requestErr := d.serve(ctx, request, client)
 	d.mutex.Lock()
@@ -79,7 +79,7 @@
 	return t.run(ctx)
 }
 
-// run makes attempts until one has a whole response or no other may be made.
+// run makes attempts until one has a complete response or no further attempt is permitted.
 func (t *transaction) run(ctx context.Context) *RequestError {
 	for {
 		if requestErr := t.checkDone(ctx); requestErr != nil {
@@ -89,7 +89,7 @@
 		if requestErr != nil {
 			return t.finalize(requestErr)
 		}
-		if attempt, requestErr = t.confirm(ctx, attempt); requestErr != nil {
+		if attempt, requestErr = t.confirmPlacement(ctx, attempt); requestErr != nil {
 			return t.finalize(requestErr)
 		}
 		retry, requestErr := t.send(ctx, attempt)
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkDone returns an error if the deadline has passed or the client has closed its
-// connection.
+// checkDone returns an error if the deadline has passed or ctx was canceled, which means
+// that the client has closed its connection. Otherwise it returns nil.
 func (t *transaction) checkDone(ctx context.Context) *RequestError {
 	err := ctx.Err()
 	switch {
@@ -111,18 +111,18 @@
 		return nil
 	case !errors.Is(err, context.DeadlineExceeded):
 		return &RequestError{Code: CodeClientClosed, ResponseStarted: t.responseStarted}
-	case t.attempts > 0:
+	case t.possibleRuns > 0:
 		return &RequestError{Code: CodeTimedOut, ResponseStarted: t.responseStarted}
 	default:
 		return &RequestError{Code: CodeExpiredUnsent, ResponseStarted: t.responseStarted}
 	}
 }
 
-// finalize makes an error honest: it does not say of a request that may have run that
-// it has not.
+// finalize completes the error of a request. If the request may have run but the code states
+// that it has not, it replaces the code by CodeOutcomeUnknown.
 func (t *transaction) finalize(requestErr *RequestError) *RequestError {
 	requestErr.ResponseStarted = t.responseStarted
-	if t.attempts > 0 && requestErr.Code.hasNotRun() {
+	if t.possibleRuns > 0 && requestErr.Code.hasNotRun() {
 		requestErr.Code = CodeOutcomeUnknown
 		requestErr.RetryAfter = 0
 	}
--- a/dispatch/zone.go
+++ b/dispatch/zone.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// A zone that is partitioned or without power shows as replicas that do not respond, one
-// after the other, each at the cost of a connection that times out. After a few of them
-// the zone's other replicas are used only if no others are left, until one of them
-// responds or the time for another try has come.
+// If a zone is partitioned or has lost power, each of its replicas stops responding, and
+// each is detected only by a connection that times out. After a few such timeouts the whole
+// zone is avoided: its replicas are used only if there are no others, until one of them
+// responds or zoneAvoidance has passed.
 const (
-	// unresponsiveReplicas is how many replicas of a zone must not respond within
-	// unresponsiveWindow for the zone to be avoided.
+	// unresponsiveReplicas is the number of replicas of a zone after whose timeouts within
+	// unresponsiveWindow the zone is avoided.
 	unresponsiveReplicas = 3
 	unresponsiveWindow   = 2 * time.Second
 	// zoneAvoidance is how long the zone is avoided.
 	zoneAvoidance = time.Second
 )
 
-// zoneHealth is what the gateway has observed of one zone.
+// zoneHealth records connection timeouts to the replicas of one zone.
 type zoneHealth struct {
-	// noResponse has the times at which replicas did not respond, by id.
+	// noResponse holds the time of each replica's last connection timeout, by replica id.
 	noResponse   map[string]time.Time
 	avoidedUntil time.Time
 }
 
-// recordNoResponse records that a connection to a replica timed out.
+// recordNoResponse records that a connection to a replica timed out. If that happened to
+// unresponsiveReplicas of the zone recently, the zone is avoided.
 func (z *zoneHealth) recordNoResponse(now time.Time, replica string) {
 	for id, at := range z.noResponse {
 		if now.Sub(at) > unresponsiveWindow {
@@ -38,13 +39,13 @@
 	}
 }
 
-// recordResponse records that a replica of the zone responded.
+// recordResponse records that a replica of the zone responded, which ends its avoidance.
 func (z *zoneHealth) recordResponse() {
 	clear(z.noResponse)
 	z.avoidedUntil = time.Time{}
 }
 
-// zone returns the health of a zone. The caller holds the mutex.
+// zone returns the health of a zone. The caller holds the Dispatcher's mutex.
 func (d *Dispatcher) zone(name string) *zoneHealth {
 	known, found := d.zones[name]
 	if !found {
