--- a/placement/chain.go
+++ b/placement/chain.go
@@ -2,7 +2,7 @@
 
 import "github.com/deckpulley/deckpulley/api"
 
-// Link is one prefix in a chain of prefixes.
+// Link is one prefix in a chain, in which each prefix extends the one before it.
 type Link struct {
 	// Hash identifies the chain up to and including this prefix.
 	Hash uint64
@@ -10,8 +10,8 @@
 	Tokens int
 }
 
-// Chain returns the links of a sequence of prefixes, outermost first. Two requests
-// share a link if and only if they share all prefixes up to it.
+// Chain returns the links for a sequence of prefixes, outermost first. Two requests
+// have a link in common if and only if they have all prefixes up to it in common.
 func Chain(prefixes []api.Prefix) []Link {
 	if len(prefixes) == 0 {
 		return nil
@@ -36,11 +36,11 @@
 	return hashes
 }
 
-// Affinity returns the link that decides to which replica a chain belongs: the
-// outermost one with at least half of the chain's tokens. So a short preamble that
-// all requests share does not send them all to one replica, and a small last file
-// does not spread the requests about one repository. It reports false for an empty
-// chain.
+// Affinity returns the affinity link of a chain: requests with the same affinity link
+// are preferably sent to the same replica. It is the outermost link with at least half
+// of the chain's tokens. So a short preamble that all requests have in common does not
+// send them all to one replica, and a small last file does not spread the requests
+// about one repository over many replicas. It reports false for an empty chain.
 func Affinity(chain []Link) (Link, bool) {
 	if len(chain) == 0 {
 		return Link{}, false
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -6,7 +6,8 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// The replica with the prompt in its cache is worth a short wait, not a long one.
+// A replica with the prompt in its cache is chosen despite a short queue, but not despite
+// a long one.
 func Example() {
 	candidates := []placement.Candidate{
 		{Number: 0, Hash: placement.Hash("r0"), PrefillRate: 1000, Slots: 8, PendingTokens: 500, CachedTokens: 4000},
--- a/placement/index.go
+++ b/placement/index.go
@@ -3,27 +3,29 @@
 import "container/list"
 
 const (
-	// IndexEntries is the number of links that the index of a service keeps for all
+	// IndexEntries is the maximum number of links in the index of a service for all
 	// replicas together; each replica has an equal share.
 	IndexEntries = 32 << 10
-	// minReplicaEntries and maxReplicaEntries bound the share of a replica.
+	// minReplicaEntries and maxReplicaEntries are the bounds on the share of a replica.
 	minReplicaEntries = 64
 	maxReplicaEntries = 2048
-	// missFraction is the fraction of a replica's entries that are dropped when the
-	// replica has not cached a prefix that it was expected to have: others as old
-	// were probably evicted with it.
+	// missFraction is the fraction of a replica's entries, the oldest ones, that is
+	// dropped when the replica had less of a prompt in its cache than expected: it has
+	// probably evicted other old prefixes as well.
 	missFraction = 0.25
 )
 
 // Index estimates which prefix chains each replica has in its KV cache. For each
-// replica it keeps a bounded LRU list of the links sent to it, which is corrected by
-// the responses and the reports of the replica. It is not safe for concurrent use.
+// replica it holds a bounded LRU list of the links that were sent there, which the
+// caller corrects by the replica's responses and reports. It is not safe for
+// concurrent use.
 type Index struct {
-	limit    int              // entries of each replica
-	holders  map[uint64][]int // replicas by link hash
+	limit    int              // maximum number of entries of each replica
+	holders  map[uint64][]int // replicas that have a link, by its hash
 	replicas map[int]*replicaEntries
 
-	// cachedTokens and visited are buffers of Cached, which it leaves cleared.
+	// cachedTokens and visited are buffers that Cached reuses. cachedTokens is all zero
+	// between calls.
 	cachedTokens []int // by replica
 	visited      []int // replicas
 }
@@ -34,8 +36,8 @@
 	recency  *list.List               // link hashes, most recently sent first
 }
 
-// NewIndex returns an empty index for count replicas. The caller identifies replicas
-// by small numbers.
+// NewIndex returns an empty index for count replicas. The caller identifies each
+// replica by a small number, at least 0.
 func NewIndex(count int) *Index {
 	index := &Index{
 		holders:  make(map[uint64][]int),
@@ -45,153 +47,154 @@
 	return index
 }
 
-// SetCount changes the number of replicas and with it the share of each. Entries
-// beyond a lower share stay until the next one is recorded.
-func (x *Index) SetCount(count int) {
-	x.limit = min(maxReplicaEntries, max(minReplicaEntries, IndexEntries/max(1, count)))
+// SetCount changes the number of replicas and thereby the share of each. If the share
+// shrinks, the excess entries of a replica are dropped when the next chain is recorded
+// for it.
+func (ix *Index) SetCount(count int) {
+	ix.limit = min(maxReplicaEntries, max(minReplicaEntries, IndexEntries/max(1, count)))
 }
 
 // Record records that a chain was sent to a replica.
-func (x *Index) Record(replica int, chain []Link) {
-	entries := x.entriesOf(replica)
+func (ix *Index) Record(replica int, chain []Link) {
+	entries := ix.entriesOf(replica)
 	for position := len(chain) - 1; position >= 0; position-- {
-		x.add(entries, replica, chain[position].Hash)
+		ix.add(entries, replica, chain[position].Hash)
 	}
-	x.trim(entries, replica)
+	ix.trim(entries, replica)
 }
 
-// RecordHashes is Record for a chain of which only the hashes of the links are known.
-func (x *Index) RecordHashes(replica int, hashes []uint64) {
-	entries := x.entriesOf(replica)
+// RecordHashes is like Record, but takes only the hashes of the chain's links.
+func (ix *Index) RecordHashes(replica int, hashes []uint64) {
+	entries := ix.entriesOf(replica)
 	for position := len(hashes) - 1; position >= 0; position-- {
-		x.add(entries, replica, hashes[position])
+		ix.add(entries, replica, hashes[position])
 	}
-	x.trim(entries, replica)
+	ix.trim(entries, replica)
 }
 
 // trim drops the oldest entries beyond a replica's share.
-func (x *Index) trim(entries *replicaEntries, replica int) {
-	for entries.recency.Len() > x.limit {
-		x.dropOldest(entries, replica)
+func (ix *Index) trim(entries *replicaEntries, replica int) {
+	for entries.recency.Len() > ix.limit {
+		ix.dropOldest(entries, replica)
 	}
 }
 
-// Cached calls visit once for each replica that probably has a prefix of the chain in
-// its cache, with the number of tokens of the longest one.
-func (x *Index) Cached(chain []Link, visit func(replica, tokens int)) {
-	x.visited = x.visited[:0]
+// Cached calls visit once for each replica that probably has a link of the chain in its
+// cache, with the number of tokens up to the last such link.
+func (ix *Index) Cached(chain []Link, visit func(replica, tokens int)) {
+	ix.visited = ix.visited[:0]
 	for position := len(chain) - 1; position >= 0; position-- {
-		for _, replica := range x.holders[chain[position].Hash] {
-			x.growBuffer(replica)
-			if x.cachedTokens[replica] != 0 {
+		for _, replica := range ix.holders[chain[position].Hash] {
+			ix.growBuffer(replica)
+			if ix.cachedTokens[replica] != 0 {
 				continue
 			}
-			x.cachedTokens[replica] = chain[position].Tokens
-			x.visited = append(x.visited, replica)
+			ix.cachedTokens[replica] = chain[position].Tokens
+			ix.visited = append(ix.visited, replica)
 			visit(replica, chain[position].Tokens)
 		}
 	}
-	for _, replica := range x.visited {
-		x.cachedTokens[replica] = 0
+	for _, replica := range ix.visited {
+		ix.cachedTokens[replica] = 0
 	}
 }
 
 // Correct compares the number of tokens that were expected in a replica's cache with
 // the number found there. A miss drops the oldest entries of the replica.
-func (x *Index) Correct(replica, expected, found int) {
+func (ix *Index) Correct(replica, expected, found int) {
 	if found >= expected {
 		return
 	}
-	entries := x.entriesOf(replica)
-	x.dropMany(entries, replica, max(1, int(missFraction*float64(entries.recency.Len()))))
+	entries := ix.entriesOf(replica)
+	ix.dropOldestEntries(entries, replica, max(1, int(missFraction*float64(entries.recency.Len()))))
 }
 
 // Evicted drops the oldest entries of a replica that reported count evictions.
-func (x *Index) Evicted(replica, count int) {
-	x.dropMany(x.entriesOf(replica), replica, count)
+func (ix *Index) Evicted(replica, count int) {
+	ix.dropOldestEntries(ix.entriesOf(replica), replica, count)
 }
 
-// Undo drops a chain that was recorded for a request that did not run.
-func (x *Index) Undo(replica int, chain []Link) {
-	entries := x.entriesOf(replica)
+// Undo drops a chain that was recorded for a request that then did not run.
+func (ix *Index) Undo(replica int, chain []Link) {
+	entries := ix.entriesOf(replica)
 	for _, link := range chain {
-		x.drop(entries, replica, link.Hash)
+		ix.drop(entries, replica, link.Hash)
 	}
 }
 
 // Forget drops all entries of a replica, for instance when it was restarted.
-func (x *Index) Forget(replica int) {
-	entries := x.replicas[replica]
+func (ix *Index) Forget(replica int) {
+	entries := ix.replicas[replica]
 	if entries == nil {
 		return
 	}
-	x.dropMany(entries, replica, entries.recency.Len())
-	delete(x.replicas, replica)
+	ix.dropOldestEntries(entries, replica, entries.recency.Len())
+	delete(ix.replicas, replica)
 }
 
 // Len returns the number of entries of a replica.
-func (x *Index) Len(replica int) int {
-	if entries := x.replicas[replica]; entries != nil {
+func (ix *Index) Len(replica int) int {
+	if entries := ix.replicas[replica]; entries != nil {
 		return entries.recency.Len()
 	}
 	return 0
 }
 
-// entriesOf returns the entries of a replica, which it creates if there are none.
-func (x *Index) entriesOf(replica int) *replicaEntries {
-	entries := x.replicas[replica]
+// entriesOf returns the entries of a replica, and creates them if there are none.
+func (ix *Index) entriesOf(replica int) *replicaEntries {
+	entries := ix.replicas[replica]
 	if entries == nil {
 		entries = &replicaEntries{elements: make(map[uint64]*list.Element), recency: list.New()}
-		x.replicas[replica] = entries
+		ix.replicas[replica] = entries
 	}
 	return entries
 }
 
-// growBuffer makes cachedTokens long enough for a replica.
-func (x *Index) growBuffer(replica int) {
-	for len(x.cachedTokens) <= replica {
-		x.cachedTokens = append(x.cachedTokens, 0)
+// growBuffer extends cachedTokens so that it has an element for the replica.
+func (ix *Index) growBuffer(replica int) {
+	for len(ix.cachedTokens) <= replica {
+		ix.cachedTokens = append(ix.cachedTokens, 0)
 	}
 }
 
 // add makes a link the most recent entry of a replica.
-func (x *Index) add(entries *replicaEntries, replica int, hash uint64) {
+func (ix *Index) add(entries *replicaEntries, replica int, hash uint64) {
 	if element, ok := entries.elements[hash]; ok {
 		entries.recency.MoveToFront(element)
 		return
 	}
 	entries.elements[hash] = entries.recency.PushFront(hash)
-	x.holders[hash] = append(x.holders[hash], replica)
+	ix.holders[hash] = append(ix.holders[hash], replica)
 }
 
-// dropMany drops the count oldest entries of a replica.
-func (x *Index) dropMany(entries *replicaEntries, replica, count int) {
+// dropOldestEntries drops the count oldest entries of a replica.
+func (ix *Index) dropOldestEntries(entries *replicaEntries, replica, count int) {
 	for range min(count, entries.recency.Len()) {
-		x.dropOldest(entries, replica)
+		ix.dropOldest(entries, replica)
 	}
 }
 
-func (x *Index) dropOldest(entries *replicaEntries, replica int) {
+func (ix *Index) dropOldest(entries *replicaEntries, replica int) {
 	hash, ok := entries.recency.Back().Value.(uint64)
 	if ok {
-		x.drop(entries, replica, hash)
+		ix.drop(entries, replica, hash)
 	}
 }
 
 // drop removes one entry of a replica, if the replica has it.
-func (x *Index) drop(entries *replicaEntries, replica int, hash uint64) {
+func (ix *Index) drop(entries *replicaEntries, replica int, hash uint64) {
 	element, ok := entries.elements[hash]
 	if !ok {
 		return
 	}
 	entries.recency.Remove(element)
 	delete(entries.elements, hash)
-	x.removeHolder(hash, replica)
+	ix.removeHolder(hash, replica)
 }
 
 // removeHolder removes a replica from the holders of a link.
-func (x *Index) removeHolder(hash uint64, replica int) {
-	holders := x.holders[hash]
+func (ix *Index) removeHolder(hash uint64, replica int) {
+	holders := ix.holders[hash]
 	for position, holder := range holders {
 		if holder == replica {
 			holders[position] = holders[len(holders)-1]
@@ -200,8 +203,8 @@
 		}
 	}
 	if len(holders) == 0 {
-		delete(x.holders, hash)
+		delete(ix.holders, hash)
 		return
 	}
-	x.holders[hash] = holders
+	ix.holders[hash] = holders
 }
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexProperties applies random operations: what the index reports as cached was
-// recorded and not dropped since, and its size is bounded.
+// TestIndexProperties applies random operations, and checks that each chain that the index
+// reports as cached was recorded and not dropped since, and that its size is bounded.
 func TestIndexProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index := NewIndex(IndexEntries)
@@ -33,7 +33,7 @@
 					}
 				})
 				if found != 15 {
-					t.Fatalf("just recorded, found %d tokens", found)
+					t.Fatalf("found %d tokens of a chain that was just recorded, want 15", found)
 				}
 			case 3:
 				index.Undo(replica, chain)
@@ -46,16 +46,16 @@
 				before := index.Len(replica)
 				index.Correct(replica, 15, 10)
 				if before > 0 && index.Len(replica) >= before {
-					t.Fatal("a miss dropped nothing")
+					t.Fatal("Correct dropped no entry after a miss")
 				}
 			}
 			index.Cached(chain, func(cachedBy, tokens int) {
 				if tokens == 15 && !recorded[cachedBy][chain[1].Hash] {
-					t.Fatalf("reports a chain that was not recorded for %d", cachedBy)
+					t.Fatalf("reported a chain as cached that was not recorded for replica %d", cachedBy)
 				}
 			})
 			if index.Len(replica) > minReplicaEntries {
-				t.Fatalf("%d entries", index.Len(replica))
+				t.Fatalf("replica has %d entries, more than the limit", index.Len(replica))
 			}
 		}
 	})
--- a/placement/region.go
+++ b/placement/region.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// LoadFreshness is the age of what is known of a region's load.
+// LoadFreshness classifies the age of a region's last load report.
 type LoadFreshness uint8
 
 const (
@@ -18,61 +18,64 @@
 )
 
 const (
-	// minHeadroom keeps the weight of a full region above zero, so that it is ranked
-	// last instead of not at all.
+	// minHeadroom is the lower bound on the headroom and the capacity in a region's
+	// weight, so that a full region is still ranked.
 	minHeadroom = 0.02
-	// minRegionWeight keeps the weight of each region above zero.
+	// minRegionWeight is the lower bound on the weight of a region.
 	minRegionWeight = 1e-9
 	// unknownLoad is the assumed load of a region without a recent report.
 	unknownLoad = 0.5
-	// MaxComparedLoad is the highest load that is compared with others. A higher one
-	// means that the region cannot serve, and not how much work it has.
+	// MaxComparedLoad is the highest load that is compared with the loads of other
+	// regions. A higher one means that the region cannot serve at all, and does not
+	// measure its work.
 	MaxComparedLoad = 10
 )
 
-// Region is what is known of one region for one service.
+// Region describes the state of one region for one service.
 type Region struct {
 	// Name is the name of the region.
 	Name string
 	// Hash is the hash of the name.
 	Hash uint64
-	// Capacity is the region's weight relative to others.
+	// Capacity is the region's capacity relative to that of other regions.
 	Capacity float64
-	// Usable is false if the plan has no replica or no gateway there.
+	// Usable is false if the plan has no replica or no gateway in the region.
 	Usable bool
 	// Load is the region's utilization; 1 is full.
 	Load float64
-	// LoadFreshness tells how far Load can be relied on.
+	// LoadFreshness is the age of Load.
 	LoadFreshness LoadFreshness
-	// AcceptsSpill is the state of the region's SpillGate.
+	// AcceptsSpill is the result of the region's SpillGate.
 	AcceptsSpill bool
-	// RecoveryFraction is the fraction of its traffic that a region may get again
-	// after it was lost; 1 is all of it.
+	// RecoveryFraction is the fraction of its normal traffic that the region may get
+	// while it recovers from a loss; 1 if it is not recovering.
 	RecoveryFraction float64
 }
 
-// RegionWork is what the ranking of regions needs to know of a request.
+// RegionWork describes a request for the ranking of regions.
 type RegionWork struct {
-	// Key is a hash of the request's ID. The same request gets the same random draws.
+	// Key is a hash of the request's ID. It determines the random choices, so that they
+	// are the same each time the request is ranked.
 	Key uint64
 	// Preferred is the region that serves the client.
 	Preferred string
 	// Spill lists the overflow regions, in the order of the configuration.
 	Spill []string
-	// Home, if not nil, lists the only regions that may run the request.
+	// Home lists the regions that may run the request; nil permits all.
 	Home []string
 	// SpillFraction is the fraction of the preferred region's requests that should
 	// run elsewhere.
 	SpillFraction float64
 }
 
-// RankRegions returns the names of the regions to try, best first. It never returns
-// one outside the home.
+// RankRegions returns the names of the regions to try, best first. It never returns a
+// region that is not in work.Home.
 //
-// The preferred region is first unless the request is drawn to be spilled or the
-// region is recovering. Overflow regions follow, drawn in proportion to capacity and
-// headroom. Headroom counts up to full or, if that is more, up to the preferred
-// region's load. Regions whose load is stale are last.
+// The preferred region is first, except for the fraction of requests that are spilled
+// or that a recovering region does not get yet. Overflow regions follow in a random
+// order weighted by capacity and headroom. Headroom is the difference between a
+// region's load and either 1 or, if that is higher, the load of the preferred region.
+// Regions whose load is stale are last.
 func RankRegions(work RegionWork, regions map[string]*Region) []string {
 	candidates := candidateRegions(work, regions)
 	if len(candidates) == 0 {
@@ -99,7 +102,7 @@
 }
 
 // candidateRegions returns the usable regions in which the request may run, without
-// duplicates, the preferred one first.
+// duplicates. The preferred region, if it is among them, is first.
 func candidateRegions(work RegionWork, regions map[string]*Region) []*Region {
 	names := make([]string, 0, 1+len(work.Spill)+len(work.Home))
 	names = append(names, work.Preferred)
@@ -119,8 +122,8 @@
 	return candidates
 }
 
-// sortOverflow sorts overflow regions by their tier, and within a tier by a draw in
-// proportion to their weights. fullLoad is the load without headroom.
+// sortOverflow sorts overflow regions by tier, and within a tier in a random order
+// weighted by overflowWeight. fullLoad is the load at which a region has no headroom.
 func sortOverflow(key uint64, fullLoad float64, overflow []*Region) {
 	score := func(region *Region) float64 {
 		return weightedScore(Score(key, region.Hash), region.overflowWeight(fullLoad))
@@ -133,8 +136,8 @@
 	})
 }
 
-// overflowWeight is the region's weight among the overflow regions, by capacity and
-// headroom.
+// overflowWeight returns the region's weight among the overflow regions, which is the
+// product of its capacity, headroom and recovery fraction.
 func (r *Region) overflowWeight(fullLoad float64) float64 {
 	load := r.Load
 	if r.LoadFreshness != Fresh {
@@ -163,8 +166,9 @@
 }
 
 // preferredPosition returns the position of the preferred region in the ranking: 0
-// normally; 1, behind the best overflow region, if the request is drawn to go there;
-// and the position before the stale regions if the preferred one is stale too.
+// normally; 1, after the best overflow region, if the request is spilled or withheld
+// from a recovering region; and directly before the stale overflow regions if the
+// preferred region is stale too.
 func preferredPosition(work RegionWork, preferred *Region, overflow []*Region) int {
 	if len(overflow) == 0 {
 		return 0
@@ -187,15 +191,16 @@
 	return 0
 }
 
-// Salts make the draws from one key independent of each other.
+// The salts make the random choices for one key independent of each other.
 const (
 	recoverySalt = 0x6a09e667f3bcc908
 	spillSalt    = 0xbb67ae8584caa73b
 )
 
-// CommonLoad returns the mean load of the named regions, weighted by capacity: the
-// load of each if they shared all work. Regions whose load is not known do not
-// count; it is 0 if none is left.
+// CommonLoad returns the mean load of the named regions, weighted by capacity. Each of
+// them would have this load if the work were spread evenly. Regions without a recent
+// load report and those above MaxComparedLoad are left out; if none is left, the
+// result is 0.
 func CommonLoad(names []string, regions map[string]*Region) float64 {
 	work, capacity := 0.0, 0.0
 	for _, name := range names {
--- a/placement/region_test.go
+++ b/placement/region_test.go
@@ -8,15 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed of the property tests; -rapid.seed overrules it.
+// init sets a fixed seed for the property tests; the flag -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// TestRankRegionsProperties ranks random regions for random requests: none is outside
-// the home, unusable or ranked twice, and each usable region of the home is ranked.
+// TestRankRegionsProperties ranks random regions for random requests, and checks that no
+// region is outside the home, unusable or ranked twice, and that each usable region of the
+// home is ranked.
 func TestRankRegionsProperties(t *testing.T) {
 	all := numberedNames("region-", 5)
 	rapid.Check(t, func(t *rapid.T) {
@@ -46,22 +47,22 @@
 		ranked := RankRegions(work, regions)
 		for position, name := range ranked {
 			if work.Home != nil && !slices.Contains(work.Home, name) {
-				t.Fatalf("%s is outside the home %v", name, work.Home)
+				t.Fatalf("ranked region %s is not one of the home regions %v", name, work.Home)
 			}
 			if regions[name] == nil || !regions[name].Usable || slices.Contains(ranked[:position], name) {
-				t.Fatalf("%s in %v", name, ranked)
+				t.Fatalf("region %s is unknown, unusable or duplicate in the ranking %v", name, ranked)
 			}
 		}
 		for _, name := range work.Home {
 			if regions[name] != nil && regions[name].Usable && !slices.Contains(ranked, name) {
-				t.Fatalf("home region %s missing in %v", name, ranked)
+				t.Fatalf("usable home region %s is missing in the ranking %v", name, ranked)
 			}
 		}
 	})
 }
 
-// TestCommonLoad leaves out regions whose load is not known and those that do not
-// serve.
+// TestCommonLoad checks that the common load is weighted by capacity, and leaves out regions
+// that are not usable, have no recent load report or cannot serve.
 func TestCommonLoad(t *testing.T) {
 	regions := map[string]*Region{
 		"large":        {Capacity: 6, Usable: true, Load: 1, LoadFreshness: Fresh, RecoveryFraction: 1},
@@ -80,13 +81,13 @@
 		{nil, 0},
 	} {
 		if got := CommonLoad(c.names, regions); got != c.want {
-			t.Errorf("%v: %v, want %v", c.names, got, c.want)
+			t.Errorf("CommonLoad(%v) = %v, want %v", c.names, got, c.want)
 		}
 	}
 }
 
-// TestOverflowFollowsCapacity spills a third of the requests: two regions of unequal
-// capacity get them in proportion; full and stale ones are ranked last.
+// TestOverflowFollowsCapacity spills a third of the requests, and checks that two regions of
+// different capacity get them in proportion, and that full and stale regions are last.
 func TestOverflowFollowsCapacity(t *testing.T) {
 	regions := map[string]*Region{
 		"own":         {Name: "own", Hash: Hash("salt1"), Capacity: 5, Usable: true, Load: 1.2, LoadFreshness: Fresh, RecoveryFraction: 1},
@@ -104,13 +105,13 @@
 		ranked := RankRegions(work, regions)
 		first[ranked[0]]++
 		if ranked[4] != "partitioned" || ranked[3] != "full" {
-			t.Fatalf("ranked %v", ranked)
+			t.Fatalf("ranking %v, want the full region and then the partitioned one at the end", ranked)
 		}
 	}
 	if first["own"] < 3850 || first["own"] > 4150 {
-		t.Errorf("own region first for %d of 6000, want two thirds", first["own"])
+		t.Errorf("the preferred region is first for %d of 6000 requests, want two thirds", first["own"])
 	}
 	if ratio := float64(first["large"]) / float64(first["small"]); ratio < 3.2 || ratio > 4.9 {
-		t.Errorf("large over small is %.2f, want 4", ratio)
+		t.Errorf("the large region got %.2f times the requests of the small one, want about 4", ratio)
 	}
 }
--- a/placement/rendezvous.go
+++ b/placement/rendezvous.go
@@ -1,7 +1,7 @@
 // Package placement chooses where a request runs: the order in which regions are
 // tried, and within a region the replica with the lowest cost, which is mostly the
-// expected time to the first token. It is pure: what is known of replicas and
-// regions is an input.
+// expected time to the first token. Its functions have no side effects: the state of
+// replicas and regions is an input.
 package placement
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a name, for Score.
+// Hash returns the hash of a name, as an argument of Score.
 func Hash(name string) uint64 {
 	return xxhash.Sum64String(name)
 }
@@ -22,9 +22,9 @@
 	return mix(key ^ mix(member))
 }
 
-// Owner returns the member with the highest score for the key, "" if there are no
-// members. Processes that know the same members agree on the owner, and removing a
-// member moves only the keys that it owned.
+// Owner returns the member with the highest score for the key, or "" if there are no
+// members. Processes with the same members agree on the owner, and the removal of a
+// member changes the owner of only those keys that it owned.
 func Owner(key string, members []string) string {
 	owner := ""
 	var highest uint64
@@ -43,12 +43,12 @@
 	return float64(hash>>11) / (1 << 53)
 }
 
-// minUniform keeps the logarithm of a uniform number finite.
+// minUniform is a lower bound that keeps the logarithm of a uniform number finite.
 const minUniform = 1e-18
 
 // weightedScore returns the score of a member in weighted rendezvous hashing. The
-// member with the lowest score is chosen; the chance of it is in proportion to the
-// member's weight.
+// member with the lowest score is chosen, so the probability of a member is
+// proportional to its weight.
 func weightedScore(hash uint64, weight float64) float64 {
 	if weight <= 0 {
 		return math.Inf(1)
--- a/placement/rendezvous_test.go
+++ b/placement/rendezvous_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// numberedNames returns count names that begin with prefix.
+// numberedNames returns count names with the given prefix and a number.
 func numberedNames(prefix string, count int) []string {
 	names := make([]string, count)
 	for index := range names {
@@ -15,8 +15,9 @@
 	return names
 }
 
-// TestOwnerMovesOnlyKeysOfRemovedMember removes one of five members. Keys are spread
-// evenly over the members, in whatever order these are given.
+// TestOwnerMovesOnlyKeysOfRemovedMember removes one of five members, and checks that only its
+// keys get another owner. It also checks that the owners do not depend on the order of the
+// members, and that the keys are spread evenly over them.
 func TestOwnerMovesOnlyKeysOfRemovedMember(t *testing.T) {
 	members := numberedNames("g", 5)
 	owned := map[string]int{}
@@ -25,7 +26,7 @@
 		owned[before]++
 		after := Owner(key, members[1:])
 		if before != "g0" && after != before {
-			t.Fatalf("%s moved from %s to %s", key, before, after)
+			t.Fatalf("key %s moved from %s to %s, but only g0 was removed", key, before, after)
 		}
 		reversed := slices.Clone(members)
 		slices.Reverse(reversed)
@@ -35,7 +36,7 @@
 	}
 	for member, count := range owned {
 		if count < 850 || count > 1150 {
-			t.Errorf("%s owns %d of 5000", member, count)
+			t.Errorf("member %s owns %d of 5000 keys, want about 1000", member, count)
 		}
 	}
 }
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -3,34 +3,36 @@
 import "math"
 
 const (
-	// BoundedLoad is the multiple of the mean load per slot up to which a replica is
-	// chosen for the prefixes that belong to it.
+	// BoundedLoad is the load per slot, as a multiple of the mean, up to which a replica
+	// may be chosen.
 	BoundedLoad = 1.5
-	// boundedLoadSlack is the number of requests added to the bound, so that it does
-	// not matter at low load.
+	// boundedLoadSlack is the number of requests added to the bound, so that it has no
+	// effect at low load.
 	boundedLoadSlack = 4
-	// interferenceWeight weighs the time that the prefill of a prefix takes from each
-	// request on the replica: once for the delay, once for what the prefix evicts.
+	// interferenceWeight is the cost of prefilling a prefix for each other request on
+	// the replica, as a multiple of the prefill time: once for the delay, once for the
+	// cache entries that the prefix evicts.
 	interferenceWeight = 2
 	// ownerCachedFraction is the fraction of the affinity link that the rendezvous
-	// owner is assumed to have cached, since all gateways send there.
+	// owner is assumed to have cached, since all gateways send the link there.
 	ownerCachedFraction = 0.9
-	// tieRatio is the difference that counts as a tie, as a fraction of the expected
-	// first token of the cheapest candidate. tieSeconds is added to it.
+	// Costs count as tied if they differ by at most tieRatio times the expected time to
+	// the first token on the cheapest candidate, plus tieSeconds.
 	tieRatio   = 0.05
 	tieSeconds = 0.004
-	// fullBatchSeconds is the delay on a replica with all slots busy, and in
-	// proportion below that: a larger batch decodes more slowly.
+	// fullBatchSeconds is the delay on a replica with all slots busy, because a larger
+	// batch decodes more slowly. The delay is proportional to the share of busy slots.
 	fullBatchSeconds = 0.02
 )
 
 // Candidate is one replica that may take the request.
 type Candidate struct {
-	// Number belongs to the caller.
+	// Number identifies the replica to the caller. This package does not use it.
 	Number int
 	// Hash is the hash of the replica's name.
 	Hash uint64
-	// PendingTokens is the number of tokens to prefill before the request's own.
+	// PendingTokens is the number of tokens that the replica prefills before those of
+	// the request.
 	PendingTokens float64
 	// PrefillRate is the number of tokens prefilled per second; 0 for replicas without
 	// prefill.
@@ -40,13 +42,14 @@
 	ActiveRequests float64
 	// Slots is the number of requests that run concurrently at full speed.
 	Slots float64
-	// ServiceTime is the time that a request occupies a slot, in seconds.
+	// ServiceTime is the time for which a request occupies a slot, in seconds.
 	ServiceTime float64
 	// Wait is the expected time until the replica admits the request, in seconds; 0 if
-	// it does so now.
+	// it admits the request immediately.
 	Wait float64
-	// Penalty is added to the candidate's cost, but not to its expected first token,
-	// in seconds. It keeps requests away from a replica that fails them.
+	// Penalty is added to the candidate's cost, but not to its expected time to the
+	// first token, in seconds. It makes a replica less preferred for reasons other than
+	// this time, such as failed requests.
 	Penalty float64
 	// CachedTokens is the number of tokens of the prompt that the replica is expected
 	// to have in its KV cache.
@@ -55,18 +58,19 @@
 	cost float64 // seconds, set by Choose
 }
 
-// Work is what the choice of a replica needs to know of a request.
+// Work describes a request for the choice of a replica.
 type Work struct {
 	// Tokens is the length of the prompt.
 	Tokens float64
-	// AffinityHash is the hash of the affinity link. Without prefixes it is any hash
-	// that spreads requests.
+	// AffinityHash is the hash of the affinity link. For a request without prefixes it
+	// is any hash that differs between requests.
 	AffinityHash uint64
-	// AffinityTokens is the number of tokens of the affinity link; 0 without prefixes.
+	// AffinityTokens is the number of tokens of the affinity link; 0 for a request
+	// without prefixes.
 	AffinityTokens float64
-	// UncachedPrefillWeight is the cost of the prefill of an affinity link that is not
-	// cached, on top of what it delays, as a multiple of the time that it takes. 0
-	// adds none.
+	// UncachedPrefillWeight is an additional cost of the uncached part of the affinity
+	// link, as a multiple of its prefill time. It does not depend on the other requests
+	// on the replica; 0 adds no cost.
 	UncachedPrefillWeight float64
 }
 
@@ -84,16 +88,17 @@
 	return expected
 }
 
-// Choose returns the position of the best candidate, -1 if there are no candidates,
-// and its expected time to the first token in seconds. It modifies the candidates.
+// Choose returns the position of the best candidate and its expected time to the first
+// token in seconds. The position is -1 if there are no candidates. It modifies the
+// candidates.
 //
-// The lowest cost wins: the request's own expected first token, and what the prefill
-// of a prefix that is not cached costs the other requests on the replica. On an idle
-// replica the cost is the first token alone; the more requests a replica has, the
-// less it attracts prefixes that it has not cached. Rendezvous hashing breaks ties,
-// so that gateways that do not know of each other's decisions choose the same replica
-// for a chain and spread different chains. A replica beyond the bounded load is not
-// chosen while another one is below it.
+// The candidate with the lowest cost is the best. The cost is the request's expected
+// time to the first token, plus the cost that the prefill of an uncached prefix causes
+// for the other requests on the replica, plus the penalty. So the more requests a
+// replica has, the less likely it is to get prefixes that it has not cached. Rendezvous
+// hashing breaks ties, so that gateways that do not know each other's choices still
+// choose the same replica for the same chain, and different replicas for different
+// chains. A replica above the bounded load is not chosen if another one is below it.
 func Choose(candidates []Candidate, work Work) (position int, expected float64) {
 	if len(candidates) == 0 {
 		return -1, 0
@@ -122,8 +127,8 @@
 	return cost
 }
 
-// assumeOwnerCached assumes that the rendezvous owner of the affinity link has most of
-// it in its cache.
+// assumeOwnerCached raises the cached tokens of the rendezvous owner of the affinity
+// link, which is assumed to have most of the link in its cache.
 func assumeOwnerCached(candidates []Candidate, work Work) {
 	if work.AffinityTokens <= 0 {
 		return
@@ -138,7 +143,7 @@
 	owner.CachedTokens = max(owner.CachedTokens, ownerCachedFraction*work.AffinityTokens)
 }
 
-// loadBound returns the bounded load of the candidates, in requests per slot.
+// loadBound returns the upper bound on the load of a candidate, in requests per slot.
 func loadBound(candidates []Candidate) float64 {
 	var active, slots float64
 	for index := range candidates {
@@ -148,8 +153,8 @@
 	return BoundedLoad * active / slots
 }
 
-// withinBound reports whether the candidate's load is within a bound in requests per
-// slot.
+// withinBound reports whether the candidate's load is within the bound, which is in
+// requests per slot, plus boundedLoadSlack.
 func (c *Candidate) withinBound(bound float64) bool {
 	return c.ActiveRequests <= bound*max(c.Slots, 1)+boundedLoadSlack
 }
--- a/placement/replica_test.go
+++ b/placement/replica_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestChoose compares replicas that have the prefix in their cache with others.
+// TestChoose checks the choice between replicas that have the prefix in their cache and others
+// that differ in load and speed.
 func TestChoose(t *testing.T) {
 	work := Work{Tokens: 5000, AffinityHash: 99, AffinityTokens: 4000}
 	hashes := []uint64{1, 2, 3, 4, 5}
@@ -17,7 +18,7 @@
 		change(&c)
 		return c
 	}
-	// The rendezvous owner is overloaded in all cases but its own.
+	// The rendezvous owner is overloaded in all cases except the one that chooses it.
 	owner := candidate(0, func(c *Candidate) { c.PendingTokens = 20000 })
 	cached := candidate(1, func(c *Candidate) { c.CachedTokens = 4000; c.ActiveRequests = 3; c.PendingTokens = 1000 })
 	overloaded := candidate(1, func(c *Candidate) { c.CachedTokens = 4000; c.ActiveRequests = 3; c.PendingTokens = 9000 })
@@ -34,11 +35,11 @@
 		{"no candidates", nil, -1},
 		{"the cached prefix saves more than the queue costs", []Candidate{owner, idle, cached}, 2},
 		{"the queue costs more than the cached prefix saves", []Candidate{owner, overloaded, idle}, 2},
-		{"unless the prefill elsewhere delays other requests", []Candidate{owner, overloaded, busy}, 1},
-		{"the replica with the prefix is beyond the bounded load", []Candidate{full, idle, slow, slow, slow}, 1},
-		{"not cached anywhere: the owner", []Candidate{idle, ready, slow}, 1},
-		{"a slow replica", []Candidate{owner, slow, idle}, 2},
-		{"only an overloaded one", []Candidate{overloaded}, 0},
+		{"the queue costs more, but the prefill elsewhere delays other requests", []Candidate{owner, overloaded, busy}, 1},
+		{"the replica with the cached prefix is above the bounded load", []Candidate{full, idle, slow, slow, slow}, 1},
+		{"the prefix is not cached anywhere, so the owner is chosen", []Candidate{idle, ready, slow}, 1},
+		{"one replica is slow", []Candidate{owner, slow, idle}, 2},
+		{"the only replica is overloaded", []Candidate{overloaded}, 0},
 	}
 	for _, c := range cases {
 		if got, _ := Choose(c.candidates, work); got != c.want {
@@ -47,9 +48,9 @@
 	}
 }
 
-// TestGatewaysAgreeOnNewChains gives two gateways with empty indexes slightly
-// different loads: they choose the same replica for a new chain, and spread the chains
-// over all replicas.
+// TestGatewaysAgreeOnNewChains gives two gateways with empty indexes slightly different
+// loads, and checks that they mostly choose the same replica for a new chain and spread the
+// chains over all replicas.
 func TestGatewaysAgreeOnNewChains(t *testing.T) {
 	used := map[int]int{}
 	agreed := 0
@@ -71,11 +72,11 @@
 		}
 	}
 	if agreed < 390 {
-		t.Errorf("agreed on %d of 400 new chains", agreed)
+		t.Errorf("the gateways agreed on %d of 400 new chains, want at least 390", agreed)
 	}
 	for index := range 5 {
 		if used[index] < 50 || used[index] > 110 {
-			t.Errorf("replica %d got %d of 400 chains", index, used[index])
+			t.Errorf("replica %d got %d of 400 chains, want about 80", index, used[index])
 		}
 	}
 }
--- a/placement/spill_gate.go
+++ b/placement/spill_gate.go
@@ -1,11 +1,12 @@
 package placement
 
 const (
-	// gateLevelMargin is how far the load of a region must be below the level before
-	// the region accepts spill.
+	// gateLevelMargin is how far the load of a region must be below the target level
+	// before the region accepts spill.
 	gateLevelMargin = 0.15
-	// gateLoadMargin is how far it must be below the sender's load as well, so that
-	// two loaded regions do not send load back and forth.
+	// gateLoadMargin is how far the load of a region must be below the sender's load
+	// before it accepts spill, so that two loaded regions do not send load back and
+	// forth.
 	gateLoadMargin = 0.1
 )
 
@@ -15,12 +16,12 @@
 	open bool
 }
 
-// Update takes the remote load, the local load and the level at which loads are
-// kept: the set point of utilization or, once all regions together are beyond it,
-// their common load. It reports whether the remote region accepts spill. The gate
-// opens when the remote load is clearly below the level and the local load, and
-// closes when it has reached either. So a region at or above the common load
-// accepts no spill, and of two regions at most the one with the lower load does.
+// Update reports whether the remote region accepts spill from the local one. level is
+// the target load of the regions: the set point of utilization or, if all regions
+// together are above it, their common load. The gate opens when the remote load is
+// below both the level and the local load by a margin, and closes when the remote load
+// has reached either. So a region at or above the common load accepts no spill, and of
+// two regions only the one with the lower load can accept spill from the other.
 func (g *SpillGate) Update(remote, local, level float64) bool {
 	if g.open {
 		g.open = remote < level && remote < local
