--- a/slowstart/example_test.go
+++ b/slowstart/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/deckpulley/deckpulley/slowstart"
 )
 
-// The limit of a replica that is warming up rises by one after as many successes
-// as the limit.
+// The limit of a replica that is warming up increases by one after as many successes
+// as the current limit.
 func Example() {
 	limiter := slowstart.New(slowstart.Additive, 1, 8)
 	for range 3 {
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed of the property tests; -rapid.seed overrules it.
+// init sets a fixed seed for the property tests; the flag -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// TestLimiterProperties records random results: the limit stays within its
-// bounds, grows only after as many successes as its value, and never grows on a
-// failure.
+// TestLimiterProperties records random results, and checks that the limit stays
+// within its bounds, increases only after as many successes as its value, and never
+// increases on a failure.
 func TestLimiterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		growth := rapid.SampledFrom([]Growth{Additive, Doubling}).Draw(t, "growth")
@@ -34,7 +34,7 @@
 			}
 			after := limiter.Limit()
 			if after < 1 || after > maximum {
-				t.Fatalf("limit %d outside 1..%d", after, maximum)
+				t.Fatalf("limit %d is not between 1 and the maximum of %d", after, maximum)
 			}
 			if after > before {
 				largest := before + 1
@@ -42,17 +42,18 @@
 					largest = 2 * before
 				}
 				if !success || successes < before || after > largest {
-					t.Fatalf("limit grew from %d to %d after %d successes", before, after, successes)
+					t.Fatalf("limit increased from %d to %d after %d successes", before, after, successes)
 				}
 				successes = 0
 			}
 			if !success && after > before {
-				t.Fatalf("limit grew on a failure")
+				t.Fatalf("limit increased on a failure")
 			}
 		}
 	})
 }
 
+// TestLimiterReachesMaximum checks the number of successes from the limit 1 to the maximum 8.
 func TestLimiterReachesMaximum(t *testing.T) {
 	for growth, want := range map[Growth]int{Additive: 28, Doubling: 7} {
 		limiter := New(growth, 1, 8)
@@ -62,7 +63,7 @@
 			count++
 		}
 		if count != want {
-			t.Errorf("growth %d: %d successes to 8, want %d", growth, count, want)
+			t.Errorf("growth %d: %d successes to reach a limit of 8, want %d", growth, count, want)
 		}
 	}
 }
