--- a/feedback/example_test.go
+++ b/feedback/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/feedback"
 )
 
-// The fraction of the work that spills to other regions converges to where the
-// load is at its set point.
+// The controller adjusts the fraction of the work that is spilled to other regions
+// until the load of the region is at its set point.
 func Example() {
 	controller := feedback.New(feedback.Config{
 		Name: "utilization", SetPoint: 0.8, Proportional: 0.25, Integral: 0.35, Reverse: true, Maximum: 0.9,
--- a/feedback/feedback.go
+++ b/feedback/feedback.go
@@ -1,8 +1,8 @@
-// Package feedback provides a proportional-integral (PI) controller that keeps a
-// measured value near a set point. It is pure: the caller passes the time and
-// the measurement and applies the output. The output is clamped, and the
-// integral does not grow further into a clamp (anti-windup), so that a long
-// saturation causes no overshoot afterwards.
+// Package feedback provides a proportional-integral (PI) controller that holds a
+// measured value near a set point. It reads no clock and has no side effects: the
+// caller passes the time and the measurement, and applies the output. The output is
+// clamped, and while it is clamped the integral does not grow further in that
+// direction (anti-windup), so that a long saturation causes no overshoot afterwards.
 package feedback
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// maxStep bounds the time over which one update integrates, so that a pause of
-// the process does not act as one large correction.
+// maxStep is the longest time over which one update integrates, so that a pause of
+// the process does not cause one large correction.
 const maxStep = time.Second
 
 // Config describes one controller.
 type Config struct {
-	// Name identifies the set point in metrics and to operators.
+	// Name identifies the controller in metrics and to operators.
 	Name string
 	// SetPoint is the desired value, in the unit of the measurement.
 	SetPoint float64
@@ -25,10 +25,10 @@
 	// Integral is the gain of the integral term: output per unit of error and
 	// second.
 	Integral float64
-	// Reverse is set when a higher output lowers the measurement: the output
-	// then rises while the measurement is above the set point.
+	// Reverse is set if a higher output lowers the measurement. The output then
+	// increases while the measurement is above the set point.
 	Reverse bool
-	// Minimum and Maximum clamp the output.
+	// Minimum and Maximum are the limits to which the output is clamped.
 	Minimum, Maximum float64
 	// Initial is the output before the first measurement.
 	Initial float64
@@ -37,8 +37,8 @@
 	Smoothing time.Duration
 }
 
-// Controller is one control loop. Its zero value is not usable; use New. It is
-// not safe for concurrent use.
+// Controller is the controller of one control loop. Use New to create one; the zero
+// value is not usable. It is not safe for concurrent use.
 type Controller struct {
 	config   Config
 	integral float64
@@ -57,14 +57,13 @@
 	Output   float64
 }
 
-// New returns a controller at its initial output.
+// New returns a controller with the initial output of config.
 func New(config Config) *Controller {
 	initial := clamp(config.Initial, config.Minimum, config.Maximum)
 	return &Controller{config: config, integral: initial, output: initial, measured: math.NaN()}
 }
 
-// SetSetPoint changes the set point. The output continues from its present
-// value.
+// SetSetPoint changes the set point. The output changes only with the next update.
 func (c *Controller) SetSetPoint(value float64) {
 	c.config.SetPoint = value
 }
@@ -74,9 +73,9 @@
 	return c.output
 }
 
-// Update takes a measurement and returns the new output. The first update only
-// initializes the time and the filter, and one that is not later than the one
-// before it changes nothing.
+// Update processes a measurement and returns the new output. The first call only
+// initializes the time and the filter. A call whose time is not later than that of the
+// previous one changes nothing.
 func (c *Controller) Update(now time.Time, measurement float64) float64 {
 	if c.updated.IsZero() {
 		c.updated = now
@@ -113,8 +112,9 @@
 	c.measured += weight * (measurement - c.measured)
 }
 
-// correct computes the output from the measured value and integrates the error
-// over step, unless that would drive a clamped output further into its clamp.
+// correct integrates the error over step and computes the output from the measured
+// value. If the output is clamped and the error would move it further beyond the limit,
+// the integral stays unchanged.
 func (c *Controller) correct(step time.Duration) {
 	deviation := c.config.SetPoint - c.measured
 	if c.config.Reverse {
--- a/feedback/feedback_test.go
+++ b/feedback/feedback_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// spillConfig returns the gains of the spill controller, the only one in use.
+// spillConfig returns the configuration of the spill controller, the only controller in
+// use.
 func spillConfig() Config {
 	return Config{
 		Name: "utilization", SetPoint: 0.8, Proportional: 0.25, Integral: 0.35,
@@ -14,8 +15,8 @@
 	}
 }
 
-// simulatedRegion is the controlled process: a region whose load follows the
-// work sent to it with a first-order lag.
+// simulatedRegion is the controlled system: a region whose load follows the work that
+// is sent to it with a first-order lag.
 type simulatedRegion struct {
 	load float64
 }
@@ -26,8 +27,8 @@
 	return r.load
 }
 
-// TestStepResponse triples the offered load and restores it: the controller must
-// converge to the set point, and its output must return to zero.
+// TestStepResponse triples the offered load and later restores it. The load must
+// converge to the set point, and the output must then return to about zero.
 func TestStepResponse(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for _, lag := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second} {
@@ -46,23 +47,23 @@
 		}
 		run(0.5, 5)
 		if controller.Output() != 0 {
-			t.Fatalf("lag %v: spills %v below the set point", lag, controller.Output())
+			t.Fatalf("lag %v: output %v below the set point, want 0", lag, controller.Output())
 		}
 		peak, _ := run(1.5, 8)
 		steadyHigh, steadyLow := run(1.5, 20)
 		t.Logf("lag %v: peak %.2f, after 8 s between %.3f and %.3f", lag, peak, steadyLow, steadyHigh)
 		if steadyHigh > 0.8*1.1 || steadyLow < 0.8*0.9 {
-			t.Errorf("lag %v: load between %.2f and %.2f 8 s after the step, want 0.8 within a tenth", lag, steadyLow, steadyHigh)
+			t.Errorf("lag %v: load between %.2f and %.2f more than 8 s after the step, want 0.8 within a tenth", lag, steadyLow, steadyHigh)
 		}
 		run(0.5, 8)
 		if controller.Output() > 0.02 {
-			t.Errorf("lag %v: still spilling %.2f 8 s after the load fell", lag, controller.Output())
+			t.Errorf("lag %v: output still %.2f 8 s after the load fell", lag, controller.Output())
 		}
 	}
 }
 
-// TestNoWindup saturates the output for a long time: it must leave
-// its clamp within the time that the gains alone need.
+// TestNoWindup saturates the output for a minute. The output must then return within
+// the time that the gains alone need, without a delay by the integral.
 func TestNoWindup(t *testing.T) {
 	controller := New(spillConfig())
 	now := time.Unix(0, 0)
@@ -71,7 +72,7 @@
 		controller.Update(now, 100)
 	}
 	if controller.Output() != 0.9 {
-		t.Fatalf("output %v, want it clamped at 0.9", controller.Output())
+		t.Fatalf("output %v, want it clamped to 0.9", controller.Output())
 	}
 	steps := 0
 	for controller.Output() > 0.1 && steps < 200 {
@@ -80,10 +81,10 @@
 		controller.Update(now, 0.3)
 	}
 	if steps > 80 {
-		t.Fatalf("took %d steps of 100 ms to return below 0.1", steps)
+		t.Fatalf("the output took %d steps of 100 ms to fall to 0.1, want at most 80", steps)
 	}
 	status := controller.Status()
 	if status.SetPoint != 0.8 || math.Abs(status.Measured-0.3) > 0.05 {
-		t.Fatalf("status %+v", status)
+		t.Fatalf("status %+v, want the set point 0.8 and a measurement of about 0.3", status)
 	}
 }
