--- a/outlier/example_test.go
+++ b/outlier/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/deckpulley/deckpulley/outlier"
 )
 
-// A replica that fails repeatedly is ejected for a while; a fraction of the group
-// never is.
+// A replica that fails repeatedly is ejected for a while. A fraction of the group
+// always stays in service.
 func Example() {
 	now := time.Unix(0, 0)
 	config := outlier.DefaultConfig()
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,6 +1,6 @@
-// Package outlier ejects replicas that perform clearly worse than the others of
-// their group, for a bounded time, and never more than a given fraction of the
-// group. It is pure: time is an input.
+// Package outlier detects replicas that perform clearly worse than the others of
+// their group, and ejects them for a bounded time. It never ejects more than a given
+// fraction of the group. It reads no clock: time is an input.
 package outlier
 
 import (
@@ -9,32 +9,34 @@
 	"time"
 )
 
-// Config holds the constants of ejection.
+// Config holds the parameters of ejection.
 type Config struct {
 	// ConsecutiveFailures is the number of failures in a row that eject a replica.
 	ConsecutiveFailures int
 	// ErrorRate is the smoothed fraction of failed requests, 0 to 1, that ejects a
-	// replica once it has MinimumRequests.
+	// replica once it has had MinimumRequests requests.
 	ErrorRate float64
-	// MinimumRequests is the number of requests from which ErrorRate applies, and
-	// the number of latency samples from which SlowLatencyRatio applies.
+	// MinimumRequests is the number of requests of a replica from which ErrorRate
+	// applies, and the number of its latency samples from which SlowLatencyRatio
+	// applies. Both are counted since its last ejection.
 	MinimumRequests float64
 	// SlowLatencyRatio ejects a replica whose smoothed latency is more than this
 	// many times the median of the group.
 	SlowLatencyRatio float64
-	// MinSlowLatency is the latency below which no replica counts as slow.
+	// MinSlowLatency is the smoothed latency below which no replica counts as slow.
 	MinSlowLatency time.Duration
-	// MaxEjectionFraction is the fraction of the group that may be ejected at a
-	// time; the number of replicas is rounded down.
+	// MaxEjectionFraction is the fraction of the group that may be ejected at the same
+	// time. The resulting number of replicas is rounded down.
 	MaxEjectionFraction float64
-	// BaseEjectionTime is the duration of a first ejection. It doubles with each
-	// ejection that follows within MaxEjectionTime of the end of the one before.
+	// BaseEjectionTime is the duration of the first ejection of a replica. The duration
+	// doubles with each ejection that follows within MaxEjectionTime after the end of
+	// the previous one.
 	BaseEjectionTime time.Duration
-	// MaxEjectionTime bounds the duration of an ejection.
+	// MaxEjectionTime is the maximum duration of an ejection.
 	MaxEjectionTime time.Duration
 }
 
-// DefaultConfig returns the documented constants.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		ConsecutiveFailures: 5,
@@ -51,28 +53,27 @@
 // smoothing is the weight of one request in the exponential moving averages.
 const smoothing = 0.1
 
-// FailureHalfLife is the time in which a replica's failure ratio halves while it
-// gets no attempts.
+// FailureHalfLife is the time in which the failure ratio of a replica without attempts
+// falls to one half.
 const FailureHalfLife = 5 * time.Second
 
 const (
-	// minFailureRatio is the failure ratio below which a replica counts as not
-	// failing.
+	// minFailureRatio is the smoothed failure ratio below which FailureRatio returns 0.
 	minFailureRatio = 0.01
 	// failureMemory is the time after which any failure ratio has decayed below
 	// minFailureRatio.
 	failureMemory = 7 * FailureHalfLife
-	// medianLifetime is how long a computed median is used.
+	// medianLifetime is the time after which the median is computed again.
 	medianLifetime = 200 * time.Millisecond
-	// minMedianMembers is the number of members from which there is a median: of
-	// two one cannot tell which is the outlier.
+	// minMedianMembers is the number of members with enough samples that a median
+	// requires: with two members it is not clear which one is the outlier.
 	minMedianMembers = 3
-	// maxDoublings bounds the doublings of the ejection time, so that the shift
-	// does not overflow.
+	// maxDoublings limits the doublings of the ejection time, so that the shift does not
+	// overflow.
 	maxDoublings = 16
 )
 
-// member is what is known of one replica.
+// member holds the measurements and the ejection state of one replica.
 type member struct {
 	consecutiveFailures int
 	errorRate           float64 // fraction of the requests that failed, smoothed
@@ -82,7 +83,7 @@
 	latency             float64 // seconds, smoothed
 	latencySamples      float64
 	ejectedUntil        time.Time
-	ejections           int // in close succession
+	ejections           int // ejections so far, reset after a long time without one
 }
 
 // Group detects outliers among the replicas of one service in one region. It is
@@ -91,7 +92,7 @@
 	config      Config
 	members     map[string]*member
 	lastFailure time.Time // of any member, including rejections
-	median      float64   // of the members' latency, seconds; 0 is unknown
+	median      float64   // of the members' latencies, in seconds; 0 if there is none
 	medianAt    time.Time
 }
 
@@ -100,8 +101,8 @@
 	return &Group{config: config, members: make(map[string]*member)}
 }
 
-// SetMembers makes the named replicas the members of the group. What is known of
-// other replicas is dropped.
+// SetMembers replaces the members of the group by the named replicas. Those that were
+// members before retain their state; the state of other replicas is dropped.
 func (g *Group) SetMembers(names []string) {
 	members := make(map[string]*member, len(names))
 	for _, name := range names {
@@ -113,7 +114,7 @@
 	g.members = members
 }
 
-// Forget drops what is known of a replica, for instance when it was restarted.
+// Forget resets the state of a replica, for example after a restart.
 func (g *Group) Forget(name string) {
 	if _, ok := g.members[name]; ok {
 		g.members[name] = &member{}
@@ -132,8 +133,8 @@
 	m.errorRate -= smoothing * m.errorRate
 }
 
-// RecordLatency records the time to the first token of a request. It reports
-// whether that ejected the replica.
+// RecordLatency records the time to the first token of a request. It reports whether
+// the replica was ejected as a result.
 func (g *Group) RecordLatency(now time.Time, name string, latency time.Duration) bool {
 	m := g.members[name]
 	if m == nil {
@@ -150,8 +151,8 @@
 	return g.eject(now, m)
 }
 
-// RecordFailure records a failed request. It reports whether that ejected the
-// replica.
+// RecordFailure records a failed request. It reports whether the replica was ejected
+// as a result.
 func (g *Group) RecordFailure(now time.Time, name string) bool {
 	m := g.members[name]
 	if m == nil {
@@ -170,8 +171,8 @@
 	return g.eject(now, m)
 }
 
-// RecordRejection records an attempt that the replica itself rejected. It never
-// ejects the replica.
+// RecordRejection records an attempt that the replica rejected. It raises the failure
+// ratio, but never ejects the replica.
 func (g *Group) RecordRejection(now time.Time, name string) {
 	if m := g.members[name]; m != nil {
 		g.lastFailure = now
@@ -179,9 +180,9 @@
 	}
 }
 
-// FailureRatio returns the fraction of the recent attempts on a replica that
-// failed or were rejected, 0 to 1. It halves with every FailureHalfLife without
-// an attempt, so that a replica that is avoided because of it is tried again.
+// FailureRatio returns the smoothed fraction of recent attempts on a replica that failed
+// or were rejected, 0 to 1. It halves with every FailureHalfLife without an attempt, so
+// that a replica that is avoided because of its failure ratio is tried again.
 func (g *Group) FailureRatio(now time.Time, name string) float64 {
 	if now.Sub(g.lastFailure) > failureMemory {
 		return 0
@@ -199,8 +200,8 @@
 	m.lastAttempt = now
 }
 
-// EjectedUntil returns the end of the replica's last ejection. The zero time or
-// one in the past means that the replica is not ejected.
+// EjectedUntil returns the end of the replica's last ejection. If that is the zero time
+// or in the past, the replica is not ejected.
 func (g *Group) EjectedUntil(name string) time.Time {
 	if m := g.members[name]; m != nil {
 		return m.ejectedUntil
@@ -208,7 +209,7 @@
 	return time.Time{}
 }
 
-// Ejected returns the number of replicas that are ejected at now.
+// Ejected returns the number of replicas that are ejected at the time now.
 func (g *Group) Ejected(now time.Time) int {
 	count := 0
 	for _, m := range g.members {
@@ -219,14 +220,14 @@
 	return count
 }
 
-// MaxEjected returns the largest number of replicas that may be ejected at a time.
+// MaxEjected returns the maximum number of replicas that may be ejected at the same time.
 func (g *Group) MaxEjected() int {
 	return int(g.config.MaxEjectionFraction * float64(len(g.members)))
 }
 
-// eject ejects a member unless it is ejected already or the group allows no more
-// ejections, and reports whether it did. The member's averages start over, so
-// that a returning replica is judged by what it does from then on.
+// eject ejects a member unless it is already ejected or MaxEjected is reached, and
+// reports whether it did. It resets the member's counters and averages, so that only
+// requests after the ejection count for the next one.
 func (g *Group) eject(now time.Time, m *member) bool {
 	if m.ejectedUntil.After(now) || g.Ejected(now) >= g.MaxEjected() {
 		return false
@@ -242,7 +243,8 @@
 	return true
 }
 
-// isSlow reports whether a member is slow compared with the median of the group.
+// isSlow reports whether a member has enough latency samples and is slow compared with
+// the median of the group.
 func (g *Group) isSlow(now time.Time, m *member) bool {
 	if m.latencySamples < g.config.MinimumRequests || m.latency < g.config.MinSlowLatency.Seconds() {
 		return false
@@ -253,8 +255,8 @@
 	return g.median > 0 && m.latency > g.config.SlowLatencyRatio*g.median
 }
 
-// medianLatency returns the median latency of the members with enough samples, in
-// seconds; 0 if there are fewer than minMedianMembers of them.
+// medianLatency returns the median latency, in seconds, of the members with at least
+// MinimumRequests samples, or 0 if there are fewer than minMedianMembers of them.
 func (g *Group) medianLatency() float64 {
 	latencies := make([]float64, 0, len(g.members))
 	for _, m := range g.members {
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed of the property tests; -rapid.seed overrules it.
+// init sets a fixed seed for the property tests; the flag -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// TestEjectionsNeverExceedMaxFraction lets random replicas fail or be slow, all of
-// them at times: the ejected fraction of the group stays within its bound.
+// TestEjectionsNeverExceedMaxFraction lets random replicas fail or be slow, in some runs
+// all of them, and checks that the ejected fraction of the group stays within its bound.
 func TestEjectionsNeverExceedMaxFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 12).Draw(t, "size")
@@ -38,49 +38,50 @@
 				group.RecordSuccess(now, name)
 			}
 			if ejected := group.Ejected(now); ejected > int(0.4*float64(size)) {
-				t.Fatalf("%d of %d ejected", ejected, size)
+				t.Fatalf("%d of %d replicas are ejected, want at most 0.4 of them", ejected, size)
 			}
 		}
 	})
 }
 
-// TestEjection checks each cause of an ejection, its end and the doubling of its
-// duration, on one group.
+// TestEjection checks each cause of an ejection, its end, and the doubling of its
+// duration.
 func TestEjection(t *testing.T) {
 	group := NewGroup(DefaultConfig())
 	group.SetMembers([]string{"a", "b", "c", "d", "e"})
 	now := time.Unix(0, 0)
 	if first := ejectByConsecutiveFailures(t, group, now); first != 2*time.Second {
-		t.Fatalf("first ejection of %v", first)
+		t.Fatalf("first ejection lasts %v, want 2s", first)
 	}
 	now = now.Add(3 * time.Second)
 	if group.Ejected(now) != 0 {
-		t.Fatal("still ejected after its ejection time")
+		t.Fatal("the replica is still ejected after its ejection time")
 	}
 	if second := ejectByConsecutiveFailures(t, group, now); second != 4*time.Second {
-		t.Fatalf("second ejection of %v", second)
+		t.Fatalf("second ejection lasts %v, want 4s", second)
 	}
 	now = ejectByLatency(t, group, now)
 	if ratio := group.FailureRatio(now, "a"); ratio > 0.5 {
-		t.Fatalf("failure ratio %v long after the last failure", ratio)
+		t.Fatalf("failure ratio %v long after the last failure, want at most 0.5", ratio)
 	}
 	recordRejections(t, group, now)
 	ejectByErrorRate(t, group, now)
 }
 
-// ejectByConsecutiveFailures ejects replica a and returns for how long.
+// ejectByConsecutiveFailures lets replica a fail until it is ejected, and returns the
+// duration of the ejection.
 func ejectByConsecutiveFailures(t *testing.T, group *Group, now time.Time) time.Duration {
 	t.Helper()
 	for count := range 5 {
 		if group.RecordFailure(now, "a") != (count == 4) {
-			t.Fatalf("failure %d", count+1)
+			t.Fatalf("wrong result of RecordFailure for failure %d; only the fifth one ejects", count+1)
 		}
 	}
 	return group.EjectedUntil("a").Sub(now)
 }
 
-// ejectByLatency makes replica e fifteen times as slow as the others and returns
-// the time after that.
+// ejectByLatency makes replica e fifteen times as slow as the others, checks that it is
+// ejected, and returns the time after that.
 func ejectByLatency(t *testing.T, group *Group, now time.Time) time.Time {
 	t.Helper()
 	ejected := false
@@ -97,8 +98,8 @@
 	return now
 }
 
-// recordRejections lets replica c reject attempts: that raises its failure ratio,
-// which decays with its half-life, but does not eject it.
+// recordRejections lets replica c reject attempts. It checks that this raises the
+// failure ratio, which then decays with its half-life, and does not eject the replica.
 func recordRejections(t *testing.T, group *Group, now time.Time) {
 	t.Helper()
 	for range 20 {
@@ -110,8 +111,8 @@
 	}
 }
 
-// ejectByErrorRate lets two of three requests on replica b fail. First tokens
-// arrive in time, and there are never many failures in a row.
+// ejectByErrorRate lets two of three requests on replica b fail, and checks that it is
+// ejected although its latency is normal and there are at most two failures in a row.
 func ejectByErrorRate(t *testing.T, group *Group, now time.Time) {
 	t.Helper()
 	ejected := false
