--- a/failuredetector/example_test.go
+++ b/failuredetector/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/failuredetector"
 )
 
-// The longer the last heartbeat lies back, the stronger the suspicion.
+// The suspicion increases with the time since the last heartbeat.
 func Example() {
 	now := time.Unix(0, 0)
 	detector := failuredetector.New(failuredetector.DefaultConfig(), now)
--- a/failuredetector/failuredetector.go
+++ b/failuredetector/failuredetector.go
@@ -1,12 +1,13 @@
-// Package failuredetector decides from the time since the last heartbeat whether a
-// monitored process is alive, after "The phi Accrual Failure Detector"
-// (Hayashibara et al., 2004), and damps values that change slowly by hysteresis.
-// It is pure: time is an input.
+// Package failuredetector decides whether a monitored process is alive from the time
+// since its last heartbeat, as described in "The phi Accrual Failure Detector"
+// (Hayashibara et al., 2004). It also provides hysteresis for observed values that
+// change from time to time. It reads no clock: time is an input.
 //
-// The model takes the intervals between heartbeats as normally distributed. The
-// suspicion level phi after an elapsed time t is -log10 of the probability that
-// the next heartbeat of a living process takes longer than t, so phi 3 is wrong
-// once in a thousand intervals and phi 8 once in a hundred million.
+// The model assumes that the intervals between heartbeats are normally distributed.
+// The suspicion level phi after an elapsed time t is -log10 of the probability that
+// the next heartbeat of a process that is alive takes longer than t. So a threshold of
+// 3 causes a false suspicion once in a thousand intervals, and a threshold of 8 once in
+// a hundred million.
 package failuredetector
 
 import (
@@ -14,18 +15,18 @@
 	"time"
 )
 
-// maxIntervals bounds one sample, in expected intervals, so that a single long
-// gap does not delay the detection of the next failure for a whole window.
+// maxIntervals is the maximum length of one sample, in expected intervals, so that a
+// single long gap does not delay the detection of failures until it has left the window.
 const maxIntervals = 4
 
-// Config holds the constants of the model.
+// Config holds the parameters of the model.
 type Config struct {
-	// ExpectedInterval is the expected time between heartbeats. The mean is never
-	// taken below it, so that a burst of heartbeats does not shorten the detection.
+	// ExpectedInterval is the expected time between heartbeats. It is also the lower
+	// bound on the mean, so that frequent heartbeats do not cause an early suspicion.
 	ExpectedInterval time.Duration
-	// MinStdDeviation is a lower bound on the standard deviation.
+	// MinStdDeviation is the lower bound on the standard deviation.
 	MinStdDeviation time.Duration
-	// Window is the number of intervals that the model is computed from.
+	// Window is the number of most recent intervals that the model is computed from.
 	Window int
 	// SuspectThreshold is the phi from which the process is Suspected.
 	SuspectThreshold float64
@@ -33,9 +34,9 @@
 	DeadThreshold float64
 }
 
-// DefaultConfig returns constants for heartbeats every 500 ms: after a series of
-// regular ones a process is suspected about 1.3 s after the last heartbeat and
-// dead after about 1.9 s.
+// DefaultConfig returns parameters for heartbeats every 500 ms. After regular
+// heartbeats, a process is suspected about 1.3 s after the last one, and dead after
+// about 1.9 s.
 func DefaultConfig() Config {
 	return Config{
 		ExpectedInterval: 500 * time.Millisecond,
@@ -46,7 +47,7 @@
 	}
 }
 
-// State is what the detector takes a process for at one moment.
+// State is the state in which the detector considers a process to be.
 type State uint8
 
 const (
@@ -54,26 +55,26 @@
 	Alive State = iota
 	// Suspected means that no new work should be placed on the process.
 	Suspected
-	// Dead means that the process is taken as failed until its next heartbeat.
+	// Dead means that the process is considered failed until its next heartbeat.
 	Dead
 )
 
 // Detector monitors one process. It is not safe for concurrent use.
 type Detector struct {
 	config        Config
-	intervals     []float64 // seconds; a ring buffer once it has config.Window
+	intervals     []float64 // in seconds; a ring buffer once it has config.Window elements
 	oldest        int       // index of the oldest interval in the ring buffer
 	lastHeartbeat time.Time
 }
 
-// New returns a detector that takes now as the first heartbeat.
+// New returns a detector with now as the time of the first heartbeat.
 func New(config Config, now time.Time) *Detector {
 	return &Detector{config: config, lastHeartbeat: now}
 }
 
-// Heartbeat records a heartbeat. One that follows within half of the expected
-// interval is an extra one: it counts as the last heartbeat, but its interval is
-// not a sample. One that is earlier than the last is ignored.
+// Heartbeat records a heartbeat. If it follows the previous one within half of the
+// expected interval, it becomes the last heartbeat, but its interval is not used as a
+// sample. A heartbeat with an earlier time than the previous one is ignored.
 func (d *Detector) Heartbeat(now time.Time) {
 	elapsed := now.Sub(d.lastHeartbeat)
 	if elapsed < 0 {
@@ -97,7 +98,7 @@
 	return d.lastHeartbeat
 }
 
-// Phi returns the suspicion level at now.
+// Phi returns the suspicion level at the time now.
 func (d *Detector) Phi(now time.Time) float64 {
 	mean, deviation := d.model()
 	elapsed := now.Sub(d.lastHeartbeat).Seconds()
@@ -105,7 +106,7 @@
 	return -math.Log10(max(tail, math.SmallestNonzeroFloat64))
 }
 
-// State returns the state at now.
+// State returns the state of the process at the time now.
 func (d *Detector) State(now time.Time) State {
 	phi := d.Phi(now)
 	switch {
@@ -127,8 +128,8 @@
 	return d.lastHeartbeat.Add(time.Duration(elapsed * float64(time.Second)))
 }
 
-// model returns the mean and the standard deviation of the intervals, in seconds,
-// with their lower bounds.
+// model returns the mean and the standard deviation of the intervals, in seconds. Both
+// are raised to their lower bounds.
 func (d *Detector) model() (mean, deviation float64) {
 	minMean := d.config.ExpectedInterval.Seconds()
 	minDeviation := d.config.MinStdDeviation.Seconds()
--- a/failuredetector/failuredetector_test.go
+++ b/failuredetector/failuredetector_test.go
@@ -9,13 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed of the property tests; -rapid.seed overrules it.
+// init sets a fixed seed for the property tests; the flag -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
+// TestSuspicionGrowsWithoutHeartbeats checks the times at which a process becomes suspected
+// and dead, and that the next heartbeat makes it alive.
 func TestSuspicionGrowsWithoutHeartbeats(t *testing.T) {
 	now := time.Unix(0, 0)
 	detector := New(DefaultConfig(), now)
@@ -24,27 +26,27 @@
 		detector.Heartbeat(now)
 	}
 	if got := detector.State(now.Add(900 * time.Millisecond)); got != Alive {
-		t.Fatalf("after 0.9 s: %v", got)
+		t.Fatalf("state %v 0.9 s after the last heartbeat, want Alive", got)
 	}
 	suspected := detector.SuspectedAt()
 	if detector.State(suspected.Add(-time.Millisecond)) != Alive || detector.State(suspected.Add(time.Millisecond)) != Suspected {
-		t.Fatal("SuspectedAt is not where the state changes")
+		t.Fatal("the state does not change from Alive to Suspected at SuspectedAt")
 	}
 	if elapsed := suspected.Sub(now); elapsed > 1500*time.Millisecond {
-		t.Fatalf("suspected only after %v", elapsed)
+		t.Fatalf("suspected %v after the last heartbeat, want at most 1.5s", elapsed)
 	}
 	if got := detector.State(now.Add(2 * time.Second)); got != Dead {
-		t.Fatalf("after 2 s: %v", got)
+		t.Fatalf("state %v 2 s after the last heartbeat, want Dead", got)
 	}
 	detector.Heartbeat(now.Add(2 * time.Second))
 	if got := detector.State(now.Add(2100 * time.Millisecond)); got != Alive {
-		t.Fatalf("after another heartbeat: %v", got)
+		t.Fatalf("state %v after another heartbeat, want Alive", got)
 	}
 }
 
-// TestPhiProperties checks that phi never falls without a heartbeat, that extra
-// heartbeats do not cause an early suspicion, and that a long gap does not delay
-// a later one without bound.
+// TestPhiProperties records heartbeats at random intervals. It checks that phi never
+// decreases without a heartbeat, that frequent heartbeats do not cause an early
+// suspicion, and that long gaps do not delay a later suspicion beyond a bound.
 func TestPhiProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -58,17 +60,19 @@
 		for tenth := range 300 {
 			phi := detector.Phi(now.Add(time.Duration(tenth) * 100 * time.Millisecond))
 			if phi < before {
-				t.Fatalf("phi fell from %v to %v", before, phi)
+				t.Fatalf("phi decreased from %v to %v without a heartbeat", before, phi)
 			}
 			before = phi
 		}
 		elapsed := detector.SuspectedAt().Sub(now)
 		if elapsed < time.Second || elapsed > 6*time.Second {
-			t.Fatalf("suspected after %v", elapsed)
+			t.Fatalf("suspected %v after the last heartbeat, want between 1s and 6s", elapsed)
 		}
 	})
 }
 
+// TestHysteresis checks that another value is adopted only once it has been observed without
+// interruption for the hold time.
 func TestHysteresis(t *testing.T) {
 	start := time.Unix(0, 0)
 	var hysteresis Hysteresis[string]
@@ -81,14 +85,14 @@
 		{100, "down", "up"},
 		{300, "up", "up"}, // a short change is ignored
 		{400, "down", "up"},
-		{800, "cold", "up"}, // another candidate starts over
+		{800, "cold", "up"}, // another candidate starts the hold time again
 		{1200, "cold", "up"},
 		{1300, "cold", "cold"},
 	}
 	for _, step := range steps {
 		now := start.Add(step.at * time.Millisecond)
 		if got := hysteresis.Observe(now, step.value, 500*time.Millisecond); got != step.want {
-			t.Fatalf("at %v: %s, want %s", step.at, got, step.want)
+			t.Fatalf("after %v: adopted value %s, want %s", step.at, got, step.want)
 		}
 	}
 }
--- a/failuredetector/hysteresis.go
+++ b/failuredetector/hysteresis.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// Hysteresis keeps an observed value steady: another value is adopted only once
-// it has been observed without interruption for a given time. The zero value has
-// adopted nothing and adopts the first value at once. It is not safe for
-// concurrent use.
+// Hysteresis filters short changes of an observed value: it adopts another value only
+// once that has been observed without interruption for a given time. The zero value
+// adopts the first observed value immediately. It is not safe for concurrent use.
 type Hysteresis[T comparable] struct {
 	value          T
 	candidate      T
@@ -14,8 +13,8 @@
 	pending        bool // candidate is set
 }
 
-// Observe records the value observed at now and returns the adopted one. Another
-// value than the adopted one replaces it once it has lasted for hold.
+// Observe records the value observed at the time now and returns the adopted value. A
+// value that differs from the adopted one replaces it once it has lasted for hold.
 func (h *Hysteresis[T]) Observe(now time.Time, value T, hold time.Duration) T {
 	if !h.adopted {
 		h.value, h.adopted = value, true
@@ -34,12 +33,12 @@
 	return h.value
 }
 
-// Reset returns to the zero value.
+// Reset restores the zero value.
 func (h *Hysteresis[T]) Reset() {
 	*h = Hysteresis[T]{}
 }
 
-// Value returns the adopted value and whether there is one.
+// Value returns the adopted value and reports whether there is one.
 func (h *Hysteresis[T]) Value() (T, bool) {
 	return h.value, h.adopted
 }
