--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/retry"
 )
 
-// However many requests fail, there is at most one retry per ten first attempts.
+// Even if every request fails, there is at most one retry per ten first attempts.
 func Example() {
 	now := time.Unix(0, 0)
 	budget := retry.NewBudget(0.1)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed of the property tests; -rapid.seed overrules it.
+// init sets a fixed seed for the property tests; the flag -rapid.seed overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// TestBudgetNeverExceedsMaximumRatio records random traffic and checks every
-// window of 10 s that ends at a retry.
+// TestBudgetNeverExceedsMaximumRatio records random traffic, and checks the ratio in every
+// window that ends at a retry.
 func TestBudgetNeverExceedsMaximumRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewBudget(rapid.Float64Range(-1, 2).Draw(t, "ratio"))
@@ -42,14 +42,14 @@
 			}
 			retries = append(retries, now)
 			if got, most := inWindow(retries), MaximumRatio*float64(inWindow(firstAttempts)); float64(got) > most {
-				t.Fatalf("%d retries over %d first attempts", got, inWindow(firstAttempts))
+				t.Fatalf("%d retries for %d first attempts in one window", got, inWindow(firstAttempts))
 			}
 		}
 	})
 }
 
-// TestBudgetIsUsableUpToItsRatio checks that the budget is not only safe: almost
-// the whole ratio can be used.
+// TestBudgetIsUsableUpToItsRatio checks that almost the whole ratio can be used when every
+// request fails.
 func TestBudgetIsUsableUpToItsRatio(t *testing.T) {
 	budget := NewBudget(0)
 	now := time.Unix(0, 0)
@@ -62,21 +62,22 @@
 		}
 	}
 	if ratio := float64(allowed) / 6000; ratio < 0.08 || ratio > 0.1 {
-		t.Fatalf("ratio %.3f, want close below 0.1", ratio)
+		t.Fatalf("ratio of allowed retries %.3f, want between 0.08 and 0.1", ratio)
 	}
 	if ratio, measured := budget.Status(now); ratio != DefaultRatio || measured < 0.08 {
-		t.Fatalf("status: ratio %v, measured %v", ratio, measured)
+		t.Fatalf("Status() = %v, %v; want the default ratio and a measured one of at least 0.08", ratio, measured)
 	}
 	if budget.Allow(now.Add(time.Minute)) {
 		t.Fatal("allowed a retry without any first attempt in the window")
 	}
 }
 
+// TestBackoff checks that the backoff of each retry stays within its bounds and has jitter.
 func TestBackoff(t *testing.T) {
 	for retry := 1; retry < 12; retry++ {
 		low, high := Backoff(retry, 0), Backoff(retry, 0.999)
 		if low < BaseBackoff/2 || high > MaximumBackoff || low >= high {
-			t.Fatalf("retry %d: %v to %v", retry, low, high)
+			t.Fatalf("backoff of retry %d is between %v and %v, want a range within the bounds", retry, low, high)
 		}
 	}
 }
