--- a/routemap/change.go
+++ b/routemap/change.go
@@ -1,20 +1,21 @@
 package routemap
 
-// Change changes named routes and services of a map and leaves the others.
+// Change adds, replaces and removes routes and services of a map by name. Others stay
+// unchanged.
 type Change struct {
 	// Version is the version of the resulting map.
 	Version uint64 `cbor:"1,keyasint"`
-	// Routes and Services are added, or replace those of the same names.
+	// Routes and Services are added to the map, or replace those with the same names.
 	Routes   []Route   `cbor:"2,keyasint,omitempty"`
 	Services []Service `cbor:"3,keyasint,omitempty"`
-	// RemovedRoutes and RemovedServices are the names to remove. Names that the map
-	// does not have are ignored.
+	// RemovedRoutes and RemovedServices are the names of the routes and services to
+	// remove. Names that are not in the map are ignored.
 	RemovedRoutes   []string `cbor:"4,keyasint,omitempty"`
 	RemovedServices []string `cbor:"5,keyasint,omitempty"`
 }
 
-// Apply returns the changed map, not yet validated. It does not modify the map
-// itself.
+// Apply returns a changed copy of the map, which it does not validate. It does not modify
+// m itself.
 func (m *Map) Apply(change *Change) *Map {
 	return &Map{
 		Version:  change.Version,
@@ -24,8 +25,8 @@
 	}
 }
 
-// upsert returns a copy of the items with some removed, replaced in their positions,
-// and added at the end.
+// upsert returns a copy of items without those whose names are in removed. The upserted
+// items replace those with the same names in their positions, or are appended.
 func upsert[Item any](items, upserted []Item, removed []string, nameOf func(*Item) string) []Item {
 	removals := make(map[string]bool, len(removed))
 	for _, name := range removed {
--- a/routemap/change_test.go
+++ b/routemap/change_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestMapApply checks that a change adds, replaces and removes routes and services, and that
+// it does not modify the original map.
 func TestMapApply(t *testing.T) {
 	route := func(name string, timeout time.Duration) Route { return Route{Name: name, Timeout: timeout} }
 	before := &Map{
@@ -31,6 +33,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if len(before.Routes) != 3 || before.Routes[1].Timeout != 2 || before.Services[0].Slots != 0 {
-		t.Errorf("Apply has modified its map: %+v", before)
+		t.Errorf("Apply modified the original map: %+v", before)
 	}
 }
--- a/routemap/golden_test.go
+++ b/routemap/golden_test.go
@@ -12,12 +12,12 @@
 	"github.com/deckpulley/deckpulley/internal/canonical"
 )
 
-// updateGolden writes the files of testdata/golden anew. What is in them is
-// stored on disks and sent between builds, so a file is added, never changed.
-var updateGolden = flag.Bool("update-golden", false, "write the files of testdata/golden anew")
+// updateGolden makes the tests rewrite the files in testdata/golden. These encodings are
+// stored on disks and sent between builds, so files may be added but never changed.
+var updateGolden = flag.Bool("update-golden", false, "rewrite the files in testdata/golden")
 
-// checkGolden compares an encoding with the file that an earlier build left, and
-// returns the file's bytes.
+// checkGolden compares an encoding with its file in testdata/golden, which an earlier build
+// wrote, and returns the content of the file.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".cbor")
@@ -34,12 +34,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, golden) {
-		t.Errorf("%s: encoded as\n%x, want\n%x", path, encoded, golden)
+		t.Errorf("%s: encoding\n%x, want\n%x", path, encoded, golden)
 	}
 	return golden
 }
 
-// testGolden encodes want, compares it with its file and decodes the file again.
+// testGolden checks that the encoding of want equals its file, and that the file decodes to
+// want.
 func testGolden[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
@@ -57,7 +58,7 @@
 	})
 }
 
-// goldenRoute has another value in each field.
+// goldenRoute returns a route with a different value in each field.
 func goldenRoute() Route {
 	return Route{
 		Name:             "chat",
@@ -76,7 +77,7 @@
 	}
 }
 
-// goldenService has another value in each field.
+// goldenService returns a service with a different value in each field.
 func goldenService() Service {
 	return Service{
 		Name:              "model",
@@ -89,7 +90,7 @@
 	}
 }
 
-// goldenMap has a route of each kind.
+// goldenMap returns a map with a route of each kind.
 func goldenMap() Map {
 	return Map{
 		Version: 7,
@@ -134,7 +135,7 @@
 	testGolden(t, "change-zero", Change{})
 }
 
-// TestGoldenKinds holds the texts that are stored and sent.
+// TestGoldenKinds checks the texts of the kinds, which are stored and sent.
 func TestGoldenKinds(t *testing.T) {
 	for got, want := range map[Kind]string{Idempotent: "repeatable", AtMostOnce: "once", Stream: "stream"} {
 		if string(got) != want {
--- a/routemap/routemap_test.go
+++ b/routemap/routemap_test.go
@@ -20,6 +20,7 @@
 	}
 }
 
+// TestValidate checks that each invalid field of a map is reported by its path.
 func TestValidate(t *testing.T) {
 	tests := map[string]struct {
 		change func(*Map)
@@ -32,13 +33,13 @@
 		"negative slow-start rate": {func(m *Map) { m.Services[0].SlowStartRate = -1 }, "services[0]"},
 		"duplicate route":          {func(m *Map) { m.Routes[1].Name = "a" }, "routes[1].name"},
 		"same host and prefix":     {func(m *Map) { m.Routes[1].PathPrefix = "/a/" }, "routes[1].path_prefix"},
-		"no slash at the end":      {func(m *Map) { m.Routes[0].PathPrefix = "/a" }, "routes[0].path_prefix"},
+		"no trailing slash":        {func(m *Map) { m.Routes[0].PathPrefix = "/a" }, "routes[0].path_prefix"},
 		"no host":                  {func(m *Map) { m.Routes[0].Host = "" }, "routes[0].host"},
 		"unknown kind":             {func(m *Map) { m.Routes[0].Kind = "twice" }, "routes[0].kind"},
 		"no timeout":               {func(m *Map) { m.Routes[0].Timeout = 0 }, "routes[0].timeout_ms"},
 		"unknown service":          {func(m *Map) { m.Routes[0].Targets[1].Service = "gone" }, "routes[0].targets[1].service"},
 		"negative weight":          {func(m *Map) { m.Routes[0].Targets[1].Weight = -1 }, "routes[0].targets[1].weight"},
-		"weights of 0":             {func(m *Map) { m.Routes[1].Targets[0].Weight = 0 }, "routes[1].targets"},
+		"all weights 0":            {func(m *Map) { m.Routes[1].Targets[0].Weight = 0 }, "routes[1].targets"},
 		"no targets":               {func(m *Map) { m.Routes[1].Targets = nil }, "routes[1].targets"},
 		"negative attempts":        {func(m *Map) { m.Routes[1].MaxAttempts = -1 }, "routes[1]"},
 	}
@@ -52,19 +53,20 @@
 			test.change(&m)
 			var invalid *FieldError
 			if err := m.Validate(); !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Reason == "" {
-				t.Fatalf("got %v, want a FieldError at %q", err, test.field)
+				t.Fatalf("error %v, want a FieldError for the field %q", err, test.field)
 			}
 		})
 	}
 }
 
+// TestLookupPrefersLongestPrefix checks which route a host and a path match.
 func TestLookupPrefersLongestPrefix(t *testing.T) {
 	table := NewTable(validMap().Routes)
 	tests := map[string]struct{ host, path, want string }{
 		"longest":                {"example.test", "/a/b/c", "ab"},
 		"shorter":                {"example.test", "/a/x", "a"},
 		"case and port":          {"EXAMPLE.test:80", "/a/", "a"},
-		"prefix ends at a slash": {"example.test", "/ab/", ""},
+		"no match within a name": {"example.test", "/ab/", ""},
 		"other host":             {"other.test", "/a/", ""},
 	}
 	for name, test := range tests {
@@ -74,12 +76,13 @@
 				got = route.Name
 			}
 			if got != test.want {
-				t.Errorf("got %q, want %q", got, test.want)
+				t.Errorf("route %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
+// TestPickByWeight checks that services are picked in proportion to their weights.
 func TestPickByWeight(t *testing.T) {
 	route := validMap().Routes[0]
 	counts := map[string]int{}
@@ -87,7 +90,7 @@
 		counts[route.Pick(float64(i)/400)]++
 	}
 	if counts["pool"] != 300 || counts["web"] != 100 {
-		t.Errorf("counts %v", counts)
+		t.Errorf("requests by service: %v, want 300 for pool and 100 for web", counts)
 	}
 }
 
@@ -104,7 +107,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			if got := test.route.Retryable(); got != test.want {
-				t.Errorf("%+v: got %v", test.route, got)
+				t.Errorf("Retryable() of %+v = %v", test.route, got)
 			}
 		})
 	}
--- a/routemap/table.go
+++ b/routemap/table.go
@@ -6,8 +6,7 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is immutable, so any number of goroutines
-// may use it.
+// Table finds the route of a request. It is immutable and safe for concurrent use.
 type Table struct {
 	byHost map[string][]*Route // longest prefix first
 }
@@ -28,8 +27,8 @@
 	return table
 }
 
-// Lookup returns the route of the host with the longest matching prefix of the path,
-// nil if there is none. host may include a port.
+// Lookup returns the route of the host with the longest path prefix that matches, or nil
+// if there is none. host may include a port.
 func (t *Table) Lookup(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, route := range t.byHost[strings.ToLower(name)] {
@@ -40,8 +39,8 @@
 	return nil
 }
 
-// Pick returns the service of one target, chosen by weight. draw is a random number
-// in [0, 1).
+// Pick returns the service of one target. The probability of a target is proportional to
+// its weight; draw is a random number in [0, 1) that determines the choice.
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/routemap/validate.go
+++ b/routemap/validate.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// maxNameBytes limits the names of routes and services, and hosts.
+// maxNameBytes is the maximum length of a host and of the name of a route or service.
 const maxNameBytes = 128
 
-// FieldError reports why a map is rejected. Field is the path to the invalid part,
-// as in "routes[1].targets[0].service".
+// FieldError is the error of an invalid map. Field is the path to the invalid field, for
+// example "routes[1].targets[0].service", and Reason describes the problem.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("routemap: %s: %s", e.Field, e.Reason) }
 
 func invalid(field, format string, args ...any) error {
@@ -40,7 +40,7 @@
 	return m.validateRoutes(services)
 }
 
-// validateServices returns the names of the services.
+// validateServices validates the services, and returns the set of their names.
 func (m *Map) validateServices() (map[string]bool, error) {
 	services := make(map[string]bool, len(m.Services))
 	for i, service := range m.Services {
@@ -49,7 +49,7 @@
 			return nil, err
 		}
 		if services[service.Name] {
-			return nil, invalid(field+".name", "%q stands twice", service.Name)
+			return nil, invalid(field+".name", "duplicate name %q", service.Name)
 		}
 		services[service.Name] = true
 	}
@@ -63,16 +63,15 @@
 	case !validName(s.Name):
 		return invalidName(field + ".name")
 	case s.MaxConnections < 0 || s.Slots < 0 || s.CacheTokens < 0:
-		return invalid(field, "numbers must not be negative")
+		return invalid(field, "the connection limit, slots and cache tokens must not be negative")
 	case s.SlowStartRate < 0 || s.SlowStartDuration < 0:
-		return invalid(field, "cold bounds must not be negative")
+		return invalid(field, "the slow-start rate and duration must not be negative")
 	default:
 		return nil
 	}
 }
 
-// RouteKey is the host and path prefix of a route. No two routes of a map have the
-// same.
+// RouteKey is the host and path prefix of a route, which is unique in a valid map.
 type RouteKey struct {
 	Host       string // lower case
 	PathPrefix string
@@ -94,7 +93,7 @@
 		}
 		key := route.Key()
 		if names[route.Name] {
-			return invalid(field+".name", "%q stands twice", route.Name)
+			return invalid(field+".name", "duplicate name %q", route.Name)
 		}
 		if keys[key] {
 			return invalid(field+".path_prefix", "another route has the same host and prefix")
@@ -106,7 +105,7 @@
 }
 
 // Validate returns a *FieldError for the first invalid field of the route. field is
-// the path to the route in the map, services the names that its targets may have.
+// the path to the route in the map, and services is the set of known service names.
 func (r *Route) Validate(field string, services map[string]bool) error {
 	switch {
 	case !validName(r.Name):
@@ -116,11 +115,11 @@
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
 		return invalid(field+".path_prefix", "must begin and end with a slash")
 	case r.Kind != Idempotent && r.Kind != AtMostOnce && r.Kind != Stream:
-		return invalid(field+".kind", "%q is not known", r.Kind)
+		return invalid(field+".kind", "unknown kind %q", r.Kind)
 	case r.Timeout <= 0:
 		return invalid(field+".timeout_ms", "must be above 0")
 	case r.FirstEventTarget < 0 || r.EventGapTarget < 0 || r.MaxAttempts < 0:
-		return invalid(field, "numbers must not be negative")
+		return invalid(field, "latency targets and the number of attempts must not be negative")
 	}
 	return r.validateTargets(field, services)
 }
@@ -138,7 +137,7 @@
 		total += target.Weight
 	}
 	if total == 0 {
-		return invalid(field+".targets", "the weights add up to 0")
+		return invalid(field+".targets", "the sum of the weights must be above 0")
 	}
 	return nil
 }
