--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -41,7 +41,7 @@
 	d := t.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	known, found := d.services[t.service]
+	service, found := d.services[t.service]
 	if !found {
 		return nil, noReplicaError()
 	}
@@ -53,7 +53,7 @@
 	selector := &selector{
 		dispatcher: d,
 		snapshot:   t.snapshot,
-		service:    known,
+		service:    service,
 		route:      t.route,
 		request:    t.request,
 		tried:      t.tried,
@@ -66,12 +66,12 @@
 	}
 	r := selected.replica
 	t.tried[r.id] = true
-	load := r.addAttempt(now, t.estimatePrefill(known, selected.cachedTokens), t.request.PromptTokens)
-	if known.spec.CacheTokens > 0 {
-		t.announcePrompt(known, load)
+	load := r.addAttempt(now, t.estimatePrefill(service, selected.cachedTokens), t.request.PromptTokens)
+	if service.spec.CacheTokens > 0 {
+		t.announcePrompt(service, load)
 	}
 	return &placedAttempt{
-		service:  known,
+		service:  service,
 		replica:  r,
 		endpoint: Endpoint{ID: r.id, Address: r.address},
 		load:     load,
@@ -81,8 +81,8 @@
 
 // estimatePrefill returns the estimated prefill of the request's prompt at a replica that has
 // cachedTokens of the prompt's tokens in its cache.
-func (t *transaction) estimatePrefill(known *service, cachedTokens int) prefillEstimate {
-	if known.spec.CacheTokens == 0 {
+func (t *transaction) estimatePrefill(service *service, cachedTokens int) prefillEstimate {
+	if service.spec.CacheTokens == 0 {
 		return prefillEstimate{}
 	}
 	sharedTokens := 0
@@ -92,7 +92,7 @@
 	uncachedTokens := t.request.PromptTokens - float64(cachedTokens)
 	return prefillEstimate{
 		work:    prefillWork(t.request.PromptTokens, float64(cachedTokens)),
-		model:   known.prefill.model,
+		model:   service.prefill.model,
 		certain: float64(sharedTokens-cachedTokens) <= maxUnknownCached*uncachedTokens,
 	}
 }
@@ -100,14 +100,14 @@
 // announcePrompt records in the prefix index that the replica will cache the prompt's shared
 // prefixes, and announces the prompt and these prefixes to the other gateways. The caller
 // holds the Dispatcher's mutex.
-func (t *transaction) announcePrompt(known *service, load *attemptLoad) {
+func (t *transaction) announcePrompt(service *service, load *attemptLoad) {
 	d := t.dispatcher
 	prefixes := placement.Hashes(t.request.PrefixChain)
-	known.index.RecordHashes(load.replica.number, prefixes)
+	service.index.RecordHashes(load.replica.number, prefixes)
 	if d.options.OnPlaced == nil || load.prefill == 0 {
 		return
 	}
-	if t.sharedPrefill(known) < minAnnouncedPrefill {
+	if t.sharedPrefill(service) < minAnnouncedPrefill {
 		prefixes = nil
 	}
 	d.options.OnPlaced(peer.PlacedPrompt{
@@ -119,12 +119,12 @@
 
 // sharedPrefill returns the time to prefill the prompt's shared prefixes up to the
 // affinity link, in seconds, if none of it is cached.
-func (t *transaction) sharedPrefill(known *service) float64 {
+func (t *transaction) sharedPrefill(service *service) float64 {
 	link, found := placement.Affinity(t.request.PrefixChain)
 	if !found {
 		return 0
 	}
-	return known.prefill.model.factor * prefillWork(float64(link.Tokens), 0)
+	return service.prefill.model.factor * prefillWork(float64(link.Tokens), 0)
 }
 
 // send makes one attempt and relays the response. It reports whether to make another
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -70,9 +70,12 @@
 	Attempts uint64
 	// Retries counts the attempts that followed one which had reached a replica, and
 	// Resumed those among them that continued an event stream.
-	Retries        uint64
-	Resumed        uint64
-	Rejected       map[Code]uint64
+	Retries uint64
+	Resumed uint64
+	// Rejected counts all requests that ended with an error, by its code, including those
+	// that may have run.
+	Rejected map[Code]uint64
+	// FailedAttempts counts the attempts without a complete response, by reason.
 	FailedAttempts map[FailureReason]uint64
 }
 
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -101,8 +101,8 @@
 
 // recordPrefixes records that a replica will have shared prefixes in its cache.
 func (d *Dispatcher) recordPrefixes(r *replica, prefixes []uint64) {
-	if known, found := d.services[r.service]; found && len(prefixes) > 0 {
-		known.index.RecordHashes(r.number, prefixes)
+	if service, found := d.services[r.service]; found && len(prefixes) > 0 {
+		service.index.RecordHashes(r.number, prefixes)
 	}
 }
 
@@ -110,12 +110,12 @@
 // with a sample of any gateway: the time of a prefill during which the replica prefilled
 // no other prompt. work is in seconds of the reference replica, took in seconds.
 func (d *Dispatcher) observePrefill(r *replica, work, took float64) {
-	known, found := d.services[r.service]
+	service, found := d.services[r.service]
 	if !found || work <= 0 {
 		return
 	}
-	known.prefill.observe(work, took)
-	model := known.prefill.model
+	service.prefill.observe(work, took)
+	model := service.prefill.model
 	r.observeSlowdown((took - model.overhead) / (model.factor * work))
 }
 
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -48,9 +48,9 @@
 // that are too old to conflict with a placement of this gateway.
 func (r *replica) addAnnouncedPrompt(now time.Time, gateway peer.ReplicaKey, prefill time.Duration) {
 	recent := r.announcedPrompts[:0]
-	for _, known := range r.announcedPrompts {
-		if now.Sub(known.receivedAt) < announcedPromptTTL {
-			recent = append(recent, known)
+	for _, prompt := range r.announcedPrompts {
+		if now.Sub(prompt.receivedAt) < announcedPromptTTL {
+			recent = append(recent, prompt)
 		}
 	}
 	recent = append(recent, announcedPrompt{receivedAt: now, gateway: gateway, prefill: prefill})
--- a/dispatch/round_trip.go
+++ b/dispatch/round_trip.go
@@ -32,19 +32,19 @@
 // observe updates the estimate of a zone with a measurement. initial is used as the
 // previous estimate if the zone has none.
 func (r *roundTrips) observe(zone string, initial, took time.Duration) {
-	known := r.estimate(zone, initial)
+	previous := r.estimate(zone, initial)
 	weight := longerWeight
-	if took < known {
+	if took < previous {
 		weight = shorterWeight
 	}
-	took = min(took, maxRoundTripRatio*known)
-	r.estimates[zone] = known + time.Duration(weight*float64(took-known))
+	took = min(took, maxRoundTripRatio*previous)
+	r.estimates[zone] = previous + time.Duration(weight*float64(took-previous))
 }
 
 // estimate returns the round-trip time to a zone, or initial if there is no estimate.
 func (r *roundTrips) estimate(zone string, initial time.Duration) time.Duration {
-	if known, found := r.estimates[zone]; found {
-		return known
+	if estimate, found := r.estimates[zone]; found {
+		return estimate
 	}
 	return initial
 }
--- a/dispatch/simulation_faults_test.go
+++ b/dispatch/simulation_faults_test.go
@@ -24,11 +24,11 @@
 	recoveryPeriod = 2 * time.Second
 )
 
-// at sleeps until the given time since the start of the run.
-func (f *simulatedFleet) at(when time.Duration) { time.Sleep(time.Until(f.began.Add(when))) }
+// sleepUntil sleeps until the given time since the start of the run.
+func (f *simulatedFleet) sleepUntil(when time.Duration) { time.Sleep(time.Until(f.began.Add(when))) }
 
-// later calls a function at the given time since the start of the run.
-func (f *simulatedFleet) later(when time.Duration, do func()) {
+// runAt calls a function at the given time since the start of the run.
+func (f *simulatedFleet) runAt(when time.Duration, do func()) {
 	time.AfterFunc(time.Until(f.began.Add(when)), do)
 }
 
@@ -50,7 +50,7 @@
 // is slow, and a new one warms up.
 func replicasFail(f *simulatedFleet) {
 	models := f.replicasOf("model", "")
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	crashed, unresponsive, slow := models[0], models[1], models[2]
 	unresponsivePage := f.replicasOf("web", "north-1")[0]
 	crashed.crash()
@@ -59,15 +59,15 @@
 	slow.mutex.Lock()
 	slow.slowdown = 2
 	slow.mutex.Unlock()
-	f.at(faultStart + 500*time.Millisecond)
+	f.sleepUntil(faultStart + 500*time.Millisecond)
 	other := &simulatedReplica{id: "other-at-" + crashed.id, zone: crashed.zone, service: "web-2", address: crashed.address, slowdown: 1, prefillFactor: 0.5}
 	f.place(other) // the registry still lists the crashed replica
-	f.at(faultStart + 1500*time.Millisecond)
+	f.sleepUntil(faultStart + 1500*time.Millisecond)
 	f.change(registry.DeleteName(catalog.ReplicaName(crashed.id)))
 	f.addReplica("new-"+crashed.id, crashed.zone, "model")
 	fresh := f.replicaAt("new-" + crashed.id + ":80")
 	f.setWarmingUp(fresh, true)
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	unresponsive.setUnresponsive(false)
 	unresponsivePage.setUnresponsive(false)
 	f.setWarmingUp(fresh, false)
@@ -77,36 +77,36 @@
 // gatewaysFail is the scenario in which one gateway is killed and restarts without any
 // state, and another one is lost permanently.
 func gatewaysFail(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	killed, lost := f.gateways[0], f.gateways[3]
 	killed.end()
 	lost.end()
-	f.at(faultStart + time.Second)
+	f.sleepUntil(faultStart + time.Second)
 	killed.start()
 	f.publish()
 	f.change(registry.Add(catalog.GatewayRecord(lost.name, catalog.Gateway{Region: lost.region(), Zone: lost.zone})))
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	f.recover()
 }
 
 // controlFails is the scenario in which no change of the registry reaches any gateway while
 // replicas leave and join.
 func controlFails(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	f.controlDown = true
 	models := f.replicasOf("model", "north-1")
 	models[0].crash()
-	f.at(faultStart + time.Second)
+	f.sleepUntil(faultStart + time.Second)
 	f.change(registry.DeleteName(catalog.ReplicaName(models[0].id)))
 	f.addReplica("later", "north-1", "model")
 	f.setWarmingUp(f.replicaAt("later:80"), true)
 	f.gateways[1].end()
-	f.at(faultStart + 2*time.Second)
+	f.sleepUntil(faultStart + 2*time.Second)
 	f.gateways[1].start()
-	f.at(faultStart + 3*time.Second)
+	f.sleepUntil(faultStart + 3*time.Second)
 	f.controlDown = false
 	f.publish()
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	f.setWarmingUp(f.replicaAt("later:80"), false)
 	f.recover()
 }
@@ -114,7 +114,7 @@
 // regionsFail is the scenario in which the south region is lost, and the east region is
 // partitioned from the registry and the other gateways while a replica there warms up.
 func regionsFail(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	for _, g := range f.gateways {
 		if g.region() == "south" {
 			g.end()
@@ -127,19 +127,19 @@
 	}
 	warming := f.replicasOf("model", "east-1")[0]
 	f.setWarmingUp(warming, true)
-	f.at(faultStart + 2*updateDelay)
+	f.sleepUntil(faultStart + 2*updateDelay)
 	for _, g := range f.gateways {
 		if g.region() == "east" {
 			g.partitioned.Store(true)
 			f.change(registry.Add(catalog.GatewayRecord(g.name, catalog.Gateway{Region: "east", Zone: g.zone})))
 		}
 	}
-	f.at(faultStart + 3*time.Second)
+	f.sleepUntil(faultStart + 3*time.Second)
 	for _, g := range f.gateways {
 		g.partitioned.Store(false)
 		f.change(registry.Add(catalog.GatewayRecord(g.name, catalog.Gateway{Region: g.region(), Zone: g.zone, Up: g.region() != "south"})))
 	}
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	f.setWarmingUp(warming, false)
 	f.recover()
 }
@@ -147,24 +147,24 @@
 // operatorsChange is the scenario with a burst of requests, a new configuration that routes
 // pages to another service, and a temporary evacuation of a zone.
 func operatorsChange(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	f.burst("north-1", 60)
 	f.configure("web-2")
-	f.at(faultStart + time.Second)
+	f.sleepUntil(faultStart + time.Second)
 	f.change(registry.Add(catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "o"})))
 	f.record.evacuated("north-1")
-	f.at(faultStart + 3*time.Second)
+	f.sleepUntil(faultStart + 3*time.Second)
 	f.record.evacuationEnded("north-1")
 	f.change(registry.DeleteSet(catalog.ZoneName("north-1"), catalog.TypeEvacuation))
 	f.configure("web")
-	f.at(faultEnd + recoveryPeriod) // the zone's replicas are in slow start after the evacuation
+	f.sleepUntil(faultEnd + recoveryPeriod) // the zone's replicas are in slow start after the evacuation
 	f.record.recoveredAt(faultEnd + 2*recoveryPeriod)
 }
 
 // burst sends count requests from one zone at the same time.
 func (f *simulatedFleet) burst(zone string, count int) {
 	for i := range count {
-		request := f.newRequest(fmt.Sprint("crowd-", i, "-", f.draw()))
+		request := f.newRequest(fmt.Sprint("crowd-", i, "-", f.randomFloat()))
 		go f.send(zone, request)
 	}
 }
@@ -199,7 +199,7 @@
 		inject: func(f *simulatedFleet) {
 			for _, r := range f.replicasOf("model", "") {
 				r.setUnresponsive(true)
-				f.later(faultEnd, func() { r.setUnresponsive(false) })
+				f.runAt(faultEnd, func() { r.setUnresponsive(false) })
 			}
 		},
 		distort: forRoutes(func(r *routemap.Route) { r.MaxAttempts = 9 }),
@@ -212,12 +212,12 @@
 	"slow-start rate is ignored": {
 		rule: "COLD", scenario: "replicas",
 		inject: func(f *simulatedFleet) {
-			f.later(faultStart+1700*time.Millisecond, func() { f.burst("north-1", 250) })
+			f.runAt(faultStart+1700*time.Millisecond, func() { f.burst("north-1", 250) })
 		},
 		distort: func(m *routemap.Map) { m.Services[0].SlowStartRate = 0 },
 	},
 	"a gateway misses the evacuation": {rule: "EVACUATION", scenario: "bursts, operators", inject: func(f *simulatedFleet) {
-		f.at(faultStart)
+		f.sleepUntil(faultStart)
 		f.gateways[0].missesUpdates.Store(true)
 	}},
 }
@@ -227,7 +227,7 @@
 // that there are such failures.
 func misreporting(failure FailureReason) func(*simulatedFleet) {
 	return func(f *simulatedFleet) {
-		f.later(faultStart-20*time.Millisecond, func() { f.burst("east-1", 150) })
+		f.runAt(faultStart-20*time.Millisecond, func() { f.burst("east-1", 150) })
 		for _, g := range f.gateways {
 			g.setMisreport(func(err error) error {
 				var attempt *AttemptError
--- a/dispatch/simulation_optimum_test.go
+++ b/dispatch/simulation_optimum_test.go
@@ -109,15 +109,15 @@
 
 // prompt returns a random request of the given kind.
 func prompt(random *rand.Rand, kind, id string) *Request {
-	shared, own := askSharedTokens, float64(askOwnTokens)
+	sharedTokens, ownTokens := askSharedTokens, float64(askOwnTokens)
 	if kind == "review" {
-		shared, own = reviewSharedTokens, float64(reviewOwnTokens)
+		sharedTokens, ownTokens = reviewSharedTokens, float64(reviewOwnTokens)
 	}
-	own = min(own*math.Exp(random.NormFloat64()-0.5), maxReviewTokens)
+	ownTokens = min(ownTokens*math.Exp(random.NormFloat64()-0.5), maxReviewTokens)
 	part := fmt.Sprint(kind, random.IntN(sharedPrefixes))
 	return &Request{
 		ID: id, Method: http.MethodPost, Host: "h", Path: "/" + kind + "/x", Target: "/" + kind + "/x", Header: http.Header{},
-		PromptTokens: float64(shared) + own, PrefixChain: []placement.Link{{Hash: placement.Hash(part), Tokens: shared}},
+		PromptTokens: float64(sharedTokens) + ownTokens, PrefixChain: []placement.Link{{Hash: placement.Hash(part), Tokens: sharedTokens}},
 	}
 }
 
@@ -231,12 +231,12 @@
 	const maxLateDifference = 0.02 // difference of the shares of late requests
 	for seed := range uint64(2) {
 		actual, omniscient := simulateOptimum(t, seed, false), simulateOptimum(t, seed, true)
-		for kind, own := range actual {
+		for kind, dispatched := range actual {
 			optimum := omniscient[kind]
 			t.Logf("seed %d, %s: late %.1f%% of %d, with the omniscient placement %.1f%% of %d; p50 %v and %v, p99 %v and %v", seed, kind,
-				100*own.lateRatio(), len(own.times), 100*optimum.lateRatio(), len(optimum.times), own.quantile(0.5), optimum.quantile(0.5), own.quantile(0.99), optimum.quantile(0.99))
-			if own.lateRatio() > optimum.lateRatio()+maxLateDifference {
-				t.Errorf("seed %d: late share %.3f of %s requests, %.3f with the omniscient placement", seed, own.lateRatio(), kind, optimum.lateRatio())
+				100*dispatched.lateRatio(), len(dispatched.times), 100*optimum.lateRatio(), len(optimum.times), dispatched.quantile(0.5), optimum.quantile(0.5), dispatched.quantile(0.99), optimum.quantile(0.99))
+			if dispatched.lateRatio() > optimum.lateRatio()+maxLateDifference {
+				t.Errorf("seed %d: late share %.3f of %s requests, %.3f with the omniscient placement", seed, dispatched.lateRatio(), kind, optimum.lateRatio())
 			}
 		}
 	}
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -178,7 +178,7 @@
 	g.serial = 0
 	g.alive, g.kill = context.WithCancel(context.Background())
 	g.dispatcher = New(Options{
-		Gateway: g.name, Zone: g.zone, Region: g.region(), Backend: g, Random: f.draw, Logger: slog.New(slog.DiscardHandler),
+		Gateway: g.name, Zone: g.zone, Region: g.region(), Backend: g, Random: f.randomFloat, Logger: slog.New(slog.DiscardHandler),
 		OnPlaced:  func(prompt peer.PlacedPrompt) { g.exchange.RecordPlacement(prompt) },
 		OnPrefill: func(prompt peer.PrefillSample) { g.exchange.RecordPrefill(prompt) },
 	})
@@ -194,7 +194,7 @@
 	go g.exchange.Run(g.alive)
 }
 
-func (f *simulatedFleet) draw() float64 {
+func (f *simulatedFleet) randomFloat() float64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.Float64()
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -116,12 +116,12 @@
 // measurements.
 func (d *Dispatcher) updateServices(state *catalog.State) {
 	for name, spec := range state.Pools() {
-		known, found := d.services[name]
+		service, found := d.services[name]
 		if !found {
-			known = newService()
-			d.services[name] = known
+			service = newService()
+			d.services[name] = service
 		}
-		known.spec = spec
+		service.spec = spec
 	}
 	for name := range d.services {
 		if _, listed := state.Pools()[name]; !listed {
@@ -148,13 +148,13 @@
 		}
 	}
 	for id, listed := range state.Replicas() {
-		known, found := d.replicas[id]
+		r, found := d.replicas[id]
 		if !found {
-			known = newReplica(id)
-			d.replicas[id] = known
-			d.byKey[known.key] = known
+			r = newReplica(id)
+			d.replicas[id] = r
+			d.byKey[r.key] = r
 		}
-		d.updateReplica(known, listed, state, now)
+		d.updateReplica(r, listed, state, now)
 	}
 	d.groupReplicas()
 }
@@ -186,8 +186,8 @@
 	r.warmingUp = condition.State == catalog.ConditionWarmingUp
 	evacuated := state.IsEvacuated(listed.Zone)
 	if r.evacuated && !evacuated {
-		if known, found := d.services[r.service]; found {
-			r.warmingUpUntil = now.Add(known.spec.SlowStartDuration + slowStartMargin)
+		if service, found := d.services[r.service]; found {
+			r.warmingUpUntil = now.Add(service.spec.SlowStartDuration + slowStartMargin)
 		}
 	}
 	r.evacuated = evacuated
@@ -195,16 +195,16 @@
 
 // groupReplicas rebuilds the list of replicas of each service.
 func (d *Dispatcher) groupReplicas() {
-	for _, known := range d.services {
-		known.replicas = known.replicas[:0:0]
+	for _, service := range d.services {
+		service.replicas = service.replicas[:0:0]
 	}
 	for _, r := range d.replicas {
-		if known, found := d.services[r.service]; found {
-			known.replicas = append(known.replicas, r)
+		if service, found := d.services[r.service]; found {
+			service.replicas = append(service.replicas, r)
 		}
 	}
-	for _, known := range d.services {
-		known.numberReplicas()
+	for _, service := range d.services {
+		service.numberReplicas()
 	}
 }
 
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -42,7 +42,7 @@
 // state returns the state of a replica. If several states apply, the first case determines
 // the result.
 func (d *Dispatcher) state(r *replica, now time.Time) api.HTTPReplicaState {
-	known, found := d.services[r.service]
+	service, found := d.services[r.service]
 	switch {
 	case r.replaced:
 		return api.HTTPReplicaReplaced
@@ -50,7 +50,7 @@
 		return api.HTTPReplicaEvacuated
 	case r.draining:
 		return api.HTTPReplicaDraining
-	case found && now.Before(known.outliers.EjectedUntil(r.id)):
+	case found && now.Before(service.outliers.EjectedUntil(r.id)):
 		return api.HTTPReplicaEjected
 	case now.Before(r.avoidedUntil) || r.isIdle(now, d.options.Backend.LastReceived(r.address)):
 		return api.HTTPReplicaAvoided
--- a/dispatch/zone.go
+++ b/dispatch/zone.go
@@ -47,10 +47,10 @@
 
 // zone returns the health of a zone. The caller holds the Dispatcher's mutex.
 func (d *Dispatcher) zone(name string) *zoneHealth {
-	known, found := d.zones[name]
+	health, found := d.zones[name]
 	if !found {
-		known = &zoneHealth{}
-		d.zones[name] = known
+		health = &zoneHealth{}
+		d.zones[name] = health
 	}
-	return known
+	return health
 }
