--- a/dispatch/simulation_faults_test.go
+++ b/dispatch/simulation_faults_test.go
@@ -18,24 +18,25 @@
 
 const (
 	faultStart = 3 * time.Second
-	// faultEnd is when the faults end, and recoveryPeriod how long the fleet may take to
-	// recover.
+	// faultEnd is the time at which the faults end, and recoveryPeriod is how long after it
+	// the fleet may take to recover.
 	faultEnd       = 8 * time.Second
 	recoveryPeriod = 2 * time.Second
 )
 
-// at sleeps until a time of the run.
-func (f *simulatedFleet) at(when time.Duration) { time.Sleep(time.Until(f.began.Add(when))) }
+// sleepUntil sleeps until the given time since the start of the run.
+func (f *simulatedFleet) sleepUntil(when time.Duration) { time.Sleep(time.Until(f.began.Add(when))) }
 
-// later calls a function at a time of the run.
-func (f *simulatedFleet) later(when time.Duration, do func()) {
+// runAt calls a function at the given time since the start of the run.
+func (f *simulatedFleet) runAt(when time.Duration, do func()) {
 	time.AfterFunc(time.Until(f.began.Add(when)), do)
 }
 
-// recover says that the faults are over, so that nearly all requests must be served soon.
+// recover records that the faults have ended, so that nearly all requests must be served
+// after recoveryPeriod.
 func (f *simulatedFleet) recover() { f.record.recoveredAt(faultEnd + recoveryPeriod) }
 
-// faultScenarios are the five kinds of fault scenarios.
+// faultScenarios holds the fault scenarios by name.
 var faultScenarios = map[string]func(*simulatedFleet){
 	"replicas":          replicasFail,
 	"gateways":          gatewaysFail,
@@ -44,11 +45,12 @@
 	"bursts, operators": operatorsChange,
 }
 
-// replicasFail: one replica crashes and another takes its address, one of each service
-// stops responding, one is slow, and one joins and warms up.
+// replicasFail is the scenario in which one replica crashes and another one takes over its
+// address, one replica of the model service and one of the web service stop responding, one
+// is slow, and a new one warms up.
 func replicasFail(f *simulatedFleet) {
 	models := f.replicasOf("model", "")
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	crashed, unresponsive, slow := models[0], models[1], models[2]
 	unresponsivePage := f.replicasOf("web", "north-1")[0]
 	crashed.crash()
@@ -57,61 +59,62 @@
 	slow.mutex.Lock()
 	slow.slowdown = 2
 	slow.mutex.Unlock()
-	f.at(faultStart + 500*time.Millisecond)
+	f.sleepUntil(faultStart + 500*time.Millisecond)
 	other := &simulatedReplica{id: "other-at-" + crashed.id, zone: crashed.zone, service: "web-2", address: crashed.address, slowdown: 1, prefillFactor: 0.5}
-	f.place(other) // the registry still has the one that crashed
-	f.at(faultStart + 1500*time.Millisecond)
+	f.place(other) // the registry still lists the crashed replica
+	f.sleepUntil(faultStart + 1500*time.Millisecond)
 	f.change(registry.DeleteName(catalog.ReplicaName(crashed.id)))
 	f.addReplica("new-"+crashed.id, crashed.zone, "model")
 	fresh := f.replicaAt("new-" + crashed.id + ":80")
 	f.setWarmingUp(fresh, true)
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	unresponsive.setUnresponsive(false)
 	unresponsivePage.setUnresponsive(false)
 	f.setWarmingUp(fresh, false)
 	f.recover()
 }
 
-// gatewaysFail: one gateway is killed and restarts without any state, and one is lost for
-// good.
+// gatewaysFail is the scenario in which one gateway is killed and restarts without any
+// state, and another one is lost permanently.
 func gatewaysFail(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	killed, lost := f.gateways[0], f.gateways[3]
 	killed.end()
 	lost.end()
-	f.at(faultStart + time.Second)
+	f.sleepUntil(faultStart + time.Second)
 	killed.start()
 	f.publish()
 	f.change(registry.Add(catalog.GatewayRecord(lost.name, catalog.Gateway{Region: lost.region(), Zone: lost.zone})))
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	f.recover()
 }
 
-// controlFails: no change reaches any gateway while replicas leave and join.
+// controlFails is the scenario in which no change of the registry reaches any gateway while
+// replicas leave and join.
 func controlFails(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	f.controlDown = true
 	models := f.replicasOf("model", "north-1")
 	models[0].crash()
-	f.at(faultStart + time.Second)
+	f.sleepUntil(faultStart + time.Second)
 	f.change(registry.DeleteName(catalog.ReplicaName(models[0].id)))
 	f.addReplica("later", "north-1", "model")
 	f.setWarmingUp(f.replicaAt("later:80"), true)
 	f.gateways[1].end()
-	f.at(faultStart + 2*time.Second)
+	f.sleepUntil(faultStart + 2*time.Second)
 	f.gateways[1].start()
-	f.at(faultStart + 3*time.Second)
+	f.sleepUntil(faultStart + 3*time.Second)
 	f.controlDown = false
 	f.publish()
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	f.setWarmingUp(f.replicaAt("later:80"), false)
 	f.recover()
 }
 
-// regionsFail: the south is lost, and the east is partitioned from the registry and from
-// the other gateways while a replica there is warming up.
+// regionsFail is the scenario in which the south region is lost, and the east region is
+// partitioned from the registry and the other gateways while a replica there warms up.
 func regionsFail(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	for _, g := range f.gateways {
 		if g.region() == "south" {
 			g.end()
@@ -124,54 +127,54 @@
 	}
 	warming := f.replicasOf("model", "east-1")[0]
 	f.setWarmingUp(warming, true)
-	f.at(faultStart + 2*updateDelay)
+	f.sleepUntil(faultStart + 2*updateDelay)
 	for _, g := range f.gateways {
 		if g.region() == "east" {
 			g.partitioned.Store(true)
 			f.change(registry.Add(catalog.GatewayRecord(g.name, catalog.Gateway{Region: "east", Zone: g.zone})))
 		}
 	}
-	f.at(faultStart + 3*time.Second)
+	f.sleepUntil(faultStart + 3*time.Second)
 	for _, g := range f.gateways {
 		g.partitioned.Store(false)
 		f.change(registry.Add(catalog.GatewayRecord(g.name, catalog.Gateway{Region: g.region(), Zone: g.zone, Up: g.region() != "south"})))
 	}
-	f.at(faultEnd)
+	f.sleepUntil(faultEnd)
 	f.setWarmingUp(warming, false)
 	f.recover()
 }
 
-// operatorsChange: a burst of requests, a new configuration that moves pages to another
-// service, and a zone that is evacuated for a while.
+// operatorsChange is the scenario with a burst of requests, a new configuration that routes
+// pages to another service, and a temporary evacuation of a zone.
 func operatorsChange(f *simulatedFleet) {
-	f.at(faultStart)
+	f.sleepUntil(faultStart)
 	f.burst("north-1", 60)
 	f.configure("web-2")
-	f.at(faultStart + time.Second)
+	f.sleepUntil(faultStart + time.Second)
 	f.change(registry.Add(catalog.EvacuationRecord("north-1", catalog.Evacuation{OperationID: "o"})))
 	f.record.evacuated("north-1")
-	f.at(faultStart + 3*time.Second)
+	f.sleepUntil(faultStart + 3*time.Second)
 	f.record.evacuationEnded("north-1")
 	f.change(registry.DeleteSet(catalog.ZoneName("north-1"), catalog.TypeEvacuation))
 	f.configure("web")
-	f.at(faultEnd + recoveryPeriod) // the zone's replicas are in slow start for a while
+	f.sleepUntil(faultEnd + recoveryPeriod) // the zone's replicas are in slow start after the evacuation
 	f.record.recoveredAt(faultEnd + 2*recoveryPeriod)
 }
 
-// burst sends many requests of one zone at once.
+// burst sends count requests from one zone at the same time.
 func (f *simulatedFleet) burst(zone string, count int) {
 	for i := range count {
-		request := f.newRequest(fmt.Sprint("crowd-", i, "-", f.draw()))
+		request := f.newRequest(fmt.Sprint("crowd-", i, "-", f.randomFloat()))
 		go f.send(zone, request)
 	}
 }
 
 // TestSimulatedFaults runs each fault scenario with several seeds.
 func TestSimulatedFaults(t *testing.T) {
-	for name, play := range faultScenarios {
+	for name, run := range faultScenarios {
 		t.Run(name, func(t *testing.T) {
 			for seed := range *simulatedRuns {
-				for _, violation := range simulate(t, seed+1, scenario{play: play}) {
+				for _, violation := range simulate(t, seed+1, scenario{run: run}) {
 					t.Errorf("seed %d: %s", seed+1, violation)
 				}
 			}
@@ -179,7 +182,8 @@
 	}
 }
 
-// injectedDefects are defects that the checks must detect.
+// injectedDefects are defects that the checks must detect. rule is the prefix of the
+// violation that the defect causes.
 var injectedDefects = map[string]struct {
 	rule     string
 	scenario string
@@ -187,15 +191,15 @@
 	// distort, if set, changes each route map before it is published.
 	distort func(*routemap.Map)
 }{
-	"indeterminate reported as unsent":   {rule: "TWICE", scenario: "replicas", inject: misreporting(FailureUnsent)},
+	"indeterminate reported as unsent":   {rule: "AT-MOST-ONCE", scenario: "replicas", inject: misreporting(FailureUnsent)},
 	"indeterminate reported as rejected": {rule: "REFUSED", scenario: "replicas", inject: misreporting(FailureRejected)},
-	"home regions are dropped":           {rule: "HOME", scenario: "control nodes", distort: forRoutes(func(r *routemap.Route) { r.HomeRegions = nil })},
+	"home regions are ignored":           {rule: "HOME", scenario: "control nodes", distort: forRoutes(func(r *routemap.Route) { r.HomeRegions = nil })},
 	"attempts are not limited": {
 		rule: "ATTEMPTS", scenario: "gateways",
 		inject: func(f *simulatedFleet) {
 			for _, r := range f.replicasOf("model", "") {
 				r.setUnresponsive(true)
-				f.later(faultEnd, func() { r.setUnresponsive(false) })
+				f.runAt(faultEnd, func() { r.setUnresponsive(false) })
 			}
 		},
 		distort: forRoutes(func(r *routemap.Route) { r.MaxAttempts = 9 }),
@@ -205,24 +209,25 @@
 		inject:  func(f *simulatedFleet) { f.hideTimeouts.Store(true) },
 		distort: forRoutes(func(r *routemap.Route) { r.Timeout = time.Hour }),
 	},
-	"slow-start rate is not known": {
+	"slow-start rate is ignored": {
 		rule: "COLD", scenario: "replicas",
 		inject: func(f *simulatedFleet) {
-			f.later(faultStart+1700*time.Millisecond, func() { f.burst("north-1", 250) })
+			f.runAt(faultStart+1700*time.Millisecond, func() { f.burst("north-1", 250) })
 		},
 		distort: func(m *routemap.Map) { m.Services[0].SlowStartRate = 0 },
 	},
-	"evacuation is missed": {rule: "EVACUATION", scenario: "bursts, operators", inject: func(f *simulatedFleet) {
-		f.at(faultStart)
+	"a gateway misses the evacuation": {rule: "EVACUATION", scenario: "bursts, operators", inject: func(f *simulatedFleet) {
+		f.sleepUntil(faultStart)
 		f.gateways[0].missesUpdates.Store(true)
 	}},
 }
 
-// misreporting makes every gateway report an indeterminate failure with another reason,
-// and sends a burst that the crash of a replica interrupts.
+// misreporting returns a defect that makes every gateway report indeterminate failures with
+// the given reason. It also sends a burst of requests shortly before a replica crashes, so
+// that there are such failures.
 func misreporting(failure FailureReason) func(*simulatedFleet) {
 	return func(f *simulatedFleet) {
-		f.later(faultStart-20*time.Millisecond, func() { f.burst("east-1", 150) })
+		f.runAt(faultStart-20*time.Millisecond, func() { f.burst("east-1", 150) })
 		for _, g := range f.gateways {
 			g.setMisreport(func(err error) error {
 				var attempt *AttemptError
@@ -243,12 +248,13 @@
 	}
 }
 
-// TestInjectedDefectsAreDetected checks that each check can fail.
+// TestInjectedDefectsAreDetected checks that each injected defect is detected, so that the
+// checks of the simulation can fail.
 func TestInjectedDefectsAreDetected(t *testing.T) {
 	const maxSeeds = 8
 	for name, defect := range injectedDefects {
 		t.Run(name, func(t *testing.T) {
-			faults := scenario{distort: defect.distort, play: func(f *simulatedFleet) {
+			faults := scenario{distort: defect.distort, run: func(f *simulatedFleet) {
 				if defect.inject != nil {
 					defect.inject(f)
 				}
@@ -261,7 +267,7 @@
 					}
 				}
 			}
-			t.Errorf("no run of %d violated %s", maxSeeds, defect.rule)
+			t.Errorf("none of %d runs violated the rule %s", maxSeeds, defect.rule)
 		})
 	}
 }
