--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -12,8 +12,9 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// decide decides an operation at the primary, or repeats the answer that it got before.
-func (e *Executor) decide(ctx context.Context, observed *engine.Observation, execution *execution) attempt {
+// decide decides an operation at the primary. An operation that was decided before gets
+// its stored result again.
+func (e *Executor) decide(ctx context.Context, observed *engine.Observation, execution *execution) attemptResult {
 	state, err := e.engine.OperationState(ctx, execution.ID())
 	if err != nil || !state.Primary {
 		return tryAgain
@@ -22,7 +23,7 @@
 		return e.repeatAnswer(ctx, execution, state)
 	}
 	if execution.IsRouteMap() {
-		if attempt, refused := e.reviewRouteMap(ctx, execution, state.Catalog); refused {
+		if attempt, refused := e.checkRouteMap(ctx, execution, state.Catalog); refused {
 			return attempt
 		}
 	}
@@ -37,7 +38,7 @@
 		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
 	}
 	result, err := e.engine.Propose(ctx, decision.Update)
-	execution.sent = execution.sent || mayBeProposed(err)
+	execution.maybeExecuted = execution.maybeExecuted || mayHaveBeenProposed(err)
 	if err != nil {
 		return tryAgain
 	}
@@ -49,9 +50,10 @@
 	return e.acknowledge(ctx, execution, decision.Answer, result.Serial)
 }
 
-// updateFailed distinguishes a decision whose facts have changed meanwhile, which is made
-// anew, from an update that can never be applied.
-func (e *Executor) updateFailed(execution *execution, result registry.Result) attempt {
+// updateFailed handles an update that the registry did not apply. If a prerequisite
+// failed, the state has changed since the decision, and another attempt decides on the
+// new state. Any other update can never be applied.
+func (e *Executor) updateFailed(execution *execution, result registry.Result) attemptResult {
 	if result.Section == registry.SectionPrerequisite {
 		return tryAgain
 	}
@@ -59,8 +61,9 @@
 	return internalError("update answered %s in section %q", result.Code, result.Section)
 }
 
-// repeatAnswer gives the first answer to an operation again.
-func (e *Executor) repeatAnswer(ctx context.Context, execution *execution, state engine.OperationState) attempt {
+// repeatAnswer answers with the stored result of an operation that was decided before.
+// It is a conflict if the stored result belongs to other content under the same id.
+func (e *Executor) repeatAnswer(ctx context.Context, execution *execution, state engine.OperationState) attemptResult {
 	if state.Answer.Digest != execution.Digest() {
 		return rejected(operation.Conflict())
 	}
@@ -70,12 +73,12 @@
 	return e.acknowledge(ctx, execution, state.Answer, state.Serial)
 }
 
-// reviewRouteMap refuses an operation on the route map that the newest state does not
-// admit. That is final only if the state is proven to be the newest and has no answer
-// yet.
-func (e *Executor) reviewRouteMap(ctx context.Context, execution *execution, current *catalog.State) (_ attempt, refused bool) {
+// checkRouteMap rejects an operation on the route map that the current state does not
+// allow. The rejection is final only if a linearizable read confirms it and finds no
+// stored result of the operation.
+func (e *Executor) checkRouteMap(ctx context.Context, execution *execution, current *catalog.State) (_ attemptResult, refused bool) {
 	if execution.RefuseRouteMap(current) == nil {
-		return attempt{}, false
+		return attemptResult{}, false
 	}
 	observed, problem := e.config.Reader.Linearizable(ctx)
 	if problem != nil || !observed.Primary {
@@ -90,9 +93,9 @@
 	return tryAgain, true
 }
 
-// acknowledge answers with a stored decision: a refusal at once, an acceptance
+// acknowledge answers with a stored result: a refusal immediately, an acceptance
 // once its serial is in force at every gateway that may place requests.
-func (e *Executor) acknowledge(ctx context.Context, execution *execution, decided catalog.OperationResult, serial uint32) attempt {
+func (e *Executor) acknowledge(ctx context.Context, execution *execution, decided catalog.OperationResult, serial uint32) attemptResult {
 	answer := operation.Answer(execution.ID(), decided, serial)
 	if !decided.Accepted {
 		return answered(answer)
--- a/control/executor/executor.go
+++ b/control/executor/executor.go
@@ -1,6 +1,7 @@
-// Package executor executes operators' operations: here if this node is the primary,
-// and otherwise by forwarding them to it. An operation is tried again until it is in
-// force everywhere, is refused, or its time runs out.
+// Package executor executes operators' operations. The primary decides them; any other
+// node forwards them to the primary. An operation is retried until it is in force
+// everywhere, is refused, or its deadline passes. A change is in force once every
+// gateway that holds a lease has activated it.
 package executor
 
 import (
@@ -25,19 +26,19 @@
 )
 
 const (
-	// MaxWait bounds how long an operation may wait to be in force.
+	// MaxWait bounds how long a request may wait for its operation to be in force.
 	MaxWait = time.Minute
-	// retryInterval is the pause before an operation looks for a primary again.
+	// retryInterval is the pause between two attempts of an operation.
 	retryInterval = 50 * time.Millisecond
-	// labelAccepted is the label of an accepted operation in the metrics.
+	// labelAccepted is the metric label of an accepted operation.
 	labelAccepted = "accepted"
 )
 
-// Config sets up an Executor. All are required.
+// Config configures an Executor. Every field is required.
 type Config struct {
-	// PeerAddress is this node's own.
+	// PeerAddress is this node's own peer address.
 	PeerAddress string
-	// LeaseLength is that of the gateways' leases.
+	// LeaseLength is the length of the gateways' leases.
 	LeaseLength time.Duration
 
 	Queue    *eventqueue.Queue
@@ -54,8 +55,9 @@
 	config Config
 	log    *slog.Logger
 	engine *engine.Engine
-	// replicas is held while a list of replicas is compared and proposed: one at a time.
-	replicas sync.Mutex
+	// replicasMutex serializes updates of the replica list. It is held from reading the
+	// registry until the update is committed.
+	replicasMutex sync.Mutex
 }
 
 // New returns the executor of a node.
@@ -63,39 +65,39 @@
 	return &Executor{config: config, log: config.Logger, engine: config.Engine}
 }
 
-// execution is one operation on its way through this node.
+// execution is the execution of one operation by this node, over all its attempts.
 type execution struct {
 	*operation.Operation
-	// sent is true once the operation may have been executed.
-	sent bool
+	// maybeExecuted is true once an attempt may have executed the operation.
+	maybeExecuted bool
 }
 
-// attempt is what became of one attempt. It is not final when another attempt may
-// succeed.
-type attempt struct {
+// attemptResult is the result of one attempt to execute an operation. It is not final if
+// another attempt may succeed.
+type attemptResult struct {
 	reply peer.OperationReply
 	final bool
 }
 
-var tryAgain = attempt{}
+var tryAgain = attemptResult{}
 
-func rejected(problem *api.Error) attempt {
-	return attempt{reply: peer.OperationReply{Error: problem}, final: true}
+func rejected(problem *api.Error) attemptResult {
+	return attemptResult{reply: peer.OperationReply{Error: problem}, final: true}
 }
 
-func answered(answer *api.OperationResult) attempt {
-	return attempt{reply: peer.OperationReply{Answer: answer}, final: true}
+func answered(answer *api.OperationResult) attemptResult {
+	return attemptResult{reply: peer.OperationReply{Answer: answer}, final: true}
 }
 
-// Submit executes an operation that came from outside of the group, and counts its
-// answer.
+// Submit executes an operation that an operator has sent to this node, and counts its
+// result in the metrics.
 func (e *Executor) Submit(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	reply := e.Execute(ctx, request)
-	e.config.Metrics.Operations.WithLabelValues(label(reply)).Inc()
+	e.config.Metrics.Operations.WithLabelValues(resultLabel(reply)).Inc()
 	return reply
 }
 
-func label(reply peer.OperationReply) string {
+func resultLabel(reply peer.OperationReply) string {
 	switch {
 	case reply.Error != nil:
 		return string(reply.Error.Code)
@@ -106,8 +108,8 @@
 	}
 }
 
-// Execute executes an operation, here or at the primary, and answers when it is in
-// force everywhere, when it is refused, or when ctx ends.
+// Execute executes an operation at this node or at the primary. It returns when the
+// operation is in force everywhere, when it is refused, or when ctx ends.
 func (e *Executor) Execute(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	checked, problem := operation.New(request)
 	if problem != nil {
@@ -120,13 +122,13 @@
 			return attempt.reply
 		}
 		if !e.pause(ctx, observed) {
-			return peer.OperationReply{Error: operation.Unfinished(execution.sent)}
+			return peer.OperationReply{Error: operation.Unfinished(execution.maybeExecuted)}
 		}
 	}
 }
 
-// pause waits for a moment, or less if something changed that matters to an
-// operation. It returns false when ctx or the node ended.
+// pause waits for retryInterval, or until this node becomes or ceases to be the primary
+// or the leader changes. It returns false once ctx has ended or the node has stopped.
 func (e *Executor) pause(ctx context.Context, before *engine.Observation) bool {
 	wait, cancel := context.WithTimeout(ctx, retryInterval)
 	defer cancel()
@@ -141,7 +143,7 @@
 	}
 }
 
-func (e *Executor) attempt(ctx context.Context, observed *engine.Observation, execution *execution) attempt {
+func (e *Executor) attempt(ctx context.Context, observed *engine.Observation, execution *execution) attemptResult {
 	if !observed.Primary {
 		return e.forward(ctx, observed, execution)
 	}
@@ -152,10 +154,10 @@
 }
 
 // internalError rejects an operation whose update can never be applied.
-func internalError(format string, arguments ...any) attempt {
+func internalError(format string, arguments ...any) attemptResult {
 	return rejected(apierror.Internal(fmt.Errorf(format, arguments...)))
 }
 
-// mayBeProposed says whether an update may have been proposed, by the error of its
-// proposal.
-func mayBeProposed(err error) bool { return !errors.Is(err, driver.ErrNotPrimary) }
+// mayHaveBeenProposed reports whether an update may have been proposed, given the error
+// of its proposal.
+func mayHaveBeenProposed(err error) bool { return !errors.Is(err, driver.ErrNotPrimary) }
--- a/control/executor/forward.go
+++ b/control/executor/forward.go
@@ -12,13 +12,14 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// answerReserve is the time that a forwarding node keeps to pass an answer back.
+// answerReserve is the part of the remaining time that a forwarding node reserves for
+// returning the answer.
 const answerReserve = 100 * time.Millisecond
 
-// errEmptyReply is a reply that has neither an answer nor an error.
-var errEmptyReply = errors.New("control: empty reply to an order")
+// errEmptyReply means that a reply contains neither an answer nor an error.
+var errEmptyReply = errors.New("control: the primary's reply to an order contains neither an answer nor an error")
 
-// Serve handles peer.KindOperation, an operation that another control node forwards.
+// Serve handles peer.KindOperation, an operation forwarded by another control node.
 func (e *Executor) Serve(ctx context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.OperationRequest
 	if err := decode(&request); err != nil {
@@ -32,7 +33,7 @@
 }
 
 // forward sends an operation to the primary.
-func (e *Executor) forward(ctx context.Context, observed *engine.Observation, execution *execution) attempt {
+func (e *Executor) forward(ctx context.Context, observed *engine.Observation, execution *execution) attemptResult {
 	primary := e.config.Contacts.PrimaryAddress(observed)
 	if primary == "" || primary == e.config.PeerAddress {
 		return tryAgain
@@ -41,19 +42,20 @@
 		return rejected(apierror.NoPrimary("forwarded too often without reaching the primary", api.OutcomeUnknown))
 	}
 	reply, err := e.callPrimary(ctx, primary, execution.Request())
-	execution.sent = true
+	execution.maybeExecuted = true
 	if err != nil {
 		e.log.Debug("operation forwarding failed", "order", execution.ID(), "primary", primary, "error", err)
 		return tryAgain
 	}
 	if reply.Error != nil && reply.Error.Code == api.CodeNoPrimary {
-		return tryAgain // it speaks for that node alone, not for earlier attempts
+		return tryAgain // that node did not execute it, but an earlier attempt may have
 	}
-	return attempt{reply: reply, final: true}
+	return attemptResult{reply: reply, final: true}
 }
 
-// callPrimary gives up when another node becomes the primary: the first may be frozen.
-// After an error the operation may have been executed, or may be later.
+// callPrimary sends an operation to the primary and returns its reply. It cancels the
+// call if another node becomes the primary, since the former one may be frozen. After
+// an error the operation may have been executed, or may be executed later.
 func (e *Executor) callPrimary(ctx context.Context, primary string, request peer.OperationRequest) (peer.OperationReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/control/executor/forward_test.go
+++ b/control/executor/forward_test.go
@@ -19,7 +19,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// scriptedNetwork answers calls one after the other.
+// scriptedNetwork answers each call with the next of its scripted replies.
 type scriptedNetwork struct {
 	transport.Network
 	calls []func(reply *peer.OperationReply) error
@@ -35,8 +35,8 @@
 	return call(into)
 }
 
-// newForwardingExecutor returns the executor of a node that sends every operation to
-// a primary over the network: it has no group, and a member has named the primary.
+// newForwardingExecutor returns the executor of a node that belongs to no group and
+// forwards every operation to the primary that a member has named.
 func newForwardingExecutor(t *testing.T, network transport.Network) *Executor {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -51,8 +51,9 @@
 }
 
 // TestForwardedOperationIsNotRefusedOnceItsOutcomeIsUnknown loses the answer of a
-// primary that may have executed an operation. The next one's refusal for want of a
-// primary, which comes as the time runs out, says nothing about the first.
+// primary that may have executed the operation. A second attempt is refused because no
+// primary is known, just before the deadline. That refusal must not be returned, since
+// it does not cover the first attempt.
 func TestForwardedOperationIsNotRefusedOnceItsOutcomeIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -60,7 +61,7 @@
 			func(*peer.OperationReply) error { return errors.New("the answer was lost") },
 			func(reply *peer.OperationReply) error {
 				cancel()
-				reply.Error = apierror.NoPrimary("no primary was reached in time; the order was not carried out", api.OutcomeRefused)
+				reply.Error = apierror.NoPrimary("no primary was reached in time; the order was not executed", api.OutcomeRefused)
 				return nil
 			},
 		}}
@@ -68,7 +69,7 @@
 		request := peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "o1", Zone: "z"}}
 		reply := executor.Execute(ctx, request)
 		if reply.Error == nil || reply.Error.Outcome != api.OutcomeUnknown || len(network.calls) != 0 {
-			t.Fatalf("answered %+v, %d calls left", reply.Error, len(network.calls))
+			t.Fatalf("error %+v with %d scripted calls left, want an unknown outcome and none left", reply.Error, len(network.calls))
 		}
 	})
 }
--- a/control/executor/replicas.go
+++ b/control/executor/replicas.go
@@ -8,11 +8,11 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// executeReplicas makes the registry's list of replicas that of the platform. It
-// answers after the commit; gateways receive it as any other change.
-func (e *Executor) executeReplicas(ctx context.Context, execution *execution, list *api.ReplicaList) attempt {
-	e.replicas.Lock()
-	defer e.replicas.Unlock()
+// executeReplicas replaces the registry's list of replicas by the platform's. It answers
+// after the commit and does not wait until gateways have activated the change.
+func (e *Executor) executeReplicas(ctx context.Context, execution *execution, list *api.ReplicaList) attemptResult {
+	e.replicasMutex.Lock()
+	defer e.replicasMutex.Unlock()
 	observed, problem := e.config.Reader.Linearizable(ctx)
 	if problem != nil || !observed.Primary {
 		return tryAgain
@@ -26,7 +26,7 @@
 		return answered(answer)
 	}
 	result, err := e.engine.Propose(ctx, update)
-	execution.sent = execution.sent || mayBeProposed(err)
+	execution.maybeExecuted = execution.maybeExecuted || mayHaveBeenProposed(err)
 	if err != nil {
 		return tryAgain
 	}
