--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -13,25 +13,26 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// Facts are the state at the primary that a decision follows from. The
-// prerequisites of the decision's update make it void if they have changed meanwhile.
+// Facts are the primary's state on which a decision is based. If the relevant state has
+// changed before the decision's update is applied, a prerequisite of the update fails.
 type Facts struct {
 	Catalog *catalog.State
-	// Sequence orders the answers by age.
+	// Sequence orders the stored results by age.
 	Sequence uint64
-	// Surplus are the oldest answers, which are deleted with this one.
+	// Surplus are the names of the oldest stored results, which the decision's update
+	// deletes.
 	Surplus []registry.Name
 }
 
-// Decision is the answer to an operation, and the update that makes it so.
+// Decision is the result of an operation and the update that puts it into effect.
 type Decision struct {
 	Update registry.Update
 	Answer catalog.OperationResult
 }
 
-// Decide decides an operation that has an id. A refusal is a decision too. An error
-// is a defect, or an *api.Error of an operation on the route map that RefuseRouteMap
-// refuses.
+// Decide decides an operation that has an id. A refusal is a decision too. The error is
+// an internal one, or the *api.Error of an operation on the route map that
+// RefuseRouteMap refuses.
 func (o *Operation) Decide(facts Facts) (Decision, error) {
 	if o.request.Configuration != nil {
 		return o.decideConfiguration(facts)
@@ -45,31 +46,31 @@
 	return o.decideEvacuation(facts), nil
 }
 
-// decideConfiguration accepts a document that was built on the current version.
-// Either way the decision is valid only while that version is the current one.
+// decideConfiguration accepts a document whose base version is the current version.
+// Its decision, also a refusal, is valid only while that version is current.
 func (o *Operation) decideConfiguration(facts Facts) (Decision, error) {
 	request := o.request.Configuration
-	if refused, stale := o.refuseOldBase(facts, request.BaseVersion); stale && !planted.Active(planted.AcceptOldBase) {
+	if refused, stale := o.refuseStaleBase(facts, request.BaseVersion); stale && !planted.Active(planted.AcceptOldBase) {
 		return refused, nil
 	}
 	return o.acceptDocument(facts, o.document, request.Author, request.Document)
 }
 
-// decideConfigurationChange makes a change to the document of the version that it
-// was built on, if that is the current one and the result is valid.
+// decideConfigurationChange applies a change to the current document, if the change's
+// base version is the current version and the result is valid.
 func (o *Operation) decideConfigurationChange(facts Facts) (Decision, error) {
 	request := o.request.ConfigurationChange
-	if refused, stale := o.refuseOldBase(facts, request.BaseVersion); stale {
+	if refused, stale := o.refuseStaleBase(facts, request.BaseVersion); stale {
 		return refused, nil
 	}
 	text, document, problem := changedDocument(facts.Catalog, o.change)
 	if problem != nil {
-		return o.refuse(facts, basePrerequisite(facts), problem), nil
+		return o.refuse(facts, unchangedPrerequisite(facts), problem), nil
 	}
 	return o.acceptDocument(facts, document, request.Author, text)
 }
 
-// changedDocument is the current document with a change made to it.
+// changedDocument returns the current document with a change applied.
 func changedDocument(current *catalog.State, change *patch.Change) (string, *configuration.Document, *api.Error) {
 	record, _ := current.Configuration()
 	text, err := patch.ApplyYAML(record.Document, change)
@@ -83,12 +84,12 @@
 	return text, document, nil
 }
 
-// refuseOldBase refuses what was not built on the current version.
-func (o *Operation) refuseOldBase(facts Facts, base uint64) (refused Decision, stale bool) {
+// refuseStaleBase refuses an operation whose base version is not the current version.
+func (o *Operation) refuseStaleBase(facts Facts, base uint64) (refused Decision, stale bool) {
 	if base == facts.Catalog.Version() {
 		return Decision{}, false
 	}
-	return o.refuse(facts, basePrerequisite(facts), versionConflict(base, facts.Catalog.Version())), true
+	return o.refuse(facts, unchangedPrerequisite(facts), versionConflict(base, facts.Catalog.Version())), true
 }
 
 func versionConflict(base, current uint64) *api.Error {
@@ -100,22 +101,23 @@
 	}
 }
 
-// basePrerequisite is that the current version is still the current one.
-func basePrerequisite(facts Facts) registry.Record {
+// unchangedPrerequisite requires that the configuration is unchanged.
+func unchangedPrerequisite(facts Facts) registry.Record {
 	return configuration.UnchangedPrerequisite(facts.Catalog.View())
 }
 
-// acceptDocument makes a document the next version.
+// acceptDocument accepts a document as the next version.
 func (o *Operation) acceptDocument(facts Facts, document *configuration.Document, author, text string) (Decision, error) {
 	version := facts.Catalog.Version() + 1
 	changes, err := configuration.Changes(facts.Catalog.View(), document, version, author, text)
 	if err != nil {
 		return Decision{}, err
 	}
-	return o.accept(facts, version, author, basePrerequisite(facts), changes), nil
+	return o.accept(facts, version, author, unchangedPrerequisite(facts), changes), nil
 }
 
-// decideEvacuation evacuates a zone of the current configuration, or withdraws that.
+// decideEvacuation evacuates a zone of the current configuration, or ends its
+// evacuation.
 func (o *Operation) decideEvacuation(facts Facts) Decision {
 	request := o.request.Evacuation
 	name := catalog.ZoneName(request.Zone)
@@ -134,14 +136,14 @@
 	return o.accept(facts, facts.Catalog.Version(), request.Author, exists, []registry.Record{change})
 }
 
-// accept is a decision with changes, valid under a prerequisite. The version is that
-// after the changes.
+// accept returns a decision with changes, valid under a prerequisite. The version is
+// that of the configuration after the changes.
 func (o *Operation) accept(facts Facts, version uint64, author string, prerequisite registry.Record, changes []registry.Record) Decision {
 	answer := catalog.OperationResult{Digest: o.digest, Accepted: true, Version: version, Sequence: facts.Sequence}
 	return o.decision(facts, answer, author, prerequisite, changes)
 }
 
-// refuse is a decision without changes, valid under a prerequisite.
+// refuse returns a decision without changes, valid under a prerequisite.
 func (o *Operation) refuse(facts Facts, prerequisite registry.Record, reason *api.Error) Decision {
 	answer := catalog.OperationResult{
 		Digest:   o.digest,
@@ -154,19 +156,20 @@
 	return o.decision(facts, answer, "", prerequisite, nil)
 }
 
-// decision adds the answer's record to the changes, once: no answer may exist.
+// decision adds the record of the result to the changes, and the prerequisite that no
+// result is stored yet.
 func (o *Operation) decision(facts Facts, answer catalog.OperationResult, author string, prerequisite registry.Record, changes []registry.Record) Decision {
-	unanswered := registry.Absent(catalog.OperationName(o.ID()), catalog.TypeOperation)
+	noResult := registry.Absent(catalog.OperationName(o.ID()), catalog.TypeOperation)
 	changes = append(changes, registry.Add(catalog.OperationResultRecord(o.ID(), answer)))
 	for _, oldest := range facts.Surplus {
 		changes = append(changes, registry.DeleteSet(oldest, catalog.TypeOperation))
 	}
-	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite, unanswered}, changes)
+	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite, noResult}, changes)
 	update.Requestor = permission.Operator(author)
 	return Decision{Update: update, Answer: answer}
 }
 
-// Answer is the answer to an operation whose decision was stored, visible since a serial.
+// Answer returns the answer to an operation whose result is stored since a serial.
 func Answer(id string, decided catalog.OperationResult, serial uint32) *api.OperationResult {
 	answer := &api.OperationResult{
 		OperationID: id,
@@ -185,7 +188,7 @@
 	return answer
 }
 
-// Conflict rejects an operation whose id was used for another one.
+// Conflict returns the error for an operation whose id was used for another one.
 func Conflict() *api.Error {
 	return &api.Error{
 		Code:    api.CodeOperationConflict,
@@ -195,11 +198,11 @@
 	}
 }
 
-// Unfinished answers an operation whose time ran out. It may have been executed if
-// it was sent to a primary or proposed.
-func Unfinished(sent bool) *api.Error {
-	if !sent {
-		return apierror.NoPrimary("no primary was reached in time; the order was not carried out", api.OutcomeRefused)
+// Unfinished returns the error for an operation whose deadline has passed. The
+// operation may have been executed if it was sent to a primary or proposed.
+func Unfinished(maybeExecuted bool) *api.Error {
+	if !maybeExecuted {
+		return apierror.NoPrimary("no primary was reached in time; the order was not executed", api.OutcomeRefused)
 	}
 	return apierror.Pending("the order is not yet known to be in force everywhere; send it again with the same order id")
 }
--- a/control/operation/golden_test.go
+++ b/control/operation/golden_test.go
@@ -10,8 +10,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// TestGoldenOperationDigests holds the digests under which answers to operations are
-// kept, as they stand in the registry.
+// TestGoldenOperationDigests checks the digests that are stored with the results of
+// operations: stored digests must remain valid.
 func TestGoldenOperationDigests(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestGoldenEvacuationDigest goes the whole way from a request to its digest.
+// TestGoldenEvacuationDigest checks the digest that New computes for a request.
 func TestGoldenEvacuationDigest(t *testing.T) {
 	checked, problem := New(peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "operation-1", Zone: "zone-1", Author: "operator-1"}})
 	if problem != nil {
@@ -48,7 +48,9 @@
 	return encoded
 }
 
-func TestGoldenRouteMapIdentity(t *testing.T) {
-	identity := routeMapID(&peer.RouteMapOperation{BaseVersion: 7, Text: "text"})
-	golden.Compare(t, "identity-route-map", []byte(identity))
+// TestGoldenRouteMapID checks the id under which the result of an operation on the route
+// map is stored.
+func TestGoldenRouteMapID(t *testing.T) {
+	id := routeMapID(&peer.RouteMapOperation{BaseVersion: 7, Text: "text"})
+	golden.Compare(t, "identity-route-map", []byte(id))
 }
--- a/control/operation/operation.go
+++ b/control/operation/operation.go
@@ -1,12 +1,14 @@
-// Package operation checks operators' operations and decides what each changes.
+// Package operation validates operators' operations and decides what each of them
+// changes.
 //
-// An operation's first answer is a record, written by the same update as its effect
-// and under the prerequisite that no answer to it exists. So it takes effect once and
-// is answered alike for ever, whoever leads. A refusal is written by an update of its
-// own. What is malformed is answered without a record.
+// The result of an operation is stored as a record, by the same update that makes its
+// change. A prerequisite of this update is that no result of the operation is stored
+// yet. So an operation takes effect at most once, and every later primary answers it
+// with the same result. A refusal is stored by an update of its own. A malformed
+// operation is rejected without a record.
 //
 // Everything here is a pure function of the operation and of the registry's state at
-// the primary. Package executor puts the decisions through the replicated log. On the
+// the primary. Package executor submits the decisions to the replicated log. On the
 // wire and in the registry an operation is called an order.
 package operation
 
@@ -25,18 +27,18 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Operation is one operation whose form is valid.
+// Operation is a well-formed operation.
 type Operation struct {
 	request  peer.OperationRequest
 	document *configuration.Document
-	// change is that of an operation which changes the document.
+	// change is the parsed change of a configuration change, nil for other operations.
 	change *patch.Change
 	digest uint64
 	// routeMapID identifies an operation on the route map.
 	routeMapID string
 }
 
-// New checks the form of an operation.
+// New returns the operation of a request, or the error of a malformed one.
 func New(request peer.OperationRequest) (*Operation, *api.Error) {
 	o := &Operation{request: request}
 	if problem := o.check(); problem != nil {
@@ -58,21 +60,21 @@
 	case o.request.ConfigurationChange != nil:
 		return o.checkConfigurationChange(o.request.ConfigurationChange)
 	default:
-		return apierror.Invalid("", "the request carries no order")
+		return apierror.Invalid("", "the request contains no order")
 	}
 }
 
-// Request is the request as it was received.
+// Request returns the request as it was received.
 func (o *Operation) Request() peer.OperationRequest { return o.request }
 
-// Replicas is the platform's list of replicas; nil for any other operation. It has
-// no id and no record of its answer, and is decided by ReplicaUpdate.
+// Replicas returns the platform's list of replicas, nil for any other operation. Such
+// an operation has no id and no stored result, and is decided by ReplicaUpdate.
 func (o *Operation) Replicas() *api.ReplicaList { return o.request.Replicas }
 
-// IsRouteMap is true for an operation on the route map.
+// IsRouteMap reports whether the operation changes the route map.
 func (o *Operation) IsRouteMap() bool { return o.request.RouteMap != nil }
 
-// ID identifies the operation; empty for a list of replicas.
+// ID returns the id of the operation, empty for a list of replicas.
 func (o *Operation) ID() string {
 	switch {
 	case o.request.Configuration != nil:
@@ -88,7 +90,7 @@
 	}
 }
 
-// Digest is a hash of what the operation asks for, its author apart: the same id
+// Digest returns a hash of the operation's content without its author. The same id
 // with another digest is a conflict.
 func (o *Operation) Digest() uint64 { return o.digest }
 
@@ -123,13 +125,14 @@
 		return problem
 	}
 	if catalog.CheckObjectName(request.Zone) != nil {
-		return apierror.Invalid("zone", objectNameLength())
+		return apierror.Invalid("zone", objectNameReason())
 	}
 	o.digest = digestOf("evacuation", request.Zone, request.Withdraw)
 	return nil
 }
 
-// invalidChange names the field of a change that cannot be made.
+// invalidChange returns the API error for a change that cannot be applied, with the
+// field at fault.
 func invalidChange(err error) *api.Error {
 	var problem *patch.FieldError
 	if errors.As(err, &problem) {
@@ -138,7 +141,8 @@
 	return apierror.Invalid("change", err.Error())
 }
 
-// invalidDocument names the first problem's field; the message has all of them.
+// invalidDocument returns the API error for an invalid document. Its field is that of
+// the first problem; its message lists all of them.
 func invalidDocument(err error) *api.Error {
 	answer := apierror.Invalid("document", err.Error())
 	var problems *configuration.DocumentError
@@ -150,7 +154,7 @@
 
 func checkID(id, author string) *api.Error {
 	if catalog.CheckObjectName(id) != nil {
-		return apierror.Invalid("order_id", objectNameLength())
+		return apierror.Invalid("order_id", objectNameReason())
 	}
 	if len(author) > api.MaxNameBytes {
 		return apierror.Invalid("author", fmt.Sprintf("must have at most %d bytes", api.MaxNameBytes))
@@ -158,15 +162,15 @@
 	return nil
 }
 
-func objectNameLength() string {
+func objectNameReason() string {
 	return fmt.Sprintf("must have 1 to %d bytes", catalog.MaxObjectNameBytes)
 }
 
-// digestOf hashes what an operation asks for. The hash is stored with its answer.
+// digestOf hashes the content of an operation. The hash is stored with its result.
 func digestOf(parts ...any) uint64 {
 	encoded, err := cbor.Marshal(parts)
 	if err != nil {
-		panic(fmt.Sprintf("control: encoding an order: %v", err))
+		panic(fmt.Sprintf("control: encoding the content of an order: %v", err))
 	}
 	return xxhash.Sum64(encoded)
 }
--- a/control/operation/replicas.go
+++ b/control/operation/replicas.go
@@ -11,10 +11,10 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// maxReplicas bounds the platform's list.
+// maxReplicas bounds the length of the platform's list.
 const maxReplicas = 20_000
 
-// checkReplicas checks the form of the platform's list.
+// checkReplicas rejects a malformed list of replicas.
 func checkReplicas(list *api.ReplicaList) *api.Error {
 	if len(list.Replicas) > maxReplicas {
 		return apierror.Invalid("replicas", fmt.Sprintf("must have at most %d entries", maxReplicas))
@@ -32,13 +32,13 @@
 func checkReplica(entry api.ReplicaEntry, seen map[string]bool) (field, reason string) {
 	switch {
 	case catalog.CheckObjectName(entry.ID) != nil:
-		return "id", objectNameLength()
+		return "id", objectNameReason()
 	case seen[entry.ID]:
 		return "id", fmt.Sprintf("%q is listed twice", entry.ID)
 	case catalog.CheckObjectName(entry.Service) != nil:
-		return "service", objectNameLength()
+		return "service", objectNameReason()
 	case catalog.CheckObjectName(entry.Zone) != nil:
-		return "zone", objectNameLength()
+		return "zone", objectNameReason()
 	case !strings.Contains(entry.Address, ":") || len(entry.Address) > api.MaxNameBytes:
 		return "address", "must be host:port"
 	default:
@@ -46,8 +46,8 @@
 	}
 }
 
-// ReplicaUpdate is the update that makes the registry's list of replicas that of the
-// platform. It has no changes if the lists are the same.
+// ReplicaUpdate returns the update that replaces the registry's list of replicas by the
+// platform's. It has no changes if the lists are equal.
 func ReplicaUpdate(current *catalog.State, list *api.ReplicaList) (registry.Update, *api.Error) {
 	changes, problem := replicaChanges(current, list)
 	if problem != nil {
@@ -58,7 +58,7 @@
 	return update, nil
 }
 
-// replicaChanges lists what differs between the registry and the platform's list.
+// replicaChanges returns the changes from the registry's list to the platform's.
 func replicaChanges(current *catalog.State, list *api.ReplicaList) ([]registry.Record, *api.Error) {
 	var changes []registry.Record
 	listed := make(map[string]bool, len(list.Replicas))
@@ -94,7 +94,8 @@
 	return []registry.Record{registry.DeleteSet(catalog.ReplicaName(entry.ID), catalog.TypeDrain)}
 }
 
-// conditionChange follows a list that says which replicas are warming up.
+// conditionChange updates a replica's condition if the list states whether the replica
+// is warming up. A list without ColdMS leaves the condition to the gateways.
 func conditionChange(current *catalog.State, entry api.ReplicaEntry) []registry.Record {
 	if entry.ColdMS == nil {
 		return nil
--- a/control/operation/routemap.go
+++ b/control/operation/routemap.go
@@ -17,17 +17,17 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// Operations on the route map come without an id: what they build on and their text
-// identify them, so that one sent again to any node is the same operation. A refusal
-// leaves no record, since a later state may admit the same operation; it is given
-// only on a state that was the newest when the operation came.
+// Operations on the route map arrive without an id. Their id is derived from their base
+// version and text, so that a resent operation is recognized by any node. A refusal is
+// not stored, since the same operation may be valid in a later state; it is returned
+// only on a state that was the newest when the operation arrived.
 
 const (
 	routeMapIDPrefix       = "map-"
 	routeMapChangeIDPrefix = "map-change-"
-	// routeMapIDBytes is the part of the SHA-256 that identifies an operation.
+	// routeMapIDBytes is the length of the SHA-256 prefix that identifies an operation.
 	routeMapIDBytes = 20
-	// versionMember is the member of a map's text that has its version.
+	// versionMember is the member of a map's text that contains its version.
 	versionMember = "version"
 )
 
@@ -68,8 +68,8 @@
 	return prefix + hex.EncodeToString(sum[:routeMapIDBytes])
 }
 
-// RefuseRouteMap returns why an operation on the route map may not be executed on
-// the newest state, nil if it may.
+// RefuseRouteMap returns the reason why an operation on the route map may not be
+// executed on the newest state, nil if it may.
 func (o *Operation) RefuseRouteMap(newest *catalog.State) *api.Error {
 	request := o.request.RouteMap
 	current := newest.Version()
@@ -79,24 +79,24 @@
 	case request.Version() <= current:
 		return apierror.Invalid("version", fmt.Sprintf("must be above the current version %d", current))
 	default:
-		_, problem := routeMapAfter(request, newest)
+		_, problem := resultingRouteMap(request, newest)
 		return problem
 	}
 }
 
-// decideRouteMap makes the map the current one, if the version that it was built on
-// still is.
+// decideRouteMap replaces the current map. The decision is valid only while the map's
+// base version is the current version.
 func (o *Operation) decideRouteMap(facts Facts) (Decision, error) {
 	request := o.request.RouteMap
-	after, problem := routeMapAfter(request, facts.Catalog)
+	result, problem := resultingRouteMap(request, facts.Catalog)
 	if problem != nil {
 		return Decision{}, problem
 	}
-	changes, err := configuration.RouteMapChanges(facts.Catalog.View(), after.routes, request.Zones, after.text)
+	changes, err := configuration.RouteMapChanges(facts.Catalog.View(), result.routes, request.Zones, result.text)
 	if err != nil {
 		return Decision{}, err
 	}
-	return o.accept(facts, after.routes.Version, "", basePrerequisite(facts), changes), nil
+	return o.accept(facts, result.routes.Version, "", unchangedPrerequisite(facts), changes), nil
 }
 
 // routeMapWithText is a route map and the text that it was read from.
@@ -105,9 +105,10 @@
 	text   string
 }
 
-// routeMapAfter is what an operation makes of the current configuration. A change is
-// made to it by the primary, in the operation's place in the log.
-func routeMapAfter(request *peer.RouteMapOperation, current *catalog.State) (routeMapWithText, *api.Error) {
+// resultingRouteMap returns the map that results from an operation on the current
+// configuration. The primary applies a change when it decides the operation, so that
+// the change applies to the state at the operation's position in the log.
+func resultingRouteMap(request *peer.RouteMapOperation, current *catalog.State) (routeMapWithText, *api.Error) {
 	if request.Change == nil {
 		return routeMapWithText{routes: &request.Map, text: request.Text}, nil
 	}
