--- a/control/permission/permission.go
+++ b/control/permission/permission.go
@@ -1,4 +1,4 @@
-// Package permission decides which requestor may change which types of records.
+// Package permission checks which types of records a requestor may change.
 package permission
 
 import (
@@ -9,35 +9,37 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// Prefixes of the requestor of an update. They are stored in the log.
+// Prefixes of an update's requestor. They are stored in the log.
 const (
 	controlPrefix  = "control:"
 	gatewayPrefix  = "gateway:"
 	operatorPrefix = "operator:"
 )
 
-// Platform is the requestor of the platform's list of replicas.
+// Platform is the requestor of updates that apply the platform's list of replicas.
 const Platform = "platform:"
 
-// Control is the requestor of a control node's updates of the fleet's own records.
+// Control returns the requestor of a control node's updates: of SOA, NS and gateway
+// records.
 func Control(name string) string { return controlPrefix + name }
 
-// Gateway is the requestor of the updates of a gateway that watches replicas.
+// Gateway returns the requestor of the updates in which a gateway reports the condition
+// of replicas.
 func Gateway(address string) string { return gatewayPrefix + address }
 
-// Operator is the requestor of an operation by its author, who may be empty.
+// Operator returns the requestor of an operator's operation. The author may be empty.
 func Operator(author string) string { return operatorPrefix + author }
 
-// Check is the permission step of an update (RFC 2136, section 3.3). It depends
-// on the update alone, so that every replica of the table decides alike.
+// Check is the permission check of an update (RFC 2136, section 3.3). Its result
+// depends on the update alone, so that all replicas of the table agree on it.
 func Check(update *registry.Update) error {
 	allowed := allowedTypes(update.Requestor)
 	if allowed == nil {
-		return fmt.Errorf("requestor %q may change nothing", update.Requestor)
+		return fmt.Errorf("requestor %q has no permissions", update.Requestor)
 	}
 	for _, change := range update.Changes {
 		if !allowed(change) {
-			return fmt.Errorf("requestor %q may not change type %d at %s", update.Requestor, change.Type, change.Name)
+			return fmt.Errorf("requestor %q has no permission to change records of type %d at %s", update.Requestor, change.Type, change.Name)
 		}
 	}
 	return nil
@@ -67,7 +69,7 @@
 	}
 }
 
-// gatewayMayChange restricts gateways to the condition of replicas.
+// gatewayMayChange allows only the condition of replicas.
 func gatewayMayChange(record registry.Record) bool {
 	return record.Type == catalog.TypeCondition
 }
@@ -81,8 +83,8 @@
 	}
 }
 
-// platformMayChange includes the condition, since the platform's list may say
-// which replicas are warming up, and deleting a replica's name with all its records.
+// platformMayChange allows the condition too, since the platform's list may state which
+// replicas are warming up, and the deletion of all records of a replica.
 func platformMayChange(record registry.Record) bool {
 	switch record.Type {
 	case catalog.TypeReplica, catalog.TypeDrain, catalog.TypeCondition:
