--- a/control/httpapi/answers.go
+++ b/control/httpapi/answers.go
@@ -15,10 +15,10 @@
 	"github.com/deckpulley/deckpulley/control/statemachine"
 )
 
-// defaultOperationList is the number of operations that are listed if none is given.
-const defaultOperationList = 100
+// defaultOperationLimit bounds the list of operations if the request has no limit.
+const defaultOperationLimit = 100
 
-// configurationAnswer reads the configuration back.
+// configurationAnswer returns the configuration of an observation.
 func configurationAnswer(observed *engine.Observation) api.ConfigurationAnswer {
 	answer := api.ConfigurationAnswer{Serial: observed.Serial}
 	if observed.Catalog == nil {
@@ -32,7 +32,7 @@
 	return answer
 }
 
-// zonesAnswer lists the zones of the configuration, ordered by name.
+// zonesAnswer returns the zones of the configuration, sorted by name.
 func zonesAnswer(observed *engine.Observation) api.ZonesAnswer {
 	answer := api.ZonesAnswer{Zones: []api.ZoneStatus{}}
 	if observed.Catalog == nil {
@@ -49,7 +49,7 @@
 	return answer
 }
 
-// replicasAnswer reads the list of replicas back, ordered by id.
+// replicasAnswer returns the list of replicas, sorted by id.
 func replicasAnswer(observed *engine.Observation) api.ReplicasAnswer {
 	answer := api.ReplicasAnswer{Serial: observed.Serial, Replicas: []api.ReplicaStatus{}}
 	if observed.Catalog == nil {
@@ -81,7 +81,7 @@
 	return status
 }
 
-// operationsAnswer lists up to limit kept operations, newest first.
+// operationsAnswer returns at most limit stored operation results, newest first.
 func operationsAnswer(observed *engine.Observation, limit int) (api.OperationsAnswer, *api.Error) {
 	answer := api.OperationsAnswer{Serial: observed.Serial, Orders: []api.OperationStatus{}}
 	if observed.Catalog == nil {
@@ -107,10 +107,10 @@
 	return answer, nil
 }
 
-func limitOf(r *http.Request) (int, *api.Error) {
+func parseLimit(r *http.Request) (int, *api.Error) {
 	text := r.URL.Query().Get(parameterLimit)
 	if text == "" {
-		return defaultOperationList, nil
+		return defaultOperationLimit, nil
 	}
 	limit, err := strconv.Atoi(text)
 	if err != nil || limit < 1 || limit > statemachine.OperationLimit {
--- a/control/httpapi/httpapi.go
+++ b/control/httpapi/httpapi.go
@@ -1,4 +1,4 @@
-// Package httpapi serves the operators' port of a control node.
+// Package httpapi serves the operators' HTTP API of a control node.
 package httpapi
 
 import (
@@ -19,38 +19,38 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// Limits of the operators' port.
+// Limits of the HTTP server.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
 	idleTimeout       = 60 * time.Second
 	// writeTimeout covers the longest wait for an operation to be in force.
 	writeTimeout = executor.MaxWait + 10*time.Second
-	// maxOperationBody bounds an operation's body in bytes: a document, escaped, and
-	// the rest.
+	// maxOperationBody bounds an operation's body in bytes: a document escaped as a JSON
+	// string, and the other fields.
 	maxOperationBody = 2*configuration.MaxDocumentBytes + 64<<10
 	// MaxSmallBody bounds the body of an evacuation in bytes.
 	MaxSmallBody = 64 << 10
-	// liveTimeout is how soon a live event loop answers.
+	// liveTimeout bounds the time that the event loop has to respond to a liveness check.
 	liveTimeout = 2 * time.Second
 )
 
 // Query parameters.
 const (
-	parameterWait         = "wait_ms"      // longest wait for an operation to be in force
-	parameterLinearizable = "linearizable" // read what was acknowledged before, or nothing
-	parameterLimit        = "limit"        // longest list of operations
+	parameterWait         = "wait_ms"      // maximum wait for an operation to be in force, in ms
+	parameterLinearizable = "linearizable" // "true" requests a linearizable read
+	parameterLimit        = "limit"        // maximum number of operations in the list
 )
 
-// Config sets up a Handler. All but Tokens are required.
+// Config configures a handler. All fields but Tokens are required.
 type Config struct {
-	// Tokens returns the operators' tokens as they are now; nil permits operations
-	// without one.
+	// Tokens returns the operators' current tokens; nil permits operations without a
+	// token.
 	Tokens func() settings.Tokens
 	// CallTimeout bounds a linearizable read.
 	CallTimeout time.Duration
-	// OperationTimeout is how long an operation may wait to be in force when its sender
-	// does not say.
+	// OperationTimeout bounds the wait for an operation to be in force if the request
+	// has no wait_ms parameter.
 	OperationTimeout time.Duration
 
 	Engine   *engine.Engine
@@ -60,14 +60,14 @@
 	Metrics  prometheus.Gatherer
 }
 
-// handlers answer the operators of one node.
+// handlers are the HTTP handlers of one node.
 type handlers struct {
 	config Config
 	engine *engine.Engine
 }
 
-// NewServer returns an HTTP server for the operators' port with every limit set.
-// The caller gives it an address, starts it and closes it.
+// NewServer returns an HTTP server for the operators' API with all timeouts and limits
+// set. The caller sets its address, starts it and closes it.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -79,7 +79,7 @@
 	}
 }
 
-// NewHandler returns the handler of the operators' port.
+// NewHandler returns the handler of the operators' API.
 func NewHandler(config Config) http.Handler {
 	h := &handlers{config: config, engine: config.Engine}
 	mux := http.NewServeMux()
@@ -107,8 +107,8 @@
 	return mux
 }
 
-// authorized lets a request pass if it carries an operator's token, or if none
-// is required. The operator's name becomes the author of operations that name none.
+// authorized calls next if the request has an operator's token, or if none is required.
+// It passes the operator's name, which is the author of operations that state none.
 func (h *handlers) authorized(next func(http.ResponseWriter, *http.Request, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		operator := ""
@@ -148,9 +148,9 @@
 	writeJSON(w, http.StatusOK, replicasAnswer(h.engine.Observe()))
 }
 
-// getOperations lists the newest kept answers to operations from this node's own state.
+// getOperations lists the newest stored operation results in this node's own state.
 func (h *handlers) getOperations(w http.ResponseWriter, r *http.Request) {
-	limit, problem := limitOf(r)
+	limit, problem := parseLimit(r)
 	if problem != nil {
 		writeError(w, problem)
 		return
@@ -172,12 +172,12 @@
 	writeJSON(w, http.StatusOK, api.MembersAnswer{Members: view.Status.Members, RepairDone: view.RepairDone})
 }
 
-// getLive answers if the event loop does.
+// getLive reports success if the event loop responds.
 func (h *handlers) getLive(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), liveTimeout)
 	defer cancel()
 	if err := h.engine.Ping(ctx); err != nil {
-		writeError(w, &api.Error{Code: api.CodeNotReady, Outcome: api.OutcomeRefused, Message: "the event loop does not answer", Retry: true})
+		writeError(w, &api.Error{Code: api.CodeNotReady, Outcome: api.OutcomeRefused, Message: "the event loop does not respond", Retry: true})
 		return
 	}
 	w.WriteHeader(http.StatusOK)
--- a/control/httpapi/json.go
+++ b/control/httpapi/json.go
@@ -13,10 +13,11 @@
 	"github.com/deckpulley/deckpulley/control/apierror"
 )
 
-// millisPerSecond converts RetryAfterMS to the seconds of Retry-After, rounded up.
+// millisPerSecond converts RetryAfterMS to the seconds of the Retry-After header.
 const millisPerSecond = 1000
 
-// readJSON decodes exactly one document of known fields, of at most limit bytes.
+// readJSON decodes a body of at most limit bytes. It rejects unknown fields and more
+// than one JSON document.
 func readJSON(w http.ResponseWriter, r *http.Request, limit int64, into any) *api.Error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
 	decoder.DisallowUnknownFields()
@@ -38,8 +39,8 @@
 	}
 }
 
-// unknownField takes the field's name out of the decoder's message, the one place
-// where it is.
+// unknownField returns the name of an unknown field, "" for another error. The decoder
+// has no typed error for it, so the name is parsed from the message.
 func unknownField(err error) string {
 	name, found := strings.CutPrefix(err.Error(), "json: unknown field ")
 	if !found {
@@ -68,5 +69,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(body, '\n')) // a caller that went away gets no answer
+	_, _ = w.Write(append(body, '\n')) // fails only if the client has disconnected
 }
--- a/control/httpapi/operations.go
+++ b/control/httpapi/operations.go
@@ -14,7 +14,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// An operation's handler reads the body and names the author; submit does the rest.
+// The handler of an operation decodes the body and sets the author; submit executes the
+// operation and writes the answer.
 
 func (h *handlers) putConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
 	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationOperation) (peer.OperationRequest, *api.Error) {
@@ -22,21 +23,21 @@
 			message := fmt.Sprintf("must have at most %d bytes", configuration.MaxDocumentBytes)
 			return peer.OperationRequest{}, apierror.TooLarge("document", message)
 		}
-		body.Author = authorOf(body.Author, operator)
+		body.Author = authorOrDefault(body.Author, operator)
 		return peer.OperationRequest{Configuration: body}, nil
 	})
 }
 
 func (h *handlers) patchConfiguration(w http.ResponseWriter, r *http.Request, operator string) {
 	submitBody(h, w, r, maxOperationBody, func(body *api.ConfigurationPatchOperation) (peer.OperationRequest, *api.Error) {
-		body.Author = authorOf(body.Author, operator)
+		body.Author = authorOrDefault(body.Author, operator)
 		return peer.OperationRequest{ConfigurationChange: body}, nil
 	})
 }
 
 func (h *handlers) postEvacuation(w http.ResponseWriter, r *http.Request, operator string) {
 	submitBody(h, w, r, MaxSmallBody, func(body *api.EvacuationOperation) (peer.OperationRequest, *api.Error) {
-		body.Author = authorOf(body.Author, operator)
+		body.Author = authorOrDefault(body.Author, operator)
 		return peer.OperationRequest{Evacuation: body}, nil
 	})
 }
@@ -47,7 +48,7 @@
 	})
 }
 
-func authorOf(author, operator string) string {
+func authorOrDefault(author, operator string) string {
 	if author == "" {
 		return operator
 	}
@@ -69,9 +70,9 @@
 	h.submit(w, r, operation)
 }
 
-// submit executes an operation within the time that its sender gives.
+// submit executes an operation within the time that the request allows.
 func (h *handlers) submit(w http.ResponseWriter, r *http.Request, request peer.OperationRequest) {
-	wait, problem := h.waitOf(r)
+	wait, problem := h.parseWait(r)
 	if problem != nil {
 		writeError(w, problem)
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-func (h *handlers) waitOf(r *http.Request) (time.Duration, *api.Error) {
+func (h *handlers) parseWait(r *http.Request) (time.Duration, *api.Error) {
 	text := r.URL.Query().Get(parameterWait)
 	if text == "" {
 		return h.config.OperationTimeout, nil
