--- a/control/status/status.go
+++ b/control/status/status.go
@@ -1,4 +1,4 @@
-// Package status collects what operators want to know of the fleet.
+// Package status builds the overview of the fleet's state for operators.
 package status
 
 import (
@@ -18,15 +18,15 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// overviewTimeout bounds collecting an overview, forwarding included.
+// overviewTimeout bounds the time to build an overview, including forwarding.
 const overviewTimeout = 2 * time.Second
 
-// Config sets up a Reporter. All are required.
+// Config configures a Reporter. Every field is required.
 type Config struct {
 	// Name and PeerAddress are this node's own.
 	Name        string
 	PeerAddress string
-	// CallTimeout bounds the answer to another node.
+	// CallTimeout bounds the time to answer another node.
 	CallTimeout time.Duration
 
 	Engine    *engine.Engine
@@ -34,7 +34,7 @@
 	Describer *discovery.Describer
 }
 
-// Reporter collects the overviews of one node. Its methods are safe for concurrent use.
+// Reporter builds the overviews of one node. Its methods are safe for concurrent use.
 type Reporter struct {
 	config Config
 	engine *engine.Engine
@@ -56,8 +56,8 @@
 	return &view, nil
 }
 
-// Overview is the primary's, or this node's own view with a note if no primary
-// answers.
+// Overview returns the primary's overview. If no primary answers, it returns this node's
+// own view with a note that says so.
 func (r *Reporter) Overview(ctx context.Context) message.Overview {
 	ctx, cancel := context.WithTimeout(ctx, overviewTimeout)
 	defer cancel()
@@ -81,8 +81,9 @@
 	return view
 }
 
-// primaryOverview collects what the primary knows. The members are asked anew,
-// so that a repair is called done only on evidence from after the request.
+// primaryOverview builds the overview at the primary. It first asks all members for
+// their descriptions, so that a repair is reported as done only if they have answered
+// after the request.
 func (r *Reporter) primaryOverview(ctx context.Context) (message.Overview, error) {
 	observed := r.engine.Observe()
 	alive := r.config.Describer.DescribeMembers(ctx, observed.Status.Membership)
@@ -99,8 +100,8 @@
 	return view, nil
 }
 
-// overviewOf is the primary's part: leases, replication and the state of the repair.
-// alive are the control nodes that have just described themselves.
+// overviewOf returns the part that only the primary knows: leases, replication and the
+// state of the repair. alive are the control nodes that have just answered.
 func (r *Reporter) overviewOf(report engine.PrimaryReport, alive map[consensus.ID]bool) message.Overview {
 	view := message.Overview{RepairDone: report.RepairDone}
 	for _, member := range report.Status.Membership.Members {
@@ -130,7 +131,7 @@
 	}
 }
 
-// gatewayMembers joins the member records of gateways with their leases, ordered by name.
+// gatewayMembers joins the member records of gateways with their leases, sorted by name.
 func gatewayMembers(report engine.PrimaryReport) []api.MemberStatus {
 	byName := make(map[string]api.MemberStatus)
 	for name, record := range report.Catalog.Gateways() {
@@ -164,7 +165,7 @@
 	return members
 }
 
-// degraded says in a sentence each what a person should look at.
+// degraded returns one sentence for each condition that an operator should look into.
 func degraded(report engine.PrimaryReport, members []api.MemberStatus) []string {
 	var notes []string
 	for _, member := range members {
@@ -173,16 +174,17 @@
 		}
 	}
 	for zone := range report.Catalog.Evacuations() {
-		notes = append(notes, fmt.Sprintf("zone %s is evacuated: withdraw it when the zone is well (deckpulleyctl zone restore %s)", zone, zone))
+		notes = append(notes, fmt.Sprintf("zone %s is evacuated: end the evacuation when the zone is healthy (deckpulleyctl zone restore %s)", zone, zone))
 	}
 	if report.Catalog.Version() == 0 {
-		notes = append(notes, "no configuration yet: send one")
+		notes = append(notes, "no configuration yet: apply one")
 	}
 	slices.Sort(notes)
 	return notes
 }
 
-// degradedMember is empty for a member that needs no attention.
+// degradedMember returns the sentence for a member, empty if the member needs no
+// attention.
 func degradedMember(member api.MemberStatus, commit uint64) string {
 	switch {
 	case member.Learner:
@@ -190,7 +192,7 @@
 	case member.Voter && !member.Up:
 		return fmt.Sprintf("control node %s does not answer: restart it, or start a replacement in zone %s", member.Name, member.Zone)
 	case member.Voter && member.MatchIndex < commit:
-		return fmt.Sprintf("control node %s is %d entries behind: usual for a moment, else look at its disk and links", member.Name, commit-member.MatchIndex)
+		return fmt.Sprintf("control node %s is %d log entries behind: normal for a short time, otherwise check its disk and network", member.Name, commit-member.MatchIndex)
 	case !member.Voter && !member.Up:
 		return fmt.Sprintf("gateway %s has no lease: restart it or its machine", member.Name)
 	default:
@@ -198,7 +200,7 @@
 	}
 }
 
-// fillMembers adds what the member record of a control node does not contain.
+// fillMembers adds the fields that the member record of a control node does not contain.
 func (r *Reporter) fillMembers(members []api.MemberStatus) {
 	r.config.Describer.UpdateOwn()
 	for i := range members {
@@ -212,7 +214,7 @@
 	}
 }
 
-// fillStatus adds what the observation shows.
+// fillStatus adds the fields that are known from the observation.
 func (r *Reporter) fillStatus(status *api.StatusAnswer, observed *engine.Observation) {
 	status.Node = r.config.Name
 	status.Term = observed.Status.Term
@@ -230,7 +232,7 @@
 	status.PrimaryAddress = r.config.Describer.Get(leader.ID).OperatorAddress
 }
 
-// ownOverview is what a node can say without the primary.
+// ownOverview returns the overview that a node can build without the primary.
 func (r *Reporter) ownOverview(observed *engine.Observation) message.Overview {
 	var view message.Overview
 	r.fillStatus(&view.Status, observed)
@@ -242,9 +244,9 @@
 	case observed.Cluster == "":
 		view.Status.Degraded = []string{"this node belongs to no group yet"}
 	case observed.LeaderAddress() == "":
-		view.Status.Degraded = []string{"no primary is known: most control nodes are down or cut off"}
+		view.Status.Degraded = []string{"no primary is known: most control nodes are down or unreachable"}
 	default:
-		view.Status.Degraded = []string{"the primary did not answer: leases and repair are not known here"}
+		view.Status.Degraded = []string{"the primary did not answer: this node does not know the leases and the repair state"}
 	}
 	return view
 }
