--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -1,5 +1,5 @@
-// Package discovery finds the other control nodes: it keeps their addresses, greets
-// them, and collects descriptions of them.
+// Package discovery finds the other control nodes: it stores their addresses, sends them
+// Hello messages, and collects their descriptions.
 package discovery
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// maxLearned bounds the addresses that are kept from other nodes.
+// maxLearned bounds the addresses that are stored from answers of other nodes.
 const maxLearned = 64
 
 // Contacts are the addresses of other control nodes that a node knows. Its methods
@@ -24,14 +24,16 @@
 	initialControl map[string]string
 
 	mutex sync.Mutex
-	// learned are addresses that other nodes named.
+	// learned are the addresses in answers of other nodes.
 	learned map[string]bool
-	// primary is the peer address that members named last as the primary's.
+	// primary is the peer address of the primary according to the last answer of a
+	// member.
 	primary string
 }
 
-// NewContacts returns the contacts of a node with a peer address: at first the seeds,
-// and the nodes that form a new group, by name.
+// NewContacts returns the contacts of the node at a peer address. It starts with the
+// seeds and with initialControl, the addresses by name of the nodes that bootstrap a new
+// group.
 func NewContacts(engine *engine.Engine, peerAddress string, seeds []string, initialControl map[string]string) *Contacts {
 	return &Contacts{
 		engine:         engine,
@@ -42,8 +44,8 @@
 	}
 }
 
-// Addresses returns the peer addresses of the seeds, the initial control nodes, the
-// members, and those that others named; each once, this node's own excluded.
+// Addresses returns the peer addresses of the seeds, the initial control nodes and the
+// members, and the learned addresses; each once, without this node's own.
 func (c *Contacts) Addresses() []string {
 	seen := map[string]bool{c.peerAddress: true, "": true}
 	var addresses []string
@@ -70,7 +72,8 @@
 	return addresses
 }
 
-// Learn keeps where members are. A gateway names addresses without identities.
+// Learn stores the addresses of members. Members in a gateway's answer have addresses
+// but no identities.
 func (c *Contacts) Learn(ctx context.Context, members []consensus.Member) {
 	if len(members) == 0 {
 		return
@@ -85,8 +88,8 @@
 	c.engine.LearnAddresses(ctx, members)
 }
 
-// LearnFrom keeps where members of this node's group are, or of any group while it
-// has none.
+// LearnFrom stores the addresses of members of this node's group, or of any group while
+// this node belongs to none.
 func (c *Contacts) LearnFrom(ctx context.Context, greetings []Greeting) {
 	cluster := c.engine.Observe().Cluster
 	for _, greeting := range greetings {
@@ -96,8 +99,8 @@
 	}
 }
 
-// SetPrimary keeps the address that a member named as the primary's; empty changes
-// nothing.
+// SetPrimary stores the primary's peer address as a member reported it. An empty address
+// is ignored.
 func (c *Contacts) SetPrimary(address string) {
 	if address == "" {
 		return
@@ -107,15 +110,16 @@
 	c.primary = address
 }
 
-// NamedPrimary is the address that a member named last as the primary's; empty if none.
+// NamedPrimary returns the primary's peer address as a member last reported it, empty if
+// none did.
 func (c *Contacts) NamedPrimary() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.primary
 }
 
-// PrimaryAddress is the peer address of the primary by an observation, or, without a
-// group, the one that a member named; empty if unknown.
+// PrimaryAddress returns the peer address of the primary according to an observation. If
+// this node belongs to no group, it returns NamedPrimary. It is empty if unknown.
 func (c *Contacts) PrimaryAddress(observed *engine.Observation) string {
 	if observed.WithoutGroup() {
 		return c.NamedPrimary()
@@ -123,13 +127,13 @@
 	return observed.LeaderAddress()
 }
 
-// Greeting is one answer to Hello and the address that gave it.
+// Greeting is an answer to Hello and the address that it came from.
 type Greeting struct {
 	Address string
 	Reply   peer.HelloReply
 }
 
-// ReplyFrom returns the answer of an address.
+// ReplyFrom returns the answer from an address, false if there is none.
 func ReplyFrom(greetings []Greeting, address string) (peer.HelloReply, bool) {
 	for _, greeting := range greetings {
 		if greeting.Address == address {
--- a/control/discovery/describer.go
+++ b/control/discovery/describer.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// describeInterval is the time between two rounds of asking the members.
+	// describeInterval is the time between two requests for the members' descriptions.
 	describeInterval = 2 * time.Second
-	// describeFraction is the part of a call's timeout that a member has to answer,
-	// one in so many, so that a partitioned one leaves time for the answer about it.
-	describeFraction = 3
+	// describeTimeoutDivisor divides the call timeout into the time that a member has to
+	// answer, so that an unreachable member leaves enough of it to answer the caller.
+	describeTimeoutDivisor = 3
 )
 
-// Describer keeps the newest descriptions of control nodes. Its methods are safe for
+// Describer stores the newest descriptions of control nodes. Its methods are safe for
 // concurrent use.
 type Describer struct {
 	own         message.Description // without the identity
@@ -31,8 +31,8 @@
 	known map[consensus.ID]message.Description
 }
 
-// NewDescriber returns the describer of a node. Its own description needs no identity:
-// that of the disk is added.
+// NewDescriber returns the describer of a node. Its own description is given without the
+// identity, which is taken from the engine.
 func NewDescriber(own message.Description, engine *engine.Engine, network transport.Network, callTimeout time.Duration) *Describer {
 	return &Describer{
 		own:         own,
@@ -43,7 +43,8 @@
 	}
 }
 
-// Run keeps the descriptions of the members fresh at the primary, until ctx ends.
+// Run refreshes the descriptions of the members periodically while this node is the
+// primary, until ctx ends.
 func (d *Describer) Run(ctx context.Context) {
 	d.UpdateOwn()
 	ticker := time.NewTicker(describeInterval)
@@ -66,19 +67,19 @@
 	return &described, nil
 }
 
-// Get returns the newest description of a node; the zero value if there is none.
+// Get returns the newest description of a node, the zero value if there is none.
 func (d *Describer) Get(id consensus.ID) message.Description {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.known[id]
 }
 
-// UpdateOwn keeps this node's own description.
+// UpdateOwn stores this node's own description.
 func (d *Describer) UpdateOwn() { d.put(d.ownDescription()) }
 
-// Describe asks one node for its description and keeps it.
+// Describe asks one node for its description and stores it.
 func (d *Describer) Describe(ctx context.Context, address string) (message.Description, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.callTimeout/describeFraction)
+	ctx, cancel := context.WithTimeout(ctx, d.callTimeout/describeTimeoutDivisor)
 	defer cancel()
 	var described message.Description
 	if err := d.network.Call(ctx, address, message.KindDescribe, &message.DescribeRequest{}, &described); err != nil {
@@ -88,8 +89,8 @@
 	return described, nil
 }
 
-// DescribeMembers asks all other members at once and returns who answered with the
-// identity that the membership has.
+// DescribeMembers asks all other members concurrently. It returns the members that
+// answered with the identity recorded in the membership, and this node.
 func (d *Describer) DescribeMembers(ctx context.Context, current consensus.Membership) map[consensus.ID]bool {
 	own := d.engine.Observe().Identity
 	alive := map[consensus.ID]bool{own: true}
--- a/control/discovery/greeter.go
+++ b/control/discovery/greeter.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Greeter asks other nodes which group they belong to.
+// Greeter sends Hello messages to ask other nodes which group they belong to.
 type Greeter struct {
 	name        string
 	engine      *engine.Engine
@@ -23,7 +23,7 @@
 	return &Greeter{name: name, engine: engine, network: network, contacts: contacts, callTimeout: callTimeout}
 }
 
-// Greet says Hello to all contacts at once, and returns who answered.
+// Greet sends Hello to all contacts concurrently and returns the answers.
 func (g *Greeter) Greet(ctx context.Context) []Greeting {
 	targets := g.contacts.Addresses()
 	answers := make(chan *Greeting, len(targets))
