--- a/control/locator/locator.go
+++ b/control/locator/locator.go
@@ -1,5 +1,5 @@
-// Package locator answers clients which gateways to use. A control node that the
-// group did not admit, since that is complete, still answers: it asks a member.
+// Package locator tells clients which gateways to use. A control node that belongs to no
+// group, for instance because the group is complete, forwards the question to a member.
 package locator
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	// cacheTTL is how long a member's answer is used again.
+	// cacheTTL is the lifetime of a cached answer of a member.
 	cacheTTL = 500 * time.Millisecond
-	// maxCached bounds the cached answers.
+	// maxCached bounds the number of cached answers.
 	maxCached = 64
 	// callTimeout bounds the call to one member.
 	callTimeout = 300 * time.Millisecond
-	// maxMembersAsked bounds the members that are asked for one answer.
+	// maxMembersAsked bounds the number of members that are asked for one answer.
 	maxMembersAsked = 2
 )
 
@@ -44,13 +44,13 @@
 	addresses []string
 }
 
-// New returns the locator of a node with a name.
+// New returns the locator of the node with the name.
 func New(name string, engine *engine.Engine, network transport.Network, contacts *discovery.Contacts, log *slog.Logger) *Locator {
 	return &Locator{name: name, engine: engine, network: network, contacts: contacts, log: log}
 }
 
-// Where returns the HTTP addresses of the gateways that a client of a region should
-// use, at most limit. It is empty when none is known.
+// Where returns the HTTP addresses of at most limit gateways that a client in a region
+// should use. It is empty if none is known.
 func (l *Locator) Where(region string, limit int) []string {
 	request := message.WhereRequest{Region: region, Limit: limit}
 	if l.engine.Observe().WithoutGroup() {
@@ -59,7 +59,7 @@
 	return l.answer(request)
 }
 
-// Serve handles message.KindWhere, by this node's own state alone.
+// Serve handles message.KindWhere. It answers from this node's own state alone.
 func (l *Locator) Serve(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request message.WhereRequest
 	if err := decode(&request); err != nil {
@@ -68,7 +68,7 @@
 	return &message.WhereReply{Addresses: l.answer(request)}, nil
 }
 
-// answer uses this node's own state.
+// answer answers a request from this node's own state.
 func (l *Locator) answer(request message.WhereRequest) []string {
 	observed := l.engine.Observe()
 	if observed.Catalog == nil {
@@ -79,7 +79,7 @@
 	return query.Answer(observed.Catalog.Gateways())
 }
 
-// askMembers uses the answer of a member, which is cached for a moment.
+// askMembers returns the answer of a member, from the cache if it is fresh.
 func (l *Locator) askMembers(request message.WhereRequest) []string {
 	if addresses, fresh := l.cached(request); fresh {
 		return addresses
@@ -101,7 +101,7 @@
 	return answer.addresses, found && time.Since(answer.at) < cacheTTL
 }
 
-// store caches an answer, in an empty cache if it is full.
+// store caches an answer. A full cache is emptied first.
 func (l *Locator) store(request message.WhereRequest, addresses []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -111,7 +111,8 @@
 	l.cache[request] = cachedAnswer{at: time.Now(), addresses: addresses}
 }
 
-// membersToAsk are the primary, if it is known, and other contacts.
+// membersToAsk returns the addresses of the primary, if it is known, and of other
+// contacts.
 func (l *Locator) membersToAsk() []string {
 	var addresses []string
 	primary := l.contacts.NamedPrimary()
