--- a/control/inventory/inventory.go
+++ b/control/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory brings the platform's list of model replicas into the registry:
-// the primary is its one reader for the whole fleet.
+// Package inventory copies the platform's list of model replicas into the registry. Only
+// the primary reads the list, for the whole fleet.
 package inventory
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// readTimeout bounds one reading of the list, and its way into the registry.
+// readTimeout bounds reading the list once and applying it to the registry.
 const readTimeout = 2 * time.Second
 
-// Source is where the list of all replicas comes from.
+// Source provides the list of all replicas.
 type Source interface {
-	// Replicas returns the complete list as it is now.
+	// Replicas returns the complete current list.
 	Replicas(ctx context.Context) (*api.ReplicaList, error)
 }
 
-// Reader reads a source at an interval.
+// Reader reads a source periodically and applies its list to the registry.
 type Reader struct {
 	source   Source
 	interval time.Duration
@@ -36,8 +36,8 @@
 	return &Reader{source: source, interval: interval, engine: engine, executor: executor, log: log}
 }
 
-// Run reads the list while this node is the primary and there is a configuration,
-// until ctx ends.
+// Run reads the list periodically until ctx ends, whenever this node is the primary and
+// the registry has a configuration.
 func (r *Reader) Run(ctx context.Context) {
 	ticker := time.NewTicker(r.interval)
 	defer ticker.Stop()
@@ -47,8 +47,8 @@
 			return
 		case <-ticker.C:
 		}
-		// Two readings never begin closer to one another than the interval, also
-		// after a slow one: the source bounds the calls a second.
+		// Consecutive reads start at least an interval apart, even after a slow one,
+		// because the source limits the rate of calls.
 		ticker.Reset(r.interval)
 		observed := r.engine.Observe()
 		if observed.Primary && observed.Catalog != nil && observed.Catalog.Version() > 0 {
