--- a/control/metrics/traffic.go
+++ b/control/metrics/traffic.go
@@ -10,7 +10,8 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// kindNames names the kinds of messages that a control node sends or receives.
+// kindNames are the label values of the kinds of messages that a control node sends or
+// receives.
 var kindNames = map[transport.Kind]string{
 	0:                     "transport",
 	peer.KindConsensus:    "consensus",
@@ -40,14 +41,15 @@
 	Counters() map[transport.Kind]transport.KindCounters
 }
 
-// RegisterTraffic adds the counters of a network to the metrics, if it counts.
+// RegisterTraffic adds the message counters of a network to the metrics, if the network
+// has them.
 func (m *Metrics) RegisterTraffic(network transport.Network) {
 	if counting, counts := network.(countingNetwork); counts {
 		m.Registry.MustRegister(newTrafficCollector(counting))
 	}
 }
 
-// trafficCollector turns the network's counters into metrics.
+// trafficCollector exports the network's message counters as metrics.
 type trafficCollector struct {
 	network  countingNetwork
 	messages *prometheus.Desc
@@ -62,8 +64,8 @@
 	return &trafficCollector{
 		network:  network,
 		messages: describe("peer_messages_total", "Messages between processes of the fleet, by kind and direction.", "kind", "direction"),
-		bytes:    describe("peer_bytes_total", "Bytes of these messages with their framing, by kind and direction.", "kind", "direction"),
-		dropped:  describe("peer_dropped_messages_total", "Messages given up at this node, by kind.", "kind"),
+		bytes:    describe("peer_bytes_total", "Bytes of messages between processes of the fleet, framing included, by kind and direction.", "kind", "direction"),
+		dropped:  describe("peer_dropped_messages_total", "Messages dropped at this node, by kind.", "kind"),
 	}
 }
 
--- a/control/metrics/traffic_test.go
+++ b/control/metrics/traffic_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-func TestTrafficLabelsNameControlsOwnMessages(t *testing.T) {
+func TestTrafficLabelsNameControlMessages(t *testing.T) {
 	cases := []struct {
 		kind transport.Kind
 		want string
@@ -20,7 +20,7 @@
 	for _, c := range cases {
 		t.Run(c.want, func(t *testing.T) {
 			if got := kindName(c.kind); got != c.want {
-				t.Errorf("label of the traffic metrics is %q, want %q", got, c.want)
+				t.Errorf("kind label is %q, want %q", got, c.want)
 			}
 		})
 	}
