--- a/control/apierror/apierror.go
+++ b/control/apierror/apierror.go
@@ -1,4 +1,4 @@
-// Package apierror makes the errors that control nodes answer operators with.
+// Package apierror constructs the API errors that control nodes return to operators.
 package apierror
 
 import (
@@ -7,38 +7,40 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// RetryAfter is the delay after which a request that found no primary is worth
-// another attempt.
+// RetryAfter is the delay after which a client should retry a retryable error.
 const RetryAfter = 300 * time.Millisecond
 
-// Invalid rejects a request because of a field, which is empty if none is at fault.
+// Invalid returns the error for an invalid request. The field is the path of the invalid
+// field, empty if no single field is invalid.
 func Invalid(field, message string) *api.Error {
 	return &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: message, Field: field}
 }
 
-// TooLarge rejects a request because of a size limit. The field may be empty.
+// TooLarge returns the error for a request that exceeds a size limit. The field may be
+// empty.
 func TooLarge(field, message string) *api.Error {
 	return &api.Error{Code: api.CodeTooLarge, Outcome: api.OutcomeRefused, Field: field, Message: message}
 }
 
-// Internal reports a defect of the control node. What became of the request is unknown.
+// Internal returns the error for an internal fault of the control node. The outcome of
+// the request is unknown.
 func Internal(err error) *api.Error {
 	return &api.Error{Code: api.CodeInternal, Outcome: api.OutcomeUnknown, Message: err.Error()}
 }
 
-// NoPrimary reports that no primary could be reached. The outcome says whether
-// the request may have been executed all the same.
+// NoPrimary returns the error for a request that reached no primary. The outcome states
+// whether the request may have been executed nevertheless.
 func NoPrimary(message string, outcome api.Outcome) *api.Error {
 	return retryable(api.CodeNoPrimary, outcome, message)
 }
 
-// Pending reports that a request may have been executed, but is not known to be
-// in force everywhere.
+// Pending returns the error for a request that may have been executed but is not known
+// to be in force everywhere.
 func Pending(message string) *api.Error {
 	return retryable(api.CodePending, api.OutcomeUnknown, message)
 }
 
-// NotReady reports that this node does not serve yet.
+// NotReady returns the error of a node that does not serve requests yet.
 func NotReady(message string) *api.Error {
 	return retryable(api.CodeNotReady, api.OutcomeRefused, message)
 }
