--- a/catalog/chunks.go
+++ b/catalog/chunks.go
@@ -12,16 +12,15 @@
 
 // The text of a configuration is stored in chunks. A chunk ends after a line that
 // is chosen by the line's content (content-defined chunking), so that a small
-// change of a large text changes few records. The rule stays as it is: a version that
-// cut elsewhere would replace the chunks of every stored text.
+// change of a large text changes few records. The rule must not change: a release with
+// other chunk boundaries would replace the chunks of every stored text.
 const (
-	chunkLineModulus = 32      // one line in so many ends a chunk
+	chunkLineModulus = 32      // on average one line in 32 ends a chunk
 	maxChunkBytes    = 8 << 10 // octets
-	digestBytes      = 16      // octets of a chunk's SHA-256 that are its name
+	digestBytes      = 16      // length of the SHA-256 prefix that names a chunk, in octets
 )
 
-// SplitChunks returns the chunks of a text in order. Concatenated they are the
-// text.
+// SplitChunks returns the chunks of a text in order. Their concatenation is the text.
 func SplitChunks(text string) []string {
 	var chunks []string
 	start := 0 // of the chunk
--- a/catalog/codec.go
+++ b/catalog/codec.go
@@ -8,14 +8,14 @@
 )
 
 // The data of a record is canonical CBOR, so that equal objects have equal records
-// and an update can name the record that it replaces by its data.
+// and an update can identify the record that it replaces by its data.
 var (
 	encoding = canonical.Encoding()
 	decoding = canonical.Decoding(canonical.Bounds{})
 )
 
-// encode returns the data of a value. It panics on a type that CBOR has no form
-// for, which none of this package is.
+// encode returns the data of a value. It panics if the type cannot be encoded in CBOR,
+// which is true of no type of this package.
 func encode(value any) []byte {
 	data, err := encoding.Marshal(value)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return value, nil
 }
 
-// decodeInto replaces a value by that of a record. Fields that the record leaves
-// out are zero afterwards, not what they were.
+// decodeInto replaces a value by that of a record. Fields that the record omits are
+// zero afterwards, whatever they were before.
 func decodeInto[T any](record registry.Record, value *T) error {
 	decoded, err := decodeRecord[T](record)
 	if err != nil {
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,13 +1,13 @@
 // Package catalog is the typed catalog over the registry: it defines the objects
-// that deckpulley keeps there, the registry name and record type under which each
+// that deckpulley stores there, the registry name and record type under which each
 // is stored, and the encoding of its data. It translates between records and Go
-// types and decides nothing.
+// types and contains no policy.
 //
-// One kind declares, in kinds.go, how one type of object is stored. State is the
-// typed form of one registry view.
+// A kind (see kinds.go) declares how one type of object is stored. State is the typed
+// form of one registry view.
 package catalog
 
 import "github.com/deckpulley/deckpulley/registry"
 
-// Apex is the name of the one registry table of a fleet.
+// Apex is the name of a fleet's only registry table.
 const Apex registry.Name = "places."
--- a/catalog/example_test.go
+++ b/catalog/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// The objects of a fleet are records of a table, read back as types.
+// The objects of a fleet are stored as records of a table and read back as typed values.
 func Example() {
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
--- a/catalog/golden_test.go
+++ b/catalog/golden_test.go
@@ -18,11 +18,11 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files instead of comparing with them")
 
-// goldenRecordsFile has one record a line: case, type number, class, TTL, name and
-// data in hexadecimal. The bytes are what fleets have stored: a test that differs
-// means that stored data can no longer be read.
+// goldenRecordsFile has one record per line: case, type number, class, TTL, name and
+// data in hexadecimal. Running fleets have stored these bytes: a difference means that
+// stored data can no longer be read.
 const goldenRecordsFile = "testdata/golden_records.tsv"
 
 // goldenRecord is a value and the record that stores it.
@@ -36,7 +36,7 @@
 	return goldenRecord{name: name, value: value, record: record}
 }
 
-// longObject needs several labels: each octet that has to be escaped counts three.
+// longObject is a name that needs several labels, since each escaped octet takes three.
 const longObject = "Bank/Analysis.Quarterly_Report:2026/Explain-Every-Number@Northern.Region"
 
 const goldenDocument = "regions:\n  north: {zones: [north-1], capacity: 5}\n"
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestGoldenRecords decodes the stored bytes of each kind of record, compares them
-// with the value that was stored, and encodes the same bytes under the same name.
+// TestGoldenRecords checks for each kind of record that the stored bytes decode to the
+// value that was stored, and that the value encodes to the same record.
 func TestGoldenRecords(t *testing.T) {
 	cases := goldenRecords()
 	if *updateGolden {
@@ -123,15 +123,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			want, found := stored[c.name]
 			if !found {
-				t.Fatal("no golden record")
+				t.Fatal("the golden file has no record of this case")
 			}
 			covered[want.Type] = true
 			if difference := cmp.Diff(want, c.record); difference != "" {
-				t.Errorf("encodes differently (-stored +now):\n%s", difference)
+				t.Errorf("the encoded record differs (-stored +now):\n%s", difference)
 			}
 			checkData(t, want)
 			if difference := cmp.Diff(c.value, decodeLike(t, c.value, want.Data)); difference != "" {
-				t.Errorf("decodes differently (-want +got):\n%s", difference)
+				t.Errorf("the decoded value differs (-want +got):\n%s", difference)
 			}
 		})
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-// checkData requires that the schema accepts the data of a record.
+// checkData checks that the schema accepts the data of a record.
 func checkData(t *testing.T, record registry.Record) {
 	t.Helper()
 	kind, known := Schema().Kind(record.Type)
@@ -153,11 +153,11 @@
 		return
 	}
 	if err := kind.Check(record.Data); err != nil {
-		t.Errorf("the schema refuses the stored bytes: %v", err)
+		t.Errorf("the schema rejects the stored bytes: %v", err)
 	}
 }
 
-// decodeLike decodes data as the type of the example; a text is kept as it is.
+// decodeLike decodes data as the type of the example. A string is returned unchanged.
 func decodeLike(t *testing.T, example any, data []byte) any {
 	t.Helper()
 	if _, isText := example.(string); isText {
@@ -198,7 +198,7 @@
 		if len(fields) != 6 {
 			t.Fatalf("%d fields in %q", len(fields), line)
 		}
-		if _, doubled := records[fields[0]]; doubled {
+		if _, repeated := records[fields[0]]; repeated {
 			t.Fatalf("two golden records of case %q", fields[0])
 		}
 		data, err := hex.DecodeString(fields[5])
@@ -225,7 +225,7 @@
 	return number
 }
 
-// goldenTypes are the stored numbers of the record types by their printed names.
+// goldenTypes are the stored numbers of the record types by their names in the schema.
 var goldenTypes = map[string]registry.Type{
 	"CONFIGURATION": 1024,
 	"SERVICE":       1025,
@@ -257,7 +257,7 @@
 	}
 }
 
-// TestGoldenNames holds how names of objects are written into the registry.
+// TestGoldenNames checks the registry names under which objects are stored.
 func TestGoldenNames(t *testing.T) {
 	cases := map[string]registry.Name{
 		"explain":                         "explain.tenants.places.",
@@ -282,11 +282,11 @@
 	}
 }
 
-// goldenChunksFile has the digests of the document's chunks in order, one a line.
+// goldenChunksFile has the digests of a document's chunks in order, one per line.
 const goldenChunksFile = "testdata/golden_chunks.txt"
 
-// TestGoldenChunks holds where documents are cut into chunks and the chunks'
-// digests: a node that cut elsewhere would replace every chunk of a document.
+// TestGoldenChunks checks the boundaries of a document's chunks and their digests: a
+// node with other boundaries would replace every chunk of a stored document.
 func TestGoldenChunks(t *testing.T) {
 	var document strings.Builder
 	for i := range 200 {
@@ -316,6 +316,6 @@
 		}
 	}
 	if len(records) != len(digests) || len(records) < 3 {
-		t.Errorf("%d records of %d chunks", len(records), len(digests))
+		t.Errorf("%d records for %d chunks, want one for each and at least 3", len(records), len(digests))
 	}
 }
--- a/catalog/kinds.go
+++ b/catalog/kinds.go
@@ -7,8 +7,8 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// Types of records beside the head (SOA) and member (NS) records. The numbers are
-// stored and sent: one is never changed or used again.
+// Record types besides SOA (the table's head) and NS (its members). The numbers are
+// stored and sent: none may be changed or reused.
 const (
 	TypeConfiguration registry.Type = 1024 // "configuration.places."
 	TypeService       registry.Type = 1025 // "<service>.services.places."
@@ -21,8 +21,8 @@
 	TypeTenant        registry.Type = 1032 // "<tenant>.tenants.places."
 	TypeLimits        registry.Type = 1033 // "configuration.places.": set points
 	TypeReplica       registry.Type = 1034 // "<replica>.replicas.places.": as listed by the platform
-	TypeDrain         registry.Type = 1035 // "<replica>.replicas.places.": present while the platform drains the replica
-	TypeCondition     registry.Type = 1036 // "<replica>.replicas.places.": written by the replica's watcher
+	TypeDrain         registry.Type = 1035 // "<replica>.replicas.places.": present while the platform is draining the replica
+	TypeCondition     registry.Type = 1036 // "<replica>.replicas.places.": written by the gateway that watches the replica
 	TypeGateway       registry.Type = 1037 // "<gateway>.gateways.places.": member record of a gateway
 	TypeOperation     registry.Type = 1038 // "<operation id>.orders.places.": result of an operation
 	TypeDocumentChunk registry.Type = 1039 // "<digest>.documents.places.": a chunk of the configuration's text
@@ -49,15 +49,15 @@
 	operationsName registry.Name = "orders." + Apex
 )
 
-// kind declares how objects of type T are stored: each as the data of the only
-// record of its type at a registry name.
+// kind declares how objects of type T are stored. Each object is the data of the only
+// record of this type at its registry name.
 type kind[T any] struct {
 	recordType registry.Type
-	// label is the name of the record type in the schema. It stays, whatever T is
-	// called.
+	// label is the name of the record type in the schema. It must not change, even if T
+	// is renamed.
 	label string
-	// parent is the registry name below which the objects' names are, Apex for an
-	// object at a fixed name.
+	// parent is the registry name below which the objects are stored, Apex for an object
+	// at a fixed name.
 	parent registry.Name
 }
 
@@ -82,7 +82,7 @@
 	requestLimitsKind = kind[routemap.Limits]{TypeRequestLimits, "REQUESTLIMITS", Apex}
 )
 
-// declaration is a kind without its type parameter, for lists of all kinds.
+// declaration is a kind without its type parameter, for the list of all kinds.
 type declaration struct {
 	registry.Kind
 
@@ -111,7 +111,7 @@
 	requestLimitsKind.declaration(),
 }
 
-// chunkDeclaration stores the octets of a chunk as they are, without an encoding.
+// chunkDeclaration declares chunks, whose octets are stored without an encoding.
 var chunkDeclaration = declaration{
 	Kind:   registry.Kind{Type: TypeDocumentChunk, Name: "DOCUMENT", Singleton: true},
 	parent: documentsName,
@@ -130,8 +130,8 @@
 	return schema
 }
 
-// ParentName returns the registry name below which the records of a type are, Apex
-// for a type at a fixed name and for one that is not of this package.
+// ParentName returns the registry name below which the records of a type are stored,
+// Apex for a type at a fixed name and for a type of another package.
 func ParentName(recordType registry.Type) registry.Name {
 	for i := range declarations {
 		if declarations[i].Type == recordType {
@@ -148,8 +148,8 @@
 	}
 }
 
-// name returns the registry name of an object of the kind, empty if
-// CheckObjectName rejects the object.
+// name returns the registry name of an object of the kind, empty if CheckObjectName
+// rejects the object's name.
 func (k kind[T]) name(object string) registry.Name { return objectName(k.parent, object) }
 
 // record returns the record that stores a value at a registry name.
@@ -157,8 +157,8 @@
 	return registry.Record{Name: name, Type: k.recordType, Class: registry.ClassTable, Data: encode(value)}
 }
 
-// lookup returns the value stored at a registry name. It is false if there is
-// none, or if its data cannot be decoded.
+// lookup returns the value stored at a registry name. It returns false if there is none
+// or if its data cannot be decoded.
 func (k kind[T]) lookup(view registry.View, name registry.Name) (T, bool) {
 	var none T
 	if name == "" {
--- a/catalog/kinds_test.go
+++ b/catalog/kinds_test.go
@@ -6,12 +6,12 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-func TestSchemaRejectsForeignData(t *testing.T) {
+func TestSchemaRejectsUndecodableData(t *testing.T) {
 	table := newTable(t)
 	update := registry.NewUpdate(Apex, nil, []registry.Record{
 		{Name: RouteName("x"), Type: TypeRoute, Class: registry.ClassTable, Data: []byte("not CBOR")},
 	})
 	if result := table.Apply(&update, nil); result.Code != registry.FormErr {
-		t.Errorf("code %s, want FORMERR", result.Code)
+		t.Errorf("response code %s, want FORMERR", result.Code)
 	}
 }
--- a/catalog/limits.go
+++ b/catalog/limits.go
@@ -1,6 +1,6 @@
 package catalog
 
-// Defaults of the set points in Limits, in their units.
+// Defaults of the set points in Limits, in the units of its fields.
 const (
 	DefaultRetryRatio        = 0.1
 	DefaultQueueLength       = 64
@@ -10,7 +10,7 @@
 	DefaultStreamGapMS       = 10_000
 )
 
-// withDefaults returns the limits with the defaults in place of zero fields.
+// withDefaults returns the limits with every zero field set to its default.
 func (l Limits) withDefaults() Limits {
 	setDefault(&l.RetryRatio, DefaultRetryRatio)
 	setDefault(&l.QueueLength, DefaultQueueLength)
--- a/catalog/names.go
+++ b/catalog/names.go
@@ -10,18 +10,18 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// MaxObjectNameBytes bounds the name of an object, in octets.
+// MaxObjectNameBytes bounds the length of an object's name, in octets.
 const MaxObjectNameBytes = 128
 
 // ErrObjectName is wrapped by the errors of CheckObjectName and ObjectName.
 var ErrObjectName = errors.New("catalog: invalid object name")
 
-// Registry names are labels of letters and digits without regard to case, while the
-// names of objects are any octets. An object's name is escaped reversibly: lower
-// case letters, digits and "-" stand for themselves, any other octet is escapeByte
-// and two hexadecimal digits. A name too long for one label is longPrefix and its
-// octets in base 32, over several labels. Two escapeBytes in a row begin no short
-// form, so that the two forms never meet.
+// The labels of a registry name consist of letters and digits and ignore case, while
+// an object's name may contain any octet. It is therefore escaped reversibly. In the
+// short form, which is one label, lower case letters, digits and "-" are unchanged, and
+// any other octet becomes escapeByte and two hexadecimal digits. A name whose short form
+// exceeds a label has the long form: longPrefix and the name in base 32, split over
+// several labels. A short form never begins with longPrefix, so the forms are distinct.
 const (
 	escapeByte = '_'
 	longPrefix = "__"
@@ -29,7 +29,7 @@
 
 var longEncoding = base32.HexEncoding.WithPadding(base32.NoPadding)
 
-// CheckObjectName returns an error unless an object can have the name: 1 to
+// CheckObjectName returns an error unless the name is valid for an object: 1 to
 // MaxObjectNameBytes octets.
 func CheckObjectName(object string) error {
 	if object == "" {
@@ -42,7 +42,8 @@
 }
 
 // ServiceName returns the registry name of a service. Like the functions below, it
-// returns the empty name, which is in no table, if CheckObjectName rejects the name.
+// returns the empty name, which no table contains, if CheckObjectName rejects the
+// service's name.
 func ServiceName(service string) registry.Name { return serviceKind.name(service) }
 
 // RouteName returns the registry name of a route, given the model name that callers use.
@@ -75,9 +76,9 @@
 // OperationName returns the registry name of the result of the operation with an id.
 func OperationName(id string) registry.Name { return operationKind.name(id) }
 
-// ObjectName returns the name of the object that is stored at a registry name, the
-// reverse of the functions above. It accepts only what they return, so that no
-// object is stored twice. ConfigurationName has no object.
+// ObjectName returns the name of the object that is stored at a registry name. It is
+// the inverse of the functions above and accepts only names that they return, so that
+// no object is stored twice. It rejects ConfigurationName, which has no object name.
 func ObjectName(name registry.Name) (string, error) {
 	labels := name.Labels()
 	if len(labels) < 3 || !name.In(Apex) {
@@ -95,7 +96,7 @@
 }
 
 // objectName returns the registry name of an object below a parent, empty if
-// CheckObjectName rejects the object.
+// CheckObjectName rejects the object's name.
 func objectName(parent registry.Name, object string) registry.Name {
 	if CheckObjectName(object) != nil {
 		return ""
@@ -107,7 +108,7 @@
 	return name
 }
 
-// escape returns the labels of an object, the one nearest the apex first.
+// escape returns the labels of an object's name, the one nearest the apex first.
 func escape(object string) []string {
 	short := escapeShort(object)
 	if len(short) <= registry.MaxLabelBytes {
@@ -136,20 +137,20 @@
 	return label.String()
 }
 
-// isPlain reports whether an octet stands for itself in a label.
+// isPlain reports whether an octet needs no escape in a label.
 func isPlain(octet byte) bool {
 	return octet >= 'a' && octet <= 'z' || octet >= '0' && octet <= '9' || octet == '-'
 }
 
-// unescape reverses escape; the labels are in the order of the name, the one
-// nearest the apex last.
+// unescape is the inverse of escape, except that the labels are in the order of the
+// registry name: the one nearest the apex is the last.
 func unescape(labels []string) (string, error) {
 	nearest := labels[len(labels)-1]
 	if strings.HasPrefix(nearest, longPrefix) {
 		return unescapeLong(labels)
 	}
 	if len(labels) > 1 {
-		return "", fmt.Errorf("%w: %d labels", ErrObjectName, len(labels))
+		return "", fmt.Errorf("%w: a short form of %d labels, want 1", ErrObjectName, len(labels))
 	}
 	return unescapeShort(nearest)
 }
@@ -176,7 +177,7 @@
 			continue
 		}
 		if i+escapedBytes > len(label) {
-			return "", fmt.Errorf("%w: short escape in %q", ErrObjectName, label)
+			return "", fmt.Errorf("%w: incomplete escape sequence in %q", ErrObjectName, label)
 		}
 		octet, err := hex.DecodeString(label[i+1 : i+escapedBytes])
 		if err != nil {
--- a/catalog/names_test.go
+++ b/catalog/names_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-func TestObjectNamesAreReversible(t *testing.T) {
+func TestObjectNameInvertsRouteName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		object := string(rapid.SliceOfN(rapid.Byte(), 1, MaxObjectNameBytes).Draw(t, "object"))
 		name := RouteName(object)
 		if canonical, err := registry.ParseName(string(name)); err != nil || canonical != name {
-			t.Fatalf("name of %q: canonical %q, error %v", object, canonical, err)
+			t.Fatalf("ParseName of the name of %q = %q, error %v", object, canonical, err)
 		}
 		back, err := ObjectName(name)
 		if err != nil || back != object {
-			t.Fatalf("object of %q: %q, error %v", name, back, err)
+			t.Fatalf("ObjectName(%q) = %q, error %v", name, back, err)
 		}
 	})
 }
@@ -38,11 +38,11 @@
 			t.Errorf("RouteName(%q) = %q, want %q", c.object, got, c.want)
 		}
 	}
-	foreign := []registry.Name{
+	invalid := []registry.Name{
 		"places.", "routes.places.", "a.b.routes.places.", "_.routes.places.",
 		"_6.routes.places.", "_61.routes.places.", "__!.routes.places.", "a.routes.elsewhere.",
 	}
-	for _, name := range foreign {
+	for _, name := range invalid {
 		if object, err := ObjectName(name); err == nil {
 			t.Errorf("ObjectName(%q) = %q, want an error", name, object)
 		}
--- a/catalog/object_set.go
+++ b/catalog/object_set.go
@@ -8,8 +8,8 @@
 
 // objectSet is a set of decoded objects of any type.
 type objectSet interface {
-	// clone replaces the set's map by a copy, so that others may go on reading the
-	// former one.
+	// clone replaces the set's map by a copy, so that a former state can continue to use
+	// the shared map.
 	clone()
 	put(record registry.Record) error
 	remove(record registry.Record) error
--- a/catalog/records.go
+++ b/catalog/records.go
@@ -25,7 +25,7 @@
 	return zoneKind.record(ZoneName(zone), value)
 }
 
-// EvacuationRecord returns the record that evacuates a zone while it exists.
+// EvacuationRecord returns the record whose existence evacuates a zone.
 func EvacuationRecord(zone string, value Evacuation) registry.Record {
 	return evacuationKind.record(ZoneName(zone), value)
 }
@@ -55,7 +55,7 @@
 	return replicaKind.record(ReplicaName(replica), value)
 }
 
-// DrainRecord returns the record that drains a replica while it exists.
+// DrainRecord returns the record whose existence drains a replica.
 func DrainRecord(replica string, value Drain) registry.Record {
 	return drainKind.record(ReplicaName(replica), value)
 }
@@ -75,8 +75,8 @@
 	return operationKind.record(OperationName(id), value)
 }
 
-// ConfigurationRecord returns the record of the configuration. Its text is not in
-// it but in its chunks, see ChunkRecords.
+// ConfigurationRecord returns the record of the configuration's header. The text is
+// stored in chunks, see ChunkRecords.
 func ConfigurationRecord(value Configuration) registry.Record {
 	return configurationKind.record(ConfigurationName, value)
 }
@@ -86,12 +86,12 @@
 	return pathRouteKind.record(PathRouteName(value.Name), value)
 }
 
-// PoolRecord returns the record of a target service of routes by host and path.
+// PoolRecord returns the record of a service that is a target of routes by host and path.
 func PoolRecord(value routemap.Service) registry.Record {
 	return poolKind.record(ServiceName(value.Name), value)
 }
 
-// RequestLimitsRecord returns the record of the bounds on requests of routes by host
+// RequestLimitsRecord returns the record of the limits on requests to routes by host
 // and path.
 func RequestLimitsRecord(value routemap.Limits) registry.Record {
 	return requestLimitsKind.record(ConfigurationName, value)
--- a/catalog/seed_test.go
+++ b/catalog/seed_test.go
@@ -2,7 +2,8 @@
 
 import "flag"
 
-// The property tests draw the same cases in every run; -rapid.seed draws others.
+// The property tests use a fixed seed, so that every run draws the same cases. The flag
+// -rapid.seed selects another seed.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -11,8 +11,8 @@
 )
 
 // State is the typed form of one registry view. It is immutable. Small sets of
-// objects are decoded once; large ones (routes, clients, homes, tenants, results of
-// operations) are looked up in the view on demand. The maps that it returns are
+// objects are decoded once; large ones (routes, clients, homes, tenants, operation
+// results) are looked up in the view on demand. The maps that its methods return are
 // shared with other states and must not be changed.
 type State struct {
 	view           registry.View
@@ -23,8 +23,8 @@
 	regions        objects[Region]
 	zones          objects[Zone]
 	evacuations    objects[Evacuation]
-	storedReplicas objects[Replica]   // as in the records
-	replicas       map[string]Replica // as in the records, but in the regions of their zones
+	storedReplicas objects[Replica]   // as stored in the records
+	replicas       map[string]Replica // with the current regions of their zones
 	drains         objects[Drain]
 	conditions     objects[Condition]
 	gateways       objects[Gateway]
@@ -33,14 +33,14 @@
 	requestLimits  routemap.Limits
 }
 
-// namesRead are the registry names below which Read decodes all that State keeps
-// decoded.
-var namesRead = []registry.Name{
+// decodedNames are the registry names below which Read decodes records. Everything else
+// is looked up on demand.
+var decodedNames = []registry.Name{
 	ConfigurationName, pathRoutesName, servicesName, regionsName, zonesName, replicasName, gatewaysName,
 }
 
-// Read decodes a view. Its cost grows with the small sets, not with the view. The
-// error names the record that cannot be decoded.
+// Read decodes a view. Its cost is proportional to the small sets, not to the whole
+// view. The error names the record that cannot be decoded.
 func Read(view registry.View) (*State, error) {
 	state := &State{
 		view:           view,
@@ -55,7 +55,7 @@
 		pathRoutes:     objects[routemap.Route]{},
 		pools:          objects[routemap.Service]{},
 	}
-	for _, name := range namesRead {
+	for _, name := range decodedNames {
 		var failure error
 		view.Walk(name, registry.TypeANY, func(record registry.Record) bool {
 			failure = state.put(record)
@@ -70,8 +70,8 @@
 	return state, nil
 }
 
-// ReadConfigurationHeader decodes the header of the configuration in a view: the Configuration
-// without its text. It is zero before the first configuration.
+// ReadConfigurationHeader decodes the header of the configuration in a view, which is a
+// Configuration without its text. It is zero before the first configuration.
 func ReadConfigurationHeader(view registry.View) (Configuration, error) {
 	for _, record := range view.Lookup(ConfigurationName, TypeConfiguration) {
 		return decodeRecord[Configuration](record)
@@ -79,10 +79,10 @@
 	return Configuration{}, nil
 }
 
-// Next returns the state of a newer view, given the transfer that leads to it from
-// the view of s. Its cost grows with the transfer and with the small sets that the
-// transfer changes; the other sets are shared with s. After a transfer that does
-// not lead from s to the view, it reads the whole view.
+// Next returns the state of a newer view, given the transfer from the view of s to the
+// newer one. Its cost is proportional to the transfer and to the small sets that the
+// transfer changes; the other sets are shared with s. If the transfer is a full one or
+// has other serials than the two views, Next reads the whole view.
 func (s *State) Next(view registry.View, transfer registry.Transfer) (*State, error) {
 	if transfer.Full || transfer.From != s.Serial() || transfer.To != view.Serial() {
 		return Read(view)
@@ -119,8 +119,8 @@
 	}
 }
 
-// cloneSet gives s its own map of the objects of a type, unless it has been cloned
-// before: the former state goes on using the shared map.
+// cloneSet gives s its own map of the objects of a type, unless it already has one: the
+// former state continues to use the shared map.
 func (s *State) cloneSet(recordType registry.Type, cloned map[registry.Type]bool) {
 	if cloned[recordType] {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// put decodes an added record. It ignores types that are looked up on demand.
+// put adds a decoded record to the state. It ignores types that are looked up on demand.
 func (s *State) put(record registry.Record) error {
 	switch record.Type {
 	case TypeConfiguration:
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// remove undoes put for a removed record.
+// remove removes a record from the state. It is the inverse of put.
 func (s *State) remove(record registry.Record) error {
 	switch record.Type {
 	case TypeConfiguration:
@@ -202,9 +202,9 @@
 // Serial returns the zone serial of the view.
 func (s *State) Serial() uint32 { return s.view.Serial() }
 
-// Configuration returns the configuration with its text, which it joins from
-// the chunks at the cost of the text's size. It is false before the first
-// configuration and while a chunk is missing.
+// Configuration returns the configuration with its text. It assembles the text from
+// the chunks, at a cost proportional to the text's size. It returns false before the
+// first configuration and while a chunk is missing.
 func (s *State) Configuration() (Configuration, bool) {
 	if !s.configured {
 		return Configuration{}, false
@@ -218,14 +218,14 @@
 	return configuration, true
 }
 
-// ConfigurationHeader returns the configuration without its text, at no cost. It is false before
-// the first configuration.
+// ConfigurationHeader returns the configuration without its text, at constant cost. It
+// returns false before the first configuration.
 func (s *State) ConfigurationHeader() (Configuration, bool) { return s.configuration, s.configured }
 
-// Limits returns the set points, with the defaults of those that are not set.
+// Limits returns the set points with defaults applied.
 func (s *State) Limits() Limits { return s.limits }
 
-// Service returns the service of a name.
+// Service returns the service with a name.
 func (s *State) Service(service string) (Service, bool) {
 	value, found := s.services[service]
 	return value, found
@@ -254,7 +254,7 @@
 // Evacuations returns all evacuations by zone.
 func (s *State) Evacuations() map[string]Evacuation { return s.evacuations }
 
-// Client returns where the requests of a client group are served.
+// Client returns the region in which the requests of a client group are served.
 func (s *State) Client(client string) (Client, bool) {
 	return clientKind.lookup(s.view, ClientName(client))
 }
@@ -264,14 +264,14 @@
 	return homeKind.lookup(s.view, HomeName(home))
 }
 
-// Tenant returns the home and weight of a tenant. It is false for a tenant that the
-// configuration does not list.
+// Tenant returns the home rule and weight of a tenant. It returns false for a tenant
+// that the configuration does not list.
 func (s *State) Tenant(tenant string) (Tenant, bool) {
 	return tenantKind.lookup(s.view, TenantName(tenant))
 }
 
-// Replicas returns all replicas by name, each in the region that its zone has now;
-// the region is empty if the configuration no longer has the zone.
+// Replicas returns all replicas by name, each with the current region of its zone. The
+// region is empty if the configuration no longer has the zone.
 func (s *State) Replicas() map[string]Replica { return s.replicas }
 
 // IsDraining reports whether the platform is draining a replica.
@@ -280,22 +280,23 @@
 	return found && !planted.Active(planted.IgnoreDrainList)
 }
 
-// Condition returns what the watcher of a replica last wrote about it.
+// Condition returns the last condition that the gateway which watches a replica wrote.
 func (s *State) Condition(replica string) (Condition, bool) {
 	value, found := s.conditions[replica]
 	return value, found
 }
 
-// Gateways returns the member records of all gateways by name, up or not.
+// Gateways returns the member records of all gateways by name, including gateways that
+// are down.
 func (s *State) Gateways() map[string]Gateway { return s.gateways }
 
-// PathRoutes returns the routes by host and path, by their names.
+// PathRoutes returns the routes by host and path, keyed by name.
 func (s *State) PathRoutes() map[string]routemap.Route { return s.pathRoutes }
 
-// Pools returns the target services of routes by host and path, by name.
+// Pools returns the services that are targets of routes by host and path, keyed by name.
 func (s *State) Pools() map[string]routemap.Service { return s.pools }
 
-// RouteMap returns a new map of the routes by host and path, sorted by name.
+// RouteMap returns a new route map of the routes by host and path, sorted by name.
 func (s *State) RouteMap() *routemap.Map {
 	routes := &routemap.Map{Version: s.Version(), Limits: s.requestLimits}
 	for _, name := range slices.Sorted(maps.Keys(s.pathRoutes)) {
@@ -307,7 +308,7 @@
 	return routes
 }
 
-// RequestLimits returns the bounds on requests of routes by host and path.
+// RequestLimits returns the limits on requests to routes by host and path.
 func (s *State) RequestLimits() routemap.Limits { return s.requestLimits }
 
 // OperationResult returns the stored result of the operation with an id.
@@ -315,14 +316,14 @@
 	return operationKind.lookup(s.view, OperationName(id))
 }
 
-// WalkOperationResults calls visit for the stored results of operations until it returns
-// false. They come in the order of their registry names, not of their age.
+// WalkOperationResults calls visit for each stored operation result until visit returns
+// false. The results are in the order of their registry names, not of their age.
 func (s *State) WalkOperationResults(visit func(id string, result OperationResult) bool) error {
 	var failure error
 	s.view.Walk(operationsName, TypeOperation, func(record registry.Record) bool {
 		id, result, err := decodeOperationResult(record)
 		if err != nil {
-			failure = fmt.Errorf("reading the results of operations: %w", err)
+			failure = fmt.Errorf("reading operation results: %w", err)
 			return false
 		}
 		return visit(id, result)
--- a/catalog/state_test.go
+++ b/catalog/state_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// newTable returns a table with one object of each kind.
+// newTable returns a table that contains one object of most kinds.
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
 	table, err := registry.New(Apex, Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
@@ -54,7 +54,7 @@
 	return state
 }
 
-func TestReadEveryKind(t *testing.T) {
+func TestReadDecodesObjects(t *testing.T) {
 	state := read(t, newTable(t))
 	route, hasRoute := state.Route("Explain.Long")
 	client, _ := state.Client("branch")
@@ -83,7 +83,7 @@
 		t.Errorf("state differs (-want +got):\n%s", difference)
 	}
 	if _, found := state.Route("explain.long"); found {
-		t.Error("a route is found under another case of its name")
+		t.Error("Route found a route although the case of the name differs")
 	}
 }
 
@@ -111,21 +111,21 @@
 	apply(t, table, DrainRecord("replica-2", Drain{}))
 	last := table.TransferSince(next.Serial())
 	if skipped, err := before.Next(table.View(), last); err != nil || len(skipped.Replicas()) != 2 || !skipped.IsDraining("replica-2") {
-		t.Errorf("a transfer that starts elsewhere: %v", err)
+		t.Errorf("after a transfer from another serial, Next did not read the whole view: %v", err)
 	}
 	if !before.IsEvacuated("north-1") || before.Limits().QueueLength != 9 || len(before.Replicas()) != 1 {
-		t.Error("Next has changed the state it started from")
+		t.Error("Next modified the state that it was called on")
 	}
 	services["probe"] = Service{}
 	if _, shared := next.Service("probe"); !shared {
-		t.Error("an untouched set was copied")
+		t.Error("Next copied a set that the transfer does not change")
 	}
 }
 
-func TestReplicasFollowTheirZone(t *testing.T) {
+func TestReplicaRegionIsCurrentRegionOfZone(t *testing.T) {
 	table := newTable(t)
 	state := read(t, table)
-	moves := []struct {
+	cases := []struct {
 		change registry.Record
 		want   string
 	}{
@@ -134,16 +134,16 @@
 		{registry.DeleteSet(ZoneName("north-1"), TypeZone), ""},
 		{ZoneRecord("north-1", Zone{Region: "north"}), "north"},
 	}
-	for _, move := range moves {
-		apply(t, table, move.change)
+	for _, c := range cases {
+		apply(t, table, c.change)
 		next, err := state.Next(table.View(), table.TransferSince(state.Serial()))
 		if err != nil {
 			t.Fatal(err)
 		}
 		state = next
 		for _, each := range []*State{state, read(t, table)} {
-			if got := each.Replicas()["replica-1"].Region; got != move.want {
-				t.Errorf("region %q, want %q", got, move.want)
+			if got := each.Replicas()["replica-1"].Region; got != c.want {
+				t.Errorf("replica-1 is in region %q, want %q", got, c.want)
 			}
 		}
 	}
