--- a/configuration/change.go
+++ b/configuration/change.go
@@ -9,22 +9,22 @@
 	"github.com/deckpulley/deckpulley/patch"
 )
 
-// changeSections are the sections of a document that a change may name items of.
+// changeSections are the sections of a document whose items a change may name.
 var changeSections = []string{
 	"regions", "services", "routes", "clients", "homes", "tenants", "http.services", "http.routes",
 }
 
 // changeText is a change as operators write it.
 type changeText struct {
-	// Upsert has the items to add or replace, by section and name.
+	// Upsert maps sections to the items to add or replace, by name.
 	Upsert map[string]map[string]yaml.Node `yaml:"upsert"`
-	// Remove has the names of the items to remove, by section.
+	// Remove maps sections to the names of the items to remove.
 	Remove map[string][]string `yaml:"remove"`
 }
 
-// ParseChange reads a change of a document from YAML or JSON and checks its form.
-// Whether the changed document is valid is checked when the change is applied. The
-// error is a *patch.FieldError.
+// ParseChange parses a change of a document from YAML or JSON and checks that it is well
+// formed. The changed document is validated only when the change is applied. The error
+// is a *patch.FieldError.
 func ParseChange(text string) (*patch.Change, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, &patch.FieldError{Reason: fmt.Sprintf("has %d bytes, at most %d", len(text), MaxDocumentBytes)}
@@ -48,11 +48,10 @@
 	return change, change.Validate()
 }
 
-// checkChangeFields rejects fields and sections that a change does not have, which
-// Decode would ignore.
+// checkChangeFields rejects unknown fields and sections, which Decode would ignore.
 func checkChangeFields(root *yaml.Node) error {
 	if root.Kind != yaml.MappingNode {
-		return &patch.FieldError{Reason: "must be a mapping, is " + kindOf(root)}
+		return &patch.FieldError{Reason: "must be a mapping, is " + describeKind(root)}
 	}
 	for i := 0; i+1 < len(root.Content); i += 2 {
 		field := root.Content[i].Value
@@ -84,7 +83,7 @@
 		for item, node := range sorted(t.Upsert[name]) {
 			value, err := yaml.Marshal(&node)
 			if err != nil {
-				return nil, &patch.FieldError{Field: join("upsert."+name, item), Reason: err.Error()}
+				return nil, &patch.FieldError{Field: joinPath("upsert."+name, item), Reason: err.Error()}
 			}
 			section.Upsert = append(section.Upsert, patch.Item{Name: item, Value: string(value)})
 		}
--- a/configuration/change_test.go
+++ b/configuration/change_test.go
@@ -14,14 +14,14 @@
 		t.Fatal(err)
 	}
 	if len(change.Sections) != 2 || change.Sections[0].Name != "homes" || change.Sections[0].Remove[0] != "x" {
-		t.Fatalf("got %+v", change)
+		t.Fatalf("parsed change is %+v", change)
 	}
 	tenants := change.Sections[1]
 	if tenants.Name != "tenants" || len(tenants.Upsert) != 2 || tenants.Upsert[0].Name != "a" || strings.TrimSpace(tenants.Upsert[1].Value) != "{weight: 2}" {
-		t.Errorf("got %+v", tenants)
+		t.Errorf("section tenants is %+v", tenants)
 	}
 	if _, err := ParseChange("{\"remove\":\t{\"tenants\": [\"a\"]}}"); err != nil {
-		t.Errorf("as JSON: %v", err)
+		t.Errorf("parsing a change in JSON: %v", err)
 	}
 }
 
@@ -32,10 +32,10 @@
 		{"empty", "", ""},
 		{"a list", "[]", ""},
 		{"unknown field", "upsert: {tenants: {a: {}}}\nmore: 1", "more"},
-		{"section that no change has", "upsert: {limits: {a: 1}}", "upsert.limits"},
-		{"removal that is no list", "remove: {tenants: a}", ""},
-		{"removed twice", "remove: {tenants: [a, a]}", "remove.tenants[1]"},
-		{"upserted and removed", "upsert: {tenants: {a: {}}}\nremove: {tenants: [a]}", "remove.tenants[0]"},
+		{"section that a change cannot name", "upsert: {limits: {a: 1}}", "upsert.limits"},
+		{"removal that is not a list", "remove: {tenants: a}", ""},
+		{"item removed twice", "remove: {tenants: [a, a]}", "remove.tenants[1]"},
+		{"item upserted and removed", "upsert: {tenants: {a: {}}}\nremove: {tenants: [a]}", "remove.tenants[0]"},
 		{"field twice", "upsert: {}\nupsert: {}", ""},
 		{"too large", strings.Repeat("x", MaxDocumentBytes+1), ""},
 	}
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var problem *patch.FieldError
 			if _, err := ParseChange(c.text); !errors.As(err, &problem) || problem.Field != c.field {
-				t.Errorf("%.60q: got %v, want a problem at %q", c.text, err, c.field)
+				t.Errorf("ParseChange(%.60q) returned %v, want a FieldError at %q", c.text, err, c.field)
 			}
 		})
 	}
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -26,7 +26,7 @@
 	return table
 }
 
-// configure applies a text as the next version and returns its changes.
+// configure applies a document's text as the next version and returns the changes.
 func configure(t *testing.T, table *registry.Table, text string) []registry.Record {
 	t.Helper()
 	document, err := Load(text)
@@ -43,7 +43,7 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{UnchangedPrerequisite(table.View())}, changes)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
-		t.Fatalf("%s at record %d: %v", result.Code, result.FailedIndex, result.Reason)
+		t.Fatalf("applying the document: %s at record %d: %v", result.Code, result.FailedIndex, result.Reason)
 	}
 	return changes
 }
@@ -80,15 +80,16 @@
 		}
 		configuration, found := state.Configuration()
 		if !found || configuration.Document != text || configuration.Author != "anna" || configuration.Version != 1 {
-			t.Errorf("%s: configuration reads back differently", deployment)
+			t.Errorf("%s: the configuration read back differs from the one applied", deployment)
 		}
 	}
 	if _, err := Example("elsewhere"); err == nil {
-		t.Error("an unknown deployment has an example")
+		t.Error("Example returned no error for an unknown deployment")
 	}
 }
 
-// TestJSONEqualsYAML writes the example as JSON, indented by tabs, and compares.
+// TestJSONEqualsYAML checks that a document in JSON, indented by tabs, loads like the same
+// document in YAML.
 func TestJSONEqualsYAML(t *testing.T) {
 	text, err := Example("kodovka")
 	if err != nil {
@@ -108,7 +109,7 @@
 		t.Fatalf("YAML: %v, JSON: %v", yamlErr, jsonErr)
 	}
 	if difference := cmp.Diff(fromYAML, fromJSON, cmpopts.IgnoreUnexported(Document{})); difference != "" {
-		t.Errorf("JSON differs from YAML:\n%s", difference)
+		t.Errorf("the document from JSON differs (-YAML +JSON):\n%s", difference)
 	}
 }
 
@@ -117,7 +118,7 @@
 	configure(t, table, baseDocument)
 	again := configure(t, table, baseDocument)
 	if len(again) != 1 || again[0].Type != catalog.TypeConfiguration {
-		t.Errorf("the same document again changes %d records, want its header alone", len(again))
+		t.Errorf("applying the same document again changes %d records, want only the header", len(again))
 	}
 	edited := strings.Replace(baseDocument, "capacity: 5", "capacity: 6", 1)
 	edited = strings.Replace(edited, "  snippet:\n    service: snippets\n", "", 1)
@@ -129,7 +130,7 @@
 		}
 	}
 	if difference := cmp.Diff(want, got); difference != "" {
-		t.Errorf("changes by kind (-want +got):\n%s", difference)
+		t.Errorf("numbers of changes by record type differ (-want +got):\n%s", difference)
 	}
 	chunks := 0
 	table.View().Walk(catalog.ParentName(catalog.TypeDocumentChunk), catalog.TypeDocumentChunk, func(registry.Record) bool {
@@ -137,16 +138,17 @@
 		return true
 	})
 	if want := len(catalog.SplitChunks(edited)); chunks != want {
-		t.Errorf("%d chunks in the table, the document has %d", chunks, want)
+		t.Errorf("%d chunks in the table, want %d as in the document", chunks, want)
 	}
 	state := read(t, table)
 	if _, found := state.Route("snippet"); found || state.Regions()["north"].Capacity != 6 {
-		t.Error("the edit is not in the table")
+		t.Error("the table does not have the edited document")
 	}
 }
 
-// TestGrowthCostsWhatChanged adds one route to many and counts octets.
-func TestGrowthCostsWhatChanged(t *testing.T) {
+// TestTransferSizeDependsOnDifference adds one route to a document of many routes and
+// checks the size of the transfer that replicates the change.
+func TestTransferSizeDependsOnDifference(t *testing.T) {
 	const routes = 5000
 	var text strings.Builder
 	text.WriteString(strings.Replace(baseDocument, "clients:\n  branch: north\n", "", 1))
@@ -170,16 +172,16 @@
 	}
 	const bound = 40 << 10
 	if difference.Full || len(data) > bound {
-		t.Errorf("one route more of %d (document of %d octets) transfers %d octets, want at most %d", routes, len(complete), len(data), bound)
+		t.Errorf("adding a route to %d (document of %d octets) transfers %d octets, want at most %d", routes, len(complete), len(data), bound)
 	}
-	t.Logf("document of %d octets; one more route: %d records, %d octets", len(complete), len(difference.Added)+len(difference.Removed), len(data))
+	t.Logf("document of %d octets; adding a route transfers %d records, %d octets", len(complete), len(difference.Added)+len(difference.Removed), len(data))
 	configuration, _ := read(t, table).Configuration()
 	if !strings.Contains(configuration.Document, "one-more") || len(configuration.Document) <= len(complete) {
-		t.Error("the grown document does not read back")
+		t.Error("the document read back does not have the added route")
 	}
 }
 
-func TestEvacuationsStayWithTheirZones(t *testing.T) {
+func TestEvacuationIsRemovedOnlyWithItsZone(t *testing.T) {
 	table := newTable(t)
 	configure(t, table, baseDocument)
 	evacuate := registry.NewUpdate(catalog.Apex, nil, []registry.Record{
@@ -192,13 +194,13 @@
 	configure(t, table, strings.Replace(baseDocument, "[south-1]", "[south-2]", 1))
 	state := read(t, table)
 	if !state.IsEvacuated("north-1") {
-		t.Error("the evacuation of a zone that stays is gone")
+		t.Error("the evacuation of a remaining zone was removed")
 	}
 	if state.IsEvacuated("south-1") {
-		t.Error("the evacuation of a removed zone stays")
+		t.Error("the evacuation of a removed zone was not removed")
 	}
 	if _, found := state.Zones()["south-1"]; found {
-		t.Error("a removed zone stays")
+		t.Error("a zone that the new document omits was not removed")
 	}
 }
 
@@ -219,10 +221,10 @@
 		codes = append(codes, table.Apply(&update, nil).Code)
 	}
 	if codes[0] != registry.NoError || codes[1] != registry.YXRRSet {
-		t.Errorf("codes %v, want NOERROR and YXRRSET", codes)
+		t.Errorf("response codes %v, want NOERROR and YXRRSET", codes)
 	}
 	if _, err := Changes(table.View(), document, 1, "boris", baseDocument); !errors.Is(err, ErrVersion) {
-		t.Errorf("the same version again: %v, want ErrVersion", err)
+		t.Errorf("Changes for the same version: error %v, want ErrVersion", err)
 	}
 }
 
@@ -236,6 +238,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Error("examples/configuration.schema.json is not what JSONSchema generates")
+		t.Error("examples/configuration.schema.json differs from the output of JSONSchema")
 	}
 }
--- a/configuration/decode.go
+++ b/configuration/decode.go
@@ -10,8 +10,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// decoder fills typed values from YAML nodes. Unlike the library's own, it names the
-// path and the line of every problem and goes on after it.
+// decoder decodes YAML nodes into typed values. Unlike the decoder of the YAML library,
+// it reports the path and the line of every problem and continues after a problem.
 type decoder struct {
 	problems *problemList
 	lines    map[string]int // of the paths decoded so far
@@ -41,22 +41,22 @@
 	}
 }
 
-// eachEntry calls visit for the entries of a mapping, without those whose key is not
-// a text or is repeated. It is false if the node is not a mapping.
+// eachEntry calls visit for the entries of a mapping. It reports and skips an entry whose
+// key is not a string or is repeated. It returns false if the node is not a mapping.
 func (d *decoder) eachEntry(node *yaml.Node, path string, visit func(key, value *yaml.Node)) bool {
 	if node.Kind != yaml.MappingNode || node.ShortTag() != "!!map" {
-		d.fail(node, path, "must be a mapping, is "+kindOf(node))
+		d.fail(node, path, "must be a mapping, is "+describeKind(node))
 		return false
 	}
 	seen := map[string]int{}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], node.Content[i+1]
 		if key.Kind != yaml.ScalarNode || key.ShortTag() != "!!str" || key.Anchor != "" {
-			d.fail(key, path, "a key must be a text, is "+kindOf(key))
+			d.fail(key, path, "a key must be a string, is "+describeKind(key))
 			continue
 		}
 		if first, repeated := seen[key.Value]; repeated {
-			d.fail(key, join(path, key.Value), fmt.Sprintf("is given twice, first in line %d", first))
+			d.fail(key, joinPath(path, key.Value), fmt.Sprintf("is given twice, first on line %d", first))
 			continue
 		}
 		seen[key.Value] = key.Line
@@ -65,11 +65,11 @@
 	return true
 }
 
-// structFields are the fields of a struct by their names in a document.
+// structFields describes the fields of a struct by their names in a document.
 type structFields struct {
-	index    map[string]int // of the field in the struct
+	index    map[string]int // index of the field in the struct, by name
 	names    []string       // in the order of the struct
-	required []string       // the names that are not tagged omitempty
+	required []string       // the names of the fields that are not tagged omitempty
 }
 
 func fieldsOf(structure reflect.Type) structFields {
@@ -94,19 +94,19 @@
 	isMapping := d.eachEntry(node, path, func(key, value *yaml.Node) {
 		index, known := fields.index[key.Value]
 		if !known {
-			problem := Problem{Line: key.Line, Field: join(path, key.Value), Reason: "unknown field"}
+			problem := Problem{Line: key.Line, Field: joinPath(path, key.Value), Reason: "unknown field"}
 			d.problems.addUnknown(problem, key.Value, fields.names)
 			return
 		}
 		given[key.Value] = true
-		d.decode(value, join(path, key.Value), target.Field(index))
+		d.decode(value, joinPath(path, key.Value), target.Field(index))
 	})
 	if !isMapping {
 		return
 	}
 	for _, name := range fields.required {
 		if !given[name] {
-			d.fail(node, join(path, name), "is missing")
+			d.fail(node, joinPath(path, name), "is missing")
 		}
 	}
 }
@@ -115,8 +115,8 @@
 	filled := reflect.MakeMap(target.Type())
 	d.eachEntry(node, path, func(key, value *yaml.Node) {
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.decode(value, join(path, key.Value), element)
-		d.lines[join(path, key.Value)] = key.Line
+		d.decode(value, joinPath(path, key.Value), element)
+		d.lines[joinPath(path, key.Value)] = key.Line
 		filled.SetMapIndex(reflect.ValueOf(key.Value), element)
 	})
 	target.Set(filled)
@@ -124,7 +124,7 @@
 
 func (d *decoder) decodeSlice(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.SequenceNode {
-		d.fail(node, path, "must be a list, is "+kindOf(node))
+		d.fail(node, path, "must be a list, is "+describeKind(node))
 		return
 	}
 	for i, entry := range node.Content {
@@ -134,15 +134,15 @@
 	}
 }
 
-// scalarKind is how a kind of Go value is written in YAML.
+// scalarKind describes the YAML scalars that a kind of Go value is decoded from.
 type scalarKind struct {
-	description string // for people
+	description string // for messages
 	tags        []string
 }
 
 var scalarKinds = map[reflect.Kind]scalarKind{
-	reflect.String:  {description: "a text", tags: []string{"!!str"}},
-	reflect.Int:     {description: "a whole number", tags: []string{"!!int"}},
+	reflect.String:  {description: "a string", tags: []string{"!!str"}},
+	reflect.Int:     {description: "an integer", tags: []string{"!!int"}},
 	reflect.Float64: {description: "a number", tags: []string{"!!float", "!!int"}},
 	reflect.Bool:    {description: "true or false", tags: []string{"!!bool"}},
 }
@@ -150,22 +150,22 @@
 func (d *decoder) decodeScalar(node *yaml.Node, path string, target reflect.Value) {
 	kind := scalarKinds[target.Kind()]
 	if node.Kind != yaml.ScalarNode || !slices.Contains(kind.tags, node.ShortTag()) {
-		d.fail(node, path, "must be "+kind.description+", is "+kindOf(node))
+		d.fail(node, path, "must be "+kind.description+", is "+describeKind(node))
 		return
 	}
 	if err := node.Decode(target.Addr().Interface()); err != nil {
-		d.fail(node, path, "must be "+kind.description+" in range")
+		d.fail(node, path, "must be "+kind.description+" within the range of its type")
 	}
 }
 
-// tagNames are the tags of scalars, for people.
+// tagNames are descriptions of the tags of scalars, for messages.
 var tagNames = map[string]string{
-	"!!str": "a text", "!!int": "a whole number", "!!float": "a number", "!!bool": "true or false",
-	"!!null": "empty", "!!timestamp": "a date", "!!merge": "a merge key", "!!binary": "binary data",
+	"!!str": "a string", "!!int": "an integer", "!!float": "a number", "!!bool": "true or false",
+	"!!null": "null", "!!timestamp": "a timestamp", "!!merge": "a merge key", "!!binary": "binary data",
 }
 
-// kindOf returns what a node is, for people.
-func kindOf(node *yaml.Node) string {
+// describeKind returns a description of a node's kind, for messages.
+func describeKind(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
 		return "a mapping"
@@ -177,13 +177,14 @@
 	if name, known := tagNames[node.ShortTag()]; known {
 		return name
 	}
-	return "of the tag " + node.ShortTag()
+	return "a value with tag " + node.ShortTag()
 }
 
 var plainKey = regexp.MustCompile(`^[A-Za-z0-9_-]+$`)
 
-// join extends a path by a key; unusual keys are quoted.
-func join(path, key string) string {
+// joinPath appends a key to a path. A key with other characters than those of plainKey is
+// quoted.
+func joinPath(path, key string) string {
 	if !plainKey.MatchString(key) {
 		return fmt.Sprintf("%s[%q]", path, key)
 	}
--- a/configuration/diff.go
+++ b/configuration/diff.go
@@ -10,12 +10,12 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// ErrVersion means that the version of a configuration is not above that of the
-// configuration in the registry.
+// ErrVersion means that the version of a configuration is not higher than the version in
+// the registry.
 var ErrVersion = errors.New("configuration: version is not newer")
 
-// UnchangedPrerequisite returns the prerequisite that the configuration is still
-// that of the view. Of two updates built on one view, the second then fails.
+// UnchangedPrerequisite returns the prerequisite that the configuration has not changed
+// since the view. Of two updates based on the same view, the second then fails.
 func UnchangedPrerequisite(current registry.View) registry.Record {
 	for _, record := range current.Lookup(catalog.ConfigurationName, catalog.TypeConfiguration) {
 		return registry.Equals(record)
@@ -23,10 +23,11 @@
 	return registry.Absent(catalog.ConfigurationName, catalog.TypeConfiguration)
 }
 
-// Changes returns the update section that turns the configuration in the view into
-// the document. It omits records that the view already has, so that its size grows
-// with the difference. Evacuations stay with the zones that stay. The error is a *DocumentError, wraps ErrVersion, or is about a record that
-// cannot be decoded.
+// Changes returns the update section that replaces the configuration in the view by the
+// document. It omits records that the view already has, so that its size is proportional
+// to the difference. The evacuation of a zone remains if the document has the zone. The
+// error is a *DocumentError, wraps ErrVersion, or reports a record that cannot be
+// decoded.
 func Changes(current registry.View, document *Document, version uint64, author, text string) ([]registry.Record, error) {
 	if err := document.Validate(); err != nil {
 		return nil, err
@@ -35,9 +36,9 @@
 	return diff(current, header, text, func(changes *changeSet) { changes.requireDocument(document) })
 }
 
-// RouteMapChanges is Changes for a map of routes by host and path. zones has the
-// region of each of the fleet's zones. The error is that of the map's Validate,
-// wraps ErrVersion, or is about a record that cannot be decoded.
+// RouteMapChanges is like Changes for a map of routes by host and path. zones has the
+// region of each of the fleet's zones. The error is that of the map's Validate, wraps
+// ErrVersion, or reports a record that cannot be decoded.
 func RouteMapChanges(current registry.View, routes *routemap.Map, zones map[string]string, text string) ([]registry.Record, error) {
 	if err := routes.Validate(); err != nil {
 		return nil, err
@@ -46,16 +47,16 @@
 	return diff(current, header, text, func(changes *changeSet) { changes.requireRouteMap(routes, zones) })
 }
 
-// diff returns the changes from the view to a configuration with the header, the
-// text and the objects that requireObjects requires. Whatever else the view has of
-// a configuration is removed.
+// diff returns the changes from the view to a configuration with the header, the text
+// and the objects that requireObjects requires. All other configured objects in the view
+// are removed.
 func diff(current registry.View, header catalog.Configuration, text string, requireObjects func(*changeSet)) ([]registry.Record, error) {
 	former, err := catalog.ReadConfigurationHeader(current)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: reading the current version: %w", err)
 	}
 	if header.Version <= former.Version {
-		return nil, fmt.Errorf("%w: %d, the table has %d", ErrVersion, header.Version, former.Version)
+		return nil, fmt.Errorf("%w: version %d, the registry has version %d", ErrVersion, header.Version, former.Version)
 	}
 	changes := newChangeSet(current)
 	requireObjects(changes)
@@ -72,21 +73,21 @@
 	recordType registry.Type
 }
 
-// changeSet collects the changes from a view to the required records. Removal comes
-// last, since only then all required records are known.
+// changeSet collects the changes from a view to the required records. Removals come
+// last, when all required records are known.
 type changeSet struct {
 	view     registry.View
 	required map[recordSet]bool
 	removed  map[recordSet]bool
-	records  []registry.Record // of the update section, in order
+	records  []registry.Record // the update section, in order
 }
 
 func newChangeSet(view registry.View) *changeSet {
 	return &changeSet{view: view, required: map[recordSet]bool{}, removed: map[recordSet]bool{}}
 }
 
-// require requires a record to be the only one of its set. If it is required twice,
-// the first counts.
+// require requires a record to be the only one of its set. If several records of a set
+// are required, the first one is used.
 func (c *changeSet) require(record registry.Record) {
 	set := recordSet{record.Name, record.Type}
 	if c.required[set] {
@@ -100,7 +101,7 @@
 	c.records = append(c.records, registry.Add(record))
 }
 
-// remove removes a set, once, unless it is required.
+// remove removes a set unless it is required or already removed.
 func (c *changeSet) remove(name registry.Name, recordType registry.Type) {
 	set := recordSet{name, recordType}
 	if c.required[set] || c.removed[set] {
@@ -110,7 +111,7 @@
 	c.records = append(c.records, registry.DeleteSet(name, recordType))
 }
 
-// requireDocument requires the records of every object, in a fixed order.
+// requireDocument requires the records of all objects of a document, in a fixed order.
 func (c *changeSet) requireDocument(document *Document) {
 	for name, region := range sorted(document.Regions) {
 		c.require(catalog.RegionRecord(name, catalog.Region{Spill: region.Spill, Capacity: region.Capacity}))
@@ -171,7 +172,7 @@
 	return digests
 }
 
-// configuredTypes are the types of records that only a configuration has.
+// configuredTypes are the record types that only a configuration creates.
 var configuredTypes = []registry.Type{
 	catalog.TypeRegion, catalog.TypeZone, catalog.TypeService, catalog.TypeRoute,
 	catalog.TypeClient, catalog.TypeHome, catalog.TypeTenant,
@@ -179,7 +180,7 @@
 }
 
 // removeObjects removes the objects that are not required, and the evacuations of
-// the zones among them.
+// removed zones.
 func (c *changeSet) removeObjects() {
 	for _, recordType := range configuredTypes {
 		c.view.Walk(catalog.ParentName(recordType), recordType, func(record registry.Record) bool {
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// FuzzLoad feeds text to Load. An error names its reasons; a document that
-// passes can be applied to an empty table.
+// FuzzLoad checks that Load either returns a *DocumentError with a reason, or a document
+// that can be applied to an empty table.
 func FuzzLoad(f *testing.F) {
 	f.Add("regions: {a: {zones: [a-1], capacity: 1}}\nservices: {s: {kind: model, max_concurrency: 1}}\nroutes: {m: {service: s}}\n")
 	f.Add(`{"regions":{"a":{"zones":["a-1"],"capacity":0}}}`)
@@ -24,7 +24,7 @@
 		if err != nil {
 			var problems *DocumentError
 			if !errors.As(err, &problems) || len(problems.Problems) == 0 || problems.Problems[0].Reason == "" {
-				t.Fatalf("an error without reasons: %v", err)
+				t.Fatalf("error without a reason: %v", err)
 			}
 			return
 		}
@@ -35,11 +35,11 @@
 		}
 		changes, err := Changes(table.View(), document, 1, "", text)
 		if err != nil {
-			t.Fatalf("changes of a valid document: %v", err)
+			t.Fatalf("Changes rejected a valid document: %v", err)
 		}
 		update := registry.NewUpdate(catalog.Apex, nil, changes)
 		if result := table.Apply(&update, nil); result.Code != registry.NoError {
-			t.Fatalf("applying a valid document: %s: %v", result.Code, result.Reason)
+			t.Fatalf("the table rejected a valid document: %s: %v", result.Code, result.Reason)
 		}
 	})
 }
--- a/configuration/golden_test.go
+++ b/configuration/golden_test.go
@@ -20,9 +20,9 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files instead of comparing with them")
 
-// goldenText returns an input of the golden tests, which no test writes.
+// goldenText returns the text of a file of the golden tests.
 func goldenText(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -45,7 +45,7 @@
 	}
 }
 
-// goldenDocument is what document.yaml says.
+// goldenDocument returns the content of document.yaml.
 func goldenDocument() *Document {
 	return &Document{
 		Regions: map[string]Region{
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestGoldenDocument reads a document with every field, and its JSON form.
+// TestGoldenDocument checks the YAML and the JSON form of a document that sets every
+// field.
 func TestGoldenDocument(t *testing.T) {
 	document, err := Load(goldenText(t, "document.yaml"))
 	if err != nil {
@@ -98,7 +99,7 @@
 		t.Errorf("document differs (-want +got):\n%s", difference)
 	}
 	for _, field := range unsetFields(reflect.ValueOf(*document), "Document") {
-		t.Errorf("%s is set nowhere in document.yaml", field)
+		t.Errorf("document.yaml does not set %s", field)
 	}
 	asJSON, err := json.MarshalIndent(document, "", "  ")
 	if err != nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// unsetFields names the exported fields that are zero in a value and, for the
-// values of a map or list, in all of them.
+// unsetFields returns the paths of the exported fields that are zero in a value. A field
+// of a map's values is unset if it is zero in all of them.
 func unsetFields(value reflect.Value, path string) []string {
 	var unset []string
 	for i := range value.NumField() {
@@ -152,8 +153,8 @@
 	return unset
 }
 
-// goldenUpdate encodes the update of the table that a configuration leads to,
-// applies it to the table, and compares its bytes with a golden file.
+// goldenUpdate compares the encoding of a configuration's update with a golden file, and
+// applies the decoded golden file to the table.
 func goldenUpdate(t *testing.T, file string, table *registry.Table, changes []registry.Record) {
 	t.Helper()
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{UnchangedPrerequisite(table.View())}, changes)
@@ -178,7 +179,7 @@
 	}
 }
 
-// hexLines writes bytes in hexadecimal, 32 a line.
+// hexLines formats bytes in hexadecimal, 32 per line.
 func hexLines(data []byte) string {
 	const lineBytes = 32
 	var text strings.Builder
@@ -189,8 +190,8 @@
 	return text.String()
 }
 
-// TestGoldenChanges holds the records that documents and maps of routes are stored
-// as, the order of the changes, and what a following document removes.
+// TestGoldenChanges checks the records that store documents and route maps, the order of
+// the changes, and the removals by a following document.
 func TestGoldenChanges(t *testing.T) {
 	table := newTable(t)
 	for i, name := range []string{"document", "next"} {
@@ -206,7 +207,7 @@
 		goldenUpdate(t, name+".update.hex", table, changes)
 		configuration, _ := read(t, table).Configuration()
 		if configuration.Document != text {
-			t.Errorf("%s reads back as %q", name, configuration.Document)
+			t.Errorf("document %s is read back as %q", name, configuration.Document)
 		}
 	}
 	changes, err := RouteMapChanges(table.View(), goldenRouteMap(), map[string]string{"zone-a": "north"}, "the map's text\n")
@@ -215,7 +216,7 @@
 	}
 	goldenUpdate(t, "routemap.update.hex", table, changes)
 	if difference := cmp.Diff(goldenRouteMap(), read(t, table).RouteMap()); difference != "" {
-		t.Errorf("the map reads back differently (-want +got):\n%s", difference)
+		t.Errorf("the route map read back differs (-want +got):\n%s", difference)
 	}
 }
 
@@ -235,7 +236,8 @@
 	}
 }
 
-// TestGoldenChange holds how a change of named items is read and sent on.
+// TestGoldenChange checks how a change of named items is parsed and encoded for other
+// nodes.
 func TestGoldenChange(t *testing.T) {
 	change, err := ParseChange(goldenText(t, "change.yaml"))
 	if err != nil {
@@ -255,11 +257,11 @@
 		t.Fatal(err)
 	}
 	if difference := cmp.Diff(change, decoded.Interface()); difference != "" {
-		t.Errorf("decodes differently (-now +stored):\n%s", difference)
+		t.Errorf("the decoded change differs (-now +stored):\n%s", difference)
 	}
 }
 
-// TestGoldenProblem holds the JSON form of a problem, which operators' tools read.
+// TestGoldenProblem checks the JSON form of a problem, which operators' tools parse.
 func TestGoldenProblem(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/configuration/http.go
+++ b/configuration/http.go
@@ -6,14 +6,14 @@
 	"github.com/deckpulley/deckpulley/routemap"
 )
 
-// HTTP is the part of a document for services that are reached by host and path
-// and run on replicas of any HTTP kind.
+// HTTP is the part of a document for services that are reached by host and path. Their
+// replicas may be any HTTP servers.
 type HTTP struct {
-	// Services by name.
+	// Services are keyed by name.
 	Services map[string]HTTPService `yaml:"services,omitempty" json:"services,omitempty"`
-	// Routes by name.
+	// Routes are keyed by name.
 	Routes map[string]HTTPRoute `yaml:"routes,omitempty" json:"routes,omitempty"`
-	// Limits bound what a client may send; zero is the gateway's own bound.
+	// Limits bound the requests of clients; zero selects the gateway's own limit.
 	Limits HTTPLimits `yaml:"limits,omitempty" json:"limits,omitempty"`
 }
 
@@ -21,19 +21,20 @@
 type HTTPService struct {
 	// MaxConnections bounds the connections to one replica from all gateways.
 	MaxConnections int `yaml:"max_connections,omitempty" json:"max_connections,omitempty" jsonschema:"minimum=0"`
-	// SlowStartRate is the rate that a replica sustains while it warms up, in requests
-	// a second; 0 is no bound.
+	// SlowStartRate is the request rate that a replica sustains while it warms up, in
+	// requests per second; 0 means no limit.
 	SlowStartRate float64 `yaml:"cold_per_second,omitempty" json:"cold_per_second,omitempty" jsonschema:"minimum=0"`
 	// SlowStartMS is how long a replica warms up, in ms.
 	SlowStartMS int `yaml:"cold_start_ms,omitempty" json:"cold_start_ms,omitempty" jsonschema:"minimum=0"`
-	// Slots is the number of requests that a replica runs concurrently; 0 leaves it to
-	// the list of replicas.
+	// Slots is the number of requests that a replica runs concurrently; 0 selects the
+	// value in the list of replicas.
 	Slots int `yaml:"slots,omitempty" json:"slots,omitempty" jsonschema:"minimum=0"`
-	// CacheTokens is the size of a replica's prefix cache; 0 is a service without one.
+	// CacheTokens is the size of a replica's prefix cache in tokens; 0 means that the
+	// service has none.
 	CacheTokens int `yaml:"cache_tokens,omitempty" json:"cache_tokens,omitempty" jsonschema:"minimum=0"`
 }
 
-// HTTPRoute says where requests go that match its host and path prefix. See
+// HTTPRoute routes the requests that match its host and path prefix. See
 // routemap.Route.
 type HTTPRoute struct {
 	Host         string       `yaml:"host" json:"host"`
@@ -42,26 +43,27 @@
 	Targets      []HTTPTarget `yaml:"targets" json:"targets" jsonschema:"minItems=1"`
 	TimeoutMS    int          `yaml:"timeout_ms" json:"timeout_ms" jsonschema:"minimum=1"`
 	FirstEventMS int          `yaml:"first_event_ms,omitempty" json:"first_event_ms,omitempty" jsonschema:"minimum=0"`
-	// MaxAttempts bounds the replicas that one request is sent to; 0 stands for 1.
+	// MaxAttempts bounds the number of replicas that one request is sent to; zero selects
+	// 1.
 	MaxAttempts int    `yaml:"max_attempts,omitempty" json:"max_attempts,omitempty" jsonschema:"minimum=0"`
 	Priority    int    `yaml:"priority,omitempty" json:"priority,omitempty" jsonschema:"minimum=0"`
 	Resumable   bool   `yaml:"resumable,omitempty" json:"resumable,omitempty"`
 	Home        string `yaml:"home,omitempty" json:"home,omitempty"`
 }
 
-// HTTPTarget is one of the services that a route's requests are split over.
+// HTTPTarget is one of the services among which a route's requests are split.
 type HTTPTarget struct {
 	Service string `yaml:"service" json:"service"`
 	Weight  int    `yaml:"weight" json:"weight" jsonschema:"minimum=0"`
 }
 
-// HTTPLimits bound the requests of a client, in bytes.
+// HTTPLimits bound the size of a client's requests, in bytes.
 type HTTPLimits struct {
 	MaxHeaderBytes int `yaml:"max_header_bytes,omitempty" json:"max_header_bytes,omitempty" jsonschema:"minimum=0"`
 	MaxBodyBytes   int `yaml:"max_body_bytes,omitempty" json:"max_body_bytes,omitempty" jsonschema:"minimum=0"`
 }
 
-// Bounds of the part for HTTP.
+// Bounds on the numbers of services and routes in the part for HTTP.
 const (
 	MaxHTTPServices = 1024
 	MaxHTTPRoutes   = 20_000
@@ -72,8 +74,8 @@
 	return len(h.Services) == 0 && len(h.Routes) == 0 && h.Limits == HTTPLimits{}
 }
 
-// routeMap translates the part for HTTP, in the order of the names. Its version
-// is that of the whole document and not set here.
+// routeMap translates the part for HTTP into a route map, sorted by name. It leaves the
+// version, which is that of the whole document, unset.
 func (d *Document) routeMap() *routemap.Map {
 	translated := &routemap.Map{Limits: routemap.Limits{
 		MaxHeaderBytes: d.HTTP.Limits.MaxHeaderBytes,
--- a/configuration/http_test.go
+++ b/configuration/http_test.go
@@ -45,33 +45,33 @@
 	}
 	page, review := translated.Routes[0], translated.Routes[1]
 	if page.Name != "page" || page.MaxAttempts != 1 || page.Kind != routemap.Idempotent {
-		t.Errorf("got %+v", page)
+		t.Errorf("route page is %+v", page)
 	}
 	if review.Kind != routemap.Stream || !review.Resumable || review.Timeout != 15*time.Second || len(review.HomeRegions) != 1 || review.HomeRegions[0] != "north" || len(review.Targets) != 2 {
-		t.Errorf("got %+v", review)
+		t.Errorf("route review is %+v", review)
 	}
 	if pool := translated.Services[0]; pool.SlowStartDuration != 3*time.Second || pool.CacheTokens != 400000 {
-		t.Errorf("got %+v", pool)
+		t.Errorf("service pool is %+v", pool)
 	}
 }
 
 func TestInvalidHTTPPartNamesFieldAndReason(t *testing.T) {
 	tests := map[string]struct{ old, replacement, field string }{
-		"service of both kinds":  {"    web: {}", "    snippets: {}\n    web: {}", "http.services.snippets"},
-		"negative connections":   {"max_connections: 390", "max_connections: -1", "http.services.pool"},
-		"unknown field":          {"kind: stream", "sort: stream", "http.routes.review.sort"},
-		"unknown kind":           {"kind: stream", "kind: river", "http.routes.review.kind"},
-		"no time-out":            {"timeout_ms: 500", "timeout_ms: 0", "http.routes.page.timeout_ms"},
-		"no slash":               {"path_prefix: /review/", "path_prefix: /review", "http.routes.review.path_prefix"},
-		"same host and prefix":   {"path_prefix: /review/", "path_prefix: /", "http.routes.review.path_prefix"},
-		"unknown service":        {"targets: [{service: web, weight: 1}]", "targets: [{service: wbe, weight: 1}]", "http.routes.page.targets[0].service"},
-		"weights of 0":           {"targets: [{service: web, weight: 1}]", "targets: [{service: web, weight: 0}]", "http.routes.page.targets"},
-		"no weight":              {"targets: [{service: web, weight: 1}]", "targets: [{service: web}]", "http.routes.page.targets[0].weight"},
-		"unknown home":           {"home: bank-home\n      targets", "home: other\n      targets", "http.routes.review.home"},
-		"negative attempts":      {"max_attempts: 2", "max_attempts: -2", "http.routes.review.max_attempts"},
-		"negative priority":      {"max_attempts: 2", "priority: -1", "http.routes.review.priority"},
-		"negative limit":         {"max_body_bytes: 4194304", "max_body_bytes: -1", "http.limits.max_body_bytes"},
-		"resumable is no answer": {"resumable: true", "resumable: often", "http.routes.review.resumable"},
+		"service name in use":   {"    web: {}", "    snippets: {}\n    web: {}", "http.services.snippets"},
+		"negative connections":  {"max_connections: 390", "max_connections: -1", "http.services.pool"},
+		"unknown field":         {"kind: stream", "sort: stream", "http.routes.review.sort"},
+		"unknown kind":          {"kind: stream", "kind: river", "http.routes.review.kind"},
+		"zero timeout":          {"timeout_ms: 500", "timeout_ms: 0", "http.routes.page.timeout_ms"},
+		"prefix without slash":  {"path_prefix: /review/", "path_prefix: /review", "http.routes.review.path_prefix"},
+		"same host and prefix":  {"path_prefix: /review/", "path_prefix: /", "http.routes.review.path_prefix"},
+		"unknown service":       {"targets: [{service: web, weight: 1}]", "targets: [{service: wbe, weight: 1}]", "http.routes.page.targets[0].service"},
+		"all weights zero":      {"targets: [{service: web, weight: 1}]", "targets: [{service: web, weight: 0}]", "http.routes.page.targets"},
+		"missing weight":        {"targets: [{service: web, weight: 1}]", "targets: [{service: web}]", "http.routes.page.targets[0].weight"},
+		"unknown home":          {"home: bank-home\n      targets", "home: other\n      targets", "http.routes.review.home"},
+		"negative attempts":     {"max_attempts: 2", "max_attempts: -2", "http.routes.review.max_attempts"},
+		"negative priority":     {"max_attempts: 2", "priority: -1", "http.routes.review.priority"},
+		"negative limit":        {"max_body_bytes: 4194304", "max_body_bytes: -1", "http.limits.max_body_bytes"},
+		"resumable not boolean": {"resumable: true", "resumable: often", "http.routes.review.resumable"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -79,14 +79,14 @@
 			_, err := Load(text)
 			var problems *DocumentError
 			if !errors.As(err, &problems) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("error %v, want a *DocumentError", err)
 			}
 			for _, problem := range problems.Problems {
 				if problem.Field == test.field && problem.Reason != "" && problem.Line > 0 {
 					return
 				}
 			}
-			t.Errorf("got %v, want a problem with %s and its line", err, test.field)
+			t.Errorf("error %v, want a problem at field %s with its line", err, test.field)
 		})
 	}
 }
@@ -96,14 +96,14 @@
 	configure(t, table, baseDocument+httpPart)
 	with := read(t, table)
 	if len(with.PathRoutes()) != 2 || len(with.Pools()) != 2 || with.RequestLimits().MaxHeaderBytes != 16384 {
-		t.Errorf("routes %v, pools %v, limits %v", with.PathRoutes(), with.Pools(), with.RequestLimits())
+		t.Errorf("after adding the part for HTTP: routes %v, pools %v, limits %v", with.PathRoutes(), with.Pools(), with.RequestLimits())
 	}
 	if _, found := with.Route("snippet"); !found {
-		t.Error("the document's other routes are gone")
+		t.Error("the routes by model name were removed")
 	}
 	configure(t, table, baseDocument)
 	without := read(t, table)
 	if len(without.PathRoutes()) != 0 || len(without.Pools()) != 0 || without.RequestLimits() != (routemap.Limits{}) {
-		t.Errorf("routes %v, pools %v, limits %v", without.PathRoutes(), without.Pools(), without.RequestLimits())
+		t.Errorf("after removing the part for HTTP: routes %v, pools %v, limits %v", without.PathRoutes(), without.Pools(), without.RequestLimits())
 	}
 }
--- a/configuration/nearest.go
+++ b/configuration/nearest.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Bounds of the search for the nearest name, whose cost grows with the number of
-// names and the square of their length.
+// Bounds on the search for the nearest name. Its cost is proportional to the number of
+// names and to the square of their length.
 const (
 	maxNearestNames    = 1024
 	maxNearestBytes    = 64
-	maxNearestSearches = 20 // problems of one document that get a search
+	maxNearestSearches = 20 // number of problems of one document that are searched for
 )
 
-// nearest returns the valid name at the least edit distance, the first in
-// alphabetical order among equals. It returns "" if more than a third of the name
+// nearest returns the valid name at the smallest edit distance, and of several such
+// names the first in alphabetical order. It returns "" if more than a third of the name
 // would have to change, or if the search would exceed its bounds.
 func nearest(name string, valid []string) string {
 	if len(valid) > maxNearestNames || len(name) > maxNearestBytes {
@@ -31,8 +31,9 @@
 
 func abs(value int) int { return max(value, -value) }
 
-// editDistance returns the optimal string alignment distance: the insertions,
-// deletions, substitutions and swaps of neighbours that turn one text into the other.
+// editDistance returns the optimal string alignment distance: the number of insertions,
+// deletions, substitutions and swaps of adjacent bytes that turn one string into the
+// other.
 func editDistance(from, to string) int {
 	// row[j] is the distance from from[:i] to to[:j]; last and beforeLast are those
 	// of i-1 and i-2.
--- a/configuration/nearestbounds_test.go
+++ b/configuration/nearestbounds_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestNearestNameIsSoughtWithinBounds: the search takes time with the number of names
-// and the square of their length, and the document decides both.
-func TestNearestNameIsSoughtWithinBounds(t *testing.T) {
+// TestNearestSearchIsBounded checks that names beyond the bounds are not searched for. The
+// cost of a search is proportional to the number of names and to the square of their
+// length, and the author of a document controls both.
+func TestNearestSearchIsBounded(t *testing.T) {
 	many := make([]string, maxNearestNames+1)
 	for i := range many {
 		many[i] = fmt.Sprintf("service-%d", i)
@@ -22,13 +23,13 @@
 	}{
 		{name: "within the bounds", typed: "servise-7", valid: many[:maxNearestNames], want: "service-7"},
 		{name: "too many names", typed: "servise-7", valid: many},
-		{name: "the longest name", typed: long[1:], valid: []string{long[2:]}, want: long[2:]},
-		{name: "a longer name", typed: long, valid: []string{long[1:]}},
+		{name: "name of the maximum length", typed: long[1:], valid: []string{long[2:]}, want: long[2:]},
+		{name: "name too long", typed: long, valid: []string{long[1:]}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := nearest(c.typed, c.valid); got != c.want {
-				t.Errorf("nearest(%q) is %q, want %q", c.typed, got, c.want)
+				t.Errorf("nearest(%q) = %q, want %q", c.typed, got, c.want)
 			}
 		})
 	}
--- a/configuration/parse.go
+++ b/configuration/parse.go
@@ -13,12 +13,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxDocumentBytes bounds the text of a document, in bytes.
+// MaxDocumentBytes bounds the length of a document's text, in bytes.
 const MaxDocumentBytes = 2 << 20
 
-// Parse reads a document from YAML or JSON. It is strict: an unknown or repeated
-// field, a value of the wrong kind, an alias or a second document is an error.
-// The error is a *DocumentError. What the document says is checked by Validate.
+// Parse parses a document from YAML or JSON. It is strict: an unknown or repeated
+// field, a value of the wrong type, an alias or a second document is an error.
+// The error is a *DocumentError. Validate checks the content of the document.
 func Parse(text string) (*Document, error) {
 	var problems problemList
 	if len(text) > MaxDocumentBytes {
@@ -50,8 +50,8 @@
 	return document, nil
 }
 
-// parseNode returns the one document of a text. If it adds a problem, the result is
-// not to be used.
+// parseNode returns the root node of the only document of a text. The result is invalid
+// if it adds a problem.
 func parseNode(text string, problems *problemList) *yaml.Node {
 	if json.Valid([]byte(text)) {
 		text = strings.ReplaceAll(text, "\t", " ") // white space in JSON, but not everywhere in YAML
@@ -73,9 +73,10 @@
 
 var syntaxLine = regexp.MustCompile(`^(?:line (\d+): )?(.*)$`)
 
-// grammarError begins the errors of the YAML library's parser. These count lines
-// from 0 and leave the first line out, while those of its scanner count from 1. The
-// line is that where the list or mapping at fault begins, or where the text ends.
+// grammarError is the prefix of the errors of the YAML library's parser. Their line
+// numbers start at 0 and are omitted on the first line, while those of the library's
+// scanner start at 1. The line is that where the invalid list or mapping begins, or
+// where the text ends.
 const grammarError = "did not find expected"
 
 func syntaxProblem(text string, err error) Problem {
--- a/configuration/problems.go
+++ b/configuration/problems.go
@@ -6,23 +6,25 @@
 	"strings"
 )
 
-// MaxProblems bounds how many problems of one document are reported.
+// MaxProblems bounds the number of problems that are reported for one document.
 const MaxProblems = 100
 
-// Problem is one thing that is wrong with a document.
+// Problem is one error in a document.
 type Problem struct {
-	// Line is the line of the text, from 1; 0 if the document was not parsed from one.
+	// Line is the line number in the text, from 1; 0 if the document was not parsed from
+	// a text.
 	Line int `json:"line"`
 	// Field is the path of the field, such as "routes.explain-long.service";
 	// empty for the whole document.
 	Field string `json:"field"`
-	// Reason says what is wrong.
+	// Reason describes the error.
 	Reason string `json:"reason"`
-	// Nearest is the valid name most like the one written, empty if none is.
+	// Nearest is the valid name that is most similar to an unknown one, empty if none is
+	// similar.
 	Nearest string `json:"nearest,omitempty"`
 }
 
-// String writes the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	var text strings.Builder
 	if p.Line > 0 {
@@ -38,15 +40,15 @@
 	return text.String()
 }
 
-// DocumentError is the error of a document that is not valid.
+// DocumentError is the error for an invalid document. It lists its problems.
 type DocumentError struct {
-	// Problems are in the order of their lines, at most MaxProblems.
+	// Problems are the first MaxProblems problems, sorted by line.
 	Problems []Problem
-	// Omitted counts the problems beyond those.
+	// Omitted is the number of further problems.
 	Omitted int
 }
 
-// Error writes every problem on a line of its own.
+// Error formats each problem on a line of its own.
 func (e *DocumentError) Error() string {
 	var text strings.Builder
 	text.WriteString("invalid configuration")
@@ -60,13 +62,13 @@
 	return text.String()
 }
 
-// problemList collects the problems of one document. Its zero value is empty.
+// problemList collects the problems of one document. Its zero value is an empty list.
 type problemList struct {
 	problems []Problem
 	omitted  int
 }
 
-// add appends a problem, or counts it once there are MaxProblems.
+// add appends a problem. Beyond MaxProblems it only counts the problem.
 func (l *problemList) add(problem Problem) {
 	if len(l.problems) >= MaxProblems {
 		l.omitted++
@@ -75,7 +77,7 @@
 	l.problems = append(l.problems, problem)
 }
 
-// addUnknown is add for a name that is not among the valid ones.
+// addUnknown adds the problem of an unknown name, with the nearest valid name.
 func (l *problemList) addUnknown(problem Problem, name string, valid []string) {
 	if len(l.problems) < maxNearestSearches {
 		problem.Nearest = nearest(name, valid)
--- a/configuration/schema.go
+++ b/configuration/schema.go
@@ -7,8 +7,8 @@
 	"github.com/invopop/jsonschema"
 )
 
-// JSONSchema returns the JSON schema of documents, for editors. It covers fields,
-// types and ranges; references between names are checked by Validate alone.
+// JSONSchema returns the JSON schema of documents, for use by editors. It covers fields,
+// types and ranges, but not references between names, which only Validate checks.
 func JSONSchema() ([]byte, error) {
 	reflector := &jsonschema.Reflector{Anonymous: true}
 	schema := reflector.Reflect(&Document{})
--- a/configuration/validate.go
+++ b/configuration/validate.go
@@ -10,11 +10,11 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Bounds of a document. Together they keep its changes within one update of the
+// Bounds of a document. Together they ensure that its changes fit into one update of the
 // registry.
 const (
 	MaxRegions     = 256
-	MaxZones       = 1024 // over all regions
+	MaxZones       = 1024 // total of all regions
 	MaxServices    = 1024
 	MaxRoutes      = 20_000
 	MaxClients     = 10_000
@@ -25,7 +25,7 @@
 	MaxWeight      = 1000
 )
 
-// Ranges of the set points, in their units.
+// Ranges of the set points, in the units of the fields of Limits.
 const (
 	MaxRetryRatio        = 0.2
 	MaxQueueLength       = 10_000
@@ -51,8 +51,8 @@
 	validName    = regexp.MustCompile(`^[A-Za-z0-9._:/@+-]+$`)
 )
 
-// Validate checks what the document says: names, ranges, and that whatever is
-// referred to is in it. The error is a *DocumentError with all problems.
+// Validate checks the content of the document: names, ranges, and that every reference
+// is to an object in the document. The error is a *DocumentError with all problems.
 func (d *Document) Validate() error {
 	check := &validator{document: d}
 	check.counts()
@@ -82,15 +82,16 @@
 	return Problem{Line: v.document.lines[path], Field: path, Reason: fmt.Sprintf(reason, values...)}
 }
 
-// reference requires that a name is among the defined ones; what says of what.
-func reference[T any](v *validator, path, what, name string, defined map[string]T) {
+// reference requires that an object with the name is defined. kind is the kind of
+// object, for the message.
+func reference[T any](v *validator, path, kind, name string, defined map[string]T) {
 	if _, known := defined[name]; known {
 		return
 	}
-	v.problems.addUnknown(v.problemAt(path, "no %s %q", what, name), name, slices.Collect(maps.Keys(defined)))
+	v.problems.addUnknown(v.problemAt(path, "no %s %q", kind, name), name, slices.Collect(maps.Keys(defined)))
 }
 
-// oneOf requires one of a few values.
+// oneOf requires that the value is one of the valid ones.
 func (v *validator) oneOf(path, value string, valid []string) {
 	if slices.Contains(valid, value) {
 		return
@@ -105,12 +106,12 @@
 	case len(name) > api.MaxNameBytes:
 		v.fail(path, "name of %d bytes, at most %d", len(name), api.MaxNameBytes)
 	case !validName.MatchString(name):
-		v.fail(path, `name %q has other characters than letters, digits and "-._:/@+"`, name)
+		v.fail(path, `name %q contains characters other than letters, digits and "-._:/@+"`, name)
 	}
 }
 
-// between requires a value from low to high.
-func (v *validator) between(path string, value, low, high int) {
+// inRange requires a value from low to high, both included.
+func (v *validator) inRange(path string, value, low, high int) {
 	if value < low || value > high {
 		v.fail(path, "%d is not between %d and %d", value, low, high)
 	}
@@ -148,18 +149,18 @@
 	}
 	owner := map[string]string{}
 	for name, region := range sorted(regions) {
-		path := join("regions", name)
+		path := joinPath("regions", name)
 		v.name(path, name)
 		if len(region.Zones) == 0 {
-			v.fail(path+".zones", "region %q has no zone", name)
+			v.fail(path+".zones", "region %q has no zones", name)
 		}
 		v.zones(path+".zones", name, region.Zones, owner)
 		v.spill(path+".spill", name, region.Spill)
-		v.between(path+".capacity", region.Capacity, 1, MaxCapacity)
+		v.inRange(path+".capacity", region.Capacity, 1, MaxCapacity)
 	}
 }
 
-// zones requires that each zone is in one region, once.
+// zones requires that each zone is listed once, in one region.
 func (v *validator) zones(path, region string, zones []string, owner map[string]string) {
 	for i, zone := range zones {
 		entry := fmt.Sprintf("%s[%d]", path, i)
@@ -172,7 +173,7 @@
 	}
 }
 
-// spill requires other regions, each once.
+// spill requires that the targets are other regions, each listed once.
 func (v *validator) spill(path, region string, targets []string) {
 	seen := map[string]bool{}
 	for i, target := range targets {
@@ -191,16 +192,16 @@
 
 func (v *validator) services() {
 	for name, service := range sorted(v.document.Services) {
-		path := join("services", name)
+		path := joinPath("services", name)
 		v.name(path, name)
 		v.oneOf(path+".kind", service.Kind, serviceKinds)
-		v.between(path+".max_concurrency", service.MaxConcurrency, 1, MaxConcurrency)
+		v.inRange(path+".max_concurrency", service.MaxConcurrency, 1, MaxConcurrency)
 	}
 }
 
 func (v *validator) routes() {
 	for name, route := range sorted(v.document.Routes) {
-		path := join("routes", name)
+		path := joinPath("routes", name)
 		v.name(path, name)
 		reference(v, path+".service", "service", route.Service, v.document.Services)
 		if route.Class != "" {
@@ -209,13 +210,13 @@
 		if route.Home != "" {
 			reference(v, path+".home", "home", route.Home, v.document.Homes)
 		}
-		v.between(path+".weight", route.Weight, 0, MaxWeight)
+		v.inRange(path+".weight", route.Weight, 0, MaxWeight)
 	}
 }
 
 func (v *validator) clients() {
 	for name, region := range sorted(v.document.Clients) {
-		path := join("clients", name)
+		path := joinPath("clients", name)
 		v.name(path, name)
 		reference(v, path, "region", region, v.document.Regions)
 	}
@@ -223,7 +224,7 @@
 
 func (v *validator) homes() {
 	for name, regions := range sorted(v.document.Homes) {
-		path := join("homes", name)
+		path := joinPath("homes", name)
 		v.name(path, name)
 		if !v.homeRegions(path, regions) {
 			v.fail(path, "no region serves home %q", name)
@@ -251,16 +252,16 @@
 
 func (v *validator) tenants() {
 	for name, tenant := range sorted(v.document.Tenants) {
-		path := join("tenants", name)
+		path := joinPath("tenants", name)
 		v.name(path, name)
 		if tenant.Home != "" {
 			reference(v, path+".home", "home", tenant.Home, v.document.Homes)
 		}
-		v.between(path+".weight", tenant.Weight, 0, MaxWeight)
+		v.inRange(path+".weight", tenant.Weight, 0, MaxWeight)
 	}
 }
 
-// limits checks the set points that are not 0, which stands for the default.
+// limits checks the set points that are not zero; zero selects the default.
 func (v *validator) limits() {
 	limits := v.document.Limits
 	ratios := []struct {
@@ -287,7 +288,7 @@
 	}
 	for _, count := range counts {
 		if count.value != 0 {
-			v.between(count.path, count.value, count.low, count.high)
+			v.inRange(count.path, count.value, count.low, count.high)
 		}
 	}
 }
