--- a/patch/golden_test.go
+++ b/patch/golden_test.go
@@ -12,11 +12,11 @@
 	"github.com/deckpulley/deckpulley/internal/canonical"
 )
 
-// updateGolden writes the files of testdata/golden anew. What is in them is sent
-// between builds, so a file is added, never changed.
-var updateGolden = flag.Bool("update-golden", false, "write the files of testdata/golden anew")
+// updateGolden rewrites the files in testdata/golden. Nodes of different releases exchange
+// their content, so files may be added but not changed.
+var updateGolden = flag.Bool("update-golden", false, "rewrite the files in testdata/golden")
 
-// checkGolden compares an encoding with the file that an earlier build left, and
+// checkGolden compares an encoding with a golden file, which an earlier release wrote, and
 // returns the file's bytes.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
@@ -34,12 +34,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, golden) {
-		t.Errorf("%s: encoded as\n%s\nwant\n%s", path, encoded, golden)
+		t.Errorf("%s: the encoding is\n%s\nwant\n%s", path, encoded, golden)
 	}
 	return golden
 }
 
-// goldenChange changes a list, a mapping below a mapping, and nothing.
+// goldenChange returns a change with sections that upsert, remove, do both, and are
+// empty.
 func goldenChange() Change {
 	return Change{Sections: []Section{
 		{Name: "routes", Upsert: []Item{{Name: "b", Value: `{"name":"b","weight":2}`}, {Name: "d", Value: `{"name":"d"}`}}, Remove: []string{"a", "unknown"}},
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestGoldenDocuments holds the texts that a change leads to. They are stored, and
-// every replica makes them by itself from the same change: two builds that wrote
-// them differently would disagree.
+// TestGoldenDocuments checks the texts that result from changes. They are stored, and
+// every replica computes them from the same change: releases that computed different
+// texts would diverge.
 func TestGoldenDocuments(t *testing.T) {
 	change := goldenChange()
 	list := Change{Sections: change.Sections[:1]}
--- a/patch/json.go
+++ b/patch/json.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// itemName is the field of an item that has its name, in lists of items.
-const itemName = "name"
+// itemNameField is the field that contains an item's name, in lists of items.
+const itemNameField = "name"
 
 // member is one member of a JSON object.
 type member struct {
@@ -17,12 +17,12 @@
 	value json.RawMessage
 }
 
-// object is a JSON object that keeps the order of its members.
+// object is a JSON object that preserves the order of its members.
 type object []member
 
-// member returns the member of the name. A missing one is appended with the value
-// given. The pointer is valid until the next call.
-func (o *object) member(name string, missing json.RawMessage) *member {
+// findOrAdd returns the member with a name. If there is none, it appends one with the
+// value missing. The pointer is valid until the next call.
+func (o *object) findOrAdd(name string, missing json.RawMessage) *member {
 	for i := range *o {
 		if (*o)[i].name == name {
 			return &(*o)[i]
@@ -32,10 +32,11 @@
 	return &(*o)[len(*o)-1]
 }
 
-// ApplyJSON applies a valid change to a JSON object whose sections are lists of
-// objects with a "name" each. set assigns values to further members of the object.
-// Items keep their positions; added ones follow in the order of the change. The
-// text of what is not named stays as it is. The error is a *FieldError.
+// ApplyJSON applies a valid change to a JSON object whose sections are lists of objects,
+// each with a "name". set assigns values to further members of the object. Existing
+// items remain at their positions; added ones are appended in the order of the change.
+// The text of all items and members that are not named is preserved. The error is a
+// *FieldError.
 func ApplyJSON(document string, change *Change, set map[string]json.RawMessage) (string, error) {
 	members, err := decodeObject(document)
 	if err != nil {
@@ -46,13 +47,13 @@
 		if section.isEmpty() {
 			continue
 		}
-		list := members.member(section.Name, json.RawMessage("[]"))
+		list := members.findOrAdd(section.Name, json.RawMessage("[]"))
 		if list.value, err = section.applyToList(list.value); err != nil {
 			return "", err
 		}
 	}
 	for name, value := range set {
-		members.member(name, nil).value = value
+		members.findOrAdd(name, nil).value = value
 	}
 	return encodeObject(members)
 }
@@ -61,7 +62,7 @@
 func (s *Section) applyToList(list json.RawMessage) (json.RawMessage, error) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(list, &items); err != nil {
-		return nil, &FieldError{Field: s.Name, Reason: "is no list: " + err.Error()}
+		return nil, &FieldError{Field: s.Name, Reason: "is not a list: " + err.Error()}
 	}
 	removed := s.removals()
 	upserted := s.upserts()
@@ -70,7 +71,7 @@
 	for i, item := range items {
 		name, err := nameOf(item)
 		if err != nil {
-			return nil, &FieldError{Field: fmt.Sprintf("%s[%d].%s", s.Name, i, itemName), Reason: err.Error()}
+			return nil, &FieldError{Field: fmt.Sprintf("%s[%d].%s", s.Name, i, itemNameField), Reason: err.Error()}
 		}
 		if removed[name] {
 			continue
@@ -93,7 +94,7 @@
 	return encoded, nil
 }
 
-// nameOf returns the name of a list's item, "" if it has none.
+// nameOf returns the name of an item in a list, "" if it has none.
 func nameOf(item json.RawMessage) (string, error) {
 	var named struct {
 		Name string `json:"name"`
@@ -102,8 +103,8 @@
 	return named.Name, err
 }
 
-// decodeObject reads the members of one JSON object in their order. An empty text
-// is an empty object. A name that occurs twice has its last value.
+// decodeObject decodes the members of one JSON object in order. An empty text is an
+// empty object. If a name is repeated, its last value is used.
 func decodeObject(text string) (object, error) {
 	if text == "" {
 		return nil, nil
@@ -126,7 +127,7 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something follows the object")
+		return nil, errors.New("unexpected data after the object")
 	}
 	return members, nil
 }
@@ -141,17 +142,17 @@
 		return err
 	}
 	name, _ := key.(string) // the decoder accepts no other key
-	o.member(name, nil).value = value
+	o.findOrAdd(name, nil).value = value
 	return nil
 }
 
-// encodeList writes a list whose items keep their text.
+// encodeList encodes a list and preserves the text of its items.
 func encodeList(items []json.RawMessage) (json.RawMessage, error) {
 	var list bytes.Buffer
 	list.WriteByte('[')
 	for i, item := range items {
 		if !json.Valid(item) {
-			return nil, fmt.Errorf("item %d is not JSON", i)
+			return nil, fmt.Errorf("item %d is not valid JSON", i)
 		}
 		if i > 0 {
 			list.WriteByte(',')
@@ -162,7 +163,7 @@
 	return list.Bytes(), nil
 }
 
-// encodeObject writes an object whose values keep their text.
+// encodeObject encodes an object and preserves the text of its values.
 func encodeObject(members object) (string, error) {
 	var text bytes.Buffer
 	text.WriteByte('{')
--- a/patch/patch.go
+++ b/patch/patch.go
@@ -1,16 +1,15 @@
-// Package patch changes named items of a document and leaves the rest as its
-// author wrote it: items are added, replaced or removed by name. It is pure, and
-// knows nothing of a document's meaning: whoever applies a change validates the
-// result.
+// Package patch adds, replaces and removes named items of a document, and leaves the
+// rest of the document as its author wrote it. Its functions are pure and do not
+// interpret the document: the caller validates the result.
 //
-// Removing a name that the document does not have is ignored, as RFC 2136
-// (section 3.4.2.3) does with records: a condition belongs into the version that
-// the change is built on.
+// The removal of a name that the document does not have is ignored, as RFC 2136
+// (section 3.4.2.3) does with records. A change that depends on the current content has
+// to state the version of the document that it is based on.
 package patch
 
 import "fmt"
 
-// MaxItems limits the items that one change names.
+// MaxItems bounds the number of items that one change names.
 const MaxItems = 50_000
 
 // Item is one named item with its value as the author wrote it.
@@ -19,39 +18,39 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Section is what a change does to one section of a document.
+// Section lists the changes to one section of a document.
 type Section struct {
 	Name string `cbor:"1,keyasint"`
-	// Upsert are the items to add, or to replace those of the same names with.
+	// Upsert are the items to add. An item replaces an existing one of the same name.
 	Upsert []Item `cbor:"2,keyasint,omitempty"`
-	// Remove names the items to remove.
+	// Remove are the names of the items to remove.
 	Remove []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Change changes sections of a document. One without items changes nothing.
+// Change is a change of sections of a document. Without items it changes nothing.
 type Change struct {
 	Sections []Section `cbor:"1,keyasint,omitempty"`
 }
 
-// FieldError reports why a change or its result is invalid. Field is the path to
-// the invalid part.
+// FieldError reports why a change, or a document to which it is applied, is invalid.
+// Field is the path of the invalid part.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error returns a message with the field and the reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("change: %s: %s", e.Field, e.Reason) }
 
-// Validate returns a *FieldError for the first invalid part of the change: a name
-// that is empty, is listed twice, or is to be both upserted and removed.
+// Validate returns a *FieldError for the first invalid part of the change: a name that
+// is empty, is listed twice, or is both upserted and removed, or too many items.
 func (c *Change) Validate() error {
 	sections := make(map[string]bool, len(c.Sections))
 	items := 0
 	for i := range c.Sections {
 		section := &c.Sections[i]
 		if section.Name == "" || sections[section.Name] {
-			return &FieldError{Field: section.Name, Reason: "sections need names of their own"}
+			return &FieldError{Field: section.Name, Reason: "section name is empty or repeated"}
 		}
 		sections[section.Name] = true
 		items += len(section.Upsert) + len(section.Remove)
@@ -65,7 +64,7 @@
 	return nil
 }
 
-// operation is what a section does to one item.
+// operation is the operation of a section on one item.
 type operation int
 
 const (
@@ -77,28 +76,28 @@
 func (s *Section) validate() error {
 	operations := make(map[string]operation, len(s.Upsert)+len(s.Remove))
 	for i, item := range s.Upsert {
-		if reason := add(operations, item.Name, operationUpsert); reason != "" {
+		if reason := addOperation(operations, item.Name, operationUpsert); reason != "" {
 			return &FieldError{Field: fmt.Sprintf("upsert.%s[%d]", s.Name, i), Reason: reason}
 		}
 	}
 	for i, name := range s.Remove {
-		if reason := add(operations, name, operationRemove); reason != "" {
+		if reason := addOperation(operations, name, operationRemove); reason != "" {
 			return &FieldError{Field: fmt.Sprintf("remove.%s[%d]", s.Name, i), Reason: reason}
 		}
 	}
 	return nil
 }
 
-// add records the operation on a name and returns why it is invalid, "" if it is
-// valid.
-func add(operations map[string]operation, name string, added operation) string {
+// addOperation records the operation on a name. It returns the reason why the operation
+// is invalid, "" if it is valid.
+func addOperation(operations map[string]operation, name string, added operation) string {
 	switch {
 	case name == "":
-		return "has no name"
+		return "name is empty"
 	case operations[name] == added:
-		return fmt.Sprintf("%q stands twice", name)
+		return fmt.Sprintf("%q is listed twice", name)
 	case operations[name] != operationNone:
-		return fmt.Sprintf("%q is upserted as well", name)
+		return fmt.Sprintf("%q is also upserted", name)
 	}
 	operations[name] = added
 	return ""
--- a/patch/patch_test.go
+++ b/patch/patch_test.go
@@ -11,18 +11,18 @@
 	item := func(name string) Item { return Item{Name: name, Value: "{}"} }
 	tests := map[string]struct {
 		change Change
-		field  string // "" is valid
+		field  string // of the FieldError, "" if the change is valid
 	}{
-		"empty":             {Change{}, ""},
-		"upserted, removed": {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"y"}}}}, ""},
-		"same name apart":   {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}}, {Name: "b", Remove: []string{"x"}}}}, ""},
-		"in both lists":     {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"x"}}}}, "remove.a[0]"},
-		"upserted twice":    {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x"), item("x")}}}}, "upsert.a[1]"},
-		"removed twice":     {Change{Sections: []Section{{Name: "a", Remove: []string{"x", "x"}}}}, "remove.a[1]"},
-		"no name":           {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("")}}}}, "upsert.a[0]"},
-		"removes no name":   {Change{Sections: []Section{{Name: "a", Remove: []string{""}}}}, "remove.a[0]"},
-		"section twice":     {Change{Sections: []Section{{Name: "a"}, {Name: "a"}}}, "a"},
-		"too many":          {Change{Sections: []Section{{Name: "a", Upsert: manyItems(MaxItems + 1)}}}, "change"},
+		"empty":              {Change{}, ""},
+		"different names":    {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"y"}}}}, ""},
+		"two sections":       {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}}, {Name: "b", Remove: []string{"x"}}}}, ""},
+		"upserted, removed":  {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x")}, Remove: []string{"x"}}}}, "remove.a[0]"},
+		"upserted twice":     {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("x"), item("x")}}}}, "upsert.a[1]"},
+		"removed twice":      {Change{Sections: []Section{{Name: "a", Remove: []string{"x", "x"}}}}, "remove.a[1]"},
+		"upserts empty name": {Change{Sections: []Section{{Name: "a", Upsert: []Item{item("")}}}}, "upsert.a[0]"},
+		"removes empty name": {Change{Sections: []Section{{Name: "a", Remove: []string{""}}}}, "remove.a[0]"},
+		"section twice":      {Change{Sections: []Section{{Name: "a"}, {Name: "a"}}}, "a"},
+		"too many items":     {Change{Sections: []Section{{Name: "a", Upsert: manyItems(MaxItems + 1)}}}, "change"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -30,9 +30,9 @@
 			var invalid *FieldError
 			switch {
 			case test.field == "" && err != nil:
-				t.Errorf("got %v", err)
+				t.Errorf("Validate rejected a valid change: %v", err)
 			case test.field != "" && (!errors.As(err, &invalid) || invalid.Field != test.field):
-				t.Errorf("got %v, want a FieldError at %q", err, test.field)
+				t.Errorf("Validate returned %v, want a FieldError at %q", err, test.field)
 			}
 		})
 	}
@@ -57,23 +57,23 @@
 		change   Change
 		want     string
 	}{
-		"nothing": {listDocument, Change{}, strings.Replace(compactMembers(listDocument), `:7,`, `:9,`, 1)},
-		"replaced in its place": {
+		"empty change": {listDocument, Change{}, strings.Replace(compactMembers(listDocument), `:7,`, `:9,`, 1)},
+		"replaced at its position": {
 			listDocument,
 			Change{Sections: []Section{{Name: "routes", Upsert: []Item{{Name: "r2", Value: `{"name":"r2","y":3}`}}}}},
 			`{"version":9,"kept":[1, 2],"routes":[{"name":"r1","x": 1.50},{"name":"r2","y":3},{"name":"r3"}],"limits":{"a":1e3}}`,
 		},
-		"added, removed, unknown removed": {
+		"added, removed, unknown name removed": {
 			listDocument,
 			Change{Sections: []Section{{Name: "routes", Upsert: []Item{{Name: "r4", Value: `{"name":"r4"}`}}, Remove: []string{"r1", "r9"}}}},
 			`{"version":9,"kept":[1, 2],"routes":[{"x":2,"name":"r2"},{"name":"r3"},{"name":"r4"}],"limits":{"a":1e3}}`,
 		},
-		"a list that was missing": {
+		"missing list": {
 			`{"a":1}`,
 			Change{Sections: []Section{{Name: "routes", Upsert: []Item{{Name: "r", Value: `{"name":"r"}`}}}}},
 			`{"a":1,"routes":[{"name":"r"}],"version":9}`,
 		},
-		"no document yet": {"", Change{}, `{"version":9}`},
+		"empty document": {"", Change{}, `{"version":9}`},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,15 +85,15 @@
 	}
 }
 
-// compactMembers removes the spaces around the colon of a member.
+// compactMembers removes the spaces around the colon of the member "kept".
 func compactMembers(text string) string { return strings.Replace(text, `"kept" : `, `"kept":`, 1) }
 
 func TestApplyJSONRejects(t *testing.T) {
 	change := Change{Sections: []Section{{Name: "routes", Upsert: []Item{{Name: "r", Value: `{`}}}}}
 	documents := map[string]string{
-		"no object":              `[]`,
-		"section is no list":     `{"routes":{}}`,
-		"item is no object":      `{"routes":[1]}`,
+		"not an object":          `[]`,
+		"section is not a list":  `{"routes":{}}`,
+		"item is not an object":  `{"routes":[1]}`,
 		"truncated document":     `{"a":`,
 		"two documents":          `{} {}`,
 		"upserted value invalid": `{"routes":[]}`,
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			var invalid *FieldError
 			if got, err := ApplyJSON(document, &change, nil); !errors.As(err, &invalid) {
-				t.Errorf("%s: got %s, %v", document, got, err)
+				t.Errorf("ApplyJSON(%s) = %s, %v, want a FieldError", document, got, err)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
         s: {}
 `
 	if got, err := ApplyYAML(mappingDocument, &change); err != nil || got != want {
-		t.Errorf("got %s, %v", got, err)
+		t.Errorf("ApplyYAML returned %s, %v", got, err)
 	}
 }
 
@@ -144,8 +144,8 @@
 	change := Change{Sections: []Section{{Name: "http.routes", Upsert: []Item{{Name: "r", Value: `{`}}}}}
 	documents := map[string]string{
 		"empty document":         "",
-		"path is no mapping":     "http: 1",
-		"section is no mapping":  "http: {routes: []}",
+		"path is not a mapping":  "http: 1",
+		"section not a mapping":  "http: {routes: []}",
 		"truncated document":     "a: [",
 		"upserted value invalid": "http: {}",
 	}
@@ -153,14 +153,14 @@
 		t.Run(name, func(t *testing.T) {
 			var invalid *FieldError
 			if got, err := ApplyYAML(document, &change); !errors.As(err, &invalid) {
-				t.Errorf("%q: got %s, %v", document, got, err)
+				t.Errorf("ApplyYAML(%q) = %s, %v, want a FieldError", document, got, err)
 			}
 		})
 	}
 }
 
-// FuzzApplyJSON checks that the result of a change is JSON, and that making the same
-// change again alters nothing.
+// FuzzApplyJSON checks that the result of a change is valid JSON, and that applying the
+// same change again has no effect.
 func FuzzApplyJSON(f *testing.F) {
 	f.Add(listDocument, "r1", "r9", "r2")
 	f.Add(`{"routes":[]}`, "", "a", "b")
@@ -183,11 +183,11 @@
 			return
 		}
 		if !json.Valid([]byte(once)) {
-			t.Fatalf("%q became %q", document, once)
+			t.Fatalf("applying the change to %q returned invalid JSON: %q", document, once)
 		}
 		twice, err := ApplyJSON(once, &change, nil)
 		if err != nil || twice != once {
-			t.Fatalf("%q became %q, then %q, %v", document, once, twice, err)
+			t.Fatalf("applying the change to %q returned %q, applying it again returned %q, %v", document, once, twice, err)
 		}
 	})
 }
--- a/patch/yaml.go
+++ b/patch/yaml.go
@@ -8,8 +8,8 @@
 )
 
 // ApplyYAML applies a valid change to a YAML or JSON document whose sections are
-// mappings from names to items. A section's name is the path to it, joined by dots:
-// "http.routes". Comments and the order of what is not named stay as they are. The
+// mappings from names to items. A section's name is its path, joined by dots:
+// "http.routes". Comments and the order of items that are not named are preserved. The
 // error is a *FieldError.
 func ApplyYAML(document string, change *Change) (string, error) {
 	var root yaml.Node
@@ -37,14 +37,14 @@
 	}
 	section := root
 	for _, step := range strings.Split(s.Name, ".") {
-		next, err := child(section, step)
+		next, err := findOrAddChild(section, step)
 		if err != nil {
 			return &FieldError{Field: s.Name, Reason: err.Error()}
 		}
 		section = next
 	}
 	if section.Kind != yaml.MappingNode {
-		return &FieldError{Field: s.Name, Reason: "is no mapping"}
+		return &FieldError{Field: s.Name, Reason: "is not a mapping"}
 	}
 	removeKeys(section, s.removals())
 	for _, item := range s.Upsert {
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// child returns the value of a key of a mapping. A missing one is appended as an
-// empty mapping.
-func child(parent *yaml.Node, name string) (*yaml.Node, error) {
+// findOrAddChild returns the value of a key of a mapping. If the key is missing, it
+// appends the key with an empty mapping.
+func findOrAddChild(parent *yaml.Node, name string) (*yaml.Node, error) {
 	if parent.Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("%q stands below what is no mapping", name)
+		return nil, fmt.Errorf("the parent of %q is not a mapping", name)
 	}
 	if at := keyIndex(parent, name); at >= 0 {
 		return parent.Content[at+1], nil
@@ -75,8 +75,8 @@
 	return key
 }
 
-// keyIndex returns the index of a key among a mapping's nodes, -1 if it is missing.
-// Its value is the node after it.
+// keyIndex returns the index of a key among a mapping's nodes, -1 if it is missing. The
+// value of the key is the next node.
 func keyIndex(mapping *yaml.Node, name string) int {
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if mapping.Content[i].Value == name {
@@ -96,7 +96,7 @@
 	mapping.Content = remaining
 }
 
-// setKey adds an item or replaces that of the same name.
+// setKey adds an item to a mapping or replaces the item of the same name.
 func setKey(mapping *yaml.Node, item Item) error {
 	var value yaml.Node
 	if err := yaml.Unmarshal([]byte(item.Value), &value); err != nil {
