--- a/control/metrics/metrics.go
+++ b/control/metrics/metrics.go
@@ -56,10 +56,10 @@
 		m.Registry.MustRegister(created)
 		return created
 	}
-	m.Term = gauge("term", "Current term of the replicated log, as known to this node.")
+	m.Term = gauge("term", "Term of the replicated log that this node knows.")
 	m.Primary = gauge("primary", "1 while this node is the primary and may answer.")
-	m.CommitIndex = gauge("commit_index", "Highest index of the log that this node knows to be committed.")
-	m.AppliedIndex = gauge("applied_index", "Highest index of the log that is applied to this node's table.")
+	m.CommitIndex = gauge("commit_index", "Newest committed index of the log that this node knows.")
+	m.AppliedIndex = gauge("applied_index", "Newest index that is in this node's table.")
 	m.Serial = gauge("serial", "Serial of this node's table.")
 	m.InForceSerial = gauge("in_force_serial", "Newest serial known to be active at every lease holder; 0 if unknown or not primary.")
 	m.Version = gauge("configuration_version", "Configuration version in this node's table.")
@@ -70,8 +70,8 @@
 	m.Operations = labeled("orders_total", "Orders answered at this node, by answer.", "answer")
 	m.SyncSeconds = histogram("sync_seconds", "Time of one synced write to the disk, in seconds.", prometheus.ExponentialBuckets(0.0001, 2, 16))
 	m.InForceSeconds = histogram("in_force_seconds", "Time from the commit of an order until it was in force everywhere, in seconds.", prometheus.ExponentialBuckets(0.001, 2, 14))
-	m.DroppedMessages = counter("dropped_messages_total", "Messages of the replicated log dropped because the event queue was full.")
-	m.ForeignMessages = counter("foreign_messages_total", "Messages of the replicated log dropped because they belong to another group.")
-	m.UnknownAddresses = counter("unknown_addresses_total", "Messages of the replicated log not sent because the member's address is unknown.")
+	m.DroppedMessages = counter("dropped_messages_total", "Messages of the log dropped because the event queue was full.")
+	m.ForeignMessages = counter("foreign_messages_total", "Messages of the log dropped because they belong to another group.")
+	m.UnknownAddresses = counter("unknown_addresses_total", "Messages of the log not sent for want of the member's address.")
 	return m
 }
--- a/control/metrics/traffic.go
+++ b/control/metrics/traffic.go
@@ -64,8 +64,8 @@
 	return &trafficCollector{
 		network:  network,
 		messages: describe("peer_messages_total", "Messages between processes of the fleet, by kind and direction.", "kind", "direction"),
-		bytes:    describe("peer_bytes_total", "Bytes of messages between processes of the fleet, framing included, by kind and direction.", "kind", "direction"),
-		dropped:  describe("peer_dropped_messages_total", "Messages dropped at this node, by kind.", "kind"),
+		bytes:    describe("peer_bytes_total", "Bytes of these messages with their framing, by kind and direction.", "kind", "direction"),
+		dropped:  describe("peer_dropped_messages_total", "Messages given up at this node, by kind.", "kind"),
 	}
 }
 
