--- a/configuration/decode.go
+++ b/configuration/decode.go
@@ -161,7 +161,7 @@
 // tagNames are descriptions of the tags of scalars, for messages.
 var tagNames = map[string]string{
 	"!!str": "a string", "!!int": "an integer", "!!float": "a number", "!!bool": "true or false",
-	"!!null": "null", "!!timestamp": "a timestamp", "!!merge": "a merge key", "!!binary": "binary data",
+	"!!null": "empty", "!!timestamp": "a timestamp", "!!merge": "a merge key", "!!binary": "binary data",
 }
 
 // describeKind returns a description of a node's kind, for messages.
