--- a/control/metrics/metrics.go
+++ b/control/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics has the Prometheus metrics of a control node.
+// Package metrics defines the Prometheus metrics of a control node.
 package metrics
 
 import (
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Metrics are the metrics of one node. Each node has a registry of its own, so that many
-// nodes can run in one process. What each metric measures is its help text in New.
+// Metrics are the metrics of one node. Each node has its own Prometheus registry, so that
+// many nodes can run in one process. The help texts in New describe each metric.
 type Metrics struct {
 	Registry *prometheus.Registry
 
