--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// stallingDisk answers nothing for a time.
+// stallingDisk is a store whose Save blocks until a given time.
 type stallingDisk struct {
 	storage.Store
 
@@ -33,9 +33,9 @@
 	return d.Store.Save(state, entries)
 }
 
-// TestStalledDiskLosesLeadership: a primary whose disk answers nothing is
-// replaced as soon as it has to write, an operation that it has received is executed once by
-// its successor, and it follows when its disk answers again.
+// TestStalledDiskLosesLeadership checks that a primary whose disk blocks is replaced as
+// soon as it has to write, that its successor executes a pending operation exactly once,
+// and that the old primary becomes a follower once its disk responds again.
 func TestStalledDiskLosesLeadership(t *testing.T) {
 	const stall = 8 * time.Second
 	inFleet(t, func(f *fleet) {
@@ -51,19 +51,19 @@
 		started := time.Now()
 		f.mustSend(through, "order-2", 1)
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
-			t.Errorf("with a primary whose disk stalls an operation took %v", took)
+			t.Errorf("an operation took %v while the primary's disk was stalled", took)
 		}
 		if successor := f.primary(old.options.Name); successor == old {
-			t.Error("the node with the stalled disk still leads")
+			t.Error("the node with the stalled disk is still the primary")
 		}
 		time.Sleep(stall)
-		f.await("the stalled node to follow", func() bool {
+		f.await("the stalled node to become a follower", func() bool {
 			o := old.engine.Observe()
 			return o.Status.Role == consensus.Follower && o.Catalog.Version() == 2
 		})
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
-			t.Errorf("the operation repeated at the stalled node: %+v", again)
+			t.Errorf("resending the operation to the formerly stalled node returned %+v, want version 2 accepted", again)
 		}
 	})
 }
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -24,15 +24,15 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// fleet is a group of control nodes and gateways in one process. It lives in a
-// synctest bubble: time passes only while everything waits.
+// fleet is a group of control nodes and gateways in one process. It runs in a synctest
+// bubble: virtual time advances only while all goroutines are blocked.
 type fleet struct {
 	t       *testing.T
 	network *transport.Memory
 	options map[string]Options
 	disks   map[string]*storage.Memory
 	nodes   map[string]*Node
-	// stores take the places of disks where they are named.
+	// stores replace the disks of the nodes whose names are keys.
 	stores   map[string]*stallingDisk
 	gateways map[string]*testGateway
 	wipes    int
@@ -40,12 +40,13 @@
 
 var controlNames = []string{"control-1", "control-2", "control-3"}
 
-// testSnapshotInterval makes snapshots frequent.
+// testSnapshotInterval is short, so that tests produce snapshots.
 const testSnapshotInterval = 256
 
 // waitTimeout bounds every wait of these tests, in virtual time.
 const waitTimeout = 30 * time.Second
 
+// inFleet runs a test with a new fleet in a synctest bubble, and closes the fleet.
 func inFleet(t *testing.T, test func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -107,7 +108,7 @@
 		}
 		node, err := New(options)
 		if err != nil {
-			f.t.Fatalf("making %s: %v", name, err)
+			f.t.Fatalf("creating %s: %v", name, err)
 		}
 		if err := node.Start(); err != nil {
 			f.t.Fatalf("starting %s: %v", name, err)
@@ -116,7 +117,7 @@
 	}
 }
 
-// stop ends a node at once, without handing leadership over.
+// stop stops a node immediately, without transferring leadership.
 func (f *fleet) stop(name string) {
 	f.t.Helper()
 	node := f.nodes[name]
@@ -132,19 +133,21 @@
 	f.disks[name] = storage.NewMemory(consensus.ID(fmt.Sprintf("disk-%s-%d", name, f.wipes)))
 }
 
-// await waits for a condition, in virtual time.
+// await polls until a condition holds, and fails the test after waitTimeout of virtual
+// time. what names the condition in the failure.
 func (f *fleet) await(what string, condition func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited %v in vain: %s", waitTimeout, what)
+			f.t.Fatalf("timed out after %v waiting for %s", waitTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// primary waits for a primary among the running nodes, other than the excluded.
+// primary waits until one of the running nodes, except those named, is the primary, and
+// returns it.
 func (f *fleet) primary(except ...string) *Node {
 	f.t.Helper()
 	var found *Node
@@ -160,6 +163,7 @@
 	return found
 }
 
+// follower returns a running node that is not the primary.
 func (f *fleet) follower() *Node {
 	f.t.Helper()
 	primary := f.primary()
@@ -168,7 +172,7 @@
 			return node
 		}
 	}
-	f.t.Fatal("no follower")
+	f.t.Fatal("no node is running beside the primary")
 	return nil
 }
 
@@ -181,7 +185,8 @@
 	return false
 }
 
-// request sends an HTTP request to a node's operators' port.
+// request sends an HTTP request to a node's operator API, decodes the response into
+// answer unless that is nil, and returns the status code.
 func (f *fleet) request(node *Node, method, path string, body any, answer any) int {
 	f.t.Helper()
 	encoded, err := json.Marshal(body)
@@ -192,13 +197,14 @@
 	node.Handler().ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader(encoded)))
 	if answer != nil {
 		if err := json.Unmarshal(recorder.Body.Bytes(), answer); err != nil {
-			f.t.Fatalf("%s %s answered %q: %v", method, path, recorder.Body, err)
+			f.t.Fatalf("%s %s returned the undecodable body %q: %v", method, path, recorder.Body, err)
 		}
 	}
 	return recorder.Code
 }
 
-// send hands a configuration over and returns the status and the answer.
+// send submits a configuration document to a node and returns the HTTP status and the
+// result.
 func (f *fleet) send(node *Node, id string, base uint64, document string) (int, api.OperationResult) {
 	f.t.Helper()
 	var answer api.OperationResult
@@ -207,12 +213,12 @@
 	return status, answer
 }
 
-// mustSend is send for an operation that must be accepted.
+// mustSend submits the example document and fails the test unless it is accepted.
 func (f *fleet) mustSend(node *Node, id string, base uint64) api.OperationResult {
 	f.t.Helper()
 	status, answer := f.send(node, id, base, document(f.t))
 	if status != http.StatusOK || !answer.Accepted {
-		f.t.Fatalf("operation %s answered %d %+v", id, status, answer)
+		f.t.Fatalf("operation %s returned status %d and %+v, want it accepted", id, status, answer)
 	}
 	return answer
 }
@@ -221,7 +227,7 @@
 	f.t.Helper()
 	var answer api.MembersAnswer
 	if status := f.request(node, http.MethodGet, api.PathMembers, nil, &answer); status != http.StatusOK {
-		f.t.Fatalf("members answered %d", status)
+		f.t.Fatalf("listing the members returned status %d, want 200", status)
 	}
 	return answer
 }
@@ -235,26 +241,27 @@
 	return text
 }
 
-// testGateway renews leases and follows the rules of a gateway.
+// testGateway is a minimal gateway: it renews its lease, applies transfers of the table
+// and activates the serials that the primary permits.
 type testGateway struct {
 	name    string
 	address string
 	network transport.Network
 	control []string
-	timeout time.Duration // of one renewal
+	timeout time.Duration // bounds one renewal
 	started time.Time
 	cancel  context.CancelFunc
 	done    chan struct{}
 	notify  chan struct{}
 
-	mutex    sync.Mutex
-	holder   *lease.Holder
-	copy     *registry.Table
-	received uint32
-	active   uint32
-	granted  map[uint64]int // leases granted, by term
-	failure  error
-	activeAt []uint32 // every serial that became active, in order
+	mutex       sync.Mutex
+	holder      *lease.Holder
+	copy        *registry.Table
+	received    uint32
+	active      uint32
+	granted     map[uint64]int // leases granted, by term
+	failure     error
+	activations []uint32 // every serial that the gateway activated, in order
 }
 
 func (f *fleet) startGateway(name string) *testGateway {
@@ -262,7 +269,8 @@
 	return f.startGatewayOf(name, 200*time.Millisecond, controlNames...)
 }
 
-// startGatewayOf starts a gateway that knows these control nodes alone.
+// startGatewayOf starts a gateway that knows only the named control nodes. The timeout
+// bounds each of its renewals.
 func (f *fleet) startGatewayOf(name string, timeout time.Duration, control ...string) *testGateway {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -333,7 +341,7 @@
 	}
 }
 
-// renewOnce returns true if there is more to report at once.
+// renewOnce sends one renewal and returns true if another should follow immediately.
 func (g *testGateway) renewOnce(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, g.timeout)
 	defer cancel()
@@ -354,10 +362,13 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.take(sent, grant)
+	return g.applyGrant(sent, grant)
 }
 
-func (g *testGateway) take(sent time.Duration, grant peer.Grant) bool {
+// applyGrant applies a grant to the lease, the table and the active serial. It returns true if
+// another renewal should follow immediately: the primary granted no lease yet, or the
+// received or active serial has changed.
+func (g *testGateway) applyGrant(sent time.Duration, grant peer.Grant) bool {
 	length := time.Duration(grant.LeaseMS) * time.Millisecond
 	if err := g.holder.HandleGrant(time.Since(g.started), sent, grant.Term, grant.Cluster, length); err != nil {
 		return false
@@ -375,7 +386,7 @@
 	}
 	if grant.ActivationSerial != 0 && !registry.SerialLess(grant.ActivationSerial, g.received) && g.active != g.received {
 		g.active = g.received
-		g.activeAt = append(g.activeAt, g.active)
+		g.activations = append(g.activations, g.active)
 	}
 	return length == 0 || before != [2]uint32{g.received, g.active}
 }
@@ -386,8 +397,8 @@
 	return g.holder.Valid(time.Since(g.started))
 }
 
-// surplusRecords counts the records that a gateway has no use for.
-func (g *testGateway) surplusRecords() int {
+// unusedRecords counts the gateway's records of types that gateways do not use.
+func (g *testGateway) unusedRecords() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := 0
@@ -406,13 +417,14 @@
 	return g.active
 }
 
+// leases returns the number of leases that the gateway was granted in a term.
 func (g *testGateway) leases(term uint64) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.granted[term]
 }
 
-// partition separates one address from others, both ways.
+// partition drops all messages between one address and the others, in both directions.
 func (f *fleet) partition(address string, others ...string) {
 	f.setPartition(f.network.Partition, address, others)
 }
@@ -428,7 +440,7 @@
 	}
 }
 
-// freeze holds a node's event loop up, while what arrives queues before it.
+// freeze blocks a node's event loop for a time, while incoming events are queued.
 func (f *fleet) freeze(node *Node, length time.Duration) {
 	node.queue.Offer(func(time.Duration) { time.Sleep(length) })
 }
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -38,28 +38,29 @@
 	})
 }
 
-// checkActive verifies that every gateway with a lease has a serial active, and that
-// gateways have no records which they have no use for.
+// checkActive verifies that every gateway with a lease has activated a serial, and that
+// no gateway has records that gateways do not use.
 func (f *fleet) checkActive(serial uint32) {
 	f.t.Helper()
 	for name, gateway := range f.gateways {
 		if active := gateway.activeSerial(); gateway.valid() && registry.SerialLess(active, serial) {
-			f.t.Errorf("%s has serial %d active at the acknowledgement of %d", name, active, serial)
+			f.t.Errorf("%s has only serial %d active when serial %d is acknowledged", name, active, serial)
 		}
-		if surplus := gateway.surplusRecords(); surplus != 0 {
-			f.t.Errorf("%s has %d records of documents and operations", name, surplus)
+		if surplus := gateway.unusedRecords(); surplus != 0 {
+			f.t.Errorf("%s has %d records of documents and operations, want 0", name, surplus)
 		}
 	}
 }
 
-// checkLinearizableReads verifies that every node reads the first version.
+// checkLinearizableReads verifies that a linearizable read at every node returns the
+// first version.
 func (f *fleet) checkLinearizableReads() {
 	f.t.Helper()
 	for _, node := range f.nodes {
 		var read api.ConfigurationAnswer
 		status := f.request(node, http.MethodGet, api.PathConfiguration+"?linearizable=true", nil, &read)
 		if status != http.StatusOK || read.Version != 1 || read.Document != document(f.t) {
-			f.t.Errorf("%s reads version %d with status %d", node.options.Name, read.Version, status)
+			f.t.Errorf("%s returned version %d with status %d, want version 1 of the submitted document", node.options.Name, read.Version, status)
 		}
 	}
 }
@@ -86,28 +87,31 @@
 		}
 		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOperation{OperationID: "empty", Zone: "north-1"})
 		if !f.primary().engine.Observe().Catalog.IsEvacuated("north-1") {
-			t.Error("the zone is not evacuated after the acknowledgement")
+			t.Error("the zone is not evacuated after the evacuation was acknowledged")
 		}
 		f.put(api.PathEvacuations, http.MethodPost, api.EvacuationOperation{OperationID: "refill", Zone: "north-1", Withdraw: true})
 		if f.primary().engine.Observe().Catalog.IsEvacuated("north-1") {
-			t.Error("the zone is evacuated after the withdrawal's acknowledgement")
+			t.Error("the zone is still evacuated after the withdrawal was acknowledged")
 		}
 		var refused api.OperationResult
 		status := f.request(f.follower(), http.MethodPost, api.PathEvacuations, api.EvacuationOperation{OperationID: "nowhere", Zone: "moon"}, &refused)
 		if status != http.StatusNotFound || refused.Accepted || refused.Error.Outcome != api.OutcomeRefused {
-			t.Errorf("evacuating an unknown zone answered %d %+v", status, refused)
+			t.Errorf("evacuating an unknown zone returned status %d and %+v, want 404 and a refusal", status, refused)
 		}
 	})
 }
 
+// put sends a request to a follower and fails the test unless it is accepted.
 func (f *fleet) put(path, method string, body any) {
 	f.t.Helper()
 	var answer api.OperationResult
 	if status := f.request(f.follower(), method, path, body, &answer); status != http.StatusOK || !answer.Accepted {
-		f.t.Fatalf("%s %s answered %d %+v", method, path, status, answer)
+		f.t.Fatalf("%s %s returned status %d and %+v, want it accepted", method, path, status, answer)
 	}
 }
 
+// TestResentOperationGetsTheFirstAnswer checks that every node repeats the answer to an
+// operation, also after a failover and after a restart of all nodes from a snapshot.
 func TestResentOperationGetsTheFirstAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -116,10 +120,10 @@
 		first := f.mustSend(f.follower(), "order-1", 0)
 		_, refused := f.send(f.primary(), "order-2", 7, document(t))
 		if refused.Accepted || refused.Error.Code != api.CodeVersionConflict {
-			t.Fatalf("an operation on version 7 answered %+v", refused)
+			t.Fatalf("an operation based on version 7 returned %+v, want a version conflict", refused)
 		}
 		f.mustSend(f.primary(), "order-3", 1)
-		f.checkRepeatedAnswers("at first", first, refused)
+		f.checkRepeatedAnswers("initially", first, refused)
 		old := f.primary().options.Name
 		f.stop(old)
 		f.primary()
@@ -131,33 +135,33 @@
 		}
 		f.start(controlNames...)
 		f.primary()
-		f.checkRepeatedAnswers("after a snapshot and a restart of all", first, refused)
+		f.checkRepeatedAnswers("after a snapshot and a restart of all nodes", first, refused)
 	})
 }
 
-// checkRepeatedAnswers sends the accepted order-1 and the refused order-2 again to
-// every node.
+// checkRepeatedAnswers resends the accepted order-1 and the refused order-2 to every
+// node and compares the answers with the first ones.
 func (f *fleet) checkRepeatedAnswers(when string, accepted, refused api.OperationResult) {
 	f.t.Helper()
 	for name, node := range f.nodes {
 		_, again := f.send(node, "order-1", 0, document(f.t))
 		if difference := cmp.Diff(accepted, again); difference != "" {
-			f.t.Errorf("%s, %s repeats the acceptance otherwise:\n%s", when, name, difference)
+			f.t.Errorf("%s, %s answers the accepted operation differently (-first +again):\n%s", when, name, difference)
 		}
 		_, again = f.send(node, "order-2", 7, document(f.t))
 		if difference := cmp.Diff(refused, again); difference != "" {
-			f.t.Errorf("%s, %s repeats the refusal otherwise:\n%s", when, name, difference)
+			f.t.Errorf("%s, %s answers the refused operation differently (-first +again):\n%s", when, name, difference)
 		}
 		status, _ := f.send(node, "order-1", 1, document(f.t))
 		if status != http.StatusConflict {
-			f.t.Errorf("%s, the id with another operation answered %d", when, status)
+			f.t.Errorf("%s, a different operation with the same id returned status %d, want 409", when, status)
 		}
 	}
 }
 
-// TestPatchKeepsTheRestOfTheDocument: items come and go by name, under the terms
-// of whole documents, and what is refused leaves everything as it was.
-func TestPatchKeepsTheRestOfTheDocument(t *testing.T) {
+// TestPatchPreservesTheRestOfTheDocument checks that a patch changes only the items that
+// it names, is validated like a complete document, and changes nothing if it is refused.
+func TestPatchPreservesTheRestOfTheDocument(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -165,11 +169,11 @@
 		f.mustSend(f.primary(), "order-1", 0)
 		const added = "upsert: {tenants: {added: {weight: 7}}}\nremove: {tenants: [unknown]}"
 		if status, answer := f.patch(f.follower(), "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
-			t.Fatalf("answered %d %+v", status, answer)
+			t.Fatalf("the patch returned status %d and %+v, want version 2", status, answer)
 		}
 		for name, node := range f.nodes {
 			if status, answer := f.patch(node, "change-1", 1, added); status != http.StatusOK || answer.Version != 2 {
-				t.Errorf("sent again to %s: %d %+v", name, status, answer)
+				t.Errorf("resending the patch to %s returned status %d and %+v, want version 2", name, status, answer)
 			}
 		}
 		refused := map[string]struct {
@@ -177,20 +181,20 @@
 			text string
 			code api.Code
 		}{
-			"race-lost":   {1, added, api.CodeVersionConflict},
-			"meaningless": {2, "upsert: {tenants: {added: {home: nowhere}}}", api.CodeInvalid},
-			"unreadable":  {2, "upsert: {tenants: {added: {unknown: 1}}}", api.CodeInvalid},
+			"outdated-base": {1, added, api.CodeVersionConflict},
+			"unknown-home":  {2, "upsert: {tenants: {added: {home: nowhere}}}", api.CodeInvalid},
+			"unknown-field": {2, "upsert: {tenants: {added: {unknown: 1}}}", api.CodeInvalid},
 		}
 		for id, test := range refused {
 			if _, answer := f.patch(f.primary(), id, test.base, test.text); answer.Accepted || answer.Error == nil || answer.Error.Code != test.code {
-				t.Errorf("%s answered %+v", id, answer)
+				t.Errorf("%s was not refused with the expected code: %+v", id, answer)
 			}
 		}
 		f.checkOneTenantAdded()
 	})
 }
 
-// patch changes the configuration and returns the status and the answer.
+// patch submits a patch of the configuration and returns the HTTP status and the result.
 func (f *fleet) patch(node *Node, id string, base uint64, text string) (int, api.OperationResult) {
 	f.t.Helper()
 	var answer api.OperationResult
@@ -199,12 +203,12 @@
 	return status, answer
 }
 
-// checkOneTenantAdded compares the second version with the first document.
+// checkOneTenantAdded verifies that version 2 is the first document with one more tenant.
 func (f *fleet) checkOneTenantAdded() {
 	f.t.Helper()
 	state := f.primary().engine.Observe().Catalog
 	if tenant, known := state.Tenant("added"); !known || tenant.Weight != 7 || state.Version() != 2 {
-		f.t.Errorf("version %d, tenant %+v", state.Version(), tenant)
+		f.t.Errorf("version %d has the added tenant %+v, want version 2 and weight 7", state.Version(), tenant)
 	}
 	current, _ := state.Configuration()
 	read, err := configuration.Load(current.Document)
@@ -216,11 +220,11 @@
 		f.t.Fatal(err)
 	}
 	if len(read.Tenants) != len(before.Tenants)+1 || len(read.Routes) != len(before.Routes) {
-		f.t.Errorf("the document is now %s", current.Document)
+		f.t.Errorf("the patched document does not have one more tenant and the same routes: %s", current.Document)
 	}
 }
 
-// fillLog puts so many updates through the log.
+// fillLog commits count updates, rounded down to a multiple of the number of workers.
 func (f *fleet) fillLog(count int) {
 	f.t.Helper()
 	primary := f.primary()
@@ -231,7 +235,7 @@
 				update := registry.NewUpdate("places.", nil, nil)
 				update.Requestor = permission.Control("test")
 				if _, err := primary.engine.Propose(f.t.Context(), update); err != nil {
-					f.t.Errorf("worker %d: %v", worker, err)
+					f.t.Errorf("worker %d: proposing an update: %v", worker, err)
 					return
 				}
 			}
@@ -261,11 +265,11 @@
 				continue
 			}
 			if answer.Error == nil || answer.Error.Code != api.CodeVersionConflict || answer.Error.Outcome != api.OutcomeRefused {
-				t.Errorf("the loser was answered %+v", answer)
+				t.Errorf("a writer that was not accepted got %+v, want a version conflict", answer)
 			}
 		}
 		if version := f.primary().engine.Observe().Catalog.Version(); accepted != 1 || version != 2 {
-			t.Errorf("%d of 3 writers won, the version is %d", accepted, version)
+			t.Errorf("%d of 3 concurrent writers were accepted, and the version is %d; want 1 writer and version 2", accepted, version)
 		}
 	})
 }
@@ -279,41 +283,43 @@
 		cluster := f.primary().engine.Observe().Cluster
 		for round, name := range append(controlNames, controlNames[0]) {
 			f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
-			time.Sleep(2 * membership.LearnerTimeout) // a primary long leading counts a newcomer's time from its coming
+			// A node that joins long after the election must not be removed at once:
+			// LearnerTimeout counts from its addition, not from the election.
+			time.Sleep(2 * membership.LearnerTimeout)
 			f.mustSend(f.primary(), "order-"+string(rune('a'+round)), base)
 			base++
 			f.stop(name)
 			if f.members(f.primary()).RepairDone {
-				t.Fatalf("round %d: repair is reported done with %s gone", round, name)
+				t.Fatalf("round %d: the repair is reported done while %s is stopped", round, name)
 			}
 			f.wipe(name)
-			if round%2 == 1 { // at another address, in the same zone
+			if round%2 == 1 { // at a different address in the same zone
 				options := f.options[name]
 				options.PeerAddress += "0"
 				f.options[name] = options
 			}
 			f.start(name)
 			if f.members(f.primary()).RepairDone {
-				t.Fatalf("round %d: repair is reported done before %s can be a voter", round, name)
+				t.Fatalf("round %d: the repair is reported done before %s can have become a voter", round, name)
 			}
-			f.await("the repair", func() bool { return f.members(f.primary()).RepairDone })
+			f.await("the repair to be done", func() bool { return f.members(f.primary()).RepairDone })
 			f.checkComplete(cluster, base)
 		}
 	})
 }
 
-// checkComplete verifies that three voters, each with the disk that it has now, hold
-// the version.
+// checkComplete verifies that the three nodes are voters with their current disks, and
+// waits until each has applied the version.
 func (f *fleet) checkComplete(cluster string, version uint64) {
 	f.t.Helper()
 	current := f.primary().engine.Observe().Status.Membership
 	if len(current.Members) != len(controlNames) {
-		f.t.Fatalf("members are %+v", current.Members)
+		f.t.Fatalf("the group has the members %+v, want three", current.Members)
 	}
 	for name, node := range f.nodes {
 		member, found := membership.Find(current, node.engine.Observe().Identity)
 		if !found || member.Learner {
-			f.t.Errorf("%s with disk %s does not vote", name, node.engine.Observe().Identity)
+			f.t.Errorf("%s with disk %s is not a voter", name, node.engine.Observe().Identity)
 		}
 		f.await(name+" to apply the configuration", func() bool {
 			o := node.engine.Observe()
@@ -322,13 +328,15 @@
 	}
 }
 
+// TestNodeWithoutGroupNeverBootstrapsBesideAGroup checks that wiped nodes form no second
+// group while a node of the first one survives, even though that has no majority.
 func TestNodeWithoutGroupNeverBootstrapsBesideAGroup(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
 		cluster := f.primary().engine.Observe().Cluster
-		// The node with the lowest name comes back wiped and meets one survivor
-		// without a majority, and one node that is wiped too.
+		// The node with the lowest name, which would bootstrap a group, restarts with an
+		// empty disk, beside one survivor without a majority and another wiped node.
 		for _, name := range controlNames {
 			f.stop(name)
 		}
@@ -338,11 +346,11 @@
 		time.Sleep(waitTimeout)
 		for _, name := range []string{controlNames[0], controlNames[2]} {
 			if got := f.nodes[name].engine.Observe().Cluster; got != "" {
-				t.Errorf("%s formed or joined %s beside a group that has no majority", name, got)
+				t.Errorf("%s belongs to group %s although the surviving group has no majority", name, got)
 			}
 		}
 		if got := f.nodes[controlNames[1]].engine.Observe().Cluster; got != cluster {
-			t.Errorf("the survivor belongs to %q, want %q", got, cluster)
+			t.Errorf("the survivor belongs to group %q, want %q", got, cluster)
 		}
 	})
 }
@@ -354,7 +362,7 @@
 		time.Sleep(waitTimeout)
 		for name, node := range f.nodes {
 			if node.engine.Observe().Cluster != "" {
-				t.Errorf("%s formed a group without %s", name, controlNames[2])
+				t.Errorf("%s belongs to a group that was formed without %s", name, controlNames[2])
 			}
 		}
 		f.start(controlNames[2])
@@ -362,8 +370,8 @@
 	})
 }
 
-// timeToInForce stops the primary and returns how long the next one takes from
-// its election until it knows what is in force.
+// timeToInForce stops the primary and returns the time from the election of the next
+// one until it knows the serial in force.
 func (f *fleet) timeToInForce() time.Duration {
 	f.stop(f.primary().options.Name)
 	primary := f.primary()
@@ -384,13 +392,16 @@
 		}
 		f.primary()
 		if took := time.Since(started); took >= 600*time.Millisecond {
-			t.Errorf("a primary after %v, no sooner than by an election time-out", took)
+			t.Errorf("the next primary took %v, no less than an election timeout", took)
 		}
 		f.start(old.options.Name)
 	})
 }
 
-func TestReplacedDiskComesBackAsAStranger(t *testing.T) {
+// TestReplacedDiskReturnsAsNonMember checks that a node that was replaced while it was
+// stopped changes nothing in a complete group and is not ready, and that it is admitted
+// once its replacement fails.
+func TestReplacedDiskReturnsAsNonMember(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -407,10 +418,10 @@
 		time.Sleep(waitTimeout)
 		after := f.primary().engine.Observe().Status
 		if after.Term != before.Term || !cmp.Equal(after.Membership, before.Membership) {
-			t.Errorf("the replaced disk's return changed term %d to %d, or members %v to %v", before.Term, after.Term, before.Membership, after.Membership)
+			t.Errorf("the return of the replaced disk changed the term from %d to %d, or the members from %v to %v", before.Term, after.Term, before.Membership, after.Membership)
 		}
 		if f.nodes[replaced].engine.Observe().Ready() == nil {
-			t.Error("a node that the group does not count says that it is ready")
+			t.Error("a node that is no longer a member of the group reports that it is ready")
 		}
 		f.stop("control-4")
 		f.await("the old disk to be admitted", func() bool {
@@ -420,7 +431,8 @@
 	})
 }
 
-// replacement is a node in place of another, with a name and an address of its own.
+// replacement returns the options of a node that replaces another one in its zone, with
+// a different name and address.
 func (f *fleet) replacement(of, name string) Options {
 	options := f.options[of]
 	options.Name = name
@@ -445,22 +457,25 @@
 	})
 }
 
-// checkOneDown verifies what a node lists while another one is partitioned.
+// checkOneDown verifies that a node's list of members has exactly the partitioned node
+// down, and that it reports an incomplete group.
 func (f *fleet) checkOneDown(name string, answer api.MembersAnswer, primary, partitioned *Node) {
 	f.t.Helper()
 	if answer.RepairDone {
-		f.t.Errorf("%s says that the group is complete", name)
+		f.t.Errorf("%s reports a complete group while a node is partitioned", name)
 	}
 	up := make(map[string]bool)
 	for _, member := range answer.Members {
 		up[member.Name] = member.Up
 	}
 	if len(up) != 4 || up[partitioned.options.Name] || !up[primary.options.Name] || !up["gateway-1"] {
-		f.t.Errorf("%s lists as up: %v", name, up)
+		f.t.Errorf("%s lists whether members are up as %v, want only the partitioned node down", name, up)
 	}
 }
 
-func TestOperationLeavesAFrozenPrimary(t *testing.T) {
+// TestFrozenPrimaryDoesNotBlockAnOperation checks that the successor of a frozen primary
+// executes an operation, and that the old primary reports the same answer once it resumes.
+func TestFrozenPrimaryDoesNotBlockAnOperation(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -469,18 +484,19 @@
 		f.freeze(old, 25*time.Second)
 		started := time.Now()
 		f.mustSend(through, "order-2", 1)
-		// An election takes up to two time-outs of 600 ms, then older leases run out.
+		// An election takes up to two timeouts of 600 ms, after which older leases expire.
 		if took := time.Since(started); took > lease.DefaultConfig().GracePeriod()+2*time.Second {
-			t.Errorf("the operation took %v", took)
+			t.Errorf("the operation took %v while the primary was frozen", took)
 		}
 		time.Sleep(waitTimeout)
 		_, again := f.send(old, "order-2", 1, document(t))
 		if !again.Accepted || again.Version != 2 {
-			t.Errorf("the thawed node repeats %+v", again)
+			t.Errorf("resending the operation to the resumed node returned %+v, want version 2 accepted", again)
 		}
 	})
 }
 
+// controlAddressesBut returns the peer addresses of all control nodes except one.
 func controlAddressesBut(f *fleet, node *Node) []string {
 	var addresses []string
 	for _, name := range controlNames {
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -13,8 +13,9 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// A gateway that the new primary does not hear of may go on under its lease: the
-// primary waits that out.
+// TestNewPrimaryWaitsOutOlderLeases checks that a new primary waits until the lease of a
+// gateway that cannot contact it has expired: that gateway may still serve with an older
+// configuration.
 func TestNewPrimaryWaitsOutOlderLeases(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -26,19 +27,20 @@
 		f.await("the other lease", lost.valid)
 		f.partition(lost.address, lost.control...)
 		waited := f.timeToInForce()
-		// The time of the election is read up to one poll after it.
+		// The measured election time is up to one polling interval late.
 		if window := lease.DefaultConfig().GracePeriod(); waited < window-50*time.Millisecond {
-			t.Errorf("in force is known %v after the election, the leases of an earlier primary may last %v", waited, window)
+			t.Errorf("the serial in force was known %v after the election, but leases of an earlier primary may last %v", waited, window)
 		}
 		if !gateway.valid() {
-			t.Error("the gateway lost its lease over an election")
+			t.Error("the gateway lost its lease because of an election")
 		}
 	})
 }
 
-// Once every gateway that may have a lease has reported to a new primary what it has
-// active, there is nothing to wait out.
-func TestNewPrimaryWaitsForNoGatewayThatReported(t *testing.T) {
+// TestNewPrimaryDoesNotWaitForGatewaysThatReported checks that a new primary does not
+// wait for earlier leases to expire once every gateway that may hold one has reported
+// its active serial.
+func TestNewPrimaryDoesNotWaitForGatewaysThatReported(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -47,13 +49,14 @@
 		f.await("a lease", first.valid)
 		f.await("the other lease", second.valid)
 		if waited, window := f.timeToInForce(), lease.DefaultConfig().GracePeriod(); waited > window/2 {
-			t.Errorf("in force is known only %v after the election", waited)
+			t.Errorf("the serial in force was known only %v after the election, want at most half of the grace period", waited)
 		}
 	})
 }
 
-// A gateway that ends without leaving and starts again has no lease any more.
-func TestNewPrimaryKnowsThatARestartEndsALease(t *testing.T) {
+// TestNewPrimaryDoesNotWaitForLeaseOfRestartedGateway checks that the lease of a gateway
+// that stopped without releasing it counts as ended once the gateway has restarted.
+func TestNewPrimaryDoesNotWaitForLeaseOfRestartedGateway(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -63,14 +66,15 @@
 		f.stopGateway("gateway-1")
 		f.startGateway("gateway-1")
 		if waited, window := f.timeToInForce(), lease.DefaultConfig().GracePeriod(); waited > window/2 {
-			t.Errorf("in force is known only %v after the election", waited)
+			t.Errorf("the serial in force was known only %v after the election, want at most half of the grace period", waited)
 		}
 	})
 }
 
-// A control node that is not the primary gives its table to a gateway that holds none,
-// and never a lease or the right to make it active.
-func TestOtherControlNodesGiveTheTable(t *testing.T) {
+// TestNonPrimaryNodesSendTheFirstTable checks that a control node that is not the primary
+// sends its table to a gateway that has none, but never grants a lease or permits the
+// gateway to activate the table.
+func TestNonPrimaryNodesSendTheFirstTable(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -88,11 +92,11 @@
 			if node == primary {
 				continue
 			}
-			if !f.givesTable(network, primary, node, peer.Renew{}) {
-				t.Errorf("%s gives no table", name)
+			if !f.sendsTable(network, primary, node, peer.Renew{}) {
+				t.Errorf("%s sent no table to a gateway without one", name)
 			}
-			if f.givesTable(network, primary, node, peer.Renew{ReceivedSerial: 1}) || f.givesTable(network, primary, node, peer.Renew{Cluster: "another"}) {
-				t.Errorf("%s gives a table to one that has one, or of another group", name)
+			if f.sendsTable(network, primary, node, peer.Renew{ReceivedSerial: 1}) || f.sendsTable(network, primary, node, peer.Renew{Cluster: "another"}) {
+				t.Errorf("%s sent a table to a gateway that has one or that belongs to another group", name)
 			}
 		}
 	})
@@ -107,9 +111,9 @@
 	return true
 }
 
-// givesTable renews at a node that is not the primary, and says whether it answers
-// with the table. It must give no lease.
-func (f *fleet) givesTable(network transport.Network, primary, node *Node, renew peer.Renew) bool {
+// sendsTable sends a renewal to a node that is not the primary, and reports whether the
+// reply contains the table. It fails the test if the reply grants a lease.
+func (f *fleet) sendsTable(network transport.Network, primary, node *Node, renew peer.Renew) bool {
 	f.t.Helper()
 	var grant peer.Grant
 	renew.Gateway = peer.GatewayInfo{Name: "gateway-9", Incarnation: "1", Region: "region-1", PeerAddress: "gateway-9:1"}
@@ -117,7 +121,7 @@
 		f.t.Fatal(err)
 	}
 	if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
-		f.t.Errorf("%s answers %+v", node.options.Name, grant)
+		f.t.Errorf("%s, which is not the primary, replied %+v", node.options.Name, grant)
 	}
 	transfer, err := grant.UnpackTransfer()
 	if err != nil {
@@ -126,6 +130,9 @@
 	return transfer != nil
 }
 
+// TestPartitionedGatewayDelaysAnAcknowledgementOnce checks that an operation is
+// acknowledged only after the lease of a partitioned gateway has expired, and that later
+// operations do not wait for that gateway again.
 func TestPartitionedGatewayDelaysAnAcknowledgementOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -137,19 +144,21 @@
 		f.partition(gateway.address, gateway.control...)
 		f.mustSend(f.primary(), "order-2", 1)
 		if gateway.valid() {
-			t.Error("acknowledged while a gateway with the older version may place requests")
+			t.Error("the operation was acknowledged while a gateway with the older version still held a lease")
 		}
 		started := time.Now()
 		f.mustSend(f.primary(), "order-3", 2)
 		if took := time.Since(started); took > time.Second {
-			t.Errorf("the second operation waited %v for a gateway without a lease", took)
+			t.Errorf("the second operation took %v although the partitioned gateway holds no lease", took)
 		}
 		f.heal(gateway.address, gateway.control...)
 		f.await("the gateway to catch up", gateway.valid)
 	})
 }
 
-func TestThawedPrimaryGrantsNothing(t *testing.T) {
+// TestResumedPrimaryGrantsNoLeases checks that a primary that was frozen past the election
+// of its successor grants none of the leases that were requested meanwhile.
+func TestResumedPrimaryGrantsNoLeases(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -157,27 +166,28 @@
 		f.mustSend(f.primary(), "order-1", 0)
 		old := f.primary()
 		term := old.engine.Observe().Status.Term
-		// A gateway that knows the old primary alone, and waits for its answer.
+		// This gateway knows only the old primary, and waits a minute for each reply.
 		isolated := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
 		f.await("a lease", isolated.valid)
 		f.freeze(old, 25*time.Second)
 		time.Sleep(10 * time.Second)
 		before := isolated.leases(term)
 		f.mustSend(f.primary(old.options.Name), "order-2", 1)
-		time.Sleep(20 * time.Second) // past the thaw
+		time.Sleep(20 * time.Second) // the old primary has resumed by then
 		if after := isolated.leases(term); after != before {
-			t.Errorf("the thawed primary granted %d leases", after-before)
+			t.Errorf("the resumed primary granted %d leases in its old term, want 0", after-before)
 		}
-		f.await("the thawed node to follow", func() bool {
+		f.await("the resumed node to become a follower", func() bool {
 			o := old.engine.Observe()
 			return o.Status.Role == consensus.Follower && o.Catalog.Version() == 2
 		})
 	})
 }
 
-// TestAQuietGatewayIsNotNamed: whoever misses several renewals is marked down long
-// before its lease has run out, which is waited for all the same.
-func TestAQuietGatewayIsNotNamed(t *testing.T) {
+// TestGatewayThatMissesRenewalsIsMarkedDown checks that a gateway that misses several
+// renewals is marked down long before its lease expires, and that an operation still
+// waits for that lease to expire.
+func TestGatewayThatMissesRenewalsIsMarkedDown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -189,27 +199,29 @@
 
 		f.partition(silent.address, silent.control...)
 		partitionedAt := time.Now()
-		f.await("the record to say down", func() bool { return !record().Up })
+		f.await("the gateway to be marked down", func() bool { return !record().Up })
 		renewal := lease.DefaultConfig().RenewalInterval
 		if took := time.Since(partitionedAt); took < (leases.MissedRenewals-1)*renewal || took > (leases.MissedRenewals+2)*renewal {
 			t.Errorf("marked down after %v, want about %v", took, leases.MissedRenewals*renewal)
 		}
 		if !record().MayHoldLease {
-			t.Error("the record says that it has no lease while it may")
+			t.Error("the record excludes a lease although the gateway may still hold one")
 		}
 		f.mustSend(f.primary(), "order-2", 1)
 		if silent.valid() {
-			t.Error("acknowledged while a gateway with the older version may place requests")
+			t.Error("the operation was acknowledged while a gateway with the older version still held a lease")
 		}
-		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
+		f.await("the end of the lease to be recorded", func() bool { return !record().MayHoldLease })
 		f.heal(silent.address, silent.control...)
-		f.await("the gateway to be up again", func() bool { return record().Up && record().MayHoldLease && silent.valid() })
+		f.await("the gateway to be marked up again", func() bool { return record().Up && record().MayHoldLease && silent.valid() })
 	})
 }
 
-// TestANewPrimaryForgetsGatewaysThatWentWithTheOld: their leases have ended with
-// the window that it waits for; a second lease's length is not waited for.
-func TestANewPrimaryForgetsGatewaysThatWentWithTheOld(t *testing.T) {
+// TestNewPrimaryExpiresGatewaysLostWithItsPredecessor checks that a gateway that fails
+// together with the old primary is marked down soon, and that its lease counts as ended
+// after the grace period of the new primary: the new primary must not wait for another
+// lease duration.
+func TestNewPrimaryExpiresGatewaysLostWithItsPredecessor(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -224,14 +236,14 @@
 		elected := time.Now()
 		record := func() catalog.Gateway { return successor.engine.Observe().Catalog.Gateways()["gateway-1"] }
 
-		f.await("the record to say down", func() bool { return !record().Up })
+		f.await("the gateway to be marked down", func() bool { return !record().Up })
 		if took := time.Since(elected); took > (leases.MissedRenewals+2)*lease.DefaultConfig().RenewalInterval {
-			t.Errorf("still named %v after the election", took)
+			t.Errorf("the lost gateway was marked down only %v after the election", took)
 		}
-		f.await("the record to say that the lease has ended", func() bool { return !record().MayHoldLease })
+		f.await("the end of the lease to be recorded", func() bool { return !record().MayHoldLease })
 		longest := lease.DefaultConfig().GracePeriod() + engine.DefaultGatewayGrace + time.Second
 		if took := time.Since(elected); took > longest {
-			t.Errorf("a lease of the old primary was waited for during %v", took)
+			t.Errorf("the lease granted by the old primary counted as held for %v after the election, longer than the grace period and the gateway grace", took)
 		}
 	})
 }
--- a/control/node.go
+++ b/control/node.go
@@ -1,8 +1,9 @@
-// Package control is the control node: it keeps the registry on a replicated
-// log, grants leases to gateways, and answers operators and the platform.
+// Package control implements the control node: it replicates the registry through a
+// consensus log, grants leases to gateways, and serves requests from operators and the
+// platform.
 //
-// A Node puts the parts together. Package engine has the event loop, which owns the
-// state; the packages around it have one concern each and ask the engine.
+// Node assembles the subpackages. Package engine runs the event loop, which owns the
+// state; each other subpackage handles one concern and queries the engine.
 package control
 
 import (
@@ -35,10 +36,10 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// transferTimeout bounds the transfer of leadership when a node ends.
+// transferTimeout bounds the transfer of leadership when a node shuts down.
 const transferTimeout = 2 * time.Second
 
-// ErrStopped is returned by requests to a node that has ended.
+// ErrStopped is returned by requests to a node that has stopped.
 var ErrStopped = eventqueue.ErrStopped
 
 // Node is one control node. Its methods are safe for concurrent use.
@@ -66,8 +67,8 @@
 	err      error // set before the queue is closed
 }
 
-// New reads the disk and prepares a node. It registers its message handlers and
-// sends nothing; Start does.
+// New loads the state from the disk and prepares a node. It registers the message
+// handlers but sends nothing until Start is called.
 func New(options Options) (*Node, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -115,7 +116,7 @@
 	}
 }
 
-// assemble makes the parts around the engine.
+// assemble creates the components that use the engine.
 func (n *Node) assemble(nodeMetrics *metrics.Metrics) {
 	options := n.options
 	contacts := discovery.NewContacts(n.engine, options.PeerAddress, options.Seeds, options.InitialControl)
@@ -171,7 +172,7 @@
 	nodeMetrics.RegisterTraffic(n.network)
 }
 
-// description is this node's own, without its identity.
+// description returns this node's description; the Describer adds its identity.
 func (n *Node) description() message.Description {
 	return message.Description{
 		Name:            n.options.Name,
@@ -182,7 +183,7 @@
 	}
 }
 
-// handleMessages registers what other processes may send.
+// handleMessages registers the handlers of messages from other processes.
 func (n *Node) handleMessages() {
 	n.network.Handle(peer.KindConsensus, n.engine.ServeConsensus)
 	n.network.Handle(peer.KindHello, n.bootstrapper.ServeHello)
@@ -197,7 +198,7 @@
 	n.network.Handle(message.KindWhere, n.locator.Serve)
 }
 
-// Start begins to serve peers and to take part in the group.
+// Start begins to serve peers and to participate in the control group.
 func (n *Node) Start() error {
 	if err := n.network.Start(); err != nil {
 		return fmt.Errorf("control: starting the network: %w", err)
@@ -214,7 +215,8 @@
 	return nil
 }
 
-// goWorker runs what ends with ctx; run waits for it.
+// goWorker starts a background goroutine that returns once ctx is canceled; run waits
+// for it.
 func (n *Node) goWorker(ctx context.Context, work func(context.Context)) {
 	n.workers.Add(1)
 	go func() {
@@ -223,8 +225,8 @@
 	}()
 }
 
-// run runs the event loop, and ends the node after it: the workers, the network and
-// the disk, in this order. cancel ends the workers' context.
+// run runs the event loop until it returns. It then cancels the workers' context,
+// closes the network, waits for the workers and closes the disk, in this order.
 func (n *Node) run(cancel context.CancelFunc) {
 	err := n.engine.Run(n.stop)
 	if err != nil {
@@ -237,30 +239,32 @@
 	n.queue.Close()
 }
 
-// Done is closed when the node has ended; Err then says why.
+// Done returns a channel that is closed when the node has stopped; Err then returns the
+// cause.
 func (n *Node) Done() <-chan struct{} { return n.queue.Done() }
 
-// Err returns the error that ended the node: a *storage.FinalError for a failed
-// write, nil after Stop. It blocks until the node has ended.
+// Err returns the error that stopped the node: a *storage.FinalError for a failed
+// write, nil after Stop. It blocks until the node has stopped.
 func (n *Node) Err() error {
 	<-n.queue.Done()
 	return n.err
 }
 
-// Leave hands leadership over if this node has it, and stops.
+// Leave transfers leadership to another member if this node leads, and then stops the
+// node.
 func (n *Node) Leave(ctx context.Context) error {
 	n.TransferLeadership(ctx)
 	return n.Stop()
 }
 
-// Stop ends the node at once, without handing leadership over.
+// Stop stops the node immediately, without transferring leadership.
 func (n *Node) Stop() error {
 	n.stopOnce.Do(func() { close(n.stop) })
 	return n.Err()
 }
 
-// TransferLeadership hands leadership to another member if this node has it, and
-// waits for that, at most two seconds.
+// TransferLeadership transfers leadership to another member if this node leads, and
+// waits up to transferTimeout until this node no longer leads.
 func (n *Node) TransferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
@@ -277,26 +281,27 @@
 	})
 }
 
-// Server returns an HTTP server for the operators' port with every limit set.
-// The caller gives it an address, starts it and closes it.
+// Server returns an HTTP server for the operator API with all timeouts and size limits
+// set. The caller sets its address, starts it and closes it.
 func (n *Node) Server() *http.Server { return httpapi.NewServer(n.handler) }
 
-// Handler serves the operators' port.
+// Handler returns the HTTP handler of the operator API.
 func (n *Node) Handler() http.Handler { return n.handler }
 
-// Where returns the HTTP addresses of the gateways that a client of a region should
-// use, at most limit. It is empty when none is known.
+// Where returns the HTTP addresses of up to limit gateways that a client in the region
+// should use. It returns none if no gateway is known.
 func (n *Node) Where(region string, limit int) []string { return n.locator.Where(region, limit) }
 
-// Submit executes an operation, here or at the primary. It answers when the operation
-// is in force everywhere, when it is refused, or when ctx ends.
+// Submit executes an operation, on this node or by forwarding it to the primary. It
+// returns when every gateway with a lease has activated the result, when the operation
+// is refused, or when ctx is done.
 func (n *Node) Submit(ctx context.Context, request peer.OperationRequest) peer.OperationReply {
 	return n.executor.Submit(ctx, request)
 }
 
-// CurrentConfiguration returns the newest configuration: its version and text as they
-// were submitted, and false before the first one. It waits for proof that nothing
-// newer was acknowledged.
+// CurrentConfiguration returns the newest configuration with its version and text as
+// submitted; the boolean is false if there is none yet. The read is linearizable: it
+// reflects every configuration acknowledged before the call.
 func (n *Node) CurrentConfiguration(ctx context.Context) (catalog.Configuration, bool, *api.Error) {
 	observed, problem := n.reader.Linearizable(ctx)
 	if problem != nil {
--- a/control/options.go
+++ b/control/options.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Defaults of Options. Those of the event loop are in package engine.
+// Defaults of Options. The defaults of the event loop are in package engine.
 const (
 	defaultDiscoveryInterval = 250 * time.Millisecond
 	defaultCallTimeout       = time.Second
@@ -20,78 +20,82 @@
 	defaultInventoryInterval = 500 * time.Millisecond
 )
 
-// Options sets up a Node. Network, Store and the names are required; every
-// zero duration stands for its default.
+// Options configures a Node. Name, PeerAddress, Network and Store are required. A zero
+// duration selects the default.
 type Options struct {
-	// LinkMbps is what the node's network link carries, in Mbit/s. Default 100.
+	// LinkMbps is the capacity of the node's network link in Mbit/s. Default 100.
 	LinkMbps int
-	// Name is unique in the fleet; Zone and Region say where the node stands.
+	// Name is unique in the fleet; Zone and Region are the node's location.
 	Name   string
 	Zone   string
 	Region string
-	// PeerAddress is where other processes reach this node (host:port).
-	// OperatorAddress is reported to operators; Node does not bind it.
+	// PeerAddress is the host:port at which other processes reach this node.
+	// OperatorAddress is the address of the operator API. The node only reports it;
+	// the caller listens on it.
 	PeerAddress     string
 	OperatorAddress string
-	// Seeds are peer addresses of other processes, for a first contact only.
+	// Seeds are peer addresses of other processes, used only to discover the group.
 	Seeds []string
-	// InitialControl maps the names of the control nodes that form a new group
-	// to their peer addresses. A node that it does not list only joins.
+	// InitialControl maps the names of the control nodes that bootstrap a new group
+	// to their peer addresses. A node that is not listed only joins an existing group.
 	InitialControl map[string]string
 
-	// Network carries messages; Node starts it, and closes it when it ends.
+	// Network carries messages; Node starts it, and closes it when it stops.
 	Network transport.Network
-	// Store is this member's disk; Node closes it when it ends.
+	// Store persists this member's log and snapshots; Node closes it when it stops.
 	Store storage.Store
-	// Logger defaults to slog.Default. It should name the node.
+	// Logger defaults to slog.Default. It should carry the node's name as an attribute.
 	Logger *slog.Logger
-	// Tokens returns the operators' tokens as they are now; nil permits operations
-	// without one.
+	// Tokens returns the operator tokens that are currently valid. If it is nil,
+	// operations need no token.
 	Tokens func() settings.Tokens
 
-	// Lease are the terms that gateways use too. Default lease.DefaultConfig.
+	// Lease is the lease timing, which must equal that of the gateways. Default
+	// lease.DefaultConfig.
 	Lease lease.Config
-	// ElectionTimeout and HeartbeatInterval are passed to the replicated log, which
-	// has their defaults.
+	// ElectionTimeout and HeartbeatInterval configure the replicated log; see
+	// consensus.Config for their defaults.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
-	// StartupTimeout is the least time from the start to an election of a node
-	// that was a member before. Default 100 ms.
+	// StartupTimeout is the minimum time that a restarted member waits for a leader
+	// before it starts an election. Default 100 ms.
 	StartupTimeout time.Duration
-	// Seed drives the random election timeouts; 0 draws one.
+	// Seed seeds the random election timeouts; 0 selects a random seed.
 	Seed uint64
 
-	// TickInterval is the longest time between two readings of the clock. Default
+	// TickInterval is the maximum time between two ticks of the event loop. Default
 	// 25 ms.
 	TickInterval time.Duration
-	// DiscoveryInterval is the time between two rounds of asking other nodes for
-	// the group, while this node is not a voter with a leader. Default 250 ms.
+	// DiscoveryInterval is the time between two discovery rounds, which run while this
+	// node is not a voter or knows no leader. Default 250 ms.
 	DiscoveryInterval time.Duration
 	// CallTimeout bounds one call to another control node. Default 1 s.
 	CallTimeout time.Duration
-	// ReplaceAfter is how long a voter must be unreachable before a node with
-	// another address may replace it. Default 3 s.
+	// ReplaceAfter is how long a voter must be unreachable before a node at a
+	// different address may replace it. Default 3 s.
 	ReplaceAfter time.Duration
-	// GatewayGrace is how long after the end of its lease a gateway is marked
-	// down, and how long a lease must last before it is marked up again. Default 1 s.
+	// GatewayGrace delays two changes of a gateway's record. It is the time between
+	// the expiry of the gateway's lease and the record that it holds none, and the
+	// time for which a gateway that was marked down must renew without a gap before
+	// it is marked up again. It does not delay marking a gateway down. Default 1 s.
 	GatewayGrace time.Duration
-	// OperationTimeout is how long an operation may wait to be in force when its sender
-	// does not say. Default 10 s.
+	// OperationTimeout is how long an operation waits to be in force at every gateway
+	// with a lease, if the request sets no limit. Default 10 s.
 	OperationTimeout time.Duration
-	// Voters is the number of voters of a complete group, if above that of its
-	// bootstrap: nodes that ask to join are admitted until there are so many.
+	// Voters is the target number of voters, if greater than the number at bootstrap:
+	// nodes that ask to join are admitted until the group has that many.
 	Voters int
-	// Inventory, if set, is read by the primary for the list of replicas, every
-	// InventoryInterval, by default 500 ms.
+	// Inventory, if set, is the source of the replica list. The primary reads it
+	// every InventoryInterval, by default 500 ms.
 	Inventory         inventory.Source
 	InventoryInterval time.Duration
 
-	// SnapshotInterval is the number of entries applied between two snapshots.
+	// SnapshotInterval is the number of log entries applied between two snapshots.
 	// Default 4096.
 	SnapshotInterval uint64
 }
 
-// validate checks what has no default.
+// validate checks the fields that have no default.
 func (o *Options) validate() error {
 	switch {
 	case o.Name == "":
@@ -106,7 +110,8 @@
 	return nil
 }
 
-// withDefaults fills in what is zero and is not left to package engine.
+// withDefaults returns a copy in which zero fields are set to their defaults, except
+// those that package engine sets.
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -18,7 +18,8 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// routeMapOperation is an order for a map with one route.
+// routeMapOperation returns an operation that replaces the route map by one with a
+// single route.
 func routeMapOperation(base, version uint64) peer.OperationRequest {
 	return peer.OperationRequest{RouteMap: &peer.RouteMapOperation{
 		BaseVersion: base,
@@ -35,7 +36,7 @@
 	}}
 }
 
-// submit sends an order to a node and waits for its answer.
+// submit submits an operation to a node and waits for the reply.
 func submit(node *Node, request peer.OperationRequest) peer.OperationReply {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -46,7 +47,9 @@
 	return reply.Error == nil && reply.Answer.Error == nil && reply.Answer.Accepted
 }
 
-func TestRouteMapIsAppliedOnceAndAnsweredAlike(t *testing.T) {
+// TestResentRouteMapGetsTheFirstAnswer checks that a route map that is sent again is not
+// applied again and gets its first answer, also after a later map and after a failover.
+func TestResentRouteMapGetsTheFirstAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
@@ -59,43 +62,46 @@
 		if reply := submit(f.follower(), second); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
-		// Sent again after a later one, and to the successor of the primary.
+		// The first map is resent after a later one, to the successor of the primary.
 		f.stop(f.primary().options.Name)
 		if reply := submit(f.primary(), first); !accepted(reply) || reply.Answer.Version != 3 {
-			t.Errorf("the first again: %+v", reply)
+			t.Errorf("resending the first map after a failover returned %+v, want version 3 accepted", reply)
 		}
 		current, configured, problem := f.primary().CurrentConfiguration(t.Context())
 		if problem != nil || !configured || current.Version != 7 || current.Document != second.RouteMap.Text {
-			t.Errorf("current: %+v, %v", current, problem)
+			t.Errorf("the current configuration is %+v, error %v; want version 7", current, problem)
 		}
 	})
 }
 
-// checkAcceptedAgain sends an operation again to every node.
+// checkAcceptedAgain resends an accepted operation to every node and verifies that each
+// answers with the same version.
 func (f *fleet) checkAcceptedAgain(request peer.OperationRequest, version uint64) {
 	f.t.Helper()
 	for name, node := range f.nodes {
 		if reply := submit(node, request); !accepted(reply) || reply.Answer.Version != version {
-			f.t.Errorf("sent again to %s: %+v", name, reply)
+			f.t.Errorf("resending the operation to %s returned %+v, want it accepted with its first version", name, reply)
 		}
 	}
 }
 
-// refusal is an operation that every node refuses.
+// refusal is an operation that every node must refuse, with the expected error code and
+// field.
 type refusal struct {
 	request peer.OperationRequest
 	code    api.Code
 	field   string
 }
 
-// checkRefusals sends operations to the primary and to a follower.
+// checkRefusals submits operations to the primary and to a follower, and verifies that
+// both refuse each one with the expected code and field.
 func (f *fleet) checkRefusals(refusals map[string]refusal) {
 	f.t.Helper()
 	for name, test := range refusals {
 		for _, node := range []*Node{f.primary(), f.follower()} {
 			reply := submit(node, test.request)
 			if reply.Error == nil || reply.Error.Code != test.code || reply.Error.Field != test.field {
-				f.t.Errorf("%s at %s: got %+v, %+v", name, node.options.Name, reply, reply.Error)
+				f.t.Errorf("%s at %s: got %+v with error %+v, want a refusal with another code or field", name, node.options.Name, reply, reply.Error)
 			}
 		}
 	}
@@ -112,26 +118,27 @@
 		invalidRoute := routeMapOperation(3, 9)
 		invalidRoute.RouteMap.Map.Routes[0].Timeout = 0
 		f.checkRefusals(map[string]refusal{
-			"race lost":    {routeMapOperation(0, 4), api.CodeVersionConflict, "base_version"},
-			"unknown base": {routeMapOperation(5, 9), api.CodeVersionConflict, "base_version"},
-			"old version":  {routeMapOperation(3, 2), api.CodeInvalid, "version"},
-			"same version": {routeMapOperation(3, 3), api.CodeInvalid, "version"},
-			"invalid":      {invalidRoute, api.CodeInvalid, "routes[0].timeout_ms"},
+			"outdated base":     {routeMapOperation(0, 4), api.CodeVersionConflict, "base_version"},
+			"unknown base":      {routeMapOperation(5, 9), api.CodeVersionConflict, "base_version"},
+			"lower version":     {routeMapOperation(3, 2), api.CodeInvalid, "version"},
+			"unchanged version": {routeMapOperation(3, 3), api.CodeInvalid, "version"},
+			"zero timeout":      {invalidRoute, api.CodeInvalid, "routes[0].timeout_ms"},
 		})
 		if version := f.primary().engine.Observe().Catalog.Version(); version != 3 {
-			t.Errorf("version %d", version)
+			t.Errorf("the version is %d after refused operations, want 3", version)
 		}
-		// What was refused for its base is accepted once that base is the current one.
+		// An operation refused for its base version is accepted once that version is current.
 		if reply := submit(f.primary(), routeMapOperation(3, 5)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		if reply := submit(f.primary(), routeMapOperation(5, 9)); !accepted(reply) {
-			t.Errorf("refused on its own base: %+v", reply)
+			t.Errorf("an operation whose base version became current returned %+v, want it accepted", reply)
 		}
 	})
 }
 
-// TestOneOfTwoRouteMapsOnOneBaseWins sends pairs at once through different nodes.
+// TestOneOfTwoRouteMapsOnOneBaseWins checks that exactly one of two route maps with the
+// same base is accepted when they are submitted concurrently to different nodes.
 func TestOneOfTwoRouteMapsOnOneBaseWins(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -141,7 +148,7 @@
 		for round := range uint64(6) {
 			version := base + 2
 			orders := [2]peer.OperationRequest{routeMapOperation(base, version), routeMapOperation(base, version)}
-			orders[1].RouteMap.Text += ", another one" // the same number
+			orders[1].RouteMap.Text += ", another one" // with the same version
 			var replies [2]peer.OperationReply
 			var both sync.WaitGroup
 			nodes := [2]*Node{f.primary(), f.follower()}
@@ -159,7 +166,7 @@
 
 const mapText = `{"version":%d,"routes":[{"name":"r"}],"services":[{"name":"s"}],"kept":true}`
 
-// routeMapChange is an order that adds a route and removes others.
+// routeMapChange returns an operation that adds one route and removes others.
 func routeMapChange(base, version uint64, added string, removed ...string) peer.OperationRequest {
 	order := routeMapOperation(base, version)
 	route := order.RouteMap.Map.Routes[0]
@@ -177,15 +184,16 @@
 	return order
 }
 
-// readableMapOperation is an order for a map whose text can be changed.
+// readableMapOperation returns an operation whose text is a JSON document, which a
+// change can patch.
 func readableMapOperation(base, version uint64) peer.OperationRequest {
 	order := routeMapOperation(base, version)
 	order.RouteMap.Text = fmt.Sprintf(mapText, version)
 	return order
 }
 
-// TestRouteMapChangeAppliesToItsBaseVersion holds what a change leaves: the map,
-// its text, and the same answer for the same change from any node, also later.
+// TestRouteMapChangeAppliesToItsBaseVersion checks that a change patches both the route
+// map and its text, and that every node repeats its answer, also after a later change.
 func TestRouteMapChangeAppliesToItsBaseVersion(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -206,11 +214,11 @@
 		current, _, problem := f.primary().CurrentConfiguration(t.Context())
 		want := `{"version":8,"routes":[{"name":"added"},{"name":"again"}],"services":[{"name":"s"}],"kept":true}`
 		if problem != nil || current.Document != want {
-			t.Errorf("got %s, %v", current.Document, problem)
+			t.Errorf("the current document is %s, error %v; want the document with both changes applied", current.Document, problem)
 		}
 		routes := f.primary().engine.Observe().Catalog.PathRoutes()
 		if _, removed := routes["r"]; removed || len(routes) != 2 || routes["added"].PathPrefix != "/added/" {
-			t.Errorf("got %+v", routes)
+			t.Errorf("got the routes %+v, want added and again only", routes)
 		}
 	})
 }
@@ -229,22 +237,24 @@
 		noService.RouteMap.Change.Map.RemovedServices = []string{"s"}
 		both := routeMapChange(3, 9, "added", "added")
 		f.checkRefusals(map[string]refusal{
-			"race lost":     {routeMapChange(0, 9, "added"), api.CodeVersionConflict, "base_version"},
-			"unknown base":  {routeMapChange(4, 9, "added"), api.CodeVersionConflict, "base_version"},
-			"old version":   {routeMapChange(3, 2, "added"), api.CodeInvalid, "version"},
-			"same version":  {routeMapChange(3, 3, "added"), api.CodeInvalid, "version"},
-			"same path":     {samePath, api.CodeInvalid, "routes[1].path_prefix"},
-			"service gone":  {noService, api.CodeInvalid, "routes[0].targets[0].service"},
-			"in both lists": {both, api.CodeInvalid, "change.remove.routes[0]"},
+			"outdated base":                {routeMapChange(0, 9, "added"), api.CodeVersionConflict, "base_version"},
+			"unknown base":                 {routeMapChange(4, 9, "added"), api.CodeVersionConflict, "base_version"},
+			"lower version":                {routeMapChange(3, 2, "added"), api.CodeInvalid, "version"},
+			"unchanged version":            {routeMapChange(3, 3, "added"), api.CodeInvalid, "version"},
+			"duplicate path":               {samePath, api.CodeInvalid, "routes[1].path_prefix"},
+			"removed service in use":       {noService, api.CodeInvalid, "routes[0].targets[0].service"},
+			"route both added and removed": {both, api.CodeInvalid, "change.remove.routes[0]"},
 		})
 		current, _, _ := f.primary().CurrentConfiguration(t.Context())
 		if current.Document != fmt.Sprintf(mapText, 3) || current.Version != 3 {
-			t.Errorf("got %+v", current)
+			t.Errorf("the current configuration after refused changes is %+v, want the unchanged version 3", current)
 		}
 	})
 }
 
-// TestOneOfAMapAndAChangeOnOneBaseWins sends pairs at once through different nodes.
+// TestOneOfAMapAndAChangeOnOneBaseWins checks that exactly one of a complete route map
+// and a change with the same base is accepted when they are submitted concurrently to
+// different nodes.
 func TestOneOfAMapAndAChangeOnOneBaseWins(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -272,7 +282,7 @@
 	})
 }
 
-// listInventory is a list of replicas in memory.
+// listInventory is an inventory source that returns a list of replicas from memory.
 type listInventory struct {
 	mutex sync.Mutex
 	list  api.ReplicaList
@@ -288,7 +298,7 @@
 	return &list, l.err
 }
 
-// readCount is the number of readings so far.
+// readCount returns the number of reads so far.
 func (l *listInventory) readCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -301,7 +311,8 @@
 	l.list.Replicas, l.err = entries, err
 }
 
-// startWithInventory starts everything with a map of routes in force.
+// startWithInventory starts the control nodes with an inventory and one gateway, and
+// submits a route map.
 func (f *fleet) startWithInventory(inventory inventory.Source) {
 	f.t.Helper()
 	for _, name := range controlNames {
@@ -332,26 +343,27 @@
 		f.await("the replica", func() bool { return contents().Replicas()["a"].Slots == 4 && state() == catalog.ConditionWarmingUp })
 		entry.ColdMS, entry.Draining = &warm, true
 		inventory.set(nil, entry)
-		f.await("a warm one that drains", func() bool { return state() == catalog.ConditionUp && contents().IsDraining("a") })
-		inventory.set(errors.New("the list does not answer"))
+		f.await("the replica to be warm and draining", func() bool { return state() == catalog.ConditionUp && contents().IsDraining("a") })
+		inventory.set(errors.New("inventory unavailable"))
 		time.Sleep(5 * time.Second)
 		if _, kept := contents().Replicas()["a"]; !kept {
-			t.Error("a list that does not answer emptied the registry")
+			t.Error("a failed read of the inventory removed the replica from the registry")
 		}
 		f.stop(f.primary().options.Name)
 		inventory.set(nil)
-		f.await("the successor to read on", func() bool { return len(contents().Replicas()) == 0 })
+		f.await("the new primary to apply the empty list", func() bool { return len(contents().Replicas()) == 0 })
 		reads := inventory.readCount()
 		time.Sleep(10 * defaultInventoryInterval)
 		if extra := inventory.readCount() - reads; extra > 11 {
-			t.Errorf("%d reads in 10 intervals", extra)
+			t.Errorf("the inventory was read %d times in 10 intervals, want at most 11", extra)
 		}
 	})
 }
 
-// TestGroupGrowsToItsVoters: nodes beyond those that form the group become
-// voters until there are as many as asked for.
-func TestGroupGrowsToItsVoters(t *testing.T) {
+// TestGroupGrowsToConfiguredVoters checks that nodes that did not bootstrap the group
+// become voters until the group has Options.Voters voters, and that a node beyond that
+// number still serves clients and operators.
+func TestGroupGrowsToConfiguredVoters(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		const voters = 5
@@ -369,10 +381,10 @@
 		f.await("five voters", func() bool { return f.members(f.primary()).RepairDone && len(f.voters()) == voters })
 		time.Sleep(5 * time.Second)
 		if got := len(f.voters()); got != voters {
-			t.Errorf("%d voters, want %d", got, voters)
+			t.Errorf("the group has %d voters, want %d", got, voters)
 		}
 		f.checkNodeWithoutGroup()
-		// Two of five may go.
+		// A majority remains when two of five voters stop.
 		stopped := 0
 		for _, name := range controlNames {
 			if stopped < 2 {
@@ -381,13 +393,13 @@
 			}
 		}
 		if reply := submit(f.primary(), routeMapOperation(1, 2)); !accepted(reply) {
-			t.Errorf("with two of five voters lost: %+v", reply)
+			t.Errorf("an operation with two of five voters stopped returned %+v, want it accepted", reply)
 		}
 	})
 }
 
-// checkNodeWithoutGroup holds that the node which the group did not take in answers clients
-// and operators all the same.
+// checkNodeWithoutGroup verifies that the node that was not admitted to the group still
+// serves clients and operators.
 func (f *fleet) checkNodeWithoutGroup() {
 	f.t.Helper()
 	f.startGateway("gateway-1")
@@ -398,18 +410,18 @@
 		}
 	}
 	if outside == nil {
-		f.t.Fatal("every node belongs to the group")
+		f.t.Fatal("every node was admitted to the group, want one left out")
 	}
-	f.await("an answer to clients", func() bool { return len(outside.Where("north", 8)) == 1 })
+	f.await("the node without a group to return a gateway to clients", func() bool { return len(outside.Where("north", 8)) == 1 })
 	if reply := submit(outside, routeMapOperation(0, 1)); !accepted(reply) {
-		f.t.Errorf("an order to a node without a group: %+v", reply)
+		f.t.Errorf("an operation at a node without a group returned %+v, want it accepted", reply)
 	}
 	if _, _, problem := outside.CurrentConfiguration(f.t.Context()); problem == nil {
-		f.t.Error("a node without a group is sure of the newest configuration")
+		f.t.Error("a linearizable read at a node without a group succeeded, want an error")
 	}
 }
 
-// voters lists the voters as the primary knows them.
+// voters returns the voters according to the primary.
 func (f *fleet) voters() []consensus.Member {
 	var voters []consensus.Member
 	for _, member := range f.primary().engine.Observe().Status.Membership.Members {
@@ -420,7 +432,7 @@
 	return voters
 }
 
-// slowInventory takes long for every other reading, and notes when each began.
+// slowInventory is slow on every other read, and records when each read began.
 type slowInventory struct {
 	listInventory
 	began []time.Time
@@ -437,8 +449,8 @@
 	return l.listInventory.Replicas(ctx)
 }
 
-// TestInventoryReadsKeepTheInterval: the list bounds the calls a second,
-// so a slow reading is not made up for.
+// TestInventoryReadsKeepTheInterval checks that a slow read is not followed by an early
+// one: an inventory service may limit the rate of calls.
 func TestInventoryReadsKeepTheInterval(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		t := f.t
@@ -448,11 +460,11 @@
 		inventory.mutex.Lock()
 		defer inventory.mutex.Unlock()
 		if len(inventory.began) < 10 {
-			t.Fatalf("%d readings in 20 intervals", len(inventory.began))
+			t.Fatalf("the inventory was read %d times in 20 intervals, want at least 10", len(inventory.began))
 		}
 		for i := 1; i < len(inventory.began); i++ {
 			if gap := inventory.began[i].Sub(inventory.began[i-1]); gap < defaultInventoryInterval {
-				t.Errorf("reading %d began %v after the one before it", i, gap)
+				t.Errorf("read %d began %v after the previous one, want at least one interval", i, gap)
 			}
 		}
 	})
