--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -14,14 +14,15 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// newSingleNode is the loop's state of a group of one that is a primary, driven by
-// hand: no goroutine and no network takes part.
+// newSingleNode returns the event loop's state of the only node of a group. The test
+// calls its methods directly: no goroutine runs and no message is sent.
 func newSingleNode(tb testing.TB) *machine {
 	tb.Helper()
 	return newSingleNodeOn(tb, storage.NewMemory("disk-1"))
 }
 
-// newSingleNodeOn starts a group's only node on a disk, which is empty at first.
+// newSingleNodeOn starts a group's only node from a disk. If the disk is empty, the node
+// bootstraps the group.
 func newSingleNodeOn(tb testing.TB, store *storage.Memory) *machine {
 	tb.Helper()
 	config := Config{
@@ -40,12 +41,12 @@
 	}
 	snapshot, err := statemachine.First("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
 	if err != nil || !m.driver.EnterGroup(0, "cluster", snapshot) {
-		tb.Fatal("no group was formed: ", err)
+		tb.Fatal("the group was not bootstrapped: ", err)
 	}
 	return m
 }
 
-// advance lets the time pass in ticks.
+// advance advances the time by length, in ticks.
 func (m *machine) advance(tb testing.TB, now *time.Duration, length time.Duration) {
 	tb.Helper()
 	for end := *now + length; *now < end; *now += DefaultTickInterval {
@@ -56,8 +57,8 @@
 	}
 }
 
-// BenchmarkRenewal is all work of the event loop for one lease renewal, the other
-// gateways having leases meanwhile.
+// BenchmarkRenewal measures the whole work of the event loop for one lease renewal while
+// all other gateways hold leases too.
 func BenchmarkRenewal(b *testing.B) {
 	for _, gateways := range []int{8, 50, 200, 400} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
@@ -78,8 +79,8 @@
 	}
 }
 
-// renewAndProcess handles one renewal as the event loop does, and prepares the next
-// one of the same gateway.
+// renewAndProcess handles one renewal as the event loop does, and updates it to the
+// gateway's next renewal.
 func (m *machine) renewAndProcess(now time.Duration, renewal *peer.Renew) error {
 	m.tick(now)
 	grant := m.renew(now, *renewal)
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// renewedGateways returns the next renewals of gateways that have leases.
+// renewedGateways renews until count gateways have leases, and returns their next
+// renewals.
 func (m *machine) renewedGateways(tb testing.TB, now *time.Duration, count int) []peer.Renew {
 	tb.Helper()
 	renewals := make([]peer.Renew, count)
--- a/control/engine/config.go
+++ b/control/engine/config.go
@@ -20,42 +20,46 @@
 	DefaultLinkMbps         = 100
 )
 
-// Config sets up an Engine. Name, PeerAddress, Network, Store and Logger are
-// required; every other zero value stands for its default.
+// Config configures an Engine. Name, PeerAddress, Network, Store and Logger are
+// required. For the other fields, zero selects the default.
 type Config struct {
 	// Name, PeerAddress and Zone describe this node as a member of the group.
 	Name        string
 	PeerAddress string
 	Zone        string
-	// LinkMbps is what the node's network link carries, in Mbit/s.
+	// LinkMbps is the capacity of the node's network link in Mbit/s.
 	LinkMbps int
 
 	Network transport.Network
 	Store   storage.Store
 	Logger  *slog.Logger
 
-	// Lease are the terms that gateways use too. Default lease.DefaultConfig.
+	// Lease is the lease timing, which must equal that of the gateways. Default
+	// lease.DefaultConfig.
 	Lease lease.Config
-	// GatewayGrace is how long after the end of its lease a gateway is marked
-	// down, and how long a lease must last before it is marked up again.
+	// GatewayGrace delays two changes of a gateway's record. It is the time between
+	// the expiry of the gateway's lease and the record that it holds none
+	// (MayHoldLease), and the time for which a gateway that was marked down must renew
+	// without a gap before it is marked up again. It does not delay marking a gateway
+	// down, which follows leases.MissedRenewals.
 	GatewayGrace time.Duration
 
-	// ElectionTimeout, HeartbeatInterval, StartupTimeout and Seed are passed to the
-	// replicated log. A Seed of 0 is replaced by a random one.
+	// ElectionTimeout, HeartbeatInterval, StartupTimeout and Seed configure the
+	// replicated log, see consensus.Config. A Seed of 0 selects a random seed.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 	StartupTimeout    time.Duration
 	Seed              uint64
-	// TickInterval is the longest time between two readings of the clock.
+	// TickInterval is the maximum time between two ticks of the event loop.
 	TickInterval time.Duration
-	// SnapshotInterval is the number of entries applied between two snapshots.
+	// SnapshotInterval is the number of log entries applied between two snapshots.
 	SnapshotInterval uint64
 
-	// ReplaceAfter is how long a voter must be unreachable before a node with
-	// another address may replace it.
+	// ReplaceAfter is how long a voter must be unreachable before a node at a
+	// different address may replace it.
 	ReplaceAfter time.Duration
-	// Voters is the number of voters of a complete group, if above that of its
-	// bootstrap.
+	// Voters is the number of voters of a complete group, if greater than the number
+	// at its bootstrap.
 	Voters int
 }
 
--- a/control/engine/engine.go
+++ b/control/engine/engine.go
@@ -1,8 +1,8 @@
 // Package engine runs the event loop of a control node.
 //
 // One goroutine, the event loop, owns the replicated log, the replicated state,
-// the leases and the disk. Everything else queues events for it, and reads the
-// immutable Observation that it publishes after each batch of them.
+// the leases and the disk. Other goroutines queue events for it, and read the
+// immutable Observation that it publishes after each batch of events.
 package engine
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// maxBatch bounds the events handled before their writes are synced.
+// maxBatch bounds the number of events handled before their writes are synced.
 const maxBatch = 1024
 
-// Engine is the event loop of one node, and what others may ask of it. Its methods
-// are safe for concurrent use.
+// Engine runs the event loop of one node, and is the interface of other goroutines to it.
+// Its methods are safe for concurrent use.
 type Engine struct {
 	config   Config
 	queue    *eventqueue.Queue
@@ -28,7 +28,8 @@
 	machine  *machine // owned by the event loop
 }
 
-// New reads the disk and prepares the event loop of a queue. Run runs it.
+// New loads the state from the disk and prepares an event loop that takes its events from
+// the queue. Run runs it.
 func New(config Config, queue *eventqueue.Queue, metrics *metrics.Metrics) (*Engine, error) {
 	config = config.withDefaults()
 	machine, err := newMachine(config, metrics, queue.Now())
@@ -40,9 +41,9 @@
 	return e, nil
 }
 
-// Run is the event loop. It returns nil once stop is closed, and otherwise the
-// error that ended it: a *storage.FinalError for a failed write. Whoever still waits
-// for an update is answered before it returns.
+// Run runs the event loop. It returns nil once stop is closed, and otherwise the error
+// that ended the loop: a *storage.FinalError for a failed write. Before it returns, all
+// pending proposals fail with eventqueue.ErrStopped.
 func (e *Engine) Run(stop <-chan struct{}) error {
 	err := e.loop(stop)
 	e.machine.driver.FailWaiters(eventqueue.ErrStopped)
@@ -69,16 +70,16 @@
 	}
 }
 
-// handle reads the clock after the event was taken: an event is never judged by
-// a time before it was sent, and a process that was frozen sees the elapsed time
-// before it sees what queued up meanwhile.
+// handle reads the clock after the event was taken from the queue. So no event is
+// handled with a time before it was sent, and a process that was frozen accounts for the
+// elapsed time before it handles the events that were queued meanwhile.
 func (e *Engine) handle(event eventqueue.Event) {
 	now := e.queue.Now()
 	e.machine.tick(now)
 	event(now)
 }
 
-// handleQueued takes what is queued, so that one sync covers all of it.
+// handleQueued handles up to maxBatch queued events, so that one sync covers all of them.
 func (e *Engine) handleQueued() {
 	for range maxBatch {
 		select {
@@ -90,7 +91,7 @@
 	}
 }
 
-// publish replaces the observation and wakes those who wait for a change.
+// publish publishes a new observation and wakes the goroutines that wait for one.
 func (e *Engine) publish() {
 	previous := e.observed.Load()
 	current := e.machine.observe(e.queue.Now())
@@ -119,7 +120,7 @@
 func (e *Engine) Observe() *Observation { return e.observed.Load() }
 
 // WaitUntil waits for an observation that satisfies the condition. It returns
-// false when ctx or the node ended first.
+// false if ctx is done or the node has stopped before.
 func (e *Engine) WaitUntil(ctx context.Context, condition func(*Observation) bool) bool {
 	for {
 		current := e.Observe()
@@ -136,8 +137,8 @@
 	}
 }
 
-// ServeConsensus handles peer.KindConsensus. A full queue drops the message: the
-// replicated log sends again.
+// ServeConsensus handles peer.KindConsensus. The message is dropped if the queue is full:
+// the replicated log retransmits.
 func (e *Engine) ServeConsensus(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var wrapped peer.ConsensusMessage
 	if err := decode(&wrapped); err != nil {
--- a/control/engine/gateways_test.go
+++ b/control/engine/gateways_test.go
@@ -12,11 +12,11 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// TestGatewaysThatComeAtOnceAreFewChanges: after a loss of power all gateways come
-// back within moments. Each change of the registry goes to each of them, so their
-// records must not be a change each.
-func TestGatewaysThatComeAtOnceAreFewChanges(t *testing.T) {
-	const gateways, mostChanges = 300, 4
+// TestGatewaysThatStartTogetherShareUpdates checks that the records of many gateways that
+// start at once are written by a few updates. All gateways start together after a power
+// loss, and every update of the registry is sent to each of them.
+func TestGatewaysThatStartTogetherShareUpdates(t *testing.T) {
+	const gateways, maxChanges = 300, 4
 	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
@@ -24,19 +24,19 @@
 	before := m.table().Serial()
 	fleet.renew(t, m, now)
 	m.advance(t, &now, 50*time.Millisecond)
-	if changes := m.table().Serial() - before; changes > mostChanges {
-		t.Errorf("%d gateways that came at once are %d changes of the registry, want at most %d", gateways, changes, mostChanges)
+	if changes := m.table().Serial() - before; changes > maxChanges {
+		t.Errorf("%d gateways that started together caused %d updates of the registry, want at most %d", gateways, changes, maxChanges)
 	}
 	fleet.renew(t, m, now)
 	if leased := fleet.renew(t, m, now); leased != gateways {
-		t.Errorf("%d of %d gateways have a lease", leased, gateways)
+		t.Errorf("%d of %d gateways were granted a lease, want all", leased, gateways)
 	}
 }
 
-// TestGatewaysThatReturnServeBeforeTheyAreRecorded: after a loss of all power the
-// first thing that gateways get is the table to serve by. Their new records, which go
-// to each of them, come after it, as one change.
-func TestGatewaysThatReturnServeBeforeTheyAreRecorded(t *testing.T) {
+// TestRestartedGatewaysActivateBeforeTheirRecordsChange checks that after a restart of
+// the control node and all gateways, the gateways may activate the existing table before
+// their new records, which are sent to each of them, are written.
+func TestRestartedGatewaysActivateBeforeTheirRecordsChange(t *testing.T) {
 	const gateways = 300
 	store := storage.NewMemory("disk-1")
 	m := newSingleNodeOn(t, store)
@@ -56,29 +56,29 @@
 	fleet = newGateways(gateways, "2")
 	term := m.leadership.term
 	for i := range fleet {
-		fleet[i].Term = term // as another control node reported it
+		fleet[i].Term = term // which another control node has told them
 	}
 	fleet.renew(t, m, now)
 	if written := m.recorded("2"); written > 0 {
-		t.Errorf("%d new records were written before anybody may serve", written)
+		t.Errorf("%d new records were written before any gateway may activate the table, want 0", written)
 	}
 	m.advance(t, &now, 2*DefaultTickInterval)
 	if m.leadership.leases.ActivatableSerial() == 0 {
-		t.Error("nothing may become active although every gateway renewed")
+		t.Error("no serial may be activated although every gateway has renewed")
 	}
 	fleet.renew(t, m, now)
 	for i := range fleet {
 		if fleet[i].ActiveSerial == 0 {
-			t.Fatalf("%s may not serve yet", fleet[i].Gateway.Name)
+			t.Fatalf("%s may not activate a serial yet", fleet[i].Gateway.Name)
 		}
 	}
 	m.advance(t, &now, 4*DefaultTickInterval)
 	if written := m.recorded("2"); written != gateways {
-		t.Errorf("%d of %d gateways are recorded", written, gateways)
+		t.Errorf("%d of %d gateways have their new records, want all", written, gateways)
 	}
 }
 
-// recorded counts the member records with an incarnation.
+// recorded counts the gateway records with an incarnation.
 func (m *machine) recorded(incarnation string) int {
 	count := 0
 	for _, record := range m.driver.Catalog().Gateways() {
@@ -89,8 +89,8 @@
 	return count
 }
 
-// TestSilentGatewayDelaysRecordsBriefly: one that never renews again does not
-// keep the others from being recorded.
+// TestSilentGatewayDelaysRecordsBriefly checks that a gateway that never renews with a
+// new primary delays the new records of the others by TakeoverDelay at most.
 func TestSilentGatewayDelaysRecordsBriefly(t *testing.T) {
 	store := storage.NewMemory("disk-1")
 	m := newSingleNodeOn(t, store)
@@ -111,16 +111,16 @@
 		fleet.renew(t, m, now)
 		m.advance(t, &now, DefaultTickInterval)
 		if now-ready > leases.TakeoverDelay+200*time.Millisecond {
-			t.Fatal("a gateway that returned is not recorded")
+			t.Fatal("a restarted gateway has no new record after the takeover delay")
 		}
 	}
 }
 
-// TestLargeTransfersLeaveRoomOnTheLink: when the records of all gateways change at
-// once, the differences go out over some renewals and fill half of the link at most.
-// Everybody keeps the lease meanwhile, and has the difference in the end.
-func TestLargeTransfersLeaveRoomOnTheLink(t *testing.T) {
-	const gateways, interval, mostIntervals = 300, 50 * time.Millisecond, 60
+// TestLargeTransfersAreRateLimited checks that when the records of all gateways change at
+// once, the incremental transfers are spread over several renewals and use at most half
+// of the link, and that every gateway keeps its lease and catches up.
+func TestLargeTransfersAreRateLimited(t *testing.T) {
+	const gateways, interval, maxIntervals = 300, 50 * time.Millisecond, 60
 	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
@@ -134,25 +134,26 @@
 		others[i].Gateway.Name += "-other"
 		others[i].Gateway.Incarnation = rand.Text()
 	}
-	others.renew(t, m, now) // as many new records
+	others.renew(t, m, now) // adds a record for each
 	m.advance(t, &now, interval)
 	bound := transfer.LinkShare * DefaultLinkMbps * 1e6 / 8 * (interval + transfer.Burst).Seconds()
-	for range mostIntervals {
-		sent, behind := fleet.follow(t, m, now)
-		if float64(sent) > bound+64<<10 { // and one transfer that was begun
-			t.Fatalf("%d octets at once, want at most %.0f", sent, bound)
+	for range maxIntervals {
+		sent, behind := fleet.renewAndCatchUp(t, m, now)
+		if float64(sent) > bound+64<<10 { // the last transfer may exceed the limit
+			t.Fatalf("%d bytes were sent in one interval, want at most %.0f", sent, bound)
 		}
 		if behind == 0 {
 			return
 		}
 		m.advance(t, &now, interval)
 	}
-	t.Errorf("some gateways are behind after %v", mostIntervals*interval)
+	t.Errorf("some gateways have not caught up after %v", maxIntervals*interval)
 }
 
-// follow renews each lease, which none may lose. It returns the octets of the packed
-// transfers that were sent, and the number of gateways that are still behind.
-func (r renewals) follow(t *testing.T, m *machine, now time.Duration) (sent, behind int) {
+// renewAndCatchUp renews each lease and fails the test if one is lost. It returns the
+// bytes of the packed transfers that were sent, and the number of gateways that still lack
+// the newest serial.
+func (r renewals) renewAndCatchUp(t *testing.T, m *machine, now time.Duration) (sent, behind int) {
 	t.Helper()
 	for i := range r {
 		m.tick(now)
@@ -173,7 +174,7 @@
 	return sent, behind
 }
 
-// renewals are the next renewals of many gateways.
+// renewals are the next renewal requests of many gateways.
 type renewals []peer.Renew
 
 func newGateways(count int, incarnation string) renewals {
@@ -185,7 +186,7 @@
 	return made
 }
 
-// renew renews each lease, and says how many were granted.
+// renew sends each renewal, and returns the number of leases that were granted.
 func (r renewals) renew(t *testing.T, m *machine, now time.Duration) (leased int) {
 	t.Helper()
 	for i := range r {
--- a/control/engine/group.go
+++ b/control/engine/group.go
@@ -9,31 +9,34 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// EnterGroup makes this node belong to a group, if it has none. A node that joins
-// has no snapshot yet: the leader sends one.
+// EnterGroup makes this node a part of a group, unless it belongs to one already, and
+// reports whether it did. A node that joins an existing group passes an empty snapshot:
+// the leader sends it one later.
 func (e *Engine) EnterGroup(ctx context.Context, cluster string, snapshot consensus.Snapshot) (bool, error) {
 	return eventqueue.Ask(ctx, e.queue, func(now time.Duration) bool {
 		return e.machine.driver.EnterGroup(now, cluster, snapshot)
 	})
 }
 
-// AcceptBootstrap makes this node a voter of a new group, if it has none and is in
-// the first membership. If this node has promised its vote to an identity, that must
-// be in the membership too.
-func (e *Engine) AcceptBootstrap(ctx context.Context, request peer.Bootstrap, promised consensus.ID) (bool, error) {
+// AcceptBootstrap makes this node a voter of a new group, if it belongs to no group and
+// is a voter in the first membership. If this node waits for a coordinator to bootstrap
+// the group (coordinator is not consensus.None), the membership must contain that too.
+// It reports whether this node now belongs to the new group.
+func (e *Engine) AcceptBootstrap(ctx context.Context, request peer.Bootstrap, coordinator consensus.ID) (bool, error) {
 	return eventqueue.Ask(ctx, e.queue, func(now time.Duration) bool {
-		return e.machine.driver.AcceptBootstrap(now, request, promised)
+		return e.machine.driver.AcceptBootstrap(now, request, coordinator)
 	})
 }
 
-// BootstrapState returns the state of the group at its bootstrap. The snapshot's index
-// is 0 if there is none any more.
+// BootstrapState returns the state of the group as bootstrapped. The snapshot's index is
+// 0 if the state has changed since.
 func (e *Engine) BootstrapState(ctx context.Context) (peer.Bootstrap, error) {
 	return eventqueue.Ask(ctx, e.queue, func(time.Duration) peer.Bootstrap { return e.machine.driver.BootstrapState() })
 }
 
-// LearnAddresses keeps where members are that the replicated log here may not know
-// yet, so that this node can answer them. It waits only until the event loop has them.
+// LearnAddresses records the addresses of members that may not be in this node's log yet,
+// so that this node can reply to them. It returns once the request is queued for the event
+// loop.
 func (e *Engine) LearnAddresses(ctx context.Context, members []consensus.Member) {
 	e.queue.Post(ctx, func(time.Duration) { e.machine.driver.LearnAddresses(members) })
 }
--- a/control/engine/groupentry_test.go
+++ b/control/engine/groupentry_test.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// groupOf is the first snapshot of a group of nodes on these disks.
+// groupOf returns the first snapshot of a group with one node for each disk.
 func groupOf(t *testing.T, cluster string, disks ...consensus.ID) consensus.Snapshot {
 	t.Helper()
 	members := make([]consensus.Member, 0, len(disks))
@@ -26,9 +26,10 @@
 	return snapshot
 }
 
-// TestFormationCutBetweenItsWritesIsCompleted: the snapshot names the group, and is
-// written first. A node that starts with it alone belongs to that group.
-func TestFormationCutBetweenItsWritesIsCompleted(t *testing.T) {
+// TestInterruptedGroupEntryIsCompleted checks that a node that crashed while entering a
+// group, after it wrote the first snapshot but before it recorded the group's id, belongs
+// to the group of the snapshot after its restart.
+func TestInterruptedGroupEntryIsCompleted(t *testing.T) {
 	store := storage.NewMemory("disk-1")
 	if err := store.SaveSnapshot(groupOf(t, "cut short", "disk-1"), 2); err != nil {
 		t.Fatal(err)
@@ -39,20 +40,21 @@
 		t.Fatal(err)
 	}
 	if m.driver.Cluster() != "cut short" || loaded.Cluster != m.driver.Cluster() {
-		t.Errorf("the node belongs to %q and its disk to %q, want the group of the snapshot", m.driver.Cluster(), loaded.Cluster)
+		t.Errorf("the node belongs to group %q and its disk to %q, want the group of the snapshot", m.driver.Cluster(), loaded.Cluster)
 	}
 }
 
-// TestGroupOfAnEarlierDiskIsNotAdopted: a node that has promised to wait for one disk
-// adopts no group that was formed without it, by an earlier disk of that node.
-func TestGroupOfAnEarlierDiskIsNotAdopted(t *testing.T) {
+// TestBootstrapFromReplacedCoordinatorIsRejected checks that a node that waits for a
+// coordinator to bootstrap the group rejects a group that does not contain it: that group
+// was bootstrapped by an earlier disk of the coordinator's node.
+func TestBootstrapFromReplacedCoordinatorIsRejected(t *testing.T) {
 	cases := []struct {
-		name     string
-		promised consensus.ID
-		want     bool
+		name        string
+		coordinator consensus.ID
+		want        bool
 	}{
-		{name: "of the disk that was promised", promised: "disk-0", want: true},
-		{name: "of an earlier disk", promised: "disk-0-replaced"},
+		{name: "coordinator is a member", coordinator: "disk-0", want: true},
+		{name: "coordinator is not a member", coordinator: "disk-0-replaced"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,15 +69,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			form := peer.Bootstrap{Cluster: "new", Snapshot: groupOf(t, "new", "disk-0", "disk-1")}
-			if got := m.driver.AcceptBootstrap(0, form, c.promised); got != c.want {
-				t.Errorf("adopted: %t, want %t", got, c.want)
+			request := peer.Bootstrap{Cluster: "new", Snapshot: groupOf(t, "new", "disk-0", "disk-1")}
+			if got := m.driver.AcceptBootstrap(0, request, c.coordinator); got != c.want {
+				t.Errorf("accepted is %t, want %t", got, c.want)
 			}
 		})
 	}
 }
 
-// TestSnapshotOfAnotherGroupIsNotRestored: a node keeps to the group on its disk.
+// TestSnapshotOfAnotherGroupIsNotRestored checks that a node refuses to start from a
+// snapshot of a group other than that recorded on its disk.
 func TestSnapshotOfAnotherGroupIsNotRestored(t *testing.T) {
 	store := storage.NewMemory("disk-1")
 	if err := store.SetCluster("own"); err != nil {
--- a/control/engine/laterenewal_test.go
+++ b/control/engine/laterenewal_test.go
@@ -10,7 +10,8 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// newLeasedGateway is a single primary that has recorded a gateway and granted it a lease.
+// newLeasedGateway returns a primary without other members that has recorded one gateway
+// and granted it a lease, the gateway's next renewal, and the current time.
 func newLeasedGateway(t *testing.T) (*machine, renewals, time.Duration) {
 	t.Helper()
 	m := newSingleNode(t)
@@ -27,33 +28,34 @@
 	return m, gateways, now
 }
 
-// TestLateRenewalOfAnEndedProcessChangesNoRecord: renewals may overtake one another and
-// outlive their process. Whoever was replaced, and whoever doesn't know this term and
-// isn't the one recorded, takes no record back.
-func TestLateRenewalOfAnEndedProcessChangesNoRecord(t *testing.T) {
+// TestStaleRenewalChangesNoRecord checks that a renewal from a process that has ended
+// changes no record. Renewals may be reordered and may arrive after their process has
+// ended: a renewal is stale if its incarnation was replaced, or if its incarnation is not
+// the recorded one and it does not know the current term.
+func TestStaleRenewalChangesNoRecord(t *testing.T) {
 	m, ended, now := newLeasedGateway(t)
 	incarnation := func() string { return m.driver.Catalog().Gateways()["gateway-0"].Incarnation }
 
 	unknown := newGateways(1, "0")
 	unknown.renew(t, m, now) // without the term
 	if got := incarnation(); got != "1" {
-		t.Errorf("a renewal without this term made the record that of incarnation %q, want 1", got)
+		t.Errorf("a renewal without the current term changed the recorded incarnation to %q, want 1", got)
 	}
 	restarted := newGateways(1, "2")
 	restarted[0].Term = m.leadership.term
 	restarted.renew(t, m, now)
 	if got := incarnation(); got != "2" {
-		t.Fatalf("the record is that of incarnation %q after the restart, want 2", got)
+		t.Fatalf("the recorded incarnation is %q after the restart, want 2", got)
 	}
-	ended.renew(t, m, now) // late, and with this term
+	ended.renew(t, m, now) // late, but with the current term
 	if got := incarnation(); got != "2" {
-		t.Errorf("a replaced process took the record back: incarnation %q, want 2", got)
+		t.Errorf("a renewal of the replaced process changed the recorded incarnation to %q, want 2", got)
 	}
 }
 
-// TestNoLeaseWhileItsEndIsBeingRecorded: a record that says that a gateway may hold no
-// lease is on its way, and the old one is still there. A lease granted now would be
-// unknown to the next primary.
+// TestNoLeaseWhileItsEndIsBeingRecorded checks that no lease is granted between the
+// proposal of a record that excludes a lease and its application. The next primary would
+// not know of such a lease.
 func TestNoLeaseWhileItsEndIsBeingRecorded(t *testing.T) {
 	m, gateways, now := newLeasedGateway(t)
 	const check = 50 * time.Millisecond
@@ -61,15 +63,15 @@
 	m.advance(t, &now, lease.Duration+lease.ClockDriftMargin+m.config.GatewayGrace-check)
 	for until := now + check + 2*maintenanceInterval; now < until; now += DefaultTickInterval {
 		m.tick(now)
-		m.maintain(now) // proposes the record and doesn't carry it out
+		m.maintain(now) // proposes the record without applying it
 	}
 	if !m.driver.Catalog().Gateways()["gateway-0"].MayHoldLease {
-		t.Fatal("the end of the lease is recorded already")
+		t.Fatal("the end of the lease is already recorded")
 	}
 	back := gateways[0]
 	back.ReceivedSerial, back.ActiveSerial = m.table().Serial(), m.table().Serial()
 	if grant := m.renew(now, back); !grant.Granted || grant.LeaseMS != 0 {
-		t.Errorf("answered %+v while the end of the lease is being recorded", grant)
+		t.Errorf("the renewal was answered with %+v while the end of the lease is being recorded, want no lease", grant)
 	}
 	if err := m.process(now); err != nil {
 		t.Fatal(err)
@@ -79,19 +81,20 @@
 	}
 }
 
-// TestGatewayAheadOfThePrimaryIsNotGranted: a serial that the primary doesn't have comes
-// from another history.
+// TestGatewayAheadOfThePrimaryIsNotGranted checks that a primary refuses a gateway with a
+// newer serial than its own: that serial belongs to a log that has diverged.
 func TestGatewayAheadOfThePrimaryIsNotGranted(t *testing.T) {
 	m, gateways, now := newLeasedGateway(t)
 	ahead := gateways[0]
 	ahead.ReceivedSerial = m.table().Serial() + 1
 	if grant := m.renew(now, ahead); grant.Granted || grant.LeaseMS != 0 {
-		t.Errorf("a gateway ahead of the primary was answered %+v", grant)
+		t.Errorf("a gateway with a newer serial than the primary was answered with %+v, want a refusal", grant)
 	}
 }
 
-// TestNewPrimaryWaitsForGatewaysOfOlderRecords: a record written before MayHoldLease
-// existed says by Up alone that the gateway may have a lease.
+// TestNewPrimaryWaitsForGatewaysOfOlderRecords checks that a new primary waits for the
+// lease of a gateway whose record was written before MayHoldLease existed. In such a
+// record, Up means that the gateway may hold a lease.
 func TestNewPrimaryWaitsForGatewaysOfOlderRecords(t *testing.T) {
 	store := storage.NewMemory("disk-1")
 	m := newSingleNodeOn(t, store)
@@ -101,7 +104,7 @@
 	update := m.ownUpdate(nil, []registry.Record{registry.Add(catalog.GatewayRecord("gateway-1", older))})
 	m.propose(now, update, func(result registry.Result, err error) {
 		if err != nil || result.Code != registry.NoError {
-			t.Errorf("the older record was not written: %v %v", result.Code, err)
+			t.Errorf("writing the older record failed with code %v, error %v", result.Code, err)
 		}
 	})
 	if err := m.process(now); err != nil {
@@ -115,32 +118,33 @@
 	}
 	m.advance(t, &now, 200*time.Millisecond)
 	if serial := m.leadership.leases.InForceSerial(); serial != 0 {
-		t.Error("a new primary does not wait for the lease of a gateway with an older record")
+		t.Error("the new primary did not wait for the lease of a gateway with an older record")
 	}
 	m.advance(t, &now, lease.DefaultConfig().GracePeriod())
 	if m.leadership.leases.InForceSerial() == 0 {
-		t.Error("the wait for the older record does not end")
+		t.Error("the new primary still waits for the gateway with the older record after the grace period")
 	}
 }
 
-// TestGatewayThatReturnsIsNamedAfterAWhile: one that missed renewals and renews again
-// gets its lease at once. Clients are sent to it only once it has renewed for the grace.
-func TestGatewayThatReturnsIsNamedAfterAWhile(t *testing.T) {
+// TestReturningGatewayIsMarkedUpAfterGrace checks that a gateway that missed renewals is
+// marked up, so that clients are directed to it, only after it has renewed for
+// GatewayGrace.
+func TestReturningGatewayIsMarkedUpAfterGrace(t *testing.T) {
 	m, gateways, now := newLeasedGateway(t)
 	record := func() catalog.Gateway { return m.driver.Catalog().Gateways()["gateway-0"] }
 	m.advance(t, &now, m.config.Lease.Duration+200*time.Millisecond)
 	if record().Up {
-		t.Fatal("a quiet gateway is still recorded as up")
+		t.Fatal("a gateway that stopped renewing is still marked up")
 	}
 	for returned := now; !record().Up; {
 		gateways.renew(t, m, now)
 		m.advance(t, &now, 100*time.Millisecond)
 		waited := now - returned
 		if record().Up && waited < m.config.GatewayGrace {
-			t.Errorf("up %v after its return, want %v", waited, m.config.GatewayGrace)
+			t.Errorf("marked up %v after its first new renewal, want at least %v", waited, m.config.GatewayGrace)
 		}
 		if waited > m.config.GatewayGrace+time.Second {
-			t.Fatalf("not up %v after its return", waited)
+			t.Fatalf("still marked down %v after its first new renewal", waited)
 		}
 	}
 }
--- a/control/engine/leadership.go
+++ b/control/engine/leadership.go
@@ -13,25 +13,27 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// leadership is what this node keeps for one term of leading. It is discarded as a
-// whole when the term ends.
+// leadership is the state of a leader for one term. It is discarded when this node loses
+// leadership.
 type leadership struct {
 	term    uint64
 	elected time.Duration
 	members *membership.Tracker
-	// leases is nil until everything that was committed before the election is
-	// applied here; before, nothing is proposed, granted or answered.
+	// leases is nil until this node has applied everything that was committed before
+	// the election. Until then it proposes nothing, grants no leases and answers no
+	// requests as the primary.
 	leases *leases.Manager
 
 	nextMaintenance time.Duration
-	// headPending and membersPending are true while updates of the head record and
-	// of the member records are in progress.
-	headPending    bool
-	membersPending bool
+	// soaPending and membersPending are true while an update of the SOA record or of
+	// the NS records is in progress.
+	soaPending bool
+	nsPending  bool
 }
 
-// followLeadership begins and ends the leadership as the replicated log says.
-func (m *machine) followLeadership(now time.Duration) {
+// updateLeadership creates or discards the leadership state after the replicated log
+// has changed its role or term.
+func (m *machine) updateLeadership(now time.Duration) {
 	status := m.driver.Group().Status()
 	if m.leadership != nil && (status.Role != consensus.Leader || status.Term != m.leadership.term) {
 		m.log.Warn("leadership lost", "term", m.leadership.term, "newest_term", status.Term)
@@ -49,8 +51,8 @@
 	}
 }
 
-// startServing begins to serve once an entry of the own term is applied, and with
-// it everything that was committed before.
+// startServing makes this leader serve as the primary once it has applied an entry of
+// its own term, and so everything that was committed before its election.
 func (m *machine) startServing(now time.Duration, entry consensus.Entry) {
 	leadership := m.leadership
 	if leadership == nil || leadership.leases != nil || entry.Term != leadership.term || m.driver.State() == nil {
@@ -62,7 +64,7 @@
 	m.log.Info("serving as primary", "term", leadership.term, "serial", serial)
 }
 
-// serving returns the leadership if this node is a primary that may answer.
+// serving returns the leadership state if this node serves as the primary.
 func (m *machine) serving() (*leadership, bool) {
 	if m.leadership == nil || m.leadership.leases == nil {
 		return nil, false
@@ -70,8 +72,8 @@
 	return m.leadership, true
 }
 
-// TransferLeadership begins to hand leadership over, if this node has it. It waits
-// only until the event loop has the request.
+// TransferLeadership starts a transfer of leadership if this node leads. It returns once
+// the request is queued for the event loop.
 func (e *Engine) TransferLeadership(ctx context.Context) {
 	e.queue.Post(ctx, e.machine.transferLeadership)
 }
@@ -92,7 +94,7 @@
 	m.log.Info("leadership transfer started", "term", status.Term, "to", string(target))
 }
 
-// ownUpdate is an update that this node makes for the fleet's own records.
+// ownUpdate returns an update of the registry that this control node itself requests.
 func (m *machine) ownUpdate(prerequisites, changes []registry.Record) registry.Update {
 	update := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 	update.Requestor = permission.Control(m.config.Name)
--- a/control/engine/machine.go
+++ b/control/engine/machine.go
@@ -12,9 +12,9 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// machine is everything that the event loop owns: the driver of the replicated log,
-// and what a leader does with its leadership. Its methods run on the event loop alone;
-// now is the monotonic time of the event queue.
+// machine is the state that the event loop owns: the driver of the replicated log, the
+// sender of table transfers, and the leadership state. Its methods run only on the event
+// loop; now is the monotonic time of the event queue.
 type machine struct {
 	config     Config
 	log        *slog.Logger
@@ -24,7 +24,7 @@
 	leadership *leadership // nil unless this node leads
 }
 
-// newMachine reads the disk.
+// newMachine loads the state from the disk.
 func newMachine(config Config, metrics *metrics.Metrics, now time.Duration) (*machine, error) {
 	driver, err := driver.New(driver.Config{
 		Network:           config.Network,
@@ -50,24 +50,25 @@
 	}, nil
 }
 
-// tick passes the time on. It comes before every other input.
+// tick advances the clock of the replicated log. It must be called before every other
+// input.
 func (m *machine) tick(now time.Duration) {
 	if m.driver.Group() == nil {
 		return
 	}
 	m.driver.Tick(now)
-	m.followLeadership(now)
+	m.updateLeadership(now)
 }
 
-// step hands one message of the group to the replicated log.
+// step passes one message of the group to the replicated log.
 func (m *machine) step(now time.Duration, wrapped peer.ConsensusMessage) {
 	if m.driver.Step(now, wrapped) {
-		m.followLeadership(now)
+		m.updateLeadership(now)
 	}
 }
 
-// process does what the inputs caused: writes, then messages, then changes of the
-// state, until nothing is left to do.
+// process does the work that the inputs caused: it persists the log, sends messages and
+// applies entries, in this order, until the replicated log has nothing more to do.
 func (m *machine) process(now time.Duration) error {
 	if m.driver.Failure() != nil || m.driver.Group() == nil {
 		return m.driver.Failure()
@@ -80,7 +81,7 @@
 		}
 		m.proposeGatewayRecords(now)
 	}
-	m.followLeadership(now)
+	m.updateLeadership(now)
 	m.reviewLeases(now)
 	return m.driver.Failure()
 }
@@ -96,10 +97,12 @@
 	return nil
 }
 
-// table is the registry's table; there is one whenever this node serves as the primary.
+// table returns the registry's table. It must be called only once there is a state, as
+// there is whenever this node serves as the primary.
 func (m *machine) table() *registry.Table { return m.driver.State().Table }
 
-// propose appends an update to the log of a primary. done runs once.
+// propose appends an update to the log if this node serves as the primary. done runs
+// once, on the event loop.
 func (m *machine) propose(now time.Duration, update registry.Update, done func(registry.Result, error)) {
 	if _, serving := m.serving(); !serving {
 		done(registry.Result{}, driver.ErrNotPrimary)
@@ -108,7 +111,7 @@
 	m.driver.Propose(now, update, done)
 }
 
-// observe makes the reading that the event loop publishes.
+// observe returns the observation that the event loop publishes.
 func (m *machine) observe(now time.Duration) *Observation {
 	o := &Observation{
 		At:         now,
--- a/control/engine/memberrecords_test.go
+++ b/control/engine/memberrecords_test.go
@@ -9,22 +9,22 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// TestMemberRecordsAreReplacedByOneUpdate: the registry keeps its last member record
-// whatever an update says. Where all of them change, the new ones come first.
-func TestMemberRecordsAreReplacedByOneUpdate(t *testing.T) {
+// TestNSRecordsAreReplacedByOneUpdate checks that one update can replace all NS records.
+// The registry never deletes the last NS record, so an update must add the new ones first.
+func TestNSRecordsAreReplacedByOneUpdate(t *testing.T) {
 	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
-	settled := func(records ...registry.Record) {
+	applyUpdate := func(records ...registry.Record) {
 		t.Helper()
 		m.propose(now, m.ownUpdate(nil, records), func(registry.Result, error) {})
 		if err := m.process(now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	settled(registry.Add(registry.NSRecord(catalog.Apex, "former")),
+	applyUpdate(registry.Add(registry.NSRecord(catalog.Apex, "former")),
 		registry.DeleteRecord(registry.NSRecord(catalog.Apex, m.config.Name)))
-	m.recordMembers(now, m.leadership)
+	m.updateNSRecords(now, m.leadership)
 	if err := m.process(now); err != nil {
 		t.Fatal(err)
 	}
@@ -33,13 +33,14 @@
 		names = append(names, string(record.Data))
 	}
 	if len(names) != 1 || names[0] != m.config.Name {
-		t.Errorf("the member records are %q after one update, want %q alone", names, m.config.Name)
+		t.Errorf("the NS records are %q after one update, want only %q", names, m.config.Name)
 	}
 }
 
-// TestNewestDiskOfAnAddressAsksToJoin: a request from an earlier disk of the address
-// would bring in a node that is no longer there.
-func TestNewestDiskOfAnAddressAsksToJoin(t *testing.T) {
+// TestJoinRequestReplacesThatOfAnEarlierDisk checks that only the newest request to join
+// from an address is retained: the disk of an earlier one no longer exists, so it must not
+// be admitted.
+func TestJoinRequestReplacesThatOfAnEarlierDisk(t *testing.T) {
 	m := newSingleNode(t)
 	now := time.Duration(0)
 	m.advance(t, &now, 5*time.Second)
@@ -48,6 +49,6 @@
 	}
 	joins := m.leadership.members.Joins()
 	if len(joins) != 1 || joins[0].Member.ID != "disk-2-replaced" {
-		t.Errorf("%+v ask to join, want the newest disk alone", joins)
+		t.Errorf("the requests to join are %+v, want only that of the newest disk", joins)
 	}
 }
--- a/control/engine/members.go
+++ b/control/engine/members.go
@@ -13,19 +13,20 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// maintenanceInterval is the time between two checks of a primary of members,
-// gateways and its own records.
+// maintenanceInterval is the time between two runs of a primary's maintenance of the
+// membership, the leases, and the SOA and NS records.
 const maintenanceInterval = 100 * time.Millisecond
 
-// Join asks the group of this node to admit a node as a voter.
+// Join asks this node's group to admit a node as a voter. Only the primary accepts the
+// request; the reply names the primary.
 func (e *Engine) Join(ctx context.Context, member consensus.Member) (peer.JoinReply, error) {
 	return eventqueue.Ask(ctx, e.queue, func(now time.Duration) peer.JoinReply {
 		return e.machine.join(now, member)
 	})
 }
 
-// join records the request of a node. It is accepted if the node is a member
-// already or may be admitted.
+// join records a node's request to join if this node serves as the primary. The request
+// is accepted if the node is already a member or may be admitted.
 func (m *machine) join(now time.Duration, member consensus.Member) peer.JoinReply {
 	reply := peer.JoinReply{Cluster: m.driver.Cluster()}
 	if m.driver.Group() == nil {
@@ -47,9 +48,9 @@
 	return reply
 }
 
-// maintain is what a primary does at intervals. While a node asks to join, the
-// repair goes on without waiting for them: until it is done, one more loss can
-// cost the majority.
+// maintain runs the primary's periodic maintenance. While there are requests to join, it
+// repairs the group on every call: until the repair is done, one more failure can cost
+// the majority.
 func (m *machine) maintain(now time.Duration) {
 	leadership, serving := m.serving()
 	if !serving {
@@ -62,13 +63,14 @@
 		return
 	}
 	leadership.nextMaintenance = now + maintenanceInterval
-	m.recordHead(now, leadership)
-	m.recordMembers(now, leadership)
+	m.updateSOA(now, leadership)
+	m.updateNSRecords(now, leadership)
 	m.expireLeases(now, leadership)
 	m.repairGroup(now)
 }
 
-// expireLeases drops expired leases and marks lapsed gateways down.
+// expireLeases drops expired leases and queues the changes of the records of gateways
+// that have stopped renewing.
 func (m *machine) expireLeases(now time.Duration, leadership *leadership) {
 	for _, holder := range leadership.leases.Expired(now) {
 		m.log.Warn("lease expired", "gateway", holder.Holder, "incarnation", holder.Incarnation, "term", leadership.term)
@@ -78,34 +80,35 @@
 	}
 }
 
-// recordHead puts this node into the head record as the primary.
-func (m *machine) recordHead(now time.Duration, leadership *leadership) {
+// updateSOA makes the SOA record name this node as the primary.
+func (m *machine) updateSOA(now time.Duration, leadership *leadership) {
 	head := m.table().SOA()
-	if leadership.headPending || head.Primary == m.config.Name {
+	if leadership.soaPending || head.Primary == m.config.Name {
 		return
 	}
 	head.Primary = m.config.Name
 	head.Serial = registry.NextSerial(head.Serial)
-	leadership.headPending = true
+	leadership.soaPending = true
 	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.SOARecord(catalog.Apex, head))})
-	m.propose(now, update, func(registry.Result, error) { leadership.headPending = false })
+	m.propose(now, update, func(registry.Result, error) { leadership.soaPending = false })
 }
 
-// recordMembers brings the member (NS) records in line with the voters.
-func (m *machine) recordMembers(now time.Duration, leadership *leadership) {
-	if leadership.membersPending {
+// updateNSRecords makes the NS records list exactly the voters of the group.
+func (m *machine) updateNSRecords(now time.Duration, leadership *leadership) {
+	if leadership.nsPending {
 		return
 	}
-	changes := m.memberChanges()
+	changes := m.nsRecordChanges()
 	if len(changes) == 0 {
 		return
 	}
-	leadership.membersPending = true
-	m.propose(now, m.ownUpdate(nil, changes), func(registry.Result, error) { leadership.membersPending = false })
+	leadership.nsPending = true
+	m.propose(now, m.ownUpdate(nil, changes), func(registry.Result, error) { leadership.nsPending = false })
 }
 
-// memberChanges adds records before it deletes any, since the last one must stay.
-func (m *machine) memberChanges() []registry.Record {
+// nsRecordChanges returns the changes that make the NS records list exactly the voters. It
+// puts additions before deletions, since the registry never deletes the last NS record.
+func (m *machine) nsRecordChanges() []registry.Record {
 	missing := make(map[string]bool)
 	for _, member := range m.driver.Group().Status().Membership.Members {
 		if !member.Learner {
@@ -127,7 +130,8 @@
 	return append(changes, deleted...)
 }
 
-// repairGroup takes the next step toward a complete group, one change at a time.
+// repairGroup proposes the next membership change toward a complete group, if one is
+// needed and no other is in progress.
 func (m *machine) repairGroup(now time.Duration) {
 	leadership := m.leadership
 	leadership.members.ExpireJoins(now)
@@ -152,7 +156,7 @@
 	}
 }
 
-// self is this node as a member of the group.
+// self describes this node as a member of the group.
 func (m *machine) self() consensus.Member {
 	return consensus.Member{ID: m.driver.Identity(), Name: m.config.Name, Address: m.config.PeerAddress, Zone: m.config.Zone}
 }
--- a/control/engine/observation.go
+++ b/control/engine/observation.go
@@ -10,21 +10,22 @@
 	"github.com/deckpulley/deckpulley/control/membership"
 )
 
-// Observation is what the event loop shows to everybody else: one immutable
-// reading after a batch of events.
+// Observation is an immutable snapshot of the event loop's state for other goroutines,
+// taken after a batch of events.
 type Observation struct {
-	// At is when it was made, on the clock of the event queue.
+	// At is when the observation was taken, on the clock of the event queue.
 	At time.Duration
-	// Identity is that of this node's disk.
+	// Identity is the identity of this node's disk.
 	Identity consensus.ID
-	// Cluster is the id of the group; empty before this node has one.
+	// Cluster is the id of the group; empty until this node belongs to one.
 	Cluster string
-	// Status is that of the replicated log.
+	// Status is the status of the replicated log.
 	Status consensus.Status
-	// Catalog is the state of the registry; nil before there is one.
+	// Catalog is the state of the registry, nil until this node has one, and Serial
+	// the serial of its table.
 	Catalog *catalog.State
 	Serial  uint32
-	// Applied is the index of the newest entry that is in the catalog.
+	// Applied is the index of the newest log entry that the catalog includes.
 	Applied uint64
 	// Primary is true while this node leads and has applied everything that was
 	// committed before it was elected.
@@ -38,26 +39,26 @@
 	InForce      uint32
 	InForceKnown bool
 
-	// superseded is closed when a newer observation was published.
+	// superseded is closed when a newer observation is published.
 	superseded chan struct{}
 }
 
-// Member returns a member by its identity.
+// Member returns the member with an identity, and whether there is one.
 func (o *Observation) Member(id consensus.ID) (consensus.Member, bool) {
 	return membership.Find(o.Status.Membership, id)
 }
 
-// Voter is true if this node votes in the group, as far as it knows.
+// Voter reports whether this node is a voter according to its own log.
 func (o *Observation) Voter() bool {
 	member, found := o.Member(o.Identity)
 	return found && !member.Learner
 }
 
-// WithoutGroup is true while this node knows no membership: it has found no group,
-// or was not admitted to it.
+// WithoutGroup reports whether this node knows no membership: it has found no group, or
+// was not admitted to one.
 func (o *Observation) WithoutGroup() bool { return len(o.Status.Membership.Members) == 0 }
 
-// LeaderAddress is the peer address of the leader; empty if unknown.
+// LeaderAddress returns the peer address of the leader; empty if unknown.
 func (o *Observation) LeaderAddress() string {
 	member, found := o.Member(o.Status.Leader)
 	if !found {
@@ -66,18 +67,18 @@
 	return member.Address
 }
 
-// Ready returns nil if the node may do its work: it votes, and knows a primary.
-// Otherwise it returns why not.
+// Ready returns nil if this node is ready to serve: it is a voter and knows the primary.
+// Otherwise it returns an error with the reason.
 func (o *Observation) Ready() *api.Error {
 	switch {
 	case o.Cluster == "" || o.Catalog == nil:
 		return apierror.NotReady("this node belongs to no group yet")
 	case !o.Voter():
-		return apierror.NotReady("this node does not vote yet")
+		return apierror.NotReady("this node is not a voter of its group yet")
 	case o.LeaderAddress() == "":
 		return apierror.NotReady("no primary is known")
 	case o.Status.Role == consensus.Leader && !o.Primary:
-		return apierror.NotReady("this node was just elected")
+		return apierror.NotReady("this node was elected leader but does not serve as the primary yet")
 	default:
 		return nil
 	}
--- a/control/engine/proposal.go
+++ b/control/engine/proposal.go
@@ -9,15 +9,15 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// proposalResult is what became of one proposed update.
+// proposalResult is the outcome of one proposed update.
 type proposalResult struct {
 	result registry.Result
 	err    error
 }
 
-// Propose puts an update through the log and waits until it is applied and shown by
-// the observation here. After an error other than driver.ErrNotPrimary the update may
-// have been applied, or may be later.
+// Propose appends an update to the log and waits until it is applied and this node's
+// observation includes it. After an error other than driver.ErrNotPrimary, the update may
+// have been applied, or may still be applied later.
 func (e *Engine) Propose(ctx context.Context, update registry.Update) (registry.Result, error) {
 	reply := make(chan proposalResult, 1)
 	posted := e.queue.Post(ctx, func(now time.Duration) {
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -11,13 +11,13 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// Labels of the renewals counter.
+// Label values of the renewals counter.
 const (
 	renewalGranted = "granted"
 	renewalRefused = "refused"
 )
 
-// ServeRenew handles peer.KindRenew, a gateway's renewal.
+// ServeRenew handles peer.KindRenew, a gateway's lease renewal.
 func (e *Engine) ServeRenew(ctx context.Context, _ string, decode func(any) error) (any, error) {
 	var renew peer.Renew
 	if err := decode(&renew); err != nil {
@@ -32,7 +32,7 @@
 	return &grant, nil
 }
 
-// renew decides one renewal.
+// renew answers one lease renewal.
 func (m *machine) renew(now time.Duration, renew peer.Renew) peer.Grant {
 	grant := peer.Grant{Cluster: m.driver.Cluster()}
 	if m.driver.Group() == nil {
@@ -47,7 +47,7 @@
 		m.addFirstTable(now, &grant, renew)
 		return grant
 	}
-	if m.foreign(renew, status.Term) {
+	if m.mustRefuseRenewal(renew, status.Term) {
 		grant.Primary = m.driver.AddressOf(status.Membership, status.Leader)
 		return grant
 	}
@@ -70,9 +70,9 @@
 	return grant
 }
 
-// addFirstTable gives a gateway that has none the table of a node that is not the
-// primary: the gateway may keep it, and activates nothing of it before the primary
-// says so. After a loss of power the primary alone could not send the complete table
+// addFirstTable adds the table of this node, which is not the primary, to the reply to a
+// gateway that has no table. The gateway stores it, but activates it only once the primary
+// permits that. After a power loss, the primary alone could not send the complete table
 // to all gateways at once.
 func (m *machine) addFirstTable(now time.Duration, grant *peer.Grant, renew peer.Renew) {
 	sameGroup := renew.Cluster == "" || renew.Cluster == m.driver.Cluster()
@@ -81,9 +81,10 @@
 	}
 }
 
-// foreign is true for a renewal that this primary must not answer with a grant:
-// from another group, or from a gateway that knows a newer term or serial.
-func (m *machine) foreign(renew peer.Renew, term uint64) bool {
+// mustRefuseRenewal reports whether this primary must not grant a renewal: it comes from a
+// gateway that belongs to another group, or one that knows a newer term or serial than
+// this node.
+func (m *machine) mustRefuseRenewal(renew peer.Renew, term uint64) bool {
 	if renew.Cluster != "" && renew.Cluster != m.driver.Cluster() {
 		return true
 	}
@@ -98,14 +99,15 @@
 	return ahead
 }
 
-// changeGatewayRecord changes a gateway's member record with the next update.
+// changeGatewayRecord queues a change of a gateway's record for the next update.
 func (m *machine) changeGatewayRecord(now time.Duration, change *leases.RecordChange) {
 	m.log.Info("gateway record change queued", "gateway", change.Gateway, "up", change.New.Up, "incarnation", change.New.Incarnation, "term", m.leadership.term)
 	m.leadership.leases.QueueRecord(change)
 	m.proposeGatewayRecords(now)
 }
 
-// proposeGatewayRecords proposes the queued changes unless an update is in progress.
+// proposeGatewayRecords proposes the queued changes of gateway records as one update,
+// unless another is in progress or they are still delayed after an election.
 func (m *machine) proposeGatewayRecords(now time.Duration) {
 	leadership, serving := m.serving()
 	if !serving {
@@ -118,8 +120,8 @@
 	m.propose(now, m.ownUpdate(update.Prerequisites, update.Changes), func(registry.Result, error) { update.Finished() })
 }
 
-// reviewLeases works out what gateways may activate and what is in force, and
-// notifies the gateways of a change.
+// reviewLeases computes the serial that gateways may activate and the serial in force,
+// and notifies the gateways of a new serial or activation.
 func (m *machine) reviewLeases(now time.Duration) {
 	leadership, serving := m.serving()
 	if !serving {
@@ -135,8 +137,8 @@
 	}
 }
 
-// notifyGateways makes the gateways renew: there is a new serial, a new activation
-// or a new primary.
+// notifyGateways asks the gateways to renew immediately, since there is a new serial, a
+// new serial to activate or a new primary.
 func (m *machine) notifyGateways(leadership *leadership) {
 	review := leadership.leases.LastReview()
 	notify := peer.Notify{
--- a/control/engine/report.go
+++ b/control/engine/report.go
@@ -12,25 +12,26 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// Ping returns nil once the event loop has answered.
+// Ping returns nil once the event loop has handled an event, and so is responsive.
 func (e *Engine) Ping(ctx context.Context) error {
 	_, err := eventqueue.Ask(ctx, e.queue, func(time.Duration) struct{} { return struct{}{} })
 	return err
 }
 
-// PrimaryReport is what a primary knows beside the observation.
+// PrimaryReport is the state that only the primary has, such as leases and the
+// reachability of members.
 type PrimaryReport struct {
-	// Primary is false if this node may not answer as the primary; the rest is
-	// then zero.
+	// Primary is false if this node does not serve as the primary; the other fields
+	// are then zero.
 	Primary bool
 	Status  consensus.Status
 	Catalog *catalog.State
-	// RepairDone is true if the group is complete, and Reachable has the members
-	// that have responded lately.
+	// RepairDone is true if the group is complete; see membership.Repair.Done.
+	// Reachable reports for each member whether it has responded recently.
 	RepairDone bool
 	Reachable  map[consensus.ID]bool
-	// Leases are those in force now, and ActiveVersions the configuration version
-	// that each gateway reported active.
+	// Leases are the current leases. ActiveVersions is the configuration version that
+	// each gateway reported as active, by gateway name.
 	Leases         []lease.HolderStatus
 	ActiveVersions map[string]uint64
 	// InForce is the newest serial known to be active at every lease holder; 0 if
@@ -66,10 +67,10 @@
 	return report
 }
 
-// ReadBarrier is what must be confirmed before a linearizable read may be answered:
-// that this node was still the primary of the term at the time it was asked.
+// ReadBarrier is the condition of a linearizable read. The reader must confirm that this
+// node was still the primary of Term at AskedAt, and wait until Commit is applied.
 type ReadBarrier struct {
-	Primary bool // false if this node may not answer as the primary
+	Primary bool // false if this node does not serve as the primary
 	Term    uint64
 	Commit  uint64
 	AskedAt time.Duration
@@ -88,24 +89,24 @@
 	return ReadBarrier{Primary: true, Term: status.Term, Commit: status.Commit, AskedAt: now}
 }
 
-// OperationState is what the primary knows of an operation.
+// OperationState is the primary's state of one operation.
 type OperationState struct {
-	// Primary is false if this node may not answer as the primary; the rest is
-	// then zero.
+	// Primary is false if this node does not serve as the primary; the other fields
+	// are then zero.
 	Primary bool
-	// Decided is true if the operation was decided: Answer is the stored answer,
-	// visible since Serial.
+	// Decided is true if the operation was decided before. Answer is then the stored
+	// answer, and Serial the serial that made it visible.
 	Decided bool
 	Answer  catalog.OperationResult
 	Serial  uint32
-	// Catalog and Sequence are what a new decision builds on; Surplus are the answers
-	// that are deleted with a new one.
+	// Catalog and Sequence are the inputs of a new decision. Surplus names the oldest
+	// stored answers, which must be deleted when a new one is added.
 	Catalog  *catalog.State
 	Sequence uint64
 	Surplus  []registry.Name
 }
 
-// OperationState asks the event loop about the operation with an id.
+// OperationState asks the event loop for the state of the operation with an id.
 func (e *Engine) OperationState(ctx context.Context, id string) (OperationState, error) {
 	return eventqueue.Ask(ctx, e.queue, func(time.Duration) OperationState {
 		return e.machine.operationState(id)
