--- a/control/driver/driver.go
+++ b/control/driver/driver.go
@@ -1,7 +1,8 @@
-// Package driver drives one node's part of the replicated log: it persists, sends and
-// applies what package consensus asks for, and keeps the state that results.
+// Package driver runs one node of the replicated log: it persists log entries, sends
+// messages and applies committed entries as package consensus requests, and owns the
+// resulting state.
 //
-// It knows nothing of what a leader does with its leadership: package engine does.
+// The tasks of a leader, such as leases and membership repair, are in package engine.
 package driver
 
 import (
@@ -22,53 +23,54 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Config sets up a Driver. All but ElectionTimeout, HeartbeatInterval and Voters are
-// required.
+// Config configures a Driver. All fields but ElectionTimeout, HeartbeatInterval and Voters
+// are required.
 type Config struct {
 	Network transport.Network
 	Store   storage.Store
 	Logger  *slog.Logger
 	Metrics *metrics.Metrics
 
-	// ElectionTimeout, HeartbeatInterval, StartupTimeout and Seed are passed to the
-	// replicated log.
+	// ElectionTimeout, HeartbeatInterval, StartupTimeout and Seed configure the
+	// replicated log, see consensus.Config.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 	StartupTimeout    time.Duration
 	Seed              uint64
-	// SnapshotInterval is the number of entries applied between two snapshots.
+	// SnapshotInterval is the number of log entries applied between two snapshots.
 	SnapshotInterval uint64
-	// Voters is the number of voters of a complete group, if above that of its
-	// bootstrap.
+	// Voters is the number of voters of a complete group, if greater than the number
+	// at its bootstrap.
 	Voters int
 }
 
-// Driver is one node's part of the replicated log. Its methods run on the event loop
-// alone; now is the monotonic time of the event queue.
+// Driver runs one node of the replicated log. Its methods must be called only on the event
+// loop; now is the monotonic time of the event queue.
 type Driver struct {
 	config   Config
 	log      *slog.Logger
 	identity consensus.ID
 
-	// cluster is empty and group nil until this node has a group.
+	// cluster is empty and group nil until this node belongs to a group.
 	cluster string
 	group   *consensus.Node
-	// state is nil until the first snapshot of the group is here.
+	// state is nil until this node has a snapshot of the group.
 	state *statemachine.State
-	// catalog is the typed reading of the state's table.
+	// catalog is the typed view of the state's table.
 	catalog *catalog.State
-	// applied is the index of the newest entry in the state, and snapshotIndex that
-	// of the newest snapshot on disk.
+	// applied is the index of the newest log entry in the state, and snapshotIndex
+	// that of the newest snapshot on disk.
 	applied       uint64
 	snapshotIndex uint64
 
 	waiters map[uint64]waiter // by log index
-	// addresses are those of members that other nodes named.
+	// addresses are the addresses of members as reported by other nodes.
 	addresses map[consensus.ID]string
-	failure   error // a failed write outside of ProcessReady; ends the node
+	failure   error // a failed write outside of ProcessReady; stops the node
 }
 
-// New reads the disk.
+// New loads the state from the disk, and starts the replicated log if this node belongs to
+// a group.
 func New(config Config, now time.Duration) (*Driver, error) {
 	loaded, err := config.Store.Load()
 	if err != nil {
@@ -94,7 +96,7 @@
 	return d, nil
 }
 
-// open starts the replicated log from what the disk contains.
+// open starts the replicated log from the state on disk.
 func (d *Driver) open(loaded storage.State, now time.Duration) error {
 	group, err := consensus.New(consensus.Config{
 		ID:                d.identity,
@@ -118,38 +120,40 @@
 	return d.restore(loaded.Snapshot)
 }
 
-// Identity is that of this node's disk.
+// Identity returns the identity of this node's disk.
 func (d *Driver) Identity() consensus.ID { return d.identity }
 
-// Cluster is the id of the group; empty until this node has one.
+// Cluster returns the id of the group; empty until this node belongs to one.
 func (d *Driver) Cluster() string { return d.cluster }
 
-// Group is the replicated log; nil until this node has a group.
+// Group returns this node of the replicated log; nil until it belongs to a group.
 func (d *Driver) Group() *consensus.Node { return d.group }
 
-// State is the replicated state; nil until the first snapshot of the group is here.
-// Only the driver changes it.
+// State returns the replicated state; nil until this node has a snapshot of the group.
+// The caller must not modify it.
 func (d *Driver) State() *statemachine.State { return d.state }
 
-// Catalog is the typed reading of the state's table, as of the last ProcessReady; nil
+// Catalog returns the typed view of the state's table as of the last ProcessReady; nil
 // until there is a state.
 func (d *Driver) Catalog() *catalog.State { return d.catalog }
 
-// Applied is the index of the newest entry in the state.
+// Applied returns the index of the newest log entry in the state.
 func (d *Driver) Applied() uint64 { return d.applied }
 
-// Failure is a failed write that must end the node; nil if there was none.
+// Failure returns the error of a write that failed outside of ProcessReady, which must stop
+// the node; nil if there was none.
 func (d *Driver) Failure() error { return d.failure }
 
-// Tick passes the time on. It comes before every other input.
+// Tick advances the clock of the replicated log. It must be called before every other
+// input.
 func (d *Driver) Tick(now time.Duration) {
 	if d.group != nil {
 		d.group.Tick(now)
 	}
 }
 
-// Step hands one message to the replicated log. It returns false if the message is of
-// another group.
+// Step passes one message to the replicated log. It returns false if this node belongs to
+// no group or the message is from another group.
 func (d *Driver) Step(now time.Duration, wrapped peer.ConsensusMessage) bool {
 	if d.group == nil || wrapped.Cluster != d.cluster {
 		d.config.Metrics.ForeignMessages.Inc()
@@ -161,9 +165,9 @@
 	return true
 }
 
-// ProcessReady does one batch of the replicated log's work in the order that safety
-// needs: the disk first, then the messages, then the state. It calls applied after
-// each entry.
+// ProcessReady does one batch of the replicated log's work. For safety it persists entries
+// before it sends messages, and then applies committed entries. It calls applied after each
+// applied entry.
 func (d *Driver) ProcessReady(applied func(consensus.Entry)) error {
 	ready := d.group.Ready()
 	if err := d.persist(ready); err != nil {
@@ -188,7 +192,7 @@
 	return d.compact()
 }
 
-// persist syncs what the batch's messages depend on.
+// persist syncs the state that the batch's messages depend on.
 func (d *Driver) persist(ready consensus.Ready) error {
 	if ready.Snapshot == nil && ready.HardState == nil && len(ready.Entries) == 0 {
 		return nil
@@ -201,8 +205,8 @@
 	return nil
 }
 
-// send hands messages to the network. A member without a known address gets
-// nothing: discovery looks for it.
+// send sends messages to the members. A message to a member without a known address is
+// dropped; discovery will find the address.
 func (d *Driver) send(messages []consensus.Message) {
 	if len(messages) == 0 {
 		return
@@ -218,8 +222,8 @@
 	}
 }
 
-// AddressOf returns a member's peer address from the membership, or from what other
-// nodes named; empty if unknown.
+// AddressOf returns a member's peer address from the membership, or else as reported by
+// other nodes; empty if unknown.
 func (d *Driver) AddressOf(current consensus.Membership, id consensus.ID) string {
 	if member, found := membership.Find(current, id); found {
 		return member.Address
@@ -227,7 +231,8 @@
 	return d.addresses[id]
 }
 
-// LearnAddresses keeps where members are that the membership may not have yet.
+// LearnAddresses records addresses of members that may not be in this node's membership
+// yet.
 func (d *Driver) LearnAddresses(members []consensus.Member) {
 	for _, member := range members {
 		if member.ID != consensus.None {
@@ -236,7 +241,7 @@
 	}
 }
 
-// apply applies one committed entry and answers who waits for it.
+// apply applies one committed entry and answers the proposal that waits for it.
 func (d *Driver) apply(entry consensus.Entry) error {
 	var result registry.Result
 	switch entry.Kind {
@@ -258,7 +263,7 @@
 	return nil
 }
 
-// updateCatalog brings the typed reading of the table up to date.
+// updateCatalog brings the typed view of the table up to date.
 func (d *Driver) updateCatalog() error {
 	if d.state == nil {
 		return nil
--- a/control/driver/group.go
+++ b/control/driver/group.go
@@ -11,9 +11,11 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// AcceptBootstrap makes this node a voter of a new group, if it has none and is in the
-// first membership. If an identity was promised, it must be in the membership too.
-func (d *Driver) AcceptBootstrap(now time.Duration, request peer.Bootstrap, promised consensus.ID) bool {
+// AcceptBootstrap makes this node a voter of a new group, if it belongs to no group and is
+// a voter in the first membership. If this node waits for a coordinator to bootstrap the
+// group (coordinator is not consensus.None), the membership must contain that too. It
+// reports whether this node now belongs to the new group.
+func (d *Driver) AcceptBootstrap(now time.Duration, request peer.Bootstrap, coordinator consensus.ID) bool {
 	if d.cluster != "" {
 		return d.cluster == request.Cluster
 	}
@@ -21,18 +23,18 @@
 	if !included || self.Learner {
 		return false
 	}
-	if _, kept := membership.Find(request.Snapshot.Membership, promised); promised != consensus.None && !kept {
+	if _, listed := membership.Find(request.Snapshot.Membership, coordinator); coordinator != consensus.None && !listed {
 		return false
 	}
 	return d.EnterGroup(now, request.Cluster, request.Snapshot)
 }
 
-// EnterGroup makes this node belong to a group. It returns false if it has one, or if
-// the snapshot is not of this group or could not be written. A node that joins has no
-// snapshot yet: the leader sends one.
+// EnterGroup makes this node a part of a group. It returns false if the node already
+// belongs to one, if the snapshot is of another group, or if a write failed. A node that
+// joins an existing group passes an empty snapshot: the leader sends it one later.
 //
-// The snapshot is written first, since that names the group too, so that a crash
-// between the writes is completed at the next start.
+// The snapshot, which contains the group's id, is written before the id itself, so that
+// completeGroupEntry can finish after a crash between the two writes.
 func (d *Driver) EnterGroup(now time.Duration, cluster string, snapshot consensus.Snapshot) bool {
 	if d.cluster != "" {
 		return false
@@ -59,8 +61,8 @@
 	return true
 }
 
-// completeGroupEntry completes an EnterGroup that a crash interrupted between its two writes:
-// the snapshot is on disk and names the group, the group's own mark is not.
+// completeGroupEntry completes an EnterGroup that a crash interrupted between its two
+// writes: the snapshot is on disk, but the group's id is not.
 func (d *Driver) completeGroupEntry(snapshot consensus.Snapshot) error {
 	if d.cluster != "" || snapshot.Index == 0 {
 		return nil
@@ -76,9 +78,9 @@
 	return nil
 }
 
-// BootstrapState returns the state of the group at its bootstrap. After the first
-// change there is none, and the snapshot's index is 0: the group had a majority by
-// then, and its leader brings a member up to date.
+// BootstrapState returns the state of the group as bootstrapped. Once an entry has been
+// applied it returns a snapshot with index 0: by then the group has had a majority, so its
+// leader brings members up to date.
 func (d *Driver) BootstrapState() peer.Bootstrap {
 	if d.state == nil || d.applied != 1 {
 		return peer.Bootstrap{}
--- a/control/driver/proposal.go
+++ b/control/driver/proposal.go
@@ -10,23 +10,23 @@
 )
 
 var (
-	// ErrNotPrimary means that this node does not lead, or not yet: the update
-	// was not proposed.
+	// ErrNotPrimary means that the update was not proposed, since this node does not
+	// lead or does not serve as the primary yet.
 	ErrNotPrimary = errors.New("control: this node is not the primary")
-	// ErrLeadershipLost means that this node does not know whether the update was
-	// committed.
+	// ErrLeadershipLost means that this node lost leadership and does not know
+	// whether the update was or will be committed.
 	ErrLeadershipLost = errors.New("control: leadership was lost before the update was committed")
 )
 
-// waiter gets the result of the entry at its index, if that entry still has its
-// term; done runs once, on the event loop.
+// waiter is a proposal that waits for its entry to be applied. done runs once, on the
+// event loop, with an error if another term's entry is applied at the proposal's index.
 type waiter struct {
 	term uint64
 	done func(result registry.Result, err error)
 }
 
-// Propose appends an update to the log of the leader. done runs once, on the event
-// loop: at once if the update was not proposed.
+// Propose appends an update to the log if this node leads. done runs once, on the event
+// loop: immediately if the update was not proposed, otherwise when its outcome is known.
 func (d *Driver) Propose(now time.Duration, update registry.Update, done func(registry.Result, error)) {
 	data, err := registry.EncodeUpdate(&update)
 	if err != nil {
@@ -41,7 +41,7 @@
 	d.waiters[index] = waiter{term: term, done: done}
 }
 
-// answerWaiter passes the result of an applied entry to who waits for it.
+// answerWaiter passes the result of an applied entry to the proposal that waits for it.
 func (d *Driver) answerWaiter(entry consensus.Entry, result registry.Result) {
 	waiting, found := d.waiters[entry.Index]
 	if !found {
@@ -55,8 +55,8 @@
 	waiting.done(result, nil)
 }
 
-// FailWaiters answers everybody who waits for an update: what becomes of it is not
-// known here.
+// FailWaiters fails all waiting proposals with an error. Their updates may still be
+// committed.
 func (d *Driver) FailWaiters(reason error) {
 	for index, waiting := range d.waiters {
 		delete(d.waiters, index)
--- a/control/driver/snapshot.go
+++ b/control/driver/snapshot.go
@@ -7,11 +7,11 @@
 	"github.com/deckpulley/deckpulley/control/statemachine"
 )
 
-// retainedEntries is the number of entries before a snapshot that stay in the
-// log, so that a member a little behind is sent entries and no snapshot.
+// retainedEntries is the number of entries before a snapshot that are retained in the
+// log, so that a member that is slightly behind is sent entries instead of a snapshot.
 const retainedEntries = 1024
 
-// restore replaces the state by a snapshot's.
+// restore replaces the state by that of a snapshot.
 func (d *Driver) restore(snapshot consensus.Snapshot) error {
 	content, err := statemachine.Decode(snapshot.Data)
 	if err != nil {
@@ -32,14 +32,15 @@
 	return d.updateCatalog()
 }
 
-// install takes a snapshot that the leader sent; persist has stored it.
+// install restores a snapshot that the leader sent and that persist has stored.
 func (d *Driver) install(snapshot consensus.Snapshot) error {
 	d.log.Info("snapshot installed", "index", snapshot.Index, "term", snapshot.Term)
 	d.FailWaiters(ErrLeadershipLost)
 	return d.restore(snapshot)
 }
 
-// compact stores a snapshot when enough was applied since the last one.
+// compact stores a snapshot and compacts the log once SnapshotInterval entries have been
+// applied since the last snapshot.
 func (d *Driver) compact() error {
 	if d.state == nil || d.applied < d.snapshotIndex+d.config.SnapshotInterval {
 		return nil
