--- a/control/engine/members.go
+++ b/control/engine/members.go
@@ -75,7 +75,7 @@
 	for _, holder := range leadership.leases.Expired(now) {
 		m.log.Warn("lease expired", "gateway", holder.Holder, "incarnation", holder.Incarnation, "term", leadership.term)
 	}
-	for _, change := range leadership.leases.Lapsed(now, m.driver.Catalog()) {
+	for _, change := range leadership.leases.LapsedChanges(now, m.driver.Catalog()) {
 		m.changeGatewayRecord(now, change)
 	}
 }
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -63,7 +63,7 @@
 	}
 	m.metrics.Renewals.WithLabelValues(renewalGranted).Inc()
 	grant.Granted = true
-	if leadership.leases.MayLease(m.driver.Catalog(), renew.Gateway) {
+	if leadership.leases.MayGrantLease(m.driver.Catalog(), renew.Gateway) {
 		grant.LeaseMS = decision.LeaseDuration.Milliseconds()
 	}
 	m.transfers.Add(now, &grant, m.table(), renew.ReceivedSerial)
--- a/control/leases/gateways.go
+++ b/control/leases/gateways.go
@@ -8,43 +8,43 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// MissedRenewals is the number of renewals that a gateway must miss before clients
-// and other gateways are no longer sent to it.
+// MissedRenewals is the number of renewals that a gateway must miss before it is marked
+// down, so that clients and other gateways are no longer directed to it.
 const MissedRenewals = 4
 
-// RecordRenewal keeps who renewed. It returns the change of the gateway's member
-// record that follows, nil if none; the caller passes that to QueueRecord.
+// RecordRenewal records a gateway's renewal. It returns the resulting change of the
+// gateway's record, or nil if there is none. The caller passes the change to QueueRecord.
 func (m *Manager) RecordRenewal(now time.Duration, current *catalog.State, renew *peer.Renew) *RecordChange {
-	if m.isLate(current, renew) {
+	if m.isStale(current, renew) {
 		return nil
 	}
 	observed, known := m.gateways[renew.Gateway.Name]
 	if !known {
-		observed = &gateway{since: now}
+		observed = &gateway{renewingSince: now}
 		m.gateways[renew.Gateway.Name] = observed
 	}
 	restarted := observed.info.Incarnation != renew.Gateway.Incarnation
-	lapsed := now-observed.renewed > m.config.Lease.Duration
+	lapsed := now-observed.lastRenewal > m.config.Lease.Duration
 	if restarted || lapsed {
-		observed.since = now
+		observed.renewingSince = now
 	}
-	if restarted || lapsed || observed.received != renew.ReceivedSerial || observed.active != renew.ActiveSerial {
+	if restarted || lapsed || observed.receivedSerial != renew.ReceivedSerial || observed.activeSerial != renew.ActiveSerial {
 		m.reportsChanged = true
 	}
 	observed.info = renew.Gateway
-	observed.received = renew.ReceivedSerial
-	observed.active = renew.ActiveSerial
-	observed.renewed = now
-	observed.contacted = now
+	observed.receivedSerial = renew.ReceivedSerial
+	observed.activeSerial = renew.ActiveSerial
+	observed.lastRenewal = now
+	observed.lastContact = now
 	observed.activeVersion = renew.ActiveVersion
 	return m.recordChange(now, current, renew.Gateway.Name, observed)
 }
 
-// isLate is true for a renewal that may come from a process that has ended: of an
-// incarnation that was replaced, or of another one than the registry names that
-// does not know this term. A gateway that has just started knows the term from its
-// second renewal on.
-func (m *Manager) isLate(current *catalog.State, renew *peer.Renew) bool {
+// isStale reports whether a renewal may come from a process that has ended: its
+// incarnation was replaced, or it is not the recorded incarnation and does not know the
+// current term. A gateway that has just started knows the term from its second renewal on.
+// A renewal that is not stale and has a new incarnation marks the recorded one as replaced.
+func (m *Manager) isStale(current *catalog.State, renew *peer.Renew) bool {
 	record, known := current.Gateways()[renew.Gateway.Name]
 	if !known || record.Incarnation == renew.Gateway.Incarnation {
 		return false
@@ -58,7 +58,8 @@
 	return false
 }
 
-// recordChange brings the member record of a gateway in line with its lease.
+// recordChange returns the change that makes a gateway's record agree with its latest
+// renewal, or nil if there is none or another change is in progress.
 func (m *Manager) recordChange(now time.Duration, current *catalog.State, name string, observed *gateway) *RecordChange {
 	if observed.recordPending {
 		return nil
@@ -75,7 +76,7 @@
 		LinkMbps:     observed.info.LinkMbps,
 	}
 	returned := known && !old.Up && old.Incarnation == desired.Incarnation
-	if returned && now-observed.since < m.config.GatewayGrace {
+	if returned && now-observed.renewingSince < m.config.GatewayGrace {
 		desired.Up = false
 	}
 	if known && old == desired {
@@ -91,29 +92,32 @@
 	}
 }
 
-// Lapsed returns the changes that mark gateways down which have missed several
-// renewals, so that nobody is sent to them, and those that record whose lease has
-// expired, after a grace. Gateways that never renewed with this primary are included.
-// The caller passes each change to QueueRecord.
-func (m *Manager) Lapsed(now time.Duration, current *catalog.State) []*RecordChange {
+// LapsedChanges returns the record changes for gateways that have stopped renewing. A
+// gateway that has missed MissedRenewals is marked down, so that nobody is directed to it,
+// and once its lease has expired and GatewayGrace has passed, its record says that it holds
+// none. Gateways that never renewed with this primary are included. The caller passes each
+// change to QueueRecord.
+func (m *Manager) LapsedChanges(now time.Duration, current *catalog.State) []*RecordChange {
 	var changes []*RecordChange
 	for name, record := range current.Gateways() {
 		observed, known := m.gateways[name]
 		if !known {
-			observed = &gateway{renewed: m.latestEarlierRenewal(), contacted: m.elected}
+			observed = &gateway{lastRenewal: m.latestEarlierRenewal(), lastContact: m.elected}
 			m.gateways[name] = observed
 		}
-		if change := m.lapse(now, name, record, observed); change != nil {
+		if change := m.lapsedChange(now, name, record, observed); change != nil {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (m *Manager) lapse(now time.Duration, name string, record catalog.Gateway, observed *gateway) *RecordChange {
+// lapsedChange returns the record change for one gateway, or nil if there is none or
+// another change is in progress.
+func (m *Manager) lapsedChange(now time.Duration, name string, record catalog.Gateway, observed *gateway) *RecordChange {
 	expiry := m.config.Lease.Duration + m.config.Lease.ClockDriftMargin + m.config.GatewayGrace
-	expired := record.MayHoldLease && now-observed.renewed > expiry
-	idle := record.Up && now-observed.contacted > MissedRenewals*m.config.Lease.RenewalInterval
+	expired := record.MayHoldLease && now-observed.lastRenewal > expiry
+	idle := record.Up && now-observed.lastContact > MissedRenewals*m.config.Lease.RenewalInterval
 	if observed.recordPending || !expired && !idle {
 		return nil
 	}
@@ -131,9 +135,9 @@
 	}
 }
 
-// latestEarlierRenewal is the latest time at which a gateway that never renewed with
-// this primary may have renewed with the one before: its lease ends at the end of
-// the window that a new primary waits for older leases.
+// latestEarlierRenewal returns the latest time at which a gateway that never renewed with
+// this primary can have renewed with an earlier one: a lease renewed then expires at the
+// end of the grace period, for which a new primary waits for leases of earlier primaries.
 func (m *Manager) latestEarlierRenewal() time.Duration {
 	config := m.config.Lease
 	return m.elected + config.GracePeriod() - config.Duration - config.ClockDriftMargin
--- a/control/leases/leases_test.go
+++ b/control/leases/leases_test.go
@@ -15,7 +15,7 @@
 	testGrace = time.Second
 )
 
-// primary is a manager and the table that its record updates change.
+// primary is a manager together with the table to which its record updates are applied.
 type primary struct {
 	t       *testing.T
 	manager *Manager
@@ -43,7 +43,8 @@
 
 func (p *primary) record(gateway string) catalog.Gateway { return p.current().Gateways()[gateway] }
 
-// renew records a renewal, and queues the change that follows from it.
+// renew records a renewal with the current term, and queues the resulting record change.
+// It returns false if there is none.
 func (p *primary) renew(now time.Duration, gateway, incarnation string) bool {
 	p.t.Helper()
 	renew := peer.Renew{Gateway: peer.GatewayInfo{Name: gateway, Incarnation: incarnation}, Term: testTerm}
@@ -55,7 +56,8 @@
 	return true
 }
 
-// commit applies the next update of member records, and returns how many it changes.
+// commit applies the next update of gateway records, and returns the number of changed
+// records.
 func (p *primary) commit(now time.Duration) int {
 	p.t.Helper()
 	next, due := p.manager.NextRecordUpdate(now)
@@ -64,7 +66,7 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, next.Prerequisites, next.Changes)
 	if result := p.table.Apply(&update, func(*registry.Update) error { return nil }); result.Code != registry.NoError {
-		p.t.Fatalf("the update answered %+v", result)
+		p.t.Fatalf("applying the record update returned %+v", result)
 	}
 	next.Finished()
 	return len(next.Changes)
@@ -76,15 +78,15 @@
 	p.renew(now, "gateway-1", "1")
 	first, due := p.manager.NextRecordUpdate(now)
 	if !due || len(first.Changes) != 1 {
-		t.Fatalf("the first update is due %t with %d changes", due, len(first.Changes))
+		t.Fatalf("the first update: due %t with %d changes, want one change", due, len(first.Changes))
 	}
 	p.renew(now, "gateway-2", "1")
 	p.renew(now, "gateway-3", "1")
 	if p.renew(now, "gateway-1", "1") {
-		t.Error("a gateway whose change is in progress has another one")
+		t.Error("a second change was queued for a gateway whose change is in progress")
 	}
 	if _, due := p.manager.NextRecordUpdate(now); due {
-		t.Error("a second update is due before the first is answered")
+		t.Error("a second update is due while the first is in progress")
 	}
 	first.Finished()
 	if changed := p.commit(now); changed != 2 {
@@ -96,10 +98,10 @@
 	p := newPrimary(t)
 	p.renew(0, "gateway-1", "1")
 	if changed := p.commit(TakeoverDelay - 1); changed != 0 {
-		t.Errorf("%d records are changed while earlier leases are unknown", changed)
+		t.Errorf("%d records were changed during the takeover delay, want 0", changed)
 	}
 	if changed := p.commit(TakeoverDelay); changed != 1 {
-		t.Errorf("%d records are changed after the delay, want 1", changed)
+		t.Errorf("%d records were changed after the takeover delay, want 1", changed)
 	}
 }
 
@@ -108,16 +110,16 @@
 	info := peer.GatewayInfo{Name: "gateway-1", Incarnation: "1"}
 	p := newPrimary(t)
 	p.renew(now, info.Name, info.Incarnation)
-	if p.manager.MayLease(p.current(), info) {
-		t.Error("a gateway may have a lease before its record is written")
+	if p.manager.MayGrantLease(p.current(), info) {
+		t.Error("a lease may be granted before the gateway's record is written")
 	}
 	p.commit(now)
-	if !p.manager.MayLease(p.current(), info) {
-		t.Error("a recorded gateway may have no lease")
+	if !p.manager.MayGrantLease(p.current(), info) {
+		t.Error("no lease may be granted although the gateway's record is written")
 	}
 	info.Incarnation = "2"
-	if p.manager.MayLease(p.current(), info) {
-		t.Error("a restarted gateway may have a lease by its predecessor's record")
+	if p.manager.MayGrantLease(p.current(), info) {
+		t.Error("a lease may be granted to a restarted gateway because of its previous incarnation's record")
 	}
 }
 
@@ -133,54 +135,54 @@
 		up       bool
 		mayLease bool
 	}{
-		{name: "renewals missed, but not enough", idle: MissedRenewals * config.RenewalInterval, up: true, mayLease: true},
-		{name: "renewals missed", idle: MissedRenewals*config.RenewalInterval + 1, mayLease: true},
-		{name: "lease within its grace", idle: config.Duration + config.ClockDriftMargin + testGrace, mayLease: true},
-		{name: "lease expired", idle: config.Duration + config.ClockDriftMargin + testGrace + 1},
+		{name: "as many renewals missed as allowed", idle: MissedRenewals * config.RenewalInterval, up: true, mayLease: true},
+		{name: "too many renewals missed", idle: MissedRenewals*config.RenewalInterval + 1, mayLease: true},
+		{name: "lease expired, within the grace", idle: config.Duration + config.ClockDriftMargin + testGrace, mayLease: true},
+		{name: "lease expired, grace over", idle: config.Duration + config.ClockDriftMargin + testGrace + 1},
 	}
 	for _, step := range steps {
 		now := renewed + step.idle
-		for _, change := range p.manager.Lapsed(now, p.current()) {
+		for _, change := range p.manager.LapsedChanges(now, p.current()) {
 			p.manager.QueueRecord(change)
 		}
 		p.commit(now)
 		record := p.record("gateway-1")
 		if record.Up != step.up || record.MayHoldLease != step.mayLease {
-			t.Errorf("%s: up %t, may have a lease %t", step.name, record.Up, record.MayHoldLease)
+			t.Errorf("%s: the record has Up %t and MayHoldLease %t, want otherwise", step.name, record.Up, record.MayHoldLease)
 		}
 	}
 }
 
-func TestLateRenewalChangesNothing(t *testing.T) {
+func TestStaleRenewalChangesNoRecord(t *testing.T) {
 	const now = 2 * TakeoverDelay
 	p := newPrimary(t)
 	p.renew(now, "gateway-1", "1")
 	p.commit(now)
 	if !p.renew(now, "gateway-1", "2") {
-		t.Fatal("a restarted gateway is not recorded")
+		t.Fatal("the renewal of a restarted gateway changes no record")
 	}
 	p.commit(now)
 	if p.renew(now, "gateway-1", "1") {
 		t.Error("a renewal of the replaced incarnation changes the record")
 	}
 	if got := p.record("gateway-1").Incarnation; got != "2" {
-		t.Errorf("the record names incarnation %s", got)
+		t.Errorf("the recorded incarnation is %s, want 2", got)
 	}
 }
 
 func TestReviewNotifiesOnceOfAChange(t *testing.T) {
 	p := newPrimary(t)
 	if !p.manager.Review(0, false, 2) || !p.manager.TakeNotification() {
-		t.Error("a new serial is not notified")
+		t.Error("a new serial causes no notification")
 	}
 	if p.manager.Review(0, false, 2) || p.manager.TakeNotification() {
-		t.Error("an unchanged serial is reviewed or notified again")
+		t.Error("an unchanged serial causes another review or notification")
 	}
 	p.renew(time.Second, "gateway-1", "1")
 	if !p.manager.Review(0, false, 2) {
-		t.Error("a gateway's report is not reviewed")
+		t.Error("a gateway's report causes no review")
 	}
 	if p.manager.TakeNotification() {
-		t.Error("a gateway's report alone is notified")
+		t.Error("a gateway's report causes a notification although no serial has changed")
 	}
 }
--- a/control/leases/records.go
+++ b/control/leases/records.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// maxRecordsPerUpdate bounds the member records that one update changes.
+	// maxRecordsPerUpdate bounds the number of gateway records that one update changes.
 	maxRecordsPerUpdate = 512
-	// TakeoverDelay bounds how long a new primary delays changes of member records.
+	// TakeoverDelay bounds how long a new primary delays changes of gateway records.
 	TakeoverDelay = time.Second
 )
 
-// RecordChange is a change of one gateway's member record.
+// RecordChange is a change of one gateway's record in the registry.
 type RecordChange struct {
 	Gateway string
-	// Old is the record that is replaced, if one Existed.
+	// Old is the record that New replaces, if Existed; otherwise New is the first.
 	Old     catalog.Gateway
 	Existed bool
 	New     catalog.Gateway
 
-	finished func() // runs when the change's update has been answered
+	finished func() // runs when the result of the change's update is known
 }
 
-// recordQueue is the changes that wait for the update in progress, if inProgress.
+// recordQueue has the changes for the next update. inProgress is true while an update is
+// in progress.
 type recordQueue struct {
 	pending    []*RecordChange
 	inProgress bool
 }
 
-// QueueRecord makes a change a part of the next update.
+// QueueRecord queues a change for the next update.
 func (m *Manager) QueueRecord(change *RecordChange) {
 	m.records.pending = append(m.records.pending, change)
 }
 
-// RecordUpdate is one update of member records.
+// RecordUpdate is one update of gateway records.
 type RecordUpdate struct {
 	Prerequisites []registry.Record
 	Changes       []registry.Record
-	// Finished must be called once, when the update has been answered.
+	// Finished must be called once, when the result of the update is known.
 	Finished func()
 }
 
-// NextRecordUpdate takes the queued changes as one update, if none is in progress.
-// Updates of member records go one after the other, so that gateways that come at
-// once, as after a loss of power, become one change of the registry and not one
-// each: every change goes to every gateway.
+// NextRecordUpdate removes queued changes from the queue and returns them as one update.
+// It returns false if there are none, another update is in progress, or changes are
+// delayed after an election. Only one update is in progress at a time, so that the changes
+// of gateways that start together, as after a power loss, are batched: every update of the
+// registry is sent to every gateway.
 func (m *Manager) NextRecordUpdate(now time.Duration) (RecordUpdate, bool) {
 	queue := &m.records
-	if queue.inProgress || len(queue.pending) == 0 || m.delaysRecords(now) {
+	if queue.inProgress || len(queue.pending) == 0 || m.delaysRecordUpdates(now) {
 		return RecordUpdate{}, false
 	}
 	count := min(len(queue.pending), maxRecordsPerUpdate)
@@ -74,14 +76,16 @@
 	return update, true
 }
 
-// delaysRecords is true while a new primary is still finding out who may have leases
-// of earlier ones. Every change of the registry goes to every gateway, and after a
-// loss of power what they need first is the existing table, to serve by it.
-func (m *Manager) delaysRecords(now time.Duration) bool {
+// delaysRecordUpdates reports whether changes of gateway records are delayed because this
+// primary is still determining which gateways hold leases of earlier primaries. Every
+// update of the registry is sent to every gateway, and after a power loss the gateways need
+// the existing table first, so that they can serve.
+func (m *Manager) delaysRecordUpdates(now time.Duration) bool {
 	return !m.grantor.GracePeriodOver() && now-m.servingAt < TakeoverDelay
 }
 
-// prerequisite is the record that is replaced, or that there is none.
+// prerequisite returns the prerequisite that the old record is unchanged, or that there is
+// none.
 func (c *RecordChange) prerequisite() registry.Record {
 	if c.Existed {
 		return registry.Equals(catalog.GatewayRecord(c.Gateway, c.Old))
