--- a/control/eventqueue/eventqueue.go
+++ b/control/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue hands functions to the one goroutine that owns a control
-// node's state.
+// Package eventqueue passes functions to the event loop, the only goroutine that accesses
+// a control node's state.
 package eventqueue
 
 import (
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// capacity bounds the events that wait for the event loop.
+// capacity is the maximum number of queued events.
 const capacity = 4096
 
-// ErrStopped is returned by requests to a node that has ended.
+// ErrStopped is returned by requests to a node that has stopped.
 var ErrStopped = errors.New("control: node has stopped")
 
-// Event runs on the event loop, with the time read after it was taken from the queue.
+// Event is a function that runs on the event loop. now is the time at which it was taken
+// from the queue.
 type Event func(now time.Duration)
 
 // Queue is the queue of one event loop. Its methods are safe for concurrent use.
@@ -24,7 +25,7 @@
 	done    chan struct{}
 }
 
-// New returns an empty queue, and starts its clock.
+// New returns an empty queue whose clock starts at zero.
 func New() *Queue {
 	return &Queue{
 		events:  make(chan Event, capacity),
@@ -33,21 +34,21 @@
 	}
 }
 
-// Now is the monotonic time since the queue was made.
+// Now returns the monotonic time since the queue was created.
 func (q *Queue) Now() time.Duration { return time.Since(q.started) }
 
-// Events is read by the event loop alone.
+// Events returns the channel of queued events. Only the event loop may receive from it.
 func (q *Queue) Events() <-chan Event { return q.events }
 
-// Done is closed by Close.
+// Done returns a channel that is closed by Close.
 func (q *Queue) Done() <-chan struct{} { return q.done }
 
-// Close ends the queue, once, after its event loop has ended. Whoever waits for an
-// answer gets ErrStopped.
+// Close closes the queue. It must be called once, after the event loop has returned. Calls
+// of Ask that wait for an answer return ErrStopped.
 func (q *Queue) Close() { close(q.done) }
 
-// Post queues an event, waiting for capacity. It returns false if ctx or the queue
-// ended first.
+// Post queues an event, waiting while the queue is full. It returns false if ctx is done or
+// the queue is closed before.
 func (q *Queue) Post(ctx context.Context, event Event) bool {
 	select {
 	case q.events <- event:
@@ -59,7 +60,7 @@
 	}
 }
 
-// Offer queues an event and returns true if there is capacity at once.
+// Offer queues an event without waiting. It returns false if the queue is full.
 func (q *Queue) Offer(event Event) bool {
 	select {
 	case q.events <- event:
@@ -69,8 +70,8 @@
 	}
 }
 
-// Ask runs a question on the event loop and waits for its answer. Its error is that
-// of ctx, or ErrStopped.
+// Ask runs a function on the event loop and returns its result. The error is that of ctx,
+// or ErrStopped.
 func Ask[Answer any](ctx context.Context, q *Queue, question func(now time.Duration) Answer) (Answer, error) {
 	reply := make(chan Answer, 1)
 	var none Answer
