--- a/control/readindex/readindex.go
+++ b/control/readindex/readindex.go
@@ -1,6 +1,6 @@
-// Package readindex makes reads linearizable: a read sees everything that was
-// acknowledged before it began. The primary proves that it still leads and returns its
-// commit index, and the reader waits until it has applied that.
+// Package readindex implements linearizable reads, which observe everything that was
+// acknowledged before they began. The primary confirms that it still leads and returns its
+// commit index; the reader waits until it has applied that index.
 package readindex
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Reader makes the reads of one node linearizable. Its methods are safe for
-// concurrent use.
+// Reader does the linearizable reads of one node. Its methods are safe for concurrent
+// use.
 type Reader struct {
 	engine      *engine.Engine
 	network     transport.Network
@@ -24,26 +24,26 @@
 	callTimeout time.Duration
 }
 
-// New returns the reader of a node with a peer address. The timeout bounds the
-// answer to another node's request.
+// New returns the reader of the node at a peer address. callTimeout bounds the handling of
+// a request of another node.
 func New(engine *engine.Engine, network transport.Network, peerAddress string, callTimeout time.Duration) *Reader {
 	return &Reader{engine: engine, network: network, peerAddress: peerAddress, callTimeout: callTimeout}
 }
 
-// Linearizable waits until this node has applied everything that was acknowledged
-// before the call, and returns what it then shows.
+// Linearizable waits until this node has applied everything that was acknowledged before
+// the call, and returns its observation.
 func (r *Reader) Linearizable(ctx context.Context) (*engine.Observation, *api.Error) {
 	index, err := r.readIndex(ctx)
 	if err != nil {
-		return nil, apierror.NoPrimary("the primary could not be asked: "+err.Error(), api.OutcomeRefused)
+		return nil, apierror.NoPrimary("requesting the primary's commit index failed: "+err.Error(), api.OutcomeRefused)
 	}
 	if !r.engine.WaitUntil(ctx, func(o *engine.Observation) bool { return o.Applied >= index }) {
-		return nil, apierror.NoPrimary("this node is behind the primary", api.OutcomeRefused)
+		return nil, apierror.NoPrimary("this node did not catch up with the primary in time", api.OutcomeRefused)
 	}
 	return r.engine.Observe(), nil
 }
 
-// Serve handles message.KindReadIndex.
+// Serve handles message.KindReadIndex. It fails unless this node is the primary.
 func (r *Reader) Serve(ctx context.Context, _ string, _ func(any) error) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.callTimeout)
 	defer cancel()
@@ -54,6 +54,8 @@
 	return &message.ReadIndexReply{Index: index}, nil
 }
 
+// readIndex returns the index that this node must have applied before it may answer a
+// read that begins now. It asks the primary unless this node is the primary.
 func (r *Reader) readIndex(ctx context.Context) (uint64, error) {
 	observed := r.engine.Observe()
 	if observed.Primary {
@@ -70,7 +72,7 @@
 	return reply.Index, nil
 }
 
-// ownReadIndex is the primary's commit index, once a majority has answered a
+// ownReadIndex returns this primary's commit index once a majority has acknowledged a
 // heartbeat that was sent after the read began.
 func (r *Reader) ownReadIndex(ctx context.Context) (uint64, error) {
 	barrier, err := r.engine.ReadBarrier(ctx)
