--- a/control/transfer/transfer.go
+++ b/control/transfer/transfer.go
@@ -1,5 +1,5 @@
-// Package transfer prepares what brings gateways' replicas of the table up to
-// date, and limits the rate at which it is sent.
+// Package transfer prepares the transfers that bring the gateways' replicas of the table up
+// to date, and limits the rate of large ones.
 package transfer
 
 import (
@@ -15,22 +15,24 @@
 	// LinkShare is the fraction of a control node's link that large transfers to
 	// gateways may use.
 	LinkShare = 0.5
-	// Burst is the time whose octets may be sent at once: gateways that were
-	// notified of a change together renew together, a renewal interval apart.
+	// Burst is the capacity of the rate limiter, as the time in which it fills. It is
+	// one renewal interval: gateways that are notified of a change at the same time
+	// keep renewing at the same times, one interval apart.
 	Burst = 300 * time.Millisecond
 
 	bitsPerMegabit = 1e6
 	bitsPerOctet   = 8
 )
 
-// Sender chooses the transfers of one control node.
+// Sender selects the transfers that one control node sends.
 type Sender struct {
 	log     *slog.Logger
 	cache   cache
 	limiter limiter
 }
 
-// NewSender returns the sender of a node whose link carries so many Mbit/s.
+// NewSender returns the sender of a node whose network link has a capacity of linkMbps
+// Mbit/s.
 func NewSender(log *slog.Logger, linkMbps int) *Sender {
 	return &Sender{
 		log:     log,
@@ -38,9 +40,9 @@
 	}
 }
 
-// Add puts into a grant what brings a replica with the received serial up to date
-// with the table; 0 is no replica. A gateway that has one may have to wait for a
-// large transfer until a later renewal.
+// Add adds to a grant the transfer that brings a gateway's replica from the received serial
+// up to date with the table. received is 0 if the gateway has no replica. Otherwise a large
+// transfer may be omitted to limit the rate: the gateway gets it with a later renewal.
 func (s *Sender) Add(now time.Duration, grant *peer.Grant, table *registry.Table, received uint32) {
 	if received == table.Serial() {
 		return
@@ -52,15 +54,17 @@
 	grant.Transfer, grant.Packed = prepared.transfer, prepared.packed
 }
 
-// cache keeps the transfers to one serial of one table, since many gateways need the
-// same. A snapshot of the group replaces the table.
+// cache holds the prepared transfers to one serial of one table, by the serial that the
+// gateway has, since many gateways need the same one. It depends on the table, too, since
+// installing a snapshot of the group replaces the table.
 type cache struct {
 	table      *registry.Table
 	serial     uint32
 	byReceived map[uint32]prepared
 }
 
-// prepared is one transfer, packed if it is large.
+// prepared is one transfer that is ready to be sent. Only one of its fields is set: packed
+// if the transfer is large.
 type prepared struct {
 	transfer *registry.Transfer
 	packed   peer.PackedTransfer
@@ -70,12 +74,12 @@
 	if serial := table.Serial(); s.cache.table != table || s.cache.serial != serial {
 		s.cache = cache{table: table, serial: serial, byReceived: make(map[uint32]prepared)}
 	}
-	known, found := s.cache.byReceived[received]
+	cached, found := s.cache.byReceived[received]
 	if !found {
-		known = s.pack(forGateways(table.TransferSince(received)))
-		s.cache.byReceived[received] = known
+		cached = s.pack(forGateways(table.TransferSince(received)))
+		s.cache.byReceived[received] = cached
 	}
-	return known
+	return cached
 }
 
 func (s *Sender) pack(transfer registry.Transfer) prepared {
@@ -89,16 +93,17 @@
 	return prepared{transfer: &transfer}
 }
 
-// limiter is a token bucket for the octets of large transfers, which many gateways
-// ask for at once when many records change: on a full link, heartbeats would be
-// late and leadership lost.
+// limiter is a token bucket for the bytes of large transfers. When many records change,
+// many gateways need such a transfer at once; they would saturate the link, so that
+// heartbeats would be delayed and leadership lost.
 type limiter struct {
 	octetsPerSecond float64
-	available       float64 // octets; below 0 after a transfer larger than the rest
+	available       float64 // octets; negative after a transfer that exceeded the rest
 	updated         time.Duration
 }
 
-// allow says whether so many octets may be sent now, and counts them if so.
+// allow reports whether a transfer of this size may be sent now, and if so deducts it from
+// the available octets. A transfer may exceed them as long as any are available.
 func (l *limiter) allow(now time.Duration, octets int) bool {
 	l.available = min(l.available+l.octetsPerSecond*(now-l.updated).Seconds(), l.octetsPerSecond*Burst.Seconds())
 	l.updated = now
@@ -109,15 +114,16 @@
 	return true
 }
 
-// forGateways leaves out what no gateway decides by: the text of the document
-// and the answers to operations. Both are most of a change's octets, and control
-// nodes alone give them to readers.
+// forGateways omits the records that gateways do not use: the text of the configuration
+// document and the answers to operations. They are most of the bytes of a change, and only
+// control nodes serve them.
 func forGateways(transfer registry.Transfer) registry.Transfer {
 	transfer.Removed = gatewayRecords(transfer.Removed)
 	transfer.Added = gatewayRecords(transfer.Added)
 	return transfer
 }
 
+// gatewayRecords returns the records of types that gateways use.
 func gatewayRecords(records []registry.Record) []registry.Record {
 	var kept []registry.Record
 	for _, record := range records {
