--- a/control/message/golden_test.go
+++ b/control/message/golden_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// encodeBody encodes a message's body as package transport does.
+// encodeBody encodes the body of a message as package transport does.
 func encodeBody(t *testing.T, message any) []byte {
 	t.Helper()
 	mode, err := cbor.EncOptions{}.EncMode()
--- a/control/message/message.go
+++ b/control/message/message.go
@@ -1,5 +1,5 @@
-// Package message defines the messages that control nodes alone exchange. Those
-// that gateways take part in are in package peer.
+// Package message defines the messages that are exchanged only between control nodes.
+// Those that gateways send or receive, too, are in package peer.
 package message
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Kinds of messages. They follow those of package peer with a gap.
+// Kinds of messages. They start at 64, to leave room for kinds of package peer.
 const (
 	KindDescribe  transport.Kind = 64 // call DescribeRequest/Description, control to control
 	KindReadIndex transport.Kind = 65 // call ReadIndexRequest/ReadIndexReply, control to the primary
@@ -16,12 +16,12 @@
 	KindWhere     transport.Kind = 67 // call WhereRequest/WhereReply, control without a group to a member
 )
 
-// DescribeRequest asks a control node for what its member record does not
-// contain. A lost one is sent again.
+// DescribeRequest asks a control node for its description, which includes what the group's
+// membership does not contain. It is sent again if it is lost.
 type DescribeRequest struct{}
 
-// Description answers DescribeRequest. It proves that the process with this
-// disk was alive after the request was sent.
+// Description answers DescribeRequest. It proves that the process with the disk of this
+// identity was alive after the request was sent.
 type Description struct {
 	Name            string       `cbor:"1,keyasint"`
 	Identity        consensus.ID `cbor:"2,keyasint"`
@@ -31,8 +31,9 @@
 	OperatorAddress string       `cbor:"6,keyasint"`
 }
 
-// ReadIndexRequest asks the primary for the log index that a reader must have
-// applied to observe every update acknowledged before. A lost one is sent again.
+// ReadIndexRequest asks the primary for the log index that a reader must have applied to
+// observe every update that was acknowledged before the request. It is sent again if it is
+// lost.
 type ReadIndexRequest struct{}
 
 // ReadIndexReply answers ReadIndexRequest.
@@ -40,8 +41,8 @@
 	Index uint64 `cbor:"1,keyasint"`
 }
 
-// OverviewRequest asks the primary for the state that only the primary has. If
-// it is lost, the sender answers from its own state.
+// OverviewRequest asks the primary for the status of the group, parts of which only the
+// primary knows. If it is lost, the sender reports its own state instead.
 type OverviewRequest struct{}
 
 // Overview answers OverviewRequest.
@@ -50,8 +51,8 @@
 	RepairDone bool             `cbor:"2,keyasint"`
 }
 
-// WhereRequest asks a member which gateways clients of a region should use. It
-// is comparable: answers are cached by it.
+// WhereRequest asks a member which gateways the clients of a region should use. The type
+// must be comparable, since it is the key of a cache of answers.
 type WhereRequest struct {
 	Region string `cbor:"1,keyasint"`
 	Limit  int    `cbor:"2,keyasint"`
