--- a/control/bootstrap/bootstrap.go
+++ b/control/bootstrap/bootstrap.go
@@ -205,7 +205,7 @@
 		b.log.Info("group bootstrap postponed", "error", err)
 		return
 	}
-	snapshot, err := statemachine.First(cluster, b.config.Name, members)
+	snapshot, err := statemachine.InitialSnapshot(cluster, b.config.Name, members)
 	if err != nil {
 		b.log.Error("group bootstrap failed", "error", err)
 		return
--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -39,7 +39,7 @@
 	if m.driver.Group() != nil {
 		return m
 	}
-	snapshot, err := statemachine.First("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
+	snapshot, err := statemachine.InitialSnapshot("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
 	if err != nil || !m.driver.EnterGroup(0, "cluster", snapshot) {
 		tb.Fatal("the group was not bootstrapped: ", err)
 	}
--- a/control/engine/groupentry_test.go
+++ b/control/engine/groupentry_test.go
@@ -19,7 +19,7 @@
 	for _, disk := range disks {
 		members = append(members, consensus.Member{ID: disk, Name: "node-of-" + string(disk), Address: string(disk) + ":1"})
 	}
-	snapshot, err := statemachine.First(cluster, members[0].Name, members)
+	snapshot, err := statemachine.InitialSnapshot(cluster, members[0].Name, members)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/statemachine/golden_test.go
+++ b/control/statemachine/golden_test.go
@@ -21,7 +21,7 @@
 		{ID: "disk-2", Name: "control-2", Address: "10.0.0.2:7141", Zone: "zone-2"},
 		{ID: "disk-3", Name: "control-3", Address: "10.0.0.3:7141", Zone: "zone-3"},
 	}
-	snapshot, err := First(goldenCluster, "control-1", members)
+	snapshot, err := InitialSnapshot(goldenCluster, "control-1", members)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,8 +31,8 @@
 	}
 }
 
-// goldenUpdates are updates of each kind that control nodes put into the log, in an
-// order in which all are accepted.
+// goldenUpdates returns one update of each kind that control nodes append to the log, in
+// an order in which all of them are accepted.
 func goldenUpdates() []struct {
 	name   string
 	update registry.Update
@@ -55,7 +55,7 @@
 		update registry.Update
 	}{
 		{name: "update-head", update: update(permission.Control("control-1"), nil, []registry.Record{
-			registry.Add(registry.SOARecord(catalog.Apex, registry.SOA{Primary: "control-1", Serial: 2, Refresh: headRefresh, Expire: headExpire})),
+			registry.Add(registry.SOARecord(catalog.Apex, registry.SOA{Primary: "control-1", Serial: 2, Refresh: soaRefresh, Expire: soaExpire})),
 		})},
 		{name: "update-members", update: update(permission.Control("control-1"), nil, []registry.Record{
 			registry.Add(registry.NSRecord(catalog.Apex, "control-4")),
@@ -109,15 +109,15 @@
 	}
 }
 
-// TestGoldenSnapshot applies the golden entries to the golden first snapshot, and
-// compares the data of the next snapshot.
+// TestGoldenSnapshot checks that applying the golden entries to the golden first snapshot
+// results in the golden second snapshot.
 func TestGoldenSnapshot(t *testing.T) {
 	first, err := Decode(golden.Read(t, "snapshot-first"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first.Cluster != goldenCluster || first.Voters != 3 || len(first.Operations) != 0 {
-		t.Errorf("the first snapshot is of group %q with %d voters and operations %v", first.Cluster, first.Voters, first.Operations)
+		t.Errorf("the first snapshot has group %q, %d voters and operations %v; want the golden group, 3 voters and no operations", first.Cluster, first.Voters, first.Operations)
 	}
 	state, err := Restore(first)
 	if err != nil {
@@ -130,7 +130,7 @@
 		}
 		result := state.Apply(&update)
 		if result.Code != registry.NoError || !result.Changed {
-			t.Errorf("%s answered %+v", c.name, result)
+			t.Errorf("applying %s returned %+v, want a change without an error", c.name, result)
 		}
 	}
 	encodedTable, err := state.Table.Snapshot()
--- a/control/statemachine/operationlog.go
+++ b/control/statemachine/operationlog.go
@@ -5,28 +5,28 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// OperationLimit is the number of newest answers to operations that are kept.
+// OperationLimit is the number of newest answers to operations that are retained.
 const OperationLimit = 10_000
 
-// OperationEntry is one kept operation and the serial that made its answer visible.
+// OperationEntry is one retained operation and the serial that made its answer visible.
 type OperationEntry struct {
 	Name   registry.Name `cbor:"1,keyasint"`
 	Serial uint32        `cbor:"2,keyasint"`
 }
 
-// OperationLog keeps, oldest first, the serial at which the answer to each kept
-// operation became visible. The zero value is empty.
+// OperationLog lists, oldest first, the operations whose answers are in the table, each
+// with the serial that made its answer visible. The zero value is empty.
 type OperationLog struct {
-	list    []OperationEntry // may contain entries that were deleted since
+	list    []OperationEntry // may include operations deleted from serials since
 	serials map[registry.Name]uint32
 }
 
-// Serial returns the serial that made an operation's answer visible; 0 if the
-// operation is not kept.
+// Serial returns the serial that made an operation's answer visible; 0 if the operation is
+// not retained.
 func (l *OperationLog) Serial(name registry.Name) uint32 { return l.serials[name] }
 
-// Surplus returns the oldest operations, which have to go so that at most limit
-// are kept after one more.
+// Surplus returns the oldest operations: those that must be deleted when one is added, so
+// that at most limit are retained.
 func (l *OperationLog) Surplus(limit int) []registry.Name {
 	count := len(l.serials) + 1 - limit
 	var names []registry.Name
@@ -34,15 +34,16 @@
 		if len(names) >= count {
 			break
 		}
-		if l.keeps(entry) {
+		if l.contains(entry) {
 			names = append(names, entry.Name)
 		}
 	}
 	return names
 }
 
-// follow records what an applied update has changed.
-func (l *OperationLog) follow(update *registry.Update, result registry.Result) {
+// record adds the operations whose answers an applied update added to the table, and
+// removes those whose answers it deleted.
+func (l *OperationLog) record(update *registry.Update, result registry.Result) {
 	if result.Code != registry.NoError || !result.Changed {
 		return
 	}
@@ -70,14 +71,15 @@
 	l.list = append(l.list, entry)
 }
 
-// trim drops deleted entries from the front, where the oldest are.
+// trim drops deleted operations from the front of the list.
 func (l *OperationLog) trim() {
-	for len(l.list) > 0 && !l.keeps(l.list[0]) {
+	for len(l.list) > 0 && !l.contains(l.list[0]) {
 		l.list = l.list[1:]
 	}
 }
 
-func (l *OperationLog) keeps(entry OperationEntry) bool {
+// contains reports whether an entry of the list has not been deleted since.
+func (l *OperationLog) contains(entry OperationEntry) bool {
 	serial, known := l.serials[entry.Name]
 	return known && serial == entry.Serial
 }
@@ -90,11 +92,11 @@
 	}
 }
 
-// entries returns what is kept, oldest first.
+// entries returns the retained operations, oldest first.
 func (l *OperationLog) entries() []OperationEntry {
 	kept := make([]OperationEntry, 0, len(l.serials))
 	for _, entry := range l.list {
-		if l.keeps(entry) {
+		if l.contains(entry) {
 			kept = append(kept, entry)
 		}
 	}
--- a/control/statemachine/operationlog_test.go
+++ b/control/statemachine/operationlog_test.go
@@ -10,12 +10,14 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-func TestOldestOperationsMakeRoom(t *testing.T) {
+// TestOldestOperationsAreDeleted checks that the log retains the newest operations up to
+// the limit, ignores a refused update, and is restored from its entries.
+func TestOldestOperationsAreDeleted(t *testing.T) {
 	const limit = 3
 	var log OperationLog
-	follow := func(serial uint32, changes ...registry.Record) {
+	apply := func(serial uint32, changes ...registry.Record) {
 		update := registry.NewUpdate(catalog.Apex, nil, changes)
-		log.follow(&update, registry.Result{Changed: true, Serial: serial})
+		log.record(&update, registry.Result{Changed: true, Serial: serial})
 	}
 	for i := range 5 {
 		order := fmt.Sprintf("order-%d", i)
@@ -23,16 +25,16 @@
 		for _, name := range log.Surplus(limit) {
 			changes = append(changes, registry.DeleteSet(name, catalog.TypeOperation))
 		}
-		follow(uint32(10+i), changes...)
+		apply(uint32(10+i), changes...)
 		if len(log.serials) > limit {
-			t.Fatalf("%d operations are kept, at most %d may be", len(log.serials), limit)
+			t.Fatalf("%d operations are retained, want at most %d", len(log.serials), limit)
 		}
 	}
 	refused := registry.NewUpdate(catalog.Apex, nil, []registry.Record{registry.Add(catalog.OperationResultRecord("order-9", catalog.OperationResult{}))})
-	log.follow(&refused, registry.Result{Code: registry.YXRRSet})
+	log.record(&refused, registry.Result{Code: registry.YXRRSet})
 	want := []OperationEntry{{catalog.OperationName("order-2"), 12}, {catalog.OperationName("order-3"), 13}, {catalog.OperationName("order-4"), 14}}
 	if difference := cmp.Diff(want, log.entries()); difference != "" {
-		t.Errorf("kept operations (-want +got):\n%s", difference)
+		t.Errorf("retained operations (-want +got):\n%s", difference)
 	}
 	var copied OperationLog
 	copied.restore(log.entries())
--- a/control/statemachine/statemachine.go
+++ b/control/statemachine/statemachine.go
@@ -1,6 +1,6 @@
-// Package statemachine is the state that the control group replicates: the
-// registry's table, and when the answers to operations became visible. It is a
-// function of the log alone, so that every member has the same.
+// Package statemachine implements the state that the control group replicates: the
+// registry's table, and the serials at which the answers to operations became visible. The
+// state depends only on the log, so that it is the same on every member.
 package statemachine
 
 import (
@@ -15,18 +15,19 @@
 const (
 	// firstSerial is the serial of a new group's table.
 	firstSerial = 1
-	// headRefresh and headExpire are the seconds of the head record. Replicas of
-	// the table are renewed far more often, by leases.
-	headRefresh = 1
-	headExpire  = 10
+	// soaRefresh and soaExpire are the refresh and expire times of the SOA record in
+	// seconds. No code reads them: gateways refresh their replicas of the table
+	// far more often, with every lease renewal.
+	soaRefresh = 1
+	soaExpire  = 10
 )
 
 // State is the replicated state.
 type State struct {
 	Table      *registry.Table
 	Operations OperationLog
-	// Voters is the number of voters of a complete group: that of its bootstrap,
-	// or a greater one that was set since.
+	// Voters is the number of voters of a complete group: the number at its bootstrap,
+	// or a greater number that was configured since.
 	Voters int
 }
 
@@ -41,14 +42,14 @@
 	return state, nil
 }
 
-// Apply applies one update. An update that is refused changes nothing.
+// Apply applies one update. A refused update changes nothing.
 func (s *State) Apply(update *registry.Update) registry.Result {
 	result := s.Table.Apply(update, permission.Check)
-	s.Operations.follow(update, result)
+	s.Operations.record(update, result)
 	return result
 }
 
-// Encode returns the data of a snapshot of the state, for the group that it belongs to.
+// Encode returns the encoded snapshot of the state of a group.
 func (s *State) Encode(cluster string) ([]byte, error) {
 	table, err := s.Table.Snapshot()
 	if err != nil {
@@ -57,16 +58,17 @@
 	return Encode(Snapshot{Cluster: cluster, Table: table, Operations: s.Operations.entries(), Voters: s.Voters})
 }
 
-// First returns the snapshot that a new group begins with.
-func First(cluster, primary string, members []consensus.Member) (consensus.Snapshot, error) {
+// InitialSnapshot returns the first snapshot of a new group, with an empty table at index 1
+// of the log.
+func InitialSnapshot(cluster, primary string, members []consensus.Member) (consensus.Snapshot, error) {
 	names := make([]string, 0, len(members))
 	for _, member := range members {
 		names = append(names, member.Name)
 	}
-	head := registry.SOA{Primary: primary, Serial: firstSerial, Refresh: headRefresh, Expire: headExpire}
-	table, err := registry.New(catalog.Apex, catalog.Schema(), head, names)
+	soa := registry.SOA{Primary: primary, Serial: firstSerial, Refresh: soaRefresh, Expire: soaExpire}
+	table, err := registry.New(catalog.Apex, catalog.Schema(), soa, names)
 	if err != nil {
-		return consensus.Snapshot{}, fmt.Errorf("control: making the first table: %w", err)
+		return consensus.Snapshot{}, fmt.Errorf("control: creating the first table: %w", err)
 	}
 	encoded, err := table.Snapshot()
 	if err != nil {
