--- a/control/engine/members.go
+++ b/control/engine/members.go
@@ -82,14 +82,14 @@
 
 // updateSOA makes the SOA record name this node as the primary.
 func (m *machine) updateSOA(now time.Duration, leadership *leadership) {
-	head := m.table().SOA()
-	if leadership.soaPending || head.Primary == m.config.Name {
+	soa := m.table().SOA()
+	if leadership.soaPending || soa.Primary == m.config.Name {
 		return
 	}
-	head.Primary = m.config.Name
-	head.Serial = registry.NextSerial(head.Serial)
+	soa.Primary = m.config.Name
+	soa.Serial = registry.NextSerial(soa.Serial)
 	leadership.soaPending = true
-	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.SOARecord(catalog.Apex, head))})
+	update := m.ownUpdate(nil, []registry.Record{registry.Add(registry.SOARecord(catalog.Apex, soa))})
 	m.propose(now, update, func(registry.Result, error) { leadership.soaPending = false })
 }
 
@@ -139,7 +139,7 @@
 	leadership.members.Observe(now, status.Membership)
 	self := m.self()
 	if known, found := membership.Find(status.Membership, m.driver.Identity()); found && known != self {
-		leadership.members.RecordMove(membership.JoinRequest{Member: self, ReceivedAt: now})
+		leadership.members.RecordUpdatedMember(membership.JoinRequest{Member: self, ReceivedAt: now})
 	}
 	repair := m.repair(now, status)
 	next, needed := repair.Next()
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,11 +1,11 @@
-// Package membership decides how the membership of the control group changes:
-// which nodes join, which failed voters they replace, and who takes over
-// leadership. It does no I/O; a leader feeds it the state of the replicated log.
+// Package membership decides how the membership of the control group changes: which nodes
+// join, which failed voters they replace, and which voter takes over leadership. It does no
+// I/O: the leader passes in the status of the replicated log and proposes the changes.
 package membership
 
 import "github.com/deckpulley/deckpulley/consensus"
 
-// Find returns the member with an identity.
+// Find returns the member with an identity, and whether there is one.
 func Find(membership consensus.Membership, id consensus.ID) (consensus.Member, bool) {
 	for _, member := range membership.Members {
 		if member.ID == id {
@@ -24,8 +24,8 @@
 	return addresses
 }
 
-// Successor returns the voter, other than the leader whose status it is, with
-// the longest replicated log; consensus.None if there is no other voter.
+// Successor returns the voter with the highest match index, other than the leader whose
+// status is given; consensus.None if there is no other voter.
 func Successor(status consensus.Status) consensus.ID {
 	best, bestMatch := consensus.None, uint64(0)
 	for _, member := range status.Membership.Members {
--- a/control/membership/repair.go
+++ b/control/membership/repair.go
@@ -7,38 +7,42 @@
 )
 
 const (
-	// ReachableTimeout is the greatest age of a reachable member's last response.
+	// ReachableTimeout is the time since its last response after which a member counts
+	// as unreachable.
 	ReachableTimeout = time.Second
-	// catchUpDistance is the number of entries that a learner may lack to be promoted.
+	// catchUpDistance is the maximum number of committed entries that a learner may
+	// lack when it is promoted to a voter.
 	catchUpDistance = 64
 	// LearnerTimeout is how long a learner may fail to respond before it is removed.
 	LearnerTimeout = 10 * time.Second
 )
 
-// Repair decides the next membership. It is a pure function of its fields.
+// Repair determines the membership changes that lead to a complete group. Its results
+// depend only on its fields.
 type Repair struct {
 	Now     time.Duration
 	Elected time.Duration    // when this leader was elected
-	Status  consensus.Status // of the leader
+	Status  consensus.Status // the leader's status
 	Joins   []JoinRequest
 	// FirstSeen is when this leader first saw each member in the membership.
 	FirstSeen map[consensus.ID]time.Duration
 	// Voters is the number of voters of a complete group.
 	Voters int
-	// ReplaceAfter is how long a voter must be unreachable before a node with
-	// another address may replace it.
+	// ReplaceAfter is how long a voter must be unreachable before a node at a
+	// different address may replace it.
 	ReplaceAfter time.Duration
 }
 
-// Change is the next step of a repair: one member added, removed or changed.
+// Change is one step of a repair, which adds, removes or changes one member.
 type Change struct {
-	Membership consensus.Membership
-	Reason     string
+	Membership consensus.Membership // the complete new membership
+	Reason     string               // for the log
 }
 
-// Done is true if the group is complete: enough voters, each reachable and with
-// everything committed, no learner, and no membership change in progress. A new
-// voter whose entry is not committed could lose its vote with one more disk.
+// Done reports whether the group is complete: there are enough voters, each is reachable
+// and has all committed entries, there is no learner, and no membership change is in
+// progress. Until the change that added a voter is committed, the loss of one more disk
+// could undo it.
 func (r *Repair) Done() bool {
 	if !r.Status.MembershipCommitted {
 		return false
@@ -56,7 +60,8 @@
 	return voters >= r.Voters
 }
 
-// Reachable is true if a member has responded in this term, and lately.
+// Reachable reports whether a member has responded to this leader within
+// ReachableTimeout.
 func (r *Repair) Reachable(id consensus.ID) bool {
 	if id == r.Status.ID {
 		return true
@@ -65,7 +70,8 @@
 	return responded && r.Now-contact <= ReachableTimeout
 }
 
-// CanAdmit is true if the group lacks a voter, or has one that the node replaces.
+// CanAdmit reports whether the node that asks to join may become a voter: the group has
+// too few, or has one that the node replaces.
 func (r *Repair) CanAdmit(request JoinRequest) bool {
 	if r.countVoters() < r.Voters {
 		return true
@@ -74,8 +80,8 @@
 	return found
 }
 
-// Next returns the next change, or false if there is none to make now. There is
-// at most one learner: it becomes a voter or is removed before the next is added.
+// Next returns the next change, or false if none is possible or needed now. There is at
+// most one learner at a time: it is promoted or removed before another is added.
 func (r *Repair) Next() (Change, bool) {
 	for _, member := range r.Status.Membership.Members {
 		if member.Learner {
@@ -85,7 +91,7 @@
 	for _, request := range r.Joins {
 		if known, found := Find(r.Status.Membership, request.Member.ID); found {
 			if known != request.Member {
-				return r.replace(known, request.Member, "member "+known.Name+" described anew")
+				return r.replace(known, request.Member, "description of member "+known.Name+" updated")
 			}
 			continue
 		}
@@ -96,18 +102,18 @@
 	return Change{}, false
 }
 
-// advanceLearner takes the one learner a step on: if it is gone or no longer
-// needed, it is removed; once it has caught up, the voter that it replaces is
-// removed first, and then it is promoted.
+// advanceLearner returns the next change for the only learner. A learner that has failed or
+// is no longer needed is removed. Once a learner has caught up, the voter that it replaces
+// is removed, and with the next change the learner is promoted.
 func (r *Repair) advanceLearner(learner consensus.Member) (Change, bool) {
 	if r.superseded(learner) || r.idle(learner.ID) > LearnerTimeout {
-		return r.remove(learner, "learner "+learner.Name+" is gone")
+		return r.remove(learner, "unresponsive learner "+learner.Name+" removed")
 	}
 	if !r.caughtUp(learner) {
 		return Change{}, false
 	}
 	if replaced, found := r.replacedVoter(r.requestOf(learner)); found {
-		return r.remove(replaced, "voter "+replaced.Name+" replaced")
+		return r.remove(replaced, "voter "+replaced.Name+" removed for its replacement")
 	}
 	if r.countVoters() < r.Voters {
 		promoted := learner
@@ -115,18 +121,20 @@
 		return r.replace(learner, promoted, "learner "+learner.Name+" promoted")
 	}
 	if r.replacesNobody(learner) {
-		return r.remove(learner, "learner "+learner.Name+" has no place")
+		return r.remove(learner, "unneeded learner "+learner.Name+" removed")
 	}
 	return Change{}, false
 }
 
+// caughtUp reports whether a learner is reachable and lacks at most catchUpDistance
+// committed entries.
 func (r *Repair) caughtUp(learner consensus.Member) bool {
 	match := r.Status.Match[learner.ID]
 	return r.Reachable(learner.ID) && match > 0 && match+catchUpDistance >= r.Status.Commit
 }
 
-// idle is how long a member has not responded to this leader, counted from the
-// election, or from the member's adding, if it never did.
+// idle returns the time since a member last responded to this leader. If it never did, the
+// time counts from the election, or from the member's addition if that was later.
 func (r *Repair) idle(id consensus.ID) time.Duration {
 	if id == r.Status.ID {
 		return 0
@@ -134,9 +142,9 @@
 	return r.Now - max(r.Status.LastContact[id], r.FirstSeen[id], r.Elected)
 }
 
-// replacesNobody is true if every voter that the learner could replace responds:
-// the one that it came for is back. The learner would keep the group from ever
-// being complete, and others from being added.
+// replacesNobody reports whether every voter that the learner could replace is reachable
+// again. Such a learner must be removed: the group would never be complete with it, and no
+// other learner could be added.
 func (r *Repair) replacesNobody(learner consensus.Member) bool {
 	for _, voter := range r.Status.Membership.Members {
 		replaceable := voter.Address == learner.Address || voter.Name == learner.Name || voter.Zone == learner.Zone
@@ -147,7 +155,8 @@
 	return true
 }
 
-// superseded is true if another disk asks to join at the learner's address.
+// superseded reports whether a learner is unreachable while a node with another disk asks
+// to join from its address.
 func (r *Repair) superseded(learner consensus.Member) bool {
 	for _, request := range r.Joins {
 		if request.Member.Address == learner.Address && request.Member.ID != learner.ID {
@@ -157,8 +166,8 @@
 	return false
 }
 
-// requestOf is the request of a learner. One that no longer asks counts as
-// having asked before every response of the others.
+// requestOf returns the join request of a learner. If the learner no longer asks, the
+// request has a zero ReceivedAt, which is before every response of a voter.
 func (r *Repair) requestOf(learner consensus.Member) JoinRequest {
 	for _, request := range r.Joins {
 		if request.Member.ID == learner.ID {
@@ -168,9 +177,10 @@
 	return JoinRequest{Member: learner}
 }
 
-// replacedVoter is the voter that a node replaces: one at its own address that
-// has not responded since the node asked, so its disk is gone from there; else one
-// of its name, else one of its zone, that has been unreachable for long enough.
+// replacedVoter returns the voter that a node replaces, and whether there is one. That is a
+// voter at the node's own address that has not responded since the node asked to join: its
+// disk is no longer there. Otherwise, if the group has enough voters, it is one with the
+// node's name, or else one in the node's zone, that has been unreachable for ReplaceAfter.
 func (r *Repair) replacedVoter(request JoinRequest) (consensus.Member, bool) {
 	member := request.Member
 	complete := r.countVoters() >= r.Voters
@@ -225,7 +235,7 @@
 	return change(members, reason)
 }
 
-// replace changes one member's description. The order of the members stays.
+// replace replaces the description of one member, and retains the order of the members.
 func (r *Repair) replace(old, described consensus.Member, reason string) (Change, bool) {
 	members := append([]consensus.Member(nil), r.Status.Membership.Members...)
 	for i := range members {
--- a/control/membership/repair_test.go
+++ b/control/membership/repair_test.go
@@ -44,28 +44,28 @@
 		contact map[consensus.ID]time.Duration
 		match   map[consensus.ID]uint64
 		joins   []JoinRequest
-		want    []consensus.Member // nil: no step
+		want    []consensus.Member // nil: no change
 		done    bool
 		pending bool // a membership change is not committed
 	}{
-		{name: "a whole group is left alone", members: all, contact: fresh, match: caughtUp, done: true},
-		{name: "a change on its way is no repair done", members: all, contact: fresh, match: caughtUp, pending: true},
-		{name: "a voter behind is no repair done", members: all, contact: fresh, match: map[consensus.ID]uint64{"a": 900, "b": 900, "c": 899}},
-		{name: "a silent voter is no repair done", members: all, contact: lost, match: caughtUp},
-		{name: "two voters are no repair done", members: []consensus.Member{a, b}, contact: fresh, match: caughtUp},
-		{name: "a wiped disk at its address comes as a learner", members: all, contact: lost, match: caughtUp, joins: asks(wiped), want: []consensus.Member{a, b, c, learner(wiped)}},
-		{name: "an older disk's late request is ignored", members: all, contact: fresh, match: caughtUp, joins: []JoinRequest{{Member: wiped, ReceivedAt: now - 1}}, done: true},
-		{name: "another address waits for the voter of its zone to be long gone", members: all, contact: lost, match: caughtUp, joins: asks(moved)},
-		{name: "another address replaces the voter of its zone", members: all, contact: longLost, match: caughtUp, joins: asks(moved), want: []consensus.Member{a, b, c, learner(moved)}},
-		{name: "a stranger to a whole group is not taken", members: all, contact: fresh, match: caughtUp, joins: asks(moved), done: true},
-		{name: "a learner behind waits", members: []consensus.Member{a, b, c, learner(wiped)}, contact: with(lost, "c2"), match: behind, joins: asks(wiped)},
-		{name: "a learner that caught up ousts the old voter", members: []consensus.Member{a, b, c, learner(wiped)}, contact: with(lost, "c2"), match: caughtUp, joins: asks(wiped), want: []consensus.Member{a, b, learner(wiped)}},
-		{name: "then it votes", members: []consensus.Member{a, b, learner(wiped)}, contact: with(fresh, "c2"), match: caughtUp, want: []consensus.Member{a, b, wiped}},
-		{name: "a learner never ousts a voter that answers, and goes itself", members: []consensus.Member{a, b, c, learner(moved)}, contact: with(fresh, "d"), match: caughtUp, joins: asks(moved), want: all},
-		{name: "a learner without a place makes way for another zone's", members: []consensus.Member{a, b, c, learner(moved)}, contact: map[consensus.ID]time.Duration{"b": now - 4*time.Second, "c": now, "d": now}, match: caughtUp, joins: append(asks(moved), asks(elsewhere)...), want: all},
-		{name: "a learner waits while its zone's voter is silent", members: []consensus.Member{a, b, c, learner(moved)}, contact: with(lost, "d"), match: caughtUp, joins: asks(moved)},
-		{name: "a silent learner goes", members: []consensus.Member{a, b, learner(wiped)}, contact: with(fresh, "b"), match: caughtUp, want: []consensus.Member{a, b}},
-		{name: "a member with another address keeps its vote", members: all, contact: fresh, match: caughtUp, joins: asks(voter("b", "5", "y")), want: []consensus.Member{a, voter("b", "5", "y"), c}, done: true},
+		{name: "complete group is not changed", members: all, contact: fresh, match: caughtUp, done: true},
+		{name: "uncommitted change: repair is not done", members: all, contact: fresh, match: caughtUp, pending: true},
+		{name: "voter behind: repair is not done", members: all, contact: fresh, match: map[consensus.ID]uint64{"a": 900, "b": 900, "c": 899}},
+		{name: "unreachable voter: repair is not done", members: all, contact: lost, match: caughtUp},
+		{name: "too few voters: repair is not done", members: []consensus.Member{a, b}, contact: fresh, match: caughtUp},
+		{name: "new disk at a voter's address is added as a learner", members: all, contact: lost, match: caughtUp, joins: asks(wiped), want: []consensus.Member{a, b, c, learner(wiped)}},
+		{name: "request from before the voter's last response is ignored", members: all, contact: fresh, match: caughtUp, joins: []JoinRequest{{Member: wiped, ReceivedAt: now - 1}}, done: true},
+		{name: "node at another address waits until the voter of its zone is unreachable for ReplaceAfter", members: all, contact: lost, match: caughtUp, joins: asks(moved)},
+		{name: "node at another address is added for the unreachable voter of its zone", members: all, contact: longLost, match: caughtUp, joins: asks(moved), want: []consensus.Member{a, b, c, learner(moved)}},
+		{name: "complete group admits no other node", members: all, contact: fresh, match: caughtUp, joins: asks(moved), done: true},
+		{name: "learner that is behind is not promoted", members: []consensus.Member{a, b, c, learner(wiped)}, contact: with(lost, "c2"), match: behind, joins: asks(wiped)},
+		{name: "replaced voter is removed once the learner has caught up", members: []consensus.Member{a, b, c, learner(wiped)}, contact: with(lost, "c2"), match: caughtUp, joins: asks(wiped), want: []consensus.Member{a, b, learner(wiped)}},
+		{name: "learner is promoted after the removal of the replaced voter", members: []consensus.Member{a, b, learner(wiped)}, contact: with(fresh, "c2"), match: caughtUp, want: []consensus.Member{a, b, wiped}},
+		{name: "learner is removed when the voter it would replace is reachable", members: []consensus.Member{a, b, c, learner(moved)}, contact: with(fresh, "d"), match: caughtUp, joins: asks(moved), want: all},
+		{name: "unneeded learner is removed although a voter of another zone is unreachable", members: []consensus.Member{a, b, c, learner(moved)}, contact: map[consensus.ID]time.Duration{"b": now - 4*time.Second, "c": now, "d": now}, match: caughtUp, joins: append(asks(moved), asks(elsewhere)...), want: all},
+		{name: "learner is retained while the voter of its zone is briefly unreachable", members: []consensus.Member{a, b, c, learner(moved)}, contact: with(lost, "d"), match: caughtUp, joins: asks(moved)},
+		{name: "unresponsive learner is removed", members: []consensus.Member{a, b, learner(wiped)}, contact: with(fresh, "b"), match: caughtUp, want: []consensus.Member{a, b}},
+		{name: "member with a new address remains a voter", members: all, contact: fresh, match: caughtUp, joins: asks(voter("b", "5", "y")), want: []consensus.Member{a, voter("b", "5", "y"), c}, done: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,10 +78,10 @@
 			}
 			next, _ := r.Next()
 			if difference := cmp.Diff(c.want, next.Membership.Members); difference != "" {
-				t.Errorf("next step %q (-want +got):\n%s", next.Reason, difference)
+				t.Errorf("members after the next change %q (-want +got):\n%s", next.Reason, difference)
 			}
 			if got := r.Done(); got != c.done {
-				t.Errorf("done is %t, want %t", got, c.done)
+				t.Errorf("Done returned %t, want %t", got, c.done)
 			}
 		})
 	}
--- a/control/membership/replacedlearner_test.go
+++ b/control/membership/replacedlearner_test.go
@@ -7,9 +7,9 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// TestSilentLearnerMakesWayForTheNextDisk: a learner whose disk was replaced in turn is
-// removed as soon as it is silent, and not only when its patience is over.
-func TestSilentLearnerMakesWayForTheNextDisk(t *testing.T) {
+// TestUnreachableLearnerIsReplacedByTheNextDisk checks that a learner whose own disk was
+// replaced is removed as soon as it is unreachable, rather than after LearnerTimeout.
+func TestUnreachableLearnerIsReplacedByTheNextDisk(t *testing.T) {
 	const now = 100 * time.Second
 	learner := consensus.Member{ID: "c2", Name: "three", Address: "3", Learner: true}
 	next := consensus.Member{ID: "c3", Name: "three", Address: "3"}
@@ -20,9 +20,9 @@
 		joins   []JoinRequest
 		removed bool
 	}{
-		{name: "silent and replaced", contact: now - 2*ReachableTimeout, joins: []JoinRequest{{Member: next, ReceivedAt: now}}, removed: true},
-		{name: "replaced and heard", contact: now, joins: []JoinRequest{{Member: next, ReceivedAt: now}}},
-		{name: "silent only", contact: now - 2*ReachableTimeout},
+		{name: "unreachable and replaced", contact: now - 2*ReachableTimeout, joins: []JoinRequest{{Member: next, ReceivedAt: now}}, removed: true},
+		{name: "replaced but reachable", contact: now, joins: []JoinRequest{{Member: next, ReceivedAt: now}}},
+		{name: "unreachable but not replaced", contact: now - 2*ReachableTimeout},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 			}
 			next, needed := r.Next()
 			if needed != c.removed {
-				t.Errorf("next step %q, needed: %t, want %t", next.Reason, needed, c.removed)
+				t.Errorf("next change %q: needed is %t, want %t", next.Reason, needed, c.removed)
 			}
 		})
 	}
--- a/control/membership/tracker.go
+++ b/control/membership/tracker.go
@@ -8,18 +8,19 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// joinTimeout is how long a request to join counts without being repeated.
+// joinTimeout is how long a join request remains valid unless it is repeated.
 const joinTimeout = time.Second
 
-// JoinRequest is the request of a node to become a voter.
+// JoinRequest is a node's request to become a voter, or a member's request to change its
+// description.
 type JoinRequest struct {
 	Member consensus.Member
-	// ReceivedAt is when the newest request of the node arrived.
+	// ReceivedAt is when the node's newest request arrived.
 	ReceivedAt time.Duration
 }
 
-// Tracker keeps what one leader observes of members and of nodes that ask to
-// join, for its term.
+// Tracker tracks, for one term of a leader, the pending join requests and the times at which
+// the members were first seen.
 type Tracker struct {
 	joins     map[consensus.ID]JoinRequest
 	firstSeen map[consensus.ID]time.Duration
@@ -33,8 +34,8 @@
 	}
 }
 
-// RecordJoin keeps a request to join. Another identity at the same address is
-// dropped: it is that of a disk which is no longer there.
+// RecordJoin records a join request. It drops requests with another identity from the same
+// address: their disks are no longer there.
 func (t *Tracker) RecordJoin(request JoinRequest) {
 	for id, other := range t.joins {
 		if other.Member.Address == request.Member.Address {
@@ -44,16 +45,16 @@
 	t.joins[request.Member.ID] = request
 }
 
-// RecordMove keeps a request to join for a member whose name, address or zone
-// has changed. Requests from the same address stay.
-func (t *Tracker) RecordMove(request JoinRequest) {
+// RecordUpdatedMember records a request for a member whose name, address or zone has
+// changed. Unlike RecordJoin it retains other requests from the same address.
+func (t *Tracker) RecordUpdatedMember(request JoinRequest) {
 	t.joins[request.Member.ID] = request
 }
 
-// HasJoins says whether a node asks to join.
+// HasJoins reports whether there are join requests.
 func (t *Tracker) HasJoins() bool { return len(t.joins) > 0 }
 
-// ExpireJoins drops requests that were not repeated in time.
+// ExpireJoins drops the requests that were not repeated within joinTimeout.
 func (t *Tracker) ExpireJoins(now time.Duration) {
 	for id, request := range t.joins {
 		if now-request.ReceivedAt > joinTimeout {
@@ -62,7 +63,8 @@
 	}
 }
 
-// Observe records when each member was first seen, and forgets who is none any more.
+// Observe records the time at which each new member was first seen, and drops former
+// members.
 func (t *Tracker) Observe(now time.Duration, current consensus.Membership) {
 	for id := range t.firstSeen {
 		if _, found := Find(current, id); !found {
@@ -76,7 +78,7 @@
 	}
 }
 
-// Joins returns the requests to join, ordered by identity.
+// Joins returns the join requests, ordered by identity.
 func (t *Tracker) Joins() []JoinRequest {
 	joins := make([]JoinRequest, 0, len(t.joins))
 	for _, request := range t.joins {
--- a/control/membership/tracker_test.go
+++ b/control/membership/tracker_test.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-func TestTrackerKeepsTheNewestRequestOfAnAddress(t *testing.T) {
+func TestTrackerRetainsTheNewestRequestOfAnAddress(t *testing.T) {
 	tracker := NewTracker()
 	old := consensus.Member{ID: "old", Address: "1"}
 	fresh := consensus.Member{ID: "fresh", Address: "1"}
@@ -19,15 +19,15 @@
 	}
 	want := []JoinRequest{{Member: fresh, ReceivedAt: 2}, {Member: other, ReceivedAt: 1}}
 	if difference := cmp.Diff(want, tracker.Joins()); difference != "" {
-		t.Errorf("requests (-want +got):\n%s", difference)
+		t.Errorf("join requests (-want +got):\n%s", difference)
 	}
 	tracker.ExpireJoins(joinTimeout + 2)
 	if difference := cmp.Diff(want[:1], tracker.Joins()); difference != "" {
-		t.Errorf("requests after a time (-want +got):\n%s", difference)
+		t.Errorf("join requests after the first has expired (-want +got):\n%s", difference)
 	}
 	tracker.ExpireJoins(joinTimeout + 3)
 	if tracker.HasJoins() {
-		t.Errorf("requests that were not repeated: %v", tracker.Joins())
+		t.Errorf("join requests remain although all have expired: %v", tracker.Joins())
 	}
 }
 
@@ -45,7 +45,7 @@
 	tracker.Observe(3, of("a", "b", "c"))
 	want := map[consensus.ID]time.Duration{"a": 1, "b": 3, "c": 2}
 	if difference := cmp.Diff(want, tracker.FirstSeen()); difference != "" {
-		t.Errorf("first seen (-want +got):\n%s", difference)
+		t.Errorf("times at which members were first seen (-want +got):\n%s", difference)
 	}
 }
 
@@ -54,10 +54,10 @@
 	match := map[consensus.ID]uint64{"self": 9, "behind": 3, "ahead": 7, "learner": 9}
 	status := consensus.Status{ID: "self", Match: match, Membership: consensus.Membership{Members: members}}
 	if got := Successor(status); got != "ahead" {
-		t.Errorf("got %q, want ahead", got)
+		t.Errorf("the successor is %q, want ahead", got)
 	}
 	status.Membership.Members = members[:1]
 	if got := Successor(status); got != consensus.None {
-		t.Errorf("a lone voter is succeeded by %q", got)
+		t.Errorf("the only voter has successor %q, want none", got)
 	}
 }
