--- a/control/bootstrap/bootstrap.go
+++ b/control/bootstrap/bootstrap.go
@@ -1,9 +1,11 @@
-// Package bootstrap brings a control node into a group.
+// Package bootstrap makes a control node a member of a group: it bootstraps a new group or
+// joins an existing one.
 //
-// A disk without a group is a new member, whatever its node was before. A new group
-// is bootstrapped only when every initial control node answers that it has none, and
-// only by the one with the lowest name; a node that has a group never bootstraps one.
-// A node that finds a group asks to join it.
+// Members are identified by their disks: a node with an empty disk is a new member, even
+// if it was a member before with another disk. A new group is bootstrapped only if every
+// initial control node reports that it belongs to none, and only by the coordinator, which
+// is the one with the lowest name. A node that belongs to a group never bootstraps another.
+// A node that finds an existing group asks to join it.
 package bootstrap
 
 import (
@@ -23,14 +25,14 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Config sets up a Bootstrapper. All but InitialControl are required.
+// Config configures a Bootstrapper. All fields but InitialControl are required.
 type Config struct {
 	// Name, PeerAddress and Zone describe this node as a member of the group.
 	Name        string
 	PeerAddress string
 	Zone        string
-	// InitialControl maps the names of the control nodes that form a new group to
-	// their peer addresses. A node that it does not list only joins.
+	// InitialControl maps the names of the control nodes that bootstrap a new group to
+	// their peer addresses. A node that is not listed only joins an existing group.
 	InitialControl map[string]string
 	// Interval is the time between two rounds of discovery.
 	Interval time.Duration
@@ -44,7 +46,8 @@
 	Logger    *slog.Logger
 }
 
-// Bootstrapper brings one node into a group. Its methods are safe for concurrent use.
+// Bootstrapper makes one node a member of a group. Its methods are safe for concurrent
+// use.
 type Bootstrapper struct {
 	config  Config
 	log     *slog.Logger
@@ -52,8 +55,9 @@
 	greeter *discovery.Greeter
 
 	mutex sync.Mutex
-	// promised is the identity of the node whose Form is awaited.
-	promised consensus.ID
+	// coordinator is the disk identity of the node that this node lets bootstrap the
+	// group; consensus.None if none has asked.
+	coordinator consensus.ID
 }
 
 // New returns the bootstrapper of a node.
@@ -66,8 +70,8 @@
 	}
 }
 
-// Run looks for the group while this node has none, does not vote, or knows no
-// leader, until ctx ends.
+// Run runs discovery rounds until ctx is done, while this node belongs to no group, is not
+// a voter, or knows no leader.
 func (b *Bootstrapper) Run(ctx context.Context) {
 	ticker := time.NewTicker(b.config.Interval)
 	defer ticker.Stop()
@@ -88,7 +92,8 @@
 	return !b.stableMember(observed) || observed.LeaderAddress() == ""
 }
 
-// discover greets every known node, and acts on the answers.
+// discover runs one round: it sends a Hello to every known node and, depending on the
+// replies, bootstraps a group, asks to join one, or completes a bootstrap.
 func (b *Bootstrapper) discover(ctx context.Context) {
 	greetings := b.greeter.Greet(ctx)
 	b.config.Contacts.LearnFrom(ctx, greetings)
@@ -96,22 +101,23 @@
 	switch {
 	case observed.Cluster == "" && b.mayBootstrap(observed, greetings):
 		b.bootstrapGroup(ctx, greetings)
-	case !b.stableMember(observed) || removed(observed, greetings):
+	case !b.stableMember(observed) || removedFromGroup(observed, greetings):
 		b.join(ctx, greetings)
 	default:
 		b.completeBootstrap(ctx, observed, greetings)
 	}
 }
 
-// stableMember is true if this node's own log lists it as a voter, as it is.
+// stableMember reports whether this node's log lists it as a voter with its current name,
+// address and zone.
 func (b *Bootstrapper) stableMember(observed *engine.Observation) bool {
 	self, found := observed.Member(observed.Identity)
 	return found && self == b.self(observed.Identity)
 }
 
-// removed is true if members that know a leader do not count this node among them:
-// it was replaced while it was frozen or partitioned.
-func removed(observed *engine.Observation, greetings []discovery.Greeting) bool {
+// removedFromGroup reports whether a member that knows a leader does not list this node as
+// a member: it was replaced while it was frozen or partitioned.
+func removedFromGroup(observed *engine.Observation, greetings []discovery.Greeting) bool {
 	for _, greeting := range greetings {
 		reply := greeting.Reply
 		if reply.Cluster != observed.Cluster || reply.Leader == consensus.None {
@@ -124,7 +130,8 @@
 	return false
 }
 
-// ServeHello handles peer.KindHello: it says what this node is and whom it knows.
+// ServeHello handles peer.KindHello. The reply describes this node and the members that it
+// knows.
 func (b *Bootstrapper) ServeHello(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var hello peer.Hello
 	if err := decode(&hello); err != nil {
@@ -135,43 +142,47 @@
 		Name:                 b.config.Name,
 		Identity:             observed.Identity,
 		Cluster:              observed.Cluster,
-		BootstrapCoordinator: b.promise(observed, hello),
+		BootstrapCoordinator: b.recordCoordinator(observed, hello),
 		Leader:               observed.Status.Leader,
 		Members:              observed.Status.Membership.Members,
 	}, nil
 }
 
-// promise lets a node with a lower name bootstrap the group, and binds this one to
-// the disk that it asked with: a Form sent from an earlier disk is not accepted.
-func (b *Bootstrapper) promise(observed *engine.Observation, hello peer.Hello) consensus.ID {
+// recordCoordinator records the sender of a Hello as the coordinator, if this node belongs
+// to no group and the sender is an initial control node with a lower name. It returns the
+// current coordinator. The coordinator is identified by its disk, so that AcceptBootstrap
+// rejects a bootstrap that was sent by an earlier disk of the same node.
+func (b *Bootstrapper) recordCoordinator(observed *engine.Observation, hello peer.Hello) consensus.ID {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	_, listed := b.config.InitialControl[hello.Name]
 	if observed.Cluster == "" && listed && hello.Identity != consensus.None && hello.Name < b.config.Name {
-		b.promised = hello.Identity
+		b.coordinator = hello.Identity
 	}
-	return b.promised
+	return b.coordinator
 }
 
-// ServeForm handles peer.KindBootstrap: it makes a fresh node a voter of a new group, once.
-func (b *Bootstrapper) ServeForm(ctx context.Context, from string, decode func(any) error) (any, error) {
-	var form peer.Bootstrap
-	if err := decode(&form); err != nil {
+// ServeBootstrap handles peer.KindBootstrap: it stores the first state of a new group and
+// makes this node a voter of it, unless the node belongs to a group already.
+func (b *Bootstrapper) ServeBootstrap(ctx context.Context, from string, decode func(any) error) (any, error) {
+	var request peer.Bootstrap
+	if err := decode(&request); err != nil {
 		return nil, err
 	}
 	b.mutex.Lock()
-	promised := b.promised
+	coordinator := b.coordinator
 	b.mutex.Unlock()
-	accepted, err := b.engine.AcceptBootstrap(ctx, form, promised)
+	accepted, err := b.engine.AcceptBootstrap(ctx, request, coordinator)
 	if err != nil {
 		return nil, err
 	}
-	b.log.Info("bootstrap state received", "from", from, "cluster", form.Cluster, "accepted", accepted)
+	b.log.Info("bootstrap state received", "from", from, "cluster", request.Cluster, "accepted", accepted)
 	return &peer.BootstrapReply{Accepted: accepted}, nil
 }
 
-// mayBootstrap is true if every other initial control node has just said that it
-// belongs to no group and awaits this node's Form.
+// mayBootstrap reports whether this node may bootstrap a group: it has the lowest name of
+// the initial control nodes, every other one has just replied that it belongs to no group
+// and has this node as its coordinator, and no other node that replied belongs to a group.
 func (b *Bootstrapper) mayBootstrap(observed *engine.Observation, greetings []discovery.Greeting) bool {
 	if _, listed := b.config.InitialControl[b.config.Name]; !listed {
 		return false
@@ -196,8 +207,9 @@
 	return true
 }
 
-// bootstrapGroup makes the first state of a group, stores it here, and sends it to
-// the others. Whom that misses is served by completeBootstrap.
+// bootstrapGroup creates the first state of a group, stores it on this node, and sends it
+// to the other initial control nodes. completeBootstrap sends it again to those that it did
+// not reach.
 func (b *Bootstrapper) bootstrapGroup(ctx context.Context, greetings []discovery.Greeting) {
 	cluster := identity.New()
 	members, err := b.firstMembers(ctx, greetings)
@@ -216,27 +228,28 @@
 	}
 	b.log.Info("group bootstrapped", "cluster", cluster, "members", len(members))
 	for _, member := range members[1:] {
-		b.sendForm(ctx, member.Address, peer.Bootstrap{Cluster: cluster, Snapshot: snapshot})
+		b.sendBootstrapState(ctx, member.Address, peer.Bootstrap{Cluster: cluster, Snapshot: snapshot})
 	}
 }
 
-// completeBootstrap sends the group's first state to members that never received it:
-// they are in the membership under the identity of their disk, which has no group.
-// Such a member has never voted, so any state of the group is good for its start.
+// completeBootstrap sends the group's first state to voters that never received it: the
+// membership lists their disks, but they reply that they belong to no group. Such a voter
+// has never voted, so it may start from any state of the group.
 func (b *Bootstrapper) completeBootstrap(ctx context.Context, observed *engine.Observation, greetings []discovery.Greeting) {
 	for _, greeting := range greetings {
 		member, found := observed.Member(greeting.Reply.Identity)
 		if !found || member.Learner || greeting.Reply.Cluster != "" {
 			continue
 		}
-		form, err := b.engine.BootstrapState(ctx)
-		if err == nil && form.Snapshot.Index > 0 {
-			b.sendForm(ctx, greeting.Address, form)
+		request, err := b.engine.BootstrapState(ctx)
+		if err == nil && request.Snapshot.Index > 0 {
+			b.sendBootstrapState(ctx, greeting.Address, request)
 		}
 	}
 }
 
-// firstMembers describes the initial control nodes, this one first.
+// firstMembers returns the initial control nodes as members, this one first. It fails if
+// one of them does not respond or has changed its identity since its Hello reply.
 func (b *Bootstrapper) firstMembers(ctx context.Context, greetings []discovery.Greeting) ([]consensus.Member, error) {
 	members := []consensus.Member{b.self(b.engine.Observe().Identity)}
 	for name, address := range b.config.InitialControl {
@@ -249,23 +262,25 @@
 		}
 		reply, _ := discovery.ReplyFrom(greetings, address)
 		if description.Identity != reply.Identity {
-			return nil, fmt.Errorf("control: %s has changed its identity", name)
+			return nil, fmt.Errorf("control: %s has changed its disk identity since its hello reply", name)
 		}
 		members = append(members, consensus.Member{ID: reply.Identity, Name: name, Address: address, Zone: description.Zone})
 	}
 	return members, nil
 }
 
-func (b *Bootstrapper) sendForm(ctx context.Context, address string, form peer.Bootstrap) {
+// sendBootstrapState sends the group's first state to one node. A failure is only logged:
+// completeBootstrap sends it again.
+func (b *Bootstrapper) sendBootstrapState(ctx context.Context, address string, request peer.Bootstrap) {
 	ctx, cancel := context.WithTimeout(ctx, b.config.CallTimeout)
 	defer cancel()
 	var reply peer.BootstrapReply
-	if err := b.config.Network.Call(ctx, address, peer.KindBootstrap, &form, &reply); err != nil {
+	if err := b.config.Network.Call(ctx, address, peer.KindBootstrap, &request, &reply); err != nil {
 		b.log.Warn("bootstrap state not delivered", "address", address, "error", err)
 	}
 }
 
-// self is this node as a voter of a group.
+// self describes this node as a voter of a group.
 func (b *Bootstrapper) self(identity consensus.ID) consensus.Member {
 	return consensus.Member{
 		ID:      identity,
--- a/control/bootstrap/join.go
+++ b/control/bootstrap/join.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	// errNotAccepted means that no node that answered belongs to a group which
-	// accepts this one.
-	errNotAccepted = errors.New("control: no group found")
-	// errNoIdentity rejects a request to join that does not say who asks.
-	errNoIdentity = errors.New("control: join without identity or address")
+	// errNotAccepted means that this node's request to join was accepted by no group.
+	errNotAccepted = errors.New("control: no group accepted the join request")
+	// errNoIdentity rejects a join request that does not identify its sender.
+	errNoIdentity = errors.New("control: join request has no identity or no address")
 )
 
-// join asks the primary of a found group to add this node.
+// join asks the primary of a discovered group to add this node. If it accepts, this node
+// enters the group with an empty log.
 func (b *Bootstrapper) join(ctx context.Context, greetings []discovery.Greeting) {
 	observed := b.engine.Observe()
 	reply, err := b.requestJoin(ctx, observed, greetings)
@@ -35,7 +35,8 @@
 	}
 }
 
-// requestJoin asks the members that were found, following their hints to the primary.
+// requestJoin sends a join request to each discovered member, and to the primary that its
+// reply names, until one accepts.
 func (b *Bootstrapper) requestJoin(ctx context.Context, observed *engine.Observation, greetings []discovery.Greeting) (peer.JoinReply, error) {
 	for _, greeting := range greetings {
 		cluster := greeting.Reply.Cluster
@@ -63,7 +64,8 @@
 	return reply, err
 }
 
-// ServeJoin handles peer.KindJoin, the request of a node whose disk or address is new.
+// ServeJoin handles peer.KindJoin, the join request of a node with a new disk, name, address
+// or zone.
 func (b *Bootstrapper) ServeJoin(ctx context.Context, _ string, decode func(any) error) (any, error) {
 	var join peer.Join
 	if err := decode(&join); err != nil {
--- a/control/node.go
+++ b/control/node.go
@@ -187,7 +187,7 @@
 func (n *Node) handleMessages() {
 	n.network.Handle(peer.KindConsensus, n.engine.ServeConsensus)
 	n.network.Handle(peer.KindHello, n.bootstrapper.ServeHello)
-	n.network.Handle(peer.KindBootstrap, n.bootstrapper.ServeForm)
+	n.network.Handle(peer.KindBootstrap, n.bootstrapper.ServeBootstrap)
 	n.network.Handle(peer.KindJoin, n.bootstrapper.ServeJoin)
 	n.network.Handle(peer.KindRenew, n.engine.ServeRenew)
 	n.network.Handle(peer.KindUpdate, n.updates.Serve)
