--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -1,5 +1,5 @@
-// Package recovery makes a group of one from a surviving replica, by force, for
-// when most control nodes have lost their disks for good.
+// Package recovery implements forced recovery: it makes a new group with one member from a
+// surviving disk, after a majority of the control nodes have permanently lost theirs.
 package recovery
 
 import (
@@ -16,41 +16,42 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// VersionStep is added to the configuration version by a recovery. Model replicas
-// may have seen versions that are lost, and refuse any that is below one they saw.
+// VersionStep is added to the configuration version by a recovery. Model replicas may have
+// seen versions that are lost, and refuse a version lower than one that they have seen.
 const VersionStep = 1000
 
-// Options sets up a recovery. All are required.
+// Options configures a recovery. All fields are required.
 type Options struct {
-	// Name, Zone and PeerAddress are those of the one member that remains.
+	// Name, Zone and PeerAddress describe the only member of the new group.
 	Name        string
 	Zone        string
 	PeerAddress string
-	// Store is the surviving disk; no node may be using it.
+	// Store is the surviving disk. No running node may use it.
 	Store  storage.Store
 	Logger *slog.Logger
 }
 
-// Result says what a recovery has kept.
+// Result describes the recovered state.
 type Result struct {
 	// OldCluster and Cluster are the ids of the lost group and of the new one.
 	OldCluster string
 	Cluster    string
-	// Index is that of the newest entry that was kept, committed or not.
+	// Index is the index of the newest recovered log entry, committed or not.
 	Index uint64
-	// Serial is that of the recovered table.
+	// Serial is the serial of the recovered table.
 	Serial uint32
-	// Version is the configuration version before the step, NewVersion after it.
+	// Version is the recovered configuration version, and NewVersion that version
+	// after VersionStep was added.
 	Version    uint64
 	NewVersion uint64
 }
 
 // ErrNothingToRecover means that the disk belongs to no group or has no state.
-var ErrNothingToRecover = errors.New("control: the disk holds no group's state")
+var ErrNothingToRecover = errors.New("control: the disk contains no state of a group")
 
-// Run makes a group of one from a surviving disk. Whatever was acknowledged and is
-// not on this disk is lost. The group gets a new id, so that members of the old one
-// that come back are kept out, and gateways must be restarted to follow it.
+// Run makes a new group with one member from a surviving disk. Acknowledged state that is
+// not on this disk is lost. The group gets a new id, so that returning members of the old
+// group cannot take part in it, and so gateways must be restarted to accept it.
 func Run(options Options) (Result, error) {
 	loaded, err := options.Store.Load()
 	if err != nil {
@@ -68,7 +69,7 @@
 	if err := recovered.stepVersion(options.Name, &result); err != nil {
 		return Result{}, err
 	}
-	if err := recovered.store(options, loaded, result); err != nil {
+	if err := recovered.save(options, loaded, result); err != nil {
 		return Result{}, err
 	}
 	options.Logger.Warn("forced recovery finished: start this node, then restart every gateway, then add control nodes with empty disks",
@@ -77,17 +78,18 @@
 	return result, nil
 }
 
-// replayedLog is the state that the complete log of one disk leads to.
+// replayedLog is the state after the complete log of one disk was applied.
 type replayedLog struct {
 	state *statemachine.State
-	// index and lastTerm are those of the newest entry; term is the newest known.
+	// index and lastTerm are the index and term of the newest entry; term is the newest
+	// term that the disk knows.
 	index    uint64
 	lastTerm uint64
 	term     uint64
 }
 
-// replay applies every entry of the log, committed or not: what this disk has may
-// have been acknowledged.
+// replay applies every entry of the log, whether known to be committed or not: any of them
+// may have been acknowledged.
 func replay(loaded storage.State) (*replayedLog, error) {
 	snapshot, err := statemachine.Decode(loaded.Snapshot.Data)
 	if err != nil {
@@ -123,37 +125,37 @@
 	}
 	update, err := registry.DecodeUpdate(entry.Data)
 	if err != nil {
-		return fmt.Errorf("control: entry %d: %w", entry.Index, err)
+		return fmt.Errorf("control: decoding log entry %d: %w", entry.Index, err)
 	}
 	r.state.Apply(&update)
 	return nil
 }
 
-// stepVersion raises the configuration version past what replicas may have seen.
+// stepVersion adds VersionStep to the configuration version, if there is a configuration.
 func (r *replayedLog) stepVersion(name string, result *Result) error {
 	contents, err := catalog.Read(r.state.Table.View())
 	if err != nil {
 		return fmt.Errorf("control: reading the table: %w", err)
 	}
-	marker, configured := contents.ConfigurationHeader()
-	result.Version = marker.Version
+	header, configured := contents.ConfigurationHeader()
+	result.Version = header.Version
 	if configured {
-		marker.Version += VersionStep
-		record := registry.Add(catalog.ConfigurationRecord(marker))
+		header.Version += VersionStep
+		record := registry.Add(catalog.ConfigurationRecord(header))
 		update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{record})
 		update.Requestor = permission.Operator("recover:" + name)
 		if applied := r.state.Apply(&update); applied.Code != registry.NoError {
-			return fmt.Errorf("control: raising the version answered %s: %w", applied.Code, errors.Join(applied.Reason))
+			return fmt.Errorf("control: raising the configuration version was refused with code %s: %w", applied.Code, errors.Join(applied.Reason))
 		}
 	}
-	result.NewVersion = marker.Version
+	result.NewVersion = header.Version
 	result.Serial = r.state.Table.Serial()
 	return nil
 }
 
-// store writes the state as the first of a group of one. Each write alone leaves
-// a disk on which the recovery can be run again.
-func (r *replayedLog) store(options Options, loaded storage.State, result Result) error {
+// save writes the state to the disk as the first state of the new group. After a crash
+// between any two writes, the recovery can be run again.
+func (r *replayedLog) save(options Options, loaded storage.State, result Result) error {
 	data, err := r.state.Encode(result.Cluster)
 	if err != nil {
 		return err
