--- a/control/identity/identity.go
+++ b/control/identity/identity.go
@@ -1,4 +1,4 @@
-// Package identity draws the random ids and seeds of control nodes.
+// Package identity generates the random ids and seeds of control nodes.
 package identity
 
 import (
@@ -8,17 +8,17 @@
 	"fmt"
 )
 
-// idBytes is the length of an id in bytes before its encoding.
+// idBytes is the number of random bytes in an id.
 const idBytes = 12
 
-// New returns a random id in hexadecimal, for a group or a process.
+// New returns a random hexadecimal id for a group or a process.
 func New() string {
 	var raw [idBytes]byte
 	mustRead(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// NewSeed returns a random seed that is not zero.
+// NewSeed returns a random seed other than zero.
 func NewSeed() uint64 {
 	var raw [8]byte
 	mustRead(raw[:])
