--- a/control/updates/updates.go
+++ b/control/updates/updates.go
@@ -1,5 +1,5 @@
-// Package updates takes the registry updates of gateways that watch replicas, and
-// forwards them toward the primary.
+// Package updates serves the registry updates of gateways, which report the conditions of
+// replicas. The primary applies them; other control nodes forward them to it.
 package updates
 
 import (
@@ -15,13 +15,15 @@
 )
 
 const (
-	// MaxHops bounds forwarding toward the primary, since loops are not detected.
+	// MaxHops bounds how often an update is forwarded, since forwarding loops are not
+	// detected.
 	MaxHops = 3
-	// timeout bounds one update, forwarding included.
+	// timeout bounds the handling of one update, including forwarding.
 	timeout = 5 * time.Second
 )
 
-// Forwarder takes the updates of one node. Its methods are safe for concurrent use.
+// Forwarder serves the updates that arrive at one node. Its methods are safe for concurrent
+// use.
 type Forwarder struct {
 	engine      *engine.Engine
 	network     transport.Network
@@ -29,13 +31,13 @@
 	log         *slog.Logger
 }
 
-// New returns the forwarder of a node with a peer address.
+// New returns the forwarder of the node at a peer address.
 func New(engine *engine.Engine, network transport.Network, peerAddress string, log *slog.Logger) *Forwarder {
 	return &Forwarder{engine: engine, network: network, peerAddress: peerAddress, log: log}
 }
 
-// Serve handles peer.KindUpdate. The first node that an update reaches sets its
-// requestor.
+// Serve handles peer.KindUpdate. The first node that receives an update sets its requestor
+// to the sending gateway.
 func (f *Forwarder) Serve(ctx context.Context, from string, decode func(any) error) (any, error) {
 	var request peer.UpdateRequest
 	if err := decode(&request); err != nil {
@@ -50,7 +52,8 @@
 	return &reply, nil
 }
 
-// update answers after the primary has (RFC 2136, section 6.4).
+// update applies an update if this node is the primary, and otherwise forwards it. It
+// replies only after the primary has (RFC 2136, section 6.4).
 func (f *Forwarder) update(ctx context.Context, request peer.UpdateRequest) peer.UpdateReply {
 	observed := f.engine.Observe()
 	if !observed.Primary {
@@ -63,6 +66,8 @@
 	return peer.UpdateReply{Code: result.Code, Serial: result.Serial}
 }
 
+// forward forwards an update to the primary and returns its reply, or a server failure if
+// no primary is known, it cannot be reached or the update has been forwarded MaxHops times.
 func (f *Forwarder) forward(ctx context.Context, observed *engine.Observation, request peer.UpdateRequest) peer.UpdateReply {
 	primary := observed.LeaderAddress()
 	failed := peer.UpdateReply{Code: registry.ServFail, Serial: observed.Serial, Primary: primary}
