--- a/control/driver/driver.go
+++ b/control/driver/driver.go
@@ -51,9 +51,9 @@
 	log      *slog.Logger
 	identity consensus.ID
 
-	// cluster is empty and group nil until this node belongs to a group.
+	// cluster is empty and node nil until this node belongs to a group.
 	cluster string
-	group   *consensus.Node
+	node    *consensus.Node
 	// state is nil until this node has a snapshot of the group.
 	state *statemachine.State
 	// catalog is the typed view of the state's table.
@@ -98,7 +98,7 @@
 
 // open starts the replicated log from the state on disk.
 func (d *Driver) open(loaded storage.State, now time.Duration) error {
-	group, err := consensus.New(consensus.Config{
+	node, err := consensus.New(consensus.Config{
 		ID:                d.identity,
 		ElectionTimeout:   d.config.ElectionTimeout,
 		StartupTimeout:    d.config.StartupTimeout,
@@ -112,8 +112,8 @@
 	if err != nil {
 		return fmt.Errorf("control: opening the replicated log: %w", err)
 	}
-	d.group = group
-	d.group.Tick(now)
+	d.node = node
+	d.node.Tick(now)
 	if loaded.Snapshot.Index == 0 {
 		return nil
 	}
@@ -126,8 +126,8 @@
 // Cluster returns the id of the group; empty until this node belongs to one.
 func (d *Driver) Cluster() string { return d.cluster }
 
-// Group returns this node of the replicated log; nil until it belongs to a group.
-func (d *Driver) Group() *consensus.Node { return d.group }
+// Consensus returns the consensus state machine of this node; nil until it belongs to a group.
+func (d *Driver) Consensus() *consensus.Node { return d.node }
 
 // State returns the replicated state; nil until this node has a snapshot of the group.
 // The caller must not modify it.
@@ -147,19 +147,19 @@
 // Tick advances the clock of the replicated log. It must be called before every other
 // input.
 func (d *Driver) Tick(now time.Duration) {
-	if d.group != nil {
-		d.group.Tick(now)
+	if d.node != nil {
+		d.node.Tick(now)
 	}
 }
 
 // Step passes one message to the replicated log. It returns false if this node belongs to
 // no group or the message is from another group.
 func (d *Driver) Step(now time.Duration, wrapped peer.ConsensusMessage) bool {
-	if d.group == nil || wrapped.Cluster != d.cluster {
+	if d.node == nil || wrapped.Cluster != d.cluster {
 		d.config.Metrics.ForeignMessages.Inc()
 		return false
 	}
-	if err := d.group.Step(now, wrapped.Message); err != nil {
+	if err := d.node.Step(now, wrapped.Message); err != nil {
 		d.log.Debug("consensus message rejected", "from", string(wrapped.Message.From), "error", err)
 	}
 	return true
@@ -169,7 +169,7 @@
 // before it sends messages, and then applies committed entries. It calls applied after each
 // applied entry.
 func (d *Driver) ProcessReady(applied func(consensus.Entry)) error {
-	ready := d.group.Ready()
+	ready := d.node.Ready()
 	if err := d.persist(ready); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 	if err := d.updateCatalog(); err != nil {
 		return err
 	}
-	d.group.Advance(ready)
+	d.node.Advance(ready)
 	return d.compact()
 }
 
@@ -211,7 +211,7 @@
 	if len(messages) == 0 {
 		return
 	}
-	current := d.group.Status().Membership
+	current := d.node.Status().Membership
 	for _, message := range messages {
 		address := d.AddressOf(current, message.To)
 		if address == "" {
@@ -250,7 +250,7 @@
 		if err != nil {
 			return fmt.Errorf("control: committed entry %d: %w", entry.Index, err)
 		}
-		if planted.Active(planted.ForgetEvacuations) && d.group.Status().Role != consensus.Leader {
+		if planted.Active(planted.ForgetEvacuations) && d.node.Status().Role != consensus.Leader {
 			update.Changes = slices.DeleteFunc(update.Changes, func(change registry.Record) bool { return change.Type == catalog.TypeEvacuation })
 		}
 		result = d.state.Apply(&update)
--- a/control/driver/group.go
+++ b/control/driver/group.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return peer.Bootstrap{}
 	}
-	current := d.group.Status().Membership
+	current := d.node.Status().Membership
 	return peer.Bootstrap{
 		Cluster:  d.cluster,
 		Snapshot: consensus.Snapshot{Index: 1, Term: 1, Membership: current, Data: data},
--- a/control/driver/proposal.go
+++ b/control/driver/proposal.go
@@ -33,7 +33,7 @@
 		done(registry.Result{Code: registry.FormErr, Serial: d.state.Table.Serial(), FailedIndex: -1}, nil)
 		return
 	}
-	index, term, err := d.group.Propose(now, data)
+	index, term, err := d.node.Propose(now, data)
 	if err != nil {
 		done(registry.Result{}, fmt.Errorf("%w: %w", ErrNotPrimary, err))
 		return
--- a/control/driver/snapshot.go
+++ b/control/driver/snapshot.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	snapshot, err := d.group.Compact(d.applied, data, retainedEntries)
+	snapshot, err := d.node.Compact(d.applied, data, retainedEntries)
 	if err != nil {
 		return fmt.Errorf("control: compacting the log: %w", err)
 	}
--- a/control/engine/bench_test.go
+++ b/control/engine/bench_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if m.driver.Group() != nil {
+	if m.driver.Consensus() != nil {
 		return m
 	}
 	snapshot, err := statemachine.InitialSnapshot("cluster", config.Name, []consensus.Member{{ID: "disk-1", Name: config.Name, Address: config.PeerAddress}})
--- a/control/engine/gateways_test.go
+++ b/control/engine/gateways_test.go
@@ -59,7 +59,7 @@
 		fleet[i].Term = term // which another control node has told them
 	}
 	fleet.renew(t, m, now)
-	if written := m.recorded("2"); written > 0 {
+	if written := m.countRecords("2"); written > 0 {
 		t.Errorf("%d new records were written before any gateway may activate the table, want 0", written)
 	}
 	m.advance(t, &now, 2*DefaultTickInterval)
@@ -73,13 +73,13 @@
 		}
 	}
 	m.advance(t, &now, 4*DefaultTickInterval)
-	if written := m.recorded("2"); written != gateways {
+	if written := m.countRecords("2"); written != gateways {
 		t.Errorf("%d of %d gateways have their new records, want all", written, gateways)
 	}
 }
 
-// recorded counts the gateway records with an incarnation.
-func (m *machine) recorded(incarnation string) int {
+// countRecords counts the gateway records with an incarnation.
+func (m *machine) countRecords(incarnation string) int {
 	count := 0
 	for _, record := range m.driver.Catalog().Gateways() {
 		if record.Incarnation == incarnation {
--- a/control/engine/laterenewal_test.go
+++ b/control/engine/laterenewal_test.go
@@ -10,9 +10,9 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// newLeasedGateway returns a primary without other members that has recorded one gateway
+// newPrimaryWithLease returns a primary without other members that has recorded one gateway
 // and granted it a lease, the gateway's next renewal, and the current time.
-func newLeasedGateway(t *testing.T) (*machine, renewals, time.Duration) {
+func newPrimaryWithLease(t *testing.T) (*machine, renewals, time.Duration) {
 	t.Helper()
 	m := newSingleNode(t)
 	now := time.Duration(0)
@@ -33,7 +33,7 @@
 // ended: a renewal is stale if its incarnation was replaced, or if its incarnation is not
 // the recorded one and it does not know the current term.
 func TestStaleRenewalChangesNoRecord(t *testing.T) {
-	m, ended, now := newLeasedGateway(t)
+	m, ended, now := newPrimaryWithLease(t)
 	incarnation := func() string { return m.driver.Catalog().Gateways()["gateway-0"].Incarnation }
 
 	unknown := newGateways(1, "0")
@@ -57,7 +57,7 @@
 // proposal of a record that excludes a lease and its application. The next primary would
 // not know of such a lease.
 func TestNoLeaseWhileItsEndIsBeingRecorded(t *testing.T) {
-	m, gateways, now := newLeasedGateway(t)
+	m, gateways, now := newPrimaryWithLease(t)
 	const check = 50 * time.Millisecond
 	lease := m.config.Lease
 	m.advance(t, &now, lease.Duration+lease.ClockDriftMargin+m.config.GatewayGrace-check)
@@ -84,7 +84,7 @@
 // TestGatewayAheadOfThePrimaryIsNotGranted checks that a primary refuses a gateway with a
 // newer serial than its own: that serial belongs to a log that has diverged.
 func TestGatewayAheadOfThePrimaryIsNotGranted(t *testing.T) {
-	m, gateways, now := newLeasedGateway(t)
+	m, gateways, now := newPrimaryWithLease(t)
 	ahead := gateways[0]
 	ahead.ReceivedSerial = m.table().Serial() + 1
 	if grant := m.renew(now, ahead); grant.Granted || grant.LeaseMS != 0 {
@@ -130,7 +130,7 @@
 // marked up, so that clients are directed to it, only after it has renewed for
 // GatewayGrace.
 func TestReturningGatewayIsMarkedUpAfterGrace(t *testing.T) {
-	m, gateways, now := newLeasedGateway(t)
+	m, gateways, now := newPrimaryWithLease(t)
 	record := func() catalog.Gateway { return m.driver.Catalog().Gateways()["gateway-0"] }
 	m.advance(t, &now, m.config.Lease.Duration+200*time.Millisecond)
 	if record().Up {
--- a/control/engine/leadership.go
+++ b/control/engine/leadership.go
@@ -16,9 +16,9 @@
 // leadership is the state of a leader for one term. It is discarded when this node loses
 // leadership.
 type leadership struct {
-	term    uint64
-	elected time.Duration
-	members *membership.Tracker
+	term      uint64
+	electedAt time.Duration
+	members   *membership.Tracker
 	// leases is nil until this node has applied everything that was committed before
 	// the election. Until then it proposes nothing, grants no leases and answers no
 	// requests as the primary.
@@ -34,7 +34,7 @@
 // updateLeadership creates or discards the leadership state after the replicated log
 // has changed its role or term.
 func (m *machine) updateLeadership(now time.Duration) {
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	if m.leadership != nil && (status.Role != consensus.Leader || status.Term != m.leadership.term) {
 		m.log.Warn("leadership lost", "term", m.leadership.term, "newest_term", status.Term)
 		m.leadership = nil
@@ -44,9 +44,9 @@
 		m.log.Info("elected leader", "term", status.Term)
 		m.metrics.Elections.Inc()
 		m.leadership = &leadership{
-			term:    status.Term,
-			elected: now,
-			members: membership.NewTracker(),
+			term:      status.Term,
+			electedAt: now,
+			members:   membership.NewTracker(),
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	}
 	config := leases.Config{Lease: m.config.Lease, GatewayGrace: m.config.GatewayGrace}
 	serial := m.table().Serial()
-	leadership.leases = leases.NewManager(config, leadership.term, leadership.elected, now, serial)
+	leadership.leases = leases.NewManager(config, leadership.term, leadership.electedAt, now, serial)
 	m.log.Info("serving as primary", "term", leadership.term, "serial", serial)
 }
 
@@ -79,15 +79,15 @@
 }
 
 func (m *machine) transferLeadership(now time.Duration) {
-	if m.driver.Group() == nil {
+	if m.driver.Consensus() == nil {
 		return
 	}
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	target := membership.Successor(status)
 	if status.Role != consensus.Leader || target == consensus.None {
 		return
 	}
-	if err := m.driver.Group().TransferLeadership(now, target); err != nil {
+	if err := m.driver.Consensus().TransferLeadership(now, target); err != nil {
 		m.log.Warn("leadership transfer failed", "term", status.Term, "error", err)
 		return
 	}
--- a/control/engine/machine.go
+++ b/control/engine/machine.go
@@ -53,7 +53,7 @@
 // tick advances the clock of the replicated log. It must be called before every other
 // input.
 func (m *machine) tick(now time.Duration) {
-	if m.driver.Group() == nil {
+	if m.driver.Consensus() == nil {
 		return
 	}
 	m.driver.Tick(now)
@@ -70,12 +70,12 @@
 // process does the work that the inputs caused: it persists the log, sends messages and
 // applies entries, in this order, until the replicated log has nothing more to do.
 func (m *machine) process(now time.Duration) error {
-	if m.driver.Failure() != nil || m.driver.Group() == nil {
+	if m.driver.Failure() != nil || m.driver.Consensus() == nil {
 		return m.driver.Failure()
 	}
 	m.maintain(now)
 	m.proposeGatewayRecords(now)
-	for m.driver.Group().HasReady() {
+	for m.driver.Consensus().HasReady() {
 		if err := m.processReady(now); err != nil {
 			return err
 		}
@@ -121,8 +121,8 @@
 		Applied:    m.driver.Applied(),
 		superseded: make(chan struct{}),
 	}
-	if group := m.driver.Group(); group != nil {
-		o.Status = group.Status()
+	if node := m.driver.Consensus(); node != nil {
+		o.Status = node.Status()
 	}
 	if state := m.driver.State(); state != nil {
 		o.Serial = state.Table.Serial()
--- a/control/engine/members.go
+++ b/control/engine/members.go
@@ -29,10 +29,10 @@
 // is accepted if the node is already a member or may be admitted.
 func (m *machine) join(now time.Duration, member consensus.Member) peer.JoinReply {
 	reply := peer.JoinReply{Cluster: m.driver.Cluster()}
-	if m.driver.Group() == nil {
+	if m.driver.Consensus() == nil {
 		return reply
 	}
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	reply.Members = status.Membership.Members
 	reply.Primary = m.driver.AddressOf(status.Membership, status.Leader)
 	leadership, serving := m.serving()
@@ -110,7 +110,7 @@
 // puts additions before deletions, since the registry never deletes the last NS record.
 func (m *machine) nsRecordChanges() []registry.Record {
 	missing := make(map[string]bool)
-	for _, member := range m.driver.Group().Status().Membership.Members {
+	for _, member := range m.driver.Consensus().Status().Membership.Members {
 		if !member.Learner {
 			missing[member.Name] = true
 		}
@@ -135,7 +135,7 @@
 func (m *machine) repairGroup(now time.Duration) {
 	leadership := m.leadership
 	leadership.members.ExpireJoins(now)
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	leadership.members.Observe(now, status.Membership)
 	self := m.self()
 	if known, found := membership.Find(status.Membership, m.driver.Identity()); found && known != self {
@@ -146,7 +146,7 @@
 	if !needed {
 		return
 	}
-	index, _, err := m.driver.Group().ProposeMembership(now, next.Membership)
+	index, _, err := m.driver.Consensus().ProposeMembership(now, next.Membership)
 	switch {
 	case errors.Is(err, consensus.ErrMembershipPending):
 	case err != nil:
@@ -164,7 +164,7 @@
 func (m *machine) repair(now time.Duration, status consensus.Status) membership.Repair {
 	return membership.Repair{
 		Now:          now,
-		Elected:      m.leadership.elected,
+		ElectedAt:    m.leadership.electedAt,
 		Status:       status,
 		Joins:        m.leadership.members.Joins(),
 		FirstSeen:    m.leadership.members.FirstSeen(),
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -35,10 +35,10 @@
 // renew answers one lease renewal.
 func (m *machine) renew(now time.Duration, renew peer.Renew) peer.Grant {
 	grant := peer.Grant{Cluster: m.driver.Cluster()}
-	if m.driver.Group() == nil {
+	if m.driver.Consensus() == nil {
 		return grant
 	}
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	grant.Term = status.Term
 	grant.ControlAddresses = membership.Addresses(status.Membership)
 	leadership, serving := m.serving()
@@ -51,7 +51,7 @@
 		grant.Primary = m.driver.AddressOf(status.Membership, status.Leader)
 		return grant
 	}
-	contact, known := m.driver.Group().QuorumContact()
+	contact, known := m.driver.Consensus().QuorumContact()
 	decision := leadership.leases.Renew(now, contact, known, &renew)
 	if change := leadership.leases.RecordRenewal(now, m.driver.Catalog(), &renew); change != nil {
 		m.changeGatewayRecord(now, change)
@@ -102,7 +102,7 @@
 // changeGatewayRecord queues a change of a gateway's record for the next update.
 func (m *machine) changeGatewayRecord(now time.Duration, change *leases.RecordChange) {
 	m.log.Info("gateway record change queued", "gateway", change.Gateway, "up", change.New.Up, "incarnation", change.New.Incarnation, "term", m.leadership.term)
-	m.leadership.leases.QueueRecord(change)
+	m.leadership.leases.QueueRecordChange(change)
 	m.proposeGatewayRecords(now)
 }
 
@@ -129,9 +129,9 @@
 	}
 	leadership.leases.ExpectHolders(now, m.driver.Catalog())
 	if leadership.leases.NeedsConfirmation() {
-		m.driver.Group().ConfirmLeadership(now)
+		m.driver.Consensus().ConfirmLeadership(now)
 	}
-	contact, known := m.driver.Group().QuorumContact()
+	contact, known := m.driver.Consensus().QuorumContact()
 	if leadership.leases.Review(contact, known, m.table().Serial()) && leadership.leases.TakeNotification() {
 		m.notifyGateways(leadership)
 	}
--- a/control/engine/report.go
+++ b/control/engine/report.go
@@ -49,7 +49,7 @@
 	if !serving {
 		return PrimaryReport{}
 	}
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	repair := m.repair(now, status)
 	report := PrimaryReport{
 		Primary:        true,
@@ -85,7 +85,7 @@
 	if _, serving := m.serving(); !serving {
 		return ReadBarrier{}
 	}
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	return ReadBarrier{Primary: true, Term: status.Term, Commit: status.Commit, AskedAt: now}
 }
 
--- a/control/leases/gateways.go
+++ b/control/leases/gateways.go
@@ -13,7 +13,8 @@
 const MissedRenewals = 4
 
 // RecordRenewal records a gateway's renewal. It returns the resulting change of the
-// gateway's record, or nil if there is none. The caller passes the change to QueueRecord.
+// gateway's record, or nil if there is none. The caller passes the change to
+// QueueRecordChange.
 func (m *Manager) RecordRenewal(now time.Duration, current *catalog.State, renew *peer.Renew) *RecordChange {
 	if m.isStale(current, renew) {
 		return nil
@@ -96,13 +97,13 @@
 // gateway that has missed MissedRenewals is marked down, so that nobody is directed to it,
 // and once its lease has expired and GatewayGrace has passed, its record says that it holds
 // none. Gateways that never renewed with this primary are included. The caller passes each
-// change to QueueRecord.
+// change to QueueRecordChange.
 func (m *Manager) LapsedChanges(now time.Duration, current *catalog.State) []*RecordChange {
 	var changes []*RecordChange
 	for name, record := range current.Gateways() {
 		observed, known := m.gateways[name]
 		if !known {
-			observed = &gateway{lastRenewal: m.latestEarlierRenewal(), lastContact: m.elected}
+			observed = &gateway{lastRenewal: m.latestEarlierRenewal(), lastContact: m.electedAt}
 			m.gateways[name] = observed
 		}
 		if change := m.lapsedChange(now, name, record, observed); change != nil {
@@ -140,5 +141,5 @@
 // end of the grace period, for which a new primary waits for leases of earlier primaries.
 func (m *Manager) latestEarlierRenewal() time.Duration {
 	config := m.config.Lease
-	return m.elected + config.GracePeriod() - config.Duration - config.ClockDriftMargin
+	return m.electedAt + config.GracePeriod() - config.Duration - config.ClockDriftMargin
 }
--- a/control/leases/leases.go
+++ b/control/leases/leases.go
@@ -29,7 +29,7 @@
 type Manager struct {
 	config    Config
 	term      uint64
-	elected   time.Duration
+	electedAt time.Duration
 	servingAt time.Duration // when this node began to serve as the primary
 	grantor   *lease.Grantor
 	gateways  map[string]*gateway
@@ -74,13 +74,13 @@
 
 // NewManager returns the manager of a primary that was elected in a term and begins to
 // serve now. serial is that of its table.
-func NewManager(config Config, term uint64, elected, now time.Duration, serial uint32) *Manager {
+func NewManager(config Config, term uint64, electedAt, now time.Duration, serial uint32) *Manager {
 	return &Manager{
 		config:     config,
 		term:       term,
-		elected:    elected,
+		electedAt:  electedAt,
 		servingAt:  now,
-		grantor:    lease.NewGrantor(config.Lease, term, elected, serial),
+		grantor:    lease.NewGrantor(config.Lease, term, electedAt, serial),
 		gateways:   make(map[string]*gateway),
 		superseded: make(map[lease.HolderID]bool),
 	}
--- a/control/leases/leases_test.go
+++ b/control/leases/leases_test.go
@@ -52,7 +52,7 @@
 	if change == nil {
 		return false
 	}
-	p.manager.QueueRecord(change)
+	p.manager.QueueRecordChange(change)
 	return true
 }
 
@@ -143,7 +143,7 @@
 	for _, step := range steps {
 		now := renewed + step.idle
 		for _, change := range p.manager.LapsedChanges(now, p.current()) {
-			p.manager.QueueRecord(change)
+			p.manager.QueueRecordChange(change)
 		}
 		p.commit(now)
 		record := p.record("gateway-1")
--- a/control/leases/records.go
+++ b/control/leases/records.go
@@ -32,8 +32,8 @@
 	inProgress bool
 }
 
-// QueueRecord queues a change for the next update.
-func (m *Manager) QueueRecord(change *RecordChange) {
+// QueueRecordChange queues a change for the next update.
+func (m *Manager) QueueRecordChange(change *RecordChange) {
 	m.records.pending = append(m.records.pending, change)
 }
 
--- a/control/membership/repair.go
+++ b/control/membership/repair.go
@@ -20,10 +20,10 @@
 // Repair determines the membership changes that lead to a complete group. Its results
 // depend only on its fields.
 type Repair struct {
-	Now     time.Duration
-	Elected time.Duration    // when this leader was elected
-	Status  consensus.Status // the leader's status
-	Joins   []JoinRequest
+	Now       time.Duration
+	ElectedAt time.Duration    // when this leader was elected
+	Status    consensus.Status // the leader's status
+	Joins     []JoinRequest
 	// FirstSeen is when this leader first saw each member in the membership.
 	FirstSeen map[consensus.ID]time.Duration
 	// Voters is the number of voters of a complete group.
@@ -139,7 +139,7 @@
 	if id == r.Status.ID {
 		return 0
 	}
-	return r.Now - max(r.Status.LastContact[id], r.FirstSeen[id], r.Elected)
+	return r.Now - max(r.Status.LastContact[id], r.FirstSeen[id], r.ElectedAt)
 }
 
 // replacesNobody reports whether every voter that the learner could replace is reachable
