--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -266,12 +266,12 @@
 
 func (f *fleet) startGateway(name string) *testGateway {
 	f.t.Helper()
-	return f.startGatewayOf(name, 200*time.Millisecond, controlNames...)
+	return f.startGatewayWith(name, 200*time.Millisecond, controlNames...)
 }
 
-// startGatewayOf starts a gateway that knows only the named control nodes. The timeout
+// startGatewayWith starts a gateway that knows only the named control nodes. The timeout
 // bounds each of its renewals.
-func (f *fleet) startGatewayOf(name string, timeout time.Duration, control ...string) *testGateway {
+func (f *fleet) startGatewayWith(name string, timeout time.Duration, control ...string) *testGateway {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &testGateway{
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -447,7 +447,7 @@
 		f.await("a lease", gateway.valid)
 		f.await("a complete group", func() bool { return f.members(f.primary()).RepairDone })
 		primary, partitioned := f.primary(), f.follower()
-		f.partition(partitioned.options.PeerAddress, controlAddressesBut(f, partitioned)...)
+		f.partition(partitioned.options.PeerAddress, otherControlAddresses(f, partitioned)...)
 		time.Sleep(2 * membership.ReachableTimeout)
 		for name, node := range f.nodes {
 			if node != partitioned {
@@ -469,7 +469,7 @@
 		up[member.Name] = member.Up
 	}
 	if len(up) != 4 || up[partitioned.options.Name] || !up[primary.options.Name] || !up["gateway-1"] {
-		f.t.Errorf("%s lists whether members are up as %v, want only the partitioned node down", name, up)
+		f.t.Errorf("%s lists these members as up: %v, want all but the partitioned node", name, up)
 	}
 }
 
@@ -496,8 +496,8 @@
 	})
 }
 
-// controlAddressesBut returns the peer addresses of all control nodes except one.
-func controlAddressesBut(f *fleet, node *Node) []string {
+// otherControlAddresses returns the peer addresses of all control nodes except one.
+func otherControlAddresses(f *fleet, node *Node) []string {
 	var addresses []string
 	for _, name := range controlNames {
 		if name != node.options.Name {
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -167,7 +167,7 @@
 		old := f.primary()
 		term := old.engine.Observe().Status.Term
 		// This gateway knows only the old primary, and waits a minute for each reply.
-		isolated := f.startGatewayOf("gateway-2", time.Minute, old.options.Name)
+		isolated := f.startGatewayWith("gateway-2", time.Minute, old.options.Name)
 		f.await("a lease", isolated.valid)
 		f.freeze(old, 25*time.Second)
 		time.Sleep(10 * time.Second)
@@ -191,13 +191,13 @@
 	inFleet(t, func(f *fleet) {
 		t := f.t
 		f.start(controlNames...)
-		silent := f.startGateway("gateway-1")
+		partitioned := f.startGateway("gateway-1")
 		f.startGateway("gateway-2")
 		f.mustSend(f.primary(), "order-1", 0)
-		f.await("a lease", silent.valid)
+		f.await("a lease", partitioned.valid)
 		record := func() catalog.Gateway { return f.primary().engine.Observe().Catalog.Gateways()["gateway-1"] }
 
-		f.partition(silent.address, silent.control...)
+		f.partition(partitioned.address, partitioned.control...)
 		partitionedAt := time.Now()
 		f.await("the gateway to be marked down", func() bool { return !record().Up })
 		renewal := lease.DefaultConfig().RenewalInterval
@@ -208,12 +208,12 @@
 			t.Error("the record excludes a lease although the gateway may still hold one")
 		}
 		f.mustSend(f.primary(), "order-2", 1)
-		if silent.valid() {
+		if partitioned.valid() {
 			t.Error("the operation was acknowledged while a gateway with the older version still held a lease")
 		}
 		f.await("the end of the lease to be recorded", func() bool { return !record().MayHoldLease })
-		f.heal(silent.address, silent.control...)
-		f.await("the gateway to be marked up again", func() bool { return record().Up && record().MayHoldLease && silent.valid() })
+		f.heal(partitioned.address, partitioned.control...)
+		f.await("the gateway to be marked up again", func() bool { return record().Up && record().MayHoldLease && partitioned.valid() })
 	})
 }
 
@@ -231,7 +231,7 @@
 		f.await("a lease", lost.valid)
 		old := f.primary()
 		f.stopGateway("gateway-1")
-		f.partition(old.options.PeerAddress, controlAddressesBut(f, old)...)
+		f.partition(old.options.PeerAddress, otherControlAddresses(f, old)...)
 		successor := f.primary(old.options.Name)
 		elected := time.Now()
 		record := func() catalog.Gateway { return successor.engine.Observe().Catalog.Gateways()["gateway-1"] }
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -101,7 +101,7 @@
 		for _, node := range []*Node{f.primary(), f.follower()} {
 			reply := submit(node, test.request)
 			if reply.Error == nil || reply.Error.Code != test.code || reply.Error.Field != test.field {
-				f.t.Errorf("%s at %s: got %+v with error %+v, want a refusal with another code or field", name, node.options.Name, reply, reply.Error)
+				f.t.Errorf("%s at %s: got %+v with error %+v, which does not have the expected code and field", name, node.options.Name, reply, reply.Error)
 			}
 		}
 	}
@@ -184,9 +184,9 @@
 	return order
 }
 
-// readableMapOperation returns an operation whose text is a JSON document, which a
+// jsonMapOperation returns an operation whose text is a JSON document, which a
 // change can patch.
-func readableMapOperation(base, version uint64) peer.OperationRequest {
+func jsonMapOperation(base, version uint64) peer.OperationRequest {
 	order := routeMapOperation(base, version)
 	order.RouteMap.Text = fmt.Sprintf(mapText, version)
 	return order
@@ -199,7 +199,7 @@
 		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := submit(f.primary(), readableMapOperation(0, 3)); !accepted(reply) {
+		if reply := submit(f.primary(), jsonMapOperation(0, 3)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		first := routeMapChange(3, 5, "added", "unknown")
@@ -228,7 +228,7 @@
 		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := submit(f.primary(), readableMapOperation(0, 3)); !accepted(reply) {
+		if reply := submit(f.primary(), jsonMapOperation(0, 3)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		samePath := routeMapChange(3, 9, "added")
@@ -260,13 +260,13 @@
 		t := f.t
 		f.start(controlNames...)
 		f.startGateway("gateway-1")
-		if reply := submit(f.primary(), readableMapOperation(0, 1)); !accepted(reply) {
+		if reply := submit(f.primary(), jsonMapOperation(0, 1)); !accepted(reply) {
 			t.Fatalf("got %+v", reply)
 		}
 		base := uint64(1)
 		for round := range uint64(6) {
 			version := base + 2
-			orders := [2]peer.OperationRequest{readableMapOperation(base, version), routeMapChange(base, version, "added")}
+			orders := [2]peer.OperationRequest{jsonMapOperation(base, version), routeMapChange(base, version, "added")}
 			var replies [2]peer.OperationReply
 			var both sync.WaitGroup
 			nodes := [2]*Node{f.primary(), f.follower()}
