--- a/control/engine/leadership.go
+++ b/control/engine/leadership.go
@@ -25,7 +25,7 @@
 	leases *leases.Manager
 
 	nextMaintenance time.Duration
-	// soaPending and membersPending are true while an update of the SOA record or of
+	// soaPending and nsPending are true while an update of the SOA record or of
 	// the NS records is in progress.
 	soaPending bool
 	nsPending  bool
--- a/control/leases/gateways.go
+++ b/control/leases/gateways.go
@@ -94,7 +94,7 @@
 }
 
 // LapsedChanges returns the record changes for gateways that have stopped renewing. A
-// gateway that has missed MissedRenewals is marked down, so that nobody is directed to it,
+// gateway that has missed MissedRenewals renewals is marked down, so that nobody is directed to it,
 // and once its lease has expired and GatewayGrace has passed, its record says that it holds
 // none. Gateways that never renewed with this primary are included. The caller passes each
 // change to QueueRecordChange.
--- a/control/leases/leases.go
+++ b/control/leases/leases.go
@@ -143,7 +143,7 @@
 // expired leases, so that those of replaced incarnations do not accumulate.
 func (m *Manager) Expired(now time.Duration) []lease.HolderID { return m.grantor.Expired(now) }
 
-// Holders returns the leases that are valid now.
+// Holders returns the leases that have not expired.
 func (m *Manager) Holders(now time.Duration) []lease.HolderStatus { return m.grantor.Holders(now) }
 
 // ActiveVersions returns the configuration version that each gateway reported as active, by
