--- a/control/engine/leadership.go
+++ b/control/engine/leadership.go
@@ -13,26 +13,28 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// leadership is what this node keeps for one term of leading. It is discarded as a
-// whole when the term ends.
+// leadership is the state of a leader for one term. It is discarded when this node loses
+// leadership.
 type leadership struct {
-	term    uint64
-	elected time.Duration
-	members *membership.Tracker
-	// leases is nil until everything that was committed before the election is
-	// applied here; before, nothing is proposed, granted or answered.
+	term      uint64
+	electedAt time.Duration
+	members   *membership.Tracker
+	// leases is nil until this node has applied everything that was committed before
+	// the election. Until then it proposes nothing, grants no leases and answers no
+	// requests as the primary.
 	leases *leases.Manager
 
 	nextMaintenance time.Duration
-	// headPending and membersPending are true while updates of the head record and
-	// of the member records are in progress.
-	headPending    bool
-	membersPending bool
+	// soaPending and nsPending are true while an update of the SOA record or of
+	// the NS records is in progress.
+	soaPending bool
+	nsPending  bool
 }
 
-// followLeadership begins and ends the leadership as the replicated log says.
-func (m *machine) followLeadership(now time.Duration) {
-	status := m.driver.Group().Status()
+// updateLeadership creates or discards the leadership state after the replicated log
+// has changed its role or term.
+func (m *machine) updateLeadership(now time.Duration) {
+	status := m.driver.Consensus().Status()
 	if m.leadership != nil && (status.Role != consensus.Leader || status.Term != m.leadership.term) {
 		m.log.Warn("leadership lost", "term", m.leadership.term, "newest_term", status.Term)
 		m.leadership = nil
@@ -42,15 +44,15 @@
 		m.log.Info("elected leader", "term", status.Term)
 		m.metrics.Elections.Inc()
 		m.leadership = &leadership{
-			term:    status.Term,
-			elected: now,
-			members: membership.NewTracker(),
+			term:      status.Term,
+			electedAt: now,
+			members:   membership.NewTracker(),
 		}
 	}
 }
 
-// startServing begins to serve once an entry of the own term is applied, and with
-// it everything that was committed before.
+// startServing makes this leader serve as the primary once it has applied an entry of
+// its own term, and so everything that was committed before its election.
 func (m *machine) startServing(now time.Duration, entry consensus.Entry) {
 	leadership := m.leadership
 	if leadership == nil || leadership.leases != nil || entry.Term != leadership.term || m.driver.State() == nil {
@@ -58,11 +60,11 @@
 	}
 	config := leases.Config{Lease: m.config.Lease, GatewayGrace: m.config.GatewayGrace}
 	serial := m.table().Serial()
-	leadership.leases = leases.NewManager(config, leadership.term, leadership.elected, now, serial)
+	leadership.leases = leases.NewManager(config, leadership.term, leadership.electedAt, now, serial)
 	m.log.Info("serving as primary", "term", leadership.term, "serial", serial)
 }
 
-// serving returns the leadership if this node is a primary that may answer.
+// serving returns the leadership state if this node serves as the primary.
 func (m *machine) serving() (*leadership, bool) {
 	if m.leadership == nil || m.leadership.leases == nil {
 		return nil, false
@@ -70,29 +72,29 @@
 	return m.leadership, true
 }
 
-// TransferLeadership begins to hand leadership over, if this node has it. It waits
-// only until the event loop has the request.
+// TransferLeadership starts a transfer of leadership if this node leads. It returns once
+// the request is queued for the event loop.
 func (e *Engine) TransferLeadership(ctx context.Context) {
 	e.queue.Post(ctx, e.machine.transferLeadership)
 }
 
 func (m *machine) transferLeadership(now time.Duration) {
-	if m.driver.Group() == nil {
+	if m.driver.Consensus() == nil {
 		return
 	}
-	status := m.driver.Group().Status()
+	status := m.driver.Consensus().Status()
 	target := membership.Successor(status)
 	if status.Role != consensus.Leader || target == consensus.None {
 		return
 	}
-	if err := m.driver.Group().TransferLeadership(now, target); err != nil {
+	if err := m.driver.Consensus().TransferLeadership(now, target); err != nil {
 		m.log.Warn("leadership transfer failed", "term", status.Term, "error", err)
 		return
 	}
 	m.log.Info("leadership transfer started", "term", status.Term, "to", string(target))
 }
 
-// ownUpdate is an update that this node makes for the fleet's own records.
+// ownUpdate returns an update of the registry that this control node itself requests.
 func (m *machine) ownUpdate(prerequisites, changes []registry.Record) registry.Update {
 	update := registry.NewUpdate(catalog.Apex, prerequisites, changes)
 	update.Requestor = permission.Control(m.config.Name)
