--- a/routing/acquire.go
+++ b/routing/acquire.go
@@ -7,10 +7,10 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Acquire waits for a reservation on a replica of the local region. It returns by the
-// request's deadline, earlier if the request cannot meet it, and with CodeCanceled
-// if ctx ends first. A rejected request never ran. Every reservation must be ended
-// with Reservation.Finish.
+// Acquire waits for a reservation on a replica of the local region. It returns no later
+// than the request's deadline. It returns earlier if the request cannot meet its deadline,
+// or, with CodeCanceled, if ctx is done. A rejected request was never executed. The caller
+// must end every reservation with Reservation.Finish.
 func (r *Router) Acquire(ctx context.Context, request Request) (*Reservation, *api.Error) {
 	w := newWaiter(request)
 	for {
@@ -18,30 +18,30 @@
 		if failure != nil || reservation.Usable(time.Now()) {
 			return reservation, failure
 		}
-		// The plan or the replica changed between the grant and now.
+		// The plan or the replica has changed since the reservation was granted.
 		reservation.Finish(ResultCanceled, nil, time.Now())
 	}
 }
 
-// Reserve is Acquire without waiting: it rejects a request that would have to queue.
+// Reserve is like Acquire but does not wait: it rejects a request that would be queued.
 func (r *Router) Reserve(request Request) (*Reservation, *api.Error) {
 	now := time.Now()
 	w := newWaiter(request)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.tick(now)
-	target, failure := r.admit(now, &w.request)
+	service, failure := r.admit(now, &w.request)
 	if failure != nil {
 		return nil, failure
 	}
-	if choice := target.chooseReplica(now, w, false); choice.target != nil {
-		return target.newReservation(now, w, choice), nil
+	if choice := service.chooseReplica(now, w, false); choice.target != nil {
+		return service.newReservation(now, w, choice), nil
 	}
-	if !target.anyUsable(now) {
-		return nil, target.unusableError(&w.request)
+	if !service.anyUsable(now) {
+		return nil, service.unusableError(&w.request)
 	}
-	retryAfter := target.queue.RetryAfter(target.completionRate(now))
-	return nil, rejection(&w.request, api.CodeOverloaded, retryAfter, "no replica of %q has room", target.name)
+	retryAfter := service.queue.RetryAfter(service.completionRate(now))
+	return nil, rejection(&w.request, api.CodeOverloaded, retryAfter, "no replica of service %q has capacity for another request", service.name)
 }
 
 func (r *Router) acquireOnce(ctx context.Context, w *waiter) (*Reservation, *api.Error) {
@@ -53,8 +53,8 @@
 	return r.await(ctx, w)
 }
 
-// enter grants a reservation or rejects at once, or queues the waiter and returns nil
-// for both.
+// enter grants a reservation or rejects the request immediately, or else queues the
+// waiter and returns nil for both.
 func (r *Router) enter(w *waiter) (*Reservation, *api.Error) {
 	now := time.Now()
 	r.mutex.Lock()
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// BenchmarkReserve reserves replicas for requests with prefixes in a region of 240:
-// one operation is one request from Reserve to Finish.
+// BenchmarkReserve measures one request, from Reserve to Finish, with prefixes in a region
+// of 240 replicas.
 func BenchmarkReserve(b *testing.B) {
 	f := newFleet(b)
 	f.set(catalog.ServiceRecord("large", catalog.Service{Kind: "model", MaxConcurrency: 64}))
@@ -47,7 +47,7 @@
 			b.Fatal(failure)
 		}
 		reservations = append(reservations, reservation)
-		if len(reservations) == cap(reservations) { // a thousand in flight
+		if len(reservations) == cap(reservations) { // 1000 requests are in flight
 			for _, reservation := range reservations {
 				reservation.Finish(ResultSuccess, nil, time.Now())
 			}
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkSetPlan activates a plan of 12,000 replicas in 50 regions, of which
-// 240 are in the local region.
+// BenchmarkSetPlan measures the activation of a plan with 12,000 replicas in 50 regions, of
+// which 240 are in the local region.
 func BenchmarkSetPlan(b *testing.B) {
 	f := newFleet(b)
 	for region := range 50 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkResolve resolves a request of a bound tenant and lists its regions.
+// BenchmarkResolve measures Resolve and Regions for a request of a tenant with a home rule.
 func BenchmarkResolve(b *testing.B) {
 	f := newFleet(b)
 	f.replica("r1", "east-a", "east")
@@ -88,7 +88,7 @@
 	router.SetPlan(f.plan())
 	b.ReportAllocs()
 	for b.Loop() {
-		resolved, failure := router.Resolve(api.GenerateRequest{RequestID: "q", Model: "large-1", Tenant: "bound"}, time.Now())
+		resolved, failure := router.Resolve(api.GenerateRequest{RequestID: "q", Model: "large-1", Tenant: "east-tenant"}, time.Now())
 		if failure != nil || len(router.Regions(resolved)) != 1 {
 			b.Fatal(failure)
 		}
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -8,86 +8,90 @@
 	"github.com/deckpulley/deckpulley/internal/planted"
 )
 
-// maxConcurrency returns the configured limit of requests in flight.
-func (t *replica) maxConcurrency() int {
-	bound := t.service.settings.MaxConcurrency
-	if bound <= 0 {
-		bound = defaultConcurrency
+// maxConcurrency returns the configured limit of requests in flight, which is at most
+// the number of slots that the replica reports.
+func (r *replica) maxConcurrency() int {
+	limit := r.service.settings.MaxConcurrency
+	if limit <= 0 {
+		limit = defaultConcurrency
 	}
-	if t.report.Slots > 0 {
-		bound = min(bound, t.report.Slots)
+	if r.report.Slots > 0 {
+		limit = min(limit, r.report.Slots)
 	}
-	return bound
+	return limit
 }
 
-// usable reports whether the replica may get new requests at all.
-func (t *replica) usable(now time.Time) bool {
-	return t.open && now.Before(t.suspectedAt) && !now.Before(t.closedUntil)
+// usable reports whether the replica may be sent new requests, regardless of its capacity.
+func (r *replica) usable(now time.Time) bool {
+	return r.open && now.Before(r.suspectedAt) && !now.Before(r.closedUntil)
 }
 
-// concurrencyLimit returns the limit of the replica's requests from all gateways.
-func (t *replica) concurrencyLimit() int {
-	if planted.Active(planted.SwingingLimit) && time.Now().Unix()/swingSeconds%2 == 0 {
+// concurrencyLimit returns the limit of the requests that all gateways together may have
+// in flight at the replica.
+func (r *replica) concurrencyLimit() int {
+	if planted.Active(planted.SwingingLimit) && time.Now().Unix()/swingHalfPeriodSeconds%2 == 0 {
 		return 0
 	}
-	limit := min(t.limit.Value(), t.maxConcurrency())
-	if t.slowStart != nil {
-		limit = min(limit, t.slowStart.Limit())
+	limit := min(r.limit.Value(), r.maxConcurrency())
+	if r.slowStart != nil {
+		limit = min(limit, r.slowStart.Limit())
 	}
 	return limit
 }
 
-// hasCapacity reports whether one more request of a class fits. A gateway may always
-// use its equal share of the concurrency limit, and the rest as far as the last
-// report showed it free. The same holds for long requests within their share of the
-// limit, where the requests of other gateways all count as long. There are no shares
-// while a replica is warming up: the limit then holds for all requests together.
-func (t *replica) hasCapacity(now time.Time, class api.Class) bool {
-	limit := t.concurrencyLimit()
+// hasCapacity reports whether the replica can take one more request of a class. A gateway
+// may always use its equal share of the concurrency limit, and beyond that the part of
+// the limit that was unused according to the last report. The same rule applies to long
+// requests within their part of the limit; all requests of other gateways are assumed to
+// be long. While a replica is warming up, only one gateway sends requests to it, and the
+// undivided limit applies to all requests in flight.
+func (r *replica) hasCapacity(now time.Time, class api.Class) bool {
+	limit := r.concurrencyLimit()
 	if planted.Active(planted.RampPerGateway) {
-		return t.inFlight < limit
+		return r.inFlight < limit
 	}
-	if t.warmingUp() {
-		return t.totalInFlight() < limit && (class != api.ClassLong || t.warmupAdmitsLong(now, limit))
+	if r.warmingUp() {
+		return r.totalInFlight() < limit && (class != api.ClassLong || r.warmupAdmitsLong(now, limit))
 	}
-	gateways := t.service.router.gateways.count()
+	gateways := r.service.router.gateways.count()
 	share := (limit + gateways - 1) / gateways
-	if t.inFlight >= max(share, limit-t.inFlightElsewhere) {
+	if r.inFlight >= max(share, limit-r.inFlightElsewhere) {
 		return false
 	}
 	if class != api.ClassLong {
 		return true
 	}
 	long := admission.ClassLimit(limit, class)
-	return t.inFlightLong < max(1, long/gateways) || t.totalInFlight() < long
+	return r.inFlightLong < max(1, long/gateways) || r.totalInFlight() < long
 }
 
 // warmupAdmitsLong reports whether a replica that is warming up may get a long
-// request. The first step of its slow start is kept for short requests, whose
-// successes raise the limit soonest, unless none has come for longWarmupDelay.
-func (t *replica) warmupAdmitsLong(now time.Time, limit int) bool {
+// request. The first step of its slow start is reserved for shorter requests, which
+// complete sooner and so raise the limit sooner, unless the replica was sent no request
+// for longWarmupDelay.
+func (r *replica) warmupAdmitsLong(now time.Time, limit int) bool {
 	if limit < 2 {
-		return now.Sub(t.lastWarmup) >= longWarmupDelay
+		return now.Sub(r.lastWarmup) >= longWarmupDelay
 	}
-	return t.inFlightLong < admission.ClassLimit(limit, api.ClassLong)
+	return r.inFlightLong < admission.ClassLimit(limit, api.ClassLong)
 }
 
 // expectedCapacityWait returns the expected time, in seconds, until the replica has
-// capacity for a waiter, behind the others that wait for it.
-func (t *replica) expectedCapacityWait(w *waiter) float64 {
-	ahead := t.waiters
-	if w.awaited == t {
+// capacity for a waiter, after all other requests that wait for it.
+func (r *replica) expectedCapacityWait(w *waiter) float64 {
+	ahead := r.waiters
+	if w.awaited == r {
 		ahead--
 	}
-	serviceTime := t.serviceTime
+	serviceTime := r.serviceTime
 	if serviceTime <= 0 {
-		serviceTime = t.service.serviceTime
+		serviceTime = r.service.serviceTime
 	}
-	return max(minCapacityWait, float64(ahead+1)*serviceTime/float64(t.concurrencyLimit()))
+	return max(minCapacityWait, float64(ahead+1)*serviceTime/float64(r.concurrencyLimit()))
 }
 
-// totalInFlight returns the number of requests on the replica from all gateways, as
-// last reported.
-func (t *replica) totalInFlight() int {
-	return t.inFlight + t.inFlightElsewhere
+// totalInFlight returns the number of requests in flight at the replica: the current
+// ones of this gateway and those of other gateways according to the last report.
+func (r *replica) totalInFlight() int {
+	return r.inFlight + r.inFlightElsewhere
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// warmupInterval is the time between two requests that are sent to a replica only
-	// to warm it up.
+	// warmupInterval is how long a replica that is warming up may be sent no request
+	// before one is sent to it regardless of its cost.
 	warmupInterval = 200 * time.Millisecond
-	// warmupTimeFraction of a request's remaining time may be spent to warm up a replica.
+	// warmupTimeFraction is the fraction of a request's remaining time that its first
+	// token may take on a replica that is chosen only to warm it up.
 	warmupTimeFraction = 0.25
-	// failurePenalty, in seconds, times the square of its failure ratio is added to a
-	// replica's cost, so that one failure in ten hardly counts.
+	// failurePenalty is the cost, in seconds, of a failure ratio of 1. It is multiplied by
+	// the square of the failure ratio, so that a ratio of 0.1 adds only 0.3 s.
 	failurePenalty = 30
-	// maxWaitFraction of a request's remaining time may be spent waiting for one
-	// replica.
+	// maxWaitFraction is the fraction of a request's remaining time that it may wait for
+	// one replica.
 	maxWaitFraction = 0.25
 )
 
-// promptTokens returns the length of the prompt with its prefixes.
+// promptTokens returns the number of tokens of the prompt, including its prefixes.
 func promptTokens(request *Request) float64 {
 	total := request.PromptTokens
 	for _, prefix := range request.Prefixes {
@@ -32,13 +33,13 @@
 // choice is a chosen replica; target is nil if there is none.
 type choice struct {
 	target      *replica
-	cached      float64 // tokens expected in its cache, by the index
+	cached      float64 // tokens of the prompt that its KV cache has, by the prefix index
 	hasCapacity bool
 }
 
-// chooseReplica chooses a replica for the waiter's request. With mayWait set it may
-// choose a replica without capacity, if waiting for that one costs less than
-// prefilling the prefix on another.
+// chooseReplica chooses a replica for the waiter's request. If mayWait is set, it may
+// choose a replica without capacity when waiting for it costs less than prefilling the
+// prompt on another replica.
 func (s *service) chooseReplica(now time.Time, w *waiter, mayWait bool) choice {
 	s.index.Cached(w.chain, func(number, tokens int) {
 		s.cachedTokens[number] = float64(tokens)
@@ -56,19 +57,19 @@
 // chooseByCost chooses the usable replica with the lowest expected cost.
 func (s *service) chooseByCost(now time.Time, w *waiter, mayWait bool) choice {
 	s.candidates = s.candidates[:0]
-	longest := maxWaitFraction * w.request.Deadline.Sub(now).Seconds()
+	maxWait := maxWaitFraction * w.request.Deadline.Sub(now).Seconds()
 	for position, target := range s.replicas {
 		if !target.usable(now) || w.request.ExcludedReplicas[target.name] {
 			continue
 		}
 		hasCapacity := target.hasCapacity(now, w.request.Class)
 		wait := target.expectedCapacityWait(w)
-		if !hasCapacity && (!mayWait || wait > longest) {
+		if !hasCapacity && (!mayWait || wait > maxWait) {
 			continue
 		}
 		candidate := target.candidate(position, s.cachedTokens[target.number])
-		failing := s.group.FailureRatio(now, target.name)
-		candidate.Penalty = failurePenalty * failing * failing
+		failureRatio := s.group.FailureRatio(now, target.name)
+		candidate.Penalty = failurePenalty * failureRatio * failureRatio
 		if !hasCapacity {
 			candidate.Wait = wait
 		}
@@ -82,9 +83,9 @@
 	return choice{target: target, cached: s.cachedTokens[target.number], hasCapacity: s.candidates[best].Wait == 0}
 }
 
-// chooseForWarmup chooses a replica that is due for a warm-up request, if the request
-// has the time for it. By cost alone a slow replica would never be chosen, and would
-// never warm up.
+// chooseForWarmup chooses a replica that is due for a warm-up request, if the request's
+// deadline allows it. If replicas were chosen by cost alone, a cold replica, which is
+// slow, would never be chosen and would never warm up.
 func (s *service) chooseForWarmup(now time.Time, w *waiter) choice {
 	for _, target := range s.replicas {
 		due := target.warmingUp() && now.Sub(target.lastWarmup) >= warmupInterval
@@ -92,8 +93,8 @@
 			continue
 		}
 		candidate := target.candidate(0, s.cachedTokens[target.number])
-		left := w.request.Deadline.Sub(now).Seconds()
-		if candidate.FirstToken(w.work.Tokens) > warmupTimeFraction*left {
+		remaining := w.request.Deadline.Sub(now).Seconds()
+		if candidate.FirstToken(w.work.Tokens) > warmupTimeFraction*remaining {
 			continue
 		}
 		return choice{target: target, cached: s.cachedTokens[target.number], hasCapacity: true}
--- a/routing/completion.go
+++ b/routing/completion.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// completionRate returns the completions per second to expect, 0 if unknown. For a
-// queue that has stood for standingQueueAge it is the measured rate. For a younger one
-// it is at least the rate by Little's law, since what was measured before the queue
-// began was the demand and not the capacity.
+// completionRate returns the expected number of completions per second, 0 if it is
+// unknown. If the queue has not been empty for standingQueueAge, this is the measured
+// rate. Otherwise it is at least the rate given by Little's law, because the rate that
+// was measured before requests had to queue shows the demand and not the capacity.
 func (s *service) completionRate(now time.Time) float64 {
 	measured := s.completions.PerSecond(now)
 	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < standingQueueAge {
@@ -17,8 +17,8 @@
 	return max(measured, minCompletionRate)
 }
 
-// expectedRate returns the completions per second of the requests in flight at the
-// smoothed service time.
+// expectedRate returns the completions per second by Little's law: the requests in flight
+// divided by the smoothed service time.
 func (s *service) expectedRate() float64 {
 	if s.serviceTime <= 0 {
 		return 0
@@ -30,8 +30,9 @@
 	return float64(inFlight) / s.serviceTime
 }
 
-// expectedFirstToken returns the expected time to the first token of a request on the
-// fastest replica with the longest cached prefix, without queueing.
+// expectedFirstToken returns a lower bound of the expected time to the first token: with
+// the prefill speed of the fastest replica, the longest cached prefix of any replica and
+// no queueing. It is 0 if the prefill speed is unknown.
 func (s *service) expectedFirstToken(w *waiter) time.Duration {
 	rate := 0.0
 	for _, target := range s.replicas {
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// upHoldTime is how long a replica must be observed up before that replaces another
-	// state: two reports at the default interval.
+	// upHoldTime is how long a replica must be observed up before its state changes to up.
+	// It spans two reports at the default interval.
 	upHoldTime = 750 * time.Millisecond
-	// downHoldTime is how long a replica must be dead before it is declared down.
+	// downHoldTime is how long the failure detector must consider a replica dead before
+	// the replica is declared down.
 	downHoldTime = 2 * time.Second
-	// startGracePeriod is how long a new replica may stay without a report before it
-	// can be declared down.
+	// startGracePeriod is how long a new replica may send no report before it can be
+	// declared down.
 	startGracePeriod = 3 * time.Second
 	// proposalInterval is the time between two proposals of the same change.
 	proposalInterval = 400 * time.Millisecond
-	// A gap of processPauseThreshold between two calls of Conditions counts as a pause of
-	// the process, which then proposes nothing for processPauseRecovery.
+	// If two calls of Conditions are at least processPauseThreshold apart, the process is
+	// assumed to have been paused, and proposes nothing for processPauseRecovery.
 	processPauseThreshold = 3 * time.Second
 	processPauseRecovery  = 2 * time.Second
 )
@@ -34,16 +35,17 @@
 	New     catalog.Condition
 }
 
-// proposal is a condition that was proposed for a replica.
+// proposal is the condition that was last proposed for a replica, and when.
 type proposal struct {
 	condition catalog.Condition
 	at        time.Time
 }
 
-// Conditions proposes the conditions of the replicas watched by this gateway that
-// it observes to differ from the active plan, sorted by replica. A change is
-// proposed again until the plan has it. Conditions must be called about as often as
-// replicas are polled: a longer gap counts as a pause of this process.
+// Conditions returns the condition changes that this gateway proposes, sorted by replica:
+// one for each replica whose observed condition differs from the active plan. Each replica
+// has one gateway that proposes its condition. A change is proposed repeatedly until the
+// plan contains it. Conditions must be called about as often as replicas are polled, since
+// a long gap between calls is taken for a pause of this process.
 func (r *Router) Conditions(now time.Time) []ConditionChange {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -62,15 +64,15 @@
 	return changes
 }
 
-// pauseDetector tells a pause of this process, as when it was frozen, from the
-// replicas' failure to respond.
+// pauseDetector detects that this process was paused, for example suspended by the
+// operating system, so that the pause is not mistaken for a failure of the replicas.
 type pauseDetector struct {
 	lastCall  time.Time
-	resumedAt time.Time // after the last pause; zero if there was none
+	resumedAt time.Time // end of the last pause; zero if there was none
 }
 
-// paused reports whether the process was paused recently, so that the replicas'
-// responses to its polls may still be missing. It must be called regularly.
+// paused reports whether the process was paused recently, in which case the replicas'
+// responses to its polls may still be outstanding. It must be called regularly.
 func (d *pauseDetector) paused(now time.Time) bool {
 	gap := now.Sub(d.lastCall)
 	if !d.lastCall.IsZero() && gap >= processPauseThreshold {
@@ -80,9 +82,9 @@
 	return !d.resumedAt.IsZero() && now.Sub(d.resumedAt) < processPauseRecovery
 }
 
-// anyReplicaAlive reports whether any replica of the region is alive. A gateway to
-// which all of several replicas look dead may be partitioned itself, and declares none
-// down.
+// anyReplicaAlive reports whether any replica of the region is alive. If all of several
+// replicas seem dead, this gateway may itself be partitioned from them, and declares none
+// of them down. For a single replica this cannot be distinguished, and the result is true.
 func (r *Router) anyReplicaAlive(now time.Time) bool {
 	if len(r.replicas) == 1 {
 		return true
@@ -95,21 +97,22 @@
 	return false
 }
 
-// proposeCondition returns the change from the plan's condition to the observed one,
-// and false if there is none or if it was proposed recently.
-func (t *replica) proposeCondition(now time.Time) (ConditionChange, bool) {
-	observed, ok := t.observedCondition(now)
-	if !t.isWatcher || !ok || (t.conditioned && t.condition == observed) {
+// proposeCondition returns the change from the plan's condition to the observed one. It
+// returns false if there is no change, if it was proposed recently, or if another gateway
+// proposes the condition of this replica.
+func (r *replica) proposeCondition(now time.Time) (ConditionChange, bool) {
+	observed, ok := r.observedCondition(now)
+	if !r.proposesCondition || !ok || (r.hasCondition && r.condition == observed) {
 		return ConditionChange{}, false
 	}
-	recent := t.lastProposal.condition == observed && now.Sub(t.lastProposal.at) < proposalInterval
-	if recent && !t.lastProposal.at.IsZero() {
+	recentlyProposed := r.lastProposal.condition == observed && now.Sub(r.lastProposal.at) < proposalInterval
+	if recentlyProposed && !r.lastProposal.at.IsZero() {
 		return ConditionChange{}, false
 	}
-	t.lastProposal = proposal{condition: observed, at: now}
-	change := ConditionChange{Replica: t.name, New: observed}
-	if t.conditioned {
-		old := t.condition
+	r.lastProposal = proposal{condition: observed, at: now}
+	change := ConditionChange{Replica: r.name, New: observed}
+	if r.hasCondition {
+		old := r.condition
 		change.Old = &old
 	}
 	return change, true
@@ -117,53 +120,53 @@
 
 // observedCondition returns the condition that this gateway observes, with hysteresis,
 // and false while it is unknown.
-func (t *replica) observedCondition(now time.Time) (catalog.Condition, bool) {
-	state, ok := t.observedState(now)
+func (r *replica) observedCondition(now time.Time) (catalog.Condition, bool) {
+	state, ok := r.observedState(now)
 	if !ok {
 		return catalog.Condition{}, false
 	}
-	state = t.conditionHysteresis.Observe(now, state, holdTime(state))
+	state = r.conditionHysteresis.Observe(now, state, holdTime(state))
 	if state == catalog.ConditionDown {
-		return t.observedDown(now)
+		return r.observedDown(now)
 	}
-	condition := catalog.Condition{State: state, Incarnation: t.report.Incarnation}
+	condition := catalog.Condition{State: state, Incarnation: r.report.Incarnation}
 	if state == catalog.ConditionWarmingUp {
-		condition.WarmupGateway = t.warmupGateway()
+		condition.WarmupGateway = r.warmupGateway()
 		return condition, condition.WarmupGateway != ""
 	}
 	return condition, true
 }
 
-// observedDown returns the condition of a dead replica. One that is down already is
-// kept as it is.
-func (t *replica) observedDown(now time.Time) (catalog.Condition, bool) {
-	if t.conditioned && t.condition.State == catalog.ConditionDown {
-		return t.condition, true
+// observedDown returns the condition of a dead replica. If the plan already has it as
+// down, its condition does not change.
+func (r *replica) observedDown(now time.Time) (catalog.Condition, bool) {
+	if r.hasCondition && r.condition.State == catalog.ConditionDown {
+		return r.condition, true
 	}
-	down := catalog.Condition{State: catalog.ConditionDown, Incarnation: t.report.Incarnation}
-	return down, t.service.router.anyReplicaAlive(now)
+	down := catalog.Condition{State: catalog.ConditionDown, Incarnation: r.report.Incarnation}
+	return down, r.service.router.anyReplicaAlive(now)
 }
 
 // observedState returns the state before hysteresis, and false while it is unknown.
-func (t *replica) observedState(now time.Time) (catalog.ConditionState, bool) {
-	dead := t.detector.State(now) == failuredetector.Dead
+func (r *replica) observedState(now time.Time) (catalog.ConditionState, bool) {
+	dead := r.detector.State(now) == failuredetector.Dead
 	switch {
-	case dead && (t.reported || now.Sub(t.created) >= startGracePeriod):
+	case dead && (r.reported || now.Sub(r.created) >= startGracePeriod):
 		return catalog.ConditionDown, true
-	case !t.reported || t.stateUnknown || dead:
+	case !r.reported || r.stateUnknown || dead:
 		return "", false
-	case t.report.Draining || t.service.router.plan.IsDraining(t.name):
+	case r.report.Draining || r.service.router.plan.IsDraining(r.name):
 		return catalog.ConditionDraining, true
-	case t.report.Cold:
+	case r.report.Cold:
 		return catalog.ConditionWarmingUp, true
 	default:
 		return catalog.ConditionUp, true
 	}
 }
 
-// holdTime returns how long a state must be observed before it replaces another.
-// States that only take requests away need no hold time; those that give them back,
-// and down, do.
+// holdTime returns how long a state must be observed before it replaces another. Draining
+// and warming up, which only restrict the requests that a replica gets, take effect
+// immediately. Up and down need a hold time.
 func holdTime(state catalog.ConditionState) time.Duration {
 	switch state {
 	case catalog.ConditionUp:
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// rejection returns the error of a request that never ran and never will.
+// rejection returns the error of a request that was not executed and will not be.
 func rejection(request *Request, code api.Code, retryAfter time.Duration, format string, arguments ...any) *api.Error {
 	return &api.Error{
 		Code:         code,
@@ -19,8 +19,8 @@
 	}
 }
 
-// invalid returns the error of a request with an invalid field.
-func invalid(requestID, field, format string, arguments ...any) *api.Error {
+// invalidFieldError returns the error for a request with an invalid field.
+func invalidFieldError(requestID, field, format string, arguments ...any) *api.Error {
 	return &api.Error{
 		Code:      api.CodeInvalid,
 		Outcome:   api.OutcomeRefused,
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// fleet builds plans for tests from a real registry table.
+// fleet builds plans for tests by applying its records to a registry table.
 type fleet struct {
 	t       testing.TB
 	records []registry.Record
@@ -29,15 +29,15 @@
 		catalog.ZoneRecord("west-a", catalog.Zone{Region: "west"}),
 		catalog.HomeRecord("east-only", catalog.Home{Regions: []string{"east"}}),
 		catalog.HomeRecord("west-only", catalog.Home{Regions: []string{"west"}}),
-		catalog.TenantRecord("bound", catalog.Tenant{Home: "east-only"}),
-		catalog.ClientRecord("westerners", catalog.Client{Region: "west"}),
+		catalog.TenantRecord("east-tenant", catalog.Tenant{Home: "east-only"}),
+		catalog.ClientRecord("west-clients", catalog.Client{Region: "west"}),
 	)
 	f.gateway("g1", "east-a", "east", true)
 	f.gateway("g2", "west-a", "west", true)
 	return f
 }
 
-// set adds records or replaces those of the same name and type.
+// set adds records and replaces those that have the same name and type.
 func (f *fleet) set(records ...registry.Record) {
 	for _, record := range records {
 		f.remove(record.Name, record.Type)
@@ -69,12 +69,13 @@
 	f.set(catalog.ConditionRecord("r1", catalog.Condition{State: state, Incarnation: "r1-1", WarmupGateway: warmupGateway}))
 }
 
+// plan returns the plan of the current records.
 func (f *fleet) plan() *Plan {
 	f.t.Helper()
 	return f.planAfter(1)
 }
 
-// planAfter is plan with the serial that follows the given one.
+// planAfter returns the plan with the serial that follows the given one.
 func (f *fleet) planAfter(serial uint32) *Plan {
 	f.t.Helper()
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "c1", Serial: serial}, []string{"c1"})
@@ -87,7 +88,7 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
-		f.t.Fatalf("table: %v", result)
+		f.t.Fatalf("applying the records to the table: %v", result)
 	}
 	contents, err := catalog.Read(table.View())
 	if err != nil {
@@ -114,8 +115,9 @@
 	return New(Config{Region: region, Gateway: gateway, Seed: 1})
 }
 
-// oneReplica returns a fleet with one replica and a router that has heard of it.
-func oneReplica(tb testing.TB) (*fleet, *Router) {
+// newSingleReplicaFleet returns a fleet with one replica, and a router that has received a
+// report of that replica.
+func newSingleReplicaFleet(tb testing.TB) (*fleet, *Router) {
 	tb.Helper()
 	f := newFleet(tb)
 	f.replica("r1", "east-a", "east")
@@ -129,7 +131,7 @@
 	t.Helper()
 	reservation, failure := router.Reserve(request)
 	if failure != nil {
-		t.Fatalf("reserve %s: %v", request.ID, failure)
+		t.Fatalf("request %q was rejected: %v", request.ID, failure)
 	}
 	return reservation
 }
@@ -138,6 +140,6 @@
 	t.Helper()
 	reservation, failure := router.Reserve(request)
 	if reservation != nil || failure == nil || failure.Code != code || failure.Outcome != api.OutcomeRefused {
-		t.Fatalf("reserve %s: reservation %v, %v; want rejected with %s", request.ID, reservation, failure, code)
+		t.Fatalf("request %q: got reservation %v, error %v; want a rejection with code %s", request.ID, reservation, failure, code)
 	}
 }
--- a/routing/home.go
+++ b/routing/home.go
@@ -7,21 +7,21 @@
 	"github.com/deckpulley/deckpulley/internal/planted"
 )
 
-// homeRegions returns the regions that may run a request under both the present plan
-// and the one that it was resolved under; nil is any. It returns false if there is no
-// such region.
+// homeRegions returns the regions that may run a request under both the active plan and
+// the plan that it was resolved under. A nil list allows any region. It returns false if
+// no region is allowed by both.
 func (r *Router) homeRegions(request *Request) (home []string, ok bool) {
-	if request.resolved == r.plan {
+	if request.resolvedPlan == r.plan {
 		return request.Home, true
 	}
-	present, bound := homeOf(r.plan, request)
-	if !bound {
+	current, restricted := homeUnderPlan(r.plan, request)
+	if !restricted {
 		if len(request.Home) == 0 {
 			return nil, true
 		}
 		return request.Home, true
 	}
-	for _, region := range present {
+	for _, region := range current {
 		if mayRunIn(r.plan, request, region) {
 			home = append(home, region)
 		}
@@ -29,8 +29,9 @@
 	return home, len(home) > 0
 }
 
-// servingRegion returns the region of the request's client, else the local region.
-func (r *Router) servingRegion(request *Request) string {
+// clientRegion returns the region that the plan assigns to the request's client, or the
+// local region if there is none.
+func (r *Router) clientRegion(request *Request) string {
 	if request.Client == "" {
 		return r.config.Region
 	}
@@ -41,16 +42,17 @@
 	return client.Region
 }
 
-// homeOf calls homeUnder with the plan's route for the request's model.
-func homeOf(plan *Plan, request *Request) (regions []string, bound bool) {
+// homeUnderPlan calls homeUnderRoute with the plan's route for the request's model.
+func homeUnderPlan(plan *Plan, request *Request) (regions []string, restricted bool) {
 	route, _ := plan.Route(request.Model)
-	return homeUnder(plan, request, route)
+	return homeUnderRoute(plan, request, route)
 }
 
-// homeUnder returns the intersection of the home rules that bind a request: its own,
-// its route's and its tenant's. A rule that the plan does not have admits no region,
-// so that the removal of a rule in error does not lift the restriction.
-func homeUnder(plan *Plan, request *Request, route catalog.Route) (regions []string, bound bool) {
+// homeUnderRoute returns the intersection of the home rules that apply to a request: its
+// own, its route's and its tenant's. It returns false for restricted if there are none, in
+// which case any region is allowed. A rule that the plan does not define allows no region,
+// so that removing a rule by mistake does not lift its restriction.
+func homeUnderRoute(plan *Plan, request *Request, route catalog.Route) (regions []string, restricted bool) {
 	rules := make([]string, 0, 3)
 	rules = append(rules, request.HomeRule, route.Home)
 	if request.Tenant != "" {
@@ -63,19 +65,19 @@
 			continue
 		}
 		home, _ := plan.Home(rule)
-		if !bound {
-			regions, bound = slices.Clone(home.Regions), true
+		if !restricted {
+			regions, restricted = slices.Clone(home.Regions), true
 			continue
 		}
 		regions = slices.DeleteFunc(regions, func(region string) bool {
 			return !slices.Contains(home.Regions, region)
 		})
 	}
-	return regions, bound
+	return regions, restricted
 }
 
-// mayRunIn reports whether a request may run in a region: both under the homes
-// found when it was resolved and under those of the present plan.
+// mayRunIn reports whether a request may run in a region under both the home regions found
+// when it was resolved and those of the given plan.
 func mayRunIn(plan *Plan, request *Request, region string) bool {
 	if planted.Active(planted.IgnoreHome) {
 		return true
@@ -83,9 +85,9 @@
 	if len(request.Home) > 0 && !slices.Contains(request.Home, region) {
 		return false
 	}
-	if request.resolved == plan {
+	if request.resolvedPlan == plan {
 		return true
 	}
-	home, bound := homeOf(plan, request)
-	return !bound || slices.Contains(home, region)
+	home, restricted := homeUnderPlan(plan, request)
+	return !restricted || slices.Contains(home, region)
 }
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -13,19 +13,19 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// overload is one gateway with four replicas of four slots, in virtual time.
-type overload struct {
+// overloadTest runs one gateway and four replicas with four slots each in virtual time.
+type overloadTest struct {
 	router   *Router
 	mutex    sync.Mutex
 	served   map[string]int // by tenant and class
 	incoming map[string]int
-	// rejectedAfter are the waits of rejected requests, queued the waits of
-	// granted ones.
+	// rejectedAfter holds how long rejected requests waited, and queued how long granted
+	// ones did.
 	rejectedAfter, queued []time.Duration
 	codes                 map[api.Code]int
 }
 
-func newOverload(t *testing.T) *overload {
+func newOverloadTest(t *testing.T) *overloadTest {
 	t.Helper()
 	f := newFleet(t)
 	f.set(catalog.LimitsRecord(catalog.Limits{QueueLength: 64}))
@@ -33,7 +33,7 @@
 	for index := range 4 {
 		f.replica(fmt.Sprint("r", index), "east-a", "east")
 	}
-	o := &overload{
+	o := &overloadTest{
 		router: newRouter("east", "g1"), served: map[string]int{}, incoming: map[string]int{},
 		codes: map[api.Code]int{},
 	}
@@ -41,24 +41,25 @@
 	return o
 }
 
-func (o *overload) reset() {
+func (o *overloadTest) reset() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.served, o.incoming, o.codes = map[string]int{}, map[string]int{}, map[api.Code]int{}
 	o.rejectedAfter, o.queued = nil, nil
 }
 
-// stream is a steady flow of requests.
-type stream struct {
+// requestStream describes requests that arrive at a constant rate.
+type requestStream struct {
 	tenant      string
 	class       api.Class
 	perSecond   float64
 	serviceTime time.Duration
-	wait        time.Duration
+	wait        time.Duration // until the deadline
 }
 
-// run plays the streams for some seconds and lets the rest come to its end.
-func (o *overload) run(seconds int, streams ...stream) {
+// run sends the requests of the streams for some seconds. It does not wait for those that
+// are still queued or running at the end.
+func (o *overloadTest) run(seconds int, streams ...requestStream) {
 	credit := make([]float64, len(streams))
 	for round := range seconds * 100 {
 		if round%50 == 0 {
@@ -67,7 +68,7 @@
 		for index, flow := range streams {
 			credit[index] += flow.perSecond / 100
 			for ; credit[index] >= 1; credit[index]-- {
-				go o.ask(flow, fmt.Sprint(flow.tenant, round, index))
+				go o.sendRequest(flow, fmt.Sprint(flow.tenant, round, index))
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -75,7 +76,8 @@
 	}
 }
 
-func (o *overload) poll() {
+// poll reports the state of each replica to the router.
+func (o *overloadTest) poll() {
 	status := o.router.Status()
 	for _, service := range status.Services {
 		for _, member := range service.Members {
@@ -87,7 +89,9 @@
 	}
 }
 
-func (o *overload) ask(flow stream, id string) {
+// sendRequest acquires a reservation for one request, runs it for its service time and
+// records the outcome.
+func (o *overloadTest) sendRequest(flow requestStream, id string) {
 	start := time.Now()
 	incoming := request(id)
 	incoming.Tenant, incoming.Class, incoming.Deadline = flow.tenant, flow.class, start.Add(flow.wait)
@@ -117,16 +121,17 @@
 	return sorted[int(part*float64(len(sorted)-1))]
 }
 
-// TestOverload sends three times what the replicas can serve (40 a second) after a
-// quiet time: they stay fully used, and refusals come early.
+// TestOverload checks that replicas stay fully used and that requests are rejected early
+// when, after a period of low load, three times as many requests arrive as the replicas can
+// serve, which is 40 per second.
 func TestOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOverload(t)
-		quick := stream{tenant: "a", class: api.ClassQuick, serviceTime: 400 * time.Millisecond, wait: 2 * time.Second}
+		o := newOverloadTest(t)
+		quick := requestStream{tenant: "a", class: api.ClassQuick, serviceTime: 400 * time.Millisecond, wait: 2 * time.Second}
 		quick.perSecond = 10
 		o.run(10, quick)
 		if len(o.rejectedAfter) > 0 {
-			t.Errorf("%v rejected at a quarter of the load", o.codes)
+			t.Errorf("requests rejected at a quarter of the capacity, by code: %v", o.codes)
 		}
 		o.reset()
 		quick.perSecond = 120
@@ -137,65 +142,66 @@
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		served := len(o.queued)
-		t.Logf("served %d of 400 possible, queued p50 %v p99 %v; rejected %v after p50 %v p99 %v",
+		t.Logf("served %d of at most 400; queue wait p50 %v, p99 %v; rejected %v, time to rejection p50 %v, p99 %v",
 			served, quantile(o.queued, 0.5), quantile(o.queued, 0.99), o.codes,
 			quantile(o.rejectedAfter, 0.5), quantile(o.rejectedAfter, 0.99))
 		if late := quantile(settled, 0.5); late < 500*time.Millisecond || late > 1100*time.Millisecond {
-			t.Errorf("queue wait settles at %v, want near the set point of 0.92 s", late)
+			t.Errorf("median queue wait settles at %v, want 0.5 s to 1.1 s, near the set point of 0.92 s", late)
 		}
 		if served < 380 {
-			t.Errorf("served %d, want the replicas kept busy", served)
+			t.Errorf("served %d requests of at most 400, want at least 380", served)
 		}
 		if early := quantile(o.rejectedAfter, 0.9); early > 200*time.Millisecond {
-			t.Errorf("nine of ten refusals within %v, want them early", early)
+			t.Errorf("90th percentile of the time to rejection is %v, want at most 200 ms", early)
 		}
 	})
 }
 
-// TestFairShares overloads the replicas by three tenants and two classes: shares
-// follow the weights, and quick requests hardly wait behind long ones.
+// TestFairShares checks that the requests served for three tenants that overload the
+// replicas are in proportion to the tenants' weights, whatever their request rates.
 func TestFairShares(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOverload(t)
-		quick := func(tenant string, perSecond float64) stream {
-			return stream{tenant: tenant, class: api.ClassQuick, perSecond: perSecond, serviceTime: 400 * time.Millisecond, wait: 5 * time.Second}
+		o := newOverloadTest(t)
+		quick := func(tenant string, perSecond float64) requestStream {
+			return requestStream{tenant: tenant, class: api.ClassQuick, perSecond: perSecond, serviceTime: 400 * time.Millisecond, wait: 5 * time.Second}
 		}
-		flows := []stream{quick("greedy", 200), quick("modest", 30), quick("double", 60)}
+		flows := []requestStream{quick("greedy", 200), quick("modest", 30), quick("double", 60)}
 		o.run(5, flows...)
 		o.reset()
 		o.run(20, flows...)
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
-		t.Logf("served %v", o.served)
+		t.Logf("served by tenant and class: %v", o.served)
 		modest := float64(o.served["modest/quick"])
 		if ratio := float64(o.served["greedy/quick"]) / modest; ratio < 0.8 || ratio > 1.25 {
-			t.Errorf("greedy over modest is %.2f, want 1", ratio)
+			t.Errorf("requests served for tenant greedy divided by those for modest: %.2f, want about 1", ratio)
 		}
 		if ratio := float64(o.served["double/quick"]) / modest; ratio < 1.6 || ratio > 2.5 {
-			t.Errorf("double over modest is %.2f, want 2", ratio)
+			t.Errorf("requests served for tenant double divided by those for modest: %.2f, want about 2", ratio)
 		}
 	})
 }
 
-// TestQuickRequestsDuringLongOverload floods with long requests and sends a few quick ones.
+// TestQuickRequestsDuringLongOverload checks that all of a few quick requests are served
+// while long requests overload the replicas, and that these still use their slots.
 func TestQuickRequestsDuringLongOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOverload(t)
-		long := stream{tenant: "a", class: api.ClassLong, perSecond: 20, serviceTime: 5 * time.Second, wait: 20 * time.Second}
+		o := newOverloadTest(t)
+		long := requestStream{tenant: "a", class: api.ClassLong, perSecond: 20, serviceTime: 5 * time.Second, wait: 20 * time.Second}
 		o.run(10, long)
-		quick := stream{tenant: "b", class: api.ClassQuick, perSecond: 5, serviceTime: 400 * time.Millisecond, wait: 5 * time.Second}
+		quick := requestStream{tenant: "b", class: api.ClassQuick, perSecond: 5, serviceTime: 400 * time.Millisecond, wait: 5 * time.Second}
 		o.reset()
 		o.run(20, quick, long)
 		o.mutex.Lock()
 		served, incoming := o.served["b/quick"], o.incoming["b/quick"]
 		longServed, longAsked := o.served["a/long"], o.incoming["a/long"]
 		o.mutex.Unlock()
-		t.Logf("quick served %d of %d, long %d of %d", served, incoming, longServed, longAsked)
+		t.Logf("served %d of %d quick requests and %d of %d long ones", served, incoming, longServed, longAsked)
 		if served < incoming || incoming < 95 {
-			t.Errorf("quick served %d of %d beside long ones", served, incoming)
+			t.Errorf("served %d of %d quick requests during the overload with long ones, want all of at least 95", served, incoming)
 		}
-		if longServed < 40 { // twelve slots for 20 s at 5 s each are 48
-			t.Errorf("long served %d, want their slots kept busy", longServed)
+		if longServed < 40 { // twelve slots can serve 48 requests of 5 s in 20 s
+			t.Errorf("served %d long requests of at most 48, want at least 40", longServed)
 		}
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -7,11 +7,13 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// Plan is the active state of the registry. It is immutable: each activation brings
-// a new one.
+// Plan is the registry state that is active at this gateway. It is immutable: each
+// activation replaces it.
 type Plan = catalog.State
 
-// SetPlan replaces the plan. Waiting requests are admitted anew under it.
+// SetPlan replaces the plan. Queued requests whose service was removed or whose model is
+// routed to another service are admitted again; those that the new plan no longer allows
+// are rejected.
 func (r *Router) SetPlan(plan *Plan) {
 	now := time.Now()
 	r.mutex.Lock()
@@ -33,17 +35,17 @@
 	}
 }
 
-// localGateways are the gateways of the local region.
+// localGateways holds the names of the gateways of the local region that are up.
 type localGateways struct {
 	// up lists the gateways that are up, sorted.
 	up []string
-	// warmup lists those of them that may send requests to replicas that are warming
-	// up, sorted.
+	// warmup lists the ones that may be chosen to send requests to replicas that are
+	// warming up, sorted.
 	warmup []string
 }
 
-// set finds the gateways in a plan. Those outside evacuated zones may warm up
-// replicas, or all if there are none.
+// set reads the gateways from a plan. Gateways in evacuated zones may warm up replicas
+// only if there are no others.
 func (g *localGateways) set(plan *Plan, region string) {
 	g.up = g.up[:0]
 	g.warmup = g.warmup[:0]
@@ -63,22 +65,22 @@
 	slices.Sort(g.warmup)
 }
 
-// count returns the number of gateways that share the replicas, at least 1.
+// count returns the number of gateways that share the region's replicas, at least 1.
 func (g *localGateways) count() int {
 	return max(1, len(g.up))
 }
 
-// setServices adds, updates and removes services. It returns the waiters of
-// removed services and those whose model is now routed to another service.
+// setServices adds, updates and removes services. It returns the waiters of removed
+// services and the waiters whose model is now routed to another service.
 func (r *Router) setServices(plan *Plan) []*waiter {
-	var moved []*waiter
+	var waiters []*waiter
 	for name, service := range r.services {
 		if _, ok := plan.Service(name); ok {
-			moved = append(moved, service.removeRerouted(plan)...)
+			waiters = append(waiters, service.removeRerouted(plan)...)
 			continue
 		}
 		for _, item := range service.queue.Drain() {
-			moved = append(moved, item.Payload)
+			waiters = append(waiters, item.Payload)
 		}
 		delete(r.services, name)
 	}
@@ -89,7 +91,7 @@
 		}
 		r.services[name].configure(settings, limits)
 	}
-	return moved
+	return waiters
 }
 
 // setReplicas adds, updates and removes the replicas of the local region.
@@ -115,8 +117,8 @@
 	}
 }
 
-// localReplicas names the listed replicas of the local region that belong to a
-// known service, sorted, so that equal plans have equal effects.
+// localReplicas returns the names of the listed replicas of the local region that belong
+// to a known service. They are sorted so that applying a plan is deterministic.
 func (r *Router) localReplicas(listed map[string]catalog.Replica) []string {
 	var names []string
 	for name, entry := range listed {
@@ -128,7 +130,8 @@
 	return names
 }
 
-// planAdmits reports whether the plan alone admits new requests to a replica.
+// planAdmits reports whether the plan allows new requests to a replica, without regard to
+// the replica's own reports.
 func planAdmits(plan *Plan, name string, replica catalog.Replica) bool {
 	if plan.IsDraining(name) || plan.IsEvacuated(replica.Zone) {
 		return false
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// costUnit is the number of tokens that cost one unit in fair queueing.
+	// costUnit is the number of tokens that make up one unit of cost in fair queueing.
 	costUnit = 1024
-	// standingQueueAge is the age from which a queue is a standing queue.
+	// standingQueueAge is how long a queue must not have been empty to count as a standing
+	// queue.
 	standingQueueAge = 4 * time.Second
-	// minStandingFraction is the least fraction of the queue length that a standing
-	// queue may have.
+	// minStandingFraction is the smallest limit of a standing queue, as a fraction of the
+	// configured queue length.
 	minStandingFraction = 0.125
-	// minCompletionRate is the least rate that is assumed, in completions per second.
+	// minCompletionRate is the lowest rate that is assumed once a request has completed, in
+	// completions per second.
 	minCompletionRate = 0.01
 )
 
-// enter grants the waiter a reservation on its best replica if that has capacity and
-// no waiter is ahead; else it queues the waiter. If the queue rejects the waiter, it
-// gets any replica with capacity, and is rejected only if there is none.
+// enter grants the waiter a reservation on its best replica if that replica has capacity
+// and no other waiter comes first; otherwise it queues the waiter. If the queue rejects
+// the waiter, it is granted the best replica that has capacity, and is rejected only if
+// there is none.
 func (s *service) enter(now time.Time, w *waiter) (*Reservation, *api.Error) {
 	choice := s.chooseReplica(now, w, true)
-	free := s.queue.ClassLen(w.request.Class) == 0 || (choice.target != nil && choice.target.waiters == 0)
-	if choice.hasCapacity && free {
+	noneAhead := s.queue.ClassLen(w.request.Class) == 0 || (choice.target != nil && choice.target.waiters == 0)
+	if choice.hasCapacity && noneAhead {
 		s.queueWait -= serviceTimeSmoothing * s.queueWait
 		return s.newReservation(now, w, choice), nil
 	}
@@ -40,7 +43,7 @@
 	return nil, failure
 }
 
-// enqueue adds the waiter to the queue, or returns the rejection.
+// enqueue adds the waiter to the queue, or returns the reason why it is rejected.
 func (s *service) enqueue(now time.Time, w *waiter) *api.Error {
 	w.queuedAt = now
 	if w.done == nil {
@@ -49,7 +52,7 @@
 	w.item = &admission.Item[*waiter]{
 		Tenant:             w.request.Tenant,
 		Class:              w.request.Class,
-		Weight:             shareOf(s.router.plan, &w.request),
+		Weight:             fairQueueWeight(s.router.plan, &w.request),
 		Cost:               1 + (w.work.Tokens+float64(w.request.MaxTokens))/costUnit,
 		Deadline:           w.request.Deadline,
 		ExpectedFirstToken: s.expectedFirstToken(w),
@@ -59,22 +62,23 @@
 		s.queuedSince = now
 	}
 	rate := s.completionRate(now)
-	evicted, rejected := s.queue.Enqueue(now, w.item, rate)
-	if evicted != nil {
-		s.grantOrReject(now, evicted.Payload, s.fullError(&evicted.Payload.request, rate))
+	displaced, rejected := s.queue.Enqueue(now, w.item, rate)
+	if displaced != nil {
+		s.grantOrReject(now, displaced.Payload, s.queueFullError(&displaced.Payload.request, rate))
 	}
 	switch rejected {
 	case admission.RejectedFull:
-		return s.fullError(&w.request, rate)
+		return s.queueFullError(&w.request, rate)
 	case admission.RejectedDeadline:
-		return s.lateError(&w.request, rate)
+		return s.deadlineError(&w.request, rate)
 	default:
 		return nil
 	}
 }
 
-// dispatch grants reservations to queued requests in fair order while there is
-// capacity. A request whose prefix is worth the wait keeps waiting for its replica.
+// dispatch grants reservations to queued requests in fair order while there is capacity.
+// A request stays queued if waiting for a replica that has its prefix cached costs less
+// than running on another.
 func (s *service) dispatch(now time.Time) {
 	s.lastDispatch = now
 	if s.queue.Len() == 0 {
@@ -86,8 +90,8 @@
 	s.removeExpired(now)
 }
 
-// anyCapacity reports whether some replica has capacity for a request that is not
-// long.
+// anyCapacity reports whether any replica has capacity for a request of a class other
+// than long.
 func (s *service) anyCapacity(now time.Time) bool {
 	for _, target := range s.replicas {
 		if target.usable(now) && target.hasCapacity(now, api.ClassQuick) {
@@ -97,7 +101,8 @@
 	return false
 }
 
-// tryGrant grants a queued request its best replica if that has capacity.
+// tryGrant grants a queued request a reservation on its best replica if that replica has
+// capacity, and reports whether it did.
 func (s *service) tryGrant(now time.Time, w *waiter) bool {
 	choice := s.chooseReplica(now, w, true)
 	if choice.target == nil || !choice.hasCapacity {
@@ -109,8 +114,8 @@
 	return true
 }
 
-// grantOrReject grants a request that must leave the queue any replica with capacity,
-// else rejects it.
+// grantOrReject grants a request that was removed from the queue a reservation on the best
+// replica that has capacity, or rejects it if there is none.
 func (s *service) grantOrReject(now time.Time, w *waiter, failure *api.Error) {
 	choice := s.chooseReplica(now, w, false)
 	if choice.target == nil {
@@ -120,13 +125,13 @@
 	w.grant(s.newReservation(now, w, choice))
 }
 
-// removeExpired removes the queued requests that can no longer meet their deadline or
-// have tried all usable replicas, and all of them once no replica has been usable for
-// unusableWait.
+// removeExpired removes the queued requests that can no longer meet their deadline or that
+// have tried all usable replicas. It removes all queued requests if no replica has been
+// usable for unusableWait.
 func (s *service) removeExpired(now time.Time) {
 	rate := s.completionRate(now)
 	for _, item := range s.queue.RemoveExpired(now, rate) {
-		s.grantOrReject(now, item.Payload, s.lateError(&item.Payload.request, rate))
+		s.grantOrReject(now, item.Payload, s.deadlineError(&item.Payload.request, rate))
 	}
 	if s.queue.Len() > 0 && s.unusableFor(now) >= unusableWait {
 		for _, item := range s.queue.Drain() {
@@ -134,14 +139,15 @@
 		}
 	}
 	for _, item := range s.queue.Items() {
-		if s.exhausted(now, &item.Payload.request) && s.queue.Remove(item) {
+		if s.triedAllUsable(now, &item.Payload.request) && s.queue.Remove(item) {
 			item.Payload.reject(s.unusableError(&item.Payload.request))
 		}
 	}
 }
 
-// exhausted reports whether a request has tried every usable replica.
-func (s *service) exhausted(now time.Time, request *Request) bool {
+// triedAllUsable reports whether a request that has tried some replicas has no usable
+// replica left to try.
+func (s *service) triedAllUsable(now time.Time, request *Request) bool {
 	if len(request.ExcludedReplicas) == 0 {
 		return false
 	}
@@ -171,21 +177,21 @@
 	s.removeExpired(now)
 }
 
-// removeRerouted removes the waiters whose model belongs to another service under
-// a new plan.
+// removeRerouted removes and returns the waiters whose model the new plan routes to another
+// service.
 func (s *service) removeRerouted(plan *Plan) []*waiter {
-	var moved []*waiter
+	var rerouted []*waiter
 	for _, item := range s.queue.Items() {
 		route, _ := plan.Route(item.Payload.request.Model)
 		if route.Service != s.name && s.queue.Remove(item) {
-			moved = append(moved, item.Payload)
+			rerouted = append(rerouted, item.Payload)
 		}
 	}
-	return moved
+	return rerouted
 }
 
-// limitStandingQueue limits a standing queue to the length that takes as long to
-// complete as the target of the first token. A younger queue may use its full length.
+// limitStandingQueue limits a standing queue to the number of requests that complete
+// within the target time to the first token. Other queues may use their full length.
 func (s *service) limitStandingQueue(now time.Time) {
 	if s.queuedSince.IsZero() || now.Sub(s.queuedSince) < standingQueueAge {
 		s.queue.SetStandingQueueLimit(0)
@@ -196,18 +202,22 @@
 	s.queue.SetStandingQueueLimit(int(max(length, minimum, 1)))
 }
 
-func (s *service) fullError(request *Request, rate float64) *api.Error {
-	return rejection(request, api.CodeOverloaded, s.queue.RetryAfter(rate), "the queue of %q is full", s.name)
+// queueFullError returns the error of a request for which the queue has no place.
+func (s *service) queueFullError(request *Request, rate float64) *api.Error {
+	return rejection(request, api.CodeOverloaded, s.queue.RetryAfter(rate), "the queue of service %q is full", s.name)
 }
 
-func (s *service) lateError(request *Request, rate float64) *api.Error {
-	return rejection(request, api.CodeDeadline, s.queue.RetryAfter(rate), "%q cannot begin the answer in the caller's time", s.name)
+// deadlineError returns the error of a request that cannot meet its deadline.
+func (s *service) deadlineError(request *Request, rate float64) *api.Error {
+	return rejection(request, api.CodeDeadline, s.queue.RetryAfter(rate), "service %q cannot produce the first token before the request's deadline", s.name)
 }
 
+// unusableError returns the error of a request that no usable replica of the region can
+// serve.
 func (s *service) unusableError(request *Request) *api.Error {
 	code := api.CodeNoCapacity
 	if len(request.Home) > 0 {
 		code = api.CodeHomeUnavailable
 	}
-	return rejection(request, code, unavailableRetryAfter, "no replica of %q is usable in region %q", s.name, s.router.config.Region)
+	return rejection(request, code, unavailableRetryAfter, "no replica of service %q is usable in region %q", s.name, s.router.config.Region)
 }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -8,10 +8,10 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Regions lists the regions to try for a request, best first. A region outside the
-// request's home is never listed. If the list is empty, Rejection returns the reason.
-// A request that another region's gateway has forwarded must not be forwarded
-// again, whatever the list says.
+// Regions returns the regions to try for a request, best first. It never returns a region
+// outside the request's home regions. If the result is empty, Rejection returns the
+// reason. A caller must not forward a request that was already forwarded by a gateway of
+// another region, even if the list begins with a remote region.
 func (r *Router) Regions(request Request) []string {
 	now := time.Now()
 	r.mutex.Lock()
@@ -31,24 +31,24 @@
 	if planted.Active(planted.IgnoreHome) {
 		home = nil
 	}
-	served := r.servingRegion(&request)
+	clientRegion := r.clientRegion(&request)
 	work := placement.RegionWork{
 		Key:       placement.Hash(request.ID) ^ r.config.Seed,
-		Preferred: served,
-		Spill:     r.plan.Regions()[served].Spill,
+		Preferred: clientRegion,
+		Spill:     r.plan.Regions()[clientRegion].Spill,
 		Home:      home,
 	}
-	if request.RegionChosen && served != r.config.Region {
+	if request.RegionChosen && clientRegion != r.config.Region {
 		work.Preferred = r.config.Region
-		work.Spill = append([]string{served}, work.Spill...)
+		work.Spill = append([]string{clientRegion}, work.Spill...)
 	}
-	if served == r.config.Region && !request.RegionChosen {
+	if clientRegion == r.config.Region && !request.RegionChosen {
 		work.SpillFraction = service.spill.Output()
 	}
 	return placement.RankRegions(work, service.regions)
 }
 
-// Rejection returns the error of a request for which Regions is empty.
+// Rejection returns the error for a request for which Regions returns no region.
 func (r *Router) Rejection(request Request) *api.Error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -58,8 +58,8 @@
 	if r.services[request.Service] == nil {
 		return rejection(&request, api.CodeNotFound, 0, "no service %q", request.Service)
 	}
-	if _, bound := homeOf(r.plan, &request); bound || len(request.Home) > 0 {
-		return rejection(&request, api.CodeHomeUnavailable, unavailableRetryAfter, "no region of the request's home can serve %q now", request.Service)
+	if _, restricted := homeUnderPlan(r.plan, &request); restricted || len(request.Home) > 0 {
+		return rejection(&request, api.CodeHomeUnavailable, unavailableRetryAfter, "none of the request's home regions can serve service %q now", request.Service)
 	}
-	return rejection(&request, api.CodeNoCapacity, unavailableRetryAfter, "no region can serve %q now", request.Service)
+	return rejection(&request, api.CodeNoCapacity, unavailableRetryAfter, "no region can serve service %q now", request.Service)
 }
--- a/routing/remote.go
+++ b/routing/remote.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// A region's load is stale after minLoadTimeout without a report, or after
-	// loadTimeoutIntervals report intervals if that is longer.
+	// A region's load is stale if no report arrived for minLoadTimeout or for
+	// loadTimeoutIntervals report intervals, whichever is longer.
 	minLoadTimeout       = 3 * time.Second
 	loadTimeoutIntervals = 4
-	// loadSmoothing is the weight of one report in a region's load.
+	// loadSmoothing is the weight of one report in the smoothed load of a region.
 	loadSmoothing = 0.5
-	// recoveryDuration is the time in which a recovering region gets back to its full
-	// traffic.
+	// recoveryDuration is the time over which the traffic of a recovering region is
+	// restored to its full amount.
 	recoveryDuration = 5 * time.Second
-	// minRecoveryFraction is the fraction of its traffic that it gets at once.
+	// minRecoveryFraction is the fraction of its traffic that a recovering region gets
+	// initially.
 	minRecoveryFraction = 0.1
 )
 
-// remoteLoads holds what the gateways of other regions report, by region.
+// remoteLoads holds the loads that gateways of other regions report, by region.
 type remoteLoads map[string]*remoteRegion
 
-// record records a report of a region's load by service.
+// record records one report of a region's load, which is given by service.
 func (l remoteLoads) record(region string, load map[string]float64, at time.Time) {
 	known := l[region]
 	if known == nil {
@@ -28,28 +29,29 @@
 	}
 	known.recordReport(at)
 	for name, value := range load {
-		before, had := known.loads[name]
-		if had && before < warmupElsewhereUtilization && value < warmupElsewhereUtilization {
-			value = before + loadSmoothing*(value-before)
+		previous, reported := known.loads[name]
+		if reported && previous < warmupElsewhereUtilization && value < warmupElsewhereUtilization {
+			value = previous + loadSmoothing*(value-previous)
 		}
 		known.loads[name] = value
 	}
 }
 
-// remoteRegion holds what the gateways of another region report.
+// remoteRegion holds the load that the gateways of one other region report.
 type remoteRegion struct {
 	lastReport      time.Time
 	interval        time.Duration      // between reports, smoothed
-	recoveringSince time.Time          // first report after a stale load; zero if none
+	recoveringSince time.Time          // first report after the load was stale; zero if it never was
 	loads           map[string]float64 // utilization by service
 }
 
-// stale reports whether the reports have stopped.
+// stale reports whether the last report is too old to be used.
 func (r *remoteRegion) stale(now time.Time) bool {
 	return !r.lastReport.IsZero() && now.Sub(r.lastReport) >= max(minLoadTimeout, loadTimeoutIntervals*r.interval)
 }
 
-// recordReport records the time of a report.
+// recordReport records the arrival of a report. If the previous loads were stale, it
+// discards them and starts the recovery of the region.
 func (r *remoteRegion) recordReport(at time.Time) {
 	if r.stale(at) {
 		r.recoveringSince = at
@@ -62,8 +64,8 @@
 	r.lastReport = latest(r.lastReport, at)
 }
 
-// Load returns the utilization of each service in the local region, to be reported
-// to other regions; 1 is full.
+// Load returns the utilization of each service in the local region, for reports to other
+// regions. A utilization of 1 means that all capacity is in use.
 func (r *Router) Load() map[string]float64 {
 	now := time.Now()
 	r.mutex.Lock()
@@ -78,8 +80,8 @@
 	return load
 }
 
-// SetRemoteLoad records the utilization of the services of another region, as one of
-// its gateways reports it.
+// SetRemoteLoad records the utilization of each service in another region, as reported by
+// one of that region's gateways.
 func (r *Router) SetRemoteLoad(region string, load map[string]float64, at time.Time) {
 	if region == r.config.Region {
 		return
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// defaultConcurrency bounds the requests on a replica if neither the service nor
-	// the replica gives a limit.
+	// defaultConcurrency is the limit of requests in flight at a replica whose service has
+	// no limit configured.
 	defaultConcurrency = 8
-	// slowStartFraction of its concurrency is the first step of a replica that returns
-	// without having to warm up.
+	// slowStartFraction is the initial limit of the slow start of a replica that need not
+	// warm up, as a fraction of its maximum concurrency.
 	slowStartFraction = 0.25
-	// slowStartClosure is how long a replica must be closed to get a slow start again.
+	// slowStartClosure is how long a replica must have been closed to new requests for a
+	// slow start to begin when it reopens.
 	slowStartClosure = 3 * time.Second
-	// warmupHandoverDelay is how long a new warm-up gateway of a replica waits, so that
-	// the requests of the previous one are in a report.
+	// warmupHandoverDelay is how long a new warm-up gateway of a replica waits before it
+	// sends requests, so that a report shows those of the previous warm-up gateway.
 	warmupHandoverDelay = time.Second
-	// longWarmupDelay is how long a replica at the first step of its warm-up waits for a
-	// shorter request before it gets a long one.
+	// longWarmupDelay is how long a replica in the first step of its slow start must have
+	// been sent no request before it may get a long one.
 	longWarmupDelay = 2 * time.Second
-	// minCapacityWait is the least expected time, in seconds, until a full replica has
-	// capacity.
+	// minCapacityWait is the lowest expected time, in seconds, until a replica has capacity.
 	minCapacityWait = 0.001
-	// serviceTimeSmoothing is the weight of one request in the service time.
+	// serviceTimeSmoothing is the weight of one sample in the smoothed service time, and in
+	// the smoothed waits, delays and report intervals.
 	serviceTimeSmoothing = 0.1
-	// cacheAccuracySmoothing is the weight of one answer in the cache accuracy.
+	// cacheAccuracySmoothing is the weight of one answer in the smoothed cache accuracy.
 	cacheAccuracySmoothing = 0.1
-	// swingSeconds is half of the period, in seconds, of planted.SwingingLimit.
-	swingSeconds = 4
+	// swingHalfPeriodSeconds is half of the period, in seconds, of planted.SwingingLimit.
+	swingHalfPeriodSeconds = 4
 )
 
-// replica is the state of one replica of the local region. Its parts are narrow
-// types by concern; the router's mutex guards all of them.
+// replica is the routing state of one replica of the local region, divided into embedded
+// structs by concern. The router's mutex guards all of it.
 type replica struct {
 	name    string
 	hash    uint64
-	number  int // in its service
+	number  int // index of the replica in its service
 	entry   catalog.Replica
 	service *service
 	created time.Time
-	removed bool // no longer listed
+	removed bool // no longer in the plan
 
 	plannedState
 	reportedState
@@ -58,59 +59,61 @@
 	lastProposal        proposal
 }
 
-// plannedState is what the active plan says of a replica.
+// plannedState is the state of a replica according to the active plan.
 type plannedState struct {
-	admittedByPlan bool // neither drained nor in an evacuated zone
-	condition      catalog.Condition
-	conditioned    bool // the plan has a condition
-	isWatcher      bool // this gateway proposes the replica's condition
+	admittedByPlan    bool // neither drained nor in an evacuated zone
+	condition         catalog.Condition
+	hasCondition      bool // the plan has a condition for the replica
+	proposesCondition bool // this gateway is the one that proposes the replica's condition
 }
 
-// reportedState is what the replica says of itself.
+// reportedState is the state of a replica according to its own reports.
 type reportedState struct {
 	report              api.ReplicaReport // the newest
-	reported            bool              // there is a report
-	stateUnknown        bool              // the last poll failed
+	reported            bool              // at least one report has arrived
+	stateUnknown        bool              // a poll or a connection has failed since the last report
 	previousIncarnation string
-	epoch               uint64  // number of reports
-	inFlightElsewhere   int     // requests of other gateways, by the last report
-	sentTokens          float64 // prefill sent since the last report
+	reportCount         uint64  // reports received since the replica was added
+	inFlightElsewhere   int     // requests of other gateways, according to the last report
+	sentTokens          float64 // prompt tokens to prefill that were sent since the last report
 	detector            *failuredetector.Detector
 }
 
-// availability says when the replica gets new requests.
+// availability determines when the replica may be sent new requests.
 type availability struct {
-	open        bool // all but the following times admit new requests
-	suspectedAt time.Time
+	open        bool      // whether plan and reports allow new requests; the times below may not
+	suspectedAt time.Time // when the failure detector suspects it unless it reports
 	closedUntil time.Time // end of an ejection or of a warm-up handover
-	closedAt    time.Time
+	closedAt    time.Time // when open last became false
 }
 
-// replicaLoad is this gateway's load on the replica, with its limit and what was
-// learned from its requests.
+// replicaLoad is the load of this gateway on the replica, the replica's concurrency limit
+// and the estimates measured from its requests.
 type replicaLoad struct {
 	inFlight              int
 	inFlightLong          int
 	waiters               int // queued requests that wait for this replica
 	consecutiveRejections int
 	serviceTime           float64 // seconds that a request takes, smoothed
-	cacheAccuracy         float64 // found over expected cached tokens, smoothed
+	cacheAccuracy         float64 // ratio of found to expected cached tokens, smoothed
 	limit                 *admission.Limit
 }
 
 // slowStartState is the slow start of the replica.
 type slowStartState struct {
-	slowStart            *slowstart.Limiter // nil before the first
-	slowStartIncarnation string             // the incarnation that it is of
-	lastWarmup           time.Time          // last request during warm-up
+	slowStart            *slowstart.Limiter // nil before the replica first opens
+	slowStartIncarnation string             // incarnation for which slowStart began
+	lastWarmup           time.Time          // last request, or the beginning of the slow start
 }
 
-func newReplica(service *service, name string, number int, listed catalog.Replica, now time.Time) *replica {
+// newReplica returns the state of a replica that was added to a service and has not
+// reported yet.
+func newReplica(service *service, name string, number int, entry catalog.Replica, now time.Time) *replica {
 	target := &replica{
 		name:    name,
 		hash:    placement.Hash(name),
 		number:  number,
-		entry:   listed,
+		entry:   entry,
 		service: service,
 		created: now,
 	}
@@ -120,126 +123,133 @@
 	return target
 }
 
-// applyPlan applies what a new plan says of the replica.
-func (t *replica) applyPlan(now time.Time, plan *Plan) {
-	router := t.service.router
-	t.isWatcher = placement.Owner(t.name, router.gateways.up) == router.config.Gateway
-	t.admittedByPlan = !plan.IsDraining(t.name) && !plan.IsEvacuated(t.entry.Zone)
-	before, had := t.condition, t.conditioned
-	t.condition, t.conditioned = plan.Condition(t.name)
+// applyPlan updates the replica from a new plan.
+func (r *replica) applyPlan(now time.Time, plan *Plan) {
+	router := r.service.router
+	r.proposesCondition = placement.Owner(r.name, router.gateways.up) == router.config.Gateway
+	r.admittedByPlan = !plan.IsDraining(r.name) && !plan.IsEvacuated(r.entry.Zone)
+	previous, hadCondition := r.condition, r.hasCondition
+	r.condition, r.hasCondition = plan.Condition(r.name)
 	self := router.config.Gateway
-	tookOver := had && t.conditioned && t.condition.WarmupGateway == self &&
-		before.WarmupGateway != self && before.WarmupGateway != "" && before.Incarnation == t.condition.Incarnation
+	tookOver := hadCondition && r.hasCondition && r.condition.WarmupGateway == self &&
+		previous.WarmupGateway != self && previous.WarmupGateway != "" && previous.Incarnation == r.condition.Incarnation
 	if tookOver {
-		t.closedUntil = latest(t.closedUntil, now.Add(warmupHandoverDelay))
+		r.closedUntil = latest(r.closedUntil, now.Add(warmupHandoverDelay))
 	}
-	t.limit.SetSetPoint(t.service.firstTokenTarget)
-	t.limit.SetMaximum(t.maxConcurrency())
-	t.refresh(now)
+	r.limit.SetSetPoint(r.service.firstTokenTarget)
+	r.limit.SetMaximum(r.maxConcurrency())
+	r.refresh(now)
 }
 
-// observe takes a report unless it is older than what is known.
-func (t *replica) observe(at time.Time, report api.ReplicaReport) {
-	if report.Replica != t.name || report.Incarnation == "" || report.Incarnation == t.previousIncarnation {
+// observe records a report of the replica. It ignores a report that names another
+// replica or no incarnation, that is older than the newest one, or that comes from the
+// previous incarnation.
+func (r *replica) observe(at time.Time, report api.ReplicaReport) {
+	if report.Replica != r.name || report.Incarnation == "" || report.Incarnation == r.previousIncarnation {
 		return
 	}
 	report.Draining = report.Draining && !planted.Active(planted.IgnoreDrainReport)
-	same := t.reported && report.Incarnation == t.report.Incarnation
-	if same && report.Sequence < t.report.Sequence {
+	same := r.reported && report.Incarnation == r.report.Incarnation
+	if same && report.Sequence < r.report.Sequence {
 		return
 	}
 	switch {
 	case !same:
-		t.reset(at)
-	case report.Cold && !t.report.Cold:
-		t.service.index.Forget(t.number)
+		r.reset(at)
+	case report.Cold && !r.report.Cold:
+		r.service.index.Forget(r.number)
 	default:
-		t.recordEvictions(report.CacheEvictions - t.report.CacheEvictions)
+		r.recordEvictions(report.CacheEvictions - r.report.CacheEvictions)
 	}
-	t.report = report
-	t.reported, t.stateUnknown = true, false
-	t.detector.Heartbeat(at)
-	t.suspectedAt = t.detector.SuspectedAt()
-	t.inFlightElsewhere = max(0, report.Running+report.Queued-t.inFlight)
-	t.sentTokens = 0
-	t.epoch++
-	t.limit.SetMaximum(t.maxConcurrency())
-	t.refresh(at)
+	r.report = report
+	r.reported, r.stateUnknown = true, false
+	r.detector.Heartbeat(at)
+	r.suspectedAt = r.detector.SuspectedAt()
+	r.inFlightElsewhere = max(0, report.Running+report.Queued-r.inFlight)
+	r.sentTokens = 0
+	r.reportCount++
+	r.limit.SetMaximum(r.maxConcurrency())
+	r.refresh(at)
 }
 
-// reset forgets what was learnt of the incarnation before.
-func (t *replica) reset(at time.Time) {
-	if t.reported {
-		t.previousIncarnation = t.report.Incarnation
+// reset discards the state and the estimates that belong to the previous incarnation.
+func (r *replica) reset(at time.Time) {
+	if r.reported {
+		r.previousIncarnation = r.report.Incarnation
 	}
-	t.service.index.Forget(t.number)
-	t.service.group.Forget(t.name)
-	t.closedUntil = time.Time{}
-	t.conditionHysteresis.Reset()
-	t.detector = failuredetector.New(t.service.router.detectorConfig, at)
-	t.limit = admission.NewLimit(t.maxConcurrency(), t.service.firstTokenTarget)
-	t.serviceTime, t.cacheAccuracy, t.consecutiveRejections = 0, 1, 0
+	r.service.index.Forget(r.number)
+	r.service.group.Forget(r.name)
+	r.closedUntil = time.Time{}
+	r.conditionHysteresis.Reset()
+	r.detector = failuredetector.New(r.service.router.detectorConfig, at)
+	r.limit = admission.NewLimit(r.maxConcurrency(), r.service.firstTokenTarget)
+	r.serviceTime, r.cacheAccuracy, r.consecutiveRejections = 0, 1, 0
 }
 
-// recordEvictions drops this gateway's part of what the replica evicted.
-func (t *replica) recordEvictions(count uint64) {
+// recordEvictions removes entries of the replica from the prefix index after the replica
+// evicted some from its cache. It assumes that each gateway placed an equal part of them.
+func (r *replica) recordEvictions(count uint64) {
 	if count == 0 || count > placement.IndexEntries {
 		return
 	}
-	gateways := t.service.router.gateways.count()
+	gateways := r.service.router.gateways.count()
 	share := (int(count) + gateways - 1) / gateways
-	t.service.index.Evicted(t.number, share)
+	r.service.index.Evicted(r.number, share)
 }
 
-// refresh recomputes whether everything but time admits new work.
-func (t *replica) refresh(now time.Time) {
-	was := t.open
-	current := t.report.ConfigurationVersion <= t.service.router.version || planted.Active(planted.KeepOldConfiguration)
-	t.open = t.admittedByPlan && t.reported && !t.stateUnknown && !t.report.Draining && current && t.conditionAllows()
-	if was && !t.open {
-		t.closedAt = now
+// refresh recomputes whether plan and reports allow new requests to the replica, and its
+// slow start if they do.
+func (r *replica) refresh(now time.Time) {
+	wasOpen := r.open
+	current := r.report.ConfigurationVersion <= r.service.router.version || planted.Active(planted.KeepOldConfiguration)
+	r.open = r.admittedByPlan && r.reported && !r.stateUnknown && !r.report.Draining && current && r.conditionAllows()
+	if wasOpen && !r.open {
+		r.closedAt = now
 	}
-	if !t.open {
+	if !r.open {
 		return
 	}
-	t.updateSlowStart(now, was)
+	r.updateSlowStart(now, wasOpen)
 }
 
-// conditionAllows reports whether the condition record and the report together admit
-// new requests. A replica that is warming up is open only to the gateway that the
-// plan names for this incarnation.
-func (t *replica) conditionAllows() bool {
-	if !t.conditioned {
-		return !t.report.Cold
+// conditionAllows reports whether the condition in the plan and the newest report together
+// allow new requests. A replica that is warming up is open only to the gateway that the
+// plan names as the warm-up gateway of this incarnation.
+func (r *replica) conditionAllows() bool {
+	if !r.hasCondition {
+		return !r.report.Cold
 	}
-	switch t.condition.State {
+	switch r.condition.State {
 	case catalog.ConditionUp:
-		return !t.report.Cold
+		return !r.report.Cold
 	case catalog.ConditionWarmingUp:
-		feeds := t.condition.WarmupGateway == t.service.router.config.Gateway || planted.Active(planted.RampPerGateway)
-		return feeds && t.condition.Incarnation == t.report.Incarnation
+		isWarmupGateway := r.condition.WarmupGateway == r.service.router.config.Gateway || planted.Active(planted.RampPerGateway)
+		return isWarmupGateway && r.condition.Incarnation == r.report.Incarnation
 	default:
 		return false
 	}
 }
 
-func (t *replica) candidate(position int, cached float64) placement.Candidate {
-	slots := t.report.Slots
+// candidate returns the replica as a candidate for placement. Position is its index among
+// the replicas of the service, and cached the expected number of cached tokens.
+func (r *replica) candidate(position int, cached float64) placement.Candidate {
+	slots := r.report.Slots
 	if slots <= 0 {
-		slots = t.maxConcurrency()
+		slots = r.maxConcurrency()
 	}
 	return placement.Candidate{
 		Number:         position,
-		Hash:           t.hash,
-		PendingTokens:  float64(t.report.PendingPrefillTokens) + t.sentTokens,
-		PrefillRate:    t.report.PrefillTokensPerSecond,
-		ActiveRequests: float64(t.totalInFlight()),
+		Hash:           r.hash,
+		PendingTokens:  float64(r.report.PendingPrefillTokens) + r.sentTokens,
+		PrefillRate:    r.report.PrefillTokensPerSecond,
+		ActiveRequests: float64(r.totalInFlight()),
 		Slots:          float64(slots),
-		ServiceTime:    t.serviceTime,
-		CachedTokens:   cached * t.cacheAccuracy,
+		ServiceTime:    r.serviceTime,
+		CachedTokens:   cached * r.cacheAccuracy,
 	}
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/routing/reports.go
+++ b/routing/reports.go
@@ -7,8 +7,9 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Observe records a report of a replica, polled or sent with an answer, that arrived
-// at a time. It ignores reports that are older than the newest.
+// Observe records a report of a replica that arrived at the given time, as the response
+// to a poll or together with an answer. It ignores reports that are older than the newest
+// one.
 func (r *Router) Observe(replica string, report api.ReplicaReport, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -21,8 +22,8 @@
 	target.service.dispatch(at)
 }
 
-// RecordPollFailure records that a replica did not respond to a poll. Its incarnation
-// is then unknown, and it gets no new requests until it reports.
+// RecordPollFailure records that a replica did not respond to a poll. The replica may have
+// restarted, so it gets no new requests until its next report.
 func (r *Router) RecordPollFailure(replica string, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -36,10 +37,10 @@
 	target.service.rejectInadmissible(at)
 }
 
-// Suspect records that the connection to an incarnation of a replica broke, or that
-// the replica turned out to be of another incarnation. It gets no new requests until
-// it reports. Suspect does nothing and returns false if another incarnation has
-// reported meanwhile, since the suspicion is about its predecessor.
+// Suspect records that the connection to the given incarnation of a replica broke, or that
+// the replica answered as another incarnation. The replica gets no new requests until its
+// next report. If another incarnation has reported in the meantime, Suspect does nothing
+// and returns false, since the failure concerns the previous incarnation.
 func (r *Router) Suspect(replica, incarnation string, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -53,8 +54,9 @@
 	return true
 }
 
-// Watched lists the replicas that this gateway polls, sorted: all of the local
-// region, so that it need not rely on other gateways' reports.
+// Watched returns the names of all replicas of the local region, sorted. The gateway polls
+// each of them itself instead of relying on what other gateways observe. This does not
+// depend on which gateway proposes a replica's condition.
 func (r *Router) Watched() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -7,8 +7,10 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Reservation permits sending one request to one replica. Version and Serial are
-// those of the plan that it was granted under, for the request's stamp.
+// Reservation is the capacity for one request at one replica of the local region, which
+// the Router counts as in flight until Finish is called. It is state of this gateway only:
+// the replica is not informed of it. Version and Serial are those of the plan that the
+// request was last checked against; they are meant for the request's stamp.
 type Reservation struct {
 	Replica     string
 	Address     string
@@ -20,16 +22,17 @@
 	target         *replica
 	request        Request
 	chain          []placement.Link
-	expectedCached float64
+	expectedCached float64 // cached tokens by the prefix index
 	prefillSeconds float64 // expected prefill time of the request
-	uncachedTokens float64 // expected prefill work of the request
-	inFlight       int     // on the replica when granted, including this one
-	epoch          uint64
+	uncachedTokens float64 // tokens of the prompt that are expected not to be cached
+	inFlight       int     // requests at the replica when granted, including this one
+	reportCount    uint64  // of the replica when granted
 	grantedAt      time.Time
 	firstTokenSeen bool
 	finished       bool
 }
 
+// newReservation grants the waiter a reservation at the chosen replica.
 func (s *service) newReservation(now time.Time, w *waiter, choice choice) *Reservation {
 	target := choice.target
 	target.inFlight++
@@ -53,7 +56,7 @@
 		expectedCached: choice.cached,
 		uncachedTokens: uncached,
 		inFlight:       target.totalInFlight(),
-		epoch:          target.epoch,
+		reportCount:    target.reportCount,
 		grantedAt:      now,
 	}
 	if target.report.PrefillTokensPerSecond > 0 {
@@ -62,9 +65,9 @@
 	return reservation
 }
 
-// Usable reports whether the request may still be sent, under the present plan and
-// state of the replica. A reservation that is not usable must be finished with
-// ResultCanceled.
+// Usable reports whether the request may still be sent under the active plan and the
+// current state of the replica. The caller must finish a reservation that is not usable
+// with ResultCanceled.
 func (r *Reservation) Usable(now time.Time) bool {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -81,8 +84,8 @@
 	return true
 }
 
-// RecordFirstToken records when the first event of a stream arrived. It does nothing
-// for a request that is not streamed.
+// RecordFirstToken records the arrival time of the first event of a stream. It does
+// nothing for a request that is not streamed.
 func (r *Reservation) RecordFirstToken(at time.Time) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -90,12 +93,12 @@
 		return
 	}
 	r.firstTokenSeen = true
-	r.prefillDone()
+	r.releasePrefillTokens()
 	r.recordDelay(at, at.Sub(r.grantedAt).Seconds()-r.prefillSeconds)
 }
 
-// RecordCachedTokens records the number of tokens that the replica found in its KV
-// cache, as its answer reports, and corrects the prefix index by it.
+// RecordCachedTokens records the number of tokens that the replica found in its KV cache
+// according to its answer, and corrects the prefix index accordingly.
 func (r *Reservation) RecordCachedTokens(found int) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -107,8 +110,8 @@
 	r.target.service.index.Correct(r.target.number, int(r.expectedCached), found)
 }
 
-// Finish ends the reservation with the result of the attempt. The report, if any, is
-// the one that came with the answer. A second call does nothing.
+// Finish ends the reservation with the result of the attempt. The report, which may be
+// nil, is the one that was received with the answer. A second call does nothing.
 func (r *Reservation) Finish(result AttemptResult, report *api.ReplicaReport, at time.Time) {
 	r.router.mutex.Lock()
 	defer r.router.mutex.Unlock()
@@ -116,7 +119,7 @@
 		return
 	}
 	r.finished = true
-	r.prefillDone()
+	r.releasePrefillTokens()
 	target := r.target
 	target.inFlight--
 	if r.request.Class == api.ClassLong {
@@ -131,15 +134,16 @@
 	target.service.dispatch(at)
 }
 
-// current reports whether the replica is still listed and of the same incarnation.
+// current reports whether the replica is still in the plan and has the same incarnation as
+// when the reservation was granted.
 func (r *Reservation) current() bool {
 	return !r.target.removed && r.target.report.Incarnation == r.Incarnation
 }
 
-// prefillDone subtracts the request's prefill from the tokens sent since the last
-// report, unless a later report has counted it.
-func (r *Reservation) prefillDone() {
-	if r.epoch == r.target.epoch {
+// releasePrefillTokens subtracts the request's uncached tokens from those sent since the
+// last report, unless a report has arrived since the grant and reset that count.
+func (r *Reservation) releasePrefillTokens() {
+	if r.reportCount == r.target.reportCount {
 		r.target.sentTokens = max(0, r.target.sentTokens-r.uncachedTokens)
 	}
 	r.uncachedTokens = 0
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// TestReservationStaysUnusable asks twice whether a reservation may be used whose request a
-// new plan has bound to another region: the second answer is the first.
+// TestReservationStaysUnusable checks that a reservation whose request a new plan restricts
+// to another region is not usable, and that a second call of Usable reports the same.
 func TestReservationStaysUnusable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -21,9 +21,9 @@
 		reservation := mustReserve(t, router, request("free"))
 		f.set(catalog.RouteRecord("large-1", catalog.Route{Service: "large", Home: "west-only"}))
 		router.SetPlan(f.planAfter(reservation.Serial))
-		for incoming := range 2 {
+		for call := range 2 {
 			if reservation.Usable(time.Now()) {
-				t.Fatalf("usable outside its home at question %d", incoming+1)
+				t.Fatalf("call %d of Usable: the reservation is usable outside the home regions of its request", call+1)
 			}
 		}
 		reservation.Finish(ResultCanceled, nil, time.Now())
--- a/routing/resolve.go
+++ b/routing/resolve.go
@@ -6,15 +6,17 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// kindWeb is the kind of services without prefill and decode.
+// kindWeb is the kind of services that answer ordinary web requests, without prefill and
+// decode.
 const kindWeb = "web"
 
-// unavailableRetryAfter is the retry time of errors for which no region can serve.
+// unavailableRetryAfter is the retry delay in the error for a request that currently
+// cannot be served.
 const unavailableRetryAfter = time.Second
 
-// Resolve translates a caller's request under the present plan: it finds the service,
-// the class and the home regions, which the home rules of the request, its route and
-// its tenant all restrict.
+// Resolve translates a client's request by the active plan: it determines the service, the
+// class and the home regions. The home rules of the request, of its route and of its
+// tenant all restrict the home regions.
 func (r *Router) Resolve(generate api.GenerateRequest, now time.Time) (Request, *api.Error) {
 	r.mutex.Lock()
 	plan := r.plan
@@ -37,19 +39,19 @@
 	request.Class = classOf(generate, route.Class, service.Kind)
 	if generate.Home != "" {
 		if _, known := plan.Home(generate.Home); !known {
-			return request, invalid(generate.RequestID, "home", "no home rule %q", generate.Home)
+			return request, invalidFieldError(generate.RequestID, "home", "no home rule %q", generate.Home)
 		}
 	}
-	home, bound := homeUnder(plan, &request, route)
-	if bound && len(home) == 0 {
-		return request, rejection(&request, api.CodeHomeUnavailable, 0, "the homes that bind the request have no region in common")
+	home, restricted := homeUnderRoute(plan, &request, route)
+	if restricted && len(home) == 0 {
+		return request, rejection(&request, api.CodeHomeUnavailable, 0, "the home rules that apply to the request have no region in common")
 	}
 	request.Home = home
-	request.resolved = plan
+	request.resolvedPlan = plan
 	return request, nil
 }
 
-// unconfigured reports whether no configuration is active yet.
+// unconfigured reports whether the plan contains no configuration yet.
 func unconfigured(plan *Plan) bool {
 	return plan == nil || plan.Version() == 0
 }
@@ -58,6 +60,8 @@
 	return rejection(request, api.CodeNotReady, unavailableRetryAfter, "no configuration is active yet")
 }
 
+// requestOf returns the routing request of a client's request, without what the plan
+// determines.
 func requestOf(generate api.GenerateRequest, now time.Time) Request {
 	return Request{
 		ID:           generate.RequestID,
@@ -75,6 +79,8 @@
 	}
 }
 
+// classOf returns the latency class of a request: its own, else that of its route, else
+// a default by the kind of the service and whether the answer is streamed.
 func classOf(generate api.GenerateRequest, routeClass, kind string) api.Class {
 	switch {
 	case generate.Class != "":
@@ -90,8 +96,9 @@
 	}
 }
 
-// shareOf returns the weight of a request in fair queueing.
-func shareOf(plan *Plan, request *Request) float64 {
+// fairQueueWeight returns the weight of a request in fair queueing: the product of the
+// weights of its tenant and its route.
+func fairQueueWeight(plan *Plan, request *Request) float64 {
 	weight := 1.0
 	if tenant, ok := plan.Tenant(request.Tenant); ok && tenant.Weight > 0 {
 		weight *= float64(tenant.Weight)
--- a/routing/result.go
+++ b/routing/result.go
@@ -6,11 +6,12 @@
 	"github.com/deckpulley/deckpulley/slowstart"
 )
 
-// toleratedRejections is the number of consecutive rejections by a replica that do
-// not count as failures.
+// toleratedRejections is how many consecutive rejections by a replica do not count as
+// failures.
 const toleratedRejections = 10
 
-// recordResult updates the estimates, the limits and the outlier group.
+// recordResult updates the estimates, the limits, the prefix index and the outlier group
+// by the result of an attempt.
 func (r *Reservation) recordResult(result AttemptResult, at time.Time) {
 	target := r.target
 	service := target.service
@@ -29,13 +30,13 @@
 			target.eject("errors")
 		}
 	case ResultCanceled:
-		// A canceled attempt is no evidence about the replica.
+		// A canceled attempt says nothing about the replica.
 	}
 }
 
-// recordRejection takes a rejection by the replica as evidence that its limit is too
-// high. A few are normal while it drains or while a configuration spreads; more than
-// toleratedRejections without a success between them count as failures.
+// recordRejection lowers the replica's limit after the replica rejected a request. A few
+// rejections are normal while it drains or while a new configuration is being distributed;
+// further ones count as failures after toleratedRejections without a success in between.
 func (r *Reservation) recordRejection(at time.Time) {
 	target := r.target
 	service := target.service
@@ -51,12 +52,13 @@
 	}
 }
 
+// recordSuccess updates the estimates and the slow start after a request succeeded.
 func (r *Reservation) recordSuccess(at time.Time) {
 	target := r.target
 	service := target.service
 	duration := at.Sub(r.grantedAt).Seconds()
 	if !r.request.Stream && !target.warmingUp() {
-		r.recordDelay(at, r.impliedDelay(duration))
+		r.recordDelay(at, r.estimatedFirstTokenDelay(duration))
 	}
 	target.serviceTime = smoothed(target.serviceTime, duration, serviceTimeSmoothing)
 	service.serviceTime = smoothed(service.serviceTime, duration, serviceTimeSmoothing)
@@ -69,26 +71,27 @@
 	}
 }
 
-// impliedDelay returns the delay, in seconds, that stands in for that to the first
-// token if an answer is not streamed: the set point at twice the usual duration.
-func (r *Reservation) impliedDelay(duration float64) float64 {
+// estimatedFirstTokenDelay returns an estimate, in seconds, of the queueing delay of a
+// request that is not streamed, for which no first token is observed. It is 0 for the usual
+// duration and equals the set point for twice the usual duration.
+func (r *Reservation) estimatedFirstTokenDelay(duration float64) float64 {
 	service := r.target.service
 	tokens := float64(max(1, r.request.MaxTokens))
 	usual := r.prefillSeconds + service.secondsPerToken*tokens
-	service.secondsPerToken = smoothed(service.secondsPerToken, max(0, duration-r.prefillSeconds)/tokens, expectedSmoothing)
+	service.secondsPerToken = smoothed(service.secondsPerToken, max(0, duration-r.prefillSeconds)/tokens, secondsPerTokenSmoothing)
 	if usual <= r.prefillSeconds {
 		return 0
 	}
 	return (duration/usual - 1) * service.firstTokenTarget.Seconds()
 }
 
-// recordDelay records the delay to the first token, in seconds and without the
-// request's own prefill, in the estimates and controllers.
+// recordDelay updates the estimates, the limit and the outlier group by the time to the
+// first token, in seconds and without the request's own prefill.
 func (r *Reservation) recordDelay(at time.Time, seconds float64) {
 	target := r.target
 	service := target.service
 	if !r.current() || target.warmingUp() {
-		return // it is slow while warming up, and limited by the slow start alone
+		return // a replica that is warming up is slow, and only its slow start limits it
 	}
 	delay := time.Duration(max(seconds, 0.001) * float64(time.Second))
 	service.firstTokenDelay = smoothed(service.firstTokenDelay, delay.Seconds(), serviceTimeSmoothing)
@@ -98,14 +101,15 @@
 	}
 }
 
-// eject closes the replica until the end of its ejection, with a slow start after it.
-func (t *replica) eject(cause string) {
-	t.closedUntil = latest(t.closedUntil, t.service.group.EjectedUntil(t.name))
-	t.slowStart = slowstart.New(slowstart.Doubling, 1, t.maxConcurrency())
-	t.service.router.logger.Warn("replica ejected", "replica", t.name, "service", t.service.name, "cause", cause)
+// eject closes the replica to new requests until its ejection ends. A slow start follows.
+func (r *replica) eject(cause string) {
+	r.closedUntil = latest(r.closedUntil, r.service.group.EjectedUntil(r.name))
+	r.slowStart = slowstart.New(slowstart.Doubling, 1, r.maxConcurrency())
+	r.service.router.logger.Warn("replica ejected", "replica", r.name, "service", r.service.name, "cause", cause)
 }
 
-// smoothed returns the exponentially weighted average with one more sample.
+// smoothed returns the exponentially weighted moving average after one more sample. A
+// value of 0 means that there was no sample before.
 func smoothed(value, sample, weight float64) float64 {
 	if value == 0 {
 		return sample
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// RecordAttempt counts a first attempt sent to a replica, which adds to the retry
-// budget.
+// RecordAttempt counts the first attempt of a request, which adds to the retry budget.
 func (r *Router) RecordAttempt() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.retryBudget.RecordFirstAttempt(time.Now())
 }
 
-// AllowRetry reports whether a request may be retried, and spends the retry budget
-// for it. It must not be called for a request that was already retried.
+// AllowRetry reports whether the retry budget allows another retry, and charges the budget
+// if it does. It must not be called for a request that was already retried.
 func (r *Router) AllowRetry() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/routing/router.go
+++ b/routing/router.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// tickInterval is the least time between two updates of the controllers and of the
+	// tickInterval is the shortest time between two updates of the controllers and of the
 	// regions' loads.
 	tickInterval = 100 * time.Millisecond
-	// unusableWait is how long requests wait while no replica is usable.
+	// unusableWait is how long requests may wait while no replica is usable.
 	unusableWait = time.Second
 )
 
@@ -22,17 +22,19 @@
 	// Region and Gateway are the names of the local region and of this gateway.
 	Region  string
 	Gateway string
-	// Seed makes the random draws of gateways differ.
+	// Seed is combined with the hash of request IDs, so that gateways choose regions
+	// independently.
 	Seed uint64
-	// Logger gets a message for each ejection; nil discards it.
+	// Logger receives a message for each ejection. If it is nil, messages are discarded.
 	Logger *slog.Logger
-	// PollInterval is the expected time between reports. The default is 500 ms.
+	// PollInterval is the expected time between two reports of a replica. Zero selects the
+	// default of the failure detector, which is 500 ms.
 	PollInterval time.Duration
 }
 
-// Router holds the routing state of one gateway. It is safe for concurrent use. It
-// starts no goroutine: the callers of Acquire wait, and every event (a report, the
-// end of a request, a new plan) dispatches the queues.
+// Router holds the routing state of one gateway. It is safe for concurrent use. It starts
+// no goroutines: callers of Acquire block, and every event (a report, the end of a request,
+// a new plan) dispatches the queues.
 type Router struct {
 	config         Config
 	logger         *slog.Logger
@@ -58,15 +60,15 @@
 	if logger == nil {
 		logger = slog.New(slog.DiscardHandler)
 	}
-	detector := failuredetector.DefaultConfig()
+	detectorConfig := failuredetector.DefaultConfig()
 	if config.PollInterval > 0 {
-		detector.ExpectedInterval = config.PollInterval
-		detector.MinStdDeviation = config.PollInterval / 2
+		detectorConfig.ExpectedInterval = config.PollInterval
+		detectorConfig.MinStdDeviation = config.PollInterval / 2
 	}
 	return &Router{
 		config:         config,
 		logger:         logger,
-		detectorConfig: detector,
+		detectorConfig: detectorConfig,
 		services:       make(map[string]*service),
 		replicas:       make(map[string]*replica),
 		remote:         make(remoteLoads),
@@ -74,7 +76,7 @@
 	}
 }
 
-// tick updates what depends on time alone, at most once in tickInterval.
+// tick updates the state that depends on time, at most once per tickInterval.
 func (r *Router) tick(now time.Time) {
 	if now.Sub(r.lastTick) < tickInterval || r.plan == nil {
 		return
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -11,14 +11,15 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// nothingNew lists the reasons why a replica gets nothing new, and their ends.
-var nothingNew = []struct {
+// unusableReplicaCases lists the reasons why a replica gets no new requests. Begin makes
+// each one apply and end removes it.
+var unusableReplicaCases = []struct {
 	name  string
 	begin func(f *fleet, r *Router)
 	end   func(f *fleet, r *Router)
 }{
 	{
-		name: "report says draining",
+		name: "replica reports that it is draining",
 		begin: func(_ *fleet, r *Router) {
 			reported := report("r1")
 			reported.Draining, reported.Sequence = true, 2
@@ -31,22 +32,22 @@
 		},
 	},
 	{
-		name:  "platform drains",
+		name:  "platform drains the replica",
 		begin: func(f *fleet, _ *Router) { f.set(catalog.DrainRecord("r1", catalog.Drain{})) },
 		end:   func(f *fleet, _ *Router) { f.remove(catalog.ReplicaName("r1"), catalog.TypeDrain) },
 	},
 	{
-		name:  "condition draining",
+		name:  "condition is draining",
 		begin: func(f *fleet, _ *Router) { f.condition(catalog.ConditionDraining, "") },
 		end:   func(f *fleet, _ *Router) { f.condition(catalog.ConditionUp, "") },
 	},
 	{
-		name:  "condition down",
+		name:  "condition is down",
 		begin: func(f *fleet, _ *Router) { f.condition(catalog.ConditionDown, "") },
 		end:   func(f *fleet, _ *Router) { f.condition(catalog.ConditionUp, "") },
 	},
 	{
-		name: "zone evacuated",
+		name: "zone is evacuated",
 		begin: func(f *fleet, _ *Router) {
 			f.set(catalog.EvacuationRecord("east-a", catalog.Evacuation{OperationID: "o"}))
 		},
@@ -68,7 +69,7 @@
 		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
 	},
 	{
-		name: "replica has seen a newer configuration",
+		name: "replica reports a newer configuration",
 		begin: func(_ *fleet, r *Router) {
 			reported := report("r1")
 			reported.ConfigurationVersion, reported.Sequence = 2, 2
@@ -92,42 +93,42 @@
 		},
 	},
 	{
-		name:  "unresponsive",
+		name:  "replica stops reporting",
 		begin: func(_ *fleet, _ *Router) { time.Sleep(1500 * time.Millisecond) },
 		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
 	},
 }
 
-// TestSuspicionOfPredecessor breaks a connection to an incarnation after the next
-// one has reported: that one goes on.
-func TestSuspicionOfPredecessor(t *testing.T) {
-	_, router := oneReplica(t)
+// TestSuspectPreviousIncarnation checks that a broken connection to an incarnation of a
+// replica does not affect the next incarnation, which has already reported.
+func TestSuspectPreviousIncarnation(t *testing.T) {
+	_, router := newSingleReplicaFleet(t)
 	early := mustReserve(t, router, request("early"))
 	next := report("r1")
 	next.Incarnation = "r1-2"
 	router.Observe("r1", next, time.Now())
 	if router.Suspect("r1", early.Incarnation, time.Now()) {
-		t.Error("the successor is suspected for its predecessor")
+		t.Error("Suspect with the previous incarnation returned true")
 	}
 	early.Finish(ResultFailed, nil, time.Now())
 	if late := mustReserve(t, router, request("late")); late.Incarnation != "r1-2" {
-		t.Errorf("placed on incarnation %q", late.Incarnation)
+		t.Errorf("the request was placed at incarnation %q, want r1-2", late.Incarnation)
 	}
 }
 
-// TestUnusableReplicas goes through every reason why a replica gets nothing new, each
-// alone, and sees it return once the reason is gone.
+// TestUnusableReplicas checks for each reason separately that the replica gets no new
+// requests while it applies, and gets some again after it has ended.
 func TestUnusableReplicas(t *testing.T) {
-	for _, c := range nothingNew {
+	for _, c := range unusableReplicaCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, router := oneReplica(t)
+				f, router := newSingleReplicaFleet(t)
 				early := mustReserve(t, router, request("early"))
 				c.begin(f, router)
 				router.SetPlan(f.plan())
 				wantRejected(t, router, request("during"), api.CodeNoCapacity)
 				if early.Usable(time.Now()) {
-					t.Fatal("a reservation granted before is still usable")
+					t.Fatal("a reservation that was granted before is still usable")
 				}
 				early.Finish(ResultNotStarted, nil, time.Now())
 				c.end(f, router)
@@ -139,11 +140,11 @@
 	}
 }
 
-// TestQueuedRequestsAreReadmitted lets requests wait and takes their replica
-// away by a new plan: each gets its rejection at once, not at its deadline.
-func TestQueuedRequestsAreReadmitted(t *testing.T) {
+// TestNewPlanRejectsQueuedRequests checks that queued requests are rejected immediately,
+// and not at their deadline, when a new plan evacuates the zone of their only replica.
+func TestNewPlanRejectsQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, router := oneReplica(t)
+		f, router := newSingleReplicaFleet(t)
 		mustReserve(t, router, request("holds the first step of the slow start"))
 		answers := make(chan *api.Error, 2)
 		for index := range 2 {
@@ -160,20 +161,20 @@
 		for range 2 {
 			failure := <-answers
 			if failure == nil || failure.Code != api.CodeNoCapacity || failure.RetryAfterMS <= 0 {
-				t.Fatalf("got %v, want no_capacity with a time to come back", failure)
+				t.Fatalf("got error %v, want no_capacity with a retry delay", failure)
 			}
 		}
 		if waited := time.Since(start); waited > 0 {
-			t.Fatalf("rejection held back for %v", waited)
+			t.Fatalf("rejected after %v, want immediately", waited)
 		}
 	})
 }
 
-// TestAcquire checks the waiting: a grant when a reservation is finished, the
-// rejection when no replica is left usable, and a caller that goes away.
+// TestAcquire checks that a waiting Acquire returns when its context is canceled, when
+// another reservation is finished, and when no replica has been usable for a while.
 func TestAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, router := oneReplica(t)
+		_, router := newSingleReplicaFleet(t)
 		held := mustReserve(t, router, request("holder"))
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan *api.Error, 1)
@@ -184,13 +185,13 @@
 		synctest.Wait()
 		cancel()
 		if failure := <-gone; failure == nil || failure.Code != api.CodeCanceled {
-			t.Fatalf("canceled: %v", failure)
+			t.Fatalf("canceled request: got error %v, want code canceled", failure)
 		}
 		granted := make(chan *Reservation, 1)
 		go func() {
 			reservation, failure := router.Acquire(t.Context(), request("waits"))
 			if failure != nil {
-				t.Errorf("waits: %v", failure)
+				t.Errorf("the waiting request was rejected: %v", failure)
 			}
 			granted <- reservation
 		}()
@@ -199,23 +200,23 @@
 		held.Finish(ResultSuccess, nil, time.Now())
 		reservation := <-granted
 		if got := router.Status().Services[0]; got.InFlight != 1 || got.Queued != 0 {
-			t.Fatalf("status %+v, want 1 in flight", got)
+			t.Fatalf("status is %+v, want 1 request in flight and none queued", got)
 		}
 		reservation.Finish(ResultSuccess, nil, time.Now())
-		time.Sleep(1400 * time.Millisecond) // the replica falls unresponsive
+		time.Sleep(1400 * time.Millisecond) // the replica becomes unusable without reports
 		start := time.Now()
 		_, failure := router.Acquire(t.Context(), request("late"))
 		if failure == nil || failure.Code != api.CodeNoCapacity {
-			t.Fatalf("no usable replica: %v", failure)
+			t.Fatalf("without a usable replica: got error %v, want code no_capacity", failure)
 		}
 		if waited := time.Since(start); waited > unusableWait+tickInterval {
-			t.Fatalf("waited %v for a replica", waited)
+			t.Fatalf("rejected only after %v without a usable replica", waited)
 		}
 	})
 }
 
-// TestHomeRules checks that a home binds from whatever rule it comes, under the
-// plan of the moment.
+// TestHomeRules checks that the home rules of a request, its route and its tenant all
+// restrict its regions, and that those of a new plan apply to a resolved request.
 func TestHomeRules(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -228,46 +229,47 @@
 			generate.RequestID, generate.Model = "q", "large-1"
 			resolved, failure := router.Resolve(generate, time.Now())
 			if failure != nil {
-				t.Fatalf("resolve: %v", failure)
+				t.Fatalf("Resolve: %v", failure)
 			}
 			return resolved
 		}
 		free := resolve(api.GenerateRequest{})
 		if got := router.Regions(free); len(got) != 2 || got[0] != "east" {
-			t.Fatalf("free: %v", got)
+			t.Fatalf("without a home rule: got regions %v, want two with east first", got)
 		}
-		if got := router.Regions(resolve(api.GenerateRequest{Client: "westerners"})); got[0] != "west" {
-			t.Fatalf("client mapping: %v", got)
+		if got := router.Regions(resolve(api.GenerateRequest{Client: "west-clients"})); got[0] != "west" {
+			t.Fatalf("with a client of region west: got regions %v, want west first", got)
 		}
-		if got := router.Regions(resolve(api.GenerateRequest{Tenant: "bound", Client: "westerners"})); len(got) != 1 || got[0] != "east" {
-			t.Fatalf("bound tenant: %v", got)
+		if got := router.Regions(resolve(api.GenerateRequest{Tenant: "east-tenant", Client: "west-clients"})); len(got) != 1 || got[0] != "east" {
+			t.Fatalf("with a tenant whose home is east: got regions %v, want only east", got)
 		}
 		west := resolve(api.GenerateRequest{Home: "west-only"})
 		wantRejected(t, router, west, api.CodeHomeUnavailable)
-		_, failure := router.Resolve(api.GenerateRequest{Model: "large-1", Tenant: "bound", Home: "west-only"}, time.Now())
+		_, failure := router.Resolve(api.GenerateRequest{Model: "large-1", Tenant: "east-tenant", Home: "west-only"}, time.Now())
 		if failure == nil || failure.Code != api.CodeHomeUnavailable {
-			t.Fatalf("homes without a common region: %v", failure)
+			t.Fatalf("home rules without a common region: got error %v, want code home_unavailable", failure)
 		}
-		// A new plan binds the route: the free request from before is bound too.
+		// A new plan adds a home rule to the route. It also applies to the request that was
+		// resolved without one.
 		f.set(catalog.RouteRecord("large-1", catalog.Route{Service: "large", Home: "west-only"}))
 		router.SetPlan(f.plan())
 		if got := router.Regions(free); len(got) != 1 || got[0] != "west" {
-			t.Fatalf("bound by the new plan: %v", got)
+			t.Fatalf("with the home rule of the new plan: got regions %v, want only west", got)
 		}
 		wantRejected(t, router, free, api.CodeHomeUnavailable)
 		f.set(catalog.EvacuationRecord("west-a", catalog.Evacuation{OperationID: "o"}))
 		router.SetPlan(f.plan())
 		if got := router.Regions(free); len(got) != 0 {
-			t.Fatalf("home evacuated: %v", got)
+			t.Fatalf("with the only zone of the home evacuated: got regions %v, want none", got)
 		}
 		if rejected := router.Rejection(free); rejected.Code != api.CodeHomeUnavailable {
-			t.Fatalf("rejection: %v", rejected)
+			t.Fatalf("Rejection returned %v, want code home_unavailable", rejected)
 		}
 	})
 }
 
-// TestLongRequestsLeaveCapacity fills a replica with long requests: a quick one still finds
-// room, also when another gateway has most of the slots.
+// TestLongRequestsLeaveCapacity checks that a replica with as many long requests as it
+// accepts still has capacity for a quick one, also if other gateways use most of its slots.
 func TestLongRequestsLeaveCapacity(t *testing.T) {
 	for others := range 4 {
 		synctest.Test(t, func(t *testing.T) {
@@ -275,7 +277,7 @@
 			f.replica("r1", "east-a", "east")
 			router := newRouter("east", "g1")
 			router.SetPlan(f.plan())
-			for sequence := range uint64(4) { // passes the slow start
+			for sequence := range uint64(4) { // completes the slow start
 				reported := report("r1")
 				reported.Sequence = sequence + 1
 				router.Observe("r1", reported, time.Now())
@@ -293,33 +295,33 @@
 				}
 			}
 			if granted != 3 && others == 0 || granted >= 4 || granted == 0 {
-				t.Fatalf("%d long requests beside %d others on four slots", granted, others)
+				t.Fatalf("%d long requests granted on four slots with %d requests of other gateways", granted, others)
 			}
 			mustReserve(t, router, request("quick"))
 		})
 	}
 }
 
-// TestAllReplicasExcluded asks for another attempt when every usable replica was
-// tried: the rejection comes at once.
+// TestAllReplicasExcluded checks that a request that has tried every usable replica is
+// rejected immediately.
 func TestAllReplicasExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, router := oneReplica(t)
+		_, router := newSingleReplicaFleet(t)
 		again := request("again")
 		again.ExcludedReplicas = map[string]bool{"r1": true}
 		start := time.Now()
 		if _, failure := router.Acquire(t.Context(), again); failure == nil || failure.Code != api.CodeNoCapacity {
-			t.Fatalf("got %v", failure)
+			t.Fatalf("got error %v, want code no_capacity", failure)
 		}
 		if waited := time.Since(start); waited > 0 {
-			t.Fatalf("rejected after %v", waited)
+			t.Fatalf("rejected after %v, not immediately", waited)
 		}
 	})
 }
 
-// TestWaitsForCachedPrefix fills the replica that holds a prefix while the other is
-// busy with room: a request for the prefix waits for the holder, one that may
-// not wait takes the other.
+// TestWaitsForCachedPrefix checks that a request waits for the replica that has its prefix
+// cached, which is full, although the other replica has capacity, and that a request that
+// may not wait is placed at the other replica.
 func TestWaitsForCachedPrefix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -327,7 +329,7 @@
 		f.replica("r2", "east-a", "east")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
-		for sequence := range uint64(8) { // passes the slow start
+		for sequence := range uint64(8) { // completes the slow start
 			for _, name := range []string{"r1", "r2"} {
 				reported := report(name)
 				reported.Sequence = sequence + 1
@@ -348,7 +350,7 @@
 		other := map[string]string{"r1": "r2", "r2": "r1"}[holder]
 		for _, reservation := range holders {
 			if reservation.Replica != holder {
-				t.Fatalf("the prefix went to %s and %s", holder, reservation.Replica)
+				t.Fatalf("requests with the same prefix were placed at %s and %s", holder, reservation.Replica)
 			}
 		}
 		reported := report(other)
@@ -361,14 +363,14 @@
 		}()
 		synctest.Wait()
 		if queued := router.Status().Services[0].Queued; queued != 1 {
-			t.Fatalf("%d queued, want the request to wait", queued)
+			t.Fatalf("%d requests queued, want 1 that waits for the replica with its prefix", queued)
 		}
 		if reservation := mustReserve(t, router, shared); reservation.Replica != other {
-			t.Fatalf("reserved on the full %s", reservation.Replica)
+			t.Fatalf("Reserve chose %s, which is full", reservation.Replica)
 		}
 		holders[0].Finish(ResultSuccess, nil, time.Now())
 		if reservation := <-granted; reservation.Replica != holder {
-			t.Fatalf("granted on %s, want the holder", reservation.Replica)
+			t.Fatalf("the waiting request was placed at %s, which does not have its prefix cached", reservation.Replica)
 		}
 	})
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,22 +1,23 @@
-// Package routing decides where a request runs: the region and, within the local
-// region, the replica. It combines admission, queueing, fair shares, slow start,
-// outlier ejection, spilling between regions and the retry budget. The packages
-// that it calls for each decision are pure; Router adds the state, the lock and the
-// waiting.
+// Package routing decides where a request runs: in which region and, within the local
+// region, at which replica. It combines admission, fair queueing, slow start, outlier
+// ejection, spilling of load to other regions and the retry budget. The packages that
+// implement these have no locks and no goroutines; Router adds the shared state, the lock
+// and the waiting.
 //
 // One lock guards everything: a Router, its services, their replicas and the
-// reservations. Exported methods take it; all others expect it to be held. The
-// files follow the concerns:
+// reservations. Exported methods acquire it; unexported methods are called with the lock
+// held unless they acquire it themselves. The files are divided by concern:
 //
-//   - router.go, plan.go: the state and how a new plan changes it
-//   - resolve.go, home.go, regions.go: from a request to regions
-//   - acquire.go, admit.go, wait.go, waiter.go: from a request to a reservation
-//   - service.go, queue.go, completion.go, choose.go: one service: its queue, its
-//     estimates and the choice of a replica
-//   - spill.go, remote.go: utilization, the spill controller, other regions' load
-//   - replica.go, capacity.go, warmup.go, conditions.go, reports.go: one replica: its
-//     reports, limits and slow start, and the conditions written to the registry
-//   - reservation.go, result.go: a reservation and what its result teaches
+//   - router.go, plan.go: the state, and how a new plan is applied to it
+//   - resolve.go, home.go, regions.go: how the regions for a request are chosen
+//   - acquire.go, admit.go, wait.go, waiter.go: how a request gets a reservation
+//   - service.go, queue.go, completion.go, choose.go: a service, its queue, its estimates
+//     and the choice of a replica
+//   - spill.go, remote.go: utilization, the spill controller and the load of other regions
+//   - replica.go, capacity.go, warmup.go, conditions.go, reports.go: a replica, its reports,
+//     limits and slow start, and the condition changes proposed to the registry
+//   - reservation.go, result.go: a reservation, and how its result updates the estimates
+//   - retry.go: the retry budget
 //   - status.go: a copy of the state for metrics and operators
 package routing
 
@@ -26,7 +27,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Request describes a request to the router.
+// Request is the part of a client's request that routing depends on.
 type Request struct {
 	ID           string
 	Tenant       string
@@ -34,14 +35,15 @@
 	Service      string
 	Class        api.Class
 	Prefixes     []api.Prefix
-	PromptTokens int // after the prefixes
+	PromptTokens int // not counting those of the prefixes
 	MaxTokens    int
 	Stream       bool
 	Client       string
-	// RegionChosen is set if a ticket has already chosen the local region. That region
-	// then comes first, so that a request is spilled at most once.
+	// RegionChosen is set if the request has a ticket, with which a gateway has already
+	// chosen the local region. Regions then lists the local region first, so that a request
+	// is spilled at most once.
 	RegionChosen bool
-	// Home lists the only regions that may run the request; empty is any.
+	// Home lists the only regions that may run the request. If it is empty, any may.
 	Home []string
 	// HomeRule is the home rule that the request itself names, if any.
 	HomeRule string
@@ -49,11 +51,11 @@
 	Deadline time.Time
 	// Attempt is 1 for the first attempt.
 	Attempt int
-	// ExcludedReplicas holds the names of the replicas already tried.
+	// ExcludedReplicas holds the names of the replicas that the request has already tried.
 	ExcludedReplicas map[string]bool
 
-	// resolved is the plan under which Home was found.
-	resolved *Plan
+	// resolvedPlan is the plan under which Resolve set Home.
+	resolvedPlan *Plan
 }
 
 // AttemptResult is the result of an attempt on a replica.
@@ -61,7 +63,7 @@
 
 const (
 	ResultSuccess    AttemptResult = iota
-	ResultNotStarted               // the replica itself rejected it: it never ran
+	ResultNotStarted               // the request was not executed, for example rejected by the replica
 	ResultFailed                   // the replica failed or the connection broke
 	ResultCanceled                 // the caller canceled, or the reservation was not used
 )
--- a/routing/service.go
+++ b/routing/service.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// unservableUtilization is the utilization of a service without a usable replica.
+	// unservableUtilization is the utilization of a service that has no usable replica.
 	unservableUtilization = 100
-	// warmupElsewhereUtilization is the utilization of a service whose only replicas are
-	// warmed up by other gateways: it can serve, but accepts no spill.
+	// warmupElsewhereUtilization is the reported utilization of a service that has no
+	// usable replica but at least one that another gateway is warming up: the region can
+	// serve requests but accepts no spill.
 	warmupElsewhereUtilization = unservableUtilization / 2
-	// expectedSmoothing is the weight of one answer in the expected time per token.
-	expectedSmoothing = 0.05
+	// secondsPerTokenSmoothing is the weight of one answer in the smoothed time per token.
+	secondsPerTokenSmoothing = 0.05
 )
 
 // Gains of the spill controller; docs/design/routing.md gives the reasons.
@@ -28,15 +29,15 @@
 	spillMaximum      = 0.9
 )
 
-// service is the routing state of one service. Its parts are narrow types by concern;
-// the router's mutex guards all of them.
+// service is the routing state of one service, divided into embedded structs by concern.
+// The router's mutex guards all of it.
 type service struct {
 	router   *Router
 	name     string
 	settings catalog.Service
 
 	replicas         []*replica
-	replicasByNumber []*replica // by number, nil if the number is free
+	replicasByNumber []*replica // indexed by number, nil if the number is unused
 	group            *outlier.Group
 	index            *placement.Index
 
@@ -47,39 +48,39 @@
 	estimates
 	spillState
 
-	// Buffers of chooseReplica, kept to avoid allocations.
-	cachedTokens []float64 // by replica number
+	// Buffers that chooseReplica reuses to avoid allocations.
+	cachedTokens []float64 // indexed by replica number
 	candidates   []placement.Candidate
 }
 
-// queueState is the queue of a service.
+// queueState is the queue of a service and its timing.
 type queueState struct {
 	queue        *admission.Queue[*waiter]
 	queueLength  int
-	queuedSince  time.Time // when the queue was last empty; zero if it is
+	queuedSince  time.Time // since when the queue has not been empty; zero if it is empty
 	lastDispatch time.Time
 }
 
-// estimates is what a service learned from its requests. All durations are in
-// seconds and smoothed.
+// estimates are measured from the requests of a service. All durations are in seconds and
+// smoothed.
 type estimates struct {
 	completions     admission.Rate
-	completed       int
+	completed       int     // requests since the start
 	serviceTime     float64 // of a request
-	secondsPerToken float64 // of a request without its prefill, per requested token
-	queueWait       float64 // of granted requests
+	secondsPerToken float64 // duration without the prefill, divided by the requested tokens
+	queueWait       float64 // of requests that were granted a reservation
 	firstTokenDelay float64 // time to the first token without the request's own prefill
 }
 
-// spillState decides which part of a service's requests other regions get.
+// spillState determines which fraction of a service's requests is sent to other regions.
 type spillState struct {
 	spill             *feedback.Controller
-	targetUtilization float64 // the set point while all regions together can hold it
+	targetUtilization float64 // configured set point, which is raised if all regions exceed it
 	utilization       float64
 	regions           map[string]*placement.Region
 	gates             map[string]*placement.SpillGate
-	unusableSince     time.Time // since when no replica is usable; zero if one is
-	recoveringSince   time.Time // when the local region had a usable replica again
+	unusableSince     time.Time // since when no replica has been usable; zero if one is
+	recoveringSince   time.Time // when the local region last got a usable replica again
 }
 
 func newSpillState(targetUtilization float64) spillState {
@@ -98,6 +99,7 @@
 	}
 }
 
+// newService returns a service without replicas. It must be configured before use.
 func newService(router *Router, name string, limits catalog.Limits) *service {
 	return &service{
 		router:     router,
@@ -119,13 +121,13 @@
 	s.targetUtilization = limits.TargetUtilization
 }
 
-// addReplica adds a replica under the lowest free number.
-func (s *service) addReplica(name string, listed catalog.Replica, now time.Time) *replica {
+// addReplica adds a replica with the lowest unused number.
+func (s *service) addReplica(name string, entry catalog.Replica, now time.Time) *replica {
 	number := 0
 	for number < len(s.replicasByNumber) && s.replicasByNumber[number] != nil {
 		number++
 	}
-	target := newReplica(s, name, number, listed, now)
+	target := newReplica(s, name, number, entry, now)
 	if number == len(s.replicasByNumber) {
 		s.replicasByNumber = append(s.replicasByNumber, target)
 		s.cachedTokens = append(s.cachedTokens, 0)
@@ -134,7 +136,7 @@
 	return target
 }
 
-// removeReplica removes a replica. Its reservations remain valid to finish.
+// removeReplica removes a replica. Its reservations must still be finished.
 func (s *service) removeReplica(target *replica) {
 	s.index.Forget(target.number)
 	s.replicasByNumber[target.number] = nil
@@ -156,12 +158,12 @@
 	s.index.SetCount(len(names))
 }
 
-// mayBecomeUsable reports whether some replica is usable, or may become so without
-// another plan.
+// mayBecomeUsable reports whether any replica is usable or may become usable under the
+// active plan.
 func (s *service) mayBecomeUsable() bool {
 	for _, target := range s.replicas {
 		state := target.condition.State
-		closed := target.conditioned && (state == catalog.ConditionDown || state == catalog.ConditionDraining)
+		closed := target.hasCondition && (state == catalog.ConditionDown || state == catalog.ConditionDraining)
 		if target.admittedByPlan && !closed {
 			return true
 		}
@@ -169,6 +171,7 @@
 	return false
 }
 
+// anyUsable reports whether any replica is usable.
 func (s *service) anyUsable(now time.Time) bool {
 	for _, target := range s.replicas {
 		if target.usable(now) {
@@ -178,7 +181,8 @@
 	return false
 }
 
-// unusableFor returns the time since a replica was last usable, 0 if one is.
+// unusableFor returns how long no replica has been usable, 0 if one is. It updates the
+// times from which this and the recovery are measured.
 func (s *service) unusableFor(now time.Time) time.Duration {
 	if s.anyUsable(now) {
 		if !s.unusableSince.IsZero() && now.Sub(s.unusableSince) >= unusableWait {
@@ -193,7 +197,8 @@
 	return now.Sub(s.unusableSince)
 }
 
-// tick updates the controllers and the loads of the regions.
+// tick updates the controllers and the loads of the regions, and removes expired requests
+// from the queue.
 func (s *service) tick(now time.Time) {
 	s.unusableFor(now)
 	s.utilization = s.measureUtilization(now)
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -13,9 +13,9 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// simulated is a replica in virtual time: cold until it has completed some
-// requests of its incarnation.
-type simulated struct {
+// simulatedReplica is a replica in virtual time. Each incarnation is cold until it has
+// completed warmAfterCompletions requests.
+type simulatedReplica struct {
 	name         string
 	incarnation  int
 	sequence     uint64
@@ -24,11 +24,11 @@
 	unresponsive bool
 }
 
-const warmAfter = 40
+const warmAfterCompletions = 40
 
-func (s *simulated) cold() bool { return s.completed < warmAfter }
+func (s *simulatedReplica) cold() bool { return s.completed < warmAfterCompletions }
 
-func (s *simulated) report() api.ReplicaReport {
+func (s *simulatedReplica) report() api.ReplicaReport {
 	s.sequence++
 	speed := 8000.0
 	if s.cold() {
@@ -41,13 +41,13 @@
 	}
 }
 
-func (s *simulated) restart() {
+func (s *simulatedReplica) restart() {
 	s.incarnation++
 	s.sequence, s.completed, s.running = 0, 0, 0
 }
 
-// simulation is a region with several gateways over the same replicas. Every
-// gateway gets each plan after a delay of its own, as with leases.
+// simulation is a region with several gateways that share its replicas. Each gateway
+// activates a new plan after a delay of its own, as it does in a real fleet.
 type simulation struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -55,12 +55,12 @@
 	names    []string // of the gateways
 	gateways map[string]*Router
 	down     map[string]bool
-	replicas []*simulated
+	replicas []*simulatedReplica
 	granted  map[string]int // by gateway
 	due      []event
 }
 
-// event is an action at a moment of the virtual time.
+// event is an action that is due at a virtual time.
 type event struct {
 	at     time.Time
 	action func()
@@ -81,13 +81,14 @@
 	for index := range replicas {
 		name := fmt.Sprint("r", index)
 		s.fleet.replica(name, "east-a", "east")
-		s.replicas = append(s.replicas, &simulated{name: name})
+		s.replicas = append(s.replicas, &simulatedReplica{name: name})
 	}
 	s.activate()
 	return s
 }
 
-// activate brings the present plan to every gateway, each at its own moment.
+// activate distributes the current plan to all gateways, to each after a random delay. A
+// gateway without a plan gets it immediately.
 func (s *simulation) activate() {
 	plan := s.fleet.plan()
 	for _, name := range s.up() {
@@ -100,16 +101,18 @@
 	}
 }
 
+// up returns the names of the gateways that are up.
 func (s *simulation) up() []string {
 	return slices.DeleteFunc(slices.Clone(s.names), func(name string) bool { return s.down[name] })
 }
 
+// after schedules an action after a delay.
 func (s *simulation) after(delay time.Duration, action func()) {
 	s.due = append(s.due, event{at: time.Now().Add(delay), action: action})
 }
 
-// elapse lets the virtual time pass and what falls due action in order.
-func (s *simulation) elapse(step time.Duration) {
+// advance advances the virtual time by one step and runs the events that are due, in order.
+func (s *simulation) advance(step time.Duration) {
 	time.Sleep(step)
 	slices.SortStableFunc(s.due, func(a, b event) int { return a.at.Compare(b.at) })
 	for len(s.due) > 0 && !s.due[0].at.After(time.Now()) {
@@ -119,9 +122,9 @@
 	}
 }
 
-// watch polls every replica from every gateway and applies the conditional
-// updates, at most one a replica and round.
-func (s *simulation) watch() {
+// pollAndApplyConditions polls every replica from every gateway and applies the condition
+// changes that the gateways propose. No two gateways may change the same replica.
+func (s *simulation) pollAndApplyConditions() {
 	now := time.Now()
 	changed := map[string]string{}
 	for _, name := range s.up() {
@@ -134,11 +137,11 @@
 			router.Observe(replica.name, replica.report(), now)
 		}
 		for _, change := range router.Conditions(now) {
-			if !s.prerequisiteHolds(change.Replica, change.Old) {
+			if !s.prerequisiteSatisfied(change.Replica, change.Old) {
 				continue
 			}
 			if other, twice := changed[change.Replica]; twice {
-				s.t.Errorf("%s and %s both watch %s", other, name, change.Replica)
+				s.t.Errorf("gateways %s and %s both propose a condition of replica %s", other, name, change.Replica)
 			}
 			changed[change.Replica] = name
 			s.fleet.set(catalog.ConditionRecord(change.Replica, change.New))
@@ -149,8 +152,9 @@
 	}
 }
 
-// prerequisiteHolds checks the prerequisite of a conditional update.
-func (s *simulation) prerequisiteHolds(replica string, old *catalog.Condition) bool {
+// prerequisiteSatisfied reports whether the current plan has the old condition that a
+// change requires.
+func (s *simulation) prerequisiteSatisfied(replica string, old *catalog.Condition) bool {
 	present, ok := s.fleet.plan().Condition(replica)
 	if old == nil {
 		return !ok
@@ -158,7 +162,7 @@
 	return ok && present == *old
 }
 
-// sendRequest sends a request through a gateway if it gets a reservation.
+// sendRequest runs a request through a gateway if the gateway grants a reservation.
 func (s *simulation) sendRequest(gateway string, id int) {
 	incoming := request(fmt.Sprint(gateway, "-", id))
 	reservation, failure := s.gateways[gateway].Reserve(incoming)
@@ -166,7 +170,7 @@
 		return
 	}
 	s.granted[gateway]++
-	index := slices.IndexFunc(s.replicas, func(r *simulated) bool { return r.name == reservation.Replica })
+	index := slices.IndexFunc(s.replicas, func(r *simulatedReplica) bool { return r.name == reservation.Replica })
 	replica := s.replicas[index]
 	incarnation := replica.incarnation
 	replica.running++
@@ -178,7 +182,8 @@
 	s.after(serviceTime, func() { s.finish(reservation, replica, incarnation) })
 }
 
-func (s *simulation) finish(reservation *Reservation, replica *simulated, incarnation int) {
+// finish ends a request, which fails if its replica has restarted or is unresponsive.
+func (s *simulation) finish(reservation *Reservation, replica *simulatedReplica, incarnation int) {
 	if replica.incarnation != incarnation || replica.unresponsive {
 		reservation.Finish(ResultFailed, nil, time.Now())
 		return
@@ -190,17 +195,17 @@
 	reservation.Finish(ResultSuccess, &reported, time.Now())
 }
 
-// checkSlowStart checks that the requests in flight on a cold replica, from all
-// gateways together, stay within the slow start that its completions allow. Step n
-// needs n completions, so that after c of them the limit is at most 1 + the largest
-// n with n(n+1)/2 <= c; one more request may be in flight.
-func (s *simulation) checkSlowStart(replica *simulated, gateway string) {
+// checkSlowStart checks that a cold replica has no more requests in flight, from all
+// gateways together, than its slow start allows. Step n of the slow start ends after n
+// completions, so the limit after c completions is at most 1 plus the largest n with
+// n(n+1)/2 <= c. One request beyond the limit is tolerated.
+func (s *simulation) checkSlowStart(replica *simulatedReplica, gateway string) {
 	if !replica.cold() {
 		return
 	}
 	step := math.Floor((math.Sqrt(8*float64(replica.completed)+1) - 1) / 2)
 	if most := 2 + int(step); replica.running > most {
-		s.t.Errorf("%s: %d in flight after %d completions, want at most %d (by %s)",
+		s.t.Errorf("replica %s has %d requests in flight after %d completions, want at most %d (last one sent by %s)",
 			replica.name, replica.running, replica.completed, most, gateway)
 	}
 }
@@ -214,17 +219,17 @@
 			}
 		}
 		if round%25 == 0 {
-			s.watch()
+			s.pollAndApplyConditions()
 		}
-		s.elapse(20 * time.Millisecond)
+		s.advance(20 * time.Millisecond)
 	}
 }
 
-// TestWarmupLimitHoldsAcrossGateways starts a region with only cold replicas under
-// overload, restarts replicas during their slow start and removes a warm-up gateway,
-// with several seeds. No cold replica ever has more requests than its slow start
-// allows, from all gateways together, and all become warm and used by every gateway.
-func TestWarmupLimitHoldsAcrossGateways(t *testing.T) {
+// TestWarmupLimitAppliesAcrossGateways checks that no cold replica has more requests in
+// flight from all gateways together than its slow start allows, and that all replicas
+// become warm and are used by every gateway. The region is overloaded and starts with cold
+// replicas only; replicas restart during their slow start, and one gateway goes down.
+func TestWarmupLimitAppliesAcrossGateways(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSimulation(t, seed, 3)
@@ -242,47 +247,47 @@
 			for _, replica := range s.replicas {
 				condition, _ := s.fleet.plan().Condition(replica.name)
 				if replica.cold() || condition.State != catalog.ConditionUp {
-					t.Errorf("seed %d: %s ends %+v after %d completions", seed, replica.name, condition, replica.completed)
+					t.Errorf("seed %d: replica %s ends with condition %+v after %d completions, want it warm and up", seed, replica.name, condition, replica.completed)
 				}
 			}
 			if s.granted["g1"] == before || s.granted["g4"] == 0 {
-				t.Errorf("seed %d: a gateway gets nothing: %v", seed, s.granted)
+				t.Errorf("seed %d: a gateway was granted no reservations; reservations by gateway: %v", seed, s.granted)
 			}
 		})
 	}
 }
 
-// TestConditionHysteresis checks that a swing of the load and a single lost poll
-// change no condition, that a replica that stays unresponsive is declared down, and
-// that gateways that were frozen, or reach no replica, propose nothing.
+// TestConditionHysteresis checks that a change of the load and a single failed poll change
+// no condition, that a replica that stays unresponsive is declared down, and that gateways
+// that were paused, or that reach no replica, propose no change.
 func TestConditionHysteresis(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 1, 3)
 		s.run(14, 2)
-		if changes := s.writes(); len(changes) != 0 {
-			t.Fatalf("pending writes %v", changes)
+		if changes := s.proposedConditions(); len(changes) != 0 {
+			t.Fatalf("changes proposed in a steady state: %v", changes)
 		}
 		s.run(3, 8)
 		s.replicas[0].unresponsive = true
-		s.watch()
+		s.pollAndApplyConditions()
 		s.replicas[0].unresponsive = false
 		s.run(2, 1)
 		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionUp {
-			t.Fatalf("one lost poll: %+v", condition)
+			t.Fatalf("after one failed poll: got condition %+v, want up", condition)
 		}
 		s.replicas[0].unresponsive = true
 		s.run(6, 1)
 		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionDown {
-			t.Fatalf("6 s of silence: %+v", condition)
+			t.Fatalf("after 6 s without a response: got condition %+v, want down", condition)
 		}
 		s.replicas[0].unresponsive = false
 		s.run(3, 1)
 		if condition, _ := s.fleet.plan().Condition("r0"); condition.State != catalog.ConditionUp {
-			t.Fatalf("heard again: %+v", condition)
+			t.Fatalf("after the replica responds again: got condition %+v, want up", condition)
 		}
-		time.Sleep(25 * time.Second) // all gateways frozen
-		if changes := s.writes(); len(changes) != 0 {
-			t.Fatalf("after a freeze: %v", changes)
+		time.Sleep(25 * time.Second) // all gateways are paused
+		if changes := s.proposedConditions(); len(changes) != 0 {
+			t.Fatalf("changes proposed after a pause: %v", changes)
 		}
 		for _, replica := range s.replicas {
 			replica.unresponsive = true
@@ -290,13 +295,14 @@
 		s.run(8, 1)
 		for _, replica := range s.replicas {
 			if condition, _ := s.fleet.plan().Condition(replica.name); condition.State != catalog.ConditionUp {
-				t.Fatalf("a gateway that hears nobody wrote %+v", condition)
+				t.Fatalf("gateways that reach no replica changed a condition to %+v", condition)
 			}
 		}
 	})
 }
 
-func (s *simulation) writes() []ConditionChange {
+// proposedConditions returns the changes that the gateways propose now.
+func (s *simulation) proposedConditions() []ConditionChange {
 	var changes []ConditionChange
 	for _, name := range s.up() {
 		changes = append(changes, s.gateways[name].Conditions(time.Now())...)
--- a/routing/spill.go
+++ b/routing/spill.go
@@ -7,8 +7,8 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// setRegions finds the usable regions of each service: those that have a gateway
-// and an admitted replica in the plan.
+// setRegions updates the regions of each service. A region is usable for a service if the
+// plan has a gateway there that is up and a replica that may get new requests.
 func (r *Router) setRegions(plan *Plan, now time.Time) {
 	reachable := map[string]bool{r.config.Region: true}
 	for _, gateway := range plan.Gateways() {
@@ -32,6 +32,8 @@
 	}
 }
 
+// setRegions adds, updates and removes the service's regions. Usable holds the names of the
+// regions that can serve it.
 func (s *service) setRegions(listed map[string]catalog.Region, usable map[string]bool) {
 	for name := range s.regions {
 		if _, ok := listed[name]; !ok {
@@ -51,8 +53,8 @@
 	}
 }
 
-// refreshRegions updates the regions' loads, the set point of the spill controller and
-// which regions accept spill.
+// refreshRegions updates the loads of the regions, the set point of the spill controller
+// and whether each region accepts spill.
 func (s *service) refreshRegions(now time.Time) {
 	local := s.router.config.Region
 	for name, region := range s.regions {
@@ -75,6 +77,7 @@
 	}
 }
 
+// refreshRemote updates another region from the reports of its gateways.
 func (s *service) refreshRemote(now time.Time, region *placement.Region) {
 	known := s.router.remote[region.Name]
 	if known == nil {
@@ -94,8 +97,9 @@
 	region.RecoveryFraction = recoveryFraction(now, known.recoveringSince)
 }
 
-// refreshLocal updates the local region from what this gateway measures. Without a
-// usable replica for unusableWait its load counts as stale, so that it comes last.
+// refreshLocal updates the local region from this gateway's own measurements. If no replica
+// has been usable for unusableWait, its load counts as stale, so that the region is ranked
+// last.
 func (s *service) refreshLocal(now time.Time, region *placement.Region) {
 	region.Load = s.utilization
 	region.LoadFreshness = placement.Fresh
@@ -105,8 +109,8 @@
 	}
 }
 
-// recoveryFraction returns the fraction of its traffic that a region gets that has
-// been recovering since a time; the zero time stands for one that is not.
+// recoveryFraction returns the fraction of its usual traffic that a recovering region gets.
+// Since is when its recovery began; the zero time means that it is not recovering.
 func recoveryFraction(now, since time.Time) float64 {
 	if since.IsZero() {
 		return 1
@@ -115,11 +119,11 @@
 	return min(1, max(minRecoveryFraction, fraction))
 }
 
-// measureUtilization returns the requests on the usable replicas and in the queues
-// over the replicas' limits. The other gateways of the region are assumed to queue as
-// many as this one. The result is at most placement.MaxComparedLoad, or
-// unservableUtilization if no replica is usable. Replicas that another gateway warms
-// up are left out.
+// measureUtilization returns the number of requests at the usable replicas and in the
+// queues, divided by the sum of the replicas' limits. The other gateways of the region are
+// assumed to have queues as long as this one. Replicas that another gateway is warming up
+// are not usable here and do not count. The result is at most placement.MaxComparedLoad,
+// or unservableUtilization if no replica is usable.
 func (s *service) measureUtilization(now time.Time) float64 {
 	busy := float64(s.queue.Len() * s.router.gateways.count())
 	limits := 0.0
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -16,21 +16,21 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// spillRegion is one region with one gateway in the spill simulation.
+// spillRegion is a region with one gateway in the spill simulation.
 type spillRegion struct {
 	router   *Router
-	replicas map[string]*simulated
-	arrivals float64 // a second
+	replicas map[string]*simulatedReplica
+	arrivals float64 // per second
 	credit   float64
-	sent     map[string]int // first choices by region
+	sent     map[string]int // requests by the region that was tried first
 	rejected int
-	measured []float64
+	measured []float64 // utilization, once per round
 }
 
 const spillServiceTime = 400 * time.Millisecond
 
-// spillFleet makes three regions of five, four and three replicas of four slots
-// each, which carry 50, 40 and 30 requests a second at the most.
+// spillFleet returns three regions of five, four and three replicas with four slots each,
+// which can serve 50, 40 and 30 requests per second.
 func spillFleet(t *testing.T) (map[string]*spillRegion, []string) {
 	t.Helper()
 	f := newFleet(t)
@@ -51,12 +51,12 @@
 	regions := map[string]*spillRegion{}
 	for _, name := range names {
 		region := &spillRegion{
-			router: newRouter(name, "g-"+name), replicas: map[string]*simulated{},
+			router: newRouter(name, "g-"+name), replicas: map[string]*simulatedReplica{},
 			sent: map[string]int{},
 		}
 		region.router.SetPlan(plan)
 		for index := range sizes[name] {
-			replica := &simulated{name: fmt.Sprint(name, index), completed: warmAfter}
+			replica := &simulatedReplica{name: fmt.Sprint(name, index), completed: warmAfterCompletions}
 			region.replicas[replica.name] = replica
 		}
 		regions[name] = region
@@ -64,7 +64,7 @@
 	return regions, names
 }
 
-// runSpill plays arrivals for some seconds in rounds of 20 ms.
+// runSpill simulates the arrivals of all regions for some seconds in rounds of 20 ms.
 func runSpill(s *simulation, regions map[string]*spillRegion, names []string, seconds int) {
 	for round := range seconds * 50 {
 		for _, name := range names {
@@ -78,11 +78,11 @@
 			}
 			region.measured = append(region.measured, region.router.Load()["large"])
 		}
-		s.elapse(20 * time.Millisecond)
+		s.advance(20 * time.Millisecond)
 	}
 }
 
-// exchangeLoads polls a region's replicas and tells its load to the others.
+// exchangeLoads polls a region's replicas and reports its load to the other regions.
 func exchangeLoads(regions map[string]*spillRegion, names []string, name string) {
 	region := regions[name]
 	for _, id := range slices.Sorted(maps.Keys(region.replicas)) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// arrive sends one request as a gateway does: to the listed regions in turn.
+// arrive sends one request as a gateway does: it tries the listed regions in order.
 func (s *simulation) arrive(regions map[string]*spillRegion, name string) {
 	region := regions[name]
 	incoming := request(fmt.Sprint(name, s.random.Uint64()))
@@ -132,9 +132,10 @@
 	return sum / float64(max(1, len(values)))
 }
 
-// TestSpillStep triples one region's load beyond what it can serve. Its load
-// must settle near the set point with the rest spilled by capacity, nothing
-// rejected; the others, busy themselves but with room, must not send back.
+// TestSpillStep triples the load of one region, so that it exceeds what the region can
+// serve. The test checks that the region's utilization settles near the set point, that the
+// rest is spilled in proportion to the capacity of the other regions and not rejected, and
+// that those, which have a load of their own but spare capacity, send nothing back.
 func TestSpillStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		regions, names := spillFleet(t)
@@ -145,26 +146,26 @@
 		runSpill(s, regions, names, 10)
 		for _, name := range names {
 			if away := len(regions[name].sent); away != 1 {
-				t.Errorf("%s spills at low load: %v", name, regions[name].sent)
+				t.Errorf("%s spills at low load; requests by region: %v", name, regions[name].sent)
 			}
 			regions[name].reset()
 		}
 		regions["east"].arrivals = 60
 		runSpill(s, regions, names, 10)
 		settling := regions["east"]
-		t.Logf("first 10 s: load %.2f, first choices %v, rejected %d", mean(settling.measured), settling.sent, settling.rejected)
+		t.Logf("first 10 s: utilization %.2f, requests by region tried first %v, rejected %d", mean(settling.measured), settling.sent, settling.rejected)
 		for _, name := range names {
 			regions[name].reset()
 		}
 		runSpill(s, regions, names, 30)
 		east := regions["east"]
-		t.Logf("next 30 s: loads east %.2f west %.2f south %.2f, first choices %v",
+		t.Logf("next 30 s: utilization of east %.2f, west %.2f, south %.2f; requests by region tried first %v",
 			mean(east.measured), mean(regions["west"].measured), mean(regions["south"].measured), east.sent)
 		if load := mean(east.measured); load < 0.7 || load > 0.9 {
-			t.Errorf("east settles at %.2f, want 0.8 within a tenth", load)
+			t.Errorf("the utilization of east settles at %.2f, want 0.7 to 0.9", load)
 		}
 		if east.rejected > 0 {
-			t.Errorf("%d rejected while others had room", east.rejected)
+			t.Errorf("%d requests rejected while other regions had capacity", east.rejected)
 		}
 		for _, name := range []string{"west", "south"} {
 			if back := regions[name].sent["east"]; back > 0 {
@@ -172,20 +173,20 @@
 			}
 		}
 		if east.sent["west"] <= east.sent["south"] {
-			t.Errorf("spill %v does not follow capacity", east.sent)
+			t.Errorf("requests by region %v: the larger region west did not get more than south", east.sent)
 		}
 		east.arrivals = 20
 		runSpill(s, regions, names, 8)
 		east.reset()
 		runSpill(s, regions, names, 5)
 		if east.sent["west"]+east.sent["south"] > 0 {
-			t.Errorf("still spills %v after the load fell", east.sent)
+			t.Errorf("east still spills after its load has fallen; requests by region: %v", east.sent)
 		}
 	})
 }
 
-// TestFullRegionsDoNotExchangeSpill loads every region beyond its set point: none
-// may send its requests elsewhere as a first choice for long.
+// TestFullRegionsDoNotExchangeSpill checks that regions that are all loaded beyond their
+// set point do not continue to try other regions first.
 func TestFullRegionsDoNotExchangeSpill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		regions, names := spillFleet(t)
@@ -204,41 +205,41 @@
 				total += count
 			}
 			away := total - regions[name].sent[name]
-			t.Logf("%s: load %.2f, %d of %d first choices elsewhere, rejected %d", name, mean(regions[name].measured), away, total, regions[name].rejected)
+			t.Logf("%s: utilization %.2f, %d of %d requests tried another region first, rejected %d", name, mean(regions[name].measured), away, total, regions[name].rejected)
 			if away*50 > total {
-				t.Errorf("%s sends %d of %d elsewhere while all are full", name, away, total)
+				t.Errorf("%s sends %d of %d requests to other regions first while all are full", name, away, total)
 			}
 		}
 	})
 }
 
-// queueingRegions play arrivals that wait in queues, as a gateway has them do: in
-// the own region without a bound, in one that they are spilled to for spillWait.
+// queueingRegions simulates requests that wait in queues as those of a gateway do: in their
+// own region until their deadline, and in a region that they are spilled to for spillWait.
 type queueingRegions struct {
 	regions map[string]*spillRegion
 	names   []string
 	random  *rand.Rand
-	mutex   sync.Mutex                // of what follows and the replicas
-	ran     map[string]map[string]int // by own region, then by the one that ran it
+	mutex   sync.Mutex                // guards ran and the replicas
+	ran     map[string]map[string]int // requests by own region, then by the region that ran them
 	running sync.WaitGroup
 }
 
 const spillWait = 2 * time.Second
 
-// play lets arrivals come for some seconds in rounds of 20 ms.
-func (q *queueingRegions) play(t *testing.T, seconds int) {
+// runArrivals starts the arriving requests of some seconds in rounds of 20 ms.
+func (q *queueingRegions) runArrivals(t *testing.T, seconds int) {
 	t.Helper()
 	for round := range seconds * 50 {
 		for _, name := range q.names {
 			region := q.regions[name]
 			if round%10 == 0 {
-				q.locked(func() { exchangeLoads(q.regions, q.names, name) })
+				q.withLock(func() { exchangeLoads(q.regions, q.names, name) })
 			}
 			region.credit += region.arrivals / 50
 			for ; region.credit >= 1; region.credit-- {
 				incoming := request(fmt.Sprint(name, q.random.Uint64()))
 				incoming.Class = api.ClassQuick
-				q.running.Go(func() { q.run(t.Context(), name, incoming) })
+				q.running.Go(func() { q.runRequest(t.Context(), name, incoming) })
 				synctest.Wait()
 			}
 			region.measured = append(region.measured, region.router.Load()["large"])
@@ -248,7 +249,9 @@
 	}
 }
 
-func (q *queueingRegions) run(ctx context.Context, name string, incoming Request) {
+// runRequest tries the listed regions in order and runs the request in the first one that
+// grants a reservation.
+func (q *queueingRegions) runRequest(ctx context.Context, name string, incoming Request) {
 	regions := q.regions[name].router.Regions(incoming)
 	for position, target := range regions {
 		reservation := q.acquire(ctx, name, target, incoming, position)
@@ -256,24 +259,26 @@
 			continue
 		}
 		replica := q.regions[target].replicas[reservation.Replica]
-		q.locked(func() {
+		q.withLock(func() {
 			replica.running++
 			q.ran[name][target]++
 		})
 		time.Sleep(spillServiceTime)
-		q.locked(func() { replica.running-- })
+		q.withLock(func() { replica.running-- })
 		reservation.Finish(ResultSuccess, nil, time.Now())
 		return
 	}
-	q.locked(func() { q.regions[name].rejected++ })
+	q.withLock(func() { q.regions[name].rejected++ })
 }
 
-func (q *queueingRegions) locked(work func()) {
+func (q *queueingRegions) withLock(work func()) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	work()
 }
 
+// acquire gets a reservation in the target region, nil if it is rejected. The request
+// waits in its own region, and in another one only if that is the first one tried.
 func (q *queueingRegions) acquire(ctx context.Context, name, target string, incoming Request, position int) *Reservation {
 	router := q.regions[target].router
 	if target != name && position > 0 {
@@ -289,9 +294,10 @@
 	return reservation
 }
 
-// TestUnequalRegionsShareOverload gives every region the same load, 1.25 times
-// what all of them carry together, so that the smallest has nearly twice what it
-// can do. Their utilizations must come together, and no two may trade.
+// TestUnequalRegionsShareOverload gives all regions the same load, in total 1.25 times what
+// they can serve together, so that the smallest gets nearly twice what it can serve. The
+// test checks that their utilizations become similar and that no two regions exchange many
+// requests with each other.
 func TestUnequalRegionsShareOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := &queueingRegions{random: rand.New(rand.NewPCG(3, 1)), ran: map[string]map[string]int{}}
@@ -300,29 +306,29 @@
 			q.ran[name] = map[string]int{}
 			q.regions[name].arrivals = 50
 		}
-		q.play(t, 10)
+		q.runArrivals(t, 10)
 		for _, name := range q.names {
-			q.locked(func() {
+			q.withLock(func() {
 				q.regions[name].reset()
 				clear(q.ran[name])
 			})
 		}
-		q.play(t, 20)
+		q.runArrivals(t, 20)
 		q.running.Wait()
 		least, most := math.Inf(1), 0.0
 		for _, name := range q.names {
 			load := mean(q.regions[name].measured)
 			least, most = min(least, load), max(most, load)
-			t.Logf("%s: load %.2f, ran %v, rejected %d", name, load, q.ran[name], q.regions[name].rejected)
+			t.Logf("%s: utilization %.2f, requests by the region that ran them %v, rejected %d", name, load, q.ran[name], q.regions[name].rejected)
 		}
 		if most > 1.25*least {
-			t.Errorf("utilizations from %.2f to %.2f", least, most)
+			t.Errorf("utilizations range from %.2f to %.2f, want a ratio of at most 1.25", least, most)
 		}
 		for i, a := range q.names {
 			for _, b := range q.names[i+1:] {
 				traded := min(q.ran[a][b], q.ran[b][a])
 				if traded*20 > q.ran[a][a]+q.ran[b][b] {
-					t.Errorf("%s and %s trade %d requests", a, b, traded)
+					t.Errorf("%s and %s each ran %d requests of the other, want at most a twentieth of those of their own", a, b, traded)
 				}
 			}
 		}
--- a/routing/status.go
+++ b/routing/status.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Status is a copy of a router's state for metrics and operators.
+// Status is a snapshot of a router's state for metrics and operators.
 type Status struct {
 	Version  uint64
 	Serial   uint32
@@ -22,25 +22,26 @@
 // it.
 type ServiceStatus struct {
 	Service string
-	// Limit is the sum of the usable replicas' concurrency limits, InFlight the number
-	// of this gateway's requests on all replicas and Queued that of its queue.
+	// Limit is the sum of the concurrency limits of the usable replicas. InFlight counts
+	// this gateway's requests at all replicas, and Queued those in its queue.
 	Limit    int
 	InFlight int
 	Queued   int
-	// Utilization is the number of requests over the limit; 1 is full.
+	// Utilization is the number of requests divided by the limit: 1 means that all capacity
+	// is in use.
 	Utilization float64
-	// Replicas counts all replicas, Usable those that may get new requests from this
-	// gateway.
+	// Replicas counts all replicas, and Usable those to which this gateway may send new
+	// requests.
 	Replicas  int
 	Usable    int
 	Ejected   int
 	WarmingUp int
 	Draining  int
-	// Controllers has the set points and the measured values.
+	// Controllers has the set points, measured values and outputs of the controllers.
 	Controllers []feedback.Status
-	// Members has the replicas, sorted by name.
+	// Members holds the replicas, sorted by name.
 	Members []ReplicaStatus
-	// Regions has all regions of the plan as known to this gateway, sorted by name.
+	// Regions holds all regions of the plan as known to this gateway, sorted by name.
 	Regions []placement.Region
 }
 
@@ -56,14 +57,16 @@
 	InFlight          int
 	InFlightElsewhere int
 	Limit             int
-	// Suspicion is the phi of the failure detector.
+	// Suspicion is the phi value of the failure detector.
 	Suspicion float64
-	Delay     time.Duration
-	// Expected is the expected cost of a prompt without a cached prefix.
+	// Delay is the smoothed queueing delay before the first token.
+	Delay time.Duration
+	// Expected holds the inputs of the cost estimate for a prompt without a cached prefix.
 	Expected placement.Candidate
 }
 
-// Status returns a copy of the present state, services and replicas sorted by name.
+// Status returns a snapshot of the current state, with services and replicas sorted by
+// name.
 func (r *Router) Status() Status {
 	now := time.Now()
 	r.mutex.Lock()
@@ -130,24 +133,25 @@
 	return status
 }
 
-func (t *replica) status(now time.Time) ReplicaStatus {
+func (r *replica) status(now time.Time) ReplicaStatus {
 	return ReplicaStatus{
-		Replica:           t.name,
-		Incarnation:       t.report.Incarnation,
-		Usable:            t.usable(now),
-		WarmingUp:         t.reported && t.warmingUp(),
-		Draining:          t.report.Draining || t.service.router.plan.IsDraining(t.name),
-		Ejected:           t.service.group.EjectedUntil(t.name).After(now),
-		StateUnknown:      !t.reported || t.stateUnknown,
-		InFlight:          t.inFlight,
-		InFlightElsewhere: t.inFlightElsewhere,
-		Limit:             t.concurrencyLimit(),
-		Suspicion:         t.detector.Phi(now),
-		Delay:             t.limit.Delay(),
-		Expected:          t.candidate(0, 0),
+		Replica:           r.name,
+		Incarnation:       r.report.Incarnation,
+		Usable:            r.usable(now),
+		WarmingUp:         r.reported && r.warmingUp(),
+		Draining:          r.report.Draining || r.service.router.plan.IsDraining(r.name),
+		Ejected:           r.service.group.EjectedUntil(r.name).After(now),
+		StateUnknown:      !r.reported || r.stateUnknown,
+		InFlight:          r.inFlight,
+		InFlightElsewhere: r.inFlightElsewhere,
+		Limit:             r.concurrencyLimit(),
+		Suspicion:         r.detector.Phi(now),
+		Delay:             r.limit.Delay(),
+		Expected:          r.candidate(0, 0),
 	}
 }
 
+// count returns 1 if the condition is true and 0 otherwise.
 func count(condition bool) int {
 	if condition {
 		return 1
--- a/routing/wait.go
+++ b/routing/wait.go
@@ -7,9 +7,10 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// await waits until a queued request is granted or rejected.
+// await waits until a queued request is granted a reservation or rejected, or until ctx is
+// done.
 func (r *Router) await(ctx context.Context, w *waiter) (*Reservation, *api.Error) {
-	// The timer rechecks the queue if no other event does.
+	// The timer makes sure that the queue is dispatched even if no other event does so.
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	for {
@@ -25,7 +26,7 @@
 	}
 }
 
-// recheckQueue dispatches the queue of a waiter if that was not done recently.
+// recheckQueue dispatches the queue of a waiter unless it was dispatched recently.
 func (r *Router) recheckQueue(w *waiter) {
 	now := time.Now()
 	r.mutex.Lock()
@@ -37,7 +38,8 @@
 	}
 }
 
-// cancel removes a waiter whose caller has canceled.
+// cancel removes a waiter whose context is done from the queue, and finishes a reservation
+// that it may have been granted.
 func (r *Router) cancel(w *waiter) *api.Error {
 	r.mutex.Lock()
 	if service := r.services[w.request.Service]; service != nil && service.queue.Remove(w.item) {
@@ -48,5 +50,5 @@
 	if reservation != nil {
 		reservation.Finish(ResultCanceled, nil, time.Now())
 	}
-	return rejection(&w.request, api.CodeCanceled, 0, "the caller went away before a replica was found")
+	return rejection(&w.request, api.CodeCanceled, 0, "the request was canceled while it waited for a replica")
 }
--- a/routing/warmup.go
+++ b/routing/warmup.go
@@ -10,67 +10,68 @@
 	"github.com/deckpulley/deckpulley/slowstart"
 )
 
-// warmingUp reports whether the replica counts as warming up, which it does until both
-// its own report and the plan say otherwise.
-func (t *replica) warmingUp() bool {
-	return !planted.Active(planted.RampPerGateway) && (t.report.Cold || t.conditioned && t.condition.State == catalog.ConditionWarmingUp)
+// warmingUp reports whether the replica is warming up according to its own report or to
+// the plan.
+func (r *replica) warmingUp() bool {
+	return !planted.Active(planted.RampPerGateway) && (r.report.Cold || r.hasCondition && r.condition.State == catalog.ConditionWarmingUp)
 }
 
-// updateSlowStart begins a slow start for a new incarnation, for a replica that was
-// closed for slowStartClosure, and for one that has begun or ended to warm up.
-func (t *replica) updateSlowStart(now time.Time, was bool) {
-	fresh := t.slowStartIncarnation != t.report.Incarnation
-	long := !was && now.Sub(t.closedAt) >= slowStartClosure
-	bound := t.maxConcurrency()
-	additive := t.slowStart != nil && t.slowStart.Growth() == slowstart.Additive
-	if fresh || long || (t.warmingUp() && !additive) {
-		t.slowStartIncarnation = t.report.Incarnation
-		t.slowStart = t.newSlowStart(bound)
-		t.lastWarmup = now
+// updateSlowStart begins a slow start for a new incarnation, for a replica that was closed
+// for slowStartClosure, and for one that begins to warm up. Once a replica is warm, its
+// limit may double instead of growing additively.
+func (r *replica) updateSlowStart(now time.Time, wasOpen bool) {
+	newIncarnation := r.slowStartIncarnation != r.report.Incarnation
+	longClosure := !wasOpen && now.Sub(r.closedAt) >= slowStartClosure
+	maximum := r.maxConcurrency()
+	additive := r.slowStart != nil && r.slowStart.Growth() == slowstart.Additive
+	if newIncarnation || longClosure || (r.warmingUp() && !additive) {
+		r.slowStartIncarnation = r.report.Incarnation
+		r.slowStart = r.newSlowStart(maximum)
+		r.lastWarmup = now
 		return
 	}
-	if additive && !t.warmingUp() {
-		t.slowStart = slowstart.New(slowstart.Doubling, t.slowStart.Limit(), bound)
+	if additive && !r.warmingUp() {
+		r.slowStart = slowstart.New(slowstart.Doubling, r.slowStart.Limit(), maximum)
 	}
 }
 
-func (t *replica) newSlowStart(bound int) *slowstart.Limiter {
-	if t.warmingUp() {
-		return slowstart.New(slowstart.Additive, t.service.warmupConcurrency, bound)
+func (r *replica) newSlowStart(maximum int) *slowstart.Limiter {
+	if r.warmingUp() {
+		return slowstart.New(slowstart.Additive, r.service.warmupConcurrency, maximum)
 	}
-	return slowstart.New(slowstart.Doubling, int(slowStartFraction*float64(bound)), bound)
+	return slowstart.New(slowstart.Doubling, int(slowStartFraction*float64(maximum)), maximum)
 }
 
-// warmupGateway returns the one gateway that may send requests to the replica while it
-// is warming up. It stays the same as long as it may; else rendezvous hashing chooses
-// another.
-func (t *replica) warmupGateway() string {
-	gateways := t.service.router.gateways.warmup
-	if t.conditioned && t.condition.WarmupGateway != "" && slices.Contains(gateways, t.condition.WarmupGateway) {
-		return t.condition.WarmupGateway
+// warmupGateway returns the one gateway that may send requests to the replica while it is
+// warming up. This is the gateway that the plan names as long as that one is eligible;
+// otherwise rendezvous hashing chooses another.
+func (r *replica) warmupGateway() string {
+	gateways := r.service.router.gateways.warmup
+	if r.hasCondition && r.condition.WarmupGateway != "" && slices.Contains(gateways, r.condition.WarmupGateway) {
+		return r.condition.WarmupGateway
 	}
-	return placement.Owner(warmupOwnerKey+t.name, gateways)
+	return placement.Owner(warmupOwnerKey+r.name, gateways)
 }
 
-// warmupOwnerKey makes the choice of the warm-up gateway independent of that of the
-// watcher.
+// warmupOwnerKey is a prefix of the hashed name that makes the choice of the warm-up
+// gateway independent of the choice of the gateway that proposes the condition.
 const warmupOwnerKey = "feeder/"
 
-// WarmupGateways lists the other gateways of the local region that may send requests of
-// a service to replicas that are warming up, sorted. A gateway whose region has only
-// such replicas forwards its requests to these gateways.
+// WarmupGateways returns the other gateways of the local region that may send requests of
+// a service to replicas that are warming up, sorted. If all replicas of the region are
+// warming up, a gateway forwards its requests to these gateways.
 func (r *Router) WarmupGateways(name string) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	target := r.services[name]
-	if target == nil {
+	service := r.services[name]
+	if service == nil {
 		return nil
 	}
 	var gateways []string
-	for _, replica := range target.replicas {
+	for _, replica := range service.replicas {
 		gateway := replica.condition.WarmupGateway
-		warming := replica.admittedByPlan && replica.conditioned && replica.condition.State == catalog.ConditionWarmingUp
-		if !warming || gateway == r.config.Gateway || slices.Contains(gateways, gateway) {
+		warmingUp := replica.admittedByPlan && replica.hasCondition && replica.condition.State == catalog.ConditionWarmingUp
+		if !warmingUp || gateway == r.config.Gateway || slices.Contains(gateways, gateway) {
 			continue
 		}
 		gateways = append(gateways, gateway)
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// TestWarmupHandover changes the warm-up gateway of a replica: the new one waits until
-// a report must have shown the requests of the previous one.
+// TestWarmupHandover checks that after a change of a replica's warm-up gateway the new one
+// sends no request until a report must have shown those of the previous one.
 func TestWarmupHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -23,7 +23,7 @@
 		router.Observe("r1", cold, time.Now())
 		wantRejected(t, router, request("another gateway warms it up"), api.CodeNoCapacity)
 		if gateways := router.WarmupGateways("large"); len(gateways) != 1 || gateways[0] != "g9" {
-			t.Fatalf("warm-up gateways %v", gateways)
+			t.Fatalf("warm-up gateways are %v, want only g9", gateways)
 		}
 		f.condition(catalog.ConditionWarmingUp, "g1")
 		router.SetPlan(f.plan())
@@ -39,8 +39,9 @@
 	})
 }
 
-// TestWarmupWithoutRestart makes a warm replica with requests in flight cold without a
-// restart: it gets nothing until it has a warm-up gateway, and a slow start begins.
+// TestWarmupWithoutRestart checks that a warm replica that becomes cold without a restart
+// gets no request until it has a warm-up gateway, and that a slow start then begins in
+// which the earlier requests count.
 func TestWarmupWithoutRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -68,8 +69,8 @@
 	})
 }
 
-// TestWarmupPrefersShortRequests checks that a long request gets the first step of a
-// slow start only if no shorter one has come for a while.
+// TestWarmupPrefersShortRequests checks that a replica in the first step of its slow start
+// gets a long request only if it was sent no request for a while.
 func TestWarmupPrefersShortRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
