--- a/admission/class_queue.go
+++ b/admission/class_queue.go
@@ -6,8 +6,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Indexes of the latency classes in Queue.classes. A lower one goes first among
-// classes with the same virtual time.
+// Indexes of the latency classes in Queue.classes. Of two classes with the same pass value,
+// the one with the lower index is served first.
 const (
 	quickIndex = iota
 	fetchIndex
@@ -15,6 +15,7 @@
 	classCount
 )
 
+// classIndex returns the index of a class in Queue.classes.
 func classIndex(class api.Class) int {
 	switch class {
 	case api.ClassLong:
@@ -26,8 +27,8 @@
 	}
 }
 
-// classWeight is the share of starts that a class gets while other classes have
-// waiting items too, relative to their weights.
+// classWeight returns the weight of a class. Classes that have waiting items start them in
+// proportion to their weights.
 func classWeight(index int) float64 {
 	if index == longIndex {
 		return 1
@@ -35,32 +36,32 @@
 	return 3
 }
 
-// classQueue is the fair queue of one latency class. It orders items by their
-// virtual start time (start-time fair queueing).
+// classQueue is the queue of one latency class, which is fair between tenants. It orders
+// items by their virtual start time (start-time fair queueing).
 type classQueue[T any] struct {
 	items       []*Item[T]       // by virtualStart
 	flows       map[string]*flow // by tenant
 	virtualTime float64          // highest virtualStart of an item that was dequeued
-	pass        float64          // virtual time of the class among the classes
+	pass        float64          // pass value of the class in stride scheduling between classes
 }
 
-// flow is what a class keeps of one tenant.
+// flow is the state of one tenant in a class.
 type flow struct {
-	virtualFinish float64 // of the tenant's last item
-	backlog       int     // waiting items
-	weight        float64
+	virtualFinish float64 // of the tenant's newest item
+	backlog       int     // number of waiting items
+	weight        float64 // of the tenant's newest item
 }
 
-// tag sets the virtual times of an item that arrives now.
+// tag sets the virtual start and finish times of an arriving item.
 func (c *classQueue[T]) tag(item *Item[T]) {
 	item.virtualStart = c.virtualTime
-	if tenant := c.flows[item.Tenant]; tenant != nil {
-		item.virtualStart = max(c.virtualTime, tenant.virtualFinish)
+	if flow := c.flows[item.Tenant]; flow != nil {
+		item.virtualStart = max(c.virtualTime, flow.virtualFinish)
 	}
 	item.virtualFinish = item.virtualStart + max(item.Cost, minCost)/item.Weight
 }
 
-// position returns the number of items that start before a tagged one.
+// position returns the number of waiting items that start before a tagged item.
 func (c *classQueue[T]) position(item *Item[T]) int {
 	count := 0
 	for _, other := range c.items {
@@ -71,7 +72,7 @@
 	return count
 }
 
-// insert adds a tagged item, behind those with the same virtual start time.
+// insert adds a tagged item after those with the same virtual start time.
 func (c *classQueue[T]) insert(item *Item[T]) {
 	position, _ := slices.BinarySearchFunc(c.items, item, func(element, target *Item[T]) int {
 		if element.virtualStart <= target.virtualStart {
@@ -80,29 +81,30 @@
 		return 1
 	})
 	c.items = slices.Insert(c.items, position, item)
-	tenant := c.flows[item.Tenant]
-	if tenant == nil {
-		tenant = &flow{}
-		c.flows[item.Tenant] = tenant
+	itemFlow := c.flows[item.Tenant]
+	if itemFlow == nil {
+		itemFlow = &flow{}
+		c.flows[item.Tenant] = itemFlow
 	}
-	tenant.virtualFinish = item.virtualFinish
-	tenant.weight = item.Weight
-	tenant.backlog++
+	itemFlow.virtualFinish = item.virtualFinish
+	itemFlow.weight = item.Weight
+	itemFlow.backlog++
 	item.queued = true
 }
 
-// remove removes an item. With refund its tenant is not charged for it, if it is
-// the tenant's last one. An empty queue keeps no history.
+// remove removes an item. If refund is set and the item is its tenant's newest, the tenant
+// is not charged for it. When the queue becomes empty, its virtual time and all flows are
+// reset.
 func (c *classQueue[T]) remove(item *Item[T], refund bool) {
 	position := slices.Index(c.items, item)
 	c.items = slices.Delete(c.items, position, position+1)
 	item.queued = false
-	tenant := c.flows[item.Tenant]
-	tenant.backlog--
-	if refund && tenant.virtualFinish == item.virtualFinish {
-		tenant.virtualFinish = item.virtualStart
+	flow := c.flows[item.Tenant]
+	flow.backlog--
+	if refund && flow.virtualFinish == item.virtualFinish {
+		flow.virtualFinish = item.virtualStart
 	}
-	if tenant.backlog == 0 && tenant.virtualFinish <= c.virtualTime {
+	if flow.backlog == 0 && flow.virtualFinish <= c.virtualTime {
 		delete(c.flows, item.Tenant)
 	}
 	if len(c.items) == 0 {
@@ -111,22 +113,22 @@
 	}
 }
 
-// displaceable returns the newest item of the tenant with the largest backlog for
-// its weight, if that backlog is larger than the one that the arriving item's
-// tenant would have; else nil.
+// displaceable returns the item that may be removed in favor of an arriving one: the newest
+// item of the tenant with the largest ratio of backlog to weight. It returns nil unless this
+// ratio is larger than that of the arriving item's tenant including the arriving item.
 func (c *classQueue[T]) displaceable(arriving *Item[T]) *Item[T] {
-	own := 1.0
-	if tenant := c.flows[arriving.Tenant]; tenant != nil {
-		own += float64(tenant.backlog)
+	ownBacklog := 1.0
+	if flow := c.flows[arriving.Tenant]; flow != nil {
+		ownBacklog += float64(flow.backlog)
 	}
-	largest := own / arriving.Weight
+	largest := ownBacklog / arriving.Weight
 	var displaced *Item[T]
 	for _, item := range c.items {
-		tenant := c.flows[item.Tenant]
+		flow := c.flows[item.Tenant]
 		if item.Tenant == arriving.Tenant {
 			continue
 		}
-		share := float64(tenant.backlog) / tenant.weight
+		share := float64(flow.backlog) / flow.weight
 		if share > largest || (displaced != nil && displaced.Tenant == item.Tenant) {
 			largest = share
 			displaced = item
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// A request that cannot meet its deadline is rejected on arrival, not when it is
-// late.
+// A request that cannot meet its deadline is rejected when it arrives, not when its deadline
+// has passed.
 func Example() {
 	now := time.Unix(0, 0)
 	queue := admission.NewQueue[string](2)
--- a/admission/item.go
+++ b/admission/item.go
@@ -6,13 +6,14 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Rejection is the reason why the queue does not accept an item.
+// Rejection is the reason why a queue rejects an item.
 type Rejection uint8
 
 const (
 	// Admitted means that the item was not rejected.
 	Admitted Rejection = iota
-	// RejectedFull means that the queue is full and the tenant has its share of it.
+	// RejectedFull means that the queue is full and that no other tenant of the class has a
+	// larger backlog for its weight.
 	RejectedFull
 	// RejectedDeadline means that the item cannot meet its deadline.
 	RejectedDeadline
@@ -27,19 +28,20 @@
 
 // Item is one waiting request.
 type Item[T any] struct {
-	// Tenant is the flow between which the queue is fair.
+	// Tenant identifies the flow of the item. The queue is fair between flows.
 	Tenant string
-	// Class is the latency class, which has a queue of its own.
+	// Class is the latency class. Each class is queued separately.
 	Class api.Class
-	// Weight is the tenant's share relative to others; at least a thousandth.
+	// Weight is the tenant's share relative to that of others. Lower values than 0.001 are
+	// raised to it.
 	Weight float64
-	// Cost is the expected work, in any unit that all items share.
+	// Cost is the expected work, in any unit that is the same for all items.
 	Cost float64
-	// Deadline is when the first token is due.
+	// Deadline is the latest time for the first token.
 	Deadline time.Time
-	// ExpectedFirstToken is the expected time from the start to the first token.
+	// ExpectedFirstToken is the expected time to the first token after the item starts.
 	ExpectedFirstToken time.Duration
-	// Payload belongs to the caller.
+	// Payload is not used by the queue.
 	Payload T
 
 	virtualStart  float64
@@ -47,8 +49,8 @@
 	queued        bool
 }
 
-// missesDeadline reports whether an item that starts after wait would have its
-// first token too late.
+// missesDeadline reports whether an item that starts after the given wait would get its
+// first token after its deadline.
 func (i *Item[T]) missesDeadline(now time.Time, wait time.Duration) bool {
 	return now.Add(wait + i.ExpectedFirstToken).After(i.Deadline)
 }
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -8,15 +8,15 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// simulatedReplica runs as many requests concurrently as it has workers; others
-// wait in order of arrival.
+// simulatedReplica runs as many requests concurrently as it has workers. Further requests
+// wait in the order of their arrival.
 type simulatedReplica struct {
 	workers     int
 	serviceTime time.Duration
-	freeAt      []time.Time // when each worker is free
+	freeAt      []time.Time // when each worker becomes free
 }
 
-// send returns when a request that arrives at now starts and ends.
+// send assigns a request that arrives now to a worker, and returns when it starts and ends.
 func (s *simulatedReplica) send(now time.Time) (started, ended time.Time) {
 	if len(s.freeAt) != s.workers {
 		s.freeAt = make([]time.Time, s.workers)
@@ -35,7 +35,7 @@
 	return started, s.freeAt[earliest]
 }
 
-// closedLoop applies a limit to a simulated replica in steps of 10 ms.
+// closedLoop simulates a Limit that adapts to the delays of a replica, in steps of 10 ms.
 type closedLoop struct {
 	limit        *Limit
 	replica      simulatedReplica
@@ -44,13 +44,14 @@
 	starts, ends []simulatedRequest
 }
 
+// simulatedRequest is a request whose start or end is due at a time.
 type simulatedRequest struct {
 	due, sent time.Time
-	inFlight  int // when it was sent
+	inFlight  int // number of requests when it was sent, including itself
 }
 
-// run offers requests at a rate for some seconds. It returns the highest and the
-// mean delay of the first tokens, and their number.
+// run sends requests at a rate for some seconds as far as the limit allows. It returns the
+// highest and the mean queueing delay, and the number of requests that started.
 func (l *closedLoop) run(seconds int, perSecond float64) (highest, mean time.Duration, served int) {
 	var total time.Duration
 	offered := 0.0
@@ -75,7 +76,7 @@
 	return highest, total / time.Duration(max(1, served)), served
 }
 
-// due removes and returns the requests whose time has come.
+// due removes and returns the requests that are due by now.
 func (l *closedLoop) due(list *[]simulatedRequest) []simulatedRequest {
 	var passed []simulatedRequest
 	*list = slices.DeleteFunc(*list, func(request simulatedRequest) bool {
@@ -88,9 +89,9 @@
 	return passed
 }
 
-// TestLimitStepResponse offers a replica, whose maximum is far above its number of
-// workers, twice the load that it can serve: the limit must fall until the delay is
-// near the set point, and rise when the replica becomes faster.
+// TestLimitStepResponse sends twice the load that a replica can serve, with a maximum far
+// above the replica's number of workers. The test checks that the limit falls until the
+// delay is near the set point, and that it rises when the replica becomes faster.
 func TestLimitStepResponse(t *testing.T) {
 	const setPoint = 920 * time.Millisecond
 	l := &closedLoop{
@@ -100,33 +101,35 @@
 	}
 	l.run(10, 8)
 	if l.limit.Value() != 64 {
-		t.Fatalf("limit fell to %d without load", l.limit.Value())
+		t.Fatalf("the limit fell from 64 to %d at low load", l.limit.Value())
 	}
 	peak, _, _ := l.run(10, 24)
 	highest, mean, served := l.run(20, 24)
-	t.Logf("overload: peak %v; then limit %d, delay mean %v highest %v", peak, l.limit.Value(), mean, highest)
+	t.Logf("overload: highest delay %v at first; then limit %d, mean delay %v, highest delay %v", peak, l.limit.Value(), mean, highest)
 	if mean < setPoint/2 || mean > setPoint*11/10 || highest > 2*setPoint {
-		t.Errorf("delay mean %v, highest %v; want near %v", mean, highest, setPoint)
+		t.Errorf("mean delay %v, highest delay %v; want a mean near the set point of %v and at most twice that", mean, highest, setPoint)
 	}
 	if served < 20*12*9/10 {
-		t.Errorf("served %d in 20 s of 240 possible", served)
+		t.Errorf("served %d requests in 20 s, want nearly the 240 possible", served)
 	}
 	before := l.limit.Value()
 	l.replica.serviceTime = 100 * time.Millisecond
 	l.run(30, 80)
 	if l.limit.Value() < 2*before {
-		t.Errorf("limit %d did not follow the faster replica from %d", l.limit.Value(), before)
+		t.Errorf("with a faster replica the limit is %d, want at least twice the %d before", l.limit.Value(), before)
 	}
 }
 
+// TestClassLimit checks that long requests never get the whole limit, except for a limit
+// of 1, and that quick ones do.
 func TestClassLimit(t *testing.T) {
 	for limit := 2; limit < 50; limit++ {
 		long := ClassLimit(limit, api.ClassLong)
 		if long < 1 || long >= limit || ClassLimit(limit, api.ClassQuick) != limit {
-			t.Fatalf("limit %d leaves %d to long requests", limit, long)
+			t.Fatalf("wrong class limits for a limit of %d, of which long requests may use %d", limit, long)
 		}
 	}
 	if ClassLimit(1, api.ClassLong) != 1 {
-		t.Fatal("a limit of one leaves nothing to long requests")
+		t.Fatal("long requests may not use a limit of 1")
 	}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// longFraction is the fraction of the queue's length that is open to long
-	// requests.
+	// longFraction is the fraction of the queue's length that long requests may use.
 	longFraction = 0.75
-	// MinRetryAfter is the lowest estimate of RetryAfter.
+	// MinRetryAfter is the lowest delay that RetryAfter returns.
 	MinRetryAfter = 100 * time.Millisecond
-	// MaxRetryAfter is the highest estimate of RetryAfter.
+	// MaxRetryAfter is the highest delay that RetryAfter returns.
 	MaxRetryAfter = 10 * time.Second
-	// unknownRetryAfter is the estimate of RetryAfter while the rate is unknown.
+	// unknownRetryAfter is the delay that RetryAfter returns if the rate is unknown.
 	unknownRetryAfter = time.Second
-	// maxPassLag bounds how far a class falls behind another in virtual time.
+	// maxPassLag is the largest difference by which the pass value of a class may be behind
+	// that of another.
 	maxPassLag = 2
 )
 
-// Queue is the bounded queue of one service: one fair queue for each latency
-// class. It is not safe for concurrent use.
+// Queue is the bounded queue of one service. It has a queue for each latency class, which
+// is fair between tenants, and chooses between the classes by stride scheduling: starting an
+// item advances the class's pass value by the inverse of its weight, and the class with the
+// lowest pass value is next. It is not safe for concurrent use.
 type Queue[T any] struct {
 	length        int
-	standingLimit int // 0 is no limit
+	standingLimit int // 0 means no limit
 	classes       [classCount]classQueue[T]
 }
 
@@ -43,15 +45,15 @@
 	q.length = max(1, length)
 }
 
-// SetStandingQueueLimit bounds the items in each class but the long one, below the
-// length of the queue; 0 removes the limit. It is meant for a queue that does not
-// drain: a longer one then only makes each request wait longer. Items beyond the
-// limit stay in the queue.
+// SetStandingQueueLimit sets a limit for the items of each class except the long one, in
+// addition to the length of the queue; 0 removes it. It is meant for a standing queue, which
+// does not become empty: a longer one would only make each request wait longer. Items
+// beyond the limit stay in the queue.
 func (q *Queue[T]) SetStandingQueueLimit(length int) {
 	q.standingLimit = max(0, length)
 }
 
-// StandingQueueLimit returns the limit of SetStandingQueueLimit.
+// StandingQueueLimit returns the limit that SetStandingQueueLimit has set, 0 if none.
 func (q *Queue[T]) StandingQueueLimit() int {
 	return q.standingLimit
 }
@@ -70,10 +72,10 @@
 	return len(q.classes[classIndex(class)].items)
 }
 
-// Enqueue adds an item or rejects it. The rate is the service's completions per
-// second, 0 if unknown. If the queue is full and another tenant of the class has more
-// than its share, the newest item of that tenant makes room: it is removed and
-// returned as displaced, and the caller must reject it.
+// Enqueue adds an item or rejects it. The rate is the number of completions per second of
+// the service, 0 if unknown. If the queue is full and another tenant of the class has a
+// larger backlog for its weight, the newest item of that tenant is removed and returned as
+// displaced. The caller must then reject the displaced item.
 func (q *Queue[T]) Enqueue(now time.Time, item *Item[T], rate float64) (displaced *Item[T], rejection Rejection) {
 	class := &q.classes[classIndex(item.Class)]
 	item.Weight = max(item.Weight, minWeight)
@@ -88,7 +90,7 @@
 			return nil, RejectedFull
 		}
 		q.Remove(displaced)
-		class.tag(item) // the removal may have changed the class's virtual time
+		class.tag(item) // the removal may have reset the virtual time of the class
 	}
 	if len(class.items) == 0 {
 		class.pass = q.passOnReturn(class)
@@ -97,8 +99,8 @@
 	return displaced, Admitted
 }
 
-// Dequeue calls accept with the waiting items in fair order, and removes and
-// returns the first one that it accepts; nil if there is none.
+// Dequeue calls accept with the waiting items in fair order. It removes and returns the
+// first one that is accepted, or nil if there is none.
 func (q *Queue[T]) Dequeue(accept func(*Item[T]) bool) *Item[T] {
 	for _, index := range q.classOrder() {
 		class := &q.classes[index]
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// Remove removes an item that is not to start, for instance because its caller has
-// gone. It reports whether the item was waiting.
+// Remove removes an item that is not to be started, for example because its request was
+// canceled. It reports whether the item was waiting.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	if item == nil || !item.queued {
 		return false
@@ -125,8 +127,8 @@
 	return true
 }
 
-// RemoveExpired removes and returns the items that can no longer meet their
-// deadline. The rate is that of Enqueue.
+// RemoveExpired removes and returns the items that can no longer meet their deadline. The
+// rate has the same meaning as for Enqueue.
 func (q *Queue[T]) RemoveExpired(now time.Time, rate float64) []*Item[T] {
 	var expired []*Item[T]
 	for index := range q.classes {
@@ -145,7 +147,8 @@
 	return expired
 }
 
-// Items returns the waiting items, class by class in the order of their start.
+// Items returns the waiting items grouped by class, in the order in which each class starts
+// them.
 func (q *Queue[T]) Items() []*Item[T] {
 	all := make([]*Item[T], 0, q.Len())
 	for index := range q.classes {
@@ -163,8 +166,8 @@
 	return all
 }
 
-// RetryAfter estimates after which time the queue has room for a new request. The
-// rate is that of Enqueue.
+// RetryAfter estimates how long it takes until the queue has a place for a new request. The
+// rate has the same meaning as for Enqueue.
 func (q *Queue[T]) RetryAfter(rate float64) time.Duration {
 	if rate <= 0 {
 		return unknownRetryAfter
@@ -174,9 +177,9 @@
 	return max(estimate, MinRetryAfter)
 }
 
-// wait estimates the time until the item at a position of its class starts, 0 if
-// the rate is unknown. It assumes that the classes with items share the rate by
-// their weights.
+// wait estimates the time until the item at a position of its class starts, 0 if the rate
+// is unknown. It assumes that the classes with waiting items share the rate in proportion
+// to their weights.
 func (q *Queue[T]) wait(position int, class api.Class, rate float64) time.Duration {
 	if rate <= 0 || position == 0 {
 		return 0
@@ -193,7 +196,7 @@
 	return time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
 }
 
-// full reports whether the queue has no room for another item of a class.
+// full reports whether the queue has no place for another item of a class.
 func (q *Queue[T]) full(class api.Class) bool {
 	if q.Len() >= q.length {
 		return true
@@ -204,8 +207,8 @@
 	return q.standingLimit > 0 && q.ClassLen(class) >= q.standingLimit
 }
 
-// classOrder returns the indexes of the classes that have items, by their virtual
-// time.
+// classOrder returns the indexes of the classes that have waiting items, ordered by their
+// pass values.
 func (q *Queue[T]) classOrder() []int {
 	order := make([]int, 0, len(q.classes))
 	for index := range q.classes {
@@ -226,9 +229,10 @@
 	return order
 }
 
-// passOnReturn returns the virtual time of a class that has items again: its own,
-// but at least the lowest of the other classes with items, so that it has no credit
-// from the time without items. An empty queue keeps no history.
+// passOnReturn returns the pass value of a class that was empty and gets an item: its
+// previous one, but at least the lowest of the other classes with items, so that the class
+// has no credit for the time in which it was empty. If all classes are empty, the pass
+// values start from 0 again.
 func (q *Queue[T]) passOnReturn(returning *classQueue[T]) float64 {
 	lowest := -1.0
 	for index := range q.classes {
@@ -243,9 +247,9 @@
 	return max(returning.pass, lowest)
 }
 
-// advancePass charges a class for the start of one of its items. The other classes
-// fall at most maxPassLag behind, so that a class that could not start for a while
-// does not get all starts afterwards.
+// advancePass advances the pass value of a class that starts an item, and raises those of
+// the other classes to at most maxPassLag behind it. Otherwise a class whose items could not
+// start for a while would afterwards get all starts until it has caught up.
 func (q *Queue[T]) advancePass(index int) {
 	started := &q.classes[index]
 	started.pass += 1 / classWeight(index)
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed of the property tests; -rapid.seed overrules it.
+// init sets a fixed seed for the property tests, which the flag -rapid.seed overrides.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// newItem returns an item of cost 1.
+// newItem returns an item with a cost of 1.
 func newItem(tenant string, class api.Class, weight float64, deadline time.Time) *Item[string] {
 	return &Item[string]{Tenant: tenant, Class: class, Weight: weight, Cost: 1, Deadline: deadline}
 }
 
-// TestTenantsGetFairShares overloads a short queue with the requests of three
-// tenants, one of which sends ten times as many as another: starts follow the
-// weights.
+// TestTenantsGetFairShares checks that the starts of three tenants that overload a short
+// queue are in proportion to their weights, although one sends ten times as many requests
+// as another.
 func TestTenantsGetFairShares(t *testing.T) {
 	queue := NewQueue[string](16)
 	now := time.Unix(0, 0)
@@ -44,14 +44,15 @@
 	want := map[string]int{"heavy sender": 1000, "light sender": 1000, "double weight": 2000}
 	for tenant, count := range want {
 		if got := starts[tenant]; got < count*9/10 || got > count*11/10 {
-			t.Errorf("%s started %d, want %d within a tenth", tenant, got, count)
+			t.Errorf("tenant %q: %d starts, want %d within 10%%", tenant, got, count)
 		}
 	}
 }
 
-// TestClassesShareTheQueue fills the queue with long requests: quick ones still find
-// room and get three of four starts.
-func TestClassesShareTheQueue(t *testing.T) {
+// TestQuickClassIsServedBesideLong checks that quick requests are still queued and get three
+// of four starts while long requests overload the queue, and that Dequeue skips items that
+// are not accepted.
+func TestQuickClassIsServedBesideLong(t *testing.T) {
 	queue := NewQueue[string](16)
 	now := time.Unix(0, 0)
 	deadline := now.Add(time.Hour)
@@ -61,22 +62,22 @@
 			queue.Enqueue(now, newItem("a", api.ClassLong, 1, deadline), 0)
 		}
 		if _, rejection := queue.Enqueue(now, newItem("a", api.ClassQuick, 1, deadline), 0); rejection == RejectedFull && queue.ClassLen(api.ClassQuick) < 4 {
-			t.Fatal("long requests take the room of quick ones")
+			t.Fatal("a quick request was rejected although fewer than four are queued")
 		}
 		starts[queue.Dequeue(func(*Item[string]) bool { return true }).Class]++
 	}
 	if starts[api.ClassQuick] < 290 || starts[api.ClassLong] < 90 {
-		t.Fatalf("starts %v, want three to one", starts)
+		t.Fatalf("starts by class are %v, want a ratio of quick to long of 3", starts)
 	}
 	item := queue.Dequeue(func(i *Item[string]) bool { return i.Class == api.ClassLong })
 	if item == nil || item.Class != api.ClassLong {
-		t.Fatal("an item that cannot start blocks the others")
+		t.Fatal("Dequeue returned no long item although only long items are accepted")
 	}
 }
 
-// TestItemsThatMissTheirDeadline are rejected on arrival, or removed when the rate
-// falls.
-func TestItemsThatMissTheirDeadline(t *testing.T) {
+// TestItemsMissingDeadlineAreRejected checks that items that cannot meet their deadline are
+// rejected when they arrive, and removed if the completion rate falls later.
+func TestItemsMissingDeadlineAreRejected(t *testing.T) {
 	queue := NewQueue[string](64)
 	now := time.Unix(0, 0)
 	const rate = 10.0
@@ -87,23 +88,23 @@
 		}
 	}
 	if admitted < 20 || admitted > 21 {
-		t.Fatalf("admitted %d, want what two seconds at ten a second allow", admitted)
+		t.Fatalf("%d items admitted, want the 20 or 21 that complete within 2 s at 10 per second", admitted)
 	}
 	if expired := queue.RemoveExpired(now, rate/2); len(expired) < 9 || len(expired) > 11 {
-		t.Fatalf("%d removed at half the rate, want about half", len(expired))
+		t.Fatalf("%d items removed at half the rate, want 9 to 11", len(expired))
 	}
 	slow := newItem("b", api.ClassQuick, 1, now.Add(time.Second))
 	slow.ExpectedFirstToken = 2 * time.Second
 	if _, rejection := queue.Enqueue(now, slow, 0); rejection != RejectedDeadline {
-		t.Fatal("admitted an item that needs longer than its deadline allows")
+		t.Fatal("an item whose expected time to the first token exceeds its deadline was not rejected")
 	}
 	if estimate := queue.RetryAfter(rate); estimate < time.Second || estimate > 1500*time.Millisecond {
-		t.Fatalf("retry after %v with %d waiting at %v a second", estimate, queue.Len(), rate)
+		t.Fatalf("RetryAfter returned %v with %d items waiting at %v completions per second, want 1 s to 1.5 s", estimate, queue.Len(), rate)
 	}
 }
 
-// TestQueueProperties applies random operations: the length is bounded, and every
-// item leaves the queue exactly once, by the operation that returned it.
+// TestQueueProperties applies random operations and checks that the queue never exceeds its
+// length and that each item leaves it exactly once, by the operation that returns it.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 12).Draw(t, "length")
@@ -143,14 +144,14 @@
 			case 4:
 				for i := range waiting {
 					if !queue.Remove(i) || queue.Remove(i) {
-						t.Fatal("Remove does not remove exactly once")
+						t.Fatal("Remove did not report true once and false afterwards")
 					}
 					delete(waiting, i)
 					break
 				}
 			}
 			if queue.Len() != len(waiting) || queue.Len() > length {
-				t.Fatalf("%d in the queue of %d, %d waiting", queue.Len(), length, len(waiting))
+				t.Fatalf("Len is %d with a maximum of %d and %d items waiting", queue.Len(), length, len(waiting))
 			}
 		}
 	})
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// rateTimeConstant is the time constant of the decay of Rate.
+	// rateTimeConstant is the time constant of the exponential decay.
 	rateTimeConstant = 3 * time.Second
-	// minCoverage bounds the correction of Rate for a short time of measurement.
+	// minCoverage limits the correction for a short time of measurement. Coverage is the
+	// fraction of the exponential weights that fall into the time since the first event.
 	minCoverage = 0.1
 )
 
-// Rate measures events per second with exponential decay. Its zero value is ready to
-// use. It is not safe for concurrent use.
+// Rate is an exponentially weighted average of the events per second. Its zero value is
+// ready to use. It is not safe for concurrent use.
 type Rate struct {
-	value   float64   // per second, uncorrected
-	decayed time.Time // up to when value has decayed
-	first   time.Time // the first event; zero without any
+	value   float64   // events per second, not corrected for a short time of measurement
+	decayed time.Time // time up to which the decay of value has been applied
+	first   time.Time // time of the first event; zero if there was none
 }
 
-// Record records an event at now.
+// Record records one event.
 func (r *Rate) Record(now time.Time) {
 	r.decay(now)
 	r.value += 1 / rateTimeConstant.Seconds()
 }
 
-// PerSecond returns the rate at now, 0 without any event. It is corrected for the
-// short time of measurement after the first event.
+// PerSecond returns the current rate, 0 if there was no event. Shortly after the first
+// event it is scaled up to compensate for the short time of measurement.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	if r.first.IsZero() {
 		return 0
@@ -37,7 +38,7 @@
 	return r.value / max(coverage, minCoverage)
 }
 
-// decay decays the value up to now.
+// decay applies the decay since the last call.
 func (r *Rate) decay(now time.Time) {
 	if r.first.IsZero() {
 		r.first, r.decayed = now, now
--- a/admission/rate_test.go
+++ b/admission/rate_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestRate checks the rate of regular events, and its decay after they stop.
 func TestRate(t *testing.T) {
 	var rate Rate
 	now := time.Unix(0, 0)
@@ -13,9 +14,9 @@
 		rate.Record(now)
 	}
 	if got := rate.PerSecond(now); got < 18 || got > 22 {
-		t.Fatalf("rate %v, want 20", got)
+		t.Fatalf("rate is %v per second, want about 20", got)
 	}
 	if got := rate.PerSecond(now.Add(30 * time.Second)); got > 0.01 {
-		t.Fatalf("rate %v half a minute later", got)
+		t.Fatalf("rate is %v per second 30 s after the last event, want nearly 0", got)
 	}
 }
