--- a/routing/choose.go
+++ b/routing/choose.go
@@ -41,7 +41,7 @@
 // choose a replica without capacity when waiting for it costs less than prefilling the
 // prompt on another replica.
 func (s *service) chooseReplica(now time.Time, w *waiter, mayWait bool) choice {
-	s.index.Cached(w.chain, func(number, tokens int) {
+	s.prefixIndex.Cached(w.chain, func(number, tokens int) {
 		s.cachedTokens[number] = float64(tokens)
 	})
 	choice := s.chooseForWarmup(now, w)
@@ -68,7 +68,7 @@
 			continue
 		}
 		candidate := target.candidate(position, s.cachedTokens[target.number])
-		failureRatio := s.group.FailureRatio(now, target.name)
+		failureRatio := s.outlierGroup.FailureRatio(now, target.name)
 		candidate.Penalty = failurePenalty * failureRatio * failureRatio
 		if !hasCapacity {
 			candidate.Wait = wait
--- a/routing/completion.go
+++ b/routing/completion.go
@@ -44,7 +44,7 @@
 		return 0
 	}
 	cached := 0
-	s.index.Cached(w.chain, func(_, tokens int) {
+	s.prefixIndex.Cached(w.chain, func(_, tokens int) {
 		cached = max(cached, tokens)
 	})
 	seconds := max(0, w.work.Tokens-float64(cached)) / rate
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -15,6 +15,8 @@
 	records []registry.Record
 }
 
+// newFleet returns a fleet with two regions, east and west, each of which has one zone and
+// one gateway but no replicas.
 func newFleet(tb testing.TB) *fleet {
 	tb.Helper()
 	f := &fleet{t: tb}
@@ -97,6 +99,7 @@
 	return contents
 }
 
+// report returns the first report of a warm, idle replica.
 func report(name string) api.ReplicaReport {
 	return api.ReplicaReport{
 		Replica: name, Incarnation: name + "-1", Service: "large",
@@ -104,6 +107,7 @@
 	}
 }
 
+// request returns a quick request without prefixes that is due in 10 s.
 func request(id string) Request {
 	return Request{
 		ID: id, Model: "large-1", Service: "large", Class: api.ClassQuick,
@@ -127,6 +131,7 @@
 	return f, router
 }
 
+// mustReserve reserves a replica for a request, and fails the test if it is rejected.
 func mustReserve(t *testing.T, router *Router, request Request) *Reservation {
 	t.Helper()
 	reservation, failure := router.Reserve(request)
@@ -136,6 +141,7 @@
 	return reservation
 }
 
+// wantRejected fails the test unless the request is rejected with the given code.
 func wantRejected(t *testing.T, router *Router, request Request, code api.Code) {
 	t.Helper()
 	reservation, failure := router.Reserve(request)
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -18,13 +18,14 @@
 	router   *Router
 	mutex    sync.Mutex
 	served   map[string]int // by tenant and class
-	incoming map[string]int
+	incoming map[string]int // by tenant and class
 	// rejectedAfter holds how long rejected requests waited, and queued how long granted
 	// ones did.
 	rejectedAfter, queued []time.Duration
 	codes                 map[api.Code]int
 }
 
+// newOverloadTest returns a test whose router has a plan but no reports yet.
 func newOverloadTest(t *testing.T) *overloadTest {
 	t.Helper()
 	f := newFleet(t)
@@ -41,6 +42,7 @@
 	return o
 }
 
+// reset discards the measurements so far.
 func (o *overloadTest) reset() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -113,12 +115,13 @@
 	reservation.Finish(ResultSuccess, nil, time.Now())
 }
 
-func quantile(values []time.Duration, part float64) time.Duration {
+// quantile returns a quantile of the values, 0 for an empty list.
+func quantile(values []time.Duration, fraction float64) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
 
 // TestOverload checks that replicas stay fully used and that requests are rejected early
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -43,7 +43,7 @@
 		work.Spill = append([]string{clientRegion}, work.Spill...)
 	}
 	if clientRegion == r.config.Region && !request.RegionChosen {
-		work.SpillFraction = service.spill.Output()
+		work.SpillFraction = service.spillController.Output()
 	}
 	return placement.RankRegions(work, service.regions)
 }
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -157,7 +157,7 @@
 	case !same:
 		r.reset(at)
 	case report.Cold && !r.report.Cold:
-		r.service.index.Forget(r.number)
+		r.service.prefixIndex.Forget(r.number)
 	default:
 		r.recordEvictions(report.CacheEvictions - r.report.CacheEvictions)
 	}
@@ -177,8 +177,8 @@
 	if r.reported {
 		r.previousIncarnation = r.report.Incarnation
 	}
-	r.service.index.Forget(r.number)
-	r.service.group.Forget(r.name)
+	r.service.prefixIndex.Forget(r.number)
+	r.service.outlierGroup.Forget(r.name)
 	r.closedUntil = time.Time{}
 	r.conditionHysteresis.Reset()
 	r.detector = failuredetector.New(r.service.router.detectorConfig, at)
@@ -194,7 +194,7 @@
 	}
 	gateways := r.service.router.gateways.count()
 	share := (int(count) + gateways - 1) / gateways
-	r.service.index.Evicted(r.number, share)
+	r.service.prefixIndex.Evicted(r.number, share)
 }
 
 // refresh recomputes whether plan and reports allow new requests to the replica, and its
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -42,7 +42,7 @@
 	}
 	uncached := max(0, w.work.Tokens-choice.cached*target.cacheAccuracy)
 	target.sentTokens += uncached
-	s.index.Record(target.number, w.chain)
+	s.prefixIndex.Record(target.number, w.chain)
 	reservation := &Reservation{
 		Replica:        target.name,
 		Address:        target.entry.Address,
@@ -107,7 +107,7 @@
 	}
 	share := min(1, float64(found)/r.expectedCached)
 	r.target.cacheAccuracy += cacheAccuracySmoothing * (share - r.target.cacheAccuracy)
-	r.target.service.index.Correct(r.target.number, int(r.expectedCached), found)
+	r.target.service.prefixIndex.Correct(r.target.number, int(r.expectedCached), found)
 }
 
 // Finish ends the reservation with the result of the attempt. The report, which may be
--- a/routing/result.go
+++ b/routing/result.go
@@ -21,16 +21,16 @@
 	case ResultNotStarted:
 		r.recordRejection(at)
 	case ResultFailed:
-		service.index.Undo(target.number, r.chain)
+		service.prefixIndex.Undo(target.number, r.chain)
 		target.limit.RecordFailure(at)
 		if target.slowStart != nil {
 			target.slowStart.RecordFailure()
 		}
-		if service.group.RecordFailure(at, target.name) {
+		if service.outlierGroup.RecordFailure(at, target.name) {
 			target.eject("errors")
 		}
 	case ResultCanceled:
-		// A canceled attempt says nothing about the replica.
+		// A canceled attempt is no evidence about the replica.
 	}
 }
 
@@ -40,14 +40,14 @@
 func (r *Reservation) recordRejection(at time.Time) {
 	target := r.target
 	service := target.service
-	service.index.Undo(target.number, r.chain)
+	service.prefixIndex.Undo(target.number, r.chain)
 	target.limit.RecordFailure(at)
 	target.consecutiveRejections++
 	if target.consecutiveRejections <= toleratedRejections {
-		service.group.RecordRejection(at, target.name)
+		service.outlierGroup.RecordRejection(at, target.name)
 		return
 	}
-	if service.group.RecordFailure(at, target.name) {
+	if service.outlierGroup.RecordFailure(at, target.name) {
 		target.eject("refusals")
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	target.serviceTime = smoothed(target.serviceTime, duration, serviceTimeSmoothing)
 	service.serviceTime = smoothed(service.serviceTime, duration, serviceTimeSmoothing)
-	service.group.RecordSuccess(at, target.name)
+	service.outlierGroup.RecordSuccess(at, target.name)
 	target.consecutiveRejections = 0
 	service.completions.Record(at)
 	service.completed++
@@ -96,14 +96,14 @@
 	delay := time.Duration(max(seconds, 0.001) * float64(time.Second))
 	service.firstTokenDelay = smoothed(service.firstTokenDelay, delay.Seconds(), serviceTimeSmoothing)
 	target.limit.Observe(at, delay, r.inFlight)
-	if service.group.RecordLatency(at, target.name, delay) {
+	if service.outlierGroup.RecordLatency(at, target.name, delay) {
 		target.eject("latency")
 	}
 }
 
 // eject closes the replica to new requests until its ejection ends. A slow start follows.
 func (r *replica) eject(cause string) {
-	r.closedUntil = latest(r.closedUntil, r.service.group.EjectedUntil(r.name))
+	r.closedUntil = latest(r.closedUntil, r.service.outlierGroup.EjectedUntil(r.name))
 	r.slowStart = slowstart.New(slowstart.Doubling, 1, r.maxConcurrency())
 	r.service.router.logger.Warn("replica ejected", "replica", r.name, "service", r.service.name, "cause", cause)
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -179,7 +179,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan *api.Error, 1)
 		go func() {
-			_, failure := router.Acquire(ctx, request("goes away"))
+			_, failure := router.Acquire(ctx, request("canceled"))
 			gone <- failure
 		}()
 		synctest.Wait()
--- a/routing/service.go
+++ b/routing/service.go
@@ -38,8 +38,8 @@
 
 	replicas         []*replica
 	replicasByNumber []*replica // indexed by number, nil if the number is unused
-	group            *outlier.Group
-	index            *placement.Index
+	outlierGroup     *outlier.Group
+	prefixIndex      *placement.Index
 
 	firstTokenTarget  time.Duration
 	warmupConcurrency int
@@ -74,8 +74,8 @@
 
 // spillState determines which fraction of a service's requests is sent to other regions.
 type spillState struct {
-	spill             *feedback.Controller
-	targetUtilization float64 // configured set point, which is raised if all regions exceed it
+	spillController   *feedback.Controller
+	targetUtilization float64 // configured set point; a higher one is used while all regions together exceed it
 	utilization       float64
 	regions           map[string]*placement.Region
 	gates             map[string]*placement.SpillGate
@@ -83,11 +83,12 @@
 	recoveringSince   time.Time // when the local region last got a usable replica again
 }
 
+// newSpillState returns the spill state of a service, with its controller.
 func newSpillState(targetUtilization float64) spillState {
 	return spillState{
 		regions: make(map[string]*placement.Region),
 		gates:   make(map[string]*placement.SpillGate),
-		spill: feedback.New(feedback.Config{
+		spillController: feedback.New(feedback.Config{
 			Name:         "utilization",
 			SetPoint:     targetUtilization,
 			Proportional: spillProportional,
@@ -102,12 +103,12 @@
 // newService returns a service without replicas. It must be configured before use.
 func newService(router *Router, name string, limits catalog.Limits) *service {
 	return &service{
-		router:     router,
-		name:       name,
-		group:      outlier.NewGroup(outlier.DefaultConfig()),
-		index:      placement.NewIndex(0),
-		queueState: queueState{queue: admission.NewQueue[*waiter](limits.QueueLength)},
-		spillState: newSpillState(limits.TargetUtilization),
+		router:       router,
+		name:         name,
+		outlierGroup: outlier.NewGroup(outlier.DefaultConfig()),
+		prefixIndex:  placement.NewIndex(0),
+		queueState:   queueState{queue: admission.NewQueue[*waiter](limits.QueueLength)},
+		spillState:   newSpillState(limits.TargetUtilization),
 	}
 }
 
@@ -138,7 +139,7 @@
 
 // removeReplica removes a replica. Its reservations must still be finished.
 func (s *service) removeReplica(target *replica) {
-	s.index.Forget(target.number)
+	s.prefixIndex.Forget(target.number)
 	s.replicasByNumber[target.number] = nil
 	target.open, target.admittedByPlan, target.removed = false, false, true
 }
@@ -154,8 +155,8 @@
 			names = append(names, target.name)
 		}
 	}
-	s.group.SetMembers(names)
-	s.index.SetCount(len(names))
+	s.outlierGroup.SetMembers(names)
+	s.prefixIndex.SetCount(len(names))
 }
 
 // mayBecomeUsable reports whether any replica is usable or may become usable under the
@@ -203,7 +204,7 @@
 	s.unusableFor(now)
 	s.utilization = s.measureUtilization(now)
 	s.refreshRegions(now)
-	s.spill.Update(now, s.utilization)
+	s.spillController.Update(now, s.utilization)
 	s.limitStandingQueue(now)
 	s.removeExpired(now)
 }
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -24,6 +24,7 @@
 	unresponsive bool
 }
 
+// warmAfterCompletions is the number of completed requests after which a replica is warm.
 const warmAfterCompletions = 40
 
 func (s *simulatedReplica) cold() bool { return s.completed < warmAfterCompletions }
@@ -41,6 +42,7 @@
 	}
 }
 
+// restart replaces the incarnation by a cold one that runs no requests.
 func (s *simulatedReplica) restart() {
 	s.incarnation++
 	s.sequence, s.completed, s.running = 0, 0, 0
@@ -66,6 +68,7 @@
 	action func()
 }
 
+// newSimulation returns a region with three gateways and the given number of replicas.
 func newSimulation(t *testing.T, seed uint64, replicas int) *simulation {
 	t.Helper()
 	s := &simulation{
--- a/routing/spill.go
+++ b/routing/spill.go
@@ -66,7 +66,7 @@
 	}
 	sharing := append([]string{local}, s.router.plan.Regions()[local].Spill...)
 	level := max(s.targetUtilization, placement.CommonLoad(sharing, s.regions))
-	s.spill.SetSetPoint(level)
+	s.spillController.SetSetPoint(level)
 	for name, region := range s.regions {
 		if name == local {
 			region.AcceptsSpill = s.gates[name].Update(s.utilization, unservableUtilization, level)
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -20,18 +20,19 @@
 type spillRegion struct {
 	router   *Router
 	replicas map[string]*simulatedReplica
-	arrivals float64 // per second
-	credit   float64
+	arrivals float64        // per second
+	credit   float64        // arrivals that are due but not yet sent
 	sent     map[string]int // requests by the region that was tried first
 	rejected int
 	measured []float64 // utilization, once per round
 }
 
+// spillServiceTime is the service time of every request in the spill simulations.
 const spillServiceTime = 400 * time.Millisecond
 
-// spillFleet returns three regions of five, four and three replicas with four slots each,
+// newSpillFleet returns three regions of five, four and three replicas with four slots each,
 // which can serve 50, 40 and 30 requests per second.
-func spillFleet(t *testing.T) (map[string]*spillRegion, []string) {
+func newSpillFleet(t *testing.T) (map[string]*spillRegion, []string) {
 	t.Helper()
 	f := newFleet(t)
 	sizes := map[string]int{"east": 5, "west": 4, "south": 3}
@@ -120,10 +121,12 @@
 	region.rejected++
 }
 
+// reset discards the measurements so far.
 func (r *spillRegion) reset() {
 	r.sent, r.rejected, r.measured = map[string]int{}, 0, nil
 }
 
+// mean returns the arithmetic mean, 0 for an empty list.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, value := range values {
@@ -138,7 +141,7 @@
 // that those, which have a load of their own but spare capacity, send nothing back.
 func TestSpillStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		regions, names := spillFleet(t)
+		regions, names := newSpillFleet(t)
 		s := newSimulation(t, 1, 0)
 		regions["east"].arrivals = 20
 		regions["west"].arrivals = 12
@@ -189,7 +192,7 @@
 // set point do not continue to try other regions first.
 func TestFullRegionsDoNotExchangeSpill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		regions, names := spillFleet(t)
+		regions, names := newSpillFleet(t)
 		s := newSimulation(t, 2, 0)
 		regions["east"].arrivals = 47
 		regions["west"].arrivals = 38
@@ -224,6 +227,7 @@
 	running sync.WaitGroup
 }
 
+// spillWait is how long a request waits in the queue of a region that it is spilled to.
 const spillWait = 2 * time.Second
 
 // runArrivals starts the arriving requests of some seconds in rounds of 20 ms.
@@ -271,6 +275,7 @@
 	q.withLock(func() { q.regions[name].rejected++ })
 }
 
+// withLock calls work with the mutex held.
 func (q *queueingRegions) withLock(work func()) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -301,7 +306,7 @@
 func TestUnequalRegionsShareOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := &queueingRegions{random: rand.New(rand.NewPCG(3, 1)), ran: map[string]map[string]int{}}
-		q.regions, q.names = spillFleet(t)
+		q.regions, q.names = newSpillFleet(t)
 		for _, name := range q.names {
 			q.ran[name] = map[string]int{}
 			q.regions[name].arrivals = 50
--- a/routing/status.go
+++ b/routing/status.go
@@ -18,8 +18,7 @@
 	Retry feedback.Status
 }
 
-// ServiceStatus is the state of a service in the local region, as this gateway sees
-// it.
+// ServiceStatus is the state of a service in the local region, as known to this gateway.
 type ServiceStatus struct {
 	Service string
 	// Limit is the sum of the concurrency limits of the usable replicas. InFlight counts
@@ -45,7 +44,7 @@
 	Regions []placement.Region
 }
 
-// ReplicaStatus is the state of a replica, as this gateway sees it.
+// ReplicaStatus is the state of a replica, as known to this gateway.
 type ReplicaStatus struct {
 	Replica           string
 	Incarnation       string
@@ -116,7 +115,7 @@
 		return strings.Compare(a.Name, b.Name)
 	})
 	status.Controllers = []feedback.Status{
-		s.spill.Status(),
+		s.spillController.Status(),
 		{
 			Name:     "first_token_seconds",
 			SetPoint: s.firstTokenTarget.Seconds(),
@@ -140,7 +139,7 @@
 		Usable:            r.usable(now),
 		WarmingUp:         r.reported && r.warmingUp(),
 		Draining:          r.report.Draining || r.service.router.plan.IsDraining(r.name),
-		Ejected:           r.service.group.EjectedUntil(r.name).After(now),
+		Ejected:           r.service.outlierGroup.EjectedUntil(r.name).After(now),
 		StateUnknown:      !r.reported || r.stateUnknown,
 		InFlight:          r.inFlight,
 		InFlightElsewhere: r.inFlightElsewhere,
