--- a/loadexchange/digest.go
+++ b/loadexchange/digest.go
@@ -8,14 +8,15 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// sendIntraRegion sends each member a digest of the other members' updates, and the
-// other groups one of all of the members' updates, with samples and sums when these are
-// due. While the link is still busy with earlier digests, these are only heartbeats.
-func (x *Exchange) sendIntraRegion(now time.Time, effects *Effects) {
-	a := &x.aggregator
+// sendIntraRegion sends each member a digest with the updates of the other members, and
+// each other group one with the updates of all members, including samples and sums when
+// these are due. While the link is still busy with earlier digests, it sends only
+// heartbeats to the members.
+func (e *Exchange) sendIntraRegion(now time.Time, effects *Effects) {
+	a := &e.aggregator
 	a.lastDigest = now
 	if now.Before(a.linkFreeAt) {
-		x.sendHeartbeats(now, effects)
+		e.sendHeartbeats(now, effects)
 		return
 	}
 	first := a.lastUpdates.IsZero()
@@ -26,27 +27,27 @@
 		a.lastPeerSums = now
 	}
 	batch := a.intraRegion.take(complete)
-	batch.coarse = elapsed >= coarseDelay && !first
-	bytes := x.sendToPeerGroups(now, complete, &batch, effects)
-	bytes += x.sendToMembers(now, elapsed, &batch, effects)
-	a.chargeLink(now, bytes)
+	batch.totalsOnly = elapsed >= totalsOnlyDelay && !first
+	bytes := e.sendToPeerGroups(now, complete, &batch, effects)
+	bytes += e.sendToMembers(now, elapsed, &batch, effects)
+	a.reserveLink(now, bytes)
 }
 
-// sendHeartbeats sends the members empty digests.
-func (x *Exchange) sendHeartbeats(now time.Time, effects *Effects) {
-	a := &x.aggregator
+// sendHeartbeats sends empty digests to the members, which show that this gateway is alive.
+func (e *Exchange) sendHeartbeats(now time.Time, effects *Effects) {
+	a := &e.aggregator
 	for name := range a.members {
-		x.sendToMember(now, name, &peer.LoadDigest{Aggregator: x.name}, effects)
+		e.sendToMember(now, name, &peer.LoadDigest{Aggregator: e.name}, effects)
 	}
-	a.chargeLink(now, len(a.members)*digestBytes)
+	a.reserveLink(now, len(a.members)*digestBytes)
 }
 
-// sendToMembers sends each member the updates of the others and those of other groups
-// and regions, and the sums to those whose turn it is. It returns the bytes that this
-// takes.
-func (x *Exchange) sendToMembers(now time.Time, elapsed time.Duration, batch *updateBatch, effects *Effects) (bytes int) {
-	a := &x.aggregator
-	relayed := a.relayed.take(batch.coarse)
+// sendToMembers sends each member the updates of the other members, groups and regions, and
+// sends the sums to the members that are due to get them. It returns the approximate number
+// of bytes sent.
+func (e *Exchange) sendToMembers(now time.Time, elapsed time.Duration, batch *updateBatch, effects *Effects) (bytes int) {
+	a := &e.aggregator
+	relayed := a.memberRelay.take(batch.totalsOnly)
 	names := slices.Sorted(maps.Keys(a.members))
 	due := a.sumsDue(names, elapsed)
 	var sums map[peer.ReplicaKey]peer.Load
@@ -55,59 +56,60 @@
 	}
 	for _, name := range names {
 		part := batch.excluding(name)
-		part.Region, part.Aggregator = x.region, x.name
+		part.Region, part.Aggregator = e.region, e.name
 		if due[name] {
 			part.Complete, part.Loads = true, a.loadOfOthers(name, sums)
 		}
-		digest := &peer.LoadDigest{Aggregator: x.name, Regions: append([]peer.RegionLoads{part}, relayed...)}
-		x.sendToMember(now, name, digest, effects)
+		digest := &peer.LoadDigest{Aggregator: e.name, Regions: append([]peer.RegionLoads{part}, relayed...)}
+		e.sendToMember(now, name, digest, effects)
 		bytes += digestSize(digest)
 	}
 	return bytes
 }
 
-// sendToMember sends a digest to a member, which may be the own gateway.
-func (x *Exchange) sendToMember(now time.Time, name string, digest *peer.LoadDigest, effects *Effects) {
-	if name == x.name {
-		if x.reporter.aggregator == x.name {
-			x.reporter.contacted(now)
-			observe(digest, effects)
+// sendToMember sends a digest to a member. If this is the own gateway, it processes the
+// digest directly.
+func (e *Exchange) sendToMember(now time.Time, name string, digest *peer.LoadDigest, effects *Effects) {
+	if name == e.name {
+		if e.reporter.aggregator == e.name {
+			e.reporter.recordContact(now)
+			addObserved(digest, effects)
 		}
 		return
 	}
-	if member, up := x.gateways[name]; up {
+	if member, up := e.gateways[name]; up {
 		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: member.Address, Digest: digest})
 	}
 }
 
-// sendToPeerGroups sends the aggregators of the other groups the updates of the members
-// and of other regions. It returns the bytes that this takes.
-func (x *Exchange) sendToPeerGroups(now time.Time, complete bool, batch *updateBatch, effects *Effects) (bytes int) {
-	a := &x.aggregator
-	forwarded := a.forwarded.take(batch.coarse)
-	aggregators := x.peerAggregators(now)
+// sendToPeerGroups sends the updates of the members and of other regions to the aggregators
+// of the other groups. It returns the approximate number of bytes sent.
+func (e *Exchange) sendToPeerGroups(now time.Time, complete bool, batch *updateBatch, effects *Effects) (bytes int) {
+	a := &e.aggregator
+	forwarded := a.peerGroupRelay.take(batch.totalsOnly)
+	aggregators := e.peerAggregators(now)
 	if len(aggregators) == 0 {
 		return 0
 	}
 	part := batch.all()
-	part.Region, part.Aggregator = x.region, x.name
+	part.Region, part.Aggregator = e.region, e.name
 	if complete {
 		part.Complete, part.Loads = true, sumLoads(a.members)
 	}
 	if isEmpty(&part) && len(forwarded) == 0 {
 		return 0
 	}
-	digest := &peer.LoadDigest{Aggregator: x.name, Regions: append([]peer.RegionLoads{part}, forwarded...)}
+	digest := &peer.LoadDigest{Aggregator: e.name, Regions: append([]peer.RegionLoads{part}, forwarded...)}
 	for _, name := range aggregators {
-		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: x.gateways[name].Address, Digest: digest})
+		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: e.gateways[name].Address, Digest: digest})
 	}
 	return len(aggregators) * digestSize(digest)
 }
 
-// sendCrossRegion sends a digest to one aggregator of each other region, with sums when
-// these are due.
-func (x *Exchange) sendCrossRegion(now time.Time, effects *Effects) {
-	a := &x.aggregator
+// sendCrossRegion sends a digest to one aggregator of each other region, including sums
+// when these are due.
+func (e *Exchange) sendCrossRegion(now time.Time, effects *Effects) {
+	a := &e.aggregator
 	a.lastCrossRegion = now
 	complete := !now.Before(a.lastCrossRegionSums.Add(crossRegionSumsInterval))
 	batch := a.crossRegion.take(complete)
@@ -117,19 +119,19 @@
 		sums = sumLoads(a.members)
 	}
 	bytes := 0
-	for _, region := range slices.Sorted(maps.Keys(x.groups)) {
-		name := x.remoteAggregator(region)
-		if region == x.region || name == "" {
+	for _, region := range slices.Sorted(maps.Keys(e.groups)) {
+		name := e.remoteAggregator(region)
+		if region == e.region || name == "" {
 			continue
 		}
-		part := batch.forRegion(func(replica peer.ReplicaKey) bool { return x.loads.RegionOf(replica) == region })
-		part.Region, part.Aggregator = x.region, x.name
+		part := batch.forRegion(func(replica peer.ReplicaKey) bool { return e.loads.RegionOf(replica) == region })
+		part.Region, part.Aggregator = e.region, e.name
 		part.Complete, part.Loads = complete, sums
-		digest := &peer.LoadDigest{Aggregator: x.name, Regions: []peer.RegionLoads{part}}
-		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: x.gateways[name].Address, Digest: digest})
+		digest := &peer.LoadDigest{Aggregator: e.name, Regions: []peer.RegionLoads{part}}
+		effects.Outgoing = append(effects.Outgoing, Outgoing{Address: e.gateways[name].Address, Digest: digest})
 		bytes += digestSize(digest)
 	}
-	a.chargeLink(now, bytes)
+	a.reserveLink(now, bytes)
 }
 
 // isEmpty reports whether a part of a digest has neither sums nor updates.
@@ -139,7 +141,7 @@
 
 // Approximate sizes of an encoded digest and of its parts, in bytes.
 const (
-	digestBytes = 120 // an empty digest with what the network adds
+	digestBytes = 120 // an empty digest, including network headers
 	loadBytes   = 14
 	totalBytes  = 9
 	promptBytes = 15
--- a/loadexchange/example_test.go
+++ b/loadexchange/example_test.go
@@ -8,14 +8,14 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// idle is the LoadSource of a gateway without requests of its own.
+// idle is the LoadSource of a gateway that has no requests in flight.
 type idle struct{}
 
 func (idle) Loads() map[peer.ReplicaKey]peer.Load    { return nil }
 func (idle) RegionOf(replica peer.ReplicaKey) string { return "north" }
 
-// Of two gateways, one reports a prompt to the other, which has the wider link and
-// therefore aggregates.
+// One of two gateways reports a prompt to the other, which is the aggregator because its
+// link is wider.
 func Example() {
 	gateways := map[string]loadexchange.Gateway{
 		"gateway-1": {Region: "north", Address: "10.0.0.1:7000", LinkMbps: 10},
@@ -36,10 +36,10 @@
 	effects, _ = aggregator.Step(now)
 	for _, part := range effects.Observed {
 		for _, placed := range part.PlacedPrompts {
-			fmt.Println("learned of", placed.PrefillMS, "ms at replica-a:", placed.Replica == peer.NewReplicaKey("replica-a"))
+			fmt.Println("observed a prompt of", placed.PrefillMS, "ms at replica-a:", placed.Replica == peer.NewReplicaKey("replica-a"))
 		}
 	}
 	// Output:
 	// to 10.0.0.2:7000 1 prompt
-	// learned of 120 ms at replica-a: true
+	// observed a prompt of 120 ms at replica-a: true
 }
--- a/loadexchange/exchange_test.go
+++ b/loadexchange/exchange_test.go
@@ -9,20 +9,21 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
+// seeds is the number of seeds with which simulations are run.
 const seeds = 20
 
-// TestUpdatesReachAllGateways checks that a placed prompt becomes known exactly once to
-// each other gateway of its region and, if it is long, to those of other regions,
+// TestUpdatesReachAllGateways checks that each other gateway of the region observes a placed
+// prompt exactly once, and so does each gateway of other regions if the prompt is urgent,
 // within the stated times.
 func TestUpdatesReachAllGateways(t *testing.T) {
 	tests := map[string]struct {
 		prefillMS                int
-		intraRegion, crossRegion time.Duration // 0: never observed
+		intraRegion, crossRegion time.Duration // 0 means that it is never observed
 	}{
-		"short": {15, 300 * time.Millisecond, 0},
-		"long":  {60, 100 * time.Millisecond, 1400 * time.Millisecond},
-		"huge":  {250, 100 * time.Millisecond, 500 * time.Millisecond},
-		// A critical prompt delays others by itself and crosses regions soon.
+		"not urgent":            {15, 300 * time.Millisecond, 0},
+		"urgent in its region":  {60, 100 * time.Millisecond, 1400 * time.Millisecond},
+		"urgent in all regions": {250, 100 * time.Millisecond, 500 * time.Millisecond},
+		// A critical prompt is sent to other regions with a shorter interval.
 		"critical": {400, 100 * time.Millisecond, 180 * time.Millisecond},
 	}
 	for name, test := range tests {
@@ -30,8 +31,8 @@
 			for seed := range uint64(seeds) {
 				s := newSimulation(t, seed, map[string]int{"north": 29, "south": 12})
 				s.run(3*time.Second + time.Duration(seed)*37*time.Millisecond)
-				placer := s.other("north")
-				began := s.now
+				placer := s.nonAggregator("north")
+				start := s.now
 				placer.place("north-replica", test.prefillMS)
 				s.run(2 * time.Second)
 				for name, g := range s.gateways {
@@ -43,10 +44,10 @@
 					switch {
 					case g == placer || bound == 0:
 						if len(observed) != 0 {
-							t.Errorf("seed %d: %s observes it", seed, name)
+							t.Errorf("seed %d: gateway %s observed the prompt, want no observation", seed, name)
 						}
-					case len(observed) != 1 || observed[0].Sub(began) > bound:
-						t.Errorf("seed %d: %s observes it %d times, within %v", seed, name, len(observed), since(observed, began))
+					case len(observed) != 1 || observed[0].Sub(start) > bound:
+						t.Errorf("seed %d: gateway %s observed the prompt %d times, after %v; want once in time", seed, name, len(observed), durationsSince(observed, start))
 					}
 				}
 			}
@@ -54,16 +55,17 @@
 	}
 }
 
-// since returns the durations from a start to the given times.
-func since(times []time.Time, began time.Time) []time.Duration {
+// durationsSince returns the durations from start to each of the given times.
+func durationsSince(times []time.Time, start time.Time) []time.Duration {
 	var after []time.Duration
 	for _, at := range times {
-		after = append(after, at.Sub(began))
+		after = append(after, at.Sub(start))
 	}
 	return after
 }
 
-// TestSumsExcludeOwnLoad checks that each gateway learns the load of all others.
+// TestSumsExcludeOwnLoad checks that each gateway receives the sum of the loads of all other
+// gateways, without its own.
 func TestSumsExcludeOwnLoad(t *testing.T) {
 	s := newSimulation(t, 1, map[string]int{"north": 5, "south": 3})
 	for _, g := range s.gateways {
@@ -76,52 +78,50 @@
 			total = total.Add(loads[s.key("north-replica")])
 		}
 		if total.Requests != 14 || total.Tokens != 7000 {
-			t.Errorf("%s knows of %+v, want the 14 requests of the 7 others", name, total)
+			t.Errorf("gateway %s received a total load of %+v, want the 14 requests and 7000 tokens of the 7 others", name, total)
 		}
 	}
 }
 
-// The load of a region in TestCostPerGatewayDoesNotGrowWithFleet: one in five of its
-// prompts is long.
+// Load and limits of TestCostPerGatewayDoesNotGrowWithFleet. One in five prompts is urgent.
 const (
-	promptsPerSecond  = 310
+	promptsPerSecond  = 310 // in each region
 	replicasPerRegion = 40
 	measuredSeconds   = 5
-	// maxDigestsPerSecond bounds the digests of all kinds that an aggregator sends.
+	// maxDigestsPerSecond limits the digests of all kinds that an aggregator sends.
 	maxDigestsPerSecond = 1200
-	// maxReceivedBytesPerSecond bounds what a gateway receives.
+	// maxReceivedBytesPerSecond limits what a gateway receives.
 	maxReceivedBytesPerSecond = 14_000
-	// maxNarrowLinkBytesPerSecond bounds what an aggregator sends over a link of
-	// 10 Mbit/s.
+	// maxNarrowLinkBytesPerSecond limits what an aggregator sends over a link of 10 Mbit/s.
 	maxNarrowLinkBytesPerSecond = 1.2 * linkShare * 10_000_000 / 8
 )
 
-// TestCostPerGatewayDoesNotGrowWithFleet checks that with ten times the gateways and
-// the same requests in a region, what one gateway sends and receives does not grow, and
-// that an aggregator's digests stay within its budget.
+// TestCostPerGatewayDoesNotGrowWithFleet checks that with ten times as many gateways and the
+// same number of requests in a region, one gateway does not send or receive notably more,
+// and that the digests of an aggregator stay within their budget.
 func TestCostPerGatewayDoesNotGrowWithFleet(t *testing.T) {
 	few, many := measureCost(t, 13, 100), measureCost(t, 134, 100)
 	if many.sent > 1.3*few.sent || many.received > few.received || many.receivedBytes > 1.3*few.receivedBytes {
-		t.Errorf("a second and gateway: %+v with 13 gateways a region, %+v with 134", few, many)
+		t.Errorf("the cost per gateway and second grows from %+v with 13 gateways in a region to %+v with 134", few, many)
 	}
 	if few.receivedBytes > maxReceivedBytesPerSecond {
-		t.Errorf("a gateway receives %.0f bytes a second, more than %d", few.receivedBytes, maxReceivedBytesPerSecond)
+		t.Errorf("a gateway receives %.0f bytes per second, want at most %d", few.receivedBytes, maxReceivedBytesPerSecond)
 	}
 	for _, cost := range []gatewayCost{few, many} {
 		if cost.aggregator > maxDigestsPerSecond {
-			t.Errorf("%d gateways: an aggregator sends %.0f digests a second, want at most %d", cost.gateways, cost.aggregator, maxDigestsPerSecond)
+			t.Errorf("with %d gateways in a region an aggregator sends %.0f digests per second, want at most %d", cost.gateways, cost.aggregator, maxDigestsPerSecond)
 		}
 	}
 	for _, gateways := range []int{29, 134} {
 		narrow := measureCost(t, gateways, 0)
 		if sent := narrow.aggregatorBytes; sent > maxNarrowLinkBytesPerSecond {
-			t.Errorf("an aggregator of %d gateways sends %.0f bytes a second over a link of 10 Mbit/s", gateways, sent)
+			t.Errorf("with %d gateways in a region an aggregator sends %.0f bytes per second over a link of 10 Mbit/s, more than its share", gateways, sent)
 		}
 	}
 }
 
-// TestGatewayWithWidestLinkAggregates checks that the gateway with the widest link
-// aggregates, and the one with the next widest when that one fails.
+// TestGatewayWithWidestLinkAggregates checks that the gateway with the widest link is the
+// aggregator, and that the one with the second widest replaces it when it fails.
 func TestGatewayWithWidestLinkAggregates(t *testing.T) {
 	s := newSimulation(t, 1, map[string]int{"north": 9})
 	for name, link := range map[string]int{"north-003": 100, "north-006": 50} {
@@ -131,26 +131,27 @@
 	}
 	s.run(2 * time.Second)
 	if got := s.aggregator("north").name; got != "north-003" {
-		t.Errorf("%s aggregates, want the one with the widest link", got)
+		t.Errorf("the aggregator is %s, want north-003, which has the widest link", got)
 	}
 	s.gateways["north-003"].paused = true
 	s.run(2 * aggregatorTimeout)
 	if got := s.aggregator("north").name; got != "north-006" {
-		t.Errorf("%s aggregates, want the next widest", got)
+		t.Errorf("after a failure the aggregator is %s, want north-006, which has the second widest link", got)
 	}
 }
 
-// gatewayCost is the cost of the exchange per second: the most of any gateway that does
-// not aggregate, and the most of any aggregator.
+// gatewayCost is the cost of the exchange per second: the maximum over the gateways that do
+// not aggregate, and the maximum over the aggregators.
 type gatewayCost struct {
 	gateways                      int
 	sent, received, receivedBytes float64
-	// aggregator and aggregatorBytes are the messages and bytes that an aggregator sends.
+	// aggregator and aggregatorBytes are the numbers of messages and bytes that an
+	// aggregator sends.
 	aggregator, aggregatorBytes float64
 }
 
-// measureCost measures two regions of so many gateways. A linkMbps of 0 is a link whose
-// capacity is not known.
+// measureCost measures the cost in a fleet of two regions with the given number of gateways
+// each. A linkMbps of 0 means that the capacity of the links is unknown.
 func measureCost(t *testing.T, gateways, linkMbps int) gatewayCost {
 	t.Helper()
 	s := newSimulation(t, 3, map[string]int{"north": gateways, "south": gateways})
@@ -188,9 +189,9 @@
 	return cost
 }
 
-// TestAggregatorFailover checks that when an aggregator stops, the gateways soon report
-// to one successor and updates pass again, and that they return to the first one when
-// it resumes.
+// TestAggregatorFailover checks that the gateways soon report to one successor when an
+// aggregator is paused, so that updates are distributed again, and that they return to the
+// first aggregator after it resumes.
 func TestAggregatorFailover(t *testing.T) {
 	for seed := range uint64(seeds) {
 		s := newSimulation(t, seed, map[string]int{"north": 12, "south": 3})
@@ -200,23 +201,23 @@
 		s.run(aggregatorTimeout + 2*maxReportInterval)
 		second := s.aggregator("north")
 		if second == first {
-			t.Fatalf("seed %d: all gateways still report to a paused aggregator", seed)
+			t.Fatalf("seed %d: most gateways still report to the paused aggregator", seed)
 		}
 		checkUpdates(t, s, seed, "north-second", first)
 		first.resume()
 		s.run(maxSuspicion)
 		if s.aggregator("north") != first {
-			t.Errorf("seed %d: the gateways do not report to the first one again", seed)
+			t.Errorf("seed %d: most gateways do not report to the first aggregator again after it resumed", seed)
 		}
 		checkUpdates(t, s, seed, "north-third", nil)
 	}
 }
 
-// checkUpdates places a prompt and checks that all other gateways of the region but one
-// observe it exactly once.
+// checkUpdates places a prompt and checks that all other gateways of the region north,
+// except the given one, observe it exactly once.
 func checkUpdates(t *testing.T, s *simulation, seed uint64, replica string, except *simulatedGateway) {
 	t.Helper()
-	placer := s.other("north", except)
+	placer := s.nonAggregator("north", except)
 	placer.place(replica, 60)
 	s.run(time.Second)
 	for name, g := range s.gateways {
@@ -224,13 +225,14 @@
 			continue
 		}
 		if count := len(g.observed[replica]); count != 1 {
-			t.Errorf("seed %d: %s observes %d prompts of %s", seed, name, count, replica)
+			t.Errorf("seed %d: gateway %s observed %d prompts at %s, want 1", seed, name, count, replica)
 		}
 	}
 }
 
-// TestBothSidesOfPartitionAggregate checks that each side of a partition has an
-// aggregator of its own, and that there is one again after it has healed.
+// TestBothSidesOfPartitionAggregate checks that each side of a network partition has an
+// aggregator of its own, and that updates reach all gateways again after the partition has
+// healed.
 func TestBothSidesOfPartitionAggregate(t *testing.T) {
 	for seed := range uint64(seeds) {
 		s := newSimulation(t, seed, map[string]int{"north": 10})
@@ -248,7 +250,7 @@
 				own, other = other, own
 			}
 			if g != low && g != high && len(g.observed[own]) != 1 || len(g.observed[other]) != 0 {
-				t.Errorf("seed %d: %s observes %d prompts of its side, %d of the other", seed, name, len(g.observed[own]), len(g.observed[other]))
+				t.Errorf("seed %d: gateway %s observed %d prompts of its own side of the partition and %d of the other, want 1 and 0", seed, name, len(g.observed[own]), len(g.observed[other]))
 			}
 		}
 		s.partitioned = func(string, string) bool { return false }
@@ -257,12 +259,13 @@
 	}
 }
 
-// TestInvalidDigestsAreIgnoredOrClamped checks that digests of gateways that are
-// unknown or not the own aggregator are ignored, and that prefill times are clamped.
+// TestInvalidDigestsAreIgnoredOrClamped checks that digests from unknown gateways, and from
+// gateways of the own group other than the aggregator, are not observed, and that prefill
+// times are clamped.
 func TestInvalidDigestsAreIgnoredOrClamped(t *testing.T) {
 	s := newSimulation(t, 1, map[string]int{"north": 4, "south": 2})
 	s.run(2 * time.Second)
-	g := s.other("north")
+	g := s.nonAggregator("north")
 	deliver := func(name string, prefillMS int) Effects {
 		return g.exchange.HandleDigest(s.now, &peer.LoadDigest{Aggregator: name, Regions: []peer.RegionLoads{{
 			Region: "north", Aggregator: name, Complete: true,
@@ -273,25 +276,25 @@
 	for i := range 4 {
 		name := fmt.Sprintf("north-%03d", i)
 		if effects := deliver(name, 10); (len(effects.Observed) > 0) != (name == s.aggregator("north").name) {
-			t.Errorf("a digest of %s is observed: %+v", name, effects.Observed)
+			t.Errorf("a digest of %s: observed %+v, want an observation only if it is the aggregator", name, effects.Observed)
 		}
 	}
-	if effects := deliver("nobody", 10); len(effects.Observed) > 0 {
-		t.Errorf("a digest of a gateway that is not up is observed")
+	if effects := deliver("unknown-gateway", 10); len(effects.Observed) > 0 {
+		t.Errorf("a digest from an unknown gateway is observed")
 	}
 	for _, outOfBounds := range []int{1 << 40, -1 << 40} {
 		for _, part := range deliver(s.aggregator("north").name, outOfBounds).Observed {
 			for _, prefillMS := range []int{part.PrefillTotals[0].PrefillMS, part.PlacedPrompts[0].PrefillMS} {
 				if prefillMS > maxPrefillMS || prefillMS < -maxPrefillMS {
-					t.Errorf("a prefill time of %d ms is observed", prefillMS)
+					t.Errorf("observed a prefill time of %d ms, which is not clamped", prefillMS)
 				}
 			}
 		}
 	}
 }
 
-// TestSingleGatewaySendsNothing checks a gateway that is the only one, and one that
-// knows no gateways yet.
+// TestSingleGatewaySendsNothing checks that the only gateway of a fleet, and a gateway that
+// knows no gateways yet, send no messages.
 func TestSingleGatewaySendsNothing(t *testing.T) {
 	s := newSimulation(t, 1, map[string]int{"north": 1})
 	s.run(2 * time.Second)
@@ -302,15 +305,15 @@
 	fresh.RecordPlacement(peer.PlacedPrompt{Replica: s.key("north-replica"), PrefillMS: 100})
 	effects, next := fresh.Step(s.now)
 	if g.sent > 0 || len(effects.Outgoing) > 0 {
-		t.Errorf("%d messages sent, and %+v", g.sent, effects.Outgoing)
+		t.Errorf("the only gateway sent %d messages, and the one that knows no gateways %+v; want none", g.sent, effects.Outgoing)
 	}
 	if !next.After(s.now) {
-		t.Errorf("the next step is due at once")
+		t.Errorf("the next step is due immediately, want it later")
 	}
 }
 
-// TestStatus checks that one gateway of a region counts all others as its members, that
-// these name it and had contact with it recently, and that its failure is counted.
+// TestStatus checks that the aggregator's status counts all gateways of its region as
+// members, that theirs name it with a recent contact, and that they count its failure.
 func TestStatus(t *testing.T) {
 	s := newSimulation(t, 11, map[string]int{"north": 12, "south": 3})
 	s.run(3 * time.Second)
@@ -321,31 +324,31 @@
 		}
 		status := g.exchange.Status(s.now)
 		if status.Aggregator != first.name || status.SinceLastContact > aggregatorTimeout {
-			t.Errorf("%s names %q, last contact %v ago; want %s", name, status.Aggregator, status.SinceLastContact, first.name)
+			t.Errorf("the status of %s has aggregator %q, last contact %v ago; want %s and a recent contact", name, status.Aggregator, status.SinceLastContact, first.name)
 		}
 		if g == first && (status.Members != 12 || status.Counts.DigestsSent == 0 || status.Counts.ReportsReceived == 0) {
-			t.Errorf("the aggregator's status is %+v", status)
+			t.Errorf("the status of the aggregator is %+v, want 12 members, digests sent and reports received", status)
 		}
 		if g != first && (status.Members != 0 || status.Counts.ReportsSent == 0 || status.Counts.DigestsReceived == 0) {
-			t.Errorf("%s's status is %+v", name, status)
+			t.Errorf("the status of %s is %+v, want no members, reports sent and digests received", name, status)
 		}
 	}
 	first.paused = true
 	s.run(2 * aggregatorTimeout)
 	for name, g := range s.gateways {
 		if s.up[name].Region == "north" && g != first && g.exchange.Status(s.now).Counts.Suspicions == 0 {
-			t.Errorf("%s did not count the failure of its aggregator", name)
+			t.Errorf("gateway %s did not count a suspicion of its failed aggregator", name)
 		}
 	}
 }
 
-// TestUpdatesOfLongPromptsInLargeRegion checks three regions of 100 gateways with
-// prompts that are urgent in all regions: updates stay fresh within the region, and an
-// aggregator's digests stay within its link's share.
-func TestUpdatesOfLongPromptsInLargeRegion(t *testing.T) {
+// TestUrgentUpdatesInLargeRegions checks, in three regions of 100 gateways with prompts that
+// are urgent in all regions, that updates reach the other gateways of their region with a
+// short delay, and that the digests of an aggregator stay within their share of the link.
+func TestUrgentUpdatesInLargeRegions(t *testing.T) {
 	const (
 		gateways, replicas = 100, 53
-		prompts            = 270 // a second and region
+		prompts            = 270 // per second and region
 		length             = 4   // seconds
 		prefillMS          = crossRegionUrgentPrefillMS + 10
 		maxDelay           = 150 * time.Millisecond
@@ -368,23 +371,24 @@
 		}
 		s.run((length + 1) * time.Second)
 		if delay := quantile(s.delays, 0.95); delay > maxDelay {
-			t.Errorf("seed %d: the 95th percentile of the updates' delay within their region is %v, want at most %v", seed, delay, maxDelay)
+			t.Errorf("seed %d: the 95th percentile of the delay of updates within their region is %v, want at most %v", seed, delay, maxDelay)
 		}
 		if want := prompts * length * (gateways - 1) * 3; len(s.delays) < want*99/100 {
-			t.Errorf("seed %d: %d prompts sent one by one within their regions, want %d", seed, len(s.delays), want)
+			t.Errorf("seed %d: %d updates with single prompts were observed within their regions, want at least 99%% of %d", seed, len(s.delays), want)
 		}
 		for name, g := range s.gateways {
 			if sent := float64(g.sentBytes) / length; sent > maxNarrowLinkBytesPerSecond {
-				t.Errorf("seed %d: %s sends %.0f bytes a second over a link of 10 Mbit/s", seed, name, sent)
+				t.Errorf("seed %d: gateway %s sends %.0f bytes per second over a link of 10 Mbit/s, more than its share", seed, name, sent)
 			}
 			if g.largest > maxDigestBytes {
-				t.Errorf("seed %d: %s sends a message of %d bytes", seed, name, g.largest)
+				t.Errorf("seed %d: gateway %s sent a message of %d bytes, which is too large", seed, name, g.largest)
 			}
 		}
 	}
 }
 
-// quantile returns a quantile of the list, which it sorts; 0 of an empty list.
+// quantile returns a quantile of the list, which it sorts in place, or 0 if the list is
+// empty.
 func quantile(list []time.Duration, fraction float64) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -393,9 +397,10 @@
 	return list[int(fraction*float64(len(list)-1))]
 }
 
-// TestGatewayOfUnknownRegionAggregates checks that a gateway aggregates for itself and
-// sends digests to other regions while the registry has no gateway of its own region.
-func TestGatewayOfUnknownRegionAggregates(t *testing.T) {
+// TestGatewayNotYetKnownAggregates checks that a gateway aggregates its own reports and
+// sends digests to other regions while no gateway of its own region, not even itself, is
+// known.
+func TestGatewayNotYetKnownAggregates(t *testing.T) {
 	s := newSimulation(t, 4, map[string]int{"north": 1, "south": 3})
 	single := s.gateways["north-000"]
 	others := map[string]Gateway{}
@@ -409,9 +414,9 @@
 	single.place("south-replica", 400)
 	s.run(2 * time.Second)
 	if status := single.exchange.Status(s.now); status.Aggregator != "north-000" || status.Members != 1 {
-		t.Errorf("its status is %+v", status)
+		t.Errorf("the status of the gateway is %+v, want it to be its own aggregator and only member", status)
 	}
-	if observed := len(s.other("south").observed["south-replica"]); observed != 1 {
-		t.Errorf("the other region observes its prompt %d times", observed)
+	if observed := len(s.nonAggregator("south").observed["south-replica"]); observed != 1 {
+		t.Errorf("a gateway of the other region observed the prompt %d times, want once", observed)
 	}
 }
--- a/loadexchange/groups.go
+++ b/loadexchange/groups.go
@@ -7,12 +7,12 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// maxGroupSize is the mean size of the groups of a region beyond which it has more of
-// them. The number of groups is a power of two, so that a change splits or joins
-// groups and leaves half of the gateways where they are.
+// maxGroupSize is the largest average size of the groups of a region. If it is exceeded, the
+// number of groups doubles. Because this number is always a power of two, a change splits
+// or joins groups, and half of the gateways stay in their group.
 const maxGroupSize = 16
 
-// groupCount returns the number of groups of a region with so many gateways.
+// groupCount returns the number of groups of a region with the given number of gateways.
 func groupCount(gateways int) int {
 	groups := 1
 	for gateways > groups*maxGroupSize {
@@ -21,13 +21,13 @@
 	return groups
 }
 
-// groupOf returns the group of a gateway in a region with so many groups, and 0 in a
-// region in which no group is known yet.
+// groupOf returns the number of a gateway's group in a region with the given number of
+// groups. It returns 0 if the number of groups is 0, as in a region without known gateways.
 func groupOf(name string, groups int) int {
 	return int(placement.Hash(name) % uint64(max(groups, 1)))
 }
 
-// splitIntoGroups sorts the gateways of one region into groups, some of which may be
+// splitIntoGroups divides the gateways of one region into groups, some of which may be
 // empty. It sorts names in place.
 func splitIntoGroups(names []string) [][]string {
 	groups := make([][]string, groupCount(len(names)))
@@ -39,70 +39,71 @@
 	return groups
 }
 
-// peerGroup is another group of the own region, as an aggregator sees it.
+// peerGroup is what an aggregator knows of another group of its region.
 type peerGroup struct {
 	// aggregator is the gateway that sent the group's newest digest, at receivedAt.
 	aggregator string
 	receivedAt time.Time
 }
 
-// groupOf returns the group of a gateway of the own region.
-func (x *Exchange) groupOf(name string) int {
-	return groupOf(name, len(x.groups[x.region]))
+// groupOf returns the number of the group of a gateway of the own region.
+func (e *Exchange) groupOf(name string) int {
+	return groupOf(name, len(e.groups[e.region]))
 }
 
-// ownGroup returns the gateways of the own group, or nil as long as the registry has no
-// gateway of the own region.
-func (x *Exchange) ownGroup() []string {
-	groups := x.groups[x.region]
+// ownGroup returns the gateways of the own group, or nil if no gateway of the own region is
+// known.
+func (e *Exchange) ownGroup() []string {
+	groups := e.groups[e.region]
 	if len(groups) == 0 {
 		return nil
 	}
-	return groups[x.groupOf(x.name)]
+	return groups[e.groupOf(e.name)]
 }
 
-// peerAggregators returns the aggregators of the other groups of the region: the sender
-// of the group's newest digest if that is recent, otherwise the owner.
-func (x *Exchange) peerAggregators(now time.Time) []string {
+// peerAggregators returns the aggregators of the other groups of the region. For each group
+// this is the sender of its newest digest if that is recent, otherwise its owner.
+func (e *Exchange) peerAggregators(now time.Time) []string {
 	var aggregators []string
-	own := x.groupOf(x.name)
-	for group, names := range x.groups[x.region] {
+	own := e.groupOf(e.name)
+	for group, names := range e.groups[e.region] {
 		if len(names) == 0 || group == own {
 			continue
 		}
-		known, found := x.aggregator.peerGroups[group]
+		known, found := e.aggregator.peerGroups[group]
 		if found && now.Sub(known.receivedAt) < aggregatorTimeout {
 			aggregators = append(aggregators, known.aggregator)
 			continue
 		}
-		aggregators = append(aggregators, x.owner(x.region, names, excludeNone))
+		aggregators = append(aggregators, e.owner(e.region, names, excludeNone))
 	}
 	return aggregators
 }
 
-// remoteAggregator returns the aggregator in another region that receives this group's
-// digests: that of the group with the same number, or of the next group that is not
-// empty. It returns "" if there is none.
-func (x *Exchange) remoteAggregator(region string) string {
-	groups := x.groups[region]
-	first := x.groupOf(x.name)
+// remoteAggregator returns the aggregator in another region to which this group sends its
+// digests. It belongs to the group with the same number, modulo the number of groups there,
+// or to the next group that is not empty. The result is "" if the region has no gateway.
+func (e *Exchange) remoteAggregator(region string) string {
+	groups := e.groups[region]
+	first := e.groupOf(e.name)
 	for i := range groups {
 		names := groups[(first+i)%len(groups)]
 		if len(names) > 0 {
-			return x.owner(region, names, excludeNone)
+			return e.owner(region, names, excludeNone)
 		}
 	}
 	return ""
 }
 
-// owner returns the gateway that aggregates a group: the owner of the region's name by
-// rendezvous hashing among the gateways that have the widest link and are not excluded.
-// If all of them are excluded, exclusion is ignored.
-func (x *Exchange) owner(region string, names []string, excluded func(name string) bool) string {
+// owner returns the gateway that should aggregate a group. Rendezvous hashing of the
+// region's name chooses it among the gateways of the group that are not excluded and, of
+// these, have the widest link. If all are excluded, it chooses among all gateways of the
+// group.
+func (e *Exchange) owner(region string, names []string, excluded func(name string) bool) string {
 	widest := -1
 	var candidates []string
 	for _, name := range names {
-		link := x.gateways[name].LinkMbps
+		link := e.gateways[name].LinkMbps
 		if excluded(name) || link < widest {
 			continue
 		}
@@ -118,5 +119,5 @@
 	return placement.Owner(region, candidates)
 }
 
-// excludeNone excludes no gateway from being the owner.
+// excludeNone is the argument of owner that excludes no gateway.
 func excludeNone(string) bool { return false }
--- a/loadexchange/node.go
+++ b/loadexchange/node.go
@@ -13,26 +13,26 @@
 	// Name and Region are those of the own gateway.
 	Name   string
 	Region string
-	// LoadSource gives the load of the own gateway. It is called with the Node's lock
+	// LoadSource provides the load of the own gateway. It is called with a lock of the Node
 	// held and must not call the Node.
 	LoadSource LoadSource
 	// SendReport and SendDigest send one message to the address of another gateway.
-	// They must not block, and may lose the message.
+	// They must not block. The message may be lost.
 	SendReport func(address string, report *peer.ReplicaLoads)
 	SendDigest func(address string, digest *peer.LoadDigest)
-	// Observe is called with what the own gateway has learned of the load of others.
+	// Observe is called with loads and updates of other gateways.
 	Observe func(loads *peer.RegionLoads)
 }
 
-// Node runs an Exchange. It is safe for concurrent use.
+// Node runs an Exchange in real time. It is safe for concurrent use.
 type Node struct {
 	config Config
-	// wake makes Run step at once.
+	// wake makes Run perform a step immediately.
 	wake chan struct{}
 
-	// inbox has what was recorded since the last step. Its lock is a leaf: callers of
-	// the Record methods may hold locks of their own, and no other lock is taken while
-	// it is held.
+	// inbox holds what was recorded since the last step. Its lock is last in the lock order:
+	// callers of the Record methods may hold locks of their own, and no other lock is
+	// acquired while it is held.
 	inbox struct {
 		sync.Mutex
 		placed  []peer.PlacedPrompt
@@ -43,7 +43,7 @@
 	exchange *Exchange
 }
 
-// NewNode returns a Node that knows no other gateways until SetGateways is called.
+// NewNode returns a Node that knows no gateways until SetGateways is called.
 func NewNode(config Config) *Node {
 	return &Node{
 		config:   config,
@@ -52,11 +52,10 @@
 	}
 }
 
-// minStepInterval is the shortest time that Run waits for the next step, unless it is
-// woken.
+// minStepInterval is the shortest time that Run waits between two steps unless it is woken.
 const minStepInterval = time.Millisecond
 
-// Run takes part in the exchange until ctx ends.
+// Run takes part in the exchange until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -71,7 +70,7 @@
 	}
 }
 
-// step does what is due and returns the latest time for the next step.
+// step performs one step of the exchange and returns the time by which the next one is due.
 func (n *Node) step() time.Time {
 	n.mutex.Lock()
 	n.drainInbox()
@@ -95,8 +94,8 @@
 	}
 }
 
-// carryOut sends the messages and passes on what was learned. It is called without the
-// mutex, as both leave the package.
+// carryOut sends the messages and passes the observed loads to Config.Observe. It must be
+// called without the mutex, because it calls functions outside this package.
 func (n *Node) carryOut(effects Effects) {
 	for _, message := range effects.Outgoing {
 		if message.Report != nil {
@@ -110,7 +109,7 @@
 	}
 }
 
-// signal makes Run step at once. It does not block.
+// signal makes Run perform a step immediately. It does not block.
 func (n *Node) signal() {
 	select {
 	case n.wake <- struct{}{}:
@@ -118,8 +117,8 @@
 	}
 }
 
-// RecordPlacement records a prompt that the own gateway placed at a replica. It does
-// not wait for a step.
+// RecordPlacement records a prompt that the own gateway placed at a replica, and wakes Run.
+// It does not wait for a step that is in progress.
 func (n *Node) RecordPlacement(prompt peer.PlacedPrompt) {
 	n.inbox.Lock()
 	n.inbox.placed = append(n.inbox.placed, prompt)
@@ -127,15 +126,15 @@
 	n.signal()
 }
 
-// RecordPrefill records a measurement of a replica's prefill speed. It does not wait
-// for a step.
+// RecordPrefill records a measurement of a replica's prefill speed. It does not wait for a
+// step that is in progress.
 func (n *Node) RecordPrefill(sample peer.PrefillSample) {
 	n.inbox.Lock()
 	defer n.inbox.Unlock()
 	n.inbox.samples = append(n.inbox.samples, sample)
 }
 
-// Status returns the gateway's part in the exchange.
+// Status returns the gateway's current status in the exchange.
 func (n *Node) Status() Status {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -149,7 +148,7 @@
 	n.exchange.SetGateways(gateways)
 }
 
-// HandleReport processes a report from another gateway.
+// HandleReport processes a report received from another gateway.
 func (n *Node) HandleReport(report *peer.ReplicaLoads) {
 	n.mutex.Lock()
 	n.exchange.HandleReport(time.Now(), report)
@@ -157,7 +156,7 @@
 	n.signal()
 }
 
-// HandleDigest processes a digest from an aggregator.
+// HandleDigest processes a digest received from an aggregator.
 func (n *Node) HandleDigest(digest *peer.LoadDigest) {
 	n.mutex.Lock()
 	effects := n.exchange.HandleDigest(time.Now(), digest)
--- a/loadexchange/observe.go
+++ b/loadexchange/observe.go
@@ -6,13 +6,13 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// maxPrefillMS bounds the prefill time of one entry of a digest, in milliseconds in
-// either direction. A longer one is clamped.
+// maxPrefillMS is the largest absolute value of the prefill time of one entry of a digest,
+// in milliseconds. Values outside this range are clamped.
 const maxPrefillMS = 10_000
 
-// observe adds a digest to what the own gateway has learned. The digest itself is not
-// changed, as it may also be in flight to other gateways.
-func observe(digest *peer.LoadDigest, effects *Effects) {
+// addObserved adds the contents of a digest to the observed loads. It does not modify the
+// digest, which may also be queued for other gateways.
+func addObserved(digest *peer.LoadDigest, effects *Effects) {
 	for i := range digest.Regions {
 		part := digest.Regions[i]
 		part.PrefillTotals = clampPrefills(part.PrefillTotals, func(total *peer.PrefillTotal) *int { return &total.PrefillMS })
@@ -21,8 +21,8 @@
 	}
 }
 
-// clampPrefills returns the list with each prefill time within the bounds. The list is
-// copied only if a time is out of bounds.
+// clampPrefills returns the list with each prefill time clamped to the bounds. It copies the
+// list only if a time is out of bounds.
 func clampPrefills[Item any](list []Item, prefillMS func(*Item) *int) []Item {
 	outOfBounds := func(item Item) bool {
 		value := *prefillMS(&item)
--- a/loadexchange/relay.go
+++ b/loadexchange/relay.go
@@ -6,16 +6,16 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// relayQueue collects what other aggregators sent until it is relayed. It never changes
-// a digest that was received, which may also be in flight to other gateways.
+// relayQueue collects updates of other aggregators until they are relayed. It never modifies
+// a digest that was received, which may also be queued for other gateways.
 type relayQueue struct {
 	parts []peer.RegionLoads
-	// urgent says that one of the updates is urgent within the region.
+	// urgent reports whether any of the updates is urgent within the region.
 	urgent bool
 }
 
-// add queues the parts of a digest. Those of one aggregator are merged, and so are
-// those of one region that have no sums.
+// add queues the parts of a digest. Parts of the same aggregator are merged, and so are
+// parts of the same region that have no sums.
 func (q *relayQueue) add(parts []peer.RegionLoads) {
 	for i := range parts {
 		part := &parts[i]
@@ -31,8 +31,8 @@
 	}
 }
 
-// hasUrgent reports whether a part has a prompt that is urgent, or a total that is as
-// long as a critical prompt.
+// hasUrgent reports whether a part contains an urgent prompt, or a total as long as the
+// prefill of a critical prompt.
 func hasUrgent(part *peer.RegionLoads) bool {
 	for i := range part.PlacedPrompts {
 		if isUrgent(&part.PlacedPrompts[i]) {
@@ -44,7 +44,7 @@
 	})
 }
 
-// merge adds a newer part to an older one.
+// merge merges a newer part into an older one.
 func merge(older, newer *peer.RegionLoads) {
 	if newer.Complete {
 		older.Complete, older.Loads = true, newer.Loads
@@ -54,9 +54,9 @@
 	older.PrefillSamples = slices.Concat(older.PrefillSamples, newer.PrefillSamples)
 }
 
-// take removes the queued parts and returns them with one total for each replica. If
-// coarse is set, prompts become part of the totals.
-func (q *relayQueue) take(coarse bool) []peer.RegionLoads {
+// take removes and returns the queued parts, with the totals of each part added up by
+// replica. If totalsOnly is set, prompts are added to the totals instead of being listed.
+func (q *relayQueue) take(totalsOnly bool) []peer.RegionLoads {
 	parts := q.parts
 	*q = relayQueue{}
 	for i := range parts {
@@ -65,7 +65,7 @@
 		for _, total := range part.PrefillTotals {
 			totals.add(total.Replica, total.PrefillMS)
 		}
-		if coarse {
+		if totalsOnly {
 			for j := range part.PlacedPrompts {
 				totals.add(part.PlacedPrompts[j].Replica, part.PlacedPrompts[j].PrefillMS)
 			}
--- a/loadexchange/reporter.go
+++ b/loadexchange/reporter.go
@@ -13,71 +13,72 @@
 	// minReportInterval is the shortest time between two reports, unless one of the
 	// prompts to report is urgent.
 	minReportInterval = 10 * time.Millisecond
-	// aggregatorTimeout is how long an aggregator may send nothing before it is
-	// suspected, and firstContactTimeout is the same for one that was just chosen and
-	// has not been heard from.
+	// aggregatorTimeout is how long an aggregator may send nothing before it is suspected of
+	// having failed. firstContactTimeout is the same for an aggregator that has sent nothing
+	// since it was chosen.
 	aggregatorTimeout   = 700 * time.Millisecond
 	firstContactTimeout = 400 * time.Millisecond
-	// minSuspicion is how long an aggregator is excluded when it is suspected. The time
-	// doubles up to maxSuspicion as long as nothing is received from it. It is longer
-	// than trying several owners that have all failed takes.
+	// minSuspicion is how long an aggregator is excluded when it is first suspected. The
+	// time doubles with each further suspicion, up to maxSuspicion, until something is
+	// received from the aggregator. It is longer than it takes to try several owners that
+	// have all failed.
 	minSuspicion = 4 * time.Second
 	maxSuspicion = 16 * time.Second
 )
 
-// reporter is a gateway's side towards its aggregator.
+// reporter is the state of a gateway as a sender of reports to its aggregator.
 type reporter struct {
-	// placed and samples are to go into the next report. If urgent is set, that report
-	// is due at once.
+	// placed and samples are for the next report. If urgent is set, that report is due
+	// immediately.
 	placed  []peer.PlacedPrompt
 	samples []peer.PrefillSample
 	urgent  bool
-	// lastReport is when the last report was made.
+	// lastReport is the time of the last report.
 	lastReport time.Time
 
 	// aggregator is the gateway that this one reports to, "" before the first report.
 	aggregator string
-	// responded says that the aggregator has sent a digest since it was chosen, and
-	// lastContact when it was chosen or last sent one.
+	// responded reports whether the aggregator has sent a digest since it was chosen, and
+	// lastContact is when it was chosen or last sent one.
 	responded   bool
 	lastContact time.Time
-	// suspicions are by name of the suspected gateway.
+	// suspicions holds the suspicions by name of the suspected gateway.
 	suspicions map[string]*suspicion
 }
 
-// suspicion excludes an aggregator that timed out from being chosen.
+// suspicion excludes an aggregator that timed out from being chosen until its expiry.
 type suspicion struct {
 	expiry   time.Time
 	duration time.Duration
 }
 
-// report sends the aggregator the report that is due.
-func (x *Exchange) report(now time.Time, effects *Effects) {
-	r := &x.reporter
+// report sends a report to the aggregator if one is due.
+func (e *Exchange) report(now time.Time, effects *Effects) {
+	r := &e.reporter
 	if now.Before(r.due(now)) {
 		return
 	}
-	if len(x.gateways) == 0 {
+	if len(e.gateways) == 0 {
 		r.reset(now)
 		return
 	}
-	x.chooseAggregator(now)
+	e.chooseAggregator(now)
 	report := &peer.ReplicaLoads{
-		Gateway:        x.name,
-		Loads:          x.loads.Loads(),
+		Gateway:        e.name,
+		Loads:          e.loads.Loads(),
 		PlacedPrompts:  r.placed,
 		PrefillSamples: r.samples,
 	}
 	r.reset(now)
-	if r.aggregator == x.name {
-		x.aggregator.addReport(now, report)
+	if r.aggregator == e.name {
+		e.aggregator.addReport(now, report)
 		return
 	}
-	address := x.gateways[r.aggregator].Address
+	address := e.gateways[r.aggregator].Address
 	effects.Outgoing = append(effects.Outgoing, Outgoing{Address: address, Report: report})
 }
 
-// reset clears what was to be reported.
+// reset clears the contents of the next report and records the time of the last one.
 func (r *reporter) reset(now time.Time) {
 	r.placed, r.samples, r.urgent = nil, nil, false
 	r.lastReport = now
@@ -95,29 +96,29 @@
 	}
 }
 
-// chooseAggregator suspects an aggregator that has timed out, and chooses the owner of
-// the group among the gateways that are not suspected.
-func (x *Exchange) chooseAggregator(now time.Time) {
-	r := &x.reporter
-	remote := r.aggregator != "" && r.aggregator != x.name
+// chooseAggregator suspects the aggregator if it has timed out, and chooses the owner of the
+// own group among the gateways that are not suspected.
+func (e *Exchange) chooseAggregator(now time.Time) {
+	r := &e.reporter
+	remote := r.aggregator != "" && r.aggregator != e.name
 	if remote && now.Sub(r.lastContact) > r.timeout() {
 		r.suspect(now)
-		x.counts.Suspicions++
+		e.counts.Suspicions++
 	}
 	suspected := func(name string) bool {
 		known, found := r.suspicions[name]
 		return found && now.Before(known.expiry)
 	}
-	chosen := x.owner(x.region, x.ownGroup(), suspected)
+	chosen := e.owner(e.region, e.ownGroup(), suspected)
 	if chosen == "" {
-		chosen = x.name // the registry does not have this gateway yet
+		chosen = e.name // no gateway of the own region is known yet
 	}
 	if chosen != r.aggregator {
 		r.aggregator, r.lastContact, r.responded = chosen, now, false
 	}
 }
 
-// timeout returns how long the aggregator may send nothing.
+// timeout returns how long the aggregator may send nothing before it is suspected.
 func (r *reporter) timeout() time.Duration {
 	if r.responded {
 		return aggregatorTimeout
@@ -125,7 +126,7 @@
 	return firstContactTimeout
 }
 
-// suspect excludes the aggregator for a time that doubles with each suspicion.
+// suspect excludes the current aggregator for a time that doubles with each suspicion.
 func (r *reporter) suspect(now time.Time) {
 	known, found := r.suspicions[r.aggregator]
 	if found {
@@ -137,8 +138,9 @@
 	known.expiry = now.Add(known.duration)
 }
 
-// contacted records that a digest of the aggregator was received.
-func (r *reporter) contacted(now time.Time) {
+// recordContact records that a digest was received from the aggregator, and ends a
+// suspicion of it.
+func (r *reporter) recordContact(now time.Time) {
 	r.lastContact = now
 	r.responded = true
 	delete(r.suspicions, r.aggregator)
--- a/loadexchange/schedule.go
+++ b/loadexchange/schedule.go
@@ -3,38 +3,39 @@
 import "time"
 
 const (
-	// heartbeatInterval is the longest time between two digests to the members, which
-	// also show that the aggregator is alive.
+	// heartbeatInterval is the longest time between two digests to the members. Digests
+	// also show the members that the aggregator is alive.
 	heartbeatInterval = 240 * time.Millisecond
-	// sumsInterval is the time in which each member and each other group is sent the
-	// sums of all loads once.
+	// sumsInterval is the period in which the sums of the loads are sent once to each member
+	// and each other group.
 	sumsInterval = 960 * time.Millisecond
-	// coarseDelay is how long updates have to wait for the link until prompts are no
-	// longer sent one by one.
-	coarseDelay = 480 * time.Millisecond
-	// crossRegionSumsInterval is the time between two digests with sums to other
-	// regions, and crossRegionInterval the shortest time between two digests of any
-	// kind, unless a prompt is critical.
+	// totalsOnlyDelay is how long updates must have waited for the link for their prompts
+	// to be sent as totals only and not one by one.
+	totalsOnlyDelay = 480 * time.Millisecond
+	// crossRegionSumsInterval is the time between two digests with sums to other regions.
+	// crossRegionInterval is the shortest time between two digests of any kind to other
+	// regions unless a prompt is critical.
 	crossRegionSumsInterval = 960 * time.Millisecond
 	crossRegionInterval     = 240 * time.Millisecond
-	// criticalInterval takes the place of crossRegionInterval for a critical prompt.
-	// These are rare, and a gateway that does not know of one queues requests behind it.
+	// criticalInterval replaces crossRegionInterval if a prompt is critical. Critical
+	// prompts are rare, and a gateway that does not know of one places requests that then
+	// have to wait for it.
 	criticalInterval = 40 * time.Millisecond
 
-	// digestCost is the time that an aggregator takes to send one digest to one gateway.
+	// digestCost is the time that an aggregator needs to send one digest to one gateway.
 	digestCost = time.Millisecond
-	// relaxedFactor lengthens the time between two digests without an urgent update.
-	relaxedFactor = 4
-	// linkShare is the share of an aggregator's link that its digests may use, and
-	// defaultLinkMbps the capacity of a link that is not known, in Mbit/s.
+	// nonUrgentFactor multiplies the shortest time between two digests if no update is
+	// urgent.
+	nonUrgentFactor = 4
+	// linkShare is the fraction of the capacity of an aggregator's link that its digests may
+	// use. defaultLinkMbps is the capacity in Mbit/s that is assumed if it is unknown.
 	linkShare       = 0.2
 	defaultLinkMbps = 10
-	// bitsPerMegabit converts the capacity of links.
-	bitsPerMegabit = 1e6
+	bitsPerMegabit  = 1e6
 )
 
-// due returns when the next digest of any kind is due, and whether this gateway
-// aggregates at all.
+// due returns when the next digest of any kind is due. It returns false if this gateway has
+// no members and therefore sends no digests.
 func (a *aggregator) due() (due time.Time, aggregating bool) {
 	if len(a.members) == 0 {
 		return time.Time{}, false
@@ -50,7 +51,7 @@
 // due.
 func (a *aggregator) intraRegionDue() time.Time {
 	heartbeat := a.lastDigest.Add(heartbeatInterval)
-	if a.intraRegion.placed == 0 && !a.relayed.urgent {
+	if a.intraRegion.placed == 0 && !a.memberRelay.urgent {
 		return heartbeat
 	}
 	due := a.lastDigest.Add(a.minDigestInterval())
@@ -77,19 +78,21 @@
 	return sums
 }
 
-// minDigestInterval returns the shortest time between two digests to the members and
-// the other groups. With an urgent update, half of the aggregator's time and of its
-// link's share may go into sending empty digests.
+// minDigestInterval returns the shortest time between two digests to the members and the
+// other groups. If an update is urgent, it is at least half of the time that sending the
+// digests takes by digestCost, and so long that empty digests use at most half of the link's
+// share. Otherwise it is nonUrgentFactor times as long.
 func (a *aggregator) minDigestInterval() time.Duration {
 	receivers := len(a.members) + len(a.peerGroups)
 	interval := max(digestCost*time.Duration(receivers)/2, a.transmissionTime(2*receivers*digestBytes))
-	if a.intraRegion.urgent || a.relayed.urgent {
+	if a.intraRegion.urgent || a.memberRelay.urgent {
 		return interval
 	}
-	return relaxedFactor * interval
+	return nonUrgentFactor * interval
 }
 
-// transmissionTime returns how long the link's share takes to carry so many bytes.
+// transmissionTime returns how long the transmission of the given number of bytes takes at
+// the digests' share of the link.
 func (a *aggregator) transmissionTime(bytes int) time.Duration {
 	link := a.linkMbps
 	if link <= 0 {
@@ -99,17 +102,17 @@
 	return time.Duration(float64(bytes) / bytesPerSecond * float64(time.Second))
 }
 
-// chargeLink reserves the link for bytes that were sent.
-func (a *aggregator) chargeLink(now time.Time, bytes int) {
+// reserveLink reserves the link for the transmission of bytes that were just sent.
+func (a *aggregator) reserveLink(now time.Time, bytes int) {
 	if a.linkFreeAt.Before(now) {
 		a.linkFreeAt = now
 	}
 	a.linkFreeAt = a.linkFreeAt.Add(a.transmissionTime(bytes))
 }
 
-// sumsDue returns the members whose turn it is to be sent the sums of all loads, given
-// the time since the last turn. Each has one turn in sumsInterval, and they take turns
-// a few at a time so that updates need not wait for the link.
+// sumsDue returns the members that are due to be sent the sums of all loads, given the time
+// since the last digests. Each member is due once per sumsInterval. They are spread over
+// this interval, a few at a time, so that updates need not wait for the link.
 func (a *aggregator) sumsDue(names []string, elapsed time.Duration) map[string]bool {
 	a.sumsCredit += float64(len(names)) * elapsed.Seconds() / sumsInterval.Seconds()
 	due := make(map[string]bool)
--- a/loadexchange/simulation_test.go
+++ b/loadexchange/simulation_test.go
@@ -13,7 +13,7 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// simulation runs gateways in virtual time, without goroutines.
+// simulation runs the exchanges of several gateways in virtual time, without goroutines.
 type simulation struct {
 	t        *testing.T
 	now      time.Time
@@ -23,30 +23,30 @@
 	up       map[string]Gateway
 	gateways map[string]*simulatedGateway
 	replicas map[peer.ReplicaKey]string
-	// placed is when prompts were placed, by their prefill time in milliseconds, and
-	// delays are how long updates about them took to other gateways of the region.
+	// placed holds when prompts were placed, by their prefill time in milliseconds. delays
+	// holds how long updates about them took to reach other gateways of the region.
 	placed map[int]time.Time
 	delays []time.Duration
 	// partitioned reports whether messages from one gateway to another are lost.
 	partitioned func(from, to string) bool
 }
 
-// simulatedGateway is one gateway of a simulation.
+// simulatedGateway is a gateway in a simulation.
 type simulatedGateway struct {
 	simulation *simulation
 	name       string
 	exchange   *Exchange
 	stepAt     time.Time
 	paused     bool
-	deferred   []func() // steps and messages that were due while it was paused
-	// load is the gateway's own.
+	deferred   []func() // steps and received messages to process when it resumes
+	// load is the gateway's own load by replica.
 	load map[peer.ReplicaKey]peer.Load
-	// sums are the newest sums of others' loads, by aggregator.
+	// sums holds the newest sums of the loads of others, by aggregator.
 	sums map[string]map[peer.ReplicaKey]peer.Load
-	// observed has the times at which prompts of others were observed, by replica.
+	// observed holds the times at which prompts of other gateways were observed, by replica.
 	observed map[string][]time.Time
-	// sent and received count messages, sentBytes and receivedBytes their encoded size,
-	// and largest is the size of the largest one sent.
+	// sent and received count messages, sentBytes and receivedBytes are their encoded sizes,
+	// and largest is the encoded size of the largest message sent.
 	sent, received, receivedBytes, sentBytes, largest int
 }
 
@@ -76,13 +76,13 @@
 	return last
 }
 
-// Delays of messages within a region and between regions.
+// Network delays of messages within a region and between regions.
 const (
 	intraRegionDelay = 1400 * time.Microsecond
 	crossRegionDelay = 35 * time.Millisecond
 )
 
-// newSimulation returns a simulation with so many gateways in each region.
+// newSimulation returns a simulation with the given number of gateways in each region.
 func newSimulation(t *testing.T, seed uint64, regions map[string]int) *simulation {
 	t.Helper()
 	s := &simulation{
@@ -116,7 +116,7 @@
 	return g.simulation.replicas[replica][:len("north")]
 }
 
-// key returns the key of a replica, which exists from then on.
+// key returns the key of a replica, and adds the replica to the simulation.
 func (s *simulation) key(replica string) peer.ReplicaKey {
 	s.replicas[peer.NewReplicaKey(replica)] = replica
 	return peer.NewReplicaKey(replica)
@@ -128,7 +128,7 @@
 	heap.Push(&s.events, event{at: s.now.Add(delay), sequence: s.sequence, run: run})
 }
 
-// run runs the events of a period.
+// run runs the events of a period of virtual time.
 func (s *simulation) run(length time.Duration) {
 	end := s.now.Add(length)
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
@@ -155,6 +155,7 @@
 	})
 }
 
+// carryOut sends the messages and records the observed loads and updates.
 func (g *simulatedGateway) carryOut(effects Effects) {
 	for _, message := range effects.Outgoing {
 		g.send(message)
@@ -168,7 +169,7 @@
 		}
 		for _, placed := range part.PlacedPrompts {
 			if placed.Gateway == peer.NewReplicaKey(g.name) {
-				g.simulation.t.Errorf("%s observes its own prompt", g.name)
+				g.simulation.t.Errorf("gateway %s observed its own prompt", g.name)
 			}
 			g.observe(placed.Replica)
 			if part.Region == g.simulation.up[g.name].Region {
@@ -178,12 +179,13 @@
 	}
 }
 
+// observe records that a prompt, or a total, at a replica was observed now.
 func (g *simulatedGateway) observe(replica peer.ReplicaKey) {
 	name := g.simulation.replicas[replica]
 	g.observed[name] = append(g.observed[name], g.simulation.now)
 }
 
-// send delivers a message to another gateway after the network delay, encoded.
+// send encodes a message and delivers it to another gateway after the network delay.
 func (g *simulatedGateway) send(message Outgoing) {
 	g.sent++
 	to := g.simulation.gateways[message.Address]
@@ -203,6 +205,7 @@
 	g.simulation.at(delay, func() { to.receive(encoded) })
 }
 
+// receive decodes and processes a message, or defers it while the gateway is paused.
 func (g *simulatedGateway) receive(encoded []byte) {
 	if g.paused {
 		g.deferred = append(g.deferred, func() { g.receive(encoded) })
@@ -226,14 +229,14 @@
 	}
 }
 
-// place records a prompt at a replica, as the dispatcher does.
+// place records that the gateway placed a prompt at a replica, and performs a step.
 func (g *simulatedGateway) place(replica string, prefillMS int) {
 	g.simulation.placed[prefillMS] = g.simulation.now
 	g.exchange.RecordPlacement(peer.PlacedPrompt{Replica: g.simulation.key(replica), PrefillMS: prefillMS})
 	g.step()
 }
 
-// resume runs what was deferred while the gateway was paused.
+// resume ends a pause and processes what was deferred during it.
 func (g *simulatedGateway) resume() {
 	g.paused = false
 	deferred := g.deferred
@@ -260,14 +263,15 @@
 	return s.gateways[chosen]
 }
 
-// other returns a gateway of the region that neither aggregates nor is excepted.
-func (s *simulation) other(region string, except ...*simulatedGateway) *simulatedGateway {
+// nonAggregator returns a gateway of the region that is neither its aggregator nor one of
+// the exceptions.
+func (s *simulation) nonAggregator(region string, except ...*simulatedGateway) *simulatedGateway {
 	for i := range len(s.gateways) {
 		g := s.gateways[fmt.Sprintf("%s-%03d", region, i)]
 		if g != nil && g != s.aggregator(region) && !slices.Contains(except, g) {
 			return g
 		}
 	}
-	s.t.Fatalf("no other gateway in %s", region)
+	s.t.Fatalf("region %s has no gateway besides the aggregator and the exceptions", region)
 	return nil
 }
--- a/loadexchange/status.go
+++ b/loadexchange/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Counts are totals since the start.
+// Counts holds totals since the start.
 type Counts struct {
 	// ReportsSent and DigestsSent count messages sent to other gateways.
 	ReportsSent uint64
@@ -14,29 +14,29 @@
 	Suspicions uint64
 }
 
-// Status is one gateway's part in the exchange.
+// Status is the status of one gateway in the exchange.
 type Status struct {
 	// Aggregator is the gateway that this one reports to, "" before the first report.
 	Aggregator string
 	// SinceLastContact is the time since the aggregator was chosen or last sent a
 	// digest. It is 0 at the aggregator itself.
 	SinceLastContact time.Duration
-	// Members counts the gateways that report to this one, itself included. It is 0 at
-	// a gateway that does not aggregate.
+	// Members is the number of gateways that report to this one, itself included. It is 0
+	// if this gateway does not aggregate.
 	Members int
 	Counts  Counts
 }
 
-// Status returns the gateway's part in the exchange at a time.
-func (x *Exchange) Status(now time.Time) Status {
-	status := Status{Aggregator: x.reporter.aggregator, Members: len(x.aggregator.members), Counts: x.counts}
-	if status.Aggregator != "" && status.Aggregator != x.name {
-		status.SinceLastContact = now.Sub(x.reporter.lastContact)
+// Status returns the gateway's status in the exchange at the given time.
+func (e *Exchange) Status(now time.Time) Status {
+	status := Status{Aggregator: e.reporter.aggregator, Members: len(e.aggregator.members), Counts: e.counts}
+	if status.Aggregator != "" && status.Aggregator != e.name {
+		status.SinceLastContact = now.Sub(e.reporter.lastContact)
 	}
 	return status
 }
 
-// countSent adds messages that were sent to the totals.
+// countSent counts messages that were sent.
 func (c *Counts) countSent(messages []Outgoing) {
 	for i := range messages {
 		if messages[i].Report != nil {
--- a/loadexchange/updates.go
+++ b/loadexchange/updates.go
@@ -7,51 +7,52 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Prefill times from which a prompt is sent sooner, in milliseconds.
+// Prefill times, in milliseconds, from which on an update about a prompt is sent sooner.
 const (
 	// urgentPrefillMS makes a prompt urgent within the region.
 	urgentPrefillMS = 40
 	// crossRegionUrgentPrefillMS makes a prompt urgent in all regions.
 	crossRegionUrgentPrefillMS = 200
-	// criticalPrefillMS makes a prompt critical: it delays other requests by itself and
-	// is sent to all regions before all others.
+	// criticalPrefillMS makes a prompt critical: it noticeably delays other requests at its
+	// replica by itself, so that the update is sent to other regions soonest.
 	criticalPrefillMS = 300
 )
 
 // isUrgent reports whether a prompt is urgent within the region.
 func isUrgent(prompt *peer.PlacedPrompt) bool { return prompt.PrefillMS >= urgentPrefillMS }
 
-// updates are the prompts that members placed and the samples that they measured since
+// updates holds the prompts that members placed and the samples that they measured since
 // the last digest.
 type updates struct {
 	updateBatch
-	// placed counts the prompts. urgent says that one of them is urgent where these
-	// updates go, and critical that one is critical.
+	// placed is the number of prompts. urgent reports whether any of them is urgent for the
+	// receivers of these updates, and critical whether any is critical.
 	placed   int
 	urgent   bool
 	critical bool
 }
 
-// updateBatch is a list of updates by their origin.
+// updateBatch is a list of updates by the gateway that reported them.
 type updateBatch struct {
-	origins []origin
-	// coarse says that no prompt is sent by itself, only their totals.
-	coarse bool
+	byGateway []gatewayUpdates
+	// totalsOnly is set if prompts are sent only as totals and not one by one.
+	totalsOnly bool
 }
 
-// origin has the updates of one gateway's report.
-type origin struct {
+// gatewayUpdates holds the updates of one report of a gateway.
+type gatewayUpdates struct {
 	gateway string
 	placed  []peer.PlacedPrompt
 	samples []peer.PrefillSample
 }
 
-// add queues the updates of a report. A prompt is urgent from urgentMS on.
+// add queues the updates of a report. A prompt is urgent if its prefill takes at least
+// urgentMS.
 func (u *updates) add(report *peer.ReplicaLoads, urgentMS int) {
 	if len(report.PlacedPrompts)+len(report.PrefillSamples) == 0 {
 		return
 	}
-	u.origins = append(u.origins, origin{gateway: report.Gateway, placed: report.PlacedPrompts, samples: report.PrefillSamples})
+	u.byGateway = append(u.byGateway, gatewayUpdates{gateway: report.Gateway, placed: report.PlacedPrompts, samples: report.PrefillSamples})
 	u.placed += len(report.PlacedPrompts)
 	for i := range report.PlacedPrompts {
 		prefillMS := report.PlacedPrompts[i].PrefillMS
@@ -60,37 +61,37 @@
 	}
 }
 
-// take removes the updates and returns them. Samples stay queued unless withSamples is
-// set.
+// take removes and returns the updates. Samples stay queued unless withSamples is set.
 func (u *updates) take(withSamples bool) updateBatch {
 	batch := u.updateBatch
 	*u = updates{}
 	if withSamples {
 		return batch
 	}
-	for i := range batch.origins {
-		from := &batch.origins[i]
+	for i := range batch.byGateway {
+		from := &batch.byGateway[i]
 		if len(from.samples) > 0 {
-			u.origins = append(u.origins, origin{gateway: from.gateway, samples: from.samples})
+			u.byGateway = append(u.byGateway, gatewayUpdates{gateway: from.gateway, samples: from.samples})
 			from.samples = nil
 		}
 	}
 	return batch
 }
 
-// excluding returns the updates of all gateways but one, for that gateway.
+// excluding returns the updates to be sent to a gateway: those of all other gateways.
 func (b *updateBatch) excluding(gateway string) peer.RegionLoads {
-	return b.collect(func(from *origin) bool { return from.gateway != gateway }, intraRegionDetail)
+	return b.collect(func(from *gatewayUpdates) bool { return from.gateway != gateway }, intraRegionDetail)
 }
 
-// all returns the updates of all gateways, for the other groups of the region.
+// all returns the updates to be sent to the other groups of the region: those of all
+// gateways.
 func (b *updateBatch) all() peer.RegionLoads {
-	return b.collect(fromAny, intraRegionDetail)
+	return b.collect(anyGateway, intraRegionDetail)
 }
 
-// forRegion returns the updates for another region: prompts that were placed at its
-// replicas in the same detail as within the own region, and the totals of other urgent
-// ones.
+// forRegion returns the updates to be sent to another region. Prompts placed at its replicas
+// have the same detail as within the own region. Of other prompts, it contains only the
+// totals of urgent ones.
 func (b *updateBatch) forRegion(inRegion func(replica peer.ReplicaKey) bool) peer.RegionLoads {
 	detailOf := func(prompt *peer.PlacedPrompt) promptDetail {
 		switch {
@@ -102,19 +103,19 @@
 			return detailNone
 		}
 	}
-	return b.collect(fromAny, detailOf)
+	return b.collect(anyGateway, detailOf)
 }
 
-// fromAny selects the updates of all gateways.
-func fromAny(*origin) bool { return true }
+// anyGateway selects the updates of all gateways.
+func anyGateway(*gatewayUpdates) bool { return true }
 
-// promptDetail is how much of a prompt a digest has.
+// promptDetail is the detail with which a digest contains a prompt.
 type promptDetail int
 
 const (
-	detailNone   promptDetail = iota
-	detailTotal               // its prefill time is part of the replica's total
-	detailPrompt              // the prompt itself
+	detailNone   promptDetail = iota // the prompt is left out
+	detailTotal                      // its prefill time is part of the replica's total
+	detailPrompt                     // the prompt itself
 )
 
 // intraRegionDetail returns the detail of a prompt within the region: urgent prompts
@@ -126,14 +127,14 @@
 	return detailTotal
 }
 
-// collect returns the updates of the selected gateways: prompts in the given detail,
-// and the newest sample of each replica.
-func (b *updateBatch) collect(selected func(*origin) bool, detailOf func(*peer.PlacedPrompt) promptDetail) peer.RegionLoads {
+// collect returns the updates of the selected gateways: prompts with the detail that
+// detailOf returns, and the newest sample of each replica.
+func (b *updateBatch) collect(selected func(*gatewayUpdates) bool, detailOf func(*peer.PlacedPrompt) promptDetail) peer.RegionLoads {
 	var part peer.RegionLoads
 	totals := newPrefillTotals()
 	newest := make(map[peer.ReplicaKey]peer.PrefillSample)
-	for i := range b.origins {
-		from := &b.origins[i]
+	for i := range b.byGateway {
+		from := &b.byGateway[i]
 		if !selected(from) {
 			continue
 		}
@@ -141,7 +142,7 @@
 			prompt := &from.placed[j]
 			switch detail := detailOf(prompt); {
 			case detail == detailNone:
-			case detail == detailTotal || b.coarse:
+			case detail == detailTotal || b.totalsOnly:
 				totals.add(prompt.Replica, prompt.PrefillMS)
 			default:
 				part.PlacedPrompts = append(part.PlacedPrompts, *prompt)
@@ -158,14 +159,14 @@
 	return part
 }
 
-// prefillTotals adds up the prefill times of prompts by replica, in milliseconds.
+// prefillTotals holds the sums of prompts' prefill times by replica, in milliseconds.
 type prefillTotals map[peer.ReplicaKey]int
 
 func newPrefillTotals() prefillTotals { return make(prefillTotals) }
 
 func (t prefillTotals) add(replica peer.ReplicaKey, prefillMS int) { t[replica] += prefillMS }
 
-// list returns the totals in the order of the replicas' keys.
+// list returns the totals sorted by replica key.
 func (t prefillTotals) list() []peer.PrefillTotal {
 	var list []peer.PrefillTotal
 	for _, replica := range slices.Sorted(maps.Keys(t)) {
