--- a/gateway/agent/activation.go
+++ b/gateway/agent/activation.go
@@ -7,29 +7,31 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// ErrNotActive is returned if a version did not become active in time.
-var ErrNotActive = errors.New("agent: version is not active")
+// ErrNotActive is returned if a configuration version did not become active in time.
+var ErrNotActive = errors.New("agent: the configuration version did not become active in time")
 
-// activate activates the newest pending state up to the serial limit. It reports
-// whether there was one. The caller holds the mutex.
+// activate activates the newest pending state whose serial is at most limit. It
+// reports whether the active state changed. The caller holds the mutex.
 func (a *Agent) activate(limit uint32) bool {
-	chosen := -1
+	index := -1
 	for i, candidate := range a.pending {
 		if !registry.SerialLess(limit, candidate.Serial()) {
-			chosen = i
+			index = i
 		}
 	}
-	return a.activatePending(chosen)
+	return a.activatePending(index)
 }
 
-// activatePending activates one of the pending states unless it is older than the
-// active one, and drops the pending states before it. The caller holds the mutex.
-func (a *Agent) activatePending(chosen int) bool {
-	if chosen < 0 {
+// activatePending activates the pending state at an index unless it is not newer than
+// the active one, and removes that state and all older ones from the pending states. A
+// negative index activates nothing. It reports whether the active state changed. The
+// caller holds the mutex.
+func (a *Agent) activatePending(index int) bool {
+	if index < 0 {
 		return false
 	}
-	state := a.pending[chosen]
-	a.pending = append(a.pending[:0:0], a.pending[chosen+1:]...)
+	state := a.pending[index]
+	a.pending = append(a.pending[:0:0], a.pending[index+1:]...)
 	active := a.active.Load()
 	if active != nil && !registry.SerialLess(active.Serial(), state.Serial()) {
 		return false
@@ -38,16 +40,17 @@
 		a.options.OnActivate(state)
 	}
 	a.active.Store(state)
-	close(a.changed)
-	a.changed = make(chan struct{})
+	close(a.activated)
+	a.activated = make(chan struct{})
 	a.logger.Debug("registry serial activated", "serial", state.Serial(), "version", state.Version())
 	return true
 }
 
-// ConfirmVersion records that a replica has seen a configuration version. The
-// version has then been active at some gateway, so that a pending state of it may be
-// activated here at once. ConfirmVersion reports whether the active version is at
-// least that one; if not, it triggers a renewal.
+// ConfirmVersion records that a model replica has reported a configuration version.
+// That version must already be active at some gateway, so a pending state with this
+// version is activated here without waiting for the primary. ConfirmVersion reports
+// whether the active version is now at least the given one; if not, it triggers a
+// renewal.
 func (a *Agent) ConfirmVersion(version uint64) bool {
 	if active := a.active.Load(); active != nil && active.Version() >= version {
 		return true
@@ -69,12 +72,12 @@
 	return caughtUp
 }
 
-// AwaitVersion waits until a configuration version or a later one is active. It
-// returns ErrNotActive if the context ends first.
+// AwaitVersion waits until the given configuration version or a later one is active.
+// It returns ErrNotActive if the context ends first.
 func (a *Agent) AwaitVersion(ctx context.Context, version uint64) error {
 	for {
 		a.mutex.Lock()
-		changed := a.changed
+		changed := a.activated
 		a.mutex.Unlock()
 		if a.ConfirmVersion(version) {
 			return nil
@@ -91,5 +94,5 @@
 func (a *Agent) Changed() <-chan struct{} {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.changed
+	return a.activated
 }
--- a/gateway/agent/agent.go
+++ b/gateway/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent implements the control side of a gateway: it renews the
-// gateway's lease, replicates the registry and activates the serials that the
-// primary releases. It serves no requests, so that many agents can run in one
-// process to measure the control plane alone.
+// Package agent implements the gateway's client of the control plane: it renews the
+// gateway's lease, replicates the registry and activates each registry serial that
+// the primary has approved for activation. It serves no inference requests, so many
+// agents can run in one process to measure the control plane alone.
 package agent
 
 import (
@@ -21,67 +21,70 @@
 
 // Options configures an Agent.
 type Options struct {
-	// Gateway describes the gateway to the primary.
+	// Gateway identifies and describes the gateway in its renewals.
 	Gateway peer.GatewayInfo
-	// Seeds lists the peer addresses that are contacted first.
+	// Seeds lists the peer addresses of the control nodes or gateways to contact first.
 	Seeds []string
-	// LeaseConfig is the lease configuration, the same on all nodes.
+	// LeaseConfig is the lease configuration; it must be the same on all nodes.
 	LeaseConfig lease.Config
 	// Network carries the messages. New registers handlers on it; the caller starts
 	// and closes it.
 	Network transport.Network
-	// Clock returns a monotonic time since an arbitrary start.
+	// Clock returns the monotonic time elapsed since an arbitrary start.
 	Clock func() time.Duration
-	// OnActivate is called, in order, with every state before it becomes active. It
-	// must not call the agent, whose mutex is held. Nil is allowed.
+	// OnActivate is called with each state, in serial order, just before the state
+	// becomes active. It must not call methods of the agent that lock, because the
+	// agent's mutex is held. It may be nil.
 	OnActivate func(*catalog.State)
 	Logger     *slog.Logger
 }
 
-// Agent holds a lease and a replica of the registry. It is safe for concurrent
-// use. Valid, Remaining and Active take no lock.
+// Agent maintains a gateway's lease and its replica of the registry. It is safe for
+// concurrent use. Valid, Remaining and Active do not lock.
 type Agent struct {
 	options Options
 	logger  *slog.Logger
-	// wake makes Run renew at once.
+	// wake interrupts the wait of Run, so that it renews immediately.
 	wake chan struct{}
-	// leaseExpiry is the end of the lease, in nanoseconds of the clock.
+	// leaseExpiry is the clock reading, in nanoseconds, at which the lease expires.
 	leaseExpiry      atomic.Int64
 	active           atomic.Pointer[catalog.State]
 	grantedRenewals  atomic.Uint64
 	rejectedRenewals atomic.Uint64
 
-	mutex   sync.Mutex
-	control *controlNodes
-	// renewalAddress is the node that the renewal in progress waits for, empty if
-	// there is none; cancelRenewal ends that wait.
+	mutex        sync.Mutex
+	controlNodes *controlNodes
+	// renewalAddress is the address of the node called by the renewal in progress,
+	// empty if no renewal is in progress; cancelRenewal cancels that call.
 	renewalAddress string
 	cancelRenewal  context.CancelFunc
 	holder         *lease.Holder
-	// consecutiveFailures counts the failed renewals since the last response, by
-	// address.
+	// consecutiveFailures counts, for each address, the failed renewals since its last
+	// response.
 	consecutiveFailures map[string]int
-	// leaseTerm is the term of the latest lease.
+	// leaseTerm is the term of the primary that granted the latest lease.
 	leaseTerm uint64
 	table     *registry.Table
-	// newest is the state of the table, nil if nothing has been received.
+	// newest is the state read from the table's latest serial; nil if no transfer has
+	// been applied.
 	newest *catalog.State
-	// pending holds the received states that are newer than the active one, oldest
+	// pending lists the received states that are newer than the active one, oldest
 	// first.
 	pending []*catalog.State
-	changed chan struct{} // closed and replaced at each activation
+	// activated is closed and replaced at each activation.
+	activated chan struct{}
 }
 
 // New returns an agent without a lease and registers its message handlers.
 func New(options Options) *Agent {
 	a := &Agent{
-		options: options,
-		logger:  options.Logger,
-		wake:    make(chan struct{}, 1),
-		control: newControlNodes(options.Seeds, options.Gateway.Name),
-		holder:  lease.NewHolder(options.LeaseConfig),
-		table:   registry.NewSecondary(catalog.Apex, catalog.Schema()),
-		changed: make(chan struct{}),
+		options:      options,
+		logger:       options.Logger,
+		wake:         make(chan struct{}, 1),
+		controlNodes: newControlNodes(options.Seeds, options.Gateway.Name),
+		holder:       lease.NewHolder(options.LeaseConfig),
+		table:        registry.NewSecondary(catalog.Apex, catalog.Schema()),
+		activated:    make(chan struct{}),
 
 		consecutiveFailures: make(map[string]int),
 	}
@@ -92,7 +95,8 @@
 	return a
 }
 
-// Valid reports whether the lease is valid, so that the gateway may act.
+// Valid reports whether the gateway holds a valid lease. Without one it must not
+// act on the active state.
 func (a *Agent) Valid() bool {
 	if planted.Active(planted.IgnoreLease) || planted.Active(planted.KeepOldConfiguration) {
 		return true
@@ -100,12 +104,12 @@
 	return a.options.Clock() < time.Duration(a.leaseExpiry.Load())
 }
 
-// Remaining returns the time until the lease expires, 0 if it has expired.
+// Remaining returns the time until the lease expires, 0 if there is no valid lease.
 func (a *Agent) Remaining() time.Duration {
 	return max(0, time.Duration(a.leaseExpiry.Load())-a.options.Clock())
 }
 
-// Active returns the active state, nil before the first activation.
+// Active returns the active state; nil before the first activation.
 func (a *Agent) Active() *catalog.State { return a.active.Load() }
 
 // Status is a snapshot of an Agent.
@@ -118,16 +122,16 @@
 	ActiveVersion    uint64
 	LeaseRemaining   time.Duration
 	GrantedRenewals  uint64
-	RejectedRenewals uint64 // rejected, failed, or with a grant that was dropped
+	RejectedRenewals uint64 // not granted, failed, or granted by a message that was ignored
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (a *Agent) Status() Status {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	status := Status{
 		Cluster:          a.holder.Cluster(),
-		Primary:          a.control.primary,
+		Primary:          a.controlNodes.primary,
 		Term:             a.holder.Term(),
 		ReceivedSerial:   a.receivedSerialLocked(),
 		LeaseRemaining:   a.Remaining(),
@@ -141,15 +145,15 @@
 	return status
 }
 
-// ControlAddresses lists the peer addresses of the known control nodes: the
-// primary, the members as last reported, the seeds.
+// ControlAddresses lists the peer addresses of the known control nodes, without
+// duplicates: the primary, the members as last reported, then the seeds.
 func (a *Agent) ControlAddresses() []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.control.addresses()
+	return a.controlNodes.addresses()
 }
 
-// triggerRenewal makes Run renew at once.
+// triggerRenewal makes Run renew immediately.
 func (a *Agent) triggerRenewal() {
 	select {
 	case a.wake <- struct{}{}:
--- a/gateway/agent/control.go
+++ b/gateway/agent/control.go
@@ -9,35 +9,38 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// controlNodes selects the control node for the next renewal. It starts from the
-// seeds and learns the members from the control nodes' responses, so that it
-// survives the replacement of every seed. The agent's mutex guards it.
+// controlNodes selects the control node for the next renewal. It starts with the
+// seeds and updates the member addresses from the responses of the control nodes, so
+// that the agent stays connected even after every seed has been replaced. It is
+// guarded by the agent's mutex.
 type controlNodes struct {
 	seeds   []string
 	members []string // as last reported by a control node
 	primary string   // empty if unknown
-	cursor  int      // position of the last address that was tried in turn
-	// suspected is the address that failed last. Redirects to it are ignored until
-	// suspectUntil.
-	suspected    string
-	suspectUntil time.Duration
+	cursor  int      // round-robin position in addresses while the primary is unknown
+	// suspected is the address that failed most recently. Redirects to it are ignored
+	// until suspectedUntil.
+	suspected      string
+	suspectedUntil time.Duration
 }
 
-// newControlNodes returns a selection that begins at a seed chosen by the hash of the
-// gateway's name, so that gateways that start together do not all wait for the
-// same one.
+// newControlNodes returns a selector for the seeds. The hash of the gateway's name
+// determines the first seed, so that gateways that start at the same time do not all
+// call the same node first.
 func newControlNodes(seeds []string, name string) *controlNodes {
 	return &controlNodes{seeds: slices.Clone(seeds), cursor: int(placement.Hash(name) % math.MaxInt32)}
 }
 
-// setMembers records the members that a control node reported, if any.
+// setMembers replaces the members with those that a control node reported. An empty
+// list changes nothing.
 func (c *controlNodes) setMembers(members []string) {
 	if len(members) > 0 {
 		c.members = slices.Clone(members)
 	}
 }
 
-// addresses lists the known control nodes: the primary, the members, the seeds.
+// addresses lists the known control nodes without duplicates: the primary, the
+// members, then the seeds.
 func (c *controlNodes) addresses() []string {
 	list := make([]string, 0, len(c.members)+len(c.seeds)+1)
 	add := func(address string) {
@@ -55,8 +58,9 @@
 	return list
 }
 
-// next returns the address for the next renewal: the primary if it is known, else
-// each address in turn; empty if there is none.
+// next returns the address for the next renewal: the primary if it is known,
+// otherwise the known addresses in round-robin order. It returns an empty string if no
+// address is known.
 func (c *controlNodes) next() string {
 	if c.primary != "" {
 		return c.primary
@@ -69,15 +73,15 @@
 	return list[c.cursor%len(list)]
 }
 
-// recordReply records the response of a node: whether it granted the renewal, and
-// which node it named as the primary. It reports whether there is a redirect to
-// follow at once.
+// recordReply records the response of the node at address: whether it granted the
+// renewal and which node it named as the primary. It reports whether the response is a
+// redirect that should be followed without waiting.
 func (c *controlNodes) recordReply(now time.Duration, address string, granted bool, primary string) bool {
 	if granted {
 		c.primary = address
 		return false
 	}
-	suspected := primary == c.suspected && now < c.suspectUntil
+	suspected := primary == c.suspected && now < c.suspectedUntil
 	if primary != "" && primary != address && !suspected {
 		c.primary = primary
 		return true
@@ -86,18 +90,19 @@
 	return false
 }
 
-// recordFailure records that a node did not respond. The others may go on naming it
-// as the primary for as long as an election takes, so that redirects to it are
-// ignored until then.
+// recordFailure records that the node at address did not respond. Other nodes may
+// still name it as the primary until an election is over, so redirects to it are
+// ignored until the given time.
 func (c *controlNodes) recordFailure(address string, until time.Duration) {
 	c.suspected = address
-	c.suspectUntil = until
+	c.suspectedUntil = until
 	if c.primary == address {
 		c.primary = ""
 	}
 }
 
-// consensusMembers returns the members in the form of a reply.
+// consensusMembers returns the members in the form used by peer.HelloReply and
+// peer.JoinReply. Only their addresses are known.
 func (c *controlNodes) consensusMembers() []consensus.Member {
 	var members []consensus.Member
 	for _, address := range c.members {
--- a/gateway/agent/forward.go
+++ b/gateway/agent/forward.go
@@ -11,14 +11,15 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// ErrNoPrimary is returned if no control node could forward a message to a primary.
-var ErrNoPrimary = errors.New("agent: no primary can be reached")
+// ErrNoPrimary is returned if no known control node is the primary or could forward
+// the message to it.
+var ErrNoPrimary = errors.New("agent: the primary cannot be reached through any control node")
 
-// forwardTimeout bounds one call of Update to a control node.
+// forwardTimeout is the timeout of one call of Update to a control node.
 const forwardTimeout = 2 * time.Second
 
-// Update forwards a registry update to the primary and returns its reply. After an
-// error other than ErrNoPrimary it is unknown whether the update was applied.
+// Update forwards a registry update to the primary and returns the primary's reply.
+// After an error other than ErrNoPrimary it is unknown whether the update was applied.
 func (a *Agent) Update(ctx context.Context, update registry.Update) (peer.UpdateReply, error) {
 	request := peer.UpdateRequest{Update: update}
 	var reply peer.UpdateReply
@@ -33,8 +34,8 @@
 	return reply, err
 }
 
-// SubmitOperation forwards an operation of an operator or of the platform to the
-// primary and returns its reply. Errors are those of Update.
+// SubmitOperation forwards an operation requested by an operator or by the platform
+// to the primary and returns the primary's reply. Errors are those of Update.
 func (a *Agent) SubmitOperation(ctx context.Context, operation peer.OperationRequest) (peer.OperationReply, error) {
 	var reply peer.OperationReply
 	err := a.forward(ctx, func(address string) (string, bool, error) {
@@ -46,9 +47,9 @@
 	return reply, err
 }
 
-// forward calls the known control nodes, the primary first, until one gives the
-// primary's reply. send returns the primary that the node named, if any, and whether
-// the reply is the primary's.
+// forward calls the known control nodes, the primary first, until one returns the
+// primary's reply. send calls one node: redirect is the address of the primary that the
+// node named, if any, and replied reports whether the reply came from the primary.
 func (a *Agent) forward(ctx context.Context, send func(address string) (redirect string, replied bool, err error)) error {
 	queue := a.ControlAddresses()
 	tried := make(map[string]bool)
--- a/gateway/agent/handlers.go
+++ b/gateway/agent/handlers.go
@@ -7,12 +7,13 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// errControlUnknown is returned to processes that ask for control nodes before this
-// agent has found any.
-var errControlUnknown = errors.New("agent: no control node is known")
+// errNoControlNode is returned to a process that asks for the control nodes before
+// this agent has received a response from one.
+var errNoControlNode = errors.New("agent: no control node is known")
 
-// serveNotify triggers a renewal. It activates the announced serial at once if the
-// notifying primary is the one that granted the valid lease.
+// serveNotify handles a notification from the primary: it triggers a renewal. It also
+// activates the announced serial immediately if the lease is valid and was granted in
+// the term of the notification.
 func (a *Agent) serveNotify(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var notify peer.Notify
 	if err := decode(&notify); err != nil {
@@ -28,7 +29,7 @@
 		return nil, nil
 	}
 	if notify.Primary != "" {
-		a.control.primary = notify.Primary
+		a.controlNodes.primary = notify.Primary
 		if a.renewalAddress != "" && a.renewalAddress != notify.Primary {
 			a.cancelRenewal()
 		}
@@ -40,7 +41,8 @@
 	return nil, nil
 }
 
-// serveRenew redirects a gateway that has this one as a seed to the primary.
+// serveRenew handles a renewal from a gateway that uses this one as a seed, by
+// redirecting it to the primary.
 func (a *Agent) serveRenew(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var renew peer.Renew
 	if err := decode(&renew); err != nil {
@@ -49,17 +51,17 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.holder.Cluster() == "" {
-		return nil, errControlUnknown
+		return nil, errNoControlNode
 	}
 	return &peer.Grant{
 		Cluster:          a.holder.Cluster(),
 		Term:             a.holder.Term(),
-		Primary:          a.control.primary,
-		ControlAddresses: a.control.members,
+		Primary:          a.controlNodes.primary,
+		ControlAddresses: a.controlNodes.members,
 	}, nil
 }
 
-// serveHello lists the control nodes for a process that has this one as a seed.
+// serveHello returns the control nodes to a process that uses this gateway as a seed.
 func (a *Agent) serveHello(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var hello peer.Hello
 	if err := decode(&hello); err != nil {
@@ -68,16 +70,17 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.holder.Cluster() == "" {
-		return nil, errControlUnknown
+		return nil, errNoControlNode
 	}
 	return &peer.HelloReply{
 		Name:    a.options.Gateway.Name,
 		Cluster: a.holder.Cluster(),
-		Members: a.control.consensusMembers(),
+		Members: a.controlNodes.consensusMembers(),
 	}, nil
 }
 
-// serveJoin redirects a joining control node to the primary.
+// serveJoin handles the join request of a new control node, by redirecting it to the
+// primary.
 func (a *Agent) serveJoin(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var join peer.Join
 	if err := decode(&join); err != nil {
@@ -86,11 +89,11 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.holder.Cluster() == "" {
-		return nil, errControlUnknown
+		return nil, errNoControlNode
 	}
 	return &peer.JoinReply{
 		Cluster: a.holder.Cluster(),
-		Primary: a.control.primary,
-		Members: a.control.consensusMembers(),
+		Primary: a.controlNodes.primary,
+		Members: a.controlNodes.consensusMembers(),
 	}, nil
 }
--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -8,28 +8,32 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Times and limits of the renewal loop.
+// Timing of the renewal loop.
 const (
-	// searchInterval is the time between two renewals while no primary is known.
+	// searchInterval is the interval between renewals while no primary is known.
 	searchInterval = 50 * time.Millisecond
-	// maxRedirects bounds how many redirects in a row are followed without a wait.
+	// maxRedirects is the maximum number of consecutive redirects that are followed
+	// without waiting.
 	maxRedirects = 4
-	// fullTransferTimeout bounds a renewal that transfers a full table. The timeout
-	// starts at searchTimeout and doubles for each node separately, so that one that
-	// does not respond is soon left for another. A node without power is left sooner,
-	// since dialing it fails. searchTimeout allows for the four round trips of a first
-	// renewal at a round-trip time of 100 ms.
+	// fullTransferTimeout is the maximum timeout of a renewal that requests a full
+	// transfer. The timeout of such a renewal starts at searchTimeout and doubles with
+	// each consecutive failure of the same node, so that the agent soon moves on from a
+	// node that does not respond. It moves on from a node without power even sooner,
+	// because dialing that node fails.
 	fullTransferTimeout = 3 * time.Second
-	searchTimeout       = 450 * time.Millisecond
-	// releaseTimeout bounds the message that releases the lease.
+	// searchTimeout allows for the four round trips of a first renewal (dial, handshake,
+	// call) at a round-trip time of 100 ms.
+	searchTimeout = 450 * time.Millisecond
+	// releaseTimeout is the timeout of the call that releases the lease.
 	releaseTimeout = time.Second
-	// renewalTimeoutDivisor divides the lease duration into the timeout of a renewal.
+	// renewalTimeoutDivisor sets the timeout of a renewal as a fraction of the lease
+	// duration.
 	renewalTimeoutDivisor = 3
-	// maxDoublings bounds the doubling of searchTimeout.
+	// maxDoublings limits how often searchTimeout is doubled.
 	maxDoublings = 4
 )
 
-// Run renews the lease until the context ends.
+// Run renews the lease periodically until the context ends.
 func (a *Agent) Run(ctx context.Context) {
 	redirects := 0
 	for ctx.Err() == nil {
@@ -46,6 +50,8 @@
 	}
 }
 
+// sleep waits for the duration, until the next triggered renewal or until the
+// context ends.
 func (a *Agent) sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -56,10 +62,11 @@
 	}
 }
 
-// renew sends a renewal to one node. It returns the time to wait before the next
-// one, or that there is a redirect to follow at once.
+// renew sends a renewal to one control node and handles its response. It returns the
+// time to wait before the next renewal; redirected reports that the node named another
+// one as the primary, which should be called without waiting.
 func (a *Agent) renew(ctx context.Context) (wait time.Duration, redirected bool) {
-	// The clock is read before the request is made: neither the lease that the request
+	// The clock is read before the request is built: neither the lease that the request
 	// reports nor the one that is granted may be counted from a later time.
 	sent := a.options.Clock()
 	address, request, timeout := a.nextRenewal()
@@ -80,11 +87,11 @@
 		return searchInterval, false
 	}
 	if grant.Term < a.holder.Term() {
-		grant.Primary, grant.ControlAddresses = "", nil // a node that lags names a former primary
+		grant.Primary, grant.ControlAddresses = "", nil // a node that lags behind may name a former primary
 	}
 	delete(a.consecutiveFailures, address)
-	a.control.setMembers(grant.ControlAddresses)
-	redirected = a.control.recordReply(now, address, grant.Granted, grant.Primary)
+	a.controlNodes.setMembers(grant.ControlAddresses)
+	redirected = a.controlNodes.recordReply(now, address, grant.Granted, grant.Primary)
 	if !grant.Granted {
 		a.rejectedRenewals.Add(1)
 		if err := a.handleRedirect(&grant); err != nil {
@@ -95,21 +102,24 @@
 	return a.handleGrant(sent, &grant), false
 }
 
-// handleFailure records that a node did not respond to a renewal.
+// handleFailure records that a renewal failed, usually because the node did not
+// respond. The caller holds the mutex.
 func (a *Agent) handleFailure(now time.Duration, address string, request *peer.Renew, err error) {
 	if planted.Active(planted.GiveUpLease) && a.grantedRenewals.Load() > 0 {
 		a.holder.Release()
 	}
 	a.rejectedRenewals.Add(1)
 	a.consecutiveFailures[address]++
-	a.control.recordFailure(address, now+a.suspicionTime(request))
+	a.controlNodes.recordFailure(address, now+a.suspicionTime(request))
 	a.logger.Debug("renewal failed", "address", address, "error", err)
 }
 
-// handleRedirect handles the response of a node that names another one as the
-// primary. It observes the term, so that the first renewal at the primary already
-// confirms that grants of earlier terms are ignored, which the primary waits for. It
-// applies a full transfer, whose serial stays pending until the primary releases it.
+// handleRedirect handles the response of a node that named another node as the
+// primary. It records the term, so that the first renewal sent to the primary already
+// confirms that this gateway ignores grants of earlier terms; the primary waits for
+// that confirmation. It also applies a full transfer if the response has one and
+// nothing has been received yet; the state stays pending until the primary approves
+// its activation. The caller holds the mutex.
 func (a *Agent) handleRedirect(grant *peer.Grant) error {
 	if grant.Primary == "" || grant.Cluster == "" {
 		return nil
@@ -118,14 +128,15 @@
 		return err
 	}
 	if a.newest != nil {
-		return nil // the primary's incremental transfers continue from it
+		return nil // the primary sends incremental transfers that start at this serial
 	}
 	_, err := a.applyGrantTransfer(grant)
 	return err
 }
 
-// setRenewalInProgress records the node that is being called, so that a notification
-// of another primary can cancel the call.
+// setRenewalInProgress records the address of the node that is being called, so that
+// a notification from another primary can cancel the call. An empty address means that
+// no call is in progress.
 func (a *Agent) setRenewalInProgress(address string, cancel context.CancelFunc) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -133,8 +144,8 @@
 	a.cancelRenewal = cancel
 }
 
-// nextRenewal returns the address, the request and the timeout of the next renewal.
-// The address is empty if no control node is known.
+// nextRenewal returns the address, the request and the timeout of the next renewal;
+// an empty address if no control node is known.
 func (a *Agent) nextRenewal() (string, peer.Renew, time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -149,7 +160,7 @@
 		request.ActiveSerial = active.Serial()
 		request.ActiveVersion = active.Version()
 	}
-	address := a.control.next()
+	address := a.controlNodes.next()
 	timeout := a.options.LeaseConfig.Duration / renewalTimeoutDivisor
 	if request.ReceivedSerial == 0 {
 		timeout = min(fullTransferTimeout, searchTimeout<<min(a.consecutiveFailures[address], maxDoublings))
@@ -158,9 +169,9 @@
 }
 
 // suspicionTime returns how long redirects to a node that did not respond are
-// ignored. It is short while nothing has been received: after a loss of all power the
-// nodes come back one after the other, and the first primary may be one that was
-// called too early.
+// ignored. It is short while nothing has been received: after a power failure of the
+// whole cluster the nodes restart one after the other, and the first primary may be a
+// node that was called before it had restarted.
 func (a *Agent) suspicionTime(request *peer.Renew) time.Duration {
 	if request.ReceivedSerial == 0 {
 		return searchTimeout / 2
@@ -168,14 +179,15 @@
 	return a.options.LeaseConfig.Duration / renewalTimeoutDivisor
 }
 
-// handleGrant applies a grant and returns the time to wait before the next renewal.
+// handleGrant applies a grant for the renewal sent at the time sent. It returns the
+// time to wait before the next renewal. The caller holds the mutex.
 func (a *Agent) handleGrant(sent time.Duration, grant *peer.Grant) time.Duration {
 	duration := time.Duration(grant.LeaseMS) * time.Millisecond
 	now := a.options.Clock()
 	if err := a.holder.HandleGrant(now, sent, grant.Term, grant.Cluster, duration); err != nil {
 		a.rejectedRenewals.Add(1)
-		a.logger.Warn("lease grant rejected", "term", grant.Term, "error", err)
-		a.control.primary = ""
+		a.logger.Warn("lease grant ignored", "term", grant.Term, "error", err)
+		a.controlNodes.primary = ""
 		return searchInterval
 	}
 	a.grantedRenewals.Add(1)
@@ -185,25 +197,27 @@
 	}
 	received, err := a.applyGrantTransfer(grant)
 	if err != nil {
-		a.logger.Error("registry copy discarded", "error", err)
+		a.logger.Error("registry replica discarded, requesting a full transfer", "error", err)
 		return searchInterval
 	}
 	activated := a.activate(grant.ActivationSerial)
 	if received || activated {
-		return 0 // the primary waits for the report of it
+		return 0 // the primary waits until this gateway reports the new serial
 	}
 	return a.options.LeaseConfig.RenewalInterval
 }
 
-// publishExpiry publishes the end of the lease to Valid. The caller holds the mutex.
+// publishExpiry stores the end of the lease for Valid and Remaining, which do not
+// lock. The caller holds the mutex.
 func (a *Agent) publishExpiry(now time.Duration) {
 	if remaining := a.holder.Remaining(now); remaining > 0 {
 		a.leaseExpiry.Store(int64(now + remaining))
 	}
 }
 
-// ReleaseLease releases the lease: from the call on the gateway may not act. It
-// notifies the primary if that can be reached.
+// ReleaseLease releases the lease for good: Valid reports false from then on. It then
+// notifies the primary, if the primary can be reached, by a renewal that marks the
+// gateway as draining.
 func (a *Agent) ReleaseLease(ctx context.Context) {
 	a.mutex.Lock()
 	a.holder.Release()
@@ -218,6 +232,6 @@
 	defer cancel()
 	var grant peer.Grant
 	if err := a.options.Network.Call(callContext, address, peer.KindRenew, &request, &grant); err != nil {
-		a.logger.Warn("lease release not acknowledged", "address", address, "error", err)
+		a.logger.Warn("the lease release was not acknowledged", "address", address, "error", err)
 	}
 }
--- a/gateway/agent/replication.go
+++ b/gateway/agent/replication.go
@@ -8,15 +8,16 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// maxPending bounds the states that wait for activation.
+// maxPending is the maximum number of received states that wait for activation.
 const maxPending = 64
 
-// applyTransfer applies a transfer to the table. It reports whether the serial has
-// changed. After an error the next renewal requests a full transfer.
+// applyTransfer applies a transfer to the table and adds the resulting state to the
+// pending states. It reports whether the serial changed. After an error the replica is
+// discarded, and the next renewal requests a full transfer. The caller holds the mutex.
 func (a *Agent) applyTransfer(transfer registry.Transfer) (bool, error) {
 	before := a.table.Serial()
 	if err := a.table.ApplyTransfer(transfer); err != nil {
-		a.discardCopy()
+		a.discardTable()
 		return false, fmt.Errorf("agent: applying a transfer: %w", err)
 	}
 	view := a.table.View()
@@ -25,21 +26,22 @@
 	}
 	state, err := a.readState(view, transfer)
 	if err != nil {
-		a.discardCopy()
+		a.discardTable()
 		return false, fmt.Errorf("agent: reading serial %d: %w", view.Serial(), err)
 	}
 	a.newest = state
 	a.pending = append(a.pending, state)
 	if len(a.pending) > maxPending {
-		// The oldest and the newest matter most, so that one between them is dropped.
+		// The oldest can be activated soonest and the newest is the latest state, so a
+		// state in the middle is dropped.
 		middle := len(a.pending) / 2
 		a.pending = append(a.pending[:middle], a.pending[middle+1:]...)
 	}
 	return true, nil
 }
 
-// readState reads the state of a view, starting from the previous state if there
-// is one.
+// readState returns the catalog state of a view. If there is a previous state, it is
+// derived from that one and the transfer; otherwise the whole view is read.
 func (a *Agent) readState(view registry.View, transfer registry.Transfer) (*catalog.State, error) {
 	if a.newest == nil {
 		return catalog.Read(view)
@@ -47,15 +49,15 @@
 	return a.newest.Next(view, transfer)
 }
 
-// discardCopy makes the next renewal request a full transfer. The active state
-// stays active.
-func (a *Agent) discardCopy() {
+// discardTable replaces the registry replica with an empty table, so that the next
+// renewal requests a full transfer. The active state stays active.
+func (a *Agent) discardTable() {
 	a.table = registry.NewSecondary(catalog.Apex, catalog.Schema())
 	a.newest = nil
 }
 
-// receivedSerialLocked returns the highest serial received, 0 if none. The caller
-// holds the mutex.
+// receivedSerialLocked returns the latest serial received since the replica was last
+// discarded, 0 if there is none. The caller holds the mutex.
 func (a *Agent) receivedSerialLocked() uint32 {
 	if a.newest == nil {
 		return 0
@@ -63,7 +65,8 @@
 	return a.newest.Serial()
 }
 
-// applyGrantTransfer applies the transfer of a grant, if it has one.
+// applyGrantTransfer applies the transfer of a grant, if it has one. It reports
+// whether the serial changed. The caller holds the mutex.
 func (a *Agent) applyGrantTransfer(grant *peer.Grant) (bool, error) {
 	transfer, err := grant.UnpackTransfer()
 	if err != nil || transfer == nil {
