--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -197,7 +197,7 @@
 	}
 	received, err := a.applyGrantTransfer(grant)
 	if err != nil {
-		a.logger.Error("registry replica discarded, requesting a full transfer", "error", err)
+		a.logger.Error("registry transfer failed", "error", err)
 		return searchInterval
 	}
 	activated := a.activate(grant.ActivationSerial)
@@ -216,7 +216,7 @@
 }
 
 // ReleaseLease releases the lease for good: Valid reports false from then on. It then
-// notifies the primary, if the primary can be reached, by a renewal that marks the
+// notifies the primary, if the primary can be reached, with a renewal that marks the
 // gateway as draining.
 func (a *Agent) ReleaseLease(ctx context.Context) {
 	a.mutex.Lock()
