--- a/gateway/execution/execution.go
+++ b/gateway/execution/execution.go
@@ -1,5 +1,6 @@
-// Package execution holds the output of a request while it runs and after it: one
-// producer appends to it, and any number of callers that sent the same request read it.
+// Package execution buffers the output of a request while the request runs and after
+// it has finished. One producer appends the output; any number of callers that sent the
+// same request read it.
 package execution
 
 import (
@@ -12,30 +13,38 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// maxRetainedStreamBytes bounds the events of a stream that are retained for late
-// readers, and how far the slowest reader may lag behind.
+// maxRetainedStreamBytes is the maximum size of the events of a stream that are
+// retained for followers that join late. It also limits how far the slowest follower
+// may lag behind the producer.
 const maxRetainedStreamBytes = 256 << 10
 
-// Initial capacity of the buffer of a stream, in bytes: enough for most streams, so
-// that they never grow it.
+// The initial capacity of the buffer of a stream is large enough for most streams, so
+// that they never reallocate it.
 const (
-	typicalFrameBytes     = 160
+	// typicalFrameBytes is the capacity reserved for each output token.
+	typicalFrameBytes = 160
+	// maxInitialBufferBytes limits the initial capacity.
 	maxInitialBufferBytes = 32 << 10
 )
 
-// ErrAbandoned is the cause of a cancellation after the last reader has left.
-var ErrAbandoned = errors.New("gateway: the caller went away")
+// ErrAbandoned is the cause of the cancellation of an unfinished execution whose last
+// follower has closed.
+var ErrAbandoned = errors.New("execution: the last follower has closed")
 
-// Result is how an execution ended. Exactly one of its pointers is set.
+// Result is the final result of an execution. Exactly one of Answer, End and Failure
+// is set.
 type Result struct {
-	Answer  *api.GenerateAnswer
-	End     *api.StreamEnd
+	// Answer is the complete answer of a request that is not streamed.
+	Answer *api.GenerateAnswer
+	// End is the last event of a complete stream.
+	End *api.StreamEnd
+	// Failure is the error of a request that did not complete.
 	Failure *api.Error
 	// Attempts is the number of attempts that may have reached a replica.
 	Attempts int
 }
 
-// TicketState is the state that the ticket table records of the result.
+// TicketState returns the state to record for the result in the ticket table.
 func (r *Result) TicketState() ticket.State {
 	if r.Failure == nil {
 		return ticket.StateCompleted
@@ -50,28 +59,30 @@
 	}
 }
 
-// Execution is one run of a request and its output. One producer writes it; any
-// number of followers read it, each from the beginning. It is safe for concurrent use.
+// Execution is one run of a request and its output. One producer appends the output;
+// any number of followers read it, each from the beginning. It is safe for concurrent
+// use.
 type Execution struct {
-	// RequestID is the id of the request; it never changes.
+	// RequestID is the ID of the request. It must not be changed.
 	RequestID string
-	stream    bool
+	streamed  bool
 	cancel    context.CancelCauseFunc
-	// consumed wakes the producer when a follower has read.
+	// consumed wakes a blocked producer after a follower has read events or has closed.
 	consumed chan struct{}
 
 	mutex     sync.Mutex
-	frames    []byte // events in wire form
-	offset    int64  // position of frames[0] in the whole stream
-	result    *Result
-	released  bool
+	frames    []byte  // retained events in wire form
+	offset    int64   // position of frames[0] in the whole stream, in bytes
+	result    *Result // nil until the execution has finished
+	released  bool    // Release was called
 	followers map[*Follower]struct{}
 }
 
 var _ ticket.Run = (*Execution)(nil)
 
-// New returns an execution of a request with at most maxTokens output tokens. It calls
-// cancel with ErrAbandoned if the last reader leaves before there is a result.
+// New returns an execution of a request with at most maxTokens output tokens. The
+// execution calls cancel with ErrAbandoned if its last follower closes before there is
+// a result.
 func New(requestID string, streamed bool, maxTokens int, cancel context.CancelCauseFunc) *Execution {
 	var frames []byte
 	if streamed {
@@ -79,7 +90,7 @@
 	}
 	return &Execution{
 		RequestID: requestID,
-		stream:    streamed,
+		streamed:  streamed,
 		frames:    frames,
 		cancel:    cancel,
 		consumed:  make(chan struct{}, 1),
@@ -98,8 +109,8 @@
 	return size
 }
 
-// Release implements ticket.Run. Failures are retained: a refusal is repeated for as
-// long as its ticket is remembered.
+// Release implements ticket.Run: it discards the output. A failure is retained, so
+// that followers get the same failure for as long as the ticket table holds the ticket.
 func (e *Execution) Release() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -111,8 +122,8 @@
 	}
 }
 
-// outputDiscarded is the answer to a reader that comes after the output was
-// discarded.
+// outputDiscarded returns the error for a follower that cannot read the output,
+// because the output was discarded or, in Follow, because it has the other form.
 func outputDiscarded(requestID string) *api.Error {
 	return &api.Error{
 		Code:      api.CodeDuplicate,
@@ -122,8 +133,8 @@
 	}
 }
 
-// AppendChunk appends one event. It blocks while the slowest follower lags too far
-// behind.
+// AppendChunk appends one event. While the slowest follower lags too far behind, it
+// blocks; if ctx ends meanwhile, it returns the cause.
 func (e *Execution) AppendChunk(ctx context.Context, data []byte) error {
 	e.mutex.Lock()
 	e.frames = stream.AppendFrame(e.frames, api.EventPiece, data)
@@ -141,13 +152,13 @@
 	return nil
 }
 
-// trim discards events that every follower has read, down to half of what may be
-// retained. It reports false if there is nothing to discard. The caller holds the
-// mutex.
+// trim discards events that every follower has read, until half of
+// maxRetainedStreamBytes remains. It reports whether it discarded any. The caller holds
+// the mutex.
 func (e *Execution) trim() bool {
 	size := len(e.frames) - maxRetainedStreamBytes/2
-	for reader := range e.followers {
-		size = min(size, int(reader.offset-e.offset))
+	for follower := range e.followers {
+		size = min(size, int(follower.offset-e.offset))
 	}
 	if size <= 0 {
 		return false
@@ -164,7 +175,7 @@
 	return e.offset > 0 || len(e.frames) > 0
 }
 
-// Finish sets the result; only the first call has an effect.
+// Finish sets the result. Only the first call has an effect.
 func (e *Execution) Finish(r *Result) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -174,42 +185,45 @@
 	}
 }
 
-// Result returns the result; nil while there is none.
+// Result returns the result, or nil until the execution has finished.
 func (e *Execution) Result() *Result {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.result
 }
 
-// Followers returns the number of readers that have not closed.
+// Followers returns the number of followers that have not closed.
 func (e *Execution) Followers() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.followers)
 }
 
-// notifyFollowers wakes the followers. The caller holds the mutex.
+// notifyFollowers wakes the followers that wait for output. The caller holds the
+// mutex.
 func (e *Execution) notifyFollowers() {
-	for reader := range e.followers {
+	for follower := range e.followers {
 		select {
-		case reader.updated <- struct{}{}:
+		case follower.updated <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Follow adds a reader. It fails if the beginning of the stream was discarded.
+// Follow adds a follower. It fails if streamed differs from the form of the execution,
+// or if the beginning of the stream was discarded and the execution has not failed. The
+// follower of a failed execution whose beginning was discarded reads only the failure.
 func (e *Execution) Follow(streamed bool) (*Follower, *api.Error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	failed := e.result != nil && e.result.Failure != nil
-	if e.stream != streamed || (e.offset > 0 && !failed) {
+	if e.streamed != streamed || (e.offset > 0 && !failed) {
 		return nil, outputDiscarded(e.RequestID)
 	}
-	reader := &Follower{execution: e, updated: make(chan struct{}, 1)}
+	follower := &Follower{execution: e, updated: make(chan struct{}, 1)}
 	if e.offset > 0 {
-		reader.offset = e.offset + int64(len(e.frames))
+		follower.offset = e.offset + int64(len(e.frames))
 	}
-	e.followers[reader] = struct{}{}
-	return reader, nil
+	e.followers[follower] = struct{}{}
+	return follower, nil
 }
--- a/gateway/execution/follower.go
+++ b/gateway/execution/follower.go
@@ -2,21 +2,23 @@
 
 import "context"
 
-// Follower reads an execution's output. It is not safe for concurrent use.
+// Follower reads the output of an execution from its beginning. It is not safe for
+// concurrent use.
 type Follower struct {
 	execution *Execution
-	updated   chan struct{}
-	offset    int64
-	buffer    []byte
+	updated   chan struct{} // receives a value after events were appended or the result was set
+	offset    int64         // position of the next event to read in the whole stream, in bytes
+	buffer    []byte        // events returned by the last call of Next
 }
 
-// Next returns the events appended since the last call, which are valid until the
-// next call, or the result after the last event.
-func (f *Follower) Next(ctx context.Context) (frames []byte, ended *Result, err error) {
+// Next returns the events that were appended since the last call, or the result once
+// all events have been read. It blocks until one of them is available; if ctx ends
+// first, it returns the cause. The events are valid until the next call.
+func (f *Follower) Next(ctx context.Context) (frames []byte, result *Result, err error) {
 	for {
-		frames, ended = f.read()
-		if len(frames) > 0 || ended != nil {
-			return frames, ended, nil
+		frames, result = f.read()
+		if len(frames) > 0 || result != nil {
+			return frames, result, nil
 		}
 		select {
 		case <-f.updated:
@@ -26,6 +28,8 @@
 	}
 }
 
+// read returns the unread events, or the result if there are none; nothing if the
+// follower must wait.
 func (f *Follower) read() ([]byte, *Result) {
 	e := f.execution
 	e.mutex.Lock()
@@ -46,8 +50,8 @@
 	return f.buffer, nil
 }
 
-// Close ends the reading. An unfinished execution is canceled when its last follower
-// closes.
+// Close removes the follower. If it was the last one and the execution has not
+// finished, the execution is canceled with ErrAbandoned.
 func (f *Follower) Close() {
 	e := f.execution
 	e.mutex.Lock()
--- a/gateway/execution/frames.go
+++ b/gateway/execution/frames.go
@@ -10,7 +10,8 @@
 // frameSeparator ends every event in wire form.
 var frameSeparator = []byte("\n\n")
 
-// ForEachChunk calls visit with the JSON of every chunk in the frames.
+// ForEachChunk calls visit with the JSON of each chunk in the frames, in order, and
+// returns the first error of visit. The frames must be complete chunk events.
 func ForEachChunk(frames []byte, visit func(data []byte) error) error {
 	for len(frames) > 0 {
 		size := bytes.Index(frames, frameSeparator) + len(frameSeparator)
