--- a/gateway/connlimit/limiter_test.go
+++ b/gateway/connlimit/limiter_test.go
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// open opens connections one after the other, each at a time of its own.
-func open(server *http.Server, count int) []*fakeConn {
+// openConnections opens connections one after the other at different times.
+func openConnections(server *http.Server, count int) []*fakeConn {
 	var conns []*fakeConn
 	for range count {
 		time.Sleep(time.Millisecond)
@@ -32,34 +32,36 @@
 	return conns
 }
 
-// receive has a connection receive a complete request.
-func receive(server *http.Server, conn net.Conn) {
+// receiveRequest simulates a connection on which a complete request was received.
+func receiveRequest(server *http.Server, conn net.Conn) {
 	server.ConnState(conn, http.StateActive)
 	MarkHandling(server.ConnContext(context.Background(), conn))
 }
 
+// TestLimiter verifies which connection is closed when one more than the limit is
+// opened.
 func TestLimiter(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(server *http.Server, conns []*fakeConn)
-		closed []bool // after one connection more than the limit
+		closed []bool // for each connection, after one more was opened than the limit
 	}{
-		{"oldest idle connection", func(*http.Server, []*fakeConn) {}, []bool{true, false, false, false}},
-		{"handled request is kept", func(server *http.Server, conns []*fakeConn) {
-			receive(server, conns[0])
+		{"all idle: the oldest is closed", func(*http.Server, []*fakeConn) {}, []bool{true, false, false, false}},
+		{"a connection that handles a request stays open", func(server *http.Server, conns []*fakeConn) {
+			receiveRequest(server, conns[0])
 		}, []bool{false, true, false, false}},
-		{"answered connection is idle again", func(server *http.Server, conns []*fakeConn) {
+		{"a connection is idle after its response", func(server *http.Server, conns []*fakeConn) {
 			for _, conn := range conns {
-				receive(server, conn)
+				receiveRequest(server, conn)
 			}
 			server.ConnState(conns[1], http.StateIdle)
 		}, []bool{false, true, false, false}},
-		{"all handle requests", func(server *http.Server, conns []*fakeConn) {
+		{"all handle requests: the new one is closed", func(server *http.Server, conns []*fakeConn) {
 			for _, conn := range conns {
-				receive(server, conn)
+				receiveRequest(server, conn)
 			}
 		}, []bool{false, false, false, true}},
-		{"closed connection counts no more", func(server *http.Server, conns []*fakeConn) {
+		{"a closed connection does not count", func(server *http.Server, conns []*fakeConn) {
 			server.ConnState(conns[2], http.StateClosed)
 		}, []bool{false, false, false, false}},
 	}
@@ -68,9 +70,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				server := &http.Server{}
 				NewLimiter(3).Attach(server)
-				conns := open(server, 3)
+				conns := openConnections(server, 3)
 				test.change(server, conns)
-				conns = append(conns, open(server, 1)...)
+				conns = append(conns, openConnections(server, 1)...)
 				for i, conn := range conns {
 					if conn.closed != test.closed[i] {
 						t.Errorf("connection %d: closed %t, want %t", i, conn.closed, test.closed[i])
@@ -81,6 +83,8 @@
 	}
 }
 
+// TestMarkHandlingWithoutLimiter verifies that MarkHandling accepts the context of a
+// request whose server has no limiter.
 func TestMarkHandlingWithoutLimiter(t *testing.T) {
-	MarkHandling(t.Context()) // a request of another server changes nothing
+	MarkHandling(t.Context()) // must not panic
 }
