--- a/ticket/example_test.go
+++ b/ticket/example_test.go
@@ -8,13 +8,13 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// output is a run without retained output.
+// output implements ticket.Run and retains nothing.
 type output struct{}
 
 func (output) RetainedBytes() int { return 0 }
 func (output) Release()           {}
 
-// The first use of a ticket starts the run; later ones join it.
+// The first use of a ticket starts the run; later uses join it.
 func Example() {
 	sealer, err := ticket.NewSealer([][]byte{bytes.Repeat([]byte{1}, ticket.MinKeyBytes)})
 	if err != nil {
--- a/ticket/expiry_heap.go
+++ b/ticket/expiry_heap.go
@@ -1,7 +1,7 @@
 package ticket
 
-// expiryHeap orders entries by the time at which they expire, for container/heap.
-// It keeps heapIndex of each entry.
+// expiryHeap is a min-heap of entries by expiresAt. It implements heap.Interface and
+// maintains the heapIndex of each entry.
 type expiryHeap[R Run] []*entry[R]
 
 func (h expiryHeap[R]) Len() int           { return len(h) }
--- a/ticket/fuzz_test.go
+++ b/ticket/fuzz_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// FuzzOpen passes text to a sealer whose keys sealed none of it.
+// FuzzOpen verifies that Open rejects any text that was not sealed with a key of the
+// sealer, also a ticket sealed with another key.
 func FuzzOpen(f *testing.F) {
 	foreign, err := NewSealer([][]byte{bytes.Repeat([]byte{1}, 32)})
 	if err != nil {
@@ -26,7 +27,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		_, err := sealer.Open(text)
 		if !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrNotAuthentic) {
-			t.Fatalf("opened %q: %v", text, err)
+			t.Fatalf("Open(%q): got error %v, want ErrMalformed or ErrNotAuthentic", text, err)
 		}
 	})
 }
--- a/ticket/golden_test.go
+++ b/ticket/golden_test.go
@@ -12,18 +12,19 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the golden file instead of comparing with it")
 
-// goldenFile holds tickets that earlier versions sealed. A gateway of this version
-// opens them and seals the same text.
+// goldenFile contains tickets that were sealed by earlier versions. This version must
+// open them and must seal the same tickets as the same text.
 const goldenFile = "testdata/golden/tickets.json"
 
 // goldenTicket is one ticket in its encoded forms.
 type goldenTicket struct {
-	// Body is the CBOR form in hexadecimal digits.
+	// Body is the canonical CBOR encoding in hexadecimal digits.
 	Body string `json:"body"`
-	// Text is the sealed form under the key of testKey(1).
+	// Text is the text form, sealed with testKey(1).
 	Text string `json:"text"`
 }
 
+// TestGoldenTickets verifies that the encodings of tickets have not changed.
 func TestGoldenTickets(t *testing.T) {
 	tickets := map[string]Ticket{
 		"every field": {
@@ -41,13 +42,13 @@
 	}
 	stored := readGoldenTickets(t)
 	if len(stored) != len(tickets) {
-		t.Errorf("%s has %d tickets, want %d", goldenFile, len(stored), len(tickets))
+		t.Errorf("%s contains %d tickets, want %d", goldenFile, len(stored), len(tickets))
 	}
 	for name, want := range tickets {
 		t.Run(name, func(t *testing.T) {
 			golden, ok := stored[name]
 			if !ok {
-				t.Fatalf("%s has no ticket %q", goldenFile, name)
+				t.Fatalf("%s contains no ticket %q", goldenFile, name)
 			}
 			testGoldenTicket(t, sealer, golden, want)
 		})
@@ -58,13 +59,13 @@
 	t.Helper()
 	opened, err := sealer.Open(golden.Text)
 	if err != nil {
-		t.Fatalf("opening: %v", err)
+		t.Fatalf("opening the golden text: %v", err)
 	}
 	if opened != want {
 		t.Errorf("opened %+v, want %+v", opened, want)
 	}
 	if got := encodeGoldenTicket(t, sealer, want); got != golden {
-		t.Errorf("encoded as %+v, want %+v", got, golden)
+		t.Errorf("got encodings %+v, want %+v", got, golden)
 	}
 }
 
@@ -72,11 +73,11 @@
 	t.Helper()
 	body, err := encoding.Marshal(&ticket)
 	if err != nil {
-		t.Fatalf("encoding: %v", err)
+		t.Fatalf("encoding the ticket as CBOR: %v", err)
 	}
 	text, err := sealer.Seal(ticket)
 	if err != nil {
-		t.Fatalf("sealing: %v", err)
+		t.Fatalf("sealing the ticket: %v", err)
 	}
 	return goldenTicket{Body: hex.EncodeToString(body), Text: text}
 }
@@ -89,7 +90,7 @@
 	}
 	var stored map[string]goldenTicket
 	if err := json.Unmarshal(text, &stored); err != nil {
-		t.Fatalf("%s: %v", goldenFile, err)
+		t.Fatalf("decoding %s: %v", goldenFile, err)
 	}
 	return stored
 }
--- a/ticket/sealer.go
+++ b/ticket/sealer.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// macBytes is the size of the message authentication code in bytes.
+	// macBytes is the length of the message authentication code in bytes.
 	macBytes = sha256.Size
-	// macDomain separates the codes of tickets from those of every other use of
-	// the fleet's keys.
+	// macDomain is authenticated before the body, so that the authentication code of a
+	// ticket is not valid for any other use of the fleet's keys.
 	macDomain = "deckpulley ticket 1\x00"
 )
 
@@ -23,28 +23,28 @@
 )
 
 // Sealer encodes tickets as authenticated text and decodes them. The text is the
-// base64url form of the ticket's canonical CBOR followed by its HMAC-SHA256.
-// A Sealer is immutable and safe for concurrent use.
+// base64url encoding of the ticket's canonical CBOR followed by the HMAC-SHA256 of that
+// CBOR. A Sealer is immutable and safe for concurrent use.
 type Sealer struct {
 	keys [][]byte // newest first
 }
 
-// NewSealer returns a sealer for the keys, newest first: the first one seals, all
-// of them open. The error wraps ErrKeys.
+// NewSealer returns a sealer for the keys, newest first. Seal uses the first key; Open
+// accepts all of them. The error wraps ErrInvalidKeys.
 func NewSealer(keys [][]byte) (*Sealer, error) {
 	if len(keys) == 0 || len(keys) > MaxKeys {
-		return nil, fmt.Errorf("%w: %d keys, want 1 to %d", ErrKeys, len(keys), MaxKeys)
+		return nil, fmt.Errorf("%w: %d keys, want 1 to %d", ErrInvalidKeys, len(keys), MaxKeys)
 	}
 	for i, key := range keys {
 		if len(key) < MinKeyBytes {
-			return nil, fmt.Errorf("%w: key %d is shorter than %d bytes", ErrKeys, i+1, MinKeyBytes)
+			return nil, fmt.Errorf("%w: key %d is shorter than %d bytes", ErrInvalidKeys, i+1, MinKeyBytes)
 		}
 	}
 	return &Sealer{keys: keys}, nil
 }
 
-// Seal returns the text form of the ticket. The error is ErrMalformed if the ticket
-// is not valid or its text too long.
+// Seal returns the text form of the ticket. The error is ErrMalformed if the ticket is
+// not valid or its text form is too long.
 func (s *Sealer) Seal(t Ticket) (string, error) {
 	if err := t.Validate(); err != nil {
 		return "", err
@@ -60,9 +60,9 @@
 	return base64.RawURLEncoding.EncodeToString(sealed), nil
 }
 
-// Open verifies the text form of a ticket and returns the ticket. The error is
-// ErrMalformed or ErrNotAuthentic. The code is verified before the ticket is
-// decoded.
+// Open verifies the text form of a ticket and returns the ticket. It verifies the
+// authentication code before it decodes the ticket. The error is ErrMalformed or
+// ErrNotAuthentic.
 func (s *Sealer) Open(text string) (Ticket, error) {
 	if text == "" || len(text) > MaxEncodedBytes {
 		return Ticket{}, ErrMalformed
@@ -85,7 +85,8 @@
 	return t, nil
 }
 
-// authentic reports whether an accepted key made the code of the body.
+// authentic reports whether code is the authentication code of the body under one of
+// the keys.
 func (s *Sealer) authentic(body, code []byte) bool {
 	for _, key := range s.keys {
 		if hmac.Equal(authenticationCode(key, body), code) {
@@ -95,7 +96,8 @@
 	return false
 }
 
-// authenticationCode returns the HMAC-SHA256 of a ticket's body.
+// authenticationCode returns the HMAC-SHA256 of a ticket's body, in the domain of
+// tickets.
 func authenticationCode(key, body []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(macDomain))
