--- a/gateway/agent/agent.go
+++ b/gateway/agent/agent.go
@@ -33,8 +33,8 @@
 	// Clock returns the monotonic time elapsed since an arbitrary start.
 	Clock func() time.Duration
 	// OnActivate is called with each state, in serial order, just before the state
-	// becomes active. It must not call methods of the agent that lock, because the
-	// agent's mutex is held. It may be nil.
+	// becomes active. It must not call the agent, because the agent's mutex is held. It
+	// may be nil.
 	OnActivate func(*catalog.State)
 	Logger     *slog.Logger
 }
@@ -65,8 +65,8 @@
 	// leaseTerm is the term of the primary that granted the latest lease.
 	leaseTerm uint64
 	table     *registry.Table
-	// newest is the state read from the table's latest serial; nil if no transfer has
-	// been applied.
+	// newest is the state read from the table's latest serial; nil while the table is
+	// empty.
 	newest *catalog.State
 	// pending lists the received states that are newer than the active one, oldest
 	// first.
@@ -112,14 +112,14 @@
 // Active returns the active state; nil before the first activation.
 func (a *Agent) Active() *catalog.State { return a.active.Load() }
 
-// Status is a snapshot of an Agent.
+// Status is a snapshot of the state of an Agent.
 type Status struct {
 	Cluster          string
-	Primary          string // peer address, empty if unknown
-	Term             uint64
-	ReceivedSerial   uint32
-	ActiveSerial     uint32
-	ActiveVersion    uint64
+	Primary          string // peer address of the primary, empty if unknown
+	Term             uint64 // newest term observed
+	ReceivedSerial   uint32 // 0 if nothing has been received
+	ActiveSerial     uint32 // 0 before the first activation
+	ActiveVersion    uint64 // configuration version of the active state
 	LeaseRemaining   time.Duration
 	GrantedRenewals  uint64
 	RejectedRenewals uint64 // not granted, failed, or granted by a message that was ignored
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -47,6 +47,7 @@
 	delay time.Duration
 }
 
+// newFakeControlNode starts a fake control node with the given name and address.
 func newFakeControlNode(t *testing.T, memory *transport.Memory, name string) *fakeControlNode {
 	t.Helper()
 	c := &fakeControlNode{network: memory.Node(name, name)}
@@ -90,6 +91,7 @@
 	return c.last
 }
 
+// newTable returns a registry table with serial 10.
 func newTable(t *testing.T) *registry.Table {
 	t.Helper()
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "c1", Serial: 10}, []string{"c1"})
@@ -99,6 +101,7 @@
 	return table
 }
 
+// addVersion adds a configuration version to the table, which increments its serial.
 func addVersion(table *registry.Table, version uint64) {
 	update := registry.NewUpdate(catalog.Apex, nil, []registry.Record{registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: version}))})
 	table.Apply(&update, nil)
--- a/ticket/golden_test.go
+++ b/ticket/golden_test.go
@@ -55,6 +55,8 @@
 	}
 }
 
+// testGoldenTicket checks that the golden text opens as the wanted ticket and that the
+// ticket is encoded as the golden forms.
 func testGoldenTicket(t *testing.T, sealer *Sealer, golden goldenTicket, want Ticket) {
 	t.Helper()
 	opened, err := sealer.Open(golden.Text)
