--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,7 +14,8 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// attempt sends the request to one replica and classifies the response.
+// attempt sends the request to the replica of the reservation and delivers the
+// response, or classifies the failure.
 func (r *runner) attempt(ctx context.Context, reservation *routing.Reservation) attemptResult {
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -24,18 +25,18 @@
 		return indeterminate(newError(api.CodeInternal, api.OutcomeRefused, "encoding the request: %v", err))
 	}
 	version := reservation.Version
-	guard := &sendGuard{check: func() error { return r.gateway.checkSend(reservation, version) }}
+	guard := &sendGuard{check: func() error { return r.gateway.checkBeforeSend(reservation, version) }}
 	response, err := r.gateway.replicas.generate(attemptContext, reservation.Address, body, !r.request.Repeatable, guard)
 	if err != nil {
-		return r.classifySendError(ctx, reservation, guard)
+		return r.classifyRoundTripError(ctx, reservation, guard)
 	}
 	defer response.Body.Close()
 	r.recordSent()
 	return r.receive(attemptContext, cancel, reservation, response)
 }
 
-// replicaRequest returns the request in the form that replicas take, stamped with the
-// configuration and the attempt.
+// replicaRequest returns the request in the format of the replica API. Its stamp
+// identifies the configuration, the gateway and the attempt.
 func (r *runner) replicaRequest(reservation *routing.Reservation) *api.ReplicaRequest {
 	version := reservation.Version
 	if planted.Active(planted.StepBack) && r.staleRefusals == 0 && version > 1 && r.request.PromptTokens%16 == 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// recordSent accounts for an attempt of which a byte may have been sent.
+// recordSent counts an attempt of which at least one byte may have been sent.
 func (r *runner) recordSent() {
 	r.attemptsSent++
 	r.retryAvailable = false
@@ -72,8 +73,13 @@
 	r.gateway.metrics.attempts.Inc()
 }
 
-// classifySendError returns the result of an attempt without a response.
-func (r *runner) classifySendError(ctx context.Context, reservation *routing.Reservation, guard *sendGuard) attemptResult {
+// classifyRoundTripError finishes an attempt for which replicaClient.generate returned
+// an error instead of a response. The guard determines what is known of it:
+//   - denied by checkBeforeSend: nothing was sent. Every denial is reported as no_lease,
+//     also when the placement was outdated rather than the lease expired.
+//   - sent, at least in part: the replica may have run it.
+//   - otherwise nothing was sent, usually because the replica could not be dialed.
+func (r *runner) classifyRoundTripError(ctx context.Context, reservation *routing.Reservation, guard *sendGuard) attemptResult {
 	sent, denied := guard.close()
 	if denied != nil {
 		reservation.Finish(routing.ResultNotStarted, nil, time.Now())
@@ -82,7 +88,7 @@
 	}
 	if sent {
 		r.recordSent()
-		return r.classifyMissingAnswer(ctx, reservation)
+		return r.classifyMissingResponse(ctx, reservation)
 	}
 	recorded := routing.ResultFailed
 	if ctx.Err() != nil {
@@ -91,31 +97,32 @@
 		r.gateway.suspectReplica(reservation)
 	}
 	reservation.Finish(recorded, nil, time.Now())
-	failure := newRetryableError(api.CodeNoCapacity, "no replica could be reached")
+	failure := newRetryableError(api.CodeNoCapacity, "the selected replica could not be reached")
 	return notSent(failure)
 }
 
-// classifyMissingAnswer returns the result of an attempt whose request was sent, at
-// least in part, and not answered.
-func (r *runner) classifyMissingAnswer(ctx context.Context, reservation *routing.Reservation) attemptResult {
+// classifyMissingResponse finishes an attempt whose request was sent, at least in part,
+// but to which the replica did not respond.
+func (r *runner) classifyMissingResponse(ctx context.Context, reservation *routing.Reservation) attemptResult {
 	if ctx.Err() != nil {
 		reservation.Finish(routing.ResultCanceled, nil, time.Now())
-		return r.recordIndeterminate(newError(api.CodeDeadline, api.OutcomeUnknown, "the replica did not answer in time"))
+		return r.recordIndeterminate(newError(api.CodeDeadline, api.OutcomeUnknown, "the replica did not respond in time"))
 	}
 	r.gateway.suspectReplica(reservation)
 	reservation.Finish(routing.ResultFailed, nil, time.Now())
-	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke before its answer"))
+	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke before it responded"))
 }
 
-// recordIndeterminate records that an attempt may have run.
+// recordIndeterminate records that an attempt may have run, and why its outcome is not
+// known.
 func (r *runner) recordIndeterminate(failure *api.Error) attemptResult {
 	r.mayHaveRun = true
 	r.indeterminateFailure = failure
 	return indeterminate(failure)
 }
 
-// receive classifies a response and delivers the answer if it is complete and belongs
-// to the request.
+// receive delivers the answer in a response if it is complete and belongs to the
+// request. Otherwise it classifies the failure.
 func (r *runner) receive(ctx context.Context, cancel context.CancelCauseFunc, reservation *routing.Reservation, response *http.Response) attemptResult {
 	if response.StatusCode != http.StatusOK {
 		return r.recordFailure(ctx, reservation, classifyErrorResponse(response, r.request.RequestID))
@@ -126,15 +133,15 @@
 	if !isEventStream(response) {
 		_, failure := readAnswer(response, r.request.RequestID)
 		if failure == nil {
-			failure = newError(api.CodeReplicaError, api.OutcomeFailed, "the replica did not answer with a stream")
+			failure = newError(api.CodeReplicaError, api.OutcomeFailed, "the replica did not respond with an event stream")
 		}
 		return r.recordFailure(ctx, reservation, indeterminate(failure))
 	}
 	return r.receiveStream(ctx, cancel, reservation, response)
 }
 
-// recordFailure accounts for an attempt without an answer, and has the replica polled
-// if its state may have changed.
+// recordFailure finishes an attempt that got a response without a valid answer. It
+// triggers a poll of the replica if the replica's state may have changed.
 func (r *runner) recordFailure(ctx context.Context, reservation *routing.Reservation, outcome attemptResult) attemptResult {
 	recorded := routing.ResultFailed
 	switch {
@@ -154,7 +161,7 @@
 	}
 	reservation.Finish(recorded, nil, time.Now())
 	if outcome.failure.Code == api.CodeReplicaDraining {
-		r.gateway.pollNow(reservation.Replica) // so that no other request is sent there
+		r.gateway.pollNow(reservation.Replica) // so that no further requests are sent to it
 	}
 	r.gateway.metrics.observeAttemptFailure(outcome.failure)
 	return outcome
@@ -171,7 +178,7 @@
 	answer.Report = nil
 	reservation.RecordCachedTokens(answer.CachedTokens)
 	reservation.Finish(routing.ResultSuccess, report, now)
-	r.gateway.recordReport(r.route.Service, report)
+	r.gateway.recordReportedVersion(r.route.Service, report)
 	answer.Replica = reservation.Replica
 	answer.Region = r.gateway.region()
 	answer.ConfigurationVersion = reservation.Version
@@ -179,8 +186,8 @@
 	return attemptResult{status: statusDelivered}
 }
 
-// receiveStream relays a stream event by event. After the first event there is no
-// other attempt.
+// receiveStream copies the events of a stream to the execution. Once the first event
+// was copied, a failure ends the request without another attempt.
 func (r *runner) receiveStream(ctx context.Context, cancel context.CancelCauseFunc, reservation *routing.Reservation, response *http.Response) attemptResult {
 	reader := stream.NewReader(response.Body, stream.Options{
 		RequestID:   r.request.RequestID,
@@ -209,27 +216,27 @@
 	}
 }
 
-// failStream ends an incomplete stream. If the caller may have received a chunk, the
-// failure is the result of the request.
+// failStream finishes an attempt whose stream is incomplete. If the caller may have
+// received a chunk, the failure is delivered as the result of the request.
 func (r *runner) failStream(ctx context.Context, reservation *routing.Reservation, failure *api.Error) attemptResult {
 	outcome := r.recordFailure(ctx, reservation, indeterminate(failure))
 	if !r.execution.HasOutput() || planted.Active(planted.JoinRuns) {
 		return outcome
 	}
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		outcome.failure = newError(api.CodeDeadline, api.OutcomeFailed, "the stream was not whole in the caller's time")
+		outcome.failure = newError(api.CodeDeadline, api.OutcomeFailed, "the stream was not complete by the caller's deadline")
 	}
 	r.deliver(&execution.Result{Failure: outcome.failure})
 	return attemptResult{status: statusDelivered}
 }
 
-// completeStream delivers the end of a stream.
+// completeStream delivers the final event of a complete stream.
 func (r *runner) completeStream(reservation *routing.Reservation, end *api.StreamEnd) {
 	report := end.Report
 	end.Report = nil
 	reservation.RecordCachedTokens(end.CachedTokens)
 	reservation.Finish(routing.ResultSuccess, report, time.Now())
-	r.gateway.recordReport(r.route.Service, report)
+	r.gateway.recordReportedVersion(r.route.Service, report)
 	end.Replica = reservation.Replica
 	end.Region = r.gateway.region()
 	end.ConfigurationVersion = reservation.Version
--- a/gateway/attempt_result.go
+++ b/gateway/attempt_result.go
@@ -4,62 +4,65 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// attemptStatus is what is known after an attempt.
+// attemptStatus classifies the outcome of an attempt.
 type attemptStatus uint8
 
 const (
-	// statusDelivered means that the result was delivered, whatever it is.
+	// statusDelivered means that a result, an answer or an error, was delivered to the
+	// execution.
 	statusDelivered attemptStatus = iota + 1
 	// statusNotStarted means that the attempt did not run and never will.
 	statusNotStarted
-	// statusStaleConfiguration is statusNotStarted because the replica has seen a newer
-	// configuration.
+	// statusStaleConfiguration means that the replica did not start the request because it
+	// has seen a newer configuration than the one in the stamp.
 	statusStaleConfiguration
-	// statusReplicaRestarted is statusNotStarted because the replica has another
-	// incarnation than the one that was reserved.
+	// statusReplicaRestarted means that the replica did not start the request because its
+	// incarnation differs from the one in the stamp.
 	statusReplicaRestarted
-	// statusIndeterminate means that the attempt may have run; the caller has received
-	// nothing of it.
+	// statusIndeterminate means that the attempt may have run, but the caller has received
+	// none of its output.
 	statusIndeterminate
 )
 
-// attemptResult is the outcome of an attempt on a replica or in a region.
+// attemptResult is the outcome of an attempt on a replica, or of all attempts in one
+// region.
 type attemptResult struct {
 	status  attemptStatus
 	failure *api.Error
-	// denied means that this gateway stopped the attempt before its first byte, because
-	// of the lease or the configuration.
+	// denied means that checkBeforeSend stopped the attempt before its first byte: the
+	// lease had expired or the placement was outdated.
 	denied bool
 	// unsent means that no byte was sent to the replica.
 	unsent bool
 }
 
-// regional returns the result for a whole region, in which the reasons of a single
-// replica do not matter.
-func (v attemptResult) regional() attemptResult {
-	if v.status == statusStaleConfiguration || v.status == statusReplicaRestarted {
-		v.status = statusNotStarted
+// regional returns the result for the whole region: the statuses that concern a single
+// replica become statusNotStarted.
+func (r attemptResult) regional() attemptResult {
+	if r.status == statusStaleConfiguration || r.status == statusReplicaRestarted {
+		r.status = statusNotStarted
 	}
-	return v
+	return r
 }
 
-// notStarted returns the result of an attempt that did not run and never will.
+// notStarted returns a result with statusNotStarted.
 func notStarted(failure *api.Error) attemptResult {
 	return attemptResult{status: statusNotStarted, failure: failure}
 }
 
-// notSent returns the result of an attempt of which no byte was sent.
+// notSent returns a result with statusNotStarted for an attempt of which no byte was
+// sent to the replica.
 func notSent(failure *api.Error) attemptResult {
 	return attemptResult{status: statusNotStarted, failure: failure, unsent: true}
 }
 
-// indeterminate returns the result of an attempt that may have run.
+// indeterminate returns a result with statusIndeterminate.
 func indeterminate(failure *api.Error) attemptResult {
 	return attemptResult{status: statusIndeterminate, failure: failure}
 }
 
-// isConnectionFailure reports whether an attempt may have failed because its replica
-// stopped.
+// isConnectionFailure reports whether the connection to the replica broke during the
+// attempt, which may mean that the replica stopped.
 func isConnectionFailure(outcome attemptResult) bool {
 	if outcome.status != statusIndeterminate {
 		return false
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// nullWriter is the response writer of a caller that reads everything at once.
+// nullWriter is a response writer that counts the bytes and discards them.
 type nullWriter struct {
 	header http.Header
 	bytes  int
@@ -30,22 +30,22 @@
 	return len(data), nil
 }
 
-// BenchmarkRelay copies a stream of 1,000 events from the bytes of a replica through
-// an execution to the writer of a caller.
+// BenchmarkRelay measures the copying of a stream of 1,000 chunks from the response of a
+// replica through an execution to the response for a caller, without a network.
 func BenchmarkRelay(b *testing.B) {
-	const pieces = 1000
+	const chunks = 1000
 	request := &api.ReplicaRequest{RequestID: "request-1"}
 	var source bytes.Buffer
-	for i := range pieces {
+	for i := range chunks {
 		source.Write(chunkFrame(request, i+1))
 	}
-	data, _ := json.Marshal(api.StreamEnd{RequestID: "request-1", RunID: "run-1", Sequence: pieces + 1, Tokens: pieces})
+	data, _ := json.Marshal(api.StreamEnd{RequestID: "request-1", RunID: "run-1", Sequence: chunks + 1, Tokens: chunks})
 	source.Write(stream.AppendFrame(nil, api.EventEnd, data))
-	ctx := context.Background() //nolint:usetesting // a context that can end would be a part of what is measured
+	ctx := context.Background() //nolint:usetesting // a context that can end would add to the measured time
 	b.ReportAllocs()
 	b.SetBytes(int64(source.Len()))
 	for b.Loop() {
-		run := execution.New("request-1", true, pieces, func(error) {})
+		run := execution.New("request-1", true, chunks, func(error) {})
 		reader, _ := run.Follow(true)
 		go produce(ctx, run, source.Bytes())
 		response := &nullWriter{header: http.Header{}}
@@ -64,9 +64,11 @@
 		}
 		reader.Close()
 	}
-	b.ReportMetric(float64(b.N)*pieces/b.Elapsed().Seconds(), "events/s")
+	b.ReportMetric(float64(b.N)*chunks/b.Elapsed().Seconds(), "events/s")
 }
 
+// produce copies the events of a replica's stream to an execution, like
+// runner.receiveStream.
 func produce(ctx context.Context, run *execution.Execution, source []byte) {
 	events := stream.NewReader(bytes.NewReader(source), stream.Options{RequestID: "request-1", IdleTimeout: time.Minute, Interrupt: func() {}})
 	defer events.Close()
@@ -86,13 +88,13 @@
 	}
 }
 
-// BenchmarkRequests sends short requests through a gateway and, for comparison,
-// directly to the replica.
+// BenchmarkRequests measures short requests that are sent through a gateway and, for
+// comparison, directly to the replica.
 func BenchmarkRequests(b *testing.B) {
 	f := newFleet(b)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
-	f.ready(g)
+	f.awaitReady(g)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	send := func(url string, body any) error {
 		encoded, _ := json.Marshal(body)
--- a/gateway/callers_http.go
+++ b/gateway/callers_http.go
@@ -12,8 +12,8 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// CallersServer returns the server of the callers' port. Its owner runs and closes
-// it.
+// CallersServer returns the HTTP server for callers. It has no listener yet: whoever
+// calls this method serves and closes it.
 func (g *Gateway) CallersServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc(api.PathWhere, requireMethod(http.MethodPost, g.serveWhere))
@@ -22,7 +22,8 @@
 	return g.newServer(mux, g.options.MaxConnections)
 }
 
-// serveWhere answers which gateway a request should be sent to.
+// serveWhere handles api.PathWhere: it answers which gateway the caller should send
+// its request to.
 func (g *Gateway) serveWhere(w http.ResponseWriter, r *http.Request) {
 	var request api.WhereRequest
 	if failure := g.readRequest(w, r, &request); failure != nil {
@@ -44,7 +45,8 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// serveRequest serves a request and its output.
+// serveRequest handles api.PathRequests: it runs a request, or joins its execution,
+// and responds with the output.
 func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	var request api.GenerateRequest
@@ -52,11 +54,11 @@
 	if failure == nil {
 		failure = checkGenerate(&request)
 	} else if failure.Retry {
-		failure.Outcome = api.OutcomeUnknown // it may be the resend of one that ran
+		failure.Outcome = api.OutcomeUnknown // it may be a resend of a request that ran
 	}
-	var reader *execution.Follower
+	var follower *execution.Follower
 	if failure == nil {
-		reader, failure = g.submit(&request)
+		follower, failure = g.submit(&request)
 	}
 	if failure != nil {
 		copied := *failure
@@ -65,15 +67,15 @@
 		writeError(w, &copied)
 		return
 	}
-	defer reader.Close()
-	g.answer(w, r, &request, reader, started)
+	defer follower.Close()
+	g.answer(w, r, &request, follower, started)
 }
 
-// maxFailureLogsPerSecond bounds the log lines about failed requests.
+// maxFailureLogsPerSecond limits the log messages about failed requests.
 const maxFailureLogsPerSecond = 5
 
-// recordRequest counts a finished request, and logs a failed one within the rate
-// limit.
+// recordRequest updates the metrics for a finished request and, within the rate limit,
+// logs its failure.
 func (g *Gateway) recordRequest(request *api.GenerateRequest, failure *api.Error, started time.Time) {
 	g.metrics.observeRequest(request, failure, started)
 	if failure == nil || !g.failureLogs.Allow() {
@@ -83,20 +85,20 @@
 		"outcome", failure.Outcome, "code", failure.Code, "reason", failure.Message, "elapsed", time.Since(started))
 }
 
-// answer copies the output of an execution to the caller. It panics with
-// http.ErrAbortHandler to break the connection where an incomplete answer must not
-// look complete.
-func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, request *api.GenerateRequest, reader *execution.Follower, started time.Time) {
+// answer copies the output of an execution to the caller. To keep an incomplete
+// response from looking complete, it panics with http.ErrAbortHandler, which makes
+// net/http close the connection.
+func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, request *api.GenerateRequest, follower *execution.Follower, started time.Time) {
 	ctx, cancel := context.WithDeadline(r.Context(), started.Add(api.Wait(request.WaitMS)+joinGracePeriod))
 	defer cancel()
 	var writer *stream.Writer
 	for {
-		frames, ended, err := reader.Next(ctx)
+		frames, ended, err := follower.Next(ctx)
 		if errors.Is(err, context.DeadlineExceeded) {
 			ended, err = &execution.Result{Failure: callerDeadlineFailure(request)}, nil
 		}
 		if err != nil {
-			g.recordRequest(request, newError(api.CodeCanceled, api.OutcomeUnknown, "the caller went away"), started)
+			g.recordRequest(request, newError(api.CodeCanceled, api.OutcomeUnknown, "the caller disconnected"), started)
 			panic(http.ErrAbortHandler)
 		}
 		if ended != nil {
@@ -109,22 +111,23 @@
 			writer = stream.NewWriter(w, writeTimeout)
 		}
 		if err := writer.Frames(frames); err != nil {
-			g.recordRequest(request, newError(api.CodeCanceled, api.OutcomeUnknown, "the caller went away"), started)
+			g.recordRequest(request, newError(api.CodeCanceled, api.OutcomeUnknown, "the caller disconnected"), started)
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// callerDeadlineFailure is the error for a caller whose deadline comes before that of
-// the execution that it joined.
+// callerDeadlineFailure returns the error for a caller whose deadline is earlier than
+// that of the execution that it joined.
 func callerDeadlineFailure(request *api.GenerateRequest) *api.Error {
-	failure := newRetryableError(api.CodeDeadline, "the request has no result yet in the caller's time")
+	failure := newRetryableError(api.CodeDeadline, "the request has no result yet at this caller's deadline")
 	failure.Outcome = api.OutcomeUnknown
 	failure.RequestID = request.RequestID
 	return failure
 }
 
-// writeResult writes the end of a response.
+// writeResult writes the result of an execution, which ends the response. The writer is
+// nil if no event of a stream was written yet.
 func writeResult(w http.ResponseWriter, writer *stream.Writer, ended *execution.Result) {
 	switch {
 	case ended.Failure != nil && writer != nil && planted.Active(planted.CleanEnd):
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -9,21 +9,25 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Limits of queueing in other regions.
+// Limits for requests that wait in the queues of other regions.
 const (
-	// maxOverflowWait bounds how long a request waits for capacity in other regions
-	// while its own region accepts nothing.
+	// maxOverflowWait bounds how long a request waits for capacity in other regions when
+	// its own region cannot accept it.
 	maxOverflowWait = 5 * time.Second
-	// maxOverflowWaiters bounds the requests that wait so at the same time.
+	// maxOverflowWaiters bounds the number of requests in such a wait at the same time.
 	maxOverflowWaiters = 512
-	// maxSpillWait bounds the wait in the queue of a less loaded region.
+	// maxSpillWait bounds how long a request that is spilled to a less loaded region waits
+	// in the queue of that region.
 	maxSpillWait = 2 * time.Second
 )
 
-// dispatch returns nil once the result is delivered, otherwise the reason why there
-// is none. A request that can't wait in the queue of its own region, which is
-// evacuated or has lost its replicas, waits in the queues of other regions if none of
-// them has capacity at once. A request that finds no queue is answered at once.
+// dispatch runs the request in one of the regions. It returns nil if a result was
+// delivered, otherwise the error for the caller.
+//
+// The first pass over the regions looks for capacity that is free at once. If the
+// request can't wait in the queue of its own region, because that region is evacuated or
+// has lost its replicas, a second pass waits in the queues of the other regions. If too
+// many requests wait like that, the error is returned without waiting.
 func (r *runner) dispatch(ctx context.Context) *api.Error {
 	failure := r.dispatchOnce(ctx, 0)
 	if failure == nil || !r.canWaitElsewhere(failure) {
@@ -36,8 +40,9 @@
 	return r.dispatchOnce(ctx, min(maxOverflowWait, time.Until(r.route.Deadline)/2))
 }
 
-// canWaitElsewhere reports whether nothing was sent, the own region accepts nothing,
-// and another region may soon have capacity.
+// canWaitElsewhere reports whether the request may wait in the queues of other regions:
+// it has not been sent to any replica, its own region is no candidate, and another one
+// is.
 func (r *runner) canWaitElsewhere(failure *api.Error) bool {
 	if r.forwarded || r.mayHaveRun || r.attempted() {
 		return false
@@ -49,8 +54,8 @@
 	return len(regions) > 0 && !slices.Contains(regions, r.gateway.region())
 }
 
-// dispatchOnce tries the regions in order and waits up to queueWait for capacity in
-// other regions.
+// dispatchOnce tries the regions in the router's order. It waits up to queueWait in
+// total for capacity in other regions.
 func (r *runner) dispatchOnce(ctx context.Context, queueWait time.Duration) *api.Error {
 	queueDeadline := time.Now().Add(queueWait)
 	regions := []string{r.gateway.region()}
@@ -82,14 +87,14 @@
 		}
 	}
 	if lastFailure == nil {
-		return newError(api.CodeDeadline, api.OutcomeRefused, "no time is left")
+		return newError(api.CodeDeadline, api.OutcomeRefused, "the deadline passed before an attempt was made")
 	}
 	return lastFailure
 }
 
-// spillQueueWait is how long a request that was selected for spilling, because the
-// first region is less loaded than its own, may wait in the queue of that region
-// before it enters the queue of its own.
+// spillQueueWait returns how long a spilled request may wait in the queue of the first
+// region. A request is spilled if the router puts a less loaded region before its own;
+// after the wait it enters the queue of its own region.
 func (r *runner) spillQueueWait(regions []string) time.Duration {
 	own := r.gateway.region()
 	if regions[0] == own || !slices.Contains(regions, own) {
@@ -98,8 +103,8 @@
 	return min(maxSpillWait, time.Until(r.route.Deadline)/4)
 }
 
-// dispatchTo runs the request in one region. The wait bounds queueing in another
-// region.
+// dispatchTo runs the request in one region. wait bounds the time in the queue if that
+// is another region.
 func (r *runner) dispatchTo(ctx context.Context, region string, wait time.Duration) attemptResult {
 	if failure := r.gateway.checkServing(); failure != nil {
 		return notStarted(failure)
@@ -110,18 +115,19 @@
 	return r.runLocally(ctx)
 }
 
-// runLocally makes attempts on replicas of the own region.
+// runLocally makes attempts on replicas of this gateway's region until one succeeds or
+// another attempt is not allowed.
 func (r *runner) runLocally(ctx context.Context) attemptResult {
 	for {
 		if failure := r.awaitObservedVersion(ctx); failure != nil {
 			return notStarted(failure)
 		}
-		reservation, elsewhere, failure := r.acquire(ctx)
+		reservation, forwardResult, failure := r.acquire(ctx)
 		if failure != nil {
 			return notStarted(failure)
 		}
 		if reservation == nil {
-			return elsewhere
+			return forwardResult
 		}
 		outcome := r.attempt(ctx, reservation)
 		if outcome.status == statusDelivered || !r.prepareNextAttempt(ctx, reservation, outcome) {
@@ -130,9 +136,10 @@
 	}
 }
 
-// acquire waits for a replica of the own region. If both the reservation and the
-// error are nil, another gateway of the region ran the request, and the attempt's
-// result is set.
+// acquire returns a reservation of a replica in this gateway's region and may wait in
+// the queue for it. If both the reservation and the error are nil, the request was
+// forwarded to another gateway of the region that serves replicas in their warm-up, and
+// the attemptResult is the result of that.
 func (r *runner) acquire(ctx context.Context) (*routing.Reservation, attemptResult, *api.Error) {
 	if reservation := r.reservation; reservation != nil {
 		r.reservation = nil
@@ -145,7 +152,7 @@
 			return reservation, attemptResult{}, nil
 		}
 		if noReplicaUsable(failure) {
-			if outcome, taken := r.forwardForWarmup(ctx, gateways); taken {
+			if outcome, accepted := r.forwardForWarmup(ctx, gateways); accepted {
 				return nil, outcome, nil
 			}
 		}
@@ -154,8 +161,8 @@
 	return reservation, attemptResult{}, failure
 }
 
-// warmupGateways returns the other gateways of the region that send requests to
-// replicas that warm up.
+// warmupGateways returns the other gateways of the region that serve replicas of the
+// service in their warm-up; none for a request that was forwarded here.
 func (r *runner) warmupGateways() []string {
 	if r.forwarded {
 		return nil
@@ -163,15 +170,15 @@
 	return r.gateway.router.WarmupGateways(r.route.Service)
 }
 
-// noReplicaUsable reports whether a refusal means that this gateway may not use any
-// replica of the region.
+// noReplicaUsable reports whether a refusal means that there is no replica in the region
+// that this gateway may use.
 func noReplicaUsable(failure *api.Error) bool {
 	return failure.Code == api.CodeNoCapacity || failure.Code == api.CodeHomeUnavailable
 }
 
-// forwardForWarmup offers the request to the gateways that serve replicas that warm
-// up. It reports whether one of them accepted it. A refusal by a replica counts as
-// accepted, since every further attempt is a retry.
+// forwardForWarmup offers the request to the gateways that serve replicas in their
+// warm-up, and reports whether one of them accepted it. A request that a replica refused
+// there also counts as accepted, since a further attempt would be a retry.
 func (r *runner) forwardForWarmup(ctx context.Context, gateways []string) (attemptResult, bool) {
 	members := r.gateway.agent.Active().Gateways()
 	for _, name := range gateways {
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -7,16 +7,17 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// defaultRetryAfter is the retry delay of refusals whose cause is transient.
+// defaultRetryAfter is the delay that callers are advised to wait before they retry
+// after a transient failure.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// newError returns an error of the API with a formatted message.
+// newError returns an API error with a formatted message.
 func newError(code api.Code, outcome api.Outcome, format string, arguments ...any) *api.Error {
 	return &api.Error{Code: code, Outcome: outcome, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// newRetryableError returns a refusal that the caller may retry after
-// defaultRetryAfter.
+// newRetryableError returns an error with api.OutcomeRefused that advises the caller to
+// retry after defaultRetryAfter.
 func newRetryableError(code api.Code, format string, arguments ...any) *api.Error {
 	failure := newError(code, api.OutcomeRefused, format, arguments...)
 	failure.Retry = true
@@ -24,7 +25,7 @@
 	return failure
 }
 
-// newInvalidError returns a refusal because of one field of the request.
+// newInvalidError returns the error for a request in which one field is invalid.
 func newInvalidError(field, format string, arguments ...any) *api.Error {
 	failure := newError(api.CodeInvalid, api.OutcomeRefused, format, arguments...)
 	failure.Field = field
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -13,11 +13,11 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// defaultExplainRequestID is the id of a request without one. The id decides which
-// requests are spilled, so it is part of the explanation.
+// defaultExplainRequestID is used if the request to explain has no id. Which requests
+// are spilled depends on their ids, so the explanation needs one.
 const defaultExplainRequestID = "explained"
 
-// explanation collects the steps of one decision.
+// explanation collects the steps of the routing decision for one request.
 type explanation struct {
 	gateway *Gateway
 	active  *catalog.State
@@ -25,8 +25,8 @@
 	answer  *api.ExplainAnswer
 }
 
-// serveExplain answers where a request would run. It only reads the state that
-// decides.
+// serveExplain handles api.PathExplain: it answers where a request would run and why. It
+// changes no state.
 func (g *Gateway) serveExplain(w http.ResponseWriter, r *http.Request) {
 	var request api.GenerateRequest
 	if failure := g.readRequest(w, r, &request); failure != nil {
@@ -48,8 +48,8 @@
 	writeJSON(w, http.StatusOK, g.explain(active, &request))
 }
 
-// explain makes the same decisions as for the request itself, without reserving
-// anything.
+// explain makes the same routing decisions as for a real request, but reserves no
+// capacity and sends nothing.
 func (g *Gateway) explain(active *catalog.State, request *api.GenerateRequest) *api.ExplainAnswer {
 	explanation := &explanation{
 		gateway: g,
@@ -83,14 +83,16 @@
 	e.answer.Steps = append(e.answer.Steps, api.ExplainStep{Step: step, Result: result, Reason: fmt.Sprintf(reason, arguments...)})
 }
 
-// refuse records the first refusal, which is the one that the request would get.
+// refuse records why the request would be refused. Only the first refusal is recorded,
+// since a real request would get that one.
 func (e *explanation) refuse(failure *api.Error) {
 	if e.answer.Error == nil {
 		e.answer.Error = failure
 	}
 }
 
-// lease explains whether the gateway may place requests.
+// lease explains whether the gateway has a lease and a copy of the registry, without
+// which it places no requests.
 func (e *explanation) lease() {
 	if failure := e.gateway.checkServing(); failure != nil {
 		e.step("lease", "refused", "%s", failure.Message)
@@ -98,7 +100,7 @@
 		return
 	}
 	remainingMS := e.gateway.agent.Remaining().Milliseconds()
-	e.step("lease", "valid", "%d ms left; configuration version %d, serial %d decide", remainingMS, e.active.Version(), e.active.Serial())
+	e.step("lease", "valid", "%d ms left; requests are placed by configuration version %d, registry serial %d", remainingMS, e.active.Version(), e.active.Serial())
 }
 
 // route explains the route, service and class of the request.
@@ -108,29 +110,29 @@
 		e.step("route", "none", "no route for model %q", e.request.Model)
 		return
 	}
-	e.step("route", e.request.Model, "route of the configuration")
+	e.step("route", e.request.Model, "the configuration has a route for this model")
 	service, known := e.active.Service(route.Service)
 	if !known {
-		e.step("service", "none", "the route names service %q, which is not configured", route.Service)
+		e.step("service", "none", "the route refers to service %q, which is not configured", route.Service)
 		return
 	}
-	e.step("service", route.Service, "named by the route; kind %s", service.Kind)
+	e.step("service", route.Service, "the service of the route; its kind is %s", service.Kind)
 	e.step("class", string(resolved.Class), "%s", classReason(e.request, route))
 }
 
-// classReason says what determined the class of the request.
+// classReason describes what determined the class of the request.
 func classReason(request *api.GenerateRequest, route catalog.Route) string {
 	switch {
 	case request.Class != "":
-		return "named by the request"
+		return "set by the request"
 	case route.Class != "":
-		return "named by the route"
+		return "set by the route"
 	default:
-		return "by the kind of service and whether the answer is streamed"
+		return "derived from the kind of the service and from whether the answer is streamed"
 	}
 }
 
-// home explains the home rules of the request and the regions that satisfy all of
+// home explains which home rules apply to the request and which regions satisfy all of
 // them.
 func (e *explanation) home(resolved *routing.Request) {
 	var rules []string
@@ -147,29 +149,29 @@
 	add("route", route.Home)
 	add("tenant "+e.request.Tenant, tenant.Home)
 	if len(rules) == 0 {
-		e.step("home", "any region", "neither request, route nor tenant names a home rule")
+		e.step("home", "any region", "neither the request, the route nor the tenant has a home rule")
 		return
 	}
 	remaining := strings.Join(resolved.Home, ", ")
 	if remaining == "" {
 		remaining = "no region"
 	}
-	e.step("home", remaining, "regions in common of %s", strings.Join(rules, "; "))
+	e.step("home", remaining, "the regions that these rules have in common: %s", strings.Join(rules, "; "))
 }
 
-// client explains the region of the client.
+// client explains which region the client of the request is assigned to.
 func (e *explanation) client() {
 	own := e.answer.Region
 	if e.request.Client == "" {
-		e.step("client region", own, "the request names no client: the region of this gateway")
+		e.step("client region", own, "the request names no client, so the region of this gateway is used")
 		return
 	}
 	client, known := e.active.Client(e.request.Client)
 	if !known {
-		e.step("client region", own, "client %q is not configured: the region of this gateway", e.request.Client)
+		e.step("client region", own, "client %q is not configured, so the region of this gateway is used", e.request.Client)
 		return
 	}
-	e.step("client region", client.Region, "client %q is served there", e.request.Client)
+	e.step("client region", client.Region, "the configured region of client %q", e.request.Client)
 }
 
 // ticket explains whether the request needs a ticket.
@@ -178,10 +180,11 @@
 		e.step("ticket", "not needed", "the request is repeatable")
 		return
 	}
-	e.step("ticket", "needed", "the request must not run twice: it goes where %s sends it, by the same steps", api.PathWhere)
+	e.step("ticket", "needed", "the request must not run twice: send it to the gateway that %s returns, which is chosen by the same steps", api.PathWhere)
 }
 
-// regions explains the order of the regions, and the replicas of the own one.
+// regions explains the order in which the regions are tried, and the choice of a replica
+// in this gateway's region.
 func (e *explanation) regions(resolved *routing.Request) {
 	order := e.gateway.router.Regions(*resolved)
 	service := e.service(resolved.Service)
@@ -200,12 +203,13 @@
 		e.step("regions", "none", "%s", failure.Message)
 		e.refuse(failure)
 	} else {
-		e.step("regions", strings.Join(order, ", "), "order of attempts; %.0f%% of this region's own requests are sent elsewhere now", 100*spillFraction(&service))
+		e.step("regions", strings.Join(order, ", "), "the order in which they are tried; %.0f%% of this region's own requests are currently sent to other regions", 100*spillFraction(&service))
 	}
 	e.replicas(resolved, &service, order)
 }
 
-// service returns the status of a service; its zero value if there is none.
+// service returns the status of a service, or the zero value if the router does not know
+// it.
 func (e *explanation) service(name string) routing.ServiceStatus {
 	for _, service := range e.gateway.router.Status().Services {
 		if service.Service == name {
@@ -215,7 +219,8 @@
 	return routing.ServiceStatus{}
 }
 
-// replicas explains the choice of the replica.
+// replicas lists the replicas of this gateway's region and explains how one of them is
+// chosen.
 func (e *explanation) replicas(resolved *routing.Request, service *routing.ServiceStatus, order []string) {
 	tokens := float64(resolved.PromptTokens)
 	for _, prefix := range resolved.Prefixes {
@@ -236,14 +241,14 @@
 		return
 	}
 	if order[0] != e.answer.Region {
-		e.step("replica", "chosen there", "a gateway of region %s is asked for a slot; the replicas below are those of region %s", order[0], e.answer.Region)
+		e.step("replica", "chosen there", "a gateway of region %s chooses the replica; the replicas listed here are those of region %s", order[0], e.answer.Region)
 		return
 	}
-	e.step("replica", fmt.Sprintf("one of %d usable", service.Usable), "least expected first token, and what the prefix costs elsewhere; %d wait in the queue", service.Queued)
+	e.step("replica", fmt.Sprintf("one of %d usable", service.Usable), "the one with the lowest cost: the expected time to the first token, plus the delay that the prefill of an uncached prefix causes for other requests on the replica; %d requests are queued", service.Queued)
 }
 
-// replicaState says why a replica gets no new requests from this gateway, the most
-// permanent reason first.
+// replicaState describes whether this gateway sends new requests to a replica. If it
+// does not for several reasons, the most permanent one is given.
 func replicaState(member *routing.ReplicaStatus) string {
 	switch {
 	case member.Draining:
@@ -251,19 +256,19 @@
 	case member.StateUnknown:
 		return "unknown: the last poll was not answered"
 	case member.Ejected:
-		return "ejected: it fails more than the others"
+		return "ejected: its requests fail more often than those of other replicas"
 	case member.WarmingUp && !member.Usable:
-		return "cold: another gateway feeds it"
+		return "cold: another gateway serves it during its warm-up"
 	case member.WarmingUp:
-		return "usable, cold: fed by this gateway"
+		return "usable, cold: this gateway serves it during its warm-up"
 	case !member.Usable:
-		return "closed: suspected, evacuated, or its condition is not up"
+		return "closed: it is suspected to have failed, its zone is evacuated, or its condition is not up"
 	default:
 		return "usable"
 	}
 }
 
-// freshnessName is the name of a freshness in the API.
+// freshnessName returns the API's name for the freshness of a region's load.
 func freshnessName(freshness placement.LoadFreshness) string {
 	switch freshness {
 	case placement.Fresh:
@@ -275,11 +280,12 @@
 	}
 }
 
-// spillController is the controller of a service whose output is the fraction of the
-// region's own requests that are spilled.
+// spillController is the name of the feedback controller whose output is the fraction of
+// a service's requests in this region that are spilled to other regions.
 const spillController = "utilization"
 
-// spillFraction returns the fraction of a service's own requests that are spilled.
+// spillFraction returns the fraction of a service's requests in this region that are
+// spilled to other regions.
 func spillFraction(service *routing.ServiceStatus) float64 {
 	for _, controller := range service.Controllers {
 		if controller.Name == spillController {
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -16,7 +16,8 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// postExplain sends a request to the explain path of a gateway's operators' port.
+// postExplain sends a request to the explain path of a gateway's operators' port, and
+// returns the status and the answer.
 func postExplain(t *testing.T, n *node, request api.GenerateRequest) (int, api.ExplainAnswer) {
 	t.Helper()
 	body, err := json.Marshal(request)
@@ -37,29 +38,29 @@
 	return response.StatusCode, answer
 }
 
-// lastingLoads is a router to which the first report of a region's load is as recent
-// for a minute, so that a busy machine, on which later reports are late, does not
-// change the decisions between two questions.
-type lastingLoads struct {
+// persistentLoads is a router that treats the first report of a region's load as recent
+// for a minute. Otherwise late reports on a busy machine could change the routing
+// decision between the explanation and the request.
+type persistentLoads struct {
 	Router
 	reported sync.Once
 }
 
-func (l *lastingLoads) SetRemoteLoad(region string, load map[string]float64, at time.Time) {
-	l.Router.SetRemoteLoad(region, load, at)
-	l.reported.Do(func() {
-		// In steps of the usual interval: a longer gap would count as an outage.
+func (p *persistentLoads) SetRemoteLoad(region string, load map[string]float64, at time.Time) {
+	p.Router.SetRemoteLoad(region, load, at)
+	p.reported.Do(func() {
+		// Reported in steps of gossipInterval, since a longer gap would count as an outage.
 		for age := gossipInterval; age <= time.Minute; age += gossipInterval {
-			l.Router.SetRemoteLoad(region, load, at.Add(age))
+			p.Router.SetRemoteLoad(region, load, at.Add(age))
 		}
 	})
 }
 
-// TestExplainAgreesWithWhatHappens compares explanations with where the requests then
-// run, and verifies that explaining sends nothing to replicas.
-func TestExplainAgreesWithWhatHappens(t *testing.T) {
+// TestExplainMatchesPlacement compares explanations with the regions in which the
+// requests then run, and checks that an explanation sends nothing to replicas.
+func TestExplainMatchesPlacement(t *testing.T) {
 	f := newFleet(t)
-	f.primary.set(func(p *primary) {
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(
 			registry.Add(catalog.HomeRecord("at-south", catalog.Home{Regions: []string{"south"}})),
 			registry.Add(catalog.HomeRecord("at-north", catalog.Home{Regions: []string{"north"}})),
@@ -69,11 +70,11 @@
 	})
 	replicas := []*fakeReplica{f.replica("r1", "north"), f.replica("r2", "south")}
 	north := f.gateway("g1", "north", "a", func(options *Options) {
-		options.Router = &lastingLoads{Router: options.newRouter()}
+		options.Router = &persistentLoads{Router: options.newRouter()}
 	})
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
-	waitFor(t, "the load of the other region", func() bool {
+	f.awaitReady(north, south)
+	waitFor(t, "the report of the other region's load", func() bool {
 		for _, region := range north.router.Status().Services[0].Regions {
 			if region.Name == "south" && region.LoadFreshness == 1 {
 				return true
@@ -84,11 +85,11 @@
 	cases := []struct {
 		name   string
 		change func(*api.GenerateRequest)
-		region string // empty is refused
+		region string // empty if the request is refused
 		steps  map[string]string
 		code   api.Code
 	}{
-		{"plain", func(*api.GenerateRequest) {}, "north", map[string]string{"route": "m", "service": "explain", "class": "quick", "home": "any region", "client region": "north"}, ""},
+		{"no special fields", func(*api.GenerateRequest) {}, "north", map[string]string{"route": "m", "service": "explain", "class": "quick", "home": "any region", "client region": "north"}, ""},
 		{"home of the tenant", func(r *api.GenerateRequest) { r.Tenant = "bank" }, "south", map[string]string{"home": "south", "regions": "south"}, ""},
 		{"homes without a common region", func(r *api.GenerateRequest) { r.Tenant, r.Home = "bank", "at-north" }, "", map[string]string{"home": "no region"}, api.CodeHomeUnavailable},
 		{"client of another region", func(r *api.GenerateRequest) { r.Client = "near-south" }, "south", map[string]string{"client region": "south"}, ""},
@@ -101,7 +102,7 @@
 		before := len(replicas[0].requests()) + len(replicas[1].requests())
 		status, answer := postExplain(t, north, request)
 		if after := len(replicas[0].requests()) + len(replicas[1].requests()); status != http.StatusOK || after != before {
-			t.Fatalf("%s: status %d, %d requests sent by explaining", c.name, status, after-before)
+			t.Fatalf("%s: status %d, %d requests sent to replicas by the explanation", c.name, status, after-before)
 		}
 		got := map[string]string{}
 		for _, step := range answer.Steps {
@@ -110,7 +111,7 @@
 			}
 		}
 		if difference := cmp.Diff(c.steps, got); difference != "" {
-			t.Errorf("%s: %s", c.name, difference)
+			t.Errorf("%s: steps (-want +got): %s", c.name, difference)
 		}
 		first := ""
 		for _, region := range answer.Regions {
@@ -119,23 +120,23 @@
 			}
 		}
 		if first != c.region {
-			t.Errorf("%s: explained %q", c.name, first)
+			t.Errorf("%s: unexpected first region %q in the explanation", c.name, first)
 		}
 		ran := north.send(t, request)
 		if ran.answer.Region != c.region {
-			t.Errorf("%s: ran in %q, explained %q", c.name, ran.answer.Region, c.region)
+			t.Errorf("%s: the request ran in region %q, want %q", c.name, ran.answer.Region, c.region)
 		}
 		if c.code != "" && (answer.Error == nil || answer.Error.Code != c.code || ran.failure == nil || ran.failure.Code != c.code) {
-			t.Errorf("%s: explained %v, answered %v", c.name, answer.Error, ran.failure)
+			t.Errorf("%s: error in the explanation %v, error of the request %v", c.name, answer.Error, ran.failure)
 		}
 	}
 	if status, _ := postExplain(t, north, api.GenerateRequest{Model: "m"}); status != http.StatusBadRequest {
-		t.Errorf("without max_tokens: status %d", status)
+		t.Errorf("explanation of a request without max_tokens: status %d", status)
 	}
-	f.primary.set(func(p *primary) {
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(registry.Add(catalog.DrainRecord("r1", catalog.Drain{})))
 	})
-	waitFor(t, "the drained replica", func() bool {
+	waitFor(t, "the replica to be explained as draining", func() bool {
 		_, answer := postExplain(t, north, newRequest("drained"))
 		return len(answer.Replicas) == 1 && answer.Replicas[0].State == "draining"
 	})
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -25,14 +25,15 @@
 )
 
 // testTimeout bounds the wait for an event that must happen. A test that passes never
-// waits for so long.
+// waits that long.
 const testTimeout = 15 * time.Second
 
-// testLeaseConfig renews often and lasts long, so that no lease expires on a busy
-// machine.
+// testLeaseConfig has frequent renewals and long leases, so that no lease expires on a
+// busy machine.
 var testLeaseConfig = lease.Config{Duration: 30 * time.Second, ClockDriftMargin: time.Second, MaxQuorumContactAge: time.Second, RenewalInterval: 50 * time.Millisecond}
 
-// waitFor polls until the condition holds, and fails the test after testTimeout.
+// waitFor polls until the condition is true, and fails the test after testTimeout. what
+// describes the expected event.
 func waitFor(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
@@ -40,25 +41,25 @@
 			return
 		}
 	}
-	tb.Fatalf("%s did not happen in time", what)
+	tb.Fatalf("timed out waiting for %s", what)
 }
 
-// primary grants leases to every gateway and holds the registry.
-type primary struct {
+// fakePrimary is a primary that grants leases to all gateways and holds the registry.
+type fakePrimary struct {
 	mutex           sync.Mutex
 	table           *registry.Table
-	rejectRenewals  bool   // grants nothing
-	activationLimit uint32 // limit of activation; 0 is the newest serial
+	rejectRenewals  bool   // no lease is granted
+	activationLimit uint32 // newest serial that may be activated; 0 permits all
 	operations      []peer.OperationRequest
 }
 
-func newPrimary(tb testing.TB, network transport.Network) *primary {
+func newFakePrimary(tb testing.TB, network transport.Network) *fakePrimary {
 	tb.Helper()
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control", Serial: 1}, []string{"control"})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	p := &primary{table: table}
+	p := &fakePrimary{table: table}
 	network.Handle(peer.KindRenew, p.renew)
 	network.Handle(peer.KindUpdate, p.update)
 	network.Handle(peer.KindOperation, p.submitOperation)
@@ -69,7 +70,7 @@
 	return p
 }
 
-func (p *primary) renew(_ context.Context, _ string, decode func(any) error) (any, error) {
+func (p *fakePrimary) renew(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var renew peer.Renew
 	if err := decode(&renew); err != nil {
 		return nil, err
@@ -98,7 +99,7 @@
 	return grant, nil
 }
 
-func (p *primary) update(_ context.Context, _ string, decode func(any) error) (any, error) {
+func (p *fakePrimary) update(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.UpdateRequest
 	if err := decode(&request); err != nil {
 		return nil, err
@@ -109,7 +110,7 @@
 	return &peer.UpdateReply{Code: result.Code, Serial: result.Serial}, nil
 }
 
-func (p *primary) submitOperation(_ context.Context, _ string, decode func(any) error) (any, error) {
+func (p *fakePrimary) submitOperation(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.OperationRequest
 	if err := decode(&request); err != nil {
 		return nil, err
@@ -120,14 +121,14 @@
 	return &peer.OperationReply{Answer: &api.OperationResult{Accepted: true}}, nil
 }
 
-func (p *primary) apply(changes ...registry.Record) {
+func (p *fakePrimary) apply(changes ...registry.Record) {
 	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := p.table.Apply(&update, nil); result.Code != registry.NoError {
-		panic(fmt.Sprintf("update: %v at %s %d", result.Code, result.Section, result.FailedIndex))
+		panic(fmt.Sprintf("applying an update: %v at %s %d", result.Code, result.Section, result.FailedIndex))
 	}
 }
 
-func (p *primary) set(change func(*primary)) {
+func (p *fakePrimary) set(change func(*fakePrimary)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	change(p)
@@ -136,20 +137,20 @@
 // answerFunc answers one request as a replica.
 type answerFunc func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest)
 
-// fakeReplica answers with the function that a test sets, and records the requests
-// that reach it.
+// fakeReplica is a replica that answers with the function that the test sets, and records
+// the requests that it receives.
 type fakeReplica struct {
 	name    string
 	server  *httptest.Server
 	answer  atomic.Pointer[answerFunc]
-	version atomic.Uint64 // reported
-	// draining is reported.
+	version atomic.Uint64 // configuration version in its reports
+	// draining is the draining state in its reports.
 	draining atomic.Bool
 
 	mutex        sync.Mutex
 	received     []api.ReplicaRequest
 	incarnation  string
-	blockReports chan struct{} // reports wait until it is closed, if it is set
+	blockReports chan struct{} // if not nil, reports are delayed until it is closed
 }
 
 func newFakeReplica(tb testing.TB, name string) *fakeReplica {
@@ -215,15 +216,15 @@
 	w.Write(stream.AppendFrame(nil, api.EventEnd, data))
 }
 
-// fleet is a primary, gateways and replicas in one process.
+// fleet runs a primary, gateways and replicas in the process of the test.
 type fleet struct {
-	t       testing.TB
-	memory  *transport.Memory
-	primary *primary
-	skew    atomic.Int64 // added to every gateway's clock
+	t           testing.TB
+	memory      *transport.Memory
+	primary     *fakePrimary
+	clockOffset atomic.Int64 // added to every gateway's clock
 }
 
-// node is one gateway of a fleet.
+// node is a gateway of a fleet, with its server for callers.
 type node struct {
 	*Gateway
 	url     string
@@ -234,8 +235,8 @@
 func newFleet(tb testing.TB) *fleet {
 	tb.Helper()
 	memory := transport.NewMemory()
-	f := &fleet{t: tb, memory: memory, primary: newPrimary(tb, memory.Node("control", "control"))}
-	f.primary.set(func(p *primary) {
+	f := &fleet{t: tb, memory: memory, primary: newFakePrimary(tb, memory.Node("control", "control"))}
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(
 			registry.Add(catalog.ConfigurationRecord(catalog.Configuration{Version: 1})),
 			registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 64})),
@@ -252,7 +253,7 @@
 
 func (f *fleet) replica(name, region string) *fakeReplica {
 	replica := newFakeReplica(f.t, name)
-	f.primary.set(func(p *primary) {
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(registry.Add(catalog.ReplicaRecord(name, catalog.Replica{
 			Service: "explain", Zone: region + "-1", Region: region, Address: replica.server.Listener.Addr().String(),
 		})))
@@ -277,7 +278,7 @@
 		TicketKeys:      [][]byte{bytes.Repeat([]byte{7}, 32)},
 		LeaseConfig:     testLeaseConfig,
 		Network:         network,
-		Clock:           func() time.Duration { return time.Since(started) + time.Duration(f.skew.Load()) },
+		Clock:           func() time.Duration { return time.Since(started) + time.Duration(f.clockOffset.Load()) },
 		PollInterval:    20 * time.Millisecond,
 		PollTimeout:     testTimeout,
 		ShutdownTimeout: 10 * time.Millisecond,
@@ -304,11 +305,11 @@
 	return &node{Gateway: g, url: "http://" + listener.Addr().String(), network: network, stop: stop}
 }
 
-// ready waits until the gateways serve requests and know each other and their
-// replicas.
-func (f *fleet) ready(nodes ...*node) {
+// awaitReady waits until the gateways can place requests, know each other, and may use
+// all replicas of their region.
+func (f *fleet) awaitReady(nodes ...*node) {
 	f.t.Helper()
-	waitFor(f.t, "ready gateways", func() bool {
+	waitFor(f.t, "the gateways to become ready", func() bool {
 		for _, n := range nodes {
 			if n.checkServing() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
 				return false
@@ -323,18 +324,18 @@
 	})
 }
 
-// reply is what a caller received.
+// reply is the response that a caller received.
 type reply struct {
 	status  int
 	answer  api.GenerateAnswer
 	failure *api.Error
 	chunks  int
 	ended   *api.StreamEnd
-	broken  error // of reading the body
+	broken  error // error of reading the body
 	header  http.Header
 }
 
-// outcome is the outcome that the caller sees.
+// outcome describes the response in the form "success" or "code/outcome".
 func (r *reply) outcome() string {
 	switch {
 	case r.failure != nil:
@@ -377,7 +378,7 @@
 			Error *api.Error `json:"error"`
 		}
 		if err := json.Unmarshal(body, &wrapped); err != nil {
-			tb.Fatalf("answer %q: %v", body, err)
+			tb.Fatalf("decoding the answer %q: %v", body, err)
 		}
 		got.answer, got.failure = wrapped.GenerateAnswer, wrapped.Error
 		return got
@@ -396,13 +397,13 @@
 		}
 	}
 	if err != nil && got.broken == nil {
-		tb.Fatalf("event: %v", err)
+		tb.Fatalf("decoding an event: %v", err)
 	}
 	return got
 }
 
-// where asks a gateway where to send a request and returns the request with its
-// ticket.
+// where asks the gateway where to send a request. It returns the request with the ticket,
+// and the answer.
 func (n *node) where(tb testing.TB, request api.GenerateRequest) (api.GenerateRequest, *api.WhereAnswer) {
 	tb.Helper()
 	whereRequest := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS, Repeatable: request.Repeatable, Home: request.Home}
@@ -420,8 +421,8 @@
 	return request, &answer
 }
 
-// requestOwnedBy tries ids until the gateway owns the request, and returns it with
-// its ticket.
+// requestOwnedBy returns a request with a ticket that this gateway issued. It tries
+// different request ids, since the id determines the owner.
 func (n *node) requestOwnedBy(tb testing.TB, request api.GenerateRequest) api.GenerateRequest {
 	tb.Helper()
 	for try := range 64 {
@@ -432,7 +433,7 @@
 			return candidate
 		}
 	}
-	tb.Fatalf("%s owns none of 64 requests", n.options.Info.Name)
+	tb.Fatalf("gateway %s issued none of 64 tickets", n.options.Info.Name)
 	return request
 }
 
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -11,17 +11,19 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Limits of forwarding to another region.
+// Limits for forwarding requests to other gateways.
 const (
-	// maxPeersTried bounds the gateways of one region that are asked.
+	// maxPeersTried bounds how many gateways of one region are tried.
 	maxPeersTried = 2
-	// reserveTimeout bounds the wait for the reply to an offer, beside queueing.
-	reserveTimeout = 500 * time.Millisecond
-	// cancelTimeout bounds the wait for the confirmation of a cancellation.
-	cancelTimeout = time.Second
+	// offerTimeout bounds the wait for the reply to an offer, in addition to the time that
+	// the request may wait in the other gateway's queue.
+	offerTimeout = 500 * time.Millisecond
+	// withdrawTimeout bounds the wait for the confirmation of a withdrawal.
+	withdrawTimeout = time.Second
 )
 
-// peersInRegion returns up to limit available gateways of a region, in random order.
+// peersInRegion returns up to limit other available gateways of a region, in random
+// order.
 func (g *Gateway) peersInRegion(region string, limit int) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
@@ -39,8 +41,8 @@
 	return members[:min(len(members), limit)]
 }
 
-// forwardToRegion forwards the request to a gateway of another region, in whose queue
-// the request may wait.
+// forwardToRegion forwards the request to a gateway of another region. The request may
+// wait there in the queue for up to wait.
 func (r *runner) forwardToRegion(ctx context.Context, region string, wait time.Duration) attemptResult {
 	lastResult := notStarted(newRetryableError(api.CodeNoCapacity, "no gateway of region %s can be reached", region))
 	for _, member := range r.gateway.peersInRegion(region, maxPeersTried) {
@@ -49,53 +51,55 @@
 			return outcome
 		}
 		lastResult = outcome
-		wait = 0 // used up by a gateway that did not answer
+		wait = 0 // only the first gateway that is tried may queue the request
 		if !outcome.unsent {
-			break // the region has answered
+			break // a gateway of the region replied, so no other one is tried
 		}
 	}
 	return lastResult
 }
 
-// forward reserves capacity at one gateway and, if that is granted, runs the request
-// there. A reservation alone runs nothing, so that one without a reply may expire.
+// forward offers the request to another gateway and, if that grants the offer, runs the
+// request there. A granted offer that is not run expires, so nothing runs if the reply
+// to the offer is lost.
 func (r *runner) forward(ctx context.Context, member catalog.Gateway, wait time.Duration) attemptResult {
 	g := r.gateway
 	offer := r.newOffer()
 	offer.WaitMS = wait.Milliseconds()
-	callContext, cancel := context.WithTimeout(ctx, reserveTimeout+wait)
+	callContext, cancel := context.WithTimeout(ctx, offerTimeout+wait)
 	var reply peer.OfferReply
 	err := g.options.Network.Call(callContext, member.PeerAddress, peer.KindOffer, offer, &reply)
 	cancel()
 	if err != nil {
 		g.metrics.spills.WithLabelValues("unanswered").Inc()
 		if wait > 0 {
-			g.cancelUnused(member.PeerAddress, offer.OfferID, member.Incarnation)
+			g.withdrawInBackground(member.PeerAddress, offer.OfferID, member.Incarnation)
 		}
-		return notSent(newRetryableError(api.CodeNoCapacity, "the other region does not answer"))
+		return notSent(newRetryableError(api.CodeNoCapacity, "the other gateway did not reply to the offer"))
 	}
 	if !reply.Granted {
 		g.metrics.spills.WithLabelValues("declined").Inc()
 		return notStarted(declinedFailure(reply.Error))
 	}
 	if failure := g.checkServing(); failure != nil {
-		g.cancelUnused(member.PeerAddress, offer.OfferID, reply.Incarnation)
+		g.withdrawInBackground(member.PeerAddress, offer.OfferID, reply.Incarnation)
 		return notSent(failure)
 	}
-	return r.runReserved(ctx, member.PeerAddress, offer.OfferID, reply.Incarnation)
+	return r.runOffer(ctx, member.PeerAddress, offer.OfferID, reply.Incarnation)
 }
 
-// declinedFailure returns the refusal of a declined offer, which ran nothing.
+// declinedFailure returns the error for an offer that was declined. Its outcome is
+// api.OutcomeRefused, since a declined request was not run.
 func declinedFailure(failure *api.Error) *api.Error {
 	if failure == nil {
-		return newRetryableError(api.CodeNoCapacity, "the other region takes nothing")
+		return newRetryableError(api.CodeNoCapacity, "the other gateway declined the offer")
 	}
 	copied := *failure
-	copied.Outcome = api.OutcomeRefused // an offer runs nothing
+	copied.Outcome = api.OutcomeRefused // an offer does not run the request
 	return &copied
 }
 
-// newOffer returns the message that requests a reservation.
+// newOffer returns the message that offers the request to another gateway.
 func (r *runner) newOffer() *peer.Offer {
 	g := r.gateway
 	info := g.options.Info
@@ -117,19 +121,20 @@
 	return offer
 }
 
-// cancelUnused cancels a reservation in the background.
-func (g *Gateway) cancelUnused(address, offerID, incarnation string) {
-	g.active.begin()
+// withdrawInBackground withdraws an offer that will not be run, without waiting for the
+// confirmation.
+func (g *Gateway) withdrawInBackground(address, offerID, incarnation string) {
+	g.activity.begin()
 	go func() {
-		defer g.active.end()
-		g.cancelReservation(g.runContext, address, offerID, incarnation)
+		defer g.activity.end()
+		g.withdrawOffer(g.runContext, address, offerID, incarnation)
 	}()
 }
 
-// cancelReservation reports whether the peer confirmed that the reserved request
-// never ran and never will.
-func (g *Gateway) cancelReservation(ctx context.Context, address, offerID, incarnation string) bool {
-	callContext, cancel := context.WithTimeout(ctx, cancelTimeout)
+// withdrawOffer withdraws an offer and reports whether the peer confirmed that the
+// request never ran there and never will.
+func (g *Gateway) withdrawOffer(ctx context.Context, address, offerID, incarnation string) bool {
+	callContext, cancel := context.WithTimeout(ctx, withdrawTimeout)
 	defer cancel()
 	var reply peer.WithdrawReply
 	request := &peer.Withdraw{OfferID: offerID, Incarnation: incarnation}
@@ -137,16 +142,17 @@
 	return err == nil && reply.NeverRan
 }
 
-// runReserved runs a request with a reservation at a peer and copies its output.
-func (r *runner) runReserved(ctx context.Context, address, offerID, incarnation string) attemptResult {
+// runOffer runs the request of a granted offer at the peer that granted it, and copies
+// the output to the execution.
+func (r *runner) runOffer(ctx context.Context, address, offerID, incarnation string) attemptResult {
 	g := r.gateway
 	streamContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	events, err := g.options.Network.OpenStream(streamContext, address, peer.KindRun, &peer.Run{OfferID: offerID, Incarnation: incarnation})
 	if err != nil {
-		g.cancelUnused(address, offerID, incarnation)
+		g.withdrawInBackground(address, offerID, incarnation)
 		g.metrics.spills.WithLabelValues("unanswered").Inc()
-		return notSent(newRetryableError(api.CodeNoCapacity, "the other region cannot be reached"))
+		return notSent(newRetryableError(api.CodeNoCapacity, "the other gateway could not be reached"))
 	}
 	defer closeStream(events)
 	r.retryAvailable = false
@@ -157,7 +163,8 @@
 	return r.completeForward(final)
 }
 
-// completeForward returns the result of a run that its peer completed.
+// completeForward returns the result of a forwarded request for which the peer sent a
+// result.
 func (r *runner) completeForward(final *execution.Result) attemptResult {
 	failure := final.Failure
 	if failure == nil {
@@ -182,20 +189,20 @@
 	return r.recordIndeterminate(failure)
 }
 
-// classifyForwardError returns the result of a run whose events broke off. Only a
-// confirmed cancellation means that it never ran.
+// classifyForwardError returns the result of a forwarded request whose events ended
+// before its result. Only a confirmed withdrawal means that the request never ran.
 func (r *runner) classifyForwardError(ctx context.Context, address, offerID, incarnation string) attemptResult {
 	g := r.gateway
 	g.metrics.spills.WithLabelValues("broken").Inc()
 	if r.execution.HasOutput() {
-		failure := newError(api.CodeReplicaBroken, api.OutcomeFailed, "the connection to the other region broke")
+		failure := newError(api.CodeReplicaBroken, api.OutcomeFailed, "the connection to the other gateway broke")
 		r.mayHaveRun = true
 		r.deliver(&execution.Result{Failure: failure})
 		return attemptResult{status: statusDelivered}
 	}
-	if ctx.Err() == nil && g.cancelReservation(ctx, address, offerID, incarnation) {
-		return notStarted(newRetryableError(api.CodeNoCapacity, "the connection to the other region broke before the run"))
+	if ctx.Err() == nil && g.withdrawOffer(ctx, address, offerID, incarnation) {
+		return notStarted(newRetryableError(api.CodeNoCapacity, "the connection to the other gateway broke before the request ran"))
 	}
 	r.remoteAttempts++
-	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the other region broke"))
+	return r.recordIndeterminate(newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the other gateway broke"))
 }
--- a/gateway/forward_test.go
+++ b/gateway/forward_test.go
@@ -12,13 +12,15 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// TestSpill runs requests in another region, then loses the connection to it.
-func TestSpill(t *testing.T) {
+// TestForwardToOtherRegion forwards requests to another region, and then breaks the
+// connection between the gateways while a forwarded request runs. The outcome of that
+// request must be unknown, also when it is resent, and it must run only once.
+func TestForwardToOtherRegion(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
+	f.awaitReady(north, south)
 	northTicket := func(id string) api.GenerateRequest {
 		request := newRequest(id)
 		answer, failure := north.issueTicket(&api.WhereRequest{RequestID: id, Model: "m", WaitMS: request.WaitMS})
@@ -29,15 +31,15 @@
 		return request
 	}
 	if got := north.send(t, northTicket("whole")); got.outcome() != "success" || got.answer.Region != "south" {
-		t.Fatalf("got %s in %q", got.outcome(), got.answer.Region)
+		t.Fatalf("outcome %s in region %q, want success in south", got.outcome(), got.answer.Region)
 	}
 	streamed := northTicket("streamed")
 	streamed.Stream = true
 	if got := north.send(t, streamed); got.outcome() != "success" || got.chunks != 5 || got.ended.Replica != "r1" {
-		t.Fatalf("got %s with %d chunks", got.outcome(), got.chunks)
+		t.Fatalf("outcome %s with %d chunks, want success with 5", got.outcome(), got.chunks)
 	}
-	if _, where := north.where(t, newRequest("asked")); where.Region != "south" || "http://"+where.Gateway != south.url {
-		t.Fatalf("sent to %s in %s", where.Gateway, where.Region)
+	if _, where := north.where(t, newRequest("directed")); where.Region != "south" || "http://"+where.Gateway != south.url {
+		t.Fatalf("the caller was directed to %s in region %s", where.Gateway, where.Region)
 	}
 	started := make(chan struct{})
 	replica.setAnswer(func(_ http.ResponseWriter, r *http.Request, _ *api.ReplicaRequest) {
@@ -51,28 +53,28 @@
 	f.memory.Partition("g2", "g1")
 	f.memory.Partition("g1", "g2")
 	if got := <-done; got.outcome() != "replica_broken/unknown" {
-		t.Fatalf("got %s", got.outcome())
+		t.Fatalf("outcome %s, want replica_broken/unknown", got.outcome())
 	}
 	if got := north.send(t, lost); got.outcome() != "replica_broken/unknown" {
-		t.Fatalf("resent: got %s", got.outcome())
+		t.Fatalf("resent request: outcome %s, want replica_broken/unknown", got.outcome())
 	}
 	if reached := len(replica.requests()); reached != 3 {
-		t.Fatalf("reached the replica %d times", reached)
+		t.Fatalf("the replica received %d requests, want 3", reached)
 	}
 }
 
-// TestRefusedForwardCountsAsAttempt has a replica of another region refuse a
-// forwarded request. The next attempt, in the own region, is a retry: it needs
-// budget, and its stamp is that of the second attempt.
+// TestRefusedForwardCountsAsAttempt lets a replica of another region refuse a forwarded
+// request. The next attempt, in the gateway's own region, is a retry: it needs budget, and
+// its stamp must have the attempt number 2.
 func TestRefusedForwardCountsAsAttempt(t *testing.T) {
 	f := newFleet(t)
-	f.primary.set(func(p *primary) {
-		p.apply(registry.Add(catalog.ClientRecord("southerner", catalog.Client{Region: "south"})))
+	f.primary.set(func(p *fakePrimary) {
+		p.apply(registry.Add(catalog.ClientRecord("south-client", catalog.Client{Region: "south"})))
 	})
 	remote, local := f.replica("far", "south"), f.replica("near", "north")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
+	f.awaitReady(north, south)
 	remote.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 	})
@@ -81,38 +83,39 @@
 		request.Repeatable, request.Client = true, client
 		return north.send(t, request)
 	}
-	if got := send("without budget", "southerner"); got.outcome() != "overloaded/refused" {
-		t.Errorf("without budget: %s", got.outcome())
+	if got := send("without budget", "south-client"); got.outcome() != "overloaded/refused" {
+		t.Errorf("without budget: outcome %s, want overloaded/refused", got.outcome())
 	}
 	if attempts := len(local.requests()); attempts != 0 {
-		t.Errorf("retried %d times without budget", attempts)
+		t.Errorf("%d attempts in the local region without budget, want none", attempts)
 	}
-	for range 60 { // earns budget
+	for range 60 { // adds to the retry budget
 		if got := send("warm", ""); got.outcome() != "success" {
 			t.Fatal(got.outcome())
 		}
 	}
-	if got := send("with budget", "southerner"); got.outcome() != "success" {
-		t.Fatalf("with budget: %s", got.outcome())
+	if got := send("with budget", "south-client"); got.outcome() != "success" {
+		t.Fatalf("with budget: outcome %s, want success", got.outcome())
 	}
 	reached := local.requests()
 	last := reached[len(reached)-1]
 	if last.RequestID != "with budget" || last.Stamp.Attempt != 2 {
-		t.Fatalf("%s is attempt %d", last.RequestID, last.Stamp.Attempt)
+		t.Fatalf("last request %q has attempt number %d in its stamp", last.RequestID, last.Stamp.Attempt)
 	}
 }
 
-// TestOverflowRequestsWaitForCapacity sends a request to a gateway whose region has
-// no replicas while the only replica of the other region is full.
+// TestOverflowRequestsWaitForCapacity sends a request to a gateway whose region has no
+// replicas, while the only replica of the other region is fully used. The request must
+// wait in the queue of the other region and then run there.
 func TestOverflowRequestsWaitForCapacity(t *testing.T) {
 	f := newFleet(t)
-	f.primary.set(func(p *primary) {
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
 	})
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
+	f.awaitReady(north, south)
 	release := make(chan struct{})
 	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		select {
@@ -124,31 +127,31 @@
 	first, _ := south.where(t, newRequest("first"))
 	done := make(chan *reply, 2)
 	go func() { done <- south.send(t, first) }()
-	waitFor(t, "the full replica", func() bool { return len(replica.requests()) == 1 })
-	overflow := newRequest("displaced")
+	waitFor(t, "the replica to be fully used", func() bool { return len(replica.requests()) == 1 })
+	overflow := newRequest("overflow")
 	answer, failure := north.issueTicket(&api.WhereRequest{RequestID: overflow.RequestID, Model: "m", WaitMS: overflow.WaitMS})
 	if failure != nil {
 		t.Fatal(failure)
 	}
 	overflow.Ticket = answer.Ticket
 	go func() { done <- north.send(t, overflow) }()
-	waitFor(t, "an offer in the queue", func() bool { return south.router.Status().Services[0].Queued == 1 })
+	waitFor(t, "the offer to be queued", func() bool { return south.router.Status().Services[0].Queued == 1 })
 	close(release)
 	for range 2 {
 		if got := <-done; got.outcome() != "success" {
-			t.Errorf("got %s", got.outcome())
+			t.Errorf("outcome %s, want success", got.outcome())
 		}
 	}
 	if reached := len(replica.requests()); reached != 2 {
-		t.Errorf("reached the replica %d times", reached)
+		t.Errorf("the replica received %d requests, want 2", reached)
 	}
 	if declined := counterValue(t, north.metrics.spills.WithLabelValues("declined")); declined != 1 {
-		t.Errorf("%v offers were declined, want the one that did not wait", declined)
+		t.Errorf("%v offers were declined, want 1: the first, which was offered without a wait", declined)
 	}
 }
 
-// occupy keeps the only slot of a replica in use until the returned function is
-// called.
+// occupy uses the only slot of a replica with a request that runs until the returned
+// function is called.
 func (n *node) occupy(t *testing.T, replica *fakeReplica) func() {
 	t.Helper()
 	release := make(chan struct{})
@@ -159,26 +162,27 @@
 	first, _ := n.where(t, newRequest("first"))
 	done := make(chan *reply, 1)
 	go func() { done <- n.send(t, first) }()
-	waitFor(t, "the full replica", func() bool { return len(replica.requests()) == 1 })
+	waitFor(t, "the replica to be fully used", func() bool { return len(replica.requests()) == 1 })
 	return func() {
 		close(release)
 		if got := <-done; got.outcome() != "success" {
-			t.Errorf("first: got %s", got.outcome())
+			t.Errorf("request that uses the slot: outcome %s, want success", got.outcome())
 		}
 	}
 }
 
-// TestQueuedOffers fills a region and lets offers wait for it: one whose time runs
-// out, one that is canceled, and one beyond the limit.
+// TestQueuedOffers offers requests to a region without free capacity: one whose wait
+// ends, one that is withdrawn while it waits, and one beyond the limit of waiting offers.
+// All must be declined and leave the queue.
 func TestQueuedOffers(t *testing.T) {
 	f := newFleet(t)
-	f.primary.set(func(p *primary) {
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
 	})
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
+	f.awaitReady(north, south)
 	defer south.occupy(t, replica)()
 	offer := func(id string, wait time.Duration) peer.OfferReply {
 		request := newRequest(id)
@@ -193,49 +197,49 @@
 	wantDeclined := func(reply peer.OfferReply, code api.Code) {
 		t.Helper()
 		if reply.Granted || reply.Error == nil || reply.Error.Code != code || reply.Error.Outcome != api.OutcomeRefused {
-			t.Errorf("got %+v %v, want %s", reply, reply.Error, code)
+			t.Errorf("reply %+v with error %v, want declined with code %s", reply, reply.Error, code)
 		}
 	}
 	late := offer("late", 20*time.Millisecond)
 	wantDeclined(late, api.CodeOverloaded)
 	if late.Error != nil && late.Error.RetryAfterMS == 0 {
-		t.Error("no retry delay")
+		t.Error("the error has no retry delay")
 	}
 	replies := make(chan peer.OfferReply, 1)
 	go func() { replies <- offer("withdrawn", testTimeout) }()
 	queued := func() int { return south.router.Status().Services[0].Queued }
-	waitFor(t, "the offer in the queue", func() bool { return queued() == 1 })
-	if !north.cancelReservation(t.Context(), "g2", "withdrawn", "b") {
-		t.Error("the cancellation is not confirmed")
+	waitFor(t, "the offer to be queued", func() bool { return queued() == 1 })
+	if !north.withdrawOffer(t.Context(), "g2", "withdrawn", "b") {
+		t.Error("the withdrawal was not confirmed")
 	}
 	wantDeclined(<-replies, api.CodeOverloaded)
 	if queued() != 0 {
-		t.Errorf("%d still queued", queued())
+		t.Errorf("%d requests are still queued after the withdrawal", queued())
 	}
 	for range maxQueuedOffers {
-		south.reservations.beginWait(fmt.Sprint("other ", len(south.reservations.queued)), func() {})
+		south.offers.beginWait(fmt.Sprint("other ", len(south.offers.queued)), func() {})
 	}
-	wantDeclined(offer("one more", testTimeout), api.CodeOverloaded)
+	wantDeclined(offer("beyond the limit", testTimeout), api.CodeOverloaded)
 	if queued() != 0 {
-		t.Errorf("%d queued beyond the bound", queued())
+		t.Errorf("%d requests are queued beyond the limit", queued())
 	}
 }
 
-// TestOverflowRequestIsRefusedAtLimit sends an overflow request while as many as may
-// wait do: the refusal does not wait for the deadline of the caller.
+// TestOverflowRequestIsRefusedAtLimit sends an overflow request while the maximum number
+// of overflow requests is waiting. It must be refused at once, not at its deadline.
 func TestOverflowRequestIsRefusedAtLimit(t *testing.T) {
 	f := newFleet(t)
-	f.primary.set(func(p *primary) {
+	f.primary.set(func(p *fakePrimary) {
 		p.apply(registry.Add(catalog.ServiceRecord("explain", catalog.Service{Kind: "model", MaxConcurrency: 1})))
 	})
 	replica := f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
+	f.awaitReady(north, south)
 	defer south.occupy(t, replica)()
 	for north.overflowWaiters.tryAcquire() {
 	}
-	request := newRequest("given up")
+	request := newRequest("refused")
 	request.Repeatable = true
 	request.WaitMS = (2 * testTimeout).Milliseconds()
 	done := make(chan *reply, 1)
@@ -243,30 +247,30 @@
 	select {
 	case got := <-done:
 		if got.outcome() != "overloaded/refused" || got.failure.RetryAfterMS == 0 || got.header.Get("Retry-After") == "" {
-			t.Errorf("got %s, %+v", got.outcome(), got.failure)
+			t.Errorf("outcome %s, want overloaded/refused with a retry delay: %+v", got.outcome(), got.failure)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no answer")
+		t.Fatal("the request was not refused in time")
 	}
 	if reached := len(replica.requests()); reached != 1 {
-		t.Errorf("reached the replica %d times", reached)
+		t.Errorf("the replica received %d requests, want 1", reached)
 	}
 }
 
-// TestCancelReservation verifies for which reservations a gateway confirms that they
-// never run.
-func TestCancelReservation(t *testing.T) {
+// TestWithdrawOffer checks for which offers a gateway confirms that their requests never
+// ran and never will: only for those that it knows and that were not run.
+func TestWithdrawOffer(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "south")
 	north := f.gateway("g1", "north", "a", nil)
 	south := f.gateway("g2", "south", "b", nil)
-	f.ready(north, south)
+	f.awaitReady(north, south)
 	request := newRequest("offered")
 	request.Repeatable = true
 	offer := peer.Offer{OfferID: "o1", From: "g1", Request: request, RemainingMS: 5000, ConfigurationVersion: 1, Attempt: 1}
 	var reply peer.OfferReply
 	if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &offer, &reply); err != nil || !reply.Granted {
-		t.Fatalf("offer: %+v %v", reply, err)
+		t.Fatalf("the offer was not granted: %+v %v", reply, err)
 	}
 	run := func(id string) api.Outcome {
 		events, err := north.network.OpenStream(t.Context(), "g2", peer.KindRun, &peer.Run{OfferID: id, Incarnation: "b"})
@@ -286,25 +290,25 @@
 	for _, want := range []struct {
 		id  string
 		yes bool
-	}{{"o1", true}, {"o1", true}, {"never heard of", false}} {
-		if got := north.cancelReservation(t.Context(), "g2", want.id, "b"); got != want.yes {
-			t.Errorf("cancel %s: %v", want.id, got)
+	}{{"o1", true}, {"o1", true}, {"unknown offer", false}} {
+		if got := north.withdrawOffer(t.Context(), "g2", want.id, "b"); got != want.yes {
+			t.Errorf("withdrawal of %s: confirmed is %v", want.id, got)
 		}
 	}
 	if got := run("o1"); got != api.OutcomeRefused {
-		t.Errorf("run of a canceled reservation: %s", got)
+		t.Errorf("run of a withdrawn offer: outcome %s, want refused", got)
 	}
 	offer.OfferID = "o2"
 	if err := north.network.Call(t.Context(), "g2", peer.KindOffer, &offer, &reply); err != nil || !reply.Granted {
-		t.Fatalf("offer: %+v %v", reply, err)
+		t.Fatalf("the offer was not granted: %+v %v", reply, err)
 	}
 	if got := run("o2"); got != api.OutcomeSuccess {
-		t.Errorf("run: %s", got)
+		t.Errorf("run of a granted offer: outcome %s, want success", got)
 	}
 	if got := run("o2"); got != api.OutcomeUnknown {
-		t.Errorf("second run of an offer: %s", got)
+		t.Errorf("second run of an offer: outcome %s, want unknown", got)
 	}
-	if north.cancelReservation(t.Context(), "g2", "o2", "b") || north.cancelReservation(t.Context(), "g2", "o2", "another") {
-		t.Error("canceled a reservation that ran")
+	if north.withdrawOffer(t.Context(), "g2", "o2", "b") || north.withdrawOffer(t.Context(), "g2", "o2", "another") {
+		t.Error("the withdrawal of an offer that ran, or of another incarnation, was confirmed")
 	}
 }
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -8,8 +8,9 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// FuzzCallerRequest feeds bodies to the callers' port. What is refused says so,
-// and what passes stays within the limits and survives being passed to a peer.
+// FuzzCallerRequest decodes and validates request bodies of callers. A refusal must be a
+// complete API error. An accepted request must be within the limits, and must be accepted
+// again after it is encoded and decoded.
 func FuzzCallerRequest(f *testing.F) {
 	f.Add(`{"request_id":"r-1","model":"m","prefixes":[{"id":"p","tokens":3}],"prompt_tokens":1,"max_tokens":2,"stream":true,"wait_ms":10,"repeatable":true}`)
 	f.Add(`{"request_id":"r-1","model":"m","prompt_tokens":-1,"max_tokens":99999999999}`)
@@ -23,7 +24,7 @@
 		}
 		if failure != nil {
 			if failure.Outcome != api.OutcomeRefused || failure.Code == "" || failure.Message == "" {
-				t.Fatalf("refused with %+v", failure)
+				t.Fatalf("refused with an incomplete error: %+v", failure)
 			}
 			return
 		}
@@ -32,7 +33,7 @@
 			tokens += prefix.Tokens
 		}
 		if tokens > api.MaxPromptTokens || request.MaxTokens > api.MaxOutputTokens || len(request.RequestID) > api.MaxNameBytes {
-			t.Fatalf("passed beyond the limits: %+v", request)
+			t.Fatalf("accepted beyond the limits: %+v", request)
 		}
 		encoded, err := json.Marshal(&request)
 		if err != nil {
@@ -40,10 +41,10 @@
 		}
 		var again api.GenerateRequest
 		if failure := decodeStrict(strings.NewReader(string(encoded)), &again); failure != nil {
-			t.Fatalf("decoding what passed: %v", failure)
+			t.Fatalf("decoding the encoded request: %v", failure)
 		}
 		if failure := checkGenerate(&again); failure != nil {
-			t.Fatalf("checking what passed: %v", failure)
+			t.Fatalf("validating the decoded request: %v", failure)
 		}
 	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,27 @@
-// Package gateway serves callers' requests and forwards them to replicas.
+// Package gateway implements the gateway for language models: it accepts requests of
+// callers and runs them on replicas. Services that are routed by host and path are
+// served by package httpgateway.
 //
-// A gateway acts only while it holds a lease from the primary, and only by the active
-// copy of the registry that its agent replicates. It places requests on replicas of
-// its own region, forwards overflow to gateways of other regions, remembers the
-// tickets that it issued, and checks the health of the replicas of its region.
+// A gateway places and sends requests only while it holds a lease from the primary, and
+// only according to the active state of the registry. Package agent renews the lease and
+// replicates the registry. A received state becomes active once the primary permits it
+// or a replica reports that it has seen its configuration version.
+//
+// A request takes this path:
+//
+//   - A caller asks any gateway where to send a request and gets a ticket. The gateway
+//     that issued the ticket owns the request: it starts one execution, which resends of
+//     the request join. Repeatable requests need no ticket.
+//   - The owner asks its Router for the regions to try. In its own region it reserves a
+//     replica and sends the request to it. It offers the request to a gateway of another
+//     region if the router puts that region first or its own has no capacity. A gateway
+//     that grants an offer reserves a replica of its region and later runs the request.
+//   - A runner makes the attempts and classifies each failure. A request that may have
+//     run is sent again only if it is repeatable.
+//
+// A gateway also polls the replicas of its region for their health, reports changes of
+// their condition to the primary, and sends its region's utilization to gateways of
+// other regions.
 package gateway
 
 import (
@@ -24,7 +42,7 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// Gateway is one gateway process. It is safe for concurrent use.
+// Gateway is the state of one gateway process. It is safe for concurrent use.
 type Gateway struct {
 	options       Options
 	log           *slog.Logger
@@ -33,31 +51,33 @@
 	replicas      *replicaClient
 	sealer        atomic.Pointer[ticket.Sealer]
 	tickets       *ticketStore
-	reservations  *reservationTable
+	offers        *offerTable
 	bodyBudget    *byteBudget
 	registry      *prometheus.Registry
 	metrics       *metrics
-	offerSequence atomic.Uint64 // makes the ids of offers unique
+	offerSequence atomic.Uint64 // part of the ids of offers, which makes them unique
 	draining      atomic.Bool
-	// drainedAt is the time of Drain on the gateway's clock, in nanoseconds.
+	// drainedAt is when Drain was called, in nanoseconds of Options.Clock.
 	drainedAt   atomic.Int64
-	failureLogs *rate.Limiter // limits the log lines about failed requests
-	// runContext ends when Stop no longer waits for requests.
+	failureLogs *rate.Limiter // limits the log messages about failed requests
+	// runContext is canceled by Stop after its wait for active requests.
 	runContext context.Context //nolint:containedctx // the lifetime of the gateway: requests and loops outlast the call that started them
 	cancelRun  context.CancelCauseFunc
-	active     *activity
+	activity   *activityCounter
 	polling    *pollTracker
-	// overflowWaiters bounds the requests that wait in queues of other regions.
+	// overflowWaiters limits the requests that wait in queues of other regions because
+	// their own region cannot accept them.
 	overflowWaiters *concurrencyLimit
 	loops           sync.WaitGroup
 
 	mutex            sync.Mutex
 	random           *rand.Rand
-	observedVersions map[string]uint64 // by service: the highest configuration version that its replicas have seen
-	lastReported     map[string]time.Time
+	observedVersions map[string]uint64    // highest configuration version that replicas have seen, by service
+	lastReported     map[string]time.Time // time of the last condition update, by replica
 }
 
-// New returns a gateway that is not started and registers its message handlers.
+// New returns a gateway and registers its message handlers on the network. The gateway
+// does nothing before Start.
 func New(options Options) (*Gateway, error) {
 	options.withDefaults()
 	g := &Gateway{
@@ -65,9 +85,9 @@
 		log:              options.Logger,
 		router:           options.Router,
 		tickets:          newTicketStore(options.Clock),
-		reservations:     newReservationTable(),
+		offers:           newOfferTable(),
 		bodyBudget:       newByteBudget(maxBodyBytesInFlight),
-		active:           newActivity(),
+		activity:         newActivityCounter(),
 		polling:          newPollTracker(),
 		overflowWaiters:  &concurrencyLimit{limit: maxOverflowWaiters},
 		failureLogs:      rate.NewLimiter(maxFailureLogsPerSecond, maxFailureLogsPerSecond),
@@ -91,15 +111,16 @@
 	})
 	g.newMetrics()
 	options.Network.Handle(peer.KindIssueTicket, g.serveIssueTicket)
-	options.Network.Handle(peer.KindOffer, g.serveReserve)
-	options.Network.Handle(peer.KindWithdraw, g.serveCancel)
+	options.Network.Handle(peer.KindOffer, g.serveOffer)
+	options.Network.Handle(peer.KindWithdraw, g.serveWithdraw)
 	options.Network.Handle(peer.KindRegionUtilization, g.serveUtilization)
 	options.Network.HandleStream(peer.KindRun, g.serveRun)
 	options.Network.HandleStream(peer.KindOwner, g.serveOwner)
 	return g, nil
 }
 
-// SetTicketKeys replaces the fleet's keys for tickets, newest first.
+// SetTicketKeys replaces the keys that seal tickets, which all gateways of the fleet
+// share. The newest key comes first.
 func (g *Gateway) SetTicketKeys(keys [][]byte) error {
 	sealer, err := ticket.NewSealer(keys)
 	if err != nil {
@@ -109,11 +130,11 @@
 	return nil
 }
 
-// Agent returns the gateway's connection to the control plane.
+// Agent returns the agent, which renews the lease and replicates the registry.
 func (g *Gateway) Agent() *agent.Agent { return g.agent }
 
 // Start starts the network, the renewal of the lease and the background loops of the
-// gateway. Stop ends them.
+// gateway. Stop ends the loops; the owner of the network closes it.
 func (g *Gateway) Start() error {
 	if err := g.options.Network.Start(); err != nil {
 		return err
@@ -128,7 +149,8 @@
 	return nil
 }
 
-// startLoop runs a background loop until Stop, which waits for it.
+// startLoop runs a background loop in its own goroutine. Stop cancels its context and
+// waits for it.
 func (g *Gateway) startLoop(run func(context.Context)) {
 	g.loops.Add(1)
 	go func() {
@@ -137,18 +159,20 @@
 	}()
 }
 
-// applyState makes a newly activated state of the catalog decide.
+// applyState passes a newly activated state of the registry to the router and the HTTP
+// proxy.
 func (g *Gateway) applyState(state *catalog.State) {
 	g.router.SetPlan(state)
 	if g.options.HTTPProxy != nil {
 		g.options.HTTPProxy.Update(state)
 	}
-	g.log.Info("configuration activated", "serial", state.Serial(), "version", state.Version())
+	g.log.Info("registry state activated", "serial", state.Serial(), "version", state.Version())
 }
 
 func (g *Gateway) region() string { return g.options.Info.Region }
 
-// dial opens a connection to a replica, whose address may be overridden.
+// dial opens a connection to a replica, at the address that DialOverrides gives for it if
+// any.
 func (g *Gateway) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if override, ok := g.options.DialOverrides[address]; ok {
 		address = override
@@ -156,8 +180,8 @@
 	return g.options.Dial(ctx, network, address)
 }
 
-// streamIdleTimeout is the longest time between two events of a replica's stream; 0
-// without an active configuration.
+// streamIdleTimeout returns the longest allowed time between two events of a replica's
+// stream, or 0 before the first activation.
 func (g *Gateway) streamIdleTimeout() time.Duration {
 	active := g.agent.Active()
 	if active == nil {
--- a/gateway/http.go
+++ b/gateway/http.go
@@ -15,19 +15,19 @@
 	"github.com/deckpulley/deckpulley/gateway/connlimit"
 )
 
-// Timeouts of the connections of callers and operators.
+// Timeouts for the connections of callers and operators.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readBodyTimeout   = 15 * time.Second
 	idleTimeout       = 60 * time.Second
-	// joinGracePeriod is added to the caller's time, so that a run that ends at its
-	// deadline can still be answered.
+	// joinGracePeriod extends the wait for an execution beyond the caller's deadline, so
+	// that the result of an execution that ends at its deadline still reaches the caller.
 	joinGracePeriod = 500 * time.Millisecond
-	// writeTimeout bounds one write to a caller that reads slowly.
+	// writeTimeout bounds a single write of a response.
 	writeTimeout = 10 * time.Second
 )
 
-// newServer returns a server with at most limit open connections.
+// newServer returns an HTTP server that allows at most limit open connections.
 func (g *Gateway) newServer(handler http.Handler, limit int) *http.Server {
 	server := &http.Server{
 		Handler:           handler,
@@ -40,7 +40,8 @@
 	return server
 }
 
-// addHealth adds the paths that all ports of a gateway share.
+// addHealth adds the handlers that the callers' and the operators' port share: liveness,
+// readiness and the error for unknown paths.
 func (g *Gateway) addHealth(mux *http.ServeMux) {
 	mux.HandleFunc(api.PathLive, requireMethod(http.MethodGet, serveLive))
 	mux.HandleFunc(api.PathReady, requireMethod(http.MethodGet, g.serveReady))
@@ -49,7 +50,8 @@
 	})
 }
 
-// requireMethod refuses requests with another method.
+// requireMethod wraps a handler and refuses requests with another method than the given
+// one.
 func requireMethod(method string, handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
@@ -61,10 +63,12 @@
 	}
 }
 
+// serveLive handles api.PathLive. It always succeeds.
 func serveLive(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
+// serveReady handles api.PathReady. It succeeds if the gateway accepts new requests.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if failure := g.checkAccepting(); failure != nil {
 		writeError(w, failure)
@@ -73,12 +77,12 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// readRequest decodes the body of a request, within the limits of size, time and
-// memory.
+// readRequest decodes the body of a request. It enforces the limits on the size of the
+// body, the time to read it, and the memory for the bodies of all requests.
 func (g *Gateway) readRequest(w http.ResponseWriter, r *http.Request, into any) *api.Error {
 	if r.ContentLength > api.MaxBodyBytes {
 		w.Header().Set("Connection", "close")
-		return newError(api.CodeTooLarge, api.OutcomeRefused, "the body has %d bytes, %d at the most", r.ContentLength, api.MaxBodyBytes)
+		return newError(api.CodeTooLarge, api.OutcomeRefused, "the body has %d bytes; at most %d are allowed", r.ContentLength, api.MaxBodyBytes)
 	}
 	controller := http.NewResponseController(w)
 	if err := controller.SetReadDeadline(time.Now().Add(readBodyTimeout)); err != nil {
@@ -98,7 +102,7 @@
 	return nil
 }
 
-// decodeStrict decodes exactly one JSON document without unknown fields.
+// decodeStrict decodes exactly one JSON document and refuses unknown fields.
 func decodeStrict(body io.Reader, into any) *api.Error {
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
@@ -113,13 +117,13 @@
 		}
 	}
 	if errors.Is(err, errBodyBudgetExceeded) {
-		return newRetryableError(api.CodeOverloaded, "too many request bodies at once")
+		return newRetryableError(api.CodeOverloaded, "too many request bodies are being received")
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return newError(api.CodeTooLarge, api.OutcomeRefused, "the body has more than %d bytes", tooLarge.Limit)
 	}
-	failure := newInvalidError("", "the body is not valid: %s", strings.TrimPrefix(err.Error(), "json: "))
+	failure := newInvalidError("", "the body is not a valid JSON document: %s", strings.TrimPrefix(err.Error(), "json: "))
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		failure.Field = wrongType.Field
@@ -130,22 +134,22 @@
 	return failure
 }
 
-// writeJSON writes a document as the response.
+// writeJSON writes a JSON document as the response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(http.ErrAbortHandler) // the documents of package api always encode
+		panic(http.ErrAbortHandler) // can't happen: the types of package api always encode
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // the recorders of tests have no deadline
+	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only for test recorders, which have no deadline
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // the caller notices a broken connection itself
+	_, _ = w.Write(encoded) // a broken connection is noticed by the caller
 }
 
-// writeError writes an error as the response, with a Retry-After header if a delay is
-// advised.
+// writeError writes an error as the response, with a Retry-After header if the error
+// advises a delay.
 func writeError(w http.ResponseWriter, failure *api.Error) {
 	if failure.RetryAfterMS > 0 {
 		seconds := (failure.RetryAfterMS + 999) / 1000
@@ -154,16 +158,17 @@
 	writeJSON(w, failure.Status(), api.ErrorBody{Error: failure})
 }
 
-// newDebugLog returns a logger for net/http whose messages go to the debug level:
-// most of them are about callers that went away.
+// newDebugLog returns a logger for net/http that logs at debug level, because most of
+// its messages are about callers that disconnected.
 func newDebugLog(logger *slog.Logger) *log.Logger {
 	return log.New(debugWriter{logger}, "", 0)
 }
 
+// debugWriter logs each line that is written to it at debug level.
 type debugWriter struct{ logger *slog.Logger }
 
 // Write implements io.Writer.
 func (w debugWriter) Write(line []byte) (int, error) {
-	w.logger.Debug("http server", "message", strings.TrimSpace(string(line)))
+	w.logger.Debug("HTTP server error", "message", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -7,30 +7,32 @@
 	"sync/atomic"
 )
 
-// concurrencyLimit bounds how many are in flight at the same time.
+// concurrencyLimit limits how many operations are in flight at the same time.
 type concurrencyLimit struct {
 	limit    int64
 	inFlight atomic.Int64
 }
 
-// tryAcquire reports whether the limit allows one more, which must be released.
-func (b *concurrencyLimit) tryAcquire() bool {
-	if b.inFlight.Add(1) > b.limit {
-		b.inFlight.Add(-1)
+// tryAcquire reports whether the limit allows another operation. If so, release must be
+// called at its end.
+func (l *concurrencyLimit) tryAcquire() bool {
+	if l.inFlight.Add(1) > l.limit {
+		l.inFlight.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (b *concurrencyLimit) release() { b.inFlight.Add(-1) }
+func (l *concurrencyLimit) release() { l.inFlight.Add(-1) }
 
-// maxBodyBytesInFlight bounds the memory of request bodies of all callers.
+// maxBodyBytesInFlight bounds the memory for the request bodies of all callers.
 const maxBodyBytesInFlight = 64 << 20
 
-// errBodyBudgetExceeded means that the bodies of all callers together are too large.
-var errBodyBudgetExceeded = errors.New("gateway: too many bytes of request bodies at once")
+// errBodyBudgetExceeded means that the request bodies of all callers together exceed
+// maxBodyBytesInFlight.
+var errBodyBudgetExceeded = errors.New("gateway: memory budget for request bodies is exhausted")
 
-// byteBudget bounds a sum of bytes.
+// byteBudget limits the number of bytes that are in use at the same time.
 type byteBudget struct {
 	mutex sync.Mutex
 	free  int64
@@ -38,7 +40,7 @@
 
 func newByteBudget(total int64) *byteBudget { return &byteBudget{free: total} }
 
-// acquire reports whether the bytes were free and takes them if so.
+// acquire takes size bytes from the budget and reports whether that many were free.
 func (b *byteBudget) acquire(size int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,8 +57,8 @@
 	b.free += size
 }
 
-// budgetReader charges the bytes that have arrived to a budget until release, so that
-// a body that is announced and not sent costs nothing.
+// budgetReader charges the bytes that it has read to a budget until release is called.
+// A body counts only as far as it has arrived, whatever its Content-Length.
 type budgetReader struct {
 	source   io.Reader
 	budget   *byteBudget
--- a/gateway/main_test.go
+++ b/gateway/main_test.go
@@ -9,13 +9,13 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if the tests leave a goroutine behind.
+// TestMain fails if goroutines are still running after all tests.
 func TestMain(m *testing.M) {
 	status := m.Run()
 	http.DefaultClient.CloseIdleConnections()
 	if status == 0 {
-		// A server's connection lingers for half a second of its own after an
-		// answer that closes it; that is the standard library's and ends by itself.
+		// After a response that closes the connection, net/http waits for half a second
+		// before it closes its side. That goroutine ends by itself.
 		lingering := goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait")
 		if err := goleak.Find(lingering); err != nil {
 			fmt.Fprintln(os.Stderr, err)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,16 +10,17 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// metricsNamespace begins the name of every metric.
+// metricsNamespace is the prefix of the names of all metrics.
 const metricsNamespace = "deckpulley_gateway"
 
-// codeNone is the label of requests without an error.
+// codeNone is the value of the label "code" for requests without an error.
 const codeNone = "none"
 
-// latencyBuckets reach from a cached answer to the longest review, in seconds.
+// latencyBuckets, in seconds, range from cached answers to the longest requests, such as
+// reviews.
 var latencyBuckets = []float64{.005, .01, .02, .05, .1, .2, .35, .5, .7, .92, 1.5, 2.5, 5, 10, 20, 40, 80}
 
-// metrics are the counters and histograms of a gateway.
+// metrics holds the counters and histograms of a gateway.
 type metrics struct {
 	requests   *prometheus.CounterVec
 	where      *prometheus.CounterVec
@@ -42,22 +43,22 @@
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: metricsNamespace, Name: name, Help: help, Buckets: latencyBuckets}, labels)
 }
 
-// newMetrics registers the metrics in a registry of the gateway.
+// newMetrics creates the gateway's metrics registry and registers all metrics in it.
 func (g *Gateway) newMetrics() {
 	m := &metrics{
-		requests:   counter("requests_total", "Requests by class, outcome and error code.", "class", "outcome", "code"),
-		where:      counter("where_total", "Questions where to go, by error code.", "code"),
-		latency:    histogram("request_seconds", "Time to the whole answer.", "class"),
-		firstEvent: histogram("first_event_seconds", "Time to the first event of a stream.", "class"),
+		requests:   counter("requests_total", "Finished requests, by class, outcome and error code.", "class", "outcome", "code"),
+		where:      counter("where_total", "Lookups of the gateway to send a request to, by error code.", "code"),
+		latency:    histogram("request_seconds", "Time until the complete response of a successful request, in seconds.", "class"),
+		firstEvent: histogram("first_event_seconds", "Time until the first event of a streamed response, in seconds.", "class"),
 		attempts: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: metricsNamespace, Name: "attempts_total", Help: "Requests sent to replicas, retries included.",
+			Namespace: metricsNamespace, Name: "attempts_total", Help: "Attempts of which at least one byte may have been sent to a replica, including retries.",
 		}),
-		failures: counter("attempt_failures_total", "Attempts without an answer, by error code and outcome.", "code", "outcome"),
-		retries:  counter("retries_total", "Retries that the budget allowed or denied.", "decision"),
-		spills:   counter("spills_total", "Offers to other regions, by how they ended.", "end"),
-		tickets:  counter("tickets_total", "Tickets issued and presented, by what became of them.", "event"),
-		polls:    counter("polls_total", "Polls of replicas' reports.", "result"),
-		updates:  counter("condition_updates_total", "Conditional updates about replicas, by response code.", "code"),
+		failures: counter("attempt_failures_total", "Attempts that got a response from a replica but no valid answer, by error code and outcome.", "code", "outcome"),
+		retries:  counter("retries_total", "Decisions on whether to retry a request: allowed or denied.", "decision"),
+		spills:   counter("spills_total", "Offers of requests to other gateways, by how they ended.", "end"),
+		tickets:  counter("tickets_total", "Tickets issued, and uses of tickets by their result.", "event"),
+		polls:    counter("polls_total", "Polls of replicas for their reports, by result.", "result"),
+		updates:  counter("condition_updates_total", "Updates of replica conditions sent to the primary, by response code.", "code"),
 	}
 	g.metrics = m
 	g.registry = prometheus.NewRegistry()
@@ -73,19 +74,19 @@
 	g.registerRenewals()
 }
 
-// registerGauges registers the gauges, which are read when scraped.
+// registerGauges registers the gauges, whose values are computed at each scrape.
 func (g *Gateway) registerGauges() {
 	gauges := []struct {
 		name, help string
 		value      func() float64
 	}{
-		{"lease_seconds", "Time left of the lease; 0 is none.", func() float64 { return g.agent.Remaining().Seconds() }},
-		{"held_serial", "Newest registry serial held.", func() float64 { return float64(g.agent.Status().ReceivedSerial) }},
-		{"active_serial", "Registry serial that decides.", func() float64 { return float64(g.agent.Status().ActiveSerial) }},
-		{"active_version", "Configuration version that decides.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
-		{"primary_term", "Newest term seen of a primary.", func() float64 { return float64(g.agent.Status().Term) }},
-		{"running_requests", "Requests in progress.", func() float64 { return float64(g.active.current()) }},
-		{"ledger_tickets", "Tickets remembered.", func() float64 { return float64(g.tickets.size()) }},
+		{"lease_seconds", "Remaining time of the lease in seconds; 0 without a valid lease.", func() float64 { return g.agent.Remaining().Seconds() }},
+		{"held_serial", "Newest registry serial received from the primary.", func() float64 { return float64(g.agent.Status().ReceivedSerial) }},
+		{"active_serial", "Registry serial that is active: requests are placed according to it.", func() float64 { return float64(g.agent.Status().ActiveSerial) }},
+		{"active_version", "Configuration version that is active: requests are placed according to it.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
+		{"primary_term", "Newest term of a primary that this gateway has seen.", func() float64 { return float64(g.agent.Status().Term) }},
+		{"running_requests", "Requests in progress, including the background work that they trigger.", func() float64 { return float64(g.activity.current()) }},
+		{"ledger_tickets", "Tickets in the ticket table.", func() float64 { return float64(g.tickets.size()) }},
 	}
 	for _, gauge := range gauges {
 		options := prometheus.GaugeOpts{Namespace: metricsNamespace, Name: gauge.name, Help: gauge.help}
@@ -93,17 +94,17 @@
 	}
 }
 
-// registerRenewals registers the counters that the agent maintains.
+// registerRenewals registers the counters of lease renewals, which the agent maintains.
 func (g *Gateway) registerRenewals() {
-	granted := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_granted_total", Help: "Renewals of the lease that were granted."}
-	refused := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_refused_total", Help: "Renewals of the lease without a grant."}
+	granted := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_granted_total", Help: "Lease renewals that were granted."}
+	refused := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_refused_total", Help: "Lease renewals that were rejected or failed."}
 	g.registry.MustRegister(
 		prometheus.NewCounterFunc(granted, func() float64 { return float64(g.agent.Status().GrantedRenewals) }),
 		prometheus.NewCounterFunc(refused, func() float64 { return float64(g.agent.Status().RejectedRenewals) }),
 	)
 }
 
-// classLabel is the label of a request's class.
+// classLabel returns the value of the label "class" for a request.
 func classLabel(class api.Class) string {
 	if class == "" {
 		return "default"
@@ -111,8 +112,7 @@
 	return string(class)
 }
 
-// observeRequest counts a finished request and, if it was answered, observes its
-// latency.
+// observeRequest counts a finished request and, if it succeeded, observes its latency.
 func (m *metrics) observeRequest(request *api.GenerateRequest, failure *api.Error, started time.Time) {
 	class := classLabel(request.Class)
 	if checkClass(request.Class) != nil {
@@ -126,12 +126,12 @@
 	m.latency.WithLabelValues(class).Observe(time.Since(started).Seconds())
 }
 
-// observeFirstEvent observes the time to the first event of a stream.
+// observeFirstEvent observes the time until the first event of a streamed response.
 func (m *metrics) observeFirstEvent(request *api.GenerateRequest, started time.Time) {
 	m.firstEvent.WithLabelValues(classLabel(request.Class)).Observe(time.Since(started).Seconds())
 }
 
-// observeWhere counts a question for the gateway of a request.
+// observeWhere counts a lookup of the gateway for a request.
 func (m *metrics) observeWhere(failure *api.Error) {
 	if failure == nil {
 		m.where.WithLabelValues(codeNone).Inc()
@@ -140,8 +140,8 @@
 	m.where.WithLabelValues(string(failure.Code)).Inc()
 }
 
-// observeAttemptFailure counts a failed attempt. Refusals by replicas share one code,
-// so that replicas can't create labels.
+// observeAttemptFailure counts a failed attempt. All refusals by replicas are counted
+// under one code, because replicas could otherwise create any number of series.
 func (m *metrics) observeAttemptFailure(failure *api.Error) {
 	code := string(failure.Code)
 	if failure.Outcome == api.OutcomeRefused {
@@ -150,7 +150,7 @@
 	m.failures.WithLabelValues(code, string(failure.Outcome)).Inc()
 }
 
-// observeTicketUse counts the use of a ticket by its result.
+// observeTicketUse counts the use of a ticket under its result.
 func (m *metrics) observeTicketUse(result ticket.UseResult) {
 	events := map[ticket.UseResult]string{
 		ticket.UseStart:    "run",
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -10,12 +10,13 @@
 	"github.com/deckpulley/deckpulley/internal/metricspage"
 )
 
-// TestMetricsPage compares docs/METRICS.md with the metrics that a gateway serves.
+// TestMetricsPage checks that docs/METRICS.md lists the metrics that a gateway serves, and
+// no others.
 func TestMetricsPage(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", nil)
-	f.ready(g)
+	f.awaitReady(g)
 	g.metrics.createAllSeries()
 	families, err := g.registry.Gather()
 	if err != nil {
@@ -33,16 +34,16 @@
 		}
 		served++
 		if !strings.Contains(string(page), "| `"+name+"` |") {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("docs/METRICS.md does not list %s", name)
 		}
 	}
 	if listed := strings.Count(string(page), "| `"+metricsNamespace); listed != served {
-		t.Errorf("the page lists %d metrics, %d are served", listed, served)
+		t.Errorf("docs/METRICS.md lists %d metrics, the gateway serves %d", listed, served)
 	}
 }
 
-// createAllSeries creates a series of every family, since empty families are not
-// served.
+// createAllSeries creates a series of each metric with labels, since Prometheus omits
+// metrics without series.
 func (m *metrics) createAllSeries() {
 	for _, vector := range []*prometheus.CounterVec{m.requests, m.where, m.failures, m.retries, m.spills, m.tickets, m.polls, m.updates} {
 		vector.WithLabelValues(make([]string, labelCount(vector))...)
@@ -51,7 +52,7 @@
 	m.firstEvent.WithLabelValues("")
 }
 
-// labelCount returns the number of labels of a vector.
+// labelCount returns the number of labels of a counter vector.
 func labelCount(vector *prometheus.CounterVec) int {
 	for count := range 5 {
 		if _, err := vector.GetMetricWithLabelValues(make([]string, count)...); err == nil {
@@ -61,6 +62,8 @@
 	return 0
 }
 
+// TestMetricsPageListsWhatIsRegistered checks that docs/METRICS.md lists the metrics that
+// the registered collectors describe, including those without series.
 func TestMetricsPageListsWhatIsRegistered(t *testing.T) {
 	gateway := newFleet(t).gateway("g1", "north", "a", nil)
 	metricspage.Compare(t, "../docs/METRICS.md", "deckpulley_gateway_", gateway.registry)
--- a/gateway/operators_http.go
+++ b/gateway/operators_http.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// operationTimeout bounds the wait for the reply to a forwarded operation.
+	// operationTimeout bounds the wait for the primary's reply to an operation.
 	operationTimeout = 10 * time.Second
-	// operatorWriteTimeout leaves enough time for a CPU profile of 30 s.
+	// operatorWriteTimeout bounds the time to write a response, and leaves enough time for
+	// the 30 s of a CPU profile.
 	operatorWriteTimeout = time.Minute
-	// maxOperatorConnections bounds the connections of the operators' port.
+	// maxOperatorConnections bounds the open connections of the operators' port.
 	maxOperatorConnections = 256
 )
 
-// OperatorsServer returns the server of the operators' port. Its owner runs and
-// closes it.
+// OperatorsServer returns the HTTP server for operators and the platform. It has no
+// listener yet: whoever calls this method serves and closes it.
 func (g *Gateway) OperatorsServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc(api.PathStatus, requireMethod(http.MethodGet, g.serveStatus))
@@ -42,8 +43,9 @@
 	return g.newServer(withWriteDeadline(mux), maxOperatorConnections)
 }
 
-// withWriteDeadline sets the write deadline of each response. Without it the shorter
-// deadline of a JSON response would last into the next request of its connection.
+// withWriteDeadline sets the write deadline of each response. Otherwise the shorter
+// deadline that writeJSON sets would still apply to the next response on the same
+// connection.
 func withWriteDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		deadline := time.Now().Add(operatorWriteTimeout)
@@ -54,14 +56,14 @@
 	})
 }
 
-// serveStatus answers the state of this gateway and what it knows of the control
-// plane.
+// serveStatus handles api.PathStatus: it answers the state of this gateway and what it
+// knows of the control plane.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	status := g.agent.Status()
 	info := g.options.Info
 	answer := api.StatusAnswer{
 		Node:     info.Name,
-		Primary:  status.Primary, // the address of its peers' port: its name is not known here
+		Primary:  status.Primary, // its peer address, since gateways don't know its name
 		Term:     status.Term,
 		Serial:   status.ReceivedSerial,
 		Version:  status.ActiveVersion,
@@ -75,7 +77,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// ownStatus describes this gateway as a member of the fleet.
+// ownStatus returns the status of this gateway in the form for members of the fleet.
 func (g *Gateway) ownStatus() api.MemberStatus {
 	status := g.agent.Status()
 	info := g.options.Info
@@ -95,7 +97,7 @@
 	}
 }
 
-// serviceLoads describes the load of each service in the own region.
+// serviceLoads returns the load of each service in this gateway's region.
 func (g *Gateway) serviceLoads() []api.ServiceLoad {
 	var loads []api.ServiceLoad
 	for _, service := range g.router.Status().Services {
@@ -123,7 +125,8 @@
 	return loads
 }
 
-// serveReplicas lists the replicas, or forwards a new list.
+// serveReplicas handles api.PathReplicas: GET lists the replicas, PUT forwards a new list
+// of replicas to the primary.
 func (g *Gateway) serveReplicas(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
@@ -136,16 +139,17 @@
 	}
 }
 
-// serveHTTPReplicas lists the replicas behind the HTTP address.
+// serveHTTPReplicas handles api.PathHTTPReplicas: it lists the replicas to which the HTTP
+// proxy forwards requests.
 func (g *Gateway) serveHTTPReplicas(w http.ResponseWriter, _ *http.Request) {
 	if g.options.HTTPProxy == nil {
-		writeError(w, newError(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP address"))
+		writeError(w, newError(api.CodeNotFound, api.OutcomeRefused, "this gateway has no HTTP proxy"))
 		return
 	}
 	writeJSON(w, http.StatusOK, api.HTTPReplicasAnswer{Gateway: g.options.Info.Name, Replicas: g.options.HTTPProxy.Replicas()})
 }
 
-// listReplicas answers the replicas of the active copy of the registry.
+// listReplicas responds with the replicas in the active state of the registry.
 func (g *Gateway) listReplicas(w http.ResponseWriter) {
 	active := g.agent.Active()
 	if active == nil {
@@ -160,7 +164,8 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// replicaStatus describes a replica by the active copy of the registry.
+// replicaStatus returns the status of a replica according to the active state of the
+// registry.
 func replicaStatus(active *catalog.State, id string, replica catalog.Replica) api.ReplicaStatus {
 	status := api.ReplicaStatus{
 		ReplicaEntry: api.ReplicaEntry{
@@ -179,10 +184,10 @@
 	return status
 }
 
-// forwardReplicas forwards the platform's list of replicas to a control node.
+// forwardReplicas submits the platform's list of replicas to the primary as an operation.
 func (g *Gateway) forwardReplicas(w http.ResponseWriter, r *http.Request) {
 	if _, ok := g.authenticate(r); !ok {
-		writeError(w, newError(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or wrong"))
+		writeError(w, newError(api.CodeUnauthorized, api.OutcomeRefused, "the token is missing or invalid"))
 		return
 	}
 	var list api.ReplicaList
@@ -202,7 +207,7 @@
 	writeOperationReply(w, &reply)
 }
 
-// writeOperationReply writes the reply to an operation as the response.
+// writeOperationReply writes the primary's reply to an operation as the response.
 func writeOperationReply(w http.ResponseWriter, reply *peer.OperationReply) {
 	switch {
 	case reply.Error != nil:
@@ -216,7 +221,8 @@
 	}
 }
 
-// authenticate verifies the token of a request.
+// authenticate returns the name that belongs to the token of a request, and whether the
+// token is valid. Without Options.Tokens every request is accepted.
 func (g *Gateway) authenticate(r *http.Request) (string, bool) {
 	if g.options.Tokens == nil {
 		return "", true
--- a/gateway/operators_http_test.go
+++ b/gateway/operators_http_test.go
@@ -9,22 +9,22 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// authorizationHeader accepts one Authorization header.
+// authorizationHeader is an Authenticator that accepts exactly this header.
 type authorizationHeader string
 
-func (token authorizationHeader) Authenticate(header string) (string, bool) {
-	return "platform", header == string(token)
+func (h authorizationHeader) Authenticate(header string) (string, bool) {
+	return "platform", header == string(h)
 }
 
-// TestOperatorsPort reads a gateway's status, replicas and metrics, and submits a
-// list of replicas.
+// TestOperatorsPort checks the responses of the operators' port, and that only a list of
+// replicas with the right token is submitted to the primary.
 func TestOperatorsPort(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) {
 		options.Tokens = func() Authenticator { return authorizationHeader("Bearer secret") }
 	})
-	f.ready(g)
+	f.awaitReady(g)
 	server := httptest.NewServer(g.OperatorsServer().Handler)
 	defer server.Close()
 	send := func(method, path, token, body string) (int, string) {
@@ -65,12 +65,12 @@
 	for _, test := range tests {
 		status, body := send(test.method, test.path, test.token, test.body)
 		if status != test.status || !strings.Contains(body, test.contains) {
-			t.Errorf("%s %s: status %d: %.300s", test.method, test.path, status, body)
+			t.Errorf("%s %s: unexpected response: status %d: %.300s", test.method, test.path, status, body)
 		}
 	}
 	f.primary.mutex.Lock()
 	defer f.primary.mutex.Unlock()
 	if len(f.primary.operations) != 1 || f.primary.operations[0].Replicas.Replicas[0].ID != "r9" {
-		t.Errorf("operations %+v", f.primary.operations)
+		t.Errorf("the primary got other operations than the list of replicas: %+v", f.primary.operations)
 	}
 }
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -19,17 +19,19 @@
 
 // Authenticator verifies the Authorization header of an operator or the platform.
 type Authenticator interface {
+	// Authenticate returns the name that belongs to the token in the header, and whether
+	// the token is valid.
 	Authenticate(header string) (name string, ok bool)
 }
 
-// HTTPProxy serves requests that are routed by host and path, by the same copy of the
-// registry as the gateway; *httpgateway.Proxy implements it.
+// HTTPProxy serves requests that are routed by host and path, according to the same
+// active state of the registry as the gateway. *httpgateway.Proxy implements it.
 type HTTPProxy interface {
-	// Update makes a newer state of the catalog the active one.
+	// Update replaces the active state of the registry by a newer one.
 	Update(state *catalog.State)
 	// Run does the background work of the proxy until ctx ends.
 	Run(ctx context.Context)
-	// Replicas describes the replicas as the proxy sees them.
+	// Replicas returns the status of the replicas, as the proxy sees them.
 	Replicas() []api.HTTPReplicaStatus
 	// Collector returns the metrics of the proxy.
 	Collector() prometheus.Collector
@@ -38,43 +40,50 @@
 // Options configures a Gateway. Zero values of optional fields are replaced by
 // defaults.
 type Options struct {
-	// Info is the name, incarnation, zone, region and addresses of the gateway.
+	// Info has the name, incarnation, zone, region and addresses of the gateway.
 	Info peer.GatewayInfo
-	// Seeds are the peer addresses that are contacted first.
+	// Seeds lists the peer addresses that are contacted first to find the primary.
 	Seeds []string
-	// TicketKeys are the fleet's keys for tickets, newest first.
+	// TicketKeys are the keys that seal tickets, which all gateways of the fleet share. The
+	// newest key comes first.
 	TicketKeys [][]byte
-	// LeaseConfig is the lease configuration of the fleet.
+	// LeaseConfig is the lease configuration, the same on all nodes of the fleet.
 	LeaseConfig lease.Config
 	// Network carries the messages between the fleet's processes. The gateway starts it;
 	// the owner of the network closes it.
 	Network transport.Network
-	// Router decides where requests run. Optional.
+	// Router decides where requests run. Optional: the default is a *routing.Router.
 	Router Router
-	// Dial opens connections to replicas. Optional.
+	// Dial opens connections to replicas. Optional: the default is net.Dialer.DialContext.
 	Dial DialFunc
-	// DialOverrides maps a replica's address to the one to dial in its place.
+	// DialOverrides maps replica addresses to the addresses to dial instead.
 	DialOverrides map[string]string
-	// Tokens returns what authenticates operators and the platform; without it every
-	// request is accepted.
+	// Tokens returns the authenticator for requests of operators and the platform. It is
+	// called for each request. If it is nil, every request is accepted.
 	Tokens func() Authenticator
-	// HTTPProxy serves the requests that are routed by host and path. Optional.
+	// HTTPProxy serves the requests that are routed by host and path. Optional: without it
+	// there are none.
 	HTTPProxy HTTPProxy
-	// Clock is a monotonic clock with an arbitrary origin. Optional.
+	// Clock returns the time of a monotonic clock with an arbitrary origin. Optional: the
+	// default starts at 0 in New.
 	Clock func() time.Duration
-	// Seed makes the random choices of the gateway repeatable.
+	// Seed is the seed of the gateway's random choices.
 	Seed uint64
-	// PollInterval and PollTimeout configure the health checks of replicas. Optional.
+	// PollInterval is the time between two polls of a replica for its health, and PollTimeout
+	// bounds one poll. Zero selects the default.
 	PollInterval time.Duration
 	PollTimeout  time.Duration
-	// MaxConnections bounds the open connections of callers. Optional.
+	// MaxConnections bounds the open connections of callers. Zero selects the default.
 	MaxConnections int
-	// ShutdownTimeout bounds how long Stop lets requests finish. Optional.
+	// ShutdownTimeout bounds how long Stop waits for active requests. Zero selects the
+	// default.
 	ShutdownTimeout time.Duration
-	// TicketGracePeriod is how long a draining gateway accepts requests with tickets that
-	// it issued before. It is part of ShutdownTimeout. Optional.
+	// TicketGracePeriod is how long a draining gateway still accepts requests with tickets
+	// that it issued. It is part of ShutdownTimeout, not added to it. Zero selects the
+	// default.
 	TicketGracePeriod time.Duration
-	Logger            *slog.Logger
+	// Logger receives the log messages. Optional: without it they are discarded.
+	Logger *slog.Logger
 }
 
 // Defaults of Options.
@@ -86,7 +95,7 @@
 	defaultTicketGracePeriod = 2 * time.Second
 )
 
-// withDefaults replaces the zero values of optional fields.
+// withDefaults replaces the zero values of optional fields by their defaults.
 func (o *Options) withDefaults() {
 	if o.Clock == nil {
 		started := time.Now()
--- a/gateway/readiness.go
+++ b/gateway/readiness.go
@@ -8,17 +8,17 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// checkAccepting returns why the gateway refuses new requests, or nil if it accepts
-// them.
+// checkAccepting returns the error for new requests, or nil if the gateway accepts them.
 func (g *Gateway) checkAccepting() *api.Error {
 	if g.draining.Load() {
-		return newRetryableError(api.CodeNotReady, "the gateway is leaving")
+		return newRetryableError(api.CodeNotReady, "the gateway is draining")
 	}
 	return g.checkServing()
 }
 
-// checkServing returns why the gateway can't place requests now, or nil if it can. A
-// draining gateway still serves the requests that it accepted.
+// checkServing returns the error for all requests, new or already accepted, if the
+// gateway can't place any now; nil if it can. A draining gateway still serves the
+// requests that it has accepted.
 func (g *Gateway) checkServing() *api.Error {
 	if !g.agent.Valid() {
 		return newRetryableError(api.CodeNoLease, "the gateway has no lease from the primary")
@@ -29,17 +29,22 @@
 	return nil
 }
 
-// Reasons to stop a request before its first byte is sent to a replica.
+// Reasons why checkBeforeSend stops an attempt.
 var (
-	errLeaseLost   = errors.New("the lease ran out before the request was sent")
-	errPlanChanged = errors.New("the placement was decided by a copy that is no longer active")
+	errLeaseLost   = errors.New("the lease expired before the request was sent")
+	errPlanChanged = errors.New("the placement is outdated: the registry, the configuration or the state of the replica has changed")
 )
 
-// checkSend returns an error if a request must not be sent to the replica of its
-// reservation. It is called immediately before the first byte is written: the lease
-// or the configuration may have changed since the placement. The version is the one
-// in the stamp of the request.
-func (g *Gateway) checkSend(reservation *routing.Reservation, version uint64) error {
+// checkBeforeSend returns an error if a request must no longer be sent to the replica of
+// its reservation. The sendGuard calls it immediately before the first byte is written,
+// since dialing takes time in which the lease may expire or the placement may become
+// outdated. version is the configuration version in the stamp of the request, which is
+// already encoded.
+//
+// If the registry serial has changed since the reservation was made, Reservation.Usable
+// evaluates the placement again and updates the reservation's version. The request may
+// then be sent only if the configuration version is still the one in the stamp.
+func (g *Gateway) checkBeforeSend(reservation *routing.Reservation, version uint64) error {
 	if !reservation.Usable(time.Now()) || reservation.Version != version {
 		return errPlanChanged
 	}
@@ -53,20 +58,20 @@
 	return nil
 }
 
-// degradedReasons lists, for operators, why the gateway refuses requests or issues no
-// tickets.
+// degradedReasons returns, for the status that operators read, why the gateway refuses
+// requests or issues no tickets.
 func (g *Gateway) degradedReasons() []string {
 	var reasons []string
 	if g.draining.Load() {
-		reasons = append(reasons, "the gateway is leaving")
+		reasons = append(reasons, "the gateway is draining")
 	}
 	if !g.agent.Valid() {
-		reasons = append(reasons, "no lease from the primary, requests are refused: see that there is a primary and that this machine reaches it")
+		reasons = append(reasons, "no lease from the primary, so requests are refused: check that there is a primary and that this machine can reach it")
 	}
 	if g.agent.Active() == nil {
-		reasons = append(reasons, "no copy of the registry yet: see that this machine reaches a control node")
+		reasons = append(reasons, "no copy of the registry yet: check that this machine can reach a control node")
 	} else if !g.canOwnTickets() {
-		reasons = append(reasons, "the zone is evacuated: no tickets are issued here")
+		reasons = append(reasons, "the zone is evacuated: this gateway issues no tickets")
 	}
 	return reasons
 }
--- a/gateway/replica_condition.go
+++ b/gateway/replica_condition.go
@@ -10,17 +10,19 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Limits of the updates about conditions of replicas.
+// Limits for the updates of replica conditions.
 const (
-	// conditionUpdateInterval is the least time between two updates about one replica.
+	// conditionUpdateInterval is the minimum time between two updates of one replica's
+	// condition.
 	conditionUpdateInterval = time.Second
 	conditionTimeout        = 5 * time.Second
-	// requestorPrefix begins the requestor of every update of a gateway.
+	// requestorPrefix precedes the gateway's name in the requestor of its updates.
 	requestorPrefix = "gateway:"
 )
 
-// reportConditions sends changed conditions of replicas to the primary as conditional
-// updates. A change whose update is lost is observed and sent again.
+// reportConditions sends changes of replica conditions to the primary, as updates with
+// prerequisites. Nothing is sent without a lease. If an update is lost, the router
+// returns the change again.
 func (g *Gateway) reportConditions(ctx context.Context, now time.Time, updates *sync.WaitGroup) {
 	if !g.agent.Valid() {
 		return
@@ -33,7 +35,8 @@
 	}
 }
 
-// allowConditionUpdate limits the rate of updates about one replica.
+// allowConditionUpdate reports whether an update of the replica's condition may be sent
+// now, and records it if so. It enforces conditionUpdateInterval.
 func (g *Gateway) allowConditionUpdate(replica string, now time.Time) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -49,23 +52,23 @@
 	return true
 }
 
-// sendCondition sends one conditional update and logs its result.
+// sendCondition sends the update for one change and logs the reply.
 func (g *Gateway) sendCondition(ctx context.Context, change routing.ConditionChange) {
 	updateContext, cancel := context.WithTimeout(ctx, conditionTimeout)
 	defer cancel()
 	reply, err := g.agent.Update(updateContext, g.conditionUpdate(change))
 	if err != nil {
 		g.metrics.updates.WithLabelValues("lost").Inc()
-		g.log.Warn("condition update failed", "replica", change.Replica, "error", err)
+		g.log.Warn("no reply to replica condition update", "replica", change.Replica, "error", err)
 		return
 	}
 	g.metrics.updates.WithLabelValues(reply.Code.String()).Inc()
-	g.log.Info("condition updated", "replica", change.Replica, "state", change.New.State, "code", reply.Code.String(), "serial", reply.Serial)
+	g.log.Info("replica condition update answered", "replica", change.Replica, "state", change.New.State, "code", reply.Code.String(), "serial", reply.Serial)
 }
 
-// conditionUpdate returns an update that replaces the condition from which the change
-// was derived. Its prerequisites are that this condition still holds and that the
-// replica is still listed.
+// conditionUpdate returns the update that replaces the old condition of a change by the
+// new one. Its prerequisites are that the registry still has the old condition and
+// still lists the replica.
 func (g *Gateway) conditionUpdate(change routing.ConditionChange) registry.Update {
 	name := catalog.ReplicaName(change.Replica)
 	prerequisites := []registry.Record{registry.Exists(name, catalog.TypeReplica)}
--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -9,12 +9,12 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// maxPolls bounds the polls in progress at the same time.
+// maxPolls bounds the concurrent polls that pollReplicas starts.
 const maxPolls = 64
 
-// pollReplicas polls the replicas of the region until ctx ends, and reports changes
-// of the condition of those that this gateway is responsible for. A replica that was
-// just listed is polled at once.
+// pollReplicas polls the replicas of the region at each interval until ctx ends, and
+// reports the changed conditions of those that this gateway is responsible for. A newly
+// listed replica is polled at once.
 func (g *Gateway) pollReplicas(ctx context.Context) {
 	ticker := time.NewTicker(g.options.PollInterval)
 	defer ticker.Stop()
@@ -23,7 +23,8 @@
 	defer polls.Wait()
 	known := make(map[string]bool)
 	for {
-		// Read before the active state, so that no activation is missed.
+		// Get the channel before pollNewReplicas reads the active state. Otherwise an
+		// activation in between would be missed.
 		changed := g.agent.Changed()
 		known = g.pollNewReplicas(ctx, known, pollSlots, &polls)
 		select {
@@ -37,8 +38,8 @@
 	}
 }
 
-// pollNewReplicas polls the listed replicas of the region that are not known yet, and
-// returns all that are listed.
+// pollNewReplicas starts polls of the region's listed replicas that are not in known. It
+// returns the set of all listed replicas.
 func (g *Gateway) pollNewReplicas(ctx context.Context, known map[string]bool, pollSlots chan struct{}, polls *sync.WaitGroup) map[string]bool {
 	active := g.agent.Active()
 	if active == nil {
@@ -47,7 +48,7 @@
 	listed := make(map[string]bool)
 	for _, replica := range g.router.Watched() {
 		if _, ok := active.Replicas()[replica]; !ok {
-			continue // the router has the next activation already
+			continue // the router already has the state that is about to become active
 		}
 		listed[replica] = true
 		if !known[replica] {
@@ -57,8 +58,8 @@
 	return listed
 }
 
-// startPoll polls a replica in the background, unless it is being polled or too many
-// are.
+// startPoll polls a replica in the background. It does nothing if the replica is already
+// being polled or no poll slot is free.
 func (g *Gateway) startPoll(ctx context.Context, active *catalog.State, replica string, pollSlots chan struct{}, polls *sync.WaitGroup) {
 	record, listed := active.Replicas()[replica]
 	if !listed {
@@ -79,7 +80,8 @@
 	})
 }
 
-// pollUntilCurrent polls a replica, and again if that was requested meanwhile.
+// pollUntilCurrent polls a replica, and once more for as long as another poll was
+// requested during the last one.
 func (g *Gateway) pollUntilCurrent(ctx context.Context, replica string, record catalog.Replica) {
 	g.poll(ctx, replica, record)
 	for g.polling.end(replica) {
@@ -87,31 +89,32 @@
 	}
 }
 
-// pollNow polls a replica out of turn. One that is being polled is polled once more,
-// since the report under way may have been made before the event.
+// pollNow polls a replica at once, in the background. If it is already being polled,
+// another poll follows, because the replica may have produced the report in progress
+// before the event that led to this call.
 func (g *Gateway) pollNow(replica string) {
 	record, listed := g.agent.Active().Replicas()[replica]
 	if !listed || !g.polling.beginOrRepeat(replica) {
 		return
 	}
-	g.active.begin()
+	g.activity.begin()
 	go func() {
-		defer g.active.end()
+		defer g.activity.end()
 		g.pollUntilCurrent(g.runContext, replica, record)
 	}()
 }
 
-// suspectReplica stops new requests to the replica of a reservation until its next
-// report, and polls it at once. A replica that has reported another incarnation since
-// is not affected.
+// suspectReplica makes the router send no new requests to the replica of a reservation
+// until its next report, and polls it at once. It has no effect if the replica has
+// reported another incarnation since the reservation was made.
 func (g *Gateway) suspectReplica(reservation *routing.Reservation) {
 	if g.router.Suspect(reservation.Replica, reservation.Incarnation, time.Now()) {
 		g.pollNow(reservation.Replica)
 	}
 }
 
-// poll fetches the report of one replica. A report in the name of another replica is
-// a failure: the address was reassigned.
+// poll requests the report of a replica and passes it to the router. A report with the
+// name of another replica counts as a failure: the address was reassigned.
 func (g *Gateway) poll(ctx context.Context, replica string, record catalog.Replica) {
 	pollContext, cancel := context.WithTimeout(ctx, g.options.PollTimeout)
 	defer cancel()
@@ -127,20 +130,20 @@
 	}
 	g.metrics.polls.WithLabelValues("answered").Inc()
 	g.router.Observe(replica, *report, now)
-	g.recordVersion(record.Service, report.ConfigurationVersion)
+	g.recordObservedVersion(record.Service, report.ConfigurationVersion)
 }
 
-// pollTracker ensures that there is one poll of a replica at a time.
+// pollTracker ensures that there is at most one poll of a replica at a time.
 type pollTracker struct {
 	mutex sync.Mutex
-	// repeat has an entry for each replica that is being polled; it is true if another
-	// poll is to follow.
+	// repeat has an entry for each replica that is being polled. The value is true if
+	// another poll is to follow.
 	repeat map[string]bool
 }
 
 func newPollTracker() *pollTracker { return &pollTracker{repeat: make(map[string]bool)} }
 
-// begin reports whether the replica was not being polled and now is.
+// begin marks the replica as being polled. It reports false if it already was.
 func (p *pollTracker) begin(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -151,7 +154,8 @@
 	return true
 }
 
-// beginOrRepeat is begin, but has another poll follow the one in progress.
+// beginOrRepeat is like begin, but if the replica is already being polled, it requests
+// another poll after the one in progress.
 func (p *pollTracker) beginOrRepeat(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -160,8 +164,8 @@
 	return !busy
 }
 
-// end reports whether another poll is to follow at once. If not, the replica is no
-// longer being polled.
+// end marks the end of a poll and reports whether another one must follow at once. If
+// not, the replica is no longer marked as being polled.
 func (p *pollTracker) end(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/gateway/replica_health_test.go
+++ b/gateway/replica_health_test.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// usableReplicas counts the replicas that the gateway would place requests on.
+// usableReplicas returns the number of replicas on which the gateway may place requests.
 func (n *node) usableReplicas() int {
 	usable := 0
 	for _, service := range n.router.Status().Services {
@@ -21,14 +21,14 @@
 	return usable
 }
 
-// gatewayWithoutPolling starts a gateway that polls replicas only when they are
-// listed or suspected, and waits until it knows the only replica.
+// gatewayWithoutPolling starts a gateway that polls a replica only when it is newly listed
+// or when pollNow is called. It waits until the only replica is usable.
 func (f *fleet) gatewayWithoutPolling() *node {
 	g := f.gateway("g1", "north", "a", func(options *Options) { options.PollInterval = time.Hour })
-	waitFor(f.t, "a lease and the replica's record", func() bool {
+	waitFor(f.t, "the lease and the record of the replica", func() bool {
 		return g.checkServing() == nil && len(g.agent.Active().Replicas()) == 1 && len(g.router.Watched()) == 1
 	})
-	waitFor(f.t, "the first report", func() bool { return g.usableReplicas() == 1 })
+	waitFor(f.t, "the first report of the replica", func() bool { return g.usableReplicas() == 1 })
 	return g
 }
 
@@ -47,9 +47,9 @@
 	change()
 }
 
-// TestRestartedReplicaIsPolledAtOnce restarts a replica between two polls. The
-// request placed on the former incarnation is refused, and runs after the next
-// report.
+// TestRestartedReplicaIsPolledAtOnce restarts a replica between two polls. It refuses the
+// request that was placed on its former incarnation. The gateway must poll it at once and
+// send the request to the new incarnation, which is not a retry.
 func TestRestartedReplicaIsPolledAtOnce(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -64,27 +64,28 @@
 	})
 	request, _ := g.where(t, newRequest("restarted"))
 	if got := g.send(t, request); got.outcome() != "success" {
-		t.Fatalf("got %s", got.outcome())
+		t.Fatalf("outcome %s, want success", got.outcome())
 	}
 	var placed []string
 	for _, received := range replica.requests() {
 		placed = append(placed, fmt.Sprint(received.Stamp.ReplicaIncarnation, "/", received.Stamp.Attempt))
 	}
 	if fmt.Sprint(placed) != "[1/1 2/2]" {
-		t.Errorf("placed on incarnation/attempt %v", placed)
+		t.Errorf("incarnation/attempt in the stamps: %v, want [1/1 2/2]", placed)
 	}
 	for _, label := range []string{"allowed", "denied"} {
 		if count := counterValue(t, g.metrics.retries.WithLabelValues(label)); count != 0 {
-			t.Errorf("%v retries %s", count, label)
+			t.Errorf("%v retries were %s, want none", count, label)
 		}
 	}
 }
 
-// TestBrokenConnectionTriggersPoll breaks connections in several ways. The replica
-// gets no new request until its next report, for which it is polled at once.
+// TestBrokenConnectionTriggersPoll breaks the connection to a replica before the response
+// and within a stream. The replica must be polled at once, and must not be usable until
+// its report arrives.
 func TestBrokenConnectionTriggersPoll(t *testing.T) {
 	failures := map[string]answerFunc{
-		"before the answer": func(http.ResponseWriter, *http.Request, *api.ReplicaRequest) {
+		"before the response": func(http.ResponseWriter, *http.Request, *api.ReplicaRequest) {
 			panic(http.ErrAbortHandler)
 		},
 		"within a stream": func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
@@ -107,26 +108,26 @@
 			request, _ := g.where(t, newRequest("broken"))
 			request.Stream = true
 			if got := g.send(t, request); got.failure == nil || got.failure.Outcome == api.OutcomeRefused {
-				t.Errorf("got %s", got.outcome())
+				t.Errorf("outcome %s, want failed or unknown", got.outcome())
 			}
 			if usable := g.usableReplicas(); usable != 0 {
-				t.Errorf("%d replicas are usable before the report", usable)
+				t.Errorf("%d replicas are usable before the next report, want none", usable)
 			}
 			replica.setAnswer(writeAnswer)
 			replica.update(func() { replica.blockReports = nil })
 			close(reports)
-			waitFor(t, "the report", func() bool { return g.usableReplicas() == 1 })
+			waitFor(t, "the next report of the replica", func() bool { return g.usableReplicas() == 1 })
 			request, _ = g.where(t, newRequest("after"))
 			if got := g.send(t, request); got.outcome() != "success" {
-				t.Errorf("afterwards: got %s", got.outcome())
+				t.Errorf("request after the report: outcome %s, want success", got.outcome())
 			}
 		})
 	}
 }
 
-// TestFailedDialClosesReplica stops a replica between two polls: only the first
-// request tries to reach it.
-func TestFailedDialClosesReplica(t *testing.T) {
+// TestFailedDialStopsRequestsToReplica stops a replica between two polls. After the first
+// failed dial, the replica must not be usable.
+func TestFailedDialStopsRequestsToReplica(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gatewayWithoutPolling()
@@ -134,12 +135,12 @@
 	replica.server.CloseClientConnections()
 	request, _ := g.where(t, newRequest("unreachable"))
 	if got := g.send(t, request); got.failure == nil || got.failure.Outcome != api.OutcomeRefused {
-		t.Errorf("got %s", got.outcome())
+		t.Errorf("outcome %s, want refused", got.outcome())
 	}
 	if usable := g.usableReplicas(); usable != 0 {
-		t.Errorf("%d replicas are usable", usable)
+		t.Errorf("%d replicas are usable after a failed dial, want none", usable)
 	}
 	if reached := len(replica.requests()); reached != 0 {
-		t.Errorf("reached the replica %d times", reached)
+		t.Errorf("the replica received %d requests, want none", reached)
 	}
 }
--- a/gateway/replica_response.go
+++ b/gateway/replica_response.go
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// errBodyTooLong means that a body exceeds its limit.
-var errBodyTooLong = errors.New("gateway: body is too long")
+// errBodyTooLong means that a response body exceeds its size limit.
+var errBodyTooLong = errors.New("gateway: response body is too long")
 
 // readBounded reads a body of at most limit bytes.
 func readBounded(source io.Reader, limit int64) ([]byte, error) {
@@ -40,8 +40,8 @@
 	return body, nil
 }
 
-// hasDefiniteLength reports whether the end of the body can be told from a broken
-// connection.
+// hasDefiniteLength reports whether the framing of the response makes the end of the body
+// distinguishable from a broken connection.
 func hasDefiniteLength(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
@@ -52,7 +52,8 @@
 	return err == nil && kind == stream.ContentType
 }
 
-// replicaAnswer is an answer, or an error in a response with a status of success.
+// replicaAnswer is the body of a response with a success status. A body with an error is
+// not accepted.
 type replicaAnswer struct {
 	api.GenerateAnswer
 	Error json.RawMessage `json:"error"`
@@ -62,7 +63,7 @@
 // request.
 func readAnswer(response *http.Response, requestID string) (*api.GenerateAnswer, *api.Error) {
 	if !hasDefiniteLength(response) {
-		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer has no length")
+		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer has neither a length nor chunked encoding")
 	}
 	body, err := readBounded(response.Body, api.MaxReplicaAnswer)
 	if err != nil {
@@ -70,22 +71,23 @@
 	}
 	var answer replicaAnswer
 	if err := decodeSingle(body, &answer); err != nil {
-		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer is not whole JSON")
+		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer is not one complete JSON value")
 	}
 	if len(answer.Error) > 0 && string(answer.Error) != "null" {
-		return nil, newError(api.CodeReplicaError, api.OutcomeFailed, "the replica answered success with an error in it")
+		return nil, newError(api.CodeReplicaError, api.OutcomeFailed, "the replica's response has a success status but contains an error")
 	}
 	if answer.RequestID != requestID && !planted.Active(planted.AcceptWrongID) {
-		return nil, newError(api.CodeReplicaMismatch, api.OutcomeUnknown, "the replica answered another request")
+		return nil, newError(api.CodeReplicaMismatch, api.OutcomeUnknown, "the replica's answer is for another request")
 	}
 	if answer.RunID == "" || answer.Tokens <= 0 {
-		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer lacks its run or its tokens")
+		return nil, newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer has no run id or no tokens")
 	}
 	return &answer.GenerateAnswer, nil
 }
 
-// classifyErrorResponse classifies a response that is not a success. Only a typed
-// refusal of this very request means that the request never ran.
+// classifyErrorResponse classifies a response without a success status. The request is
+// known not to have run only if the body is an API error with the outcome refused and the
+// id of this request.
 func classifyErrorResponse(response *http.Response, requestID string) attemptResult {
 	body, err := readBounded(response.Body, maxReplicaErrorBody)
 	if err != nil {
@@ -93,11 +95,11 @@
 	}
 	var wrapped api.ErrorBody
 	if err := decodeSingle(body, &wrapped); err != nil || wrapped.Error == nil || wrapped.Error.Code == "" {
-		return indeterminate(newError(api.CodeReplicaError, api.OutcomeUnknown, "the replica answered status %d", response.StatusCode))
+		return indeterminate(newError(api.CodeReplicaError, api.OutcomeUnknown, "the replica responded with status %d", response.StatusCode))
 	}
 	failure := wrapped.Error
 	if failure.RequestID != requestID {
-		return indeterminate(newError(api.CodeReplicaMismatch, api.OutcomeUnknown, "the replica answered another request with status %d", response.StatusCode))
+		return indeterminate(newError(api.CodeReplicaMismatch, api.OutcomeUnknown, "the replica's response with status %d is for another request", response.StatusCode))
 	}
 	if failure.Outcome == api.OutcomeRefused && response.StatusCode >= http.StatusBadRequest {
 		switch failure.Code {
@@ -112,23 +114,23 @@
 	if failure.Outcome == api.OutcomeFailed {
 		outcome = api.OutcomeFailed
 	}
-	return indeterminate(newError(api.CodeReplicaError, outcome, "the replica answered status %d, %s", response.StatusCode, failure.Code))
+	return indeterminate(newError(api.CodeReplicaError, outcome, "the replica responded with status %d and code %s", response.StatusCode, failure.Code))
 }
 
-// classifyReadError returns the error for a body that could not be read.
+// classifyReadError returns the error for a response body that could not be read.
 func classifyReadError(err error) *api.Error {
 	switch {
 	case errors.Is(err, errBodyTooLong):
 		return newError(api.CodeReplicaError, api.OutcomeFailed, "the replica's answer is too long")
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer is shorter than announced")
+		return newError(api.CodeReplicaIncomplete, api.OutcomeFailed, "the replica's answer is truncated")
 	default:
 		return newError(api.CodeReplicaBroken, api.OutcomeUnknown, "the connection to the replica broke")
 	}
 }
 
-// classifyStreamError returns the caller's error for a broken stream. A stream with a
-// chunk has run.
+// classifyStreamError returns the error for a stream that broke after the given number of
+// chunks. With at least one chunk, the request is known to have run.
 func classifyStreamError(err error, chunks int) *api.Error {
 	outcome := api.OutcomeUnknown
 	if chunks > 0 {
@@ -136,7 +138,7 @@
 	}
 	var fault *stream.ReadError
 	if errors.As(err, &fault) {
-		return newError(fault.Code, outcome, "the replica's stream broke: %s", fault.Reason)
+		return newError(fault.Code, outcome, "the stream from the replica broke: %s", fault.Reason)
 	}
-	return newError(api.CodeReplicaBroken, outcome, "the replica's stream broke")
+	return newError(api.CodeReplicaBroken, outcome, "the stream from the replica broke")
 }
--- a/gateway/reservation_table.go
+++ b/gateway/reservation_table.go
@@ -10,173 +10,180 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Limits of the reservations for requests of other gateways.
+// Limits for the offers of other gateways.
 const (
-	// reservationTimeout is how long a reservation waits for its run.
-	reservationTimeout = time.Second
-	// maxReservations bounds the reservations that are remembered.
-	maxReservations = 8 << 10
-	// maxQueuedOffers bounds the offers that wait for capacity.
+	// grantTimeout is how long a granted offer waits for the peer to run it. After that its
+	// reservation is released.
+	grantTimeout = time.Second
+	// maxGrantedOffers bounds the granted offers in the table.
+	maxGrantedOffers = 8 << 10
+	// maxQueuedOffers bounds the offers that wait in the queue for capacity.
 	maxQueuedOffers = 256
-	// maxOfferQueueWait bounds the wait of one offer, whatever its sender asks for.
+	// maxOfferQueueWait bounds the wait of one offer in the queue, even if its sender allows
+	// more.
 	maxOfferQueueWait = 5 * time.Second
-	// reservationRetention is how long a reservation is remembered after the deadline of
+	// offerRetention is how long a granted offer stays in the table after the deadline of
 	// its request.
-	reservationRetention = 30 * time.Second
+	offerRetention = 30 * time.Second
 )
 
-// reservationState is the state of a reservation.
-type reservationState uint8
+// offerState is the state of a granted offer.
+type offerState uint8
 
 const (
-	reservationPending   reservationState = iota + 1
-	reservationCanceled                   // never ran and never will
-	reservationConfirmed                  // is running or has run
+	offerPending  offerState = iota + 1
+	offerCanceled            // withdrawn, expired or refused: the request never ran and never will
+	offerStarted             // the request is running or has run
 )
 
-// reservedRequest is a request of another gateway for which capacity is reserved. On
-// the wire it is an offer: granted, then run or withdrawn.
-type reservedRequest struct {
-	state          reservationState
+// grantedOffer is an offer of another gateway, in the sense of peer.Offer, that this
+// gateway has granted: it holds the reservation of a replica until the peer runs the
+// offer or withdraws it, or until it expires.
+type grantedOffer struct {
+	state          offerState
 	request        api.GenerateRequest
 	route          routing.Request
 	reservation    *routing.Reservation
 	attemptsBefore int
 	reply          peer.OfferReply
 	deadline       time.Time
-	expiresAt      time.Duration // unless confirmed; on the gateway's clock
-	forgetAt       time.Duration
+	expiresAt      time.Duration // of a pending offer; on Options.Clock
+	forgetAt       time.Duration // when the offer is removed from the table; on Options.Clock
 }
 
-// reservationTable remembers the reservations for requests of other gateways, by the
-// id of their offer.
-type reservationTable struct {
-	mutex        sync.Mutex
-	reservations map[string]*reservedRequest
-	queued       map[string]*queuedOffer
+// offerTable holds the offers of other gateways that this gateway has granted or that
+// wait for capacity here. It is safe for concurrent use.
+type offerTable struct {
+	mutex   sync.Mutex
+	granted map[string]*grantedOffer // by offer id
+	queued  map[string]*queuedOffer  // by offer id
 }
 
-// queuedOffer is an offer that waits for capacity.
+// queuedOffer is an offer whose request waits in the queue for capacity.
 type queuedOffer struct {
 	cancel   context.CancelFunc
 	canceled bool
 }
 
-func newReservationTable() *reservationTable {
-	return &reservationTable{reservations: make(map[string]*reservedRequest), queued: make(map[string]*queuedOffer)}
+func newOfferTable() *offerTable {
+	return &offerTable{granted: make(map[string]*grantedOffer), queued: make(map[string]*queuedOffer)}
 }
 
-// beginWait records that an offer waits until cancel is called. It reports false if
-// too many do.
-func (b *reservationTable) beginWait(id string, cancel context.CancelFunc) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if _, twice := b.queued[id]; twice || len(b.queued) >= maxQueuedOffers {
+// beginWait records that an offer waits for capacity; cancel ends the wait. It reports
+// false if the offer waits already or too many do.
+func (t *offerTable) beginWait(id string, cancel context.CancelFunc) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if _, waiting := t.queued[id]; waiting || len(t.queued) >= maxQueuedOffers {
 		return false
 	}
-	b.queued[id] = &queuedOffer{cancel: cancel}
+	t.queued[id] = &queuedOffer{cancel: cancel}
 	return true
 }
 
-// endWait records the end of the wait and reports false if the offer was canceled
-// meanwhile.
-func (b *reservationTable) endWait(id string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	canceled := b.queued[id].canceled
-	delete(b.queued, id)
+// endWait records that an offer no longer waits. It reports false if the offer was
+// canceled while it waited.
+func (t *offerTable) endWait(id string) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	canceled := t.queued[id].canceled
+	delete(t.queued, id)
 	return !canceled
 }
 
-// add remembers a reservation and reports false if the table is full.
-func (b *reservationTable) add(id string, o *reservedRequest) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if len(b.reservations) >= maxReservations {
+// add adds a granted offer. It reports false if the table is full.
+func (t *offerTable) add(id string, offer *grantedOffer) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if len(t.granted) >= maxGrantedOffers {
 		return false
 	}
-	b.reservations[id] = o
+	t.granted[id] = offer
 	return true
 }
 
-// reply returns the reply that an offer was given before.
-func (b *reservationTable) reply(id string) (peer.OfferReply, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	o, ok := b.reservations[id]
+// reply returns the reply that an offer got when it was granted, if it is in the table.
+func (t *offerTable) reply(id string) (peer.OfferReply, bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	offer, ok := t.granted[id]
 	if !ok {
 		return peer.OfferReply{}, false
 	}
-	return o.reply, true
+	return offer.reply, true
 }
 
-// confirm claims a pending reservation for its run, once. The error says what is
-// known of one that can't run.
-func (b *reservationTable) confirm(id string, now time.Duration) (*reservedRequest, *api.Error) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	o, ok := b.reservations[id]
+// start marks a pending offer as started and returns it. An offer starts at most once. The
+// error for one that can't be started has the outcome refused if it never ran and never
+// will, otherwise unknown.
+func (t *offerTable) start(id string, now time.Duration) (*grantedOffer, *api.Error) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	offer, ok := t.granted[id]
 	switch {
 	case !ok:
-		return nil, newRetryableError(api.CodeNoCapacity, "the reservation is gone")
-	case o.state == reservationConfirmed:
-		return nil, newError(api.CodeDuplicate, api.OutcomeUnknown, "the offer was run before")
-	case o.state == reservationCanceled || now >= o.expiresAt:
-		b.cancelPending(o)
-		return nil, newRetryableError(api.CodeNoCapacity, "the reservation ran out")
+		return nil, newRetryableError(api.CodeNoCapacity, "the gateway has no record of this offer")
+	case offer.state == offerStarted:
+		return nil, newError(api.CodeDuplicate, api.OutcomeUnknown, "the offer was already run")
+	case offer.state == offerCanceled || now >= offer.expiresAt:
+		t.cancelPending(offer)
+		return nil, newRetryableError(api.CodeNoCapacity, "the offer was withdrawn or has expired")
 	}
-	o.state = reservationConfirmed
-	return o, nil
+	offer.state = offerStarted
+	return offer, nil
 }
 
-// cancelPending releases the capacity of a pending reservation. The caller holds the
-// mutex.
-func (b *reservationTable) cancelPending(o *reservedRequest) {
-	if o.state != reservationPending {
+// cancelPending cancels an offer and releases its reservation, if it is pending. The
+// caller holds the mutex.
+func (t *offerTable) cancelPending(offer *grantedOffer) {
+	if offer.state != offerPending {
 		return
 	}
-	o.state = reservationCanceled
-	o.reservation.Finish(routing.ResultCanceled, nil, time.Now())
-	o.reservation = nil
+	offer.state = offerCanceled
+	offer.reservation.Finish(routing.ResultCanceled, nil, time.Now())
+	offer.reservation = nil
 }
 
-// cancel cancels a reservation that was not run and reports whether it never ran and
-// never will. One that is not remembered may have run long ago.
-func (b *reservationTable) cancel(id string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if queued, ok := b.queued[id]; ok {
+// cancel cancels an offer that was not started, and reports whether its request never ran
+// and never will. It reports false for an unknown offer, which may have run and been
+// removed from the table since.
+func (t *offerTable) cancel(id string) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if queued, ok := t.queued[id]; ok {
 		queued.canceled = true
 		queued.cancel()
 		return true
 	}
-	o, ok := b.reservations[id]
+	offer, ok := t.granted[id]
 	if !ok {
 		return false
 	}
-	b.cancelPending(o)
-	return o.state == reservationCanceled
+	t.cancelPending(offer)
+	return offer.state == offerCanceled
 }
 
-// recordNeverRan records that a run ended without having reached any replica.
-func (b *reservationTable) recordNeverRan(id string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if o, ok := b.reservations[id]; ok {
-		o.state = reservationCanceled
+// recordNeverRan records that a started offer ended with a refusal, so that its request
+// never ran on any replica.
+func (t *offerTable) recordNeverRan(id string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if offer, ok := t.granted[id]; ok {
+		offer.state = offerCanceled
 	}
 }
 
-// expire cancels reservations that were not used in time and forgets old ones.
-func (b *reservationTable) expire(now time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	for id, o := range b.reservations {
-		if now >= o.expiresAt {
-			b.cancelPending(o)
+// expire cancels the pending offers that have expired and removes old offers from the
+// table.
+func (t *offerTable) expire(now time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	for id, offer := range t.granted {
+		if now >= offer.expiresAt {
+			t.cancelPending(offer)
 		}
-		if now >= o.forgetAt {
-			delete(b.reservations, id)
+		if now >= offer.forgetAt {
+			delete(t.granted, id)
 		}
 	}
 }
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -9,23 +9,25 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Limits of the attempts of one request.
+// Limits for the attempts of one request.
 const (
-	// maxUnsentAttempts bounds the attempts of which no byte left for a replica.
+	// maxUnsentAttempts bounds the attempts that end before any byte is sent to a replica,
+	// or because the replica was restarted.
 	maxUnsentAttempts = 8
-	// maxStaleRefusals bounds the refusals by replicas that have seen a newer
-	// configuration.
+	// maxStaleRefusals bounds the attempts that replicas refuse because they have seen a
+	// newer configuration.
 	maxStaleRefusals = 3
-	// initialBackoff and maxBackoff bound the delay before a retry, which doubles
-	// with each attempt and has full jitter.
+	// The delay before a retry is random between 0 and a limit (full jitter). The limit
+	// doubles with each attempt, from initialBackoff up to maxBackoff.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// attempted reports whether there was an attempt that counts: another one is a retry.
+// attempted reports whether an attempt was made after which the next one is a retry.
 func (r *runner) attempted() bool { return r.attemptsSent-r.attemptsVoided+r.remoteAttempts > 0 }
 
-// allowRetry takes a retry from the budget. A request has one retry at most.
+// allowRetry reports whether the request may be retried, and spends the retry budget for
+// it. A request is retried at most once.
 func (r *runner) allowRetry() bool {
 	if r.retryAvailable {
 		return true
@@ -41,8 +43,8 @@
 	return allowed
 }
 
-// prepareNextAttempt decides whether another attempt in this region follows, and
-// waits for as long as it must before it.
+// prepareNextAttempt reports whether another attempt in this region may be made after a
+// failed one. Before a retry it waits for the backoff delay.
 func (r *runner) prepareNextAttempt(ctx context.Context, reservation *routing.Reservation, outcome attemptResult) bool {
 	if ctx.Err() != nil {
 		return false
@@ -70,7 +72,8 @@
 	return r.allowRetry() && r.backoff(ctx)
 }
 
-// isFinalRefusal reports whether every other replica would refuse the request too.
+// isFinalRefusal reports whether any other replica would refuse the request for the same
+// reason, so that another attempt is useless.
 func isFinalRefusal(failure *api.Error) bool {
 	switch failure.Code {
 	case api.CodeInvalid, api.CodeTooLarge, api.CodeDeadline:
@@ -80,7 +83,7 @@
 	}
 }
 
-// excludeReplica keeps further attempts from a replica.
+// excludeReplica prevents further attempts of this request on a replica.
 func (r *runner) excludeReplica(replica string) {
 	if r.route.ExcludedReplicas == nil {
 		r.route.ExcludedReplicas = make(map[string]bool)
@@ -88,13 +91,14 @@
 	r.route.ExcludedReplicas[replica] = true
 }
 
-// backoff waits before a retry and reports false if the context ended first.
+// backoff waits for a random delay before a retry. It reports false if the context ended
+// first.
 func (r *runner) backoff(ctx context.Context) bool {
 	limit := min(initialBackoff<<min(r.attemptsSent, 8), maxBackoff)
 	return sleep(ctx, r.gateway.randomDuration(limit))
 }
 
-// sleep waits and reports whether the time passed before the context ended.
+// sleep waits for the given time. It reports false if the context ended first.
 func sleep(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -106,7 +110,7 @@
 	}
 }
 
-// randomDuration returns a random duration from 0 to the limit.
+// randomDuration returns a random duration between 0 and the limit, both included.
 func (g *Gateway) randomDuration(limit time.Duration) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -8,10 +8,10 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Router decides where requests run; *routing.Router implements it. It is safe for
-// concurrent use.
+// Router decides where requests run. *routing.Router implements it. Implementations must
+// be safe for concurrent use.
 type Router interface {
-	// SetPlan makes the router decide by a newly activated state of the catalog.
+	// SetPlan replaces the state of the registry according to which the router decides.
 	SetPlan(*routing.Plan)
 	Placement
 	ReplicaHealth
@@ -22,47 +22,60 @@
 
 // Placement selects the region and the replica of a request.
 type Placement interface {
-	// Resolve applies the configuration to a request.
+	// Resolve determines the service, the class and the home regions of a request from the
+	// configuration.
 	Resolve(api.GenerateRequest, time.Time) (routing.Request, *api.Error)
-	// Regions returns the regions to try, in this order; none if the request can't be
-	// placed. The reason is then returned by Rejection.
+	// Regions returns the regions to try, best first. The list is empty if no region can
+	// serve the request.
 	Regions(routing.Request) []string
+	// Rejection returns the error for a request for which Regions is empty.
 	Rejection(routing.Request) *api.Error
-	// Acquire waits in the queue for a replica of the own region.
+	// Acquire reserves a replica of this gateway's region, and waits in the queue for one if
+	// necessary.
 	Acquire(context.Context, routing.Request) (*routing.Reservation, *api.Error)
-	// Reserve returns a replica of the own region if there is one without waiting.
+	// Reserve is like Acquire, but returns an error instead of waiting.
 	Reserve(routing.Request) (*routing.Reservation, *api.Error)
-	// WarmupGateways returns the other gateways of the region that send requests to
-	// replicas of the service that warm up.
+	// WarmupGateways returns the other gateways of the region that serve replicas of the
+	// service in their warm-up. To limit the load on such a replica, only one gateway sends
+	// requests to it.
 	WarmupGateways(service string) []string
 }
 
-// ReplicaHealth collects what is observed of the replicas of the own region.
+// ReplicaHealth collects observations of the replicas in this gateway's region.
 type ReplicaHealth interface {
-	// Watched returns the replicas to poll.
+	// Watched returns the names of the replicas to poll.
 	Watched() []string
+	// Observe records a report of a replica.
 	Observe(replica string, report api.ReplicaReport, at time.Time)
+	// RecordPollFailure records that a poll of a replica failed.
 	RecordPollFailure(replica string, at time.Time)
-	// Suspect stops new requests to a replica until its next report. It reports false
-	// if the replica has reported another incarnation.
+	// Suspect prevents new requests to a replica until its next report. It does nothing and
+	// reports false if the replica has reported another incarnation since.
 	Suspect(replica, incarnation string, at time.Time) bool
-	// Conditions returns the changes of conditions that this gateway has to report.
+	// Conditions returns the changes of replica conditions that this gateway must report to
+	// the primary.
 	Conditions(time.Time) []routing.ConditionChange
 }
 
-// RetryBudget bounds the retries by a fraction of the attempts.
+// RetryBudget limits the retries to a fraction of the first attempts.
 type RetryBudget interface {
+	// AllowRetry reports whether a request may be retried, and spends the budget for it.
 	AllowRetry() bool
+	// RecordAttempt counts a first attempt, which adds to the budget.
 	RecordAttempt()
 }
 
-// RegionLoads exchanges the loads of regions, by service.
+// RegionLoads gives access to the utilization of regions. The maps are by service; 1 is
+// fully utilized.
 type RegionLoads interface {
+	// Load returns the utilization of this gateway's region.
 	Load() map[string]float64
+	// SetRemoteLoad records the utilization of another region.
 	SetRemoteLoad(region string, load map[string]float64, at time.Time)
 }
 
-// RouterStatus describes the state of a router.
+// RouterStatus exports the state of a router.
 type RouterStatus interface {
+	// Status returns the current state.
 	Status() routing.Status
 }
--- a/gateway/run_events.go
+++ b/gateway/run_events.go
@@ -12,26 +12,27 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// eventReader is the receiving end of a transport stream.
+// eventReader is the receiving end of a stream between gateways.
 type eventReader interface {
 	Next(into any) error
 	Close() error
 }
 
-// closeStream closes a stream. Its error doesn't matter to the request.
+// closeStream closes a stream and ignores the error, which has no effect on the request.
 func closeStream(events eventReader) { _ = events.Close() }
 
-// errUnexpectedEvent means that the events of a peer make no answer.
-var errUnexpectedEvent = errors.New("gateway: peer's events do not belong together")
+// errUnexpectedEvent means that a peer sent an event that is not allowed at this position
+// of the stream.
+var errUnexpectedEvent = errors.New("gateway: unexpected event from a peer")
 
-// copyEvents copies the events of a peer into an execution, verifies their order, and
-// returns the result that ends them.
+// copyEvents copies the chunks that a peer sends to an execution and verifies their
+// order. It returns the result in the peer's last event.
 func copyEvents(ctx context.Context, events eventReader, run *execution.Execution) (*execution.Result, error) {
 	sequence := stream.SequenceChecker{RequestID: run.RequestID}
 	for {
 		var event peer.RunEvent
 		if err := events.Next(&event); err != nil {
-			return nil, fmt.Errorf("gateway: peer's events: %w", err)
+			return nil, fmt.Errorf("gateway: reading the events of a peer: %w", err)
 		}
 		switch {
 		case event.Chunk != nil:
@@ -40,7 +41,7 @@
 			}
 			data, err := json.Marshal(event.Chunk)
 			if err != nil {
-				return nil, fmt.Errorf("gateway: encoding a piece: %w", err)
+				return nil, fmt.Errorf("gateway: encoding a chunk: %w", err)
 			}
 			if err := run.AppendChunk(ctx, data); err != nil {
 				return nil, err
@@ -57,10 +58,10 @@
 	}
 }
 
-// sendEvents sends the output of an execution to a peer.
-func sendEvents(ctx context.Context, reader *execution.Follower, send func(any) error) error {
+// sendEvents sends the output and the result of an execution to a peer.
+func sendEvents(ctx context.Context, follower *execution.Follower, send func(any) error) error {
 	for {
-		frames, ended, err := reader.Next(ctx)
+		frames, ended, err := follower.Next(ctx)
 		if err != nil {
 			return err
 		}
@@ -68,11 +69,11 @@
 			return send(&peer.RunEvent{Answer: ended.Answer, End: ended.End, Error: ended.Failure, Attempts: ended.Attempts})
 		}
 		err = execution.ForEachChunk(frames, func(data []byte) error {
-			piece := new(api.StreamChunk)
-			if err := json.Unmarshal(data, piece); err != nil {
-				return fmt.Errorf("gateway: decoding a piece: %w", err)
+			chunk := new(api.StreamChunk)
+			if err := json.Unmarshal(data, chunk); err != nil {
+				return fmt.Errorf("gateway: decoding a chunk: %w", err)
 			}
-			return send(&peer.RunEvent{Chunk: piece})
+			return send(&peer.RunEvent{Chunk: chunk})
 		})
 		if err != nil {
 			return err
--- a/gateway/runner_test.go
+++ b/gateway/runner_test.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/gateway/execution"
 )
 
-// TestRetryAdvice ends requests by their deadline. A caller must not be advised to
-// retry a request that may have run and is not repeatable.
+// TestRetryAdvice checks the error of requests that end at their deadline. Callers must
+// not be advised to retry a request that may have run and is not repeatable.
 func TestRetryAdvice(t *testing.T) {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
@@ -29,10 +29,10 @@
 	for _, test := range tests {
 		run := execution.New("q", false, 1, func(error) {})
 		r := &runner{request: api.GenerateRequest{RequestID: "q", Repeatable: test.repeatable}, execution: run, mayHaveRun: test.ran}
-		r.fail(ctx, newRetryableError(api.CodeDeadline, "no time is left"))
+		r.fail(ctx, newRetryableError(api.CodeDeadline, "the deadline passed before an attempt was made"))
 		got := run.Result().Failure
 		if got.Outcome != test.outcome || got.Retry != test.retry || (got.RetryAfterMS > 0) != test.retry {
-			t.Errorf("%s: %s, retry %t after %d ms", test.name, got.Outcome, got.Retry, got.RetryAfterMS)
+			t.Errorf("%s: outcome %s, retry %t after %d ms", test.name, got.Outcome, got.Retry, got.RetryAfterMS)
 		}
 	}
 }
--- a/gateway/send_guard.go
+++ b/gateway/send_guard.go
@@ -8,56 +8,58 @@
 	"sync"
 )
 
-// errSendCanceled is returned by writes after the request was given up.
-var errSendCanceled = errors.New("gateway: request was given up before its first byte")
+// errSendCanceled is returned by writes after the guard was closed.
+var errSendCanceled = errors.New("gateway: request was canceled before its first byte was sent")
 
-// sendGuard records whether the first byte of a request was sent, and lets it be sent
-// only if check returns nil at that moment.
+// sendGuard decides, at the moment when the first byte of a request is about to be sent
+// to a replica, whether the request may be sent, and records whether it was.
 type sendGuard struct {
-	check func() error
+	check func() error // allows the first byte by returning nil
 
 	mutex  sync.Mutex
-	sent   bool
-	closed bool
-	denied error
+	sent   bool  // check has allowed the first byte
+	closed bool  // nothing may be sent any more, unless sent is true
+	denied error // the error that check returned
 }
 
-// allowWrite is called before each write to the replica.
-func (g *sendGuard) allowWrite() error {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if g.sent {
+// allowWrite is called before each write to the replica. It returns nil if the write is
+// allowed. Once the first byte was allowed, all further writes are.
+func (s *sendGuard) allowWrite() error {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.sent {
 		return nil
 	}
-	if g.closed {
+	if s.closed {
 		return errSendCanceled
 	}
-	if err := g.check(); err != nil {
-		g.denied = err
-		g.closed = true
+	if err := s.check(); err != nil {
+		s.denied = err
+		s.closed = true
 		return err
 	}
-	g.sent = true
+	s.sent = true
 	return nil
 }
 
-// close prevents the request from being sent after an error. It reports whether any
-// byte may have been sent, and the error of check.
-func (g *sendGuard) close() (sent bool, denied error) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.closed = true
-	return g.sent, g.denied
+// close prevents that the request is still sent after its attempt has failed. It reports
+// whether any byte may have been sent, and the error of check if it denied the first byte.
+func (s *sendGuard) close() (sent bool, denied error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.closed = true
+	return s.sent, s.denied
 }
 
-// guardedConn asks the guard of the current request before each write.
+// guardedConn is a connection that asks the guard of the current request before each
+// write.
 type guardedConn struct {
 	net.Conn
 	mutex sync.Mutex
 	guard *sendGuard
 }
 
-// setGuard attaches the guard of the request that uses the connection.
+// setGuard sets the guard of the request that uses the connection from now on.
 func (c *guardedConn) setGuard(guard *sendGuard) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -77,9 +79,10 @@
 	return c.Conn.Write(data)
 }
 
-// withGuard returns a context whose request sets the guard on its connection.
+// withGuard returns a context for a request. When the request gets its connection, the
+// guard is attached to that connection.
 func withGuard(ctx context.Context, guard *sendGuard) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		info.Conn.(*guardedConn).setGuard(guard) //nolint:forcetypeassert // newReplicaClient's transports dial no other kind; sending without a guard must not happen
+		info.Conn.(*guardedConn).setGuard(guard) //nolint:forcetypeassert // newReplicaClient dials only guardedConn; a request must not be sent without a guard
 	}})
 }
--- a/gateway/shutdown.go
+++ b/gateway/shutdown.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// ticketCheckInterval is the time between two counts of the unused tickets during the
+// ticketCheckInterval is the time between two checks for unused tickets during the
 // shutdown.
 const ticketCheckInterval = 20 * time.Millisecond
 
-// errStopping is the cause of cancellations by Stop.
+// errStopping is the cause with which Stop cancels requests and loops.
 var errStopping = errors.New("gateway: stopping")
 
-// Drain makes the gateway refuse new requests. Requests with tickets that it issued
-// before are accepted for the ticket grace period.
+// Drain makes the gateway refuse new requests. Requests with tickets that it has issued
+// are still accepted for the ticket grace period.
 func (g *Gateway) Drain() {
 	g.drainedAt.Store(int64(g.options.Clock()))
 	g.draining.Store(true)
 }
 
 // inTicketGracePeriod reports whether a draining gateway still accepts requests with
-// its tickets.
+// tickets that it issued. It is meaningful only after Drain.
 func (g *Gateway) inTicketGracePeriod() bool {
 	return g.options.Clock()-time.Duration(g.drainedAt.Load()) < g.options.TicketGracePeriod
 }
 
-// awaitTickets waits until every issued ticket was used or the grace period is over.
+// awaitTickets waits until all issued tickets were used or have expired, the grace period
+// is over, or ctx ends.
 func (g *Gateway) awaitTickets(ctx context.Context) {
 	for g.inTicketGracePeriod() && g.tickets.unused() > 0 {
 		if !sleep(ctx, ticketCheckInterval) {
@@ -36,27 +37,28 @@
 	}
 }
 
-// Stop drains the gateway, waits up to the shutdown timeout for active requests,
-// releases the lease and ends all goroutines of the gateway. The lease is released
-// only after the wait, since requests need it to be sent to replicas. The end of ctx
-// ends the wait early.
+// Stop drains the gateway, waits up to the shutdown timeout for active requests, releases
+// the lease and waits for all goroutines of the gateway to end. The lease is released
+// after the wait for requests, which need it to be sent to replicas. If ctx ends, that
+// wait ends early.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.Drain()
 	waitContext, cancel := context.WithTimeout(ctx, g.options.ShutdownTimeout)
 	defer cancel()
 	g.awaitTickets(waitContext)
-	if !g.active.waitIdle(waitContext) {
-		g.log.Warn("requests aborted by the shutdown", "requests", g.active.current())
+	if !g.activity.waitIdle(waitContext) {
+		g.log.Warn("shutdown aborts active requests", "requests", g.activity.current())
 	}
 	g.agent.ReleaseLease(context.WithoutCancel(ctx))
 	g.cancelRun(errStopping)
 	g.loops.Wait()
-	g.active.waitIdle(context.WithoutCancel(ctx))
+	g.activity.waitIdle(context.WithoutCancel(ctx))
 	g.replicas.close()
 }
 
-// detachedContext returns a context for a request that outlasts the connection of its
-// caller. It ends with its last reader, at the deadline or by Stop.
+// detachedContext returns a context for an execution that may outlast the connection of
+// the caller that started it. It ends at the deadline, in Stop, or when the returned
+// function is called, as an execution does when its last follower leaves.
 func (g *Gateway) detachedContext(deadline time.Time) (context.Context, context.CancelCauseFunc) {
 	withDeadline, release := context.WithDeadline(g.runContext, deadline)
 	ctx, cancel := context.WithCancelCause(withDeadline)
@@ -66,23 +68,23 @@
 	}
 }
 
-// activity counts active requests, so that Stop can wait for them. Unlike a
-// sync.WaitGroup it may grow from zero while another goroutine waits.
-type activity struct {
+// activityCounter counts requests and their background work, so that Stop can wait for
+// them. Unlike in a sync.WaitGroup, the count may grow from zero while a goroutine waits.
+type activityCounter struct {
 	mutex       sync.Mutex
 	count       int
-	idleChanged chan struct{} // closed and replaced when nothing runs any more
+	idleChanged chan struct{} // closed and replaced when count becomes 0
 }
 
-func newActivity() *activity { return &activity{idleChanged: make(chan struct{})} }
+func newActivityCounter() *activityCounter { return &activityCounter{idleChanged: make(chan struct{})} }
 
-func (a *activity) begin() {
+func (a *activityCounter) begin() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.count++
 }
 
-func (a *activity) end() {
+func (a *activityCounter) end() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.count--
@@ -92,15 +94,14 @@
 	}
 }
 
-func (a *activity) current() int {
+func (a *activityCounter) current() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.count
 }
 
-// waitIdle waits until nothing is active and reports false if the context ended
-// first.
-func (a *activity) waitIdle(ctx context.Context) bool {
+// waitIdle waits until the count is 0. It reports false if the context ended first.
+func (a *activityCounter) waitIdle(ctx context.Context) bool {
 	a.mutex.Lock()
 	running, changed := a.count, a.idleChanged
 	a.mutex.Unlock()
--- a/gateway/shutdown_test.go
+++ b/gateway/shutdown_test.go
@@ -9,35 +9,38 @@
 	"github.com/deckpulley/deckpulley/catalog"
 )
 
-// TestDrainingGatewayRefersToPeers asks a draining gateway where to send a request.
+// TestDrainingGatewayRefersToPeers asks a draining gateway where to send a request. The
+// answer must name another gateway, or be a refusal if all of them drain.
 func TestDrainingGatewayRefersToPeers(t *testing.T) {
 	f := newFleet(t)
 	f.replica("r1", "north")
 	draining := f.gateway("g1", "north", "a", nil)
 	serving := f.gateway("g2", "north", "b", nil)
-	f.ready(draining, serving)
+	f.awaitReady(draining, serving)
 	draining.Drain()
-	request, where := draining.where(t, newRequest("asked"))
+	request, where := draining.where(t, newRequest("directed"))
 	if "http://"+where.Gateway != serving.url {
-		t.Fatalf("sent to %s, not to %s", where.Gateway, serving.url)
+		t.Fatalf("the caller was directed to %s, want %s", where.Gateway, serving.url)
 	}
 	if got := serving.send(t, request); got.outcome() != "success" {
-		t.Errorf("got %s", got.outcome())
+		t.Errorf("outcome %s, want success", got.outcome())
 	}
 	serving.Drain()
-	if _, failure := draining.Gateway.where(t.Context(), &api.WhereRequest{RequestID: "nobody", Model: "m", WaitMS: 1000}); failure == nil || failure.Outcome != api.OutcomeRefused {
-		t.Errorf("with no gateway left: %v", failure)
+	if _, failure := draining.Gateway.where(t.Context(), &api.WhereRequest{RequestID: "all-draining", Model: "m", WaitMS: 1000}); failure == nil || failure.Outcome != api.OutcomeRefused {
+		t.Errorf("all gateways drain: error %v, want outcome refused", failure)
 	}
 }
 
-// TestStop stops a gateway while a stream runs and a ticket is unused.
-func TestStop(t *testing.T) {
+// TestStopWaitsForStreamsAndTickets stops a gateway while a stream runs and a ticket is
+// unused. Both requests must succeed, a new one must be refused, and the lease must be
+// released at the end.
+func TestStopWaitsForStreamsAndTickets(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
 	g := f.gateway("g1", "north", "a", func(options *Options) {
 		options.ShutdownTimeout, options.TicketGracePeriod = testTimeout, testTimeout
 	})
-	f.ready(g)
+	f.awaitReady(g)
 	started, release := make(chan struct{}), make(chan struct{})
 	replica.setAnswer(func(w http.ResponseWriter, r *http.Request, request *api.ReplicaRequest) {
 		if request.RequestID != "running" {
@@ -67,24 +70,24 @@
 	withoutTicket := newRequest("fresh")
 	withoutTicket.Repeatable = true
 	if got := g.send(t, withoutTicket); got.outcome() != "not_ready/refused" {
-		t.Errorf("new request: %s", got.outcome())
+		t.Errorf("new request: outcome %s, want not_ready/refused", got.outcome())
 	}
 	if got := g.send(t, issued); got.outcome() != "success" {
-		t.Errorf("request with a ticket from before: %s", got.outcome())
+		t.Errorf("request with a ticket issued before Stop: outcome %s, want success", got.outcome())
 	}
 	select {
 	case <-stopped:
-		t.Error("stopped beside a running stream")
-	case <-time.After(10 * ticketCheckInterval): // a gateway that does not wait is gone by then
+		t.Error("Stop returned while a stream was running")
+	case <-time.After(10 * ticketCheckInterval): // without the wait, Stop would have returned by then
 	}
 	close(release)
 	if got := <-done; got.outcome() != "success" || got.chunks != 5 {
-		t.Errorf("running stream: %s with %d chunks", got.outcome(), got.chunks)
+		t.Errorf("running stream: outcome %s with %d chunks, want success with 5", got.outcome(), got.chunks)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(testTimeout):
-		t.Fatal("does not stop")
+		t.Fatal("Stop did not return after the stream ended")
 	}
 	f.primary.mutex.Lock()
 	defer f.primary.mutex.Unlock()
--- a/gateway/ticket_forward.go
+++ b/gateway/ticket_forward.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// forwardToOwner forwards a request to the process that its ticket names.
+// forwardToOwner forwards a request to the gateway that issued its ticket, the owner.
 func (g *Gateway) forwardToOwner(request *api.GenerateRequest, presented ticket.Ticket) (*execution.Follower, *api.Error) {
 	address, found := g.ownerAddress(presented)
 	if !found {
@@ -24,18 +24,18 @@
 		return g.handleOrphanedTicket(request)
 	}
 	run := execution.New(request.RequestID, request.Stream, request.MaxTokens, cancel)
-	reader, failure := run.Follow(request.Stream)
-	g.active.begin()
+	follower, failure := run.Follow(request.Stream)
+	g.activity.begin()
 	go func() {
-		defer g.active.end()
+		defer g.activity.end()
 		defer cancel(nil)
 		defer closeStream(events)
 		g.copyOwnerEvents(ctx, events, run)
 	}()
-	return reader, failure
+	return follower, failure
 }
 
-// copyOwnerEvents copies the output of the owner into an execution.
+// copyOwnerEvents copies the output and the result that the owner sends to an execution.
 func (g *Gateway) copyOwnerEvents(ctx context.Context, events eventReader, run *execution.Execution) {
 	final, err := copyEvents(ctx, events, run)
 	if err == nil {
@@ -49,8 +49,8 @@
 	run.Finish(&execution.Result{Failure: failure})
 }
 
-// ownerAddress returns the peer address of the process that a ticket names. It need
-// not be current: another process refuses the ticket.
+// ownerAddress returns the peer address of the process that issued a ticket. An outdated
+// address does no harm, because any other process refuses the ticket.
 func (g *Gateway) ownerAddress(presented ticket.Ticket) (string, bool) {
 	active := g.agent.Active()
 	if active == nil {
@@ -63,8 +63,9 @@
 	return record.PeerAddress, true
 }
 
-// handleOrphanedTicket answers a request whose owner is gone. Repeatable requests run
-// here; since they may have run before, they can't be refused any more.
+// handleOrphanedTicket handles a request whose owner no longer exists or cannot be
+// reached. A repeatable request runs here. It may have run at the owner, so its outcome
+// must not be api.OutcomeRefused.
 func (g *Gateway) handleOrphanedTicket(request *api.GenerateRequest) (*execution.Follower, *api.Error) {
 	g.metrics.tickets.WithLabelValues("orphaned").Inc()
 	if request.Repeatable {
@@ -73,31 +74,33 @@
 	return nil, orphanedTicketFailure(request.RequestID)
 }
 
-// orphanedTicketFailure is the error for a ticket whose owner is gone.
+// orphanedTicketFailure returns the error for a ticket whose owner no longer exists or
+// cannot be reached.
 func orphanedTicketFailure(requestID string) *api.Error {
-	failure := newError(api.CodeTicketOrphaned, api.OutcomeUnknown, "the gateway that owns the ticket is gone, was restarted or cannot be reached")
+	failure := newError(api.CodeTicketOrphaned, api.OutcomeUnknown, "the gateway that issued the ticket was removed, was restarted or cannot be reached")
 	failure.RequestID = requestID
 	return failure
 }
 
-// serveOwner answers a request that another gateway forwarded to this one as the
-// owner of its ticket.
+// serveOwner handles peer.KindOwner: another gateway forwards a request to this one, which
+// issued its ticket.
 func (g *Gateway) serveOwner(ctx context.Context, _ string, decode func(any) error, send func(any) error) error {
 	var forwarded peer.OwnerRequest
 	if err := decode(&forwarded); err != nil {
 		return err
 	}
 	request := &forwarded.Request
-	reader, failure := g.acceptForwarded(request)
+	follower, failure := g.acceptForwarded(request)
 	if failure != nil {
 		failure.RequestID = request.RequestID
 		return send(&peer.RunEvent{Error: failure})
 	}
-	defer reader.Close()
-	return sendEvents(ctx, reader, send)
+	defer follower.Close()
+	return sendEvents(ctx, follower, send)
 }
 
-// acceptForwarded verifies a forwarded request and uses its ticket.
+// acceptForwarded validates a request that was forwarded to its owner, and uses its
+// ticket.
 func (g *Gateway) acceptForwarded(request *api.GenerateRequest) (*execution.Follower, *api.Error) {
 	if failure := checkGenerate(request); failure != nil {
 		return nil, failure
