--- a/gateway/ticket_issue.go
+++ b/gateway/ticket_issue.go
@@ -14,20 +14,20 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// Limits of issuing a ticket.
+// Limits for issuing tickets.
 const (
-	// issueTicketTimeout bounds the wait for a ticket of another gateway.
+	// issueTicketTimeout bounds the wait for another gateway to issue a ticket.
 	issueTicketTimeout = 500 * time.Millisecond
-	// maxAlternates bounds the gateways that an answer names beside the owner.
+	// maxAlternates bounds the other gateways that an answer lists in addition to the owner.
 	maxAlternates = 3
 )
 
-// where answers which gateway a caller should send its request to, with a ticket of a
-// gateway in the region that serves the request best. A draining gateway issues no
-// tickets itself.
+// where answers which gateway a caller should send its request to. The answer has a
+// ticket of that gateway, which is in the first region of the router's order that issues
+// one. A draining gateway issues no tickets itself, but returns those of other gateways.
 func (g *Gateway) where(ctx context.Context, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	acceptFailure := g.checkAccepting()
-	if acceptFailure != nil && !g.canRefer() {
+	if acceptFailure != nil && !g.canReferToPeers() {
 		return nil, acceptFailure
 	}
 	route, failure := g.router.Resolve(generateRequestFor(request), time.Now())
@@ -50,13 +50,14 @@
 	return g.issueTicket(request)
 }
 
-// issueTicketIn issues a ticket of a gateway of the region, which may be this one.
-// Both results are nil if the next region is to be tried.
+// issueTicketIn returns a ticket of a gateway in the region, which may be this one. Both
+// results are nil if no gateway of the region issued one.
 //
-// For an unrepeatable request, the rendezvous order of gateways leads every question
-// with the same request id to the same owner, which returns the first ticket. Two
-// tickets can exist only if the gateways of the region changed in between, the owner
-// was not reached in time, or the questions led to two regions.
+// For a request that is not repeatable, the owner is chosen by rendezvous hashing of the
+// request id. All gateways thus choose the same owner for the same request id, and the
+// owner returns the ticket that it issued first. There can be two tickets only if the
+// gateways of the region changed in between, the owner did not reply in time, or the
+// tickets were issued in two regions.
 func (g *Gateway) issueTicketIn(ctx context.Context, region string, request *api.WhereRequest, includeSelf bool) (*api.WhereAnswer, *api.Error) {
 	includeSelf = includeSelf && region == g.region() && g.canOwnTickets()
 	if request.Repeatable {
@@ -78,8 +79,8 @@
 	return nil, nil
 }
 
-// ownerCandidates returns the gateways of a region that may own a request, by
-// descending rendezvous score for its id.
+// ownerCandidates returns the gateways of a region that may own a request, in descending
+// order of their rendezvous score for the request id.
 func (g *Gateway) ownerCandidates(region, requestID string, includeSelf bool) []catalog.Gateway {
 	active := g.agent.Active()
 	if active == nil {
@@ -106,8 +107,9 @@
 	return owners
 }
 
-// issueTicketAt asks gateways in turn for a ticket. A reply that the request id is in
-// use or closed is final; after any other failure the next one is asked.
+// issueTicketAt asks the gateways for a ticket, one after the other, until one issues it.
+// A reply with api.CodeDuplicate, which means that the request id can't be used, is
+// final; after any other failure the next gateway is asked.
 func (g *Gateway) issueTicketAt(ctx context.Context, members []catalog.Gateway, request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	for _, member := range members {
 		callContext, cancel := context.WithTimeout(ctx, issueTicketTimeout)
@@ -126,19 +128,21 @@
 	return nil, nil
 }
 
-// canRefer reports whether a draining gateway still knows the others.
-func (g *Gateway) canRefer() bool {
+// canReferToPeers reports whether a draining gateway can still direct callers to other
+// gateways.
+func (g *Gateway) canReferToPeers() bool {
 	return g.draining.Load() && g.agent.Valid() && g.agent.Active() != nil
 }
 
-// canOwnTickets is false in an evacuated zone: tickets are lost with their owner.
+// canOwnTickets reports whether this gateway may issue tickets. In an evacuated zone it
+// may not, since tickets are lost with the process that issued them.
 func (g *Gateway) canOwnTickets() bool {
 	active := g.agent.Active()
 	return active != nil && !active.IsEvacuated(g.options.Info.Zone)
 }
 
-// generateRequestFor returns the part of a request that is known before it has a
-// ticket.
+// generateRequestFor returns the request for which a ticket is asked, with the fields that
+// are already known.
 func generateRequestFor(request *api.WhereRequest) api.GenerateRequest {
 	return api.GenerateRequest{
 		RequestID:  request.RequestID,
@@ -152,7 +156,7 @@
 	}
 }
 
-// serveIssueTicket answers another gateway that asks for a ticket.
+// serveIssueTicket handles peer.KindIssueTicket: it issues a ticket for another gateway.
 func (g *Gateway) serveIssueTicket(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var request peer.IssueTicket
 	if err := decode(&request); err != nil {
@@ -162,8 +166,8 @@
 	return &peer.IssueTicketReply{Answer: answer, Error: failure}, nil
 }
 
-// issueTicketForPeer issues a ticket to a caller of another gateway, if this one
-// accepts the request.
+// issueTicketForPeer issues a ticket for a caller of another gateway, if this gateway
+// accepts new requests and may issue tickets.
 func (g *Gateway) issueTicketForPeer(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	if failure := checkWhere(request); failure != nil {
 		return nil, failure
@@ -177,7 +181,7 @@
 	return g.issueTicket(request)
 }
 
-// issueTicket issues a ticket that this process owns.
+// issueTicket issues a ticket that makes this gateway the owner of the request.
 func (g *Gateway) issueTicket(request *api.WhereRequest) (*api.WhereAnswer, *api.Error) {
 	now := g.options.Clock()
 	wait := api.Wait(request.WaitMS)
@@ -213,14 +217,14 @@
 	return answer, nil
 }
 
-// issueTicketFailure returns the refusal for an error of the ticket table.
+// issueTicketFailure returns the API error for an error of the ticket table.
 func issueTicketFailure(requestID string, err error) *api.Error {
 	var failure *api.Error
 	switch {
 	case errors.Is(err, ticket.ErrFull):
-		failure = newRetryableError(api.CodeOverloaded, "the gateway remembers as many requests as it can")
+		failure = newRetryableError(api.CodeOverloaded, "the gateway's table of tickets is full")
 	case errors.Is(err, ticket.ErrClosed):
-		failure = newError(api.CodeDuplicate, api.OutcomeRefused, "the request was refused for good: ask again with a new request id")
+		failure = newError(api.CodeDuplicate, api.OutcomeRefused, "the request with this id was refused, or its ticket expired: ask again with a new request id")
 	default:
 		failure = newError(api.CodeDuplicate, api.OutcomeUnknown, "the request id is in use for another request")
 	}
@@ -228,8 +232,8 @@
 	return failure
 }
 
-// alternates returns the addresses, for callers, of gateways that forward requests to
-// the owner, those of the own region first.
+// alternates returns the HTTP addresses of other gateways that forward requests to the
+// owner, those of this gateway's region first.
 func (g *Gateway) alternates() []string {
 	active := g.agent.Active()
 	if active == nil {
@@ -251,12 +255,12 @@
 	return addresses[:min(len(addresses), maxAlternates)]
 }
 
-// isAvailable reports whether a gateway is up and outside of evacuated zones.
+// isAvailable reports whether a gateway is up and its zone is not evacuated.
 func isAvailable(active *catalog.State, member catalog.Gateway) bool {
 	return member.Up && !active.IsEvacuated(member.Zone)
 }
 
-// shuffle puts addresses into random order.
+// shuffle shuffles addresses.
 func (g *Gateway) shuffle(addresses []string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/gateway/ticket_store.go
+++ b/gateway/ticket_store.go
@@ -8,18 +8,18 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// Limits of the ticket table.
+// Limits for the ticket table.
 const (
 	maxTickets = 128 << 10
-	// maxRetainedBytes bounds the output of completed requests that is kept for
+	// maxRetainedBytes bounds the output of completed requests that is retained for
 	// resends.
 	maxRetainedBytes = 8 << 20
-	// ticketSlack is how long a ticket is remembered after its expiry.
+	// ticketSlack is how long a ticket stays in the table after its expiry.
 	ticketSlack = 10 * time.Second
 )
 
-// ticketStore remembers the tickets that this process issued, and the executions of
-// those that were used. It is safe for concurrent use.
+// ticketStore holds the tickets that this process issued, and the executions of those that
+// were used. It is safe for concurrent use.
 type ticketStore struct {
 	clock func() time.Duration
 
@@ -38,44 +38,44 @@
 	}
 }
 
-// issue remembers a ticket and returns it, or the one that was issued before for the
-// same request.
+// issue adds the requested ticket and returns it. If a ticket was already issued for the
+// same request id, that one is returned.
 func (s *ticketStore) issue(now time.Duration, requested ticket.Ticket) (ticket.Ticket, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.Issue(now, requested)
 }
 
-// use uses a ticket. The first use calls start, with the store locked, so that every
-// later use joins the same execution.
+// use uses a ticket. Only the first use calls start, while the store is locked; every
+// later use joins the execution that start returned.
 func (s *ticketStore) use(presented ticket.Ticket, digest uint64, start func() *execution.Execution) (ticket.UseResult, *execution.Execution) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.Use(s.clock(), presented, digest, start)
 }
 
-// finish records how the execution of a request ended.
+// finish records the final state of a request.
 func (s *ticketStore) finish(requestID string, state ticket.State) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.table.Finish(requestID, state)
 }
 
-// expire forgets the tickets whose time is over.
+// expire removes the tickets that expired longer than ticketSlack ago.
 func (s *ticketStore) expire(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.table.Expire(now)
 }
 
-// size returns the number of tickets that are remembered.
+// size returns the number of tickets in the table.
 func (s *ticketStore) size() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.table.Len()
 }
 
-// unused counts the tickets that may still be used for the first time.
+// unused returns the number of tickets that were not used and have not expired.
 func (s *ticketStore) unused() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/gateway/ticket_use.go
+++ b/gateway/ticket_use.go
@@ -13,11 +13,10 @@
 	"github.com/deckpulley/deckpulley/ticket"
 )
 
-// expiryInterval is the time between two passes over the tickets and reservations
-// that have expired.
+// expiryInterval is the time between two removals of expired tickets and offers.
 const expiryInterval = time.Second
 
-// expireState expires tickets and reservations until ctx ends.
+// expireState removes expired tickets and offers at each interval until ctx ends.
 func (g *Gateway) expireState(ctx context.Context) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -29,12 +28,12 @@
 		}
 		now := g.options.Clock()
 		g.tickets.expire(now)
-		g.reservations.expire(now)
+		g.offers.expire(now)
 	}
 }
 
-// submit accepts a request of a caller or a peer and returns a reader of its output,
-// which the caller must close.
+// submit accepts a request of a caller. It returns a follower of the execution, which
+// must be closed.
 func (g *Gateway) submit(request *api.GenerateRequest) (*execution.Follower, *api.Error) {
 	if request.Ticket == "" {
 		if !request.Repeatable {
@@ -52,9 +51,9 @@
 	return g.forwardToOwner(request, presented)
 }
 
-// openTicket verifies the ticket of a request. A ticket that is not authentic may
-// have been issued, and used, with a key that is no longer accepted; so its outcome
-// is unknown.
+// openTicket decrypts the ticket of a request and verifies that it belongs to the
+// request. The outcome for a ticket that is not authentic is unknown: it may have been
+// issued and used with a key that is no longer accepted.
 func (g *Gateway) openTicket(request *api.GenerateRequest) (ticket.Ticket, *api.Error) {
 	presented, err := g.sealer.Load().Open(request.Ticket)
 	if errors.Is(err, ticket.ErrNotAuthentic) {
@@ -67,58 +66,58 @@
 		return presented, newError(api.CodeTicketInvalid, api.OutcomeRefused, "the ticket is for another request id")
 	}
 	if presented.HomeRule != request.Home || presented.Idempotent != request.Repeatable {
-		return presented, newError(api.CodeTicketInvalid, api.OutcomeRefused, "the ticket is for another home rule, or the other kind of repeatable")
+		return presented, newError(api.CodeTicketInvalid, api.OutcomeRefused, "the ticket is for another home rule, or for a request with another value of repeatable")
 	}
 	return presented, nil
 }
 
-// useTicket runs the request of a ticket of this process, or joins its execution if
-// it was used before.
+// useTicket runs a request whose ticket this process issued, or joins its execution if
+// the ticket was already used.
 func (g *Gateway) useTicket(request *api.GenerateRequest, presented ticket.Ticket) (*execution.Follower, *api.Error) {
-	var reader *execution.Follower
+	var follower *execution.Follower
 	var start func()
 	useResult, joined := g.tickets.use(presented, requestDigest(request), func() *execution.Execution {
 		var run *execution.Execution
 		run, start = g.prepareExecution(request, true, false)
-		reader, _ = run.Follow(request.Stream)
+		follower, _ = run.Follow(request.Stream)
 		return run
 	})
 	g.metrics.observeTicketUse(useResult)
 	switch useResult {
 	case ticket.UseStart:
 		go start()
-		return reader, nil
+		return follower, nil
 	case ticket.UseJoin:
 		return joined.Follow(request.Stream)
 	case ticket.UseExpired:
 		return nil, newError(api.CodeTicketExpired, api.OutcomeRefused, "the ticket expired before it was used")
 	case ticket.UseUnknown:
-		return nil, newError(api.CodeTicketExpired, api.OutcomeUnknown, "the ticket expired and is no longer remembered")
+		return nil, newError(api.CodeTicketExpired, api.OutcomeUnknown, "the ticket expired and its record was removed")
 	default:
-		return nil, newError(api.CodeDuplicate, api.OutcomeUnknown, "the request id was used for a request with other contents")
+		return nil, newError(api.CodeDuplicate, api.OutcomeUnknown, "the request id was used for a request with different contents")
 	}
 }
 
-// runWithoutTicket runs a repeatable request that is not remembered. mayHaveRun says
-// that it may have run before.
+// runWithoutTicket runs a repeatable request without adding it to the ticket store, so
+// that a resend runs again. mayHaveRun means that it may already have run elsewhere.
 func (g *Gateway) runWithoutTicket(request *api.GenerateRequest, mayHaveRun bool) (*execution.Follower, *api.Error) {
 	run, start := g.prepareExecution(request, false, mayHaveRun)
-	reader, failure := run.Follow(request.Stream)
+	follower, failure := run.Follow(request.Stream)
 	go start()
-	return reader, failure
+	return follower, failure
 }
 
-// prepareExecution returns an execution and the function that runs it to its end,
-// which must be called. It is called apart from the preparation because the ticket
-// table is locked meanwhile.
+// prepareExecution returns an execution and a function that runs it to its end, which the
+// caller must call. The two steps are separate because the execution is prepared while the
+// ticket store is locked. owned means that this gateway issued the ticket of the request.
 func (g *Gateway) prepareExecution(request *api.GenerateRequest, owned, mayHaveRun bool) (*execution.Execution, func()) {
 	copied := *request
 	copied.Ticket = ""
 	ctx, cancel := g.detachedContext(time.Now().Add(api.Wait(request.WaitMS)))
 	run := execution.New(request.RequestID, request.Stream, request.MaxTokens, cancel)
-	g.active.begin()
+	g.activity.begin()
 	return run, func() {
-		defer g.active.end()
+		defer g.activity.end()
 		defer cancel(nil)
 		r := &runner{gateway: g, request: copied, execution: run, mayHaveRun: mayHaveRun}
 		g.resolveAndRun(ctx, r, owned)
@@ -128,8 +127,8 @@
 	}
 }
 
-// resolveAndRun runs the request if it may be served. In the grace period a draining
-// gateway serves the requests with its own tickets.
+// resolveAndRun runs the request if the gateway accepts it. In the ticket grace period a
+// draining gateway still accepts requests with tickets that it issued.
 func (g *Gateway) resolveAndRun(ctx context.Context, r *runner, owned bool) {
 	check := g.checkAccepting
 	if owned && g.inTicketGracePeriod() {
@@ -146,15 +145,16 @@
 	r.run(ctx)
 }
 
-// requestDigest distinguishes requests with the same id. The waiting time and the
-// ticket are left out, since they may differ between resends.
+// requestDigest returns a hash of a request's contents, which detects a different request
+// with the same id. The waiting time and the ticket are left out, since they may differ
+// between resends.
 func requestDigest(request *api.GenerateRequest) uint64 {
 	copied := *request
 	copied.Ticket = ""
 	copied.WaitMS = 0
 	encoded, err := json.Marshal(&copied)
 	if err != nil {
-		return 0 // strings, numbers and booleans always encode
+		return 0 // can't happen: all fields can be encoded
 	}
 	return xxhash.Sum64(encoded)
 }
--- a/gateway/utilization.go
+++ b/gateway/utilization.go
@@ -8,15 +8,16 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// Parameters of the exchange of utilizations.
+// Parameters of the exchange of utilizations between regions.
 const (
 	gossipInterval = time.Second
-	// maxGossipPeers bounds the gateways that are sent a digest each time.
+	// maxGossipPeers bounds the gateways to which the utilization is sent in each interval.
 	maxGossipPeers = 8
 )
 
-// gossipUtilization sends the utilization of this region to a random, bounded number
-// of gateways of other regions, once in each interval until ctx ends.
+// gossipUtilization sends the utilization of this region to up to maxGossipPeers random
+// gateways of other regions, once in each interval until ctx ends. It pauses without a
+// lease and while the gateway drains.
 func (g *Gateway) gossipUtilization(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
@@ -38,8 +39,8 @@
 	}
 }
 
-// gossipTargets returns the peer addresses of up to limit gateways of other regions,
-// those of regions that may spill into this one first.
+// gossipTargets returns the peer addresses of up to limit gateways of other regions. Those
+// of regions that may spill requests to this one come first.
 func (g *Gateway) gossipTargets(limit int) []string {
 	active := g.agent.Active()
 	if active == nil {
@@ -62,7 +63,8 @@
 	return addresses[:min(len(addresses), limit)]
 }
 
-// serveUtilization records the utilization of another region.
+// serveUtilization handles peer.KindRegionUtilization: it records the utilization of
+// another region.
 func (g *Gateway) serveUtilization(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var digest peer.RegionUtilization
 	if err := decode(&digest); err != nil {
--- a/gateway/validation.go
+++ b/gateway/validation.go
@@ -7,20 +7,20 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// checkName validates an id or name of a request.
+// checkName validates an id or a name in a request.
 func checkName(field, value string, required bool) *api.Error {
 	switch {
 	case value == "" && required:
 		return newInvalidError(field, "is missing")
 	case len(value) > api.MaxNameBytes:
-		return newInvalidError(field, "has %d bytes, %d at the most", len(value), api.MaxNameBytes)
+		return newInvalidError(field, "has %d bytes; at most %d are allowed", len(value), api.MaxNameBytes)
 	case !utf8.ValidString(value):
 		return newInvalidError(field, "is not valid UTF-8")
 	}
 	return nil
 }
 
-// checkWait validates the caller's waiting time, in milliseconds.
+// checkWait validates how long the caller waits for the result, in milliseconds.
 func checkWait(waitMS int64) *api.Error {
 	if waitMS < 0 || waitMS > api.MaxWaitMS {
 		return newInvalidError("wait_ms", "must be from 0 to %d", int64(api.MaxWaitMS))
@@ -28,11 +28,11 @@
 	return nil
 }
 
-// checkPrefixes validates the prefixes of a prompt and returns the sum of their
+// checkPrefixes validates the prefixes of a prompt and returns the total number of their
 // tokens.
 func checkPrefixes(prefixes []api.Prefix) (int, *api.Error) {
 	if len(prefixes) > api.MaxPrefixes {
-		return 0, newInvalidError("prefixes", "has %d entries, %d at the most", len(prefixes), api.MaxPrefixes)
+		return 0, newInvalidError("prefixes", "has %d entries; at most %d are allowed", len(prefixes), api.MaxPrefixes)
 	}
 	total := 0
 	for i, prefix := range prefixes {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// checkWhere validates a question for the gateway of a request.
+// checkWhere validates a lookup of the gateway for a request.
 func checkWhere(request *api.WhereRequest) *api.Error {
 	_, prefixes := checkPrefixes(request.Prefixes)
 	return firstFailure(
@@ -71,7 +71,7 @@
 	)
 }
 
-// checkGenerate validates a request.
+// checkGenerate validates a request for generation.
 func checkGenerate(request *api.GenerateRequest) *api.Error {
 	prefixTokens, prefixes := checkPrefixes(request.Prefixes)
 	return firstFailure(
@@ -97,13 +97,13 @@
 	}
 }
 
-// checkTokens validates the sizes of the prompt and of the output, in tokens.
+// checkTokens validates the lengths of the prompt and of the output, in tokens.
 func checkTokens(request *api.GenerateRequest, prefixTokens int) *api.Error {
 	if request.PromptTokens < 0 || request.PromptTokens > api.MaxPromptTokens {
 		return newInvalidError("prompt_tokens", "must be from 0 to %d", api.MaxPromptTokens)
 	}
 	if prefixTokens+request.PromptTokens > api.MaxPromptTokens {
-		return newInvalidError("prompt_tokens", "the prompt has %d tokens with its prefixes, %d at the most", prefixTokens+request.PromptTokens, api.MaxPromptTokens)
+		return newInvalidError("prompt_tokens", "the prompt has %d tokens including its prefixes; at most %d are allowed", prefixTokens+request.PromptTokens, api.MaxPromptTokens)
 	}
 	if request.MaxTokens < 1 || request.MaxTokens > api.MaxOutputTokens {
 		return newInvalidError("max_tokens", "must be from 1 to %d", api.MaxOutputTokens)
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -13,7 +13,7 @@
 const versionWaitTimeout = time.Second
 
 // observedVersion returns the highest configuration version that replicas of a service
-// have reported; 0 if none.
+// have reported to have seen; 0 if there is none.
 func (g *Gateway) observedVersion(service string) uint64 {
 	if planted.Active(planted.KeepOldConfiguration) {
 		return 0
@@ -23,9 +23,9 @@
 	return g.observedVersions[service]
 }
 
-// recordVersion records a configuration version that a replica of the service has
-// seen.
-func (g *Gateway) recordVersion(service string, version uint64) {
+// recordObservedVersion records that a replica of the service has seen a configuration
+// version. A new highest version may be activated here at once.
+func (g *Gateway) recordObservedVersion(service string, version uint64) {
 	g.mutex.Lock()
 	newer := version > g.observedVersions[service]
 	if newer {
@@ -37,23 +37,25 @@
 	}
 }
 
-// recordReport records the configuration version of a report, if there is one.
-func (g *Gateway) recordReport(service string, report *api.ReplicaReport) {
+// recordReportedVersion records the configuration version in a report of a replica. The
+// report may be nil.
+func (g *Gateway) recordReportedVersion(service string, report *api.ReplicaReport) {
 	if report != nil {
-		g.recordVersion(service, report.ConfigurationVersion)
+		g.recordObservedVersion(service, report.ConfigurationVersion)
 	}
 }
 
-// refreshObservedVersion asks a replica that refused a stale configuration for the
-// version that it has seen. If it does not answer, it waits for the next activation.
-// It reports false if ctx ended.
+// refreshObservedVersion requests the report of a replica that refused a stale
+// configuration, to obtain the version that the replica has seen. If the replica does not
+// answer, it waits for the next activation, up to versionWaitTimeout in total. It reports
+// false if ctx ended.
 func (g *Gateway) refreshObservedVersion(ctx context.Context, service string, reservation *routing.Reservation) bool {
 	changed := g.agent.Changed()
 	waitContext, cancel := context.WithTimeout(ctx, versionWaitTimeout)
 	defer cancel()
 	report, err := g.replicas.report(waitContext, reservation.Address)
 	if err == nil {
-		g.recordVersion(service, report.ConfigurationVersion)
+		g.recordObservedVersion(service, report.ConfigurationVersion)
 		return ctx.Err() == nil
 	}
 	select {
@@ -64,8 +66,8 @@
 }
 
 // awaitObservedVersion waits up to versionWaitTimeout until the highest configuration
-// version seen by replicas of the service is active here. Requests are not placed by
-// an older one.
+// version that replicas of the service have seen is active here. Requests must not be
+// placed according to an older one.
 func (r *runner) awaitObservedVersion(ctx context.Context) *api.Error {
 	version := r.gateway.observedVersion(r.route.Service)
 	if r.gateway.agent.ConfirmVersion(version) {
@@ -74,7 +76,7 @@
 	waitContext, cancel := context.WithTimeout(ctx, versionWaitTimeout)
 	defer cancel()
 	if err := r.gateway.agent.AwaitVersion(waitContext, version); err != nil {
-		return newRetryableError(api.CodeNoLease, "a replica has seen configuration %d, which is not active here yet", version)
+		return newRetryableError(api.CodeNoLease, "a replica has seen configuration version %d, which is not active here yet", version)
 	}
 	return nil
 }
--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -8,21 +8,22 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// warmupElsewhere is a router that leaves the replicas to another gateway's warm-up
-// until it is asked to wait for one.
+// warmupElsewhere is a router for which all replicas are in their warm-up and served by
+// another gateway, until the gateway calls Acquire.
 type warmupElsewhere struct {
 	Router
 	gateway string
 }
 
-func (f *warmupElsewhere) WarmupGateways(string) []string { return []string{f.gateway} }
+func (w *warmupElsewhere) WarmupGateways(string) []string { return []string{w.gateway} }
 
-func (f *warmupElsewhere) Reserve(routing.Request) (*routing.Reservation, *api.Error) {
-	return nil, newRetryableError(api.CodeNoCapacity, "fed elsewhere")
+func (w *warmupElsewhere) Reserve(routing.Request) (*routing.Reservation, *api.Error) {
+	return nil, newRetryableError(api.CodeNoCapacity, "all replicas are served by another gateway during their warm-up")
 }
 
-// TestRefusedWarmupForwardCountsAsAttempt has a replica that warms up refuse a
-// forwarded request: without budget there is no second attempt.
+// TestRefusedWarmupForwardCountsAsAttempt forwards a request to the gateway that serves
+// a replica in its warm-up, and has the replica refuse it. A further attempt would be a
+// retry, for which there is no budget.
 func TestRefusedWarmupForwardCountsAsAttempt(t *testing.T) {
 	f := newFleet(t)
 	replica := f.replica("r1", "north")
@@ -31,17 +32,17 @@
 		options.Router = &warmupElsewhere{Router: router, gateway: "g2"}
 	})
 	warmupGateway := f.gateway("g2", "north", "b", nil)
-	f.ready(gateway, warmupGateway)
+	f.awaitReady(gateway, warmupGateway)
 	replica.setAnswer(func(w http.ResponseWriter, _ *http.Request, request *api.ReplicaRequest) {
 		writeError(w, &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, RequestID: request.RequestID})
 	})
-	request := newRequest("fed")
+	request := newRequest("forwarded")
 	request.Repeatable = true
 	if got := gateway.send(t, request); got.outcome() != "overloaded/refused" {
-		t.Errorf("got %s", got.outcome())
+		t.Errorf("outcome %s, want overloaded/refused", got.outcome())
 	}
 	received := replica.requests()
 	if len(received) != 1 || received[0].Stamp.Gateway != "g2" {
-		t.Fatalf("%d attempts: %+v", len(received), received)
+		t.Fatalf("%d attempts, want one by g2: %+v", len(received), received)
 	}
 }
