--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -46,19 +46,19 @@
 // newMetrics creates the gateway's metrics registry and registers all metrics in it.
 func (g *Gateway) newMetrics() {
 	m := &metrics{
-		requests:   counter("requests_total", "Finished requests, by class, outcome and error code.", "class", "outcome", "code"),
-		where:      counter("where_total", "Lookups of the gateway to send a request to, by error code.", "code"),
+		requests:   counter("requests_total", "Requests by class, outcome and error code.", "class", "outcome", "code"),
+		where:      counter("where_total", "Questions where to go, by error code.", "code"),
 		latency:    histogram("request_seconds", "Time until the complete response of a successful request, in seconds.", "class"),
-		firstEvent: histogram("first_event_seconds", "Time until the first event of a streamed response, in seconds.", "class"),
+		firstEvent: histogram("first_event_seconds", "Time to the first event of a stream.", "class"),
 		attempts: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: metricsNamespace, Name: "attempts_total", Help: "Attempts of which at least one byte may have been sent to a replica, including retries.",
+			Namespace: metricsNamespace, Name: "attempts_total", Help: "Requests sent to replicas, retries included.",
 		}),
-		failures: counter("attempt_failures_total", "Attempts that got a response from a replica but no valid answer, by error code and outcome.", "code", "outcome"),
-		retries:  counter("retries_total", "Decisions on whether to retry a request: allowed or denied.", "decision"),
-		spills:   counter("spills_total", "Offers of requests to other gateways, by how they ended.", "end"),
-		tickets:  counter("tickets_total", "Tickets issued, and uses of tickets by their result.", "event"),
-		polls:    counter("polls_total", "Polls of replicas for their reports, by result.", "result"),
-		updates:  counter("condition_updates_total", "Updates of replica conditions sent to the primary, by response code.", "code"),
+		failures: counter("attempt_failures_total", "Attempts without an answer, by error code and outcome.", "code", "outcome"),
+		retries:  counter("retries_total", "Retries that the budget allowed or denied.", "decision"),
+		spills:   counter("spills_total", "Offers to other regions, by how they ended.", "end"),
+		tickets:  counter("tickets_total", "Tickets issued and presented, by what became of them.", "event"),
+		polls:    counter("polls_total", "Polls of replicas' reports.", "result"),
+		updates:  counter("condition_updates_total", "Conditional updates about replicas, by response code.", "code"),
 	}
 	g.metrics = m
 	g.registry = prometheus.NewRegistry()
@@ -80,13 +80,13 @@
 		name, help string
 		value      func() float64
 	}{
-		{"lease_seconds", "Remaining time of the lease in seconds; 0 without a valid lease.", func() float64 { return g.agent.Remaining().Seconds() }},
+		{"lease_seconds", "Time left of the lease; 0 is none.", func() float64 { return g.agent.Remaining().Seconds() }},
 		{"held_serial", "Newest registry serial received from the primary.", func() float64 { return float64(g.agent.Status().ReceivedSerial) }},
-		{"active_serial", "Registry serial that is active: requests are placed according to it.", func() float64 { return float64(g.agent.Status().ActiveSerial) }},
-		{"active_version", "Configuration version that is active: requests are placed according to it.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
-		{"primary_term", "Newest term of a primary that this gateway has seen.", func() float64 { return float64(g.agent.Status().Term) }},
-		{"running_requests", "Requests in progress, including the background work that they trigger.", func() float64 { return float64(g.activity.current()) }},
-		{"ledger_tickets", "Tickets in the ticket table.", func() float64 { return float64(g.tickets.size()) }},
+		{"active_serial", "Registry serial that decides.", func() float64 { return float64(g.agent.Status().ActiveSerial) }},
+		{"active_version", "Configuration version that decides.", func() float64 { return float64(g.agent.Status().ActiveVersion) }},
+		{"primary_term", "Newest term seen of a primary.", func() float64 { return float64(g.agent.Status().Term) }},
+		{"running_requests", "Requests in progress.", func() float64 { return float64(g.activity.current()) }},
+		{"ledger_tickets", "Tickets remembered.", func() float64 { return float64(g.tickets.size()) }},
 	}
 	for _, gauge := range gauges {
 		options := prometheus.GaugeOpts{Namespace: metricsNamespace, Name: gauge.name, Help: gauge.help}
@@ -96,8 +96,8 @@
 
 // registerRenewals registers the counters of lease renewals, which the agent maintains.
 func (g *Gateway) registerRenewals() {
-	granted := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_granted_total", Help: "Lease renewals that were granted."}
-	refused := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_refused_total", Help: "Lease renewals that were rejected or failed."}
+	granted := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_granted_total", Help: "Renewals of the lease that were granted."}
+	refused := prometheus.CounterOpts{Namespace: metricsNamespace, Name: "renewals_refused_total", Help: "Renewals of the lease without a grant."}
 	g.registry.MustRegister(
 		prometheus.NewCounterFunc(granted, func() float64 { return float64(g.agent.Status().GrantedRenewals) }),
 		prometheus.NewCounterFunc(refused, func() float64 { return float64(g.agent.Status().RejectedRenewals) }),
--- a/gateway/router_metrics.go
+++ b/gateway/router_metrics.go
@@ -26,12 +26,12 @@
 func newRouterCollector(router RouterStatus) *routerCollector {
 	return &routerCollector{
 		router:    router,
-		setPoint:  describe("controller_set_point", "Set point of a feedback controller.", "controller", "service"),
-		measured:  describe("controller_measured", "Filtered measurement of a feedback controller, in the unit of its set point.", "controller", "service"),
-		output:    describe("controller_output", "Output of a feedback controller.", "controller", "service"),
-		service:   describe("service_requests", "Requests of a service in this gateway's region: concurrency limit, in flight, queued.", "service", "kind"),
-		replicas:  describe("service_replicas", "Replicas of a service in this gateway's region, by state.", "service", "state"),
-		suspicion: describe("replica_suspicion", "Suspicion level (phi) of the failure detector for a replica.", "replica", "service"),
+		setPoint:  describe("controller_set_point", "Set point of a controller.", "controller", "service"),
+		measured:  describe("controller_measured", "Measured value of a controller.", "controller", "service"),
+		output:    describe("controller_output", "Output of a controller.", "controller", "service"),
+		service:   describe("service_requests", "Requests of a service in the own region: limit, in flight, queued.", "service", "kind"),
+		replicas:  describe("service_replicas", "Replicas of a service in the own region, by state.", "service", "state"),
+		suspicion: describe("replica_suspicion", "Suspicion of the failure detector (phi).", "replica", "service"),
 	}
 }
 
