--- a/gateway/router_metrics.go
+++ b/gateway/router_metrics.go
@@ -7,8 +7,8 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// routerCollector exports the status of the router: the set point, measured value and
-// output of each controller, and the state of each service.
+// routerCollector exports the status of the router as metrics: the set point, filtered
+// measurement and output of each feedback controller, and the state of each service.
 type routerCollector struct {
 	router    RouterStatus
 	setPoint  *prometheus.Desc
