--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -57,7 +57,7 @@
 		m.changeGatewayRecord(now, change)
 	}
 	grant.ActivationSerial = decision.ActivationSerial
-	if !decision.Authoritative {
+	if !decision.QuorumConfirmed {
 		m.metrics.Renewals.WithLabelValues(renewalRefused).Inc()
 		return grant
 	}
--- a/examples/embedding/member.go
+++ b/examples/embedding/member.go
@@ -309,7 +309,7 @@
 	}
 	contact, known := m.group.QuorumContact()
 	decision := m.grantor.Renew(now, contact, known, request)
-	if !decision.Authoritative {
+	if !decision.QuorumConfirmed {
 		return nil
 	}
 	answer := &grant{
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -154,7 +154,7 @@
 	if answered.request.Incarnation != fmt.Sprint(g.incarnation) {
 		return // a reply to an earlier incarnation
 	}
-	if !reply.decision.Authoritative {
+	if !reply.decision.QuorumConfirmed {
 		if reply.hint != nil && reply.hint != g.primary {
 			g.primary = reply.hint
 			g.sendRenewal(g.primary)
--- a/internal/simulation/primary.go
+++ b/internal/simulation/primary.go
@@ -253,7 +253,7 @@
 		decision := m.leadership.grantor.Renew(m.clock(), contact, known, received.request)
 		reply.decision = decision
 		reply.term = m.leadership.term
-		if decision.Authoritative && registry.SerialLess(received.request.ReceivedSerial, m.state.serial()) {
+		if decision.QuorumConfirmed && registry.SerialLess(received.request.ReceivedSerial, m.state.serial()) {
 			transfer := m.state.table.TransferSince(received.request.ReceivedSerial)
 			reply.transfer = &transfer
 		}
--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -18,7 +18,7 @@
 			step := DefaultConfig().RenewalInterval / time.Duration(holders)
 			for i := 0; b.Loop(); i++ {
 				now += step
-				if !grantor.Renew(now, now, true, requests[i%holders]).Authoritative {
+				if !grantor.Renew(now, now, true, requests[i%holders]).QuorumConfirmed {
 					b.Fatal("the decision is not authoritative")
 				}
 			}
--- a/lease/grantor.go
+++ b/lease/grantor.go
@@ -100,7 +100,7 @@
 		return Decision{}
 	}
 	if now < g.released[id] {
-		return Decision{Authoritative: true, ActivationSerial: g.ActivationSerial()}
+		return Decision{QuorumConfirmed: true, ActivationSerial: g.ActivationSerial()}
 	}
 	duration := time.Duration(0)
 	eligible := g.isEligible(request)
@@ -110,7 +110,7 @@
 	}
 	g.recordReclaim(now, request, eligible)
 	return Decision{
-		Authoritative:    true,
+		QuorumConfirmed:  true,
 		LeaseDuration:    duration,
 		ActivationSerial: g.raiseActivationSerial(request.ActiveSerial),
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -73,15 +73,15 @@
 
 // Decision is the grantor's reply to a Request.
 type Decision struct {
-	// Authoritative is true if the grantor's quorum contact was recent enough to decide
+	// QuorumConfirmed is true if the grantor's quorum contact was recent enough to decide
 	// on leases, see Config.MaxQuorumContactAge. The holder may then accept a transfer
 	// and ActivationSerial. It does not mean that a lease was granted, see LeaseDuration.
 	// If it is false, no lease was granted and the holder must ignore the other fields.
 	// It is always false in the reply to a release.
-	Authoritative bool
+	QuorumConfirmed bool
 	// LeaseDuration is the duration of the granted lease, counted from the time at which
-	// the holder sent the request. It is 0 if no lease was granted. If Authoritative is
-	// true, the holder must then first make a newer serial active, or has recently
+	// the holder sent the request. It is 0 if no lease was granted. If QuorumConfirmed
+	// is true, the holder must then first make a newer serial active, or has recently
 	// released its lease. An earlier lease that is still valid remains valid.
 	LeaseDuration time.Duration
 	// ActivationSerial is the newest serial that the holder may make active, or 0.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -38,7 +38,7 @@
 	grantor, now := grantorAfterGracePeriod()
 	want := func(got Decision, activation uint32) {
 		t.Helper()
-		expected := Decision{Authoritative: true, LeaseDuration: 1800 * ms, ActivationSerial: activation}
+		expected := Decision{QuorumConfirmed: true, LeaseDuration: 1800 * ms, ActivationSerial: activation}
 		if diff := cmp.Diff(expected, got); diff != "" {
 			t.Fatal(diff)
 		}
@@ -83,7 +83,7 @@
 	wantInForce(t, grantor, end, 6, true)
 
 	returned := grantor.Renew(end, end, true, renewalRequest("partitioned", 5, 5))
-	if diff := cmp.Diff(Decision{Authoritative: true, ActivationSerial: 6}, returned); diff != "" {
+	if diff := cmp.Diff(Decision{QuorumConfirmed: true, ActivationSerial: 6}, returned); diff != "" {
 		t.Fatalf("decision for a holder with an older active serial (-want +got):\n%s", diff)
 	}
 }
@@ -133,11 +133,11 @@
 		request Request
 		want    Decision
 	}{
-		{"fresh", renewalRequest("fresh", 0, 0), Decision{Authoritative: true}},
-		{"no valid lease, older active serial", renewalRequest("expired", 4, 4), Decision{Authoritative: true, ActivationSerial: 4}},
-		{"valid lease, older active serial and older term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{Authoritative: true, ActivationSerial: 4}},
-		{"valid lease, older active serial", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
-		{"no valid lease, current active serial", renewalRequest("d", 5, 5), Decision{Authoritative: true, LeaseDuration: config.Duration, ActivationSerial: 5}},
+		{"fresh", renewalRequest("fresh", 0, 0), Decision{QuorumConfirmed: true}},
+		{"no valid lease, older active serial", renewalRequest("expired", 4, 4), Decision{QuorumConfirmed: true, ActivationSerial: 4}},
+		{"valid lease, older active serial and older term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{QuorumConfirmed: true, ActivationSerial: 4}},
+		{"valid lease, older active serial", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{QuorumConfirmed: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
+		{"no valid lease, current active serial", renewalRequest("d", 5, 5), Decision{QuorumConfirmed: true, LeaseDuration: config.Duration, ActivationSerial: 5}},
 	}
 	for _, c := range cases {
 		if diff := cmp.Diff(c.want, grantor.Renew(now, now, true, c.request)); diff != "" {
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -284,7 +284,7 @@
 	contact, known := s.refreshQuorumContact(message.primary)
 	now := primary.clock.read(s.trueTime)
 	decision := primary.grantor.Renew(now, contact, known, message.request)
-	if !decision.Authoritative {
+	if !decision.QuorumConfirmed {
 		decision.ActivationSerial = 0
 	}
 	if !s.checkAndRegister(message.primary, message.request) {
@@ -313,13 +313,13 @@
 	}
 	now := h.clock.read(s.trueTime)
 	duration := message.decision.LeaseDuration
-	if !message.decision.Authoritative {
+	if !message.decision.QuorumConfirmed {
 		duration = 0
 	}
 	if err := h.holder.HandleGrant(now, message.sent, message.term, "cluster", duration); err != nil {
 		return
 	}
-	if !message.decision.Authoritative {
+	if !message.decision.QuorumConfirmed {
 		return
 	}
 	if duration > 0 {
