--- a/control/engine/laterenewal_test.go
+++ b/control/engine/laterenewal_test.go
@@ -70,7 +70,7 @@
 	}
 	back := gateways[0]
 	back.ReceivedSerial, back.ActiveSerial = m.table().Serial(), m.table().Serial()
-	if grant := m.renew(now, back); !grant.Granted || grant.LeaseMS != 0 {
+	if grant := m.renew(now, back); !grant.QuorumConfirmed || grant.LeaseMS != 0 {
 		t.Errorf("the renewal was answered with %+v while the end of the lease is being recorded, want no lease", grant)
 	}
 	if err := m.process(now); err != nil {
@@ -87,7 +87,7 @@
 	m, gateways, now := newPrimaryWithLease(t)
 	ahead := gateways[0]
 	ahead.ReceivedSerial = m.table().Serial() + 1
-	if grant := m.renew(now, ahead); grant.Granted || grant.LeaseMS != 0 {
+	if grant := m.renew(now, ahead); grant.QuorumConfirmed || grant.LeaseMS != 0 {
 		t.Errorf("a gateway with a newer serial than the primary was answered with %+v, want a refusal", grant)
 	}
 }
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -62,7 +62,7 @@
 		return grant
 	}
 	m.metrics.Renewals.WithLabelValues(renewalGranted).Inc()
-	grant.Granted = true
+	grant.QuorumConfirmed = true
 	if leadership.leases.MayGrantLease(m.driver.Catalog(), renew.Gateway) {
 		grant.LeaseMS = decision.LeaseDuration.Milliseconds()
 	}
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -357,7 +357,7 @@
 	}
 	g.mutex.Unlock()
 	var grant peer.Grant
-	if err := g.network.Call(ctx, address, peer.KindRenew, &renew, &grant); err != nil || !grant.Granted {
+	if err := g.network.Call(ctx, address, peer.KindRenew, &renew, &grant); err != nil || !grant.QuorumConfirmed {
 		return false
 	}
 	g.mutex.Lock()
--- a/control/leases_test.go
+++ b/control/leases_test.go
@@ -120,7 +120,7 @@
 	if err := network.Call(f.t.Context(), node.options.PeerAddress, peer.KindRenew, &renew, &grant); err != nil {
 		f.t.Fatal(err)
 	}
-	if grant.Granted || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
+	if grant.QuorumConfirmed || grant.LeaseMS != 0 || grant.ActivationSerial != 0 || grant.Primary != primary.options.PeerAddress {
 		f.t.Errorf("%s, which is not the primary, replied %+v", node.options.Name, grant)
 	}
 	transfer, err := grant.UnpackTransfer()
--- a/gateway/agent/agent_test.go
+++ b/gateway/agent/agent_test.go
@@ -66,7 +66,7 @@
 		c.renewals++
 		c.last = renew
 		grant := c.grant
-		if c.table != nil && grant.Granted && renew.ReceivedSerial != c.table.Serial() {
+		if c.table != nil && grant.QuorumConfirmed && renew.ReceivedSerial != c.table.Serial() {
 			transfer := c.table.TransferSince(renew.ReceivedSerial)
 			grant.Transfer = &transfer
 		}
@@ -144,7 +144,7 @@
 	table := newTable(t)
 	c1.table, c3.table = table, table
 	c2.setGrant(peer.Grant{Cluster: "c", Term: 1, Primary: "c1", ControlAddresses: []string{"c1", "c2"}})
-	c1.setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 10, ControlAddresses: []string{"c1", "c3"}})
+	c1.setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 10, ControlAddresses: []string{"c1", "c3"}})
 
 	var clockOffset atomic.Int64
 	started := time.Now()
@@ -180,12 +180,12 @@
 
 	addVersion(table, 2)
 	c1.setGrant(peer.Grant{Cluster: "c", Term: 2, Primary: "c3"})
-	c3.setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 2, LeaseMS: 1800, ActivationSerial: 12})
+	c3.setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 2, LeaseMS: 1800, ActivationSerial: 12})
 	waitFor(t, "serial 12 from the new primary", func() bool { return a.Status().Primary == "c3" && a.Active().Serial() == 12 })
 	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "c", Term: 1, Primary: "c1", ActivationSerial: 13})
 	c1.network.Send("g1", peer.KindNotify, &peer.Notify{Cluster: "other", Term: 9, Primary: "c1", ActivationSerial: 13})
 	c3.setGrant(peer.Grant{Cluster: "c", Term: 2})
-	c1.setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 13})
+	c1.setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 13})
 	clockOffset.Add(int64(time.Hour))
 	if a.Valid() {
 		t.Fatal("the lease is still valid after its expiry")
@@ -195,7 +195,7 @@
 	if a.Valid() || a.Status().Term != 2 {
 		t.Fatal("the agent accepted a lease grant of term 1 after term 2")
 	}
-	c3.setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 3, LeaseMS: 1800, ActivationSerial: 12})
+	c3.setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 3, LeaseMS: 1800, ActivationSerial: 12})
 	waitFor(t, "a lease in term 3", a.Valid)
 	a.ReleaseLease(t.Context())
 	if a.Valid() || !c3.lastRenew().Gateway.Draining {
@@ -215,7 +215,7 @@
 		c1, c2 := newFakeControlNode(t, memory, "c1"), newFakeControlNode(t, memory, "c2")
 		fullTransfer := newTable(t).TransferSince(0)
 		c2.setGrant(peer.Grant{Cluster: "c", Term: 4, Primary: "c1", ControlAddresses: []string{"c1", "c2"}, Transfer: &fullTransfer})
-		c1.setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 4})
+		c1.setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 4})
 		a, stop := startAgent(t, memory.Node("g", "g"), Options{
 			Gateway: peer.GatewayInfo{Name: "g", Incarnation: "i"},
 			Seeds:   []string{"c2"},
@@ -227,7 +227,7 @@
 		if first.ReceivedSerial != 10 || first.Term != 4 || first.ActiveSerial != 0 || a.Active() != nil {
 			t.Errorf("the first renewal reports received serial %d, term %d and active serial %d; want 10, 4 and 0", first.ReceivedSerial, first.Term, first.ActiveSerial)
 		}
-		c1.setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 4, LeaseMS: 1800, ActivationSerial: 10})
+		c1.setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 4, LeaseMS: 1800, ActivationSerial: 10})
 		time.Sleep(time.Second)
 		if a.Active() == nil || a.Active().Serial() != 10 || !a.Valid() {
 			t.Error("the granted lease is not valid, or serial 10 is not active")
@@ -291,7 +291,7 @@
 	for _, node := range nodes {
 		node.setGrant(peer.Grant{Cluster: "c", Term: 1, Primary: "c3", ControlAddresses: []string{"c1", "c2", "c3"}})
 	}
-	nodes["c3"].setGrant(peer.Grant{Granted: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 10})
+	nodes["c3"].setGrant(peer.Grant{QuorumConfirmed: true, Cluster: "c", Term: 1, LeaseMS: 1800, ActivationSerial: 10})
 	time.Sleep(bound)
 	if !a.Valid() {
 		t.Errorf("%s has no valid lease %v after the election", name, bound)
--- a/gateway/agent/renew.go
+++ b/gateway/agent/renew.go
@@ -91,8 +91,8 @@
 	}
 	delete(a.consecutiveFailures, address)
 	a.controlNodes.setMembers(grant.ControlAddresses)
-	redirected = a.controlNodes.recordReply(now, address, grant.Granted, grant.Primary)
-	if !grant.Granted {
+	redirected = a.controlNodes.recordReply(now, address, grant.QuorumConfirmed, grant.Primary)
+	if !grant.QuorumConfirmed {
 		a.rejectedRenewals.Add(1)
 		if err := a.handleRedirect(&grant); err != nil {
 			a.logger.Debug("redirect ignored", "address", address, "error", err)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -85,7 +85,7 @@
 		Incarnation: info.Incarnation, Zone: info.Zone, Region: info.Region,
 		PeerAddress: info.PeerAddress, HTTPAddress: info.HTTPAddress, Up: !info.Draining,
 	})))
-	grant := &peer.Grant{Granted: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
+	grant := &peer.Grant{QuorumConfirmed: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
 	if p.activationLimit != 0 {
 		grant.ActivationSerial = p.activationLimit
 	}
--- a/peer/lease.go
+++ b/peer/lease.go
@@ -35,15 +35,17 @@
 // Grant answers Renew. Only a primary whose leadership was confirmed by a quorum
 // grants.
 type Grant struct {
-	// Granted says that the gateway must apply ActivationSerial and the transfer, and
-	// the lease if LeaseMS is above 0. Without it only a gateway that has no state yet
-	// may apply the transfer.
-	Granted bool   `cbor:"1,keyasint"`
-	Cluster string `cbor:"2,keyasint"`
-	Term    uint64 `cbor:"3,keyasint"`
+	// QuorumConfirmed says that the primary's quorum contact was recent enough to decide on
+	// leases; it is also true if no lease is granted. The gateway must then apply
+	// ActivationSerial and the transfer, and the lease if LeaseMS is above 0. Without it
+	// only a gateway that has no state yet may apply the transfer.
+	QuorumConfirmed bool   `cbor:"1,keyasint"`
+	Cluster         string `cbor:"2,keyasint"`
+	Term            uint64 `cbor:"3,keyasint"`
 	// LeaseMS is the duration of the lease in milliseconds, counted from the sending
-	// of Renew. With Granted, 0 means that there is no lease yet: the gateway activates
-	// what it may and renews at once. An earlier lease stays valid until it expires.
+	// of Renew. With QuorumConfirmed, 0 means that there is no lease yet: the gateway
+	// activates what it may and renews at once. An earlier lease stays valid until it
+	// expires.
 	LeaseMS int64 `cbor:"4,keyasint,omitempty"`
 	// ActivationSerial is the highest serial that the gateway may activate; 0 is none.
 	ActivationSerial uint32 `cbor:"5,keyasint,omitempty"`
