--- a/control/leases/leases.go
+++ b/control/leases/leases.go
@@ -92,7 +92,7 @@
 // Renew decides whether to grant one renewal. contact is the quorum contact: the send time
 // of the newest heartbeat round that a quorum acknowledged, if contactKnown.
 func (m *Manager) Renew(now, contact time.Duration, contactKnown bool, renew *peer.Renew) lease.Decision {
-	return m.grantor.Renew(now, contact, contactKnown, lease.Request{
+	return m.grantor.Renew(now, contact, contactKnown, lease.RenewalRequest{
 		Holder:         renew.Gateway.Name,
 		Incarnation:    renew.Gateway.Incarnation,
 		ReceivedSerial: renew.ReceivedSerial,
--- a/examples/embedding/member.go
+++ b/examples/embedding/member.go
@@ -28,7 +28,7 @@
 }
 
 // renewal asks the primary for a lease and reports the holder's serials. Its field
-// names are its keys in a message; lease.Request has the words for them.
+// names are its keys in a message; lease.RenewalRequest has the words for them.
 type renewal struct {
 	Holder, Incarnation string
 	Held, Active        uint32 // the serial received, and the one acted on
@@ -37,8 +37,8 @@
 }
 
 // leaseRequest returns the renewal as the grantor takes it.
-func (r *renewal) leaseRequest() lease.Request {
-	return lease.Request{
+func (r *renewal) leaseRequest() lease.RenewalRequest {
+	return lease.RenewalRequest{
 		Holder: r.Holder, Incarnation: r.Incarnation,
 		ReceivedSerial: r.Held, ActiveSerial: r.Active,
 		Release: r.Leaving, LeaseValid: r.Valid, Term: r.Term,
@@ -303,7 +303,7 @@
 }
 
 // renew decides a renewal; it returns nil if this member may not grant leases.
-func (m *member) renew(now time.Duration, request lease.Request) *grant {
+func (m *member) renew(now time.Duration, request lease.RenewalRequest) *grant {
 	if m.grantor == nil {
 		return nil
 	}
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -33,7 +33,7 @@
 
 // renewal is a lease request with the time on the gateway's clock at which it was sent.
 type renewal struct {
-	request lease.Request
+	request lease.RenewalRequest
 	sent    time.Duration
 }
 
@@ -113,7 +113,7 @@
 // restarted in the meantime.
 func (g *gateway) sendRenewal(to *machine) {
 	now := g.clock()
-	request := renewal{sent: now, request: lease.Request{
+	request := renewal{sent: now, request: lease.RenewalRequest{
 		Holder:         g.name,
 		Incarnation:    fmt.Sprint(g.incarnation),
 		ReceivedSerial: g.receivedSerial(),
@@ -135,7 +135,7 @@
 func (g *gateway) releaseLease() {
 	g.holder.Release()
 	to := g.primary
-	request := renewal{sent: g.clock(), request: lease.Request{
+	request := renewal{sent: g.clock(), request: lease.RenewalRequest{
 		Holder: g.name, Incarnation: fmt.Sprint(g.incarnation), ActiveSerial: g.activeSerial, Release: true,
 	}}
 	g.world.network.send(g.name, to.name, func() {
--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -11,7 +11,7 @@
 	for _, holders := range []int{8, 400} {
 		b.Run(fmt.Sprint(holders), func(b *testing.B) {
 			grantor, now := grantorAfterGracePeriod()
-			requests := make([]Request, holders)
+			requests := make([]RenewalRequest, holders)
 			for i := range requests {
 				requests[i] = renewalRequest(fmt.Sprint("gateway-", i), 5, 5)
 			}
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -15,7 +15,7 @@
 	holder := lease.NewHolder(config)
 
 	renew := func(now time.Duration) {
-		request := lease.Request{Holder: "gateway-1", Incarnation: "1", ReceivedSerial: 5, ActiveSerial: 5, LeaseValid: holder.Valid(now), Term: holder.Term()}
+		request := lease.RenewalRequest{Holder: "gateway-1", Incarnation: "1", ReceivedSerial: 5, ActiveSerial: 5, LeaseValid: holder.Valid(now), Term: holder.Term()}
 		decision := grantor.Renew(now, now, true, request)
 		if err := holder.HandleGrant(now, now, grantor.Term(), "cluster", decision.LeaseDuration); err != nil {
 			fmt.Println(err)
--- a/lease/graceperiod.go
+++ b/lease/graceperiod.go
@@ -21,7 +21,7 @@
 
 // recordReclaim accounts for the holder's lease of an earlier primary, if this renewal
 // permits it, see ExpectReclaims.
-func (g *Grantor) recordReclaim(now time.Duration, request Request, granted bool) {
+func (g *Grantor) recordReclaim(now time.Duration, request RenewalRequest, granted bool) {
 	incarnation, pending := g.pendingReclaims[request.Holder]
 	if !pending {
 		return
--- a/lease/grantor.go
+++ b/lease/grantor.go
@@ -87,7 +87,7 @@
 
 // Renew processes one renewal request and returns the decision. contact is the quorum
 // contact as in SetQuorumContact; contactKnown is false while there is none in this term.
-func (g *Grantor) Renew(now, contact time.Duration, contactKnown bool, request Request) Decision {
+func (g *Grantor) Renew(now, contact time.Duration, contactKnown bool, request RenewalRequest) Decision {
 	id := HolderID{Holder: request.Holder, Incarnation: request.Incarnation}
 	if contactKnown {
 		g.SetQuorumContact(contact)
@@ -126,7 +126,7 @@
 // that was valid when it sent the request, if it knew this term then. This is safe since
 // SerialInForce returns no serial until the grace period is over, and takes the extended
 // lease into account afterwards.
-func (g *Grantor) isEligible(request Request) bool {
+func (g *Grantor) isEligible(request RenewalRequest) bool {
 	if request.ActiveSerial == 0 {
 		return false
 	}
@@ -138,7 +138,7 @@
 	return extendsValidLease || !serialLess(request.ActiveSerial, bound)
 }
 
-func (g *Grantor) grant(now time.Duration, id HolderID, request Request) {
+func (g *Grantor) grant(now time.Duration, id HolderID, request RenewalRequest) {
 	entry, known := g.leases[id]
 	if !known {
 		entry = &lease{}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -54,8 +54,8 @@
 	)
 }
 
-// Request is a renewal request of a holder.
-type Request struct {
+// RenewalRequest is a renewal request of a holder.
+type RenewalRequest struct {
 	Holder      string
 	Incarnation string
 	// ReceivedSerial is the newest serial that the holder has received, or 0.
@@ -71,7 +71,7 @@
 	Term uint64
 }
 
-// Decision is the grantor's reply to a Request.
+// Decision is the grantor's reply to a RenewalRequest.
 type Decision struct {
 	// QuorumConfirmed is true if the grantor's quorum contact was recent enough to decide
 	// on leases, see Config.MaxQuorumContactAge. The holder may then accept a transfer
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,8 +12,8 @@
 
 // renewalRequest returns a renewal request of a holder that knows term 7 and has no valid
 // lease.
-func renewalRequest(holder string, received, active uint32) Request {
-	return Request{Holder: holder, Incarnation: "1", ReceivedSerial: received, ActiveSerial: active, Term: 7}
+func renewalRequest(holder string, received, active uint32) RenewalRequest {
+	return RenewalRequest{Holder: holder, Incarnation: "1", ReceivedSerial: received, ActiveSerial: active, Term: 7}
 }
 
 // grantorAfterGracePeriod returns a grantor of term 7 with serial 5, and the time at which
@@ -130,13 +130,13 @@
 	now := config.GracePeriod() - ms
 	cases := []struct {
 		name    string
-		request Request
+		request RenewalRequest
 		want    Decision
 	}{
 		{"fresh", renewalRequest("fresh", 0, 0), Decision{QuorumConfirmed: true}},
 		{"no valid lease, older active serial", renewalRequest("expired", 4, 4), Decision{QuorumConfirmed: true, ActivationSerial: 4}},
-		{"valid lease, older active serial and older term", Request{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{QuorumConfirmed: true, ActivationSerial: 4}},
-		{"valid lease, older active serial", Request{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{QuorumConfirmed: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
+		{"valid lease, older active serial and older term", RenewalRequest{Holder: "b", ReceivedSerial: 4, ActiveSerial: 4, LeaseValid: true, Term: 6}, Decision{QuorumConfirmed: true, ActivationSerial: 4}},
+		{"valid lease, older active serial", RenewalRequest{Holder: "c", ReceivedSerial: 5, ActiveSerial: 4, LeaseValid: true, Term: 7}, Decision{QuorumConfirmed: true, LeaseDuration: config.Duration, ActivationSerial: 4}},
 		{"no valid lease, current active serial", renewalRequest("d", 5, 5), Decision{QuorumConfirmed: true, LeaseDuration: config.Duration, ActivationSerial: 5}},
 	}
 	for _, c := range cases {
--- a/lease/simulation_test.go
+++ b/lease/simulation_test.go
@@ -64,7 +64,7 @@
 	holder  int
 	primary int
 	sent    time.Duration // on the holder's clock
-	request Request
+	request RenewalRequest
 }
 
 type grant struct {
@@ -199,7 +199,7 @@
 // It reports whether the holder's incarnation was registered already. If it was not, the
 // newest primary registers it, but only if the holder knows the primary's term and the
 // incarnation has not been superseded. Other primaries cannot change the registry.
-func (s *simulation) checkAndRegister(index int, request Request) bool {
+func (s *simulation) checkAndRegister(index int, request RenewalRequest) bool {
 	incarnation, known := s.registered[request.Holder]
 	if s.ignoresRegistry || known && incarnation == request.Incarnation {
 		return true
@@ -244,7 +244,7 @@
 func (s *simulation) sendRenewal(index int) {
 	h := s.holders[index]
 	now := h.clock.read(s.trueTime)
-	request := Request{
+	request := RenewalRequest{
 		Holder:       h.name,
 		Incarnation:  fmt.Sprint(h.incarnation),
 		ActiveSerial: h.activeSerial,
