--- a/consensus/status.go
+++ b/consensus/status.go
@@ -31,9 +31,9 @@
 	// Match has the highest index known to be on the disk of each member. It is nil
 	// unless this member leads.
 	Match map[ID]uint64
-	// LastContact has the time of the last response from each member that has responded
+	// LastResponses has the time of the last response from each member that has responded
 	// in this term. It is nil unless this member leads.
-	LastContact map[ID]time.Duration
+	LastResponses map[ID]time.Duration
 }
 
 // Status returns the member's current state. Its maps and slices are copies.
@@ -50,7 +50,7 @@
 	}
 	if n.role == Leader {
 		status.Match = n.matchByMember()
-		status.LastContact = n.lastContactByMember()
+		status.LastResponses = n.lastContactByMember()
 		status.MembershipCommitted = n.membershipCommitted()
 	}
 	return status
--- a/control/membership/repair.go
+++ b/control/membership/repair.go
@@ -66,7 +66,7 @@
 	if id == r.Status.ID {
 		return true
 	}
-	contact, responded := r.Status.LastContact[id]
+	contact, responded := r.Status.LastResponses[id]
 	return responded && r.Now-contact <= ReachableTimeout
 }
 
@@ -139,7 +139,7 @@
 	if id == r.Status.ID {
 		return 0
 	}
-	return r.Now - max(r.Status.LastContact[id], r.FirstSeen[id], r.ElectedAt)
+	return r.Now - max(r.Status.LastResponses[id], r.FirstSeen[id], r.ElectedAt)
 }
 
 // replacesNobody reports whether every voter that the learner could replace is reachable
@@ -186,7 +186,7 @@
 	complete := r.countVoters() >= r.Voters
 	matches := []func(voter consensus.Member) bool{
 		func(voter consensus.Member) bool {
-			return voter.Address == member.Address && r.Status.LastContact[voter.ID] < request.ReceivedAt
+			return voter.Address == member.Address && r.Status.LastResponses[voter.ID] < request.ReceivedAt
 		},
 		func(voter consensus.Member) bool {
 			return complete && voter.Name == member.Name && r.unreachable(voter)
--- a/control/membership/repair_test.go
+++ b/control/membership/repair_test.go
@@ -71,7 +71,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := Repair{
 				Now:          now,
-				Status:       consensus.Status{ID: "a", Commit: 900, MembershipCommitted: !c.pending, Match: c.match, LastContact: c.contact, Membership: consensus.Membership{Members: c.members}},
+				Status:       consensus.Status{ID: "a", Commit: 900, MembershipCommitted: !c.pending, Match: c.match, LastResponses: c.contact, Membership: consensus.Membership{Members: c.members}},
 				Joins:        c.joins,
 				Voters:       3,
 				ReplaceAfter: 3 * time.Second,
--- a/control/membership/replacedlearner_test.go
+++ b/control/membership/replacedlearner_test.go
@@ -30,9 +30,9 @@
 				Now: now,
 				Status: consensus.Status{
 					ID: "a", Commit: 900, MembershipCommitted: true,
-					Match:       map[consensus.ID]uint64{"a": 900, "b": 900},
-					LastContact: map[consensus.ID]time.Duration{"b": now, "c2": c.contact},
-					Membership:  consensus.Membership{Members: members},
+					Match:         map[consensus.ID]uint64{"a": 900, "b": 900},
+					LastResponses: map[consensus.ID]time.Duration{"b": now, "c2": c.contact},
+					Membership:    consensus.Membership{Members: members},
 				},
 				Joins:        c.joins,
 				Voters:       3,
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -132,7 +132,7 @@
 // late join request arrived after its removal. It reports whether it proposed one.
 func (m *machine) removeUnresponsiveLearner(status consensus.Status) bool {
 	for position, member := range status.Membership.Members {
-		lastContact := max(m.leadership.elected, status.LastContact[member.ID], m.joinRequests[member.ID].receivedAt)
+		lastContact := max(m.leadership.elected, status.LastResponses[member.ID], m.joinRequests[member.ID].receivedAt)
 		if !member.Learner || m.clock()-lastContact < learnerTimeout {
 			continue
 		}
@@ -185,7 +185,7 @@
 
 // isReachable reports whether a member has replied within reachabilityWindow.
 func (m *machine) isReachable(status consensus.Status, id consensus.ID) bool {
-	lastContact, known := status.LastContact[id]
+	lastContact, known := status.LastResponses[id]
 	return known && m.clock()-lastContact <= reachabilityWindow
 }
 
