--- a/catalog/state_test.go
+++ b/catalog/state_test.go
@@ -92,9 +92,9 @@
 	before := read(t, table)
 	services := before.Services()
 	apply(t, table,
-		registry.DeleteSet(ZoneName("north-1"), TypeEvacuation),
-		registry.DeleteSet(ConfigurationName, TypeLimits),
-		registry.DeleteSet(ReplicaName("replica-1"), TypeDrain),
+		registry.DeleteRRset(ZoneName("north-1"), TypeEvacuation),
+		registry.DeleteRRset(ConfigurationName, TypeLimits),
+		registry.DeleteRRset(ReplicaName("replica-1"), TypeDrain),
 		ConditionRecord("replica-1", Condition{State: ConditionUp}),
 		ReplicaRecord("replica-2", Replica{Service: "explain"}),
 		RouteRecord("other", Route{Service: "explain"}),
@@ -131,7 +131,7 @@
 	}{
 		{ZoneRecord("north-1", Zone{Region: "south"}), "south"},
 		{ReplicaRecord("replica-1", Replica{Zone: "north-1", Region: "west"}), "south"},
-		{registry.DeleteSet(ZoneName("north-1"), TypeZone), ""},
+		{registry.DeleteRRset(ZoneName("north-1"), TypeZone), ""},
 		{ZoneRecord("north-1", Zone{Region: "north"}), "north"},
 	}
 	for _, c := range cases {
--- a/configuration/diff.go
+++ b/configuration/diff.go
@@ -108,7 +108,7 @@
 		return
 	}
 	c.removed[set] = true
-	c.records = append(c.records, registry.DeleteSet(name, recordType))
+	c.records = append(c.records, registry.DeleteRRset(name, recordType))
 }
 
 // requireDocument requires the records of all objects of a document, in a fixed order.
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -128,7 +128,7 @@
 			Field:   "zone",
 		})
 	}
-	change := registry.DeleteSet(name, catalog.TypeEvacuation)
+	change := registry.DeleteRRset(name, catalog.TypeEvacuation)
 	if !request.Withdraw {
 		change = registry.Add(catalog.EvacuationRecord(request.Zone, catalog.Evacuation{Author: request.Author, OperationID: request.OperationID}))
 	}
@@ -162,7 +162,7 @@
 	noResult := registry.Absent(catalog.OperationName(o.ID()), catalog.TypeOperation)
 	changes = append(changes, registry.Add(catalog.OperationResultRecord(o.ID(), answer)))
 	for _, oldest := range facts.Surplus {
-		changes = append(changes, registry.DeleteSet(oldest, catalog.TypeOperation))
+		changes = append(changes, registry.DeleteRRset(oldest, catalog.TypeOperation))
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite, noResult}, changes)
 	update.Requestor = permission.Operator(author)
--- a/control/operation/replicas.go
+++ b/control/operation/replicas.go
@@ -91,7 +91,7 @@
 	if entry.Draining {
 		return []registry.Record{registry.Add(catalog.DrainRecord(entry.ID, catalog.Drain{Reason: "listed as draining"}))}
 	}
-	return []registry.Record{registry.DeleteSet(catalog.ReplicaName(entry.ID), catalog.TypeDrain)}
+	return []registry.Record{registry.DeleteRRset(catalog.ReplicaName(entry.ID), catalog.TypeDrain)}
 }
 
 // conditionChange updates a replica's condition if the list states whether the replica
--- a/control/statemachine/operationlog_test.go
+++ b/control/statemachine/operationlog_test.go
@@ -23,7 +23,7 @@
 		order := fmt.Sprintf("order-%d", i)
 		changes := []registry.Record{registry.Add(catalog.OperationResultRecord(order, catalog.OperationResult{}))}
 		for _, name := range log.Surplus(limit) {
-			changes = append(changes, registry.DeleteSet(name, catalog.TypeOperation))
+			changes = append(changes, registry.DeleteRRset(name, catalog.TypeOperation))
 		}
 		apply(uint32(10+i), changes...)
 		if len(log.serials) > limit {
--- a/dispatch/simulation_faults_test.go
+++ b/dispatch/simulation_faults_test.go
@@ -155,7 +155,7 @@
 	f.record.evacuated("north-1")
 	f.sleepUntil(faultStart + 3*time.Second)
 	f.record.evacuationEnded("north-1")
-	f.change(registry.DeleteSet(catalog.ZoneName("north-1"), catalog.TypeEvacuation))
+	f.change(registry.DeleteRRset(catalog.ZoneName("north-1"), catalog.TypeEvacuation))
 	f.configure("web")
 	f.sleepUntil(faultEnd + recoveryPeriod) // the zone's replicas are in slow start after the evacuation
 	f.record.recoveredAt(faultEnd + 2*recoveryPeriod)
--- a/dispatch/slow_start_test.go
+++ b/dispatch/slow_start_test.go
@@ -62,7 +62,7 @@
 	})
 	f.addReplica("a", "east-1")
 	f.apply(registry.Add(catalog.EvacuationRecord("east-1", catalog.Evacuation{OperationID: "o"})))
-	f.apply(registry.DeleteSet(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
+	f.apply(registry.DeleteRRset(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
 	for range 5 {
 		f.serve(nil)
 	}
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -239,7 +239,7 @@
 		prerequisite = registry.Equals(catalog.ConditionRecord(change.Replica, *change.Old))
 	}
 	changes := []registry.Record{
-		registry.DeleteSet(name, catalog.TypeCondition),
+		registry.DeleteRRset(name, catalog.TypeCondition),
 		registry.Add(catalog.ConditionRecord(change.Replica, change.New)),
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite}, changes)
--- a/registry/golden_encoding_test.go
+++ b/registry/golden_encoding_test.go
@@ -111,7 +111,7 @@
 		"prerequisite-name-not-in-use":     prerequisite(NotInUse(route.Name)),
 		"change-add":                       change(Add(route)),
 		"change-add-soa":                   change(Add(SOARecord(goldenApex, goldenSOA(8)))),
-		"change-delete-rrset":              change(DeleteSet(route.Name, route.Type)),
+		"change-delete-rrset":              change(DeleteRRset(route.Name, route.Type)),
 		"change-delete-name":               change(DeleteName(route.Name)),
 		"change-delete-record":             change(DeleteRecord(route)),
 		"all-sections":                     complete,
--- a/registry/update.go
+++ b/registry/update.go
@@ -62,8 +62,8 @@
 	return record
 }
 
-// DeleteSet deletes the RRset of the type at the name (section 2.5.2).
-func DeleteSet(name Name, recordType Type) Record {
+// DeleteRRset deletes the RRset of the type at the name (section 2.5.2).
+func DeleteRRset(name Name, recordType Type) Record {
 	return Record{Name: name, Type: recordType, Class: ClassAny}
 }
 
