--- a/catalog/kinds.go
+++ b/catalog/kinds.go
@@ -84,7 +84,7 @@
 
 // declaration is a kind without its type parameter, for the list of all kinds.
 type declaration struct {
-	registry.Kind
+	registry.TypeDeclaration
 
 	parent registry.Name
 }
@@ -113,15 +113,15 @@
 
 // chunkDeclaration declares chunks, whose octets are stored without an encoding.
 var chunkDeclaration = declaration{
-	Kind:   registry.Kind{Type: TypeDocumentChunk, Name: "DOCUMENT", Singleton: true},
-	parent: documentsName,
+	TypeDeclaration: registry.TypeDeclaration{Type: TypeDocumentChunk, Name: "DOCUMENT", Singleton: true},
+	parent:          documentsName,
 }
 
 // Schema returns the registry schema of the records of this package.
 func Schema() *registry.Schema {
-	kinds := make([]registry.Kind, len(declarations))
+	kinds := make([]registry.TypeDeclaration, len(declarations))
 	for i, declared := range declarations {
-		kinds[i] = declared.Kind
+		kinds[i] = declared.TypeDeclaration
 	}
 	schema, err := registry.NewSchema(kinds...)
 	if err != nil {
@@ -143,8 +143,8 @@
 
 func (k kind[T]) declaration() declaration {
 	return declaration{
-		Kind:   registry.Kind{Type: k.recordType, Name: k.label, Singleton: true, Check: checkEncoding[T]},
-		parent: k.parent,
+		TypeDeclaration: registry.TypeDeclaration{Type: k.recordType, Name: k.label, Singleton: true, Check: checkEncoding[T]},
+		parent:          k.parent,
 	}
 }
 
--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -120,7 +120,7 @@
 
 // schema returns the schema of the table: one record type, one record a name.
 func schema() (*registry.Schema, error) {
-	return registry.NewSchema(registry.Kind{Type: typeLock, Name: "LOCK", Singleton: true})
+	return registry.NewSchema(registry.TypeDeclaration{Type: typeLock, Name: "LOCK", Singleton: true})
 }
 
 // errNotPrimary is the answer of a member that is not the leader or has stopped.
--- a/internal/simulation/statemachine.go
+++ b/internal/simulation/statemachine.go
@@ -29,9 +29,9 @@
 
 func mustSchema() *registry.Schema {
 	schema, err := registry.NewSchema(
-		registry.Kind{Type: typeVersion, Name: "VERSION", Singleton: true},
-		registry.Kind{Type: typeAnswer, Name: "ORDER", Singleton: true},
-		registry.Kind{Type: typeContent, Name: "CONTENT", Singleton: true},
+		registry.TypeDeclaration{Type: typeVersion, Name: "VERSION", Singleton: true},
+		registry.TypeDeclaration{Type: typeAnswer, Name: "ORDER", Singleton: true},
+		registry.TypeDeclaration{Type: typeContent, Name: "CONTENT", Singleton: true},
 	)
 	if err != nil {
 		panic(err)
--- a/registry/example_test.go
+++ b/registry/example_test.go
@@ -10,7 +10,7 @@
 
 // The prerequisite of an update makes it fail if another update was applied before it.
 func Example() {
-	schema, err := registry.NewSchema(registry.Kind{Type: typeAddress, Name: "ADDRESS", Singleton: true})
+	schema, err := registry.NewSchema(registry.TypeDeclaration{Type: typeAddress, Name: "ADDRESS", Singleton: true})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -23,10 +23,10 @@
 
 func testSchema() *Schema {
 	schema, err := NewSchema(
-		Kind{Type: typeMany, Name: "MANY"},
-		Kind{Type: typeOne, Name: "ONE", Singleton: true},
-		Kind{Type: typeKeyed, Name: "KEYED", Key: func(data []byte) []byte { return data[:min(1, len(data))] }},
-		Kind{Type: typeDigits, Name: "DIGITS", Check: func(data []byte) error {
+		TypeDeclaration{Type: typeMany, Name: "MANY"},
+		TypeDeclaration{Type: typeOne, Name: "ONE", Singleton: true},
+		TypeDeclaration{Type: typeKeyed, Name: "KEYED", Key: func(data []byte) []byte { return data[:min(1, len(data))] }},
+		TypeDeclaration{Type: typeDigits, Name: "DIGITS", Check: func(data []byte) error {
 			if strings.Trim(string(data), "0123456789") != "" {
 				return errNotDigits
 			}
--- a/registry/schema.go
+++ b/registry/schema.go
@@ -9,8 +9,8 @@
 // ErrSchema is wrapped by the errors of NewSchema.
 var ErrSchema = errors.New("registry: invalid schema")
 
-// Kind declares one record type.
-type Kind struct {
+// TypeDeclaration declares one record type.
+type TypeDeclaration struct {
 	Type Type
 	Name string // mnemonic, e.g. "ROUTE"
 	// Singleton types have at most one record at a name: adding one replaces it, as
@@ -26,7 +26,7 @@
 
 // Schema is the set of record types that a table recognizes (section 3.4.1.2).
 type Schema struct {
-	kinds map[Type]Kind
+	kinds map[Type]TypeDeclaration
 }
 
 // wksKeyBytes is the size of the address and protocol at the start of WKS data.
@@ -35,7 +35,7 @@
 // NewSchema returns a schema with NS, CNAME, SOA, WKS and the given kinds. It returns
 // ErrSchema if a type is below FirstPrivateType, a name is empty, or a type or name is
 // declared twice.
-func NewSchema(kinds ...Kind) (*Schema, error) {
+func NewSchema(kinds ...TypeDeclaration) (*Schema, error) {
 	schema := &Schema{kinds: standardKinds()}
 	names := map[string]bool{}
 	for _, kind := range schema.kinds {
@@ -58,14 +58,14 @@
 }
 
 // Kind returns the declaration of a type.
-func (s *Schema) Kind(recordType Type) (Kind, bool) {
+func (s *Schema) Kind(recordType Type) (TypeDeclaration, bool) {
 	kind, known := s.kinds[recordType]
 	return kind, known
 }
 
 // standardKinds declares the types for which the draft defines rules (section 1.1.5).
-func standardKinds() map[Type]Kind {
-	return map[Type]Kind{
+func standardKinds() map[Type]TypeDeclaration {
+	return map[Type]TypeDeclaration{
 		TypeNS:    {Type: TypeNS, Name: "NS"},
 		TypeCNAME: {Type: TypeCNAME, Name: "CNAME", Singleton: true},
 		TypeSOA:   {Type: TypeSOA, Name: "SOA", Singleton: true, Check: checkSOAData},
@@ -90,7 +90,7 @@
 }
 
 // replaces reports whether added data replaces existing data (section 1.1.5).
-func (k Kind) replaces(existing, data []byte) bool {
+func (k TypeDeclaration) replaces(existing, data []byte) bool {
 	if k.Singleton {
 		return true
 	}
