--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -346,7 +346,7 @@
 			t.Fatalf("attempts at %v, want only r3, which has an idle connection", f.attemptedReplicas())
 		}
 	}
-	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
+	f.dispatcher.HandleRegionLoads(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
 	f.sent = nil
 	send(20)
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 || attempted[0] == "r3" {
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -59,11 +59,11 @@
 	return t.sums[replica]
 }
 
-// Observe processes a message about the other gateways of the region: their requests in
+// HandleRegionLoads processes a message about the other gateways of the region: their requests in
 // flight, the prompts that they placed, and the prefill times that they measured. Their
 // prompts are added to this gateway's copy of the backlogs, and their measurements are used
 // like its own.
-func (d *Dispatcher) Observe(loads *peer.RegionLoads) {
+func (d *Dispatcher) HandleRegionLoads(loads *peer.RegionLoads) {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/dispatch/reservation_test.go
+++ b/dispatch/reservation_test.go
@@ -60,7 +60,7 @@
 func connect(from, to *fixture) {
 	name := from.dispatcher.options.Gateway
 	report := func(update peer.RegionLoads) {
-		time.AfterFunc(announcementDelay, func() { to.dispatcher.Observe(&update) })
+		time.AfterFunc(announcementDelay, func() { to.dispatcher.HandleRegionLoads(&update) })
 	}
 	from.dispatcher.options.OnPlaced = func(prompt peer.PlacedPrompt) {
 		prompt.Gateway = peer.NewReplicaKey(name)
@@ -174,7 +174,7 @@
 		names := []string{"a", "b", "c", "d", "e"}
 		for _, holder := range names {
 			pair := newGatewayPair(t, names...)
-			pair.second.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{
+			pair.second.dispatcher.HandleRegionLoads(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{
 				{Replica: peer.NewReplicaKey(holder), Prefixes: placement.Hashes(chainOf("shared", 9000))},
 			}})
 			pair.second.serve(func(r *Request) {
@@ -319,7 +319,7 @@
 		return peer.PlacedPrompt{Replica: peer.NewReplicaKey(name), PrefillMS: 1500}
 	}
 	f.respond = func(context.Context, *Attempt) (*Response, error) {
-		f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{busy("a"), busy("b")}})
+		f.dispatcher.HandleRegionLoads(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{busy("a"), busy("b")}})
 		switch {
 		case len(f.attemptedReplicas()) > 1:
 			return events("id: 2\ndata: y\n\n", nil), nil
@@ -348,7 +348,7 @@
 	f.configure(withPrompts)
 	f.addReplica("a", "east-1")
 	f.respond = func(context.Context, *Attempt) (*Response, error) { return events("id: 1\ndata: x\n\n", nil), nil }
-	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("a"), PrefillMS: int(test.backlog.Milliseconds())}}})
+	f.dispatcher.HandleRegionLoads(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("a"), PrefillMS: int(test.backlog.Milliseconds())}}})
 	_, requestErr := f.serve(func(r *Request) { r.PromptTokens = test.tokens })
 	if rejected := requestErr != nil; rejected != test.rejected {
 		t.Errorf("rejected: %v, with error %v", rejected, requestErr)
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -183,7 +183,7 @@
 		OnPrefill: func(prompt peer.PrefillSample) { g.exchange.RecordPrefill(prompt) },
 	})
 	g.exchange = loadexchange.NewNode(loadexchange.Config{
-		Name: g.name, Region: g.region(), LoadSource: g.dispatcher, Observe: g.dispatcher.Observe,
+		Name: g.name, Region: g.region(), LoadSource: g.dispatcher, Observe: g.dispatcher.HandleRegionLoads,
 		SendReport: func(address string, report *peer.ReplicaLoads) {
 			g.deliver(address, func(other *loadexchange.Node) { other.HandleReport(report) })
 		},
--- a/httpgateway/load_exchange.go
+++ b/httpgateway/load_exchange.go
@@ -21,7 +21,7 @@
 		SendDigest: func(address string, digest *peer.LoadDigest) {
 			network.Send(address, peer.KindLoadDigest, digest)
 		},
-		Observe: p.dispatcher.Observe,
+		Observe: p.dispatcher.HandleRegionLoads,
 	})
 }
 
