--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -72,9 +72,9 @@
 	// Resumed those among them that continued an event stream.
 	Retries uint64
 	Resumed uint64
-	// Rejected counts all requests that ended with an error, by its code, including those
+	// Failed counts all requests that ended with an error, by its code, including those
 	// that may have run.
-	Rejected map[Code]uint64
+	Failed map[Code]uint64
 	// FailedAttempts counts the attempts without a complete response, by reason.
 	FailedAttempts map[FailureReason]uint64
 }
@@ -100,7 +100,7 @@
 		loads:      newLoadTable(),
 		zones:      make(map[string]*zoneHealth),
 		roundTrips: newRoundTrips(),
-		counts:     Counts{Rejected: make(map[Code]uint64), FailedAttempts: make(map[FailureReason]uint64)},
+		counts:     Counts{Failed: make(map[Code]uint64), FailedAttempts: make(map[FailureReason]uint64)},
 	}
 }
 
@@ -109,7 +109,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	counts := d.counts
-	counts.Rejected = maps.Clone(d.counts.Rejected)
+	counts.Failed = maps.Clone(d.counts.Failed)
 	counts.FailedAttempts = maps.Clone(d.counts.FailedAttempts)
 	return counts
 }
--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -46,7 +46,7 @@
 	if requestErr == nil {
 		d.counts.Served++
 	} else {
-		d.counts.Rejected[requestErr.Code]++
+		d.counts.Failed[requestErr.Code]++
 	}
 	return requestErr
 }
--- a/httpgateway/metrics.go
+++ b/httpgateway/metrics.go
@@ -70,7 +70,7 @@
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
 	}
 	count(c.requests, counts.Served, codeServed)
-	for code, value := range counts.Rejected {
+	for code, value := range counts.Failed {
 		count(c.requests, value, string(code))
 	}
 	for reason, value := range counts.FailedAttempts {
--- a/httpgateway/metrics_test.go
+++ b/httpgateway/metrics_test.go
@@ -21,7 +21,7 @@
 		Attempts:       9,
 		Retries:        2,
 		Resumed:        1,
-		Rejected:       map[dispatch.Code]uint64{dispatch.CodeOverloaded: 3},
+		Failed:         map[dispatch.Code]uint64{dispatch.CodeOverloaded: 3},
 		FailedAttempts: map[dispatch.FailureReason]uint64{dispatch.FailureIndeterminate: 4},
 	}
 }
