--- a/placement/index.go
+++ b/placement/index.go
@@ -114,8 +114,8 @@
 	ix.dropOldestEntries(ix.entriesOf(replica), replica, count)
 }
 
-// Undo drops a chain that was recorded for a request that then did not run.
-func (ix *Index) Undo(replica int, chain []Link) {
+// RemoveChain drops a chain that was recorded for a request that then did not run.
+func (ix *Index) RemoveChain(replica int, chain []Link) {
 	entries := ix.entriesOf(replica)
 	for _, link := range chain {
 		ix.drop(entries, replica, link.Hash)
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -36,7 +36,7 @@
 					t.Fatalf("found %d tokens of a chain that was just recorded, want 15", found)
 				}
 			case 3:
-				index.Undo(replica, chain)
+				index.RemoveChain(replica, chain)
 				delete(recorded[replica], chain[0].Hash)
 				delete(recorded[replica], chain[1].Hash)
 			case 4:
--- a/routing/result.go
+++ b/routing/result.go
@@ -21,7 +21,7 @@
 	case ResultNotStarted:
 		r.recordRejection(at)
 	case ResultFailed:
-		service.prefixIndex.Undo(target.number, r.chain)
+		service.prefixIndex.RemoveChain(target.number, r.chain)
 		target.limit.RecordFailure(at)
 		if target.slowStart != nil {
 			target.slowStart.RecordFailure()
@@ -40,7 +40,7 @@
 func (r *Reservation) recordRejection(at time.Time) {
 	target := r.target
 	service := target.service
-	service.prefixIndex.Undo(target.number, r.chain)
+	service.prefixIndex.RemoveChain(target.number, r.chain)
 	target.limit.RecordFailure(at)
 	target.consecutiveRejections++
 	if target.consecutiveRejections <= toleratedRejections {
