--- a/internal/experiment/policy_cacheaware.go
+++ b/internal/experiment/policy_cacheaware.go
@@ -76,7 +76,7 @@
 	}
 	fraction := min(1, float64(found)/float64(expected))
 	p.cacheTrust[target] += cacheTrustSmoothing * (fraction - p.cacheTrust[target])
-	p.index.Correct(target, expected, found)
+	p.index.RecordMiss(target, expected, found)
 }
 
 // RecordEvictions implements Policy.
--- a/placement/index.go
+++ b/placement/index.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Correct compares the number of tokens that were expected in a replica's cache with
+// RecordMiss compares the number of tokens that were expected in a replica's cache with
 // the number found there. A miss drops the oldest entries of the replica.
-func (ix *Index) Correct(replica, expected, found int) {
+func (ix *Index) RecordMiss(replica, expected, found int) {
 	if found >= expected {
 		return
 	}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -44,9 +44,9 @@
 				recorded[replica] = map[uint64]bool{}
 			case 5:
 				before := index.Len(replica)
-				index.Correct(replica, 15, 10)
+				index.RecordMiss(replica, 15, 10)
 				if before > 0 && index.Len(replica) >= before {
-					t.Fatal("Correct dropped no entry after a miss")
+					t.Fatal("RecordMiss dropped no entry after a miss")
 				}
 			}
 			index.Cached(chain, func(cachedBy, tokens int) {
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -107,7 +107,7 @@
 	}
 	share := min(1, float64(found)/r.expectedCached)
 	r.target.cacheAccuracy += cacheAccuracySmoothing * (share - r.target.cacheAccuracy)
-	r.target.service.prefixIndex.Correct(r.target.number, int(r.expectedCached), found)
+	r.target.service.prefixIndex.RecordMiss(r.target.number, int(r.expectedCached), found)
 }
 
 // Finish ends the reservation with the result of the attempt. The report, which may be
