--- a/placement/replica.go
+++ b/placement/replica.go
@@ -74,10 +74,10 @@
 	UncachedPrefillWeight float64
 }
 
-// FirstToken returns the expected time to the first token of a prompt, in seconds:
+// TimeToFirstToken returns the expected time to the first token of a prompt, in seconds:
 // the wait for admission, the pending prefill, the request's own uncached prefill and
 // the wait for a slot.
-func (c *Candidate) FirstToken(tokens float64) float64 {
+func (c *Candidate) TimeToFirstToken(tokens float64) float64 {
 	expected := c.Wait + fullBatchSeconds*c.ActiveRequests/max(c.Slots, 1)
 	if c.PrefillRate > 0 {
 		expected += (c.PendingTokens + max(0, tokens-c.CachedTokens)) / c.PrefillRate
@@ -113,14 +113,14 @@
 			lowest, cheapest = c.cost, index
 		}
 	}
-	maxCost := lowest + tieRatio*candidates[cheapest].FirstToken(work.Tokens) + tieSeconds
+	maxCost := lowest + tieRatio*candidates[cheapest].TimeToFirstToken(work.Tokens) + tieSeconds
 	best := breakTie(candidates, work.AffinityHash, bound, maxCost)
-	return best, candidates[best].FirstToken(work.Tokens)
+	return best, candidates[best].TimeToFirstToken(work.Tokens)
 }
 
 // costOf returns the candidate's cost for a request, in seconds.
 func (c *Candidate) costOf(work Work) float64 {
-	cost := c.FirstToken(work.Tokens) + c.Penalty
+	cost := c.TimeToFirstToken(work.Tokens) + c.Penalty
 	if c.PrefillRate > 0 {
 		cost += (interferenceWeight*c.ActiveRequests + work.UncachedPrefillWeight) * max(0, work.AffinityTokens-c.CachedTokens) / c.PrefillRate
 	}
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -94,7 +94,7 @@
 		}
 		candidate := target.candidate(0, s.cachedTokens[target.number])
 		remaining := w.request.Deadline.Sub(now).Seconds()
-		if candidate.FirstToken(w.work.Tokens) > warmupTimeFraction*remaining {
+		if candidate.TimeToFirstToken(w.work.Tokens) > warmupTimeFraction*remaining {
 			continue
 		}
 		return choice{target: target, cached: s.cachedTokens[target.number], hasCapacity: true}
