--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -120,7 +120,7 @@
 // sharedPrefill returns the time to prefill the prompt's shared prefixes up to the
 // affinity link, in seconds, if none of it is cached.
 func (t *transaction) sharedPrefill(service *service) float64 {
-	link, found := placement.Affinity(t.request.PrefixChain)
+	link, found := placement.AffinityLink(t.request.PrefixChain)
 	if !found {
 		return 0
 	}
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -181,7 +181,7 @@
 // referencePrefillRate, so that it includes the attention of a long prompt.
 func (s *selector) work() placement.Work {
 	tokens := prefillWork(s.request.PromptTokens, 0) * referencePrefillRate
-	link, found := placement.Affinity(s.request.PrefixChain)
+	link, found := placement.AffinityLink(s.request.PrefixChain)
 	if !found || s.service.spec.CacheTokens == 0 {
 		return placement.Work{Tokens: tokens, AffinityHash: placement.Hash(s.request.ID)}
 	}
--- a/internal/experiment/policy_cacheaware.go
+++ b/internal/experiment/policy_cacheaware.go
@@ -40,7 +40,7 @@
 func (p *CacheAware) Pick(request *workload.Request, views []*View) (target, cached int) {
 	chain := placement.Chain(request.Generate.Prefixes)
 	work := placement.Work{Tokens: promptTokens(request)}
-	if link, found := placement.Affinity(chain); found {
+	if link, found := placement.AffinityLink(chain); found {
 		work.AffinityHash = link.Hash
 		work.AffinityTokens = float64(link.Tokens)
 	}
--- a/placement/chain.go
+++ b/placement/chain.go
@@ -36,12 +36,12 @@
 	return hashes
 }
 
-// Affinity returns the affinity link of a chain: requests with the same affinity link
+// AffinityLink returns the affinity link of a chain: requests with the same affinity link
 // are preferably sent to the same replica. It is the outermost link with at least half
 // of the chain's tokens. So a short preamble that all requests have in common does not
 // send them all to one replica, and a small last file does not spread the requests
 // about one repository over many replicas. It reports false for an empty chain.
-func Affinity(chain []Link) (Link, bool) {
+func AffinityLink(chain []Link) (Link, bool) {
 	if len(chain) == 0 {
 		return Link{}, false
 	}
--- a/placement/chain_test.go
+++ b/placement/chain_test.go
@@ -23,8 +23,8 @@
 	if chain("x", "y")[1].Hash == chain("y", "x")[1].Hash {
 		t.Fatal("the hash does not depend on the order of the prefixes")
 	}
-	affinityA, _ := Affinity(a)
-	affinityB, _ := Affinity(b)
+	affinityA, _ := AffinityLink(a)
+	affinityB, _ := AffinityLink(b)
 	if affinityA != a[1] || affinityA != affinityB {
 		t.Fatalf("affinity links %v and %v, want that of the repository for both", affinityA, affinityB)
 	}
--- a/routing/waiter.go
+++ b/routing/waiter.go
@@ -27,7 +27,7 @@
 	w := &waiter{request: request, chain: placement.Chain(request.Prefixes)}
 	w.work.Tokens = promptTokens(&request)
 	w.work.AffinityHash = placement.Hash(request.ID)
-	if link, ok := placement.Affinity(w.chain); ok {
+	if link, ok := placement.AffinityLink(w.chain); ok {
 		w.work.AffinityHash = link.Hash
 		w.work.AffinityTokens = float64(link.Tokens)
 	}
