--- a/dispatch/transaction.go
+++ b/dispatch/transaction.go
@@ -70,7 +70,7 @@
 		route:      route,
 		request:    request,
 		client:     client,
-		service:    route.Pick(d.options.Random()),
+		service:    route.PickService(d.options.Random()),
 		deadline:   request.Arrived.Add(timeout),
 		tried:      make(map[string]bool),
 	}
--- a/routemap/routemap_test.go
+++ b/routemap/routemap_test.go
@@ -87,7 +87,7 @@
 	route := validMap().Routes[0]
 	counts := map[string]int{}
 	for i := range 400 {
-		counts[route.Pick(float64(i)/400)]++
+		counts[route.PickService(float64(i)/400)]++
 	}
 	if counts["pool"] != 300 || counts["web"] != 100 {
 		t.Errorf("requests by service: %v, want 300 for pool and 100 for web", counts)
