--- a/outlier/example_test.go
+++ b/outlier/example_test.go
@@ -17,13 +17,13 @@
 	for range config.ConsecutiveFailures {
 		group.RecordFailure(now, "r1")
 	}
-	fmt.Println(group.Ejected(now), group.EjectedUntil("r1").Sub(now) == config.BaseEjectionTime)
+	fmt.Println(group.EjectedCount(now), group.EjectedUntil("r1").Sub(now) == config.BaseEjectionTime)
 	for _, name := range []string{"r2", "r3", "r4"} {
 		for range config.ConsecutiveFailures {
 			group.RecordFailure(now, name)
 		}
 	}
-	fmt.Println(group.Ejected(now) == group.MaxEjected(), group.MaxEjected() < 4)
+	fmt.Println(group.EjectedCount(now) == group.MaxEjected(), group.MaxEjected() < 4)
 	// Output:
 	// 1 true
 	// true true
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -209,8 +209,8 @@
 	return time.Time{}
 }
 
-// Ejected returns the number of replicas that are ejected at the time now.
-func (g *Group) Ejected(now time.Time) int {
+// EjectedCount returns the number of replicas that are ejected at the time now.
+func (g *Group) EjectedCount(now time.Time) int {
 	count := 0
 	for _, m := range g.members {
 		if m.ejectedUntil.After(now) {
@@ -229,7 +229,7 @@
 // reports whether it did. It resets the member's counters and averages, so that only
 // requests after the ejection count for the next one.
 func (g *Group) eject(now time.Time, m *member) bool {
-	if m.ejectedUntil.After(now) || g.Ejected(now) >= g.MaxEjected() {
+	if m.ejectedUntil.After(now) || g.EjectedCount(now) >= g.MaxEjected() {
 		return false
 	}
 	if now.Sub(m.ejectedUntil) > g.config.MaxEjectionTime {
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -37,7 +37,7 @@
 				group.RecordLatency(now, name, time.Duration(rapid.IntRange(1, 9000).Draw(t, "latency"))*time.Millisecond)
 				group.RecordSuccess(now, name)
 			}
-			if ejected := group.Ejected(now); ejected > int(0.4*float64(size)) {
+			if ejected := group.EjectedCount(now); ejected > int(0.4*float64(size)) {
 				t.Fatalf("%d of %d replicas are ejected, want at most 0.4 of them", ejected, size)
 			}
 		}
@@ -54,7 +54,7 @@
 		t.Fatalf("first ejection lasts %v, want 2s", first)
 	}
 	now = now.Add(3 * time.Second)
-	if group.Ejected(now) != 0 {
+	if group.EjectedCount(now) != 0 {
 		t.Fatal("the replica is still ejected after its ejection time")
 	}
 	if second := ejectByConsecutiveFailures(t, group, now); second != 4*time.Second {
