--- a/control/bootstrap/bootstrap.go
+++ b/control/bootstrap/bootstrap.go
@@ -96,7 +96,7 @@
 // replies, bootstraps a group, asks to join one, or completes a bootstrap.
 func (b *Bootstrapper) discover(ctx context.Context) {
 	greetings := b.greeter.Greet(ctx)
-	b.config.Contacts.LearnFrom(ctx, greetings)
+	b.config.Contacts.AddFromGreetings(ctx, greetings)
 	observed := b.engine.Observe()
 	switch {
 	case observed.Cluster == "" && b.mayBootstrap(observed, greetings):
--- a/control/bootstrap/join.go
+++ b/control/bootstrap/join.go
@@ -26,7 +26,7 @@
 		b.log.Debug("join failed", "error", err)
 		return
 	}
-	b.config.Contacts.Learn(ctx, reply.Members)
+	b.config.Contacts.AddMembers(ctx, reply.Members)
 	if !reply.Accepted || observed.Cluster != "" {
 		return
 	}
--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -72,9 +72,9 @@
 	return addresses
 }
 
-// Learn stores the addresses of members. Members in a gateway's answer have addresses
+// AddMembers stores the addresses of members. Members in a gateway's answer have addresses
 // but no identities.
-func (c *Contacts) Learn(ctx context.Context, members []consensus.Member) {
+func (c *Contacts) AddMembers(ctx context.Context, members []consensus.Member) {
 	if len(members) == 0 {
 		return
 	}
@@ -88,13 +88,13 @@
 	c.engine.LearnAddresses(ctx, members)
 }
 
-// LearnFrom stores the addresses of members of this node's group, or of any group while
+// AddFromGreetings stores the addresses of members of this node's group, or of any group while
 // this node belongs to none.
-func (c *Contacts) LearnFrom(ctx context.Context, greetings []Greeting) {
+func (c *Contacts) AddFromGreetings(ctx context.Context, greetings []Greeting) {
 	cluster := c.engine.Observe().Cluster
 	for _, greeting := range greetings {
 		if cluster == "" || greeting.Reply.Cluster == cluster {
-			c.Learn(ctx, greeting.Reply.Members)
+			c.AddMembers(ctx, greeting.Reply.Members)
 		}
 	}
 }
