--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -110,19 +110,19 @@
 	c.primary = address
 }
 
-// NamedPrimary returns the primary's peer address as a member last reported it, empty if
+// ReportedPrimary returns the primary's peer address as a member last reported it, empty if
 // none did.
-func (c *Contacts) NamedPrimary() string {
+func (c *Contacts) ReportedPrimary() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.primary
 }
 
 // PrimaryAddress returns the peer address of the primary according to an observation. If
-// this node belongs to no group, it returns NamedPrimary. It is empty if unknown.
+// this node belongs to no group, it returns ReportedPrimary. It is empty if unknown.
 func (c *Contacts) PrimaryAddress(observed *engine.Observation) string {
 	if observed.WithoutGroup() {
-		return c.NamedPrimary()
+		return c.ReportedPrimary()
 	}
 	return observed.LeaderAddress()
 }
--- a/control/locator/locator.go
+++ b/control/locator/locator.go
@@ -115,7 +115,7 @@
 // contacts.
 func (l *Locator) membersToAsk() []string {
 	var addresses []string
-	primary := l.contacts.NamedPrimary()
+	primary := l.contacts.ReportedPrimary()
 	if primary != "" {
 		addresses = append(addresses, primary)
 	}
