--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -85,7 +85,7 @@
 		}
 	}
 	c.mutex.Unlock()
-	c.engine.LearnAddresses(ctx, members)
+	c.engine.RecordAddresses(ctx, members)
 }
 
 // AddFromGreetings stores the addresses of members of this node's group, or of any group while
--- a/control/driver/driver.go
+++ b/control/driver/driver.go
@@ -231,9 +231,9 @@
 	return d.addresses[id]
 }
 
-// LearnAddresses records addresses of members that may not be in this node's membership
+// RecordAddresses records addresses of members that may not be in this node's membership
 // yet.
-func (d *Driver) LearnAddresses(members []consensus.Member) {
+func (d *Driver) RecordAddresses(members []consensus.Member) {
 	for _, member := range members {
 		if member.ID != consensus.None {
 			d.addresses[member.ID] = member.Address
--- a/control/engine/group.go
+++ b/control/engine/group.go
@@ -34,9 +34,9 @@
 	return eventqueue.Ask(ctx, e.queue, func(time.Duration) peer.Bootstrap { return e.machine.driver.BootstrapState() })
 }
 
-// LearnAddresses records the addresses of members that may not be in this node's log yet,
+// RecordAddresses records the addresses of members that may not be in this node's log yet,
 // so that this node can reply to them. It returns once the request is queued for the event
 // loop.
-func (e *Engine) LearnAddresses(ctx context.Context, members []consensus.Member) {
-	e.queue.Post(ctx, func(time.Duration) { e.machine.driver.LearnAddresses(members) })
+func (e *Engine) RecordAddresses(ctx context.Context, members []consensus.Member) {
+	e.queue.Post(ctx, func(time.Duration) { e.machine.driver.RecordAddresses(members) })
 }
