--- a/control/engine/machine.go
+++ b/control/engine/machine.go
@@ -133,7 +133,7 @@
 	}
 	review := leadership.leases.LastReview()
 	o.Primary = true
-	o.Contact, o.ContactKnown = review.Contact, review.ContactKnown
+	o.QuorumContact, o.QuorumContactKnown = review.Contact, review.ContactKnown
 	o.InForce, o.InForceKnown = review.InForce, review.InForceKnown
 	return o
 }
--- a/control/engine/observation.go
+++ b/control/engine/observation.go
@@ -30,10 +30,10 @@
 	// Primary is true while this node leads and has applied everything that was
 	// committed before it was elected.
 	Primary bool
-	// Contact is the send time of the newest heartbeat round that a quorum
-	// acknowledged, if ContactKnown.
-	Contact      time.Duration
-	ContactKnown bool
+	// QuorumContact is the send time of the newest heartbeat round that a quorum
+	// acknowledged, if QuorumContactKnown.
+	QuorumContact      time.Duration
+	QuorumContactKnown bool
 	// InForce is the newest serial known to be active at every lease holder, if
 	// InForceKnown.
 	InForce      uint32
--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -34,7 +34,7 @@
 	if planted.Active(planted.AcknowledgeUnwritten) && state.Catalog.Version() > 0 {
 		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
 	}
-	if planted.Active(planted.PrimaryStays) && e.config.Queue.Now()-observed.Contact > e.config.LeaseLength {
+	if planted.Active(planted.PrimaryStays) && e.config.Queue.Now()-observed.QuorumContact > e.config.LeaseLength {
 		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
 	}
 	result, err := e.engine.Propose(ctx, decision.Update)
--- a/control/readindex/readindex.go
+++ b/control/readindex/readindex.go
@@ -84,7 +84,7 @@
 		if !o.Primary || o.Status.Term != barrier.Term {
 			return true
 		}
-		confirmed = o.ContactKnown && o.Contact >= barrier.AskedAt
+		confirmed = o.QuorumContactKnown && o.QuorumContact >= barrier.AskedAt
 		return confirmed
 	})
 	if !confirmed {
