--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -121,7 +121,7 @@
 // PrimaryAddress returns the peer address of the primary according to an observation. If
 // this node belongs to no group, it returns ReportedPrimary. It is empty if unknown.
 func (c *Contacts) PrimaryAddress(observed *engine.Observation) string {
-	if observed.WithoutGroup() {
+	if observed.KnowsNoMembership() {
 		return c.ReportedPrimary()
 	}
 	return observed.LeaderAddress()
--- a/control/engine/observation.go
+++ b/control/engine/observation.go
@@ -54,9 +54,9 @@
 	return found && !member.Learner
 }
 
-// WithoutGroup reports whether this node knows no membership: it has found no group, or
+// KnowsNoMembership reports whether this node knows no membership: it has found no group, or
 // was not admitted to one.
-func (o *Observation) WithoutGroup() bool { return len(o.Status.Membership.Members) == 0 }
+func (o *Observation) KnowsNoMembership() bool { return len(o.Status.Membership.Members) == 0 }
 
 // LeaderAddress returns the peer address of the leader; empty if unknown.
 func (o *Observation) LeaderAddress() string {
--- a/control/locator/locator.go
+++ b/control/locator/locator.go
@@ -53,7 +53,7 @@
 // should use. It is empty if none is known.
 func (l *Locator) Where(region string, limit int) []string {
 	request := message.WhereRequest{Region: region, Limit: limit}
-	if l.engine.Observe().WithoutGroup() {
+	if l.engine.Observe().KnowsNoMembership() {
 		return l.askMembers(request)
 	}
 	return l.answer(request)
--- a/control/routemap_test.go
+++ b/control/routemap_test.go
@@ -405,7 +405,7 @@
 	f.startGateway("gateway-1")
 	var outside *Node
 	for _, node := range f.nodes {
-		if node.engine.Observe().WithoutGroup() {
+		if node.engine.Observe().KnowsNoMembership() {
 			outside = node
 		}
 	}
