--- a/control/engine/report.go
+++ b/control/engine/report.go
@@ -99,11 +99,11 @@
 	Decided bool
 	Answer  catalog.OperationResult
 	Serial  uint32
-	// Catalog and Sequence are the inputs of a new decision. Surplus names the oldest
-	// stored answers, which must be deleted when a new one is added.
-	Catalog  *catalog.State
-	Sequence uint64
-	Surplus  []registry.Name
+	// Catalog and Sequence are the inputs of a new decision. ExcessOperations names
+	// the oldest stored answers, which must be deleted when a new one is added.
+	Catalog          *catalog.State
+	Sequence         uint64
+	ExcessOperations []registry.Name
 }
 
 // OperationState asks the event loop for the state of the operation with an id.
@@ -119,12 +119,12 @@
 	}
 	answer, decided := m.driver.Catalog().OperationResult(id)
 	return OperationState{
-		Primary:  true,
-		Decided:  decided,
-		Answer:   answer,
-		Serial:   m.driver.State().Operations.Serial(catalog.OperationName(id)),
-		Catalog:  m.driver.Catalog(),
-		Sequence: m.driver.Applied(),
-		Surplus:  m.driver.State().Operations.Surplus(statemachine.OperationLimit),
+		Primary:          true,
+		Decided:          decided,
+		Answer:           answer,
+		Serial:           m.driver.State().Operations.Serial(catalog.OperationName(id)),
+		Catalog:          m.driver.Catalog(),
+		Sequence:         m.driver.Applied(),
+		ExcessOperations: m.driver.State().Operations.ExcessOperations(statemachine.OperationLimit),
 	}
 }
--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -27,7 +27,7 @@
 			return attempt
 		}
 	}
-	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Sequence: state.Sequence, Surplus: state.Surplus})
+	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Sequence: state.Sequence, ExcessOperations: state.ExcessOperations})
 	if err != nil {
 		return rejected(apierror.Internal(err))
 	}
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -19,9 +19,9 @@
 	Catalog *catalog.State
 	// Sequence orders the stored results by age.
 	Sequence uint64
-	// Surplus are the names of the oldest stored results, which the decision's update
+	// ExcessOperations are the names of the oldest stored results, which the decision's update
 	// deletes.
-	Surplus []registry.Name
+	ExcessOperations []registry.Name
 }
 
 // Decision is the result of an operation and the update that puts it into effect.
@@ -161,7 +161,7 @@
 func (o *Operation) decision(facts Facts, answer catalog.OperationResult, author string, prerequisite registry.Record, changes []registry.Record) Decision {
 	noResult := registry.Absent(catalog.OperationName(o.ID()), catalog.TypeOperation)
 	changes = append(changes, registry.Add(catalog.OperationResultRecord(o.ID(), answer)))
-	for _, oldest := range facts.Surplus {
+	for _, oldest := range facts.ExcessOperations {
 		changes = append(changes, registry.DeleteRRset(oldest, catalog.TypeOperation))
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite, noResult}, changes)
--- a/control/statemachine/operationlog.go
+++ b/control/statemachine/operationlog.go
@@ -25,9 +25,9 @@
 // not retained.
 func (l *OperationLog) Serial(name registry.Name) uint32 { return l.serials[name] }
 
-// Surplus returns the oldest operations: those that must be deleted when one is added, so
+// ExcessOperations returns the oldest operations: those that must be deleted when one is added, so
 // that at most limit are retained.
-func (l *OperationLog) Surplus(limit int) []registry.Name {
+func (l *OperationLog) ExcessOperations(limit int) []registry.Name {
 	count := len(l.serials) + 1 - limit
 	var names []registry.Name
 	for _, entry := range l.list {
--- a/control/statemachine/operationlog_test.go
+++ b/control/statemachine/operationlog_test.go
@@ -22,7 +22,7 @@
 	for i := range 5 {
 		order := fmt.Sprintf("order-%d", i)
 		changes := []registry.Record{registry.Add(catalog.OperationResultRecord(order, catalog.OperationResult{}))}
-		for _, name := range log.Surplus(limit) {
+		for _, name := range log.ExcessOperations(limit) {
 			changes = append(changes, registry.DeleteRRset(name, catalog.TypeOperation))
 		}
 		apply(uint32(10+i), changes...)
