--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -65,7 +65,7 @@
 // It is a conflict if the stored result belongs to other content under the same id.
 func (e *Executor) repeatAnswer(ctx context.Context, execution *execution, state engine.OperationState) attemptResult {
 	if state.Answer.Digest != execution.Digest() {
-		return rejected(operation.Conflict())
+		return rejected(operation.ConflictError())
 	}
 	if planted.Active(planted.RefuseResentOrder) {
 		state.Answer.Accepted, state.Answer.Code = false, string(api.CodeVersionConflict)
--- a/control/executor/executor.go
+++ b/control/executor/executor.go
@@ -122,7 +122,7 @@
 			return attempt.reply
 		}
 		if !e.pause(ctx, observed) {
-			return peer.OperationReply{Error: operation.Unfinished(execution.maybeExecuted)}
+			return peer.OperationReply{Error: operation.UnfinishedError(execution.maybeExecuted)}
 		}
 	}
 }
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -188,8 +188,8 @@
 	return answer
 }
 
-// Conflict returns the error for an operation whose id was used for another one.
-func Conflict() *api.Error {
+// ConflictError returns the error for an operation whose id was used for another one.
+func ConflictError() *api.Error {
 	return &api.Error{
 		Code:    api.CodeOperationConflict,
 		Outcome: api.OutcomeRefused,
@@ -198,9 +198,9 @@
 	}
 }
 
-// Unfinished returns the error for an operation whose deadline has passed. The
+// UnfinishedError returns the error for an operation whose deadline has passed. The
 // operation may have been executed if it was sent to a primary or proposed.
-func Unfinished(maybeExecuted bool) *api.Error {
+func UnfinishedError(maybeExecuted bool) *api.Error {
 	if !maybeExecuted {
 		return apierror.NoPrimary("no primary was reached in time; the order was not executed", api.OutcomeRefused)
 	}
