--- a/control/httpapi/httpapi.go
+++ b/control/httpapi/httpapi.go
@@ -29,8 +29,8 @@
 	// maxOperationBody bounds an operation's body in bytes: a document escaped as a JSON
 	// string, and the other fields.
 	maxOperationBody = 2*configuration.MaxDocumentBytes + 64<<10
-	// MaxSmallBody bounds the body of an evacuation in bytes.
-	MaxSmallBody = 64 << 10
+	// MaxEvacuationBody bounds the body of an evacuation in bytes.
+	MaxEvacuationBody = 64 << 10
 	// liveTimeout bounds the time that the event loop has to respond to a liveness check.
 	liveTimeout = 2 * time.Second
 )
--- a/control/httpapi/operations.go
+++ b/control/httpapi/operations.go
@@ -36,7 +36,7 @@
 }
 
 func (h *handlers) postEvacuation(w http.ResponseWriter, r *http.Request, operator string) {
-	submitBody(h, w, r, MaxSmallBody, func(body *api.EvacuationOperation) (peer.OperationRequest, *api.Error) {
+	submitBody(h, w, r, MaxEvacuationBody, func(body *api.EvacuationOperation) (peer.OperationRequest, *api.Error) {
 		body.Author = authorOrDefault(body.Author, operator)
 		return peer.OperationRequest{Evacuation: body}, nil
 	})
--- a/control/operators_test.go
+++ b/control/operators_test.go
@@ -56,7 +56,7 @@
 		{"unknown field", "POST", "/v1/evacuations", `{"order_id":"a","zone":"b","when":"now"}`, testToken, 400, api.CodeInvalid, "when"},
 		{"wrong type", "POST", "/v1/evacuations", `{"order_id":"a","zone":7}`, testToken, 400, api.CodeInvalid, "zone"},
 		{"two JSON values", "POST", "/v1/evacuations", `{"order_id":"a","zone":"b"}{}`, testToken, 400, api.CodeInvalid, ""},
-		{"body too large", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", httpapi.MaxSmallBody) + `"}`, testToken, 413, api.CodeTooLarge, ""},
+		{"body too large", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", httpapi.MaxEvacuationBody) + `"}`, testToken, 413, api.CodeTooLarge, ""},
 		{"document too large", "PUT", "/v1/configuration", configurationOrder(strings.Repeat("a", configuration.MaxDocumentBytes+1)), testToken, 413, api.CodeTooLarge, "document"},
 		{"missing order id", "POST", "/v1/evacuations", `{"zone":"b"}`, testToken, 400, api.CodeInvalid, "order_id"},
 		{"order id too long", "POST", "/v1/evacuations", `{"order_id":"` + strings.Repeat("a", 129) + `","zone":"b"}`, testToken, 400, api.CodeInvalid, "order_id"},
