--- a/catalog/golden_test.go
+++ b/catalog/golden_test.go
@@ -100,8 +100,8 @@
 		golden("operation, rejected", rejected, OperationResultRecord("Op_2", rejected)),
 		golden("route by path", pathRoute, PathRouteRecord(pathRoute)),
 		golden("route by path, zero fields", routemap.Route{Name: "page"}, PathRouteRecord(routemap.Route{Name: "page"})),
-		golden("service of routes by path", pool, PoolRecord(pool)),
-		golden("service of routes by path, zero fields", routemap.Service{Name: "web"}, PoolRecord(routemap.Service{Name: "web"})),
+		golden("service of routes by path", pool, HTTPServiceRecord(pool)),
+		golden("service of routes by path, zero fields", routemap.Service{Name: "web"}, HTTPServiceRecord(routemap.Service{Name: "web"})),
 		golden("limits of requests", requestLimits, RequestLimitsRecord(requestLimits)),
 		golden("limits of requests, zero fields", routemap.Limits{}, RequestLimitsRecord(routemap.Limits{})),
 	}
--- a/catalog/kinds.go
+++ b/catalog/kinds.go
@@ -27,7 +27,7 @@
 	TypeOperation     registry.Type = 1038 // "<operation id>.orders.places.": result of an operation
 	TypeDocumentChunk registry.Type = 1039 // "<digest>.documents.places.": a chunk of the configuration's text
 	TypePathRoute     registry.Type = 1040 // "<route>.pathroutes.places.": a route by host and path
-	TypePool          registry.Type = 1041 // "<service>.services.places.": a target of such routes
+	TypeHTTPService   registry.Type = 1041 // "<service>.services.places.": a target of such routes
 	TypeRequestLimits registry.Type = 1042 // "configuration.places.": bounds on the requests of such routes
 )
 
@@ -78,7 +78,7 @@
 	gatewayKind       = kind[Gateway]{TypeGateway, "GATEWAY", gatewaysName}
 	operationKind     = kind[OperationResult]{TypeOperation, "ORDER", operationsName}
 	pathRouteKind     = kind[routemap.Route]{TypePathRoute, "PATHROUTE", pathRoutesName}
-	poolKind          = kind[routemap.Service]{TypePool, "POOL", servicesName}
+	poolKind          = kind[routemap.Service]{TypeHTTPService, "POOL", servicesName}
 	requestLimitsKind = kind[routemap.Limits]{TypeRequestLimits, "REQUESTLIMITS", Apex}
 )
 
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -187,7 +187,7 @@
 		return &s.gateways
 	case TypePathRoute:
 		return &s.pathRoutes
-	case TypePool:
+	case TypeHTTPService:
 		return &s.pools
 	}
 	return nil
@@ -293,8 +293,8 @@
 // PathRoutes returns the routes by host and path, keyed by name.
 func (s *State) PathRoutes() map[string]routemap.Route { return s.pathRoutes }
 
-// Pools returns the services that are targets of routes by host and path, keyed by name.
-func (s *State) Pools() map[string]routemap.Service { return s.pools }
+// HTTPServices returns the services that are targets of routes by host and path, keyed by name.
+func (s *State) HTTPServices() map[string]routemap.Service { return s.pools }
 
 // RouteMap returns a new route map of the routes by host and path, sorted by name.
 func (s *State) RouteMap() *routemap.Map {
--- a/configuration/diff.go
+++ b/configuration/diff.go
@@ -155,7 +155,7 @@
 // requireRoutes requires the records of services and routes by host and path.
 func (c *changeSet) requireRoutes(routes *routemap.Map) {
 	for _, service := range routes.Services {
-		c.require(catalog.PoolRecord(service))
+		c.require(catalog.HTTPServiceRecord(service))
 	}
 	for _, route := range routes.Routes {
 		c.require(catalog.PathRouteRecord(route))
@@ -176,7 +176,7 @@
 var configuredTypes = []registry.Type{
 	catalog.TypeRegion, catalog.TypeZone, catalog.TypeService, catalog.TypeRoute,
 	catalog.TypeClient, catalog.TypeHome, catalog.TypeTenant,
-	catalog.TypePathRoute, catalog.TypePool,
+	catalog.TypePathRoute, catalog.TypeHTTPService,
 }
 
 // removeObjects removes the objects that are not required, and the evacuations of
--- a/configuration/http_test.go
+++ b/configuration/http_test.go
@@ -95,15 +95,15 @@
 	table := newTable(t)
 	configure(t, table, baseDocument+httpPart)
 	with := read(t, table)
-	if len(with.PathRoutes()) != 2 || len(with.Pools()) != 2 || with.RequestLimits().MaxHeaderBytes != 16384 {
-		t.Errorf("after adding the part for HTTP: routes %v, pools %v, limits %v", with.PathRoutes(), with.Pools(), with.RequestLimits())
+	if len(with.PathRoutes()) != 2 || len(with.HTTPServices()) != 2 || with.RequestLimits().MaxHeaderBytes != 16384 {
+		t.Errorf("after adding the part for HTTP: routes %v, pools %v, limits %v", with.PathRoutes(), with.HTTPServices(), with.RequestLimits())
 	}
 	if _, found := with.Route("snippet"); !found {
 		t.Error("the routes by model name were removed")
 	}
 	configure(t, table, baseDocument)
 	without := read(t, table)
-	if len(without.PathRoutes()) != 0 || len(without.Pools()) != 0 || without.RequestLimits() != (routemap.Limits{}) {
-		t.Errorf("after removing the part for HTTP: routes %v, pools %v, limits %v", without.PathRoutes(), without.Pools(), without.RequestLimits())
+	if len(without.PathRoutes()) != 0 || len(without.HTTPServices()) != 0 || without.RequestLimits() != (routemap.Limits{}) {
+		t.Errorf("after removing the part for HTTP: routes %v, pools %v, limits %v", without.PathRoutes(), without.HTTPServices(), without.RequestLimits())
 	}
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -115,7 +115,7 @@
 // updateServices adds, updates and removes services. Existing services retain their
 // measurements.
 func (d *Dispatcher) updateServices(state *catalog.State) {
-	for name, spec := range state.Pools() {
+	for name, spec := range state.HTTPServices() {
 		service, found := d.services[name]
 		if !found {
 			service = newService()
@@ -124,7 +124,7 @@
 		service.spec = spec
 	}
 	for name := range d.services {
-		if _, listed := state.Pools()[name]; !listed {
+		if _, listed := state.HTTPServices()[name]; !listed {
 			delete(d.services, name)
 		}
 	}
