--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -314,7 +314,7 @@
 			if n.checkServing() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
 				return false
 			}
-			watched := n.router.Watched()
+			watched := n.router.LocalReplicas()
 			services := n.router.Status().Services
 			if len(watched) > 0 && (len(services) == 0 || services[0].Usable < len(watched)) {
 				return false
--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -46,7 +46,7 @@
 		return known
 	}
 	listed := make(map[string]bool)
-	for _, replica := range g.router.Watched() {
+	for _, replica := range g.router.LocalReplicas() {
 		if _, ok := active.Replicas()[replica]; !ok {
 			continue // the router already has the state that is about to become active
 		}
--- a/gateway/replica_health_test.go
+++ b/gateway/replica_health_test.go
@@ -26,7 +26,7 @@
 func (f *fleet) gatewayWithoutPolling() *node {
 	g := f.gateway("g1", "north", "a", func(options *Options) { options.PollInterval = time.Hour })
 	waitFor(f.t, "the lease and the record of the replica", func() bool {
-		return g.checkServing() == nil && len(g.agent.Active().Replicas()) == 1 && len(g.router.Watched()) == 1
+		return g.checkServing() == nil && len(g.agent.Active().Replicas()) == 1 && len(g.router.LocalReplicas()) == 1
 	})
 	waitFor(f.t, "the first report of the replica", func() bool { return g.usableReplicas() == 1 })
 	return g
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -43,8 +43,8 @@
 
 // ReplicaHealth collects observations of the replicas in this gateway's region.
 type ReplicaHealth interface {
-	// Watched returns the names of the replicas to poll.
-	Watched() []string
+	// LocalReplicas returns the names of the replicas to poll.
+	LocalReplicas() []string
 	// Observe records a report of a replica.
 	Observe(replica string, report api.ReplicaReport, at time.Time)
 	// RecordPollFailure records that a poll of a replica failed.
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -211,7 +211,7 @@
 
 // poll passes the reports of the replicas that a router watches to it.
 func (l *liveFleet) poll(gateway *liveGateway) {
-	for _, name := range gateway.router.Watched() {
+	for _, name := range gateway.router.LocalReplicas() {
 		if l.isDisconnected(gateway.region) {
 			gateway.router.RecordPollFailure(name, time.Now())
 			continue
--- a/routing/reports.go
+++ b/routing/reports.go
@@ -54,10 +54,10 @@
 	return true
 }
 
-// Watched returns the names of all replicas of the local region, sorted. The gateway polls
-// each of them itself instead of relying on what other gateways observe. This does not
+// LocalReplicas returns the names of all replicas of the local region, sorted. The gateway
+// polls each of them itself instead of relying on what other gateways observe. This does not
 // depend on which gateway proposes a replica's condition.
-func (r *Router) Watched() []string {
+func (r *Router) LocalReplicas() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	names := make([]string, 0, len(r.replicas))
