--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -226,7 +226,7 @@
 	for _, prefix := range resolved.Prefixes {
 		tokens += float64(prefix.Tokens)
 	}
-	for _, member := range service.Members {
+	for _, member := range service.ReplicaStatuses {
 		expected := member.Expected.TimeToFirstToken(tokens)
 		e.answer.Replicas = append(e.answer.Replicas, api.ExplainReplica{
 			Replica:      member.Replica,
--- a/gateway/router_metrics.go
+++ b/gateway/router_metrics.go
@@ -74,7 +74,7 @@
 	gauge(into, c.replicas, float64(service.Ejected), name, "ejected")
 	gauge(into, c.replicas, float64(service.WarmingUp), name, "cold")
 	gauge(into, c.replicas, float64(service.Draining), name, "draining")
-	for _, member := range service.Members {
+	for _, member := range service.ReplicaStatuses {
 		gauge(into, c.suspicion, member.Suspicion, member.Replica, name)
 	}
 }
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -53,7 +53,7 @@
 
 // sampleColdReplicas adds the cold replicas of one gateway to a sample.
 func (l *liveFleet) sampleColdReplicas(sample *Sample, status routing.ServiceStatus) {
-	for _, member := range status.Members {
+	for _, member := range status.ReplicaStatuses {
 		if !member.WarmingUp || !member.Usable {
 			continue
 		}
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -82,7 +82,7 @@
 func (o *overloadTest) poll() {
 	status := o.router.Status()
 	for _, service := range status.Services {
-		for _, member := range service.Members {
+		for _, member := range service.ReplicaStatuses {
 			reported := report(member.Replica)
 			reported.Running = member.InFlight
 			reported.Sequence = uint64(time.Now().UnixMilli())
--- a/routing/status.go
+++ b/routing/status.go
@@ -38,8 +38,8 @@
 	Draining  int
 	// Controllers has the set points, measured values and outputs of the controllers.
 	Controllers []feedback.Status
-	// Members holds the replicas, sorted by name.
-	Members []ReplicaStatus
+	// ReplicaStatuses holds the replicas, sorted by name.
+	ReplicaStatuses []ReplicaStatus
 	// Regions holds all regions of the plan as known to this gateway, sorted by name.
 	Regions []placement.Region
 }
@@ -95,7 +95,7 @@
 	}
 	for _, target := range s.replicas {
 		member := target.status(now)
-		status.Members = append(status.Members, member)
+		status.ReplicaStatuses = append(status.ReplicaStatuses, member)
 		status.InFlight += member.InFlight
 		if member.Usable {
 			status.Usable++
@@ -105,7 +105,7 @@
 		status.WarmingUp += count(member.WarmingUp)
 		status.Draining += count(member.Draining)
 	}
-	slices.SortFunc(status.Members, func(a, b ReplicaStatus) int {
+	slices.SortFunc(status.ReplicaStatuses, func(a, b ReplicaStatus) int {
 		return strings.Compare(a.Replica, b.Replica)
 	})
 	for _, region := range s.regions {
