--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -227,7 +227,7 @@
 		tokens += float64(prefix.Tokens)
 	}
 	for _, member := range service.ReplicaStatuses {
-		expected := member.Expected.TimeToFirstToken(tokens)
+		expected := member.Candidate.TimeToFirstToken(tokens)
 		e.answer.Replicas = append(e.answer.Replicas, api.ExplainReplica{
 			Replica:      member.Replica,
 			State:        replicaState(&member),
--- a/routing/status.go
+++ b/routing/status.go
@@ -60,8 +60,8 @@
 	Suspicion float64
 	// Delay is the smoothed queueing delay before the first token.
 	Delay time.Duration
-	// Expected holds the inputs of the cost estimate for a prompt without a cached prefix.
-	Expected placement.Candidate
+	// Candidate holds the inputs of the cost estimate for a prompt without a cached prefix.
+	Candidate placement.Candidate
 }
 
 // Status returns a snapshot of the current state, with services and replicas sorted by
@@ -146,7 +146,7 @@
 		Limit:             r.concurrencyLimit(),
 		Suspicion:         r.detector.Phi(now),
 		Delay:             r.limit.Delay(),
-		Expected:          r.candidate(0, 0),
+		Candidate:         r.candidate(0, 0),
 	}
 }
 
