--- a/routing/regions.go
+++ b/routing/regions.go
@@ -38,11 +38,11 @@
 		Spill:     r.plan.Regions()[clientRegion].Spill,
 		Home:      home,
 	}
-	if request.RegionChosen && clientRegion != r.config.Region {
+	if request.HasTicket && clientRegion != r.config.Region {
 		work.Preferred = r.config.Region
 		work.Spill = append([]string{clientRegion}, work.Spill...)
 	}
-	if clientRegion == r.config.Region && !request.RegionChosen {
+	if clientRegion == r.config.Region && !request.HasTicket {
 		work.SpillFraction = service.spillController.Output()
 	}
 	return placement.RankRegions(work, service.regions)
--- a/routing/resolve.go
+++ b/routing/resolve.go
@@ -72,7 +72,7 @@
 		MaxTokens:    generate.MaxTokens,
 		Stream:       generate.Stream,
 		Client:       generate.Client,
-		RegionChosen: generate.Ticket != "",
+		HasTicket:    generate.Ticket != "",
 		HomeRule:     generate.Home,
 		Deadline:     now.Add(api.Wait(generate.WaitMS)),
 		Attempt:      1,
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -39,10 +39,10 @@
 	MaxTokens    int
 	Stream       bool
 	Client       string
-	// RegionChosen is set if the request has a ticket, with which a gateway has already
+	// HasTicket is set if the request has a ticket, with which a gateway has already
 	// chosen the local region. Regions then lists the local region first, so that a request
 	// is spilled at most once.
-	RegionChosen bool
+	HasTicket bool
 	// Home lists the only regions that may run the request. If it is empty, any may.
 	Home []string
 	// HomeRule is the home rule that the request itself names, if any.
