--- a/gateway/ticket_issue.go
+++ b/gateway/ticket_issue.go
@@ -223,7 +223,7 @@
 	switch {
 	case errors.Is(err, ticket.ErrFull):
 		failure = newRetryableError(api.CodeOverloaded, "the gateway's table of tickets is full")
-	case errors.Is(err, ticket.ErrClosed):
+	case errors.Is(err, ticket.ErrRejected):
 		failure = newError(api.CodeDuplicate, api.OutcomeRefused, "the request with this id was refused, or its ticket expired: ask again with a new request id")
 	default:
 		failure = newError(api.CodeDuplicate, api.OutcomeUnknown, "the request id is in use for another request")
--- a/ticket/table.go
+++ b/ticket/table.go
@@ -15,9 +15,9 @@
 	// ErrConflict means that a ticket with another home rule, or another value of
 	// Idempotent, was issued for the request ID.
 	ErrConflict = errors.New("ticket: request ID is in use for another request")
-	// ErrClosed means that the request can no longer run: it was rejected, or its
+	// ErrRejected means that the request can no longer run: it was rejected, or its
 	// ticket expired unused.
-	ErrClosed = errors.New("ticket: request was rejected or its ticket expired unused")
+	ErrRejected = errors.New("ticket: request was rejected or its ticket expired unused")
 )
 
 // Run is one run of a request together with its output. The table stores it with the
@@ -86,7 +86,7 @@
 
 // Issue adds a ticket to the table and returns the ticket to give to the caller. If the
 // table already holds a ticket for the request ID, Issue adds nothing and returns that
-// one. The error is ErrFull, ErrConflict or ErrClosed.
+// one. The error is ErrFull, ErrConflict or ErrRejected.
 func (t *Table[R]) Issue(now time.Duration, ticket Ticket) (Ticket, error) {
 	t.Expire(now)
 	if existing, ok := t.entries[ticket.RequestID]; ok {
@@ -102,14 +102,14 @@
 }
 
 // reissue returns the entry's ticket if it has the properties of the requested one and
-// its request may still run or has run. Otherwise the error is ErrConflict or ErrClosed.
+// its request may still run or has run. Otherwise the error is ErrConflict or ErrRejected.
 func (e *entry[R]) reissue(now time.Duration, requested Ticket) (Ticket, error) {
 	if e.ticket.HomeRule != requested.HomeRule || e.ticket.Idempotent != requested.Idempotent {
 		return Ticket{}, ErrConflict
 	}
 	expiredUnused := e.state == StateNew && now >= e.ticket.Expires
 	if expiredUnused || e.state == StateRejected {
-		return Ticket{}, ErrClosed
+		return Ticket{}, ErrRejected
 	}
 	return e.ticket, nil
 }
--- a/ticket/table_test.go
+++ b/ticket/table_test.go
@@ -147,8 +147,8 @@
 		t.Fatalf("Use with other contents: got %v, want UseConflict", result)
 	}
 	table.Finish("r1", StateRejected)
-	if _, err := table.Issue(7, first); !errors.Is(err, ErrClosed) {
-		t.Fatalf("Issue after the request was rejected: got error %v, want ErrClosed", err)
+	if _, err := table.Issue(7, first); !errors.Is(err, ErrRejected) {
+		t.Fatalf("Issue after the request was rejected: got error %v, want ErrRejected", err)
 	}
 	if result, _ := table.Use(8, first, 1, nil); result != UseJoin {
 		t.Fatalf("Use after the request was rejected: got %v, want UseJoin", result)
