--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -57,7 +57,7 @@
 	}
 
 	goldenReplicaStatus = api.ReplicaStatus{
-		ReplicaEntry: goldenReplicaEntry, Region: "north", Condition: "cold", Feeder: "gateway-1",
+		ReplicaEntry: goldenReplicaEntry, Region: "north", Condition: "cold", WarmupGateway: "gateway-1",
 	}
 
 	goldenMember = api.MemberStatus{
--- a/api/operator.go
+++ b/api/operator.go
@@ -113,8 +113,8 @@
 	Region string `json:"region"`
 	// Condition is "up", "cold", "draining" or "down".
 	Condition string `json:"condition"`
-	// Feeder is the one gateway that may send requests to it while it is warming up.
-	Feeder string `json:"feeder,omitempty"`
+	// WarmupGateway is the one gateway that may send requests to it while it is warming up.
+	WarmupGateway string `json:"feeder,omitempty"`
 }
 
 // MemberStatus is the status of one of deckpulley's nodes.
--- a/cmd/deckpulleyctl/command/fake_test.go
+++ b/cmd/deckpulleyctl/command/fake_test.go
@@ -51,7 +51,7 @@
 	load := api.ServiceLoad{Service: "model", Region: "north", Utilization: 0.5, SetPoint: 0.8, Spill: 0.1, Limit: 8, InFlight: 3, Queued: 1, Replicas: 2, Cold: 2}
 	replicas := []api.ReplicaStatus{
 		{ReplicaEntry: api.ReplicaEntry{ID: "r1", Service: "model", Zone: "north-1", Address: "127.0.0.1:1"}, Region: "north", Condition: "up"},
-		{ReplicaEntry: api.ReplicaEntry{ID: "r2", Service: "model", Zone: "north-1", Address: "127.0.0.1:2"}, Region: "north", Condition: "cold", Feeder: "g1"},
+		{ReplicaEntry: api.ReplicaEntry{ID: "r2", Service: "model", Zone: "north-1", Address: "127.0.0.1:2"}, Region: "north", Condition: "cold", WarmupGateway: "g1"},
 	}
 	return map[string]any{
 		api.PathConfiguration: api.ConfigurationAnswer{Version: 4, Serial: 9, Author: "ada", Document: document},
--- a/cmd/deckpulleyctl/command/replicas.go
+++ b/cmd/deckpulleyctl/command/replicas.go
@@ -36,7 +36,7 @@
 func replicasTable(answer *api.ReplicasAnswer) *printer.Table {
 	table := printer.NewTable("REPLICA", "SERVICE", "ZONE", "REGION", "ADDRESS", "CONDITION", "FEEDER", "DRAINING")
 	for _, replica := range answer.Replicas {
-		table.AddRow(replica.ID, replica.Service, replica.Zone, replica.Region, replica.Address, replica.Condition, replica.Feeder, printer.YesNo(replica.Draining))
+		table.AddRow(replica.ID, replica.Service, replica.Zone, replica.Region, replica.Address, replica.Condition, replica.WarmupGateway, printer.YesNo(replica.Draining))
 	}
 	return table
 }
--- a/control/httpapi/answers.go
+++ b/control/httpapi/answers.go
@@ -76,7 +76,7 @@
 	}
 	if condition, known := current.Condition(id); known {
 		status.Condition = string(condition.State)
-		status.Feeder = condition.WarmupGateway
+		status.WarmupGateway = condition.WarmupGateway
 	}
 	return status
 }
--- a/gateway/operators_http.go
+++ b/gateway/operators_http.go
@@ -179,7 +179,7 @@
 	}
 	if condition, known := active.Condition(id); known {
 		status.Condition = string(condition.State)
-		status.Feeder = condition.WarmupGateway
+		status.WarmupGateway = condition.WarmupGateway
 	}
 	return status
 }
