--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -68,7 +68,7 @@
 
 	goldenLoad = api.ServiceLoad{
 		Service: "explain", Region: "north", Utilization: 0.75, SetPoint: 0.8, Spill: 0.125, Limit: 64, InFlight: 48,
-		Queued: 5, Replicas: 4, Usable: 3, Cold: 1, Draining: 2, Ejected: 6,
+		Queued: 5, Replicas: 4, Usable: 3, WarmingUp: 1, Draining: 2, Ejected: 6,
 	}
 
 	goldenOrder = api.OperationStatus{
--- a/api/operator.go
+++ b/api/operator.go
@@ -183,11 +183,11 @@
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 	// Replicas counts all listed replicas, the other fields those in a state.
-	Replicas int `json:"replicas"`
-	Usable   int `json:"usable"`
-	Cold     int `json:"cold"`
-	Draining int `json:"draining"`
-	Ejected  int `json:"ejected"`
+	Replicas  int `json:"replicas"`
+	Usable    int `json:"usable"`
+	WarmingUp int `json:"cold"`
+	Draining  int `json:"draining"`
+	Ejected   int `json:"ejected"`
 }
 
 // OperationStatus is a retained operation result.
--- a/cmd/deckpulleyctl/command/fake_test.go
+++ b/cmd/deckpulleyctl/command/fake_test.go
@@ -48,7 +48,7 @@
 func (n *fakeNode) documents() map[string]any {
 	control := api.MemberStatus{Name: "c1", Role: "control", Up: true, Voter: true, MatchIndex: 5}
 	gateway := api.MemberStatus{Name: "g1", Role: "gateway", Up: true, LeaseMS: 900, ReceivedSerial: 9, ActiveSerial: 9, ActiveVersion: 4}
-	load := api.ServiceLoad{Service: "model", Region: "north", Utilization: 0.5, SetPoint: 0.8, Spill: 0.1, Limit: 8, InFlight: 3, Queued: 1, Replicas: 2, Cold: 2}
+	load := api.ServiceLoad{Service: "model", Region: "north", Utilization: 0.5, SetPoint: 0.8, Spill: 0.1, Limit: 8, InFlight: 3, Queued: 1, Replicas: 2, WarmingUp: 2}
 	replicas := []api.ReplicaStatus{
 		{ReplicaEntry: api.ReplicaEntry{ID: "r1", Service: "model", Zone: "north-1", Address: "127.0.0.1:1"}, Region: "north", Condition: "up"},
 		{ReplicaEntry: api.ReplicaEntry{ID: "r2", Service: "model", Zone: "north-1", Address: "127.0.0.1:2"}, Region: "north", Condition: "cold", WarmupGateway: "g1"},
--- a/cmd/deckpulleyctl/command/status.go
+++ b/cmd/deckpulleyctl/command/status.go
@@ -177,7 +177,7 @@
 	table := printer.NewTable("REGION", "SERVICE", "LOAD", "AIM", "SPILL", "IN FLIGHT", "QUEUED", "LIMIT", "USABLE", "COLD", "DRAINING", "EJECTED")
 	for _, load := range loads {
 		table.AddRow(load.Region, load.Service, printer.Percent(load.Utilization), printer.Percent(load.SetPoint), printer.Percent(load.Spill),
-			load.InFlight, load.Queued, load.Limit, fmt.Sprintf("%d of %d", load.Usable, load.Replicas), load.Cold, load.Draining, load.Ejected)
+			load.InFlight, load.Queued, load.Limit, fmt.Sprintf("%d of %d", load.Usable, load.Replicas), load.WarmingUp, load.Draining, load.Ejected)
 	}
 	return table
 }
--- a/cmd/deckpulleyctl/fleetstatus/fleetstatus.go
+++ b/cmd/deckpulleyctl/fleetstatus/fleetstatus.go
@@ -96,7 +96,7 @@
 	merged.Spill = max(merged.Spill, load.Spill)
 	merged.Limit = max(merged.Limit, load.Limit)
 	merged.Usable = max(merged.Usable, load.Usable)
-	merged.Cold = max(merged.Cold, load.Cold)
+	merged.WarmingUp = max(merged.WarmingUp, load.WarmingUp)
 	merged.Draining = max(merged.Draining, load.Draining)
 	merged.Ejected = max(merged.Ejected, load.Ejected)
 }
--- a/cmd/deckpulleyctl/fleetstatus/fleetstatus_test.go
+++ b/cmd/deckpulleyctl/fleetstatus/fleetstatus_test.go
@@ -12,16 +12,16 @@
 	gateways := []GatewayAnswer{
 		{Address: "g1", Status: &api.StatusAnswer{Node: "g1", Degraded: []string{"no lease"}, Services: []api.ServiceLoad{
 			{Service: "model", Region: "south", Replicas: 1, Usable: 1},
-			{Service: "model", Region: "north", Utilization: 0.5, Spill: 0.2, Limit: 8, InFlight: 3, Queued: 1, Replicas: 3, Usable: 1, Cold: 2},
+			{Service: "model", Region: "north", Utilization: 0.5, Spill: 0.2, Limit: 8, InFlight: 3, Queued: 1, Replicas: 3, Usable: 1, WarmingUp: 2},
 		}}},
 		{Address: "g2", Status: &api.StatusAnswer{Node: "g2", Services: []api.ServiceLoad{
-			{Service: "model", Region: "north", Utilization: 0.7, Spill: 0.1, Limit: 6, InFlight: 4, Queued: 2, Replicas: 3, Usable: 2, Cold: 1, Draining: 1, Ejected: 1},
+			{Service: "model", Region: "north", Utilization: 0.7, Spill: 0.1, Limit: 6, InFlight: 4, Queued: 2, Replicas: 3, Usable: 2, WarmingUp: 1, Draining: 1, Ejected: 1},
 		}}},
 		{Address: "g3"},
 	}
 	status := Merge(controlAnswers(api.StatusAnswer{Primary: "c1", Serial: 4, InForceSerial: 4}), gateways)
 	wantRegions := []api.ServiceLoad{
-		{Service: "model", Region: "north", Utilization: 0.7, Spill: 0.2, Limit: 8, InFlight: 7, Queued: 3, Replicas: 3, Usable: 2, Cold: 2, Draining: 1, Ejected: 1},
+		{Service: "model", Region: "north", Utilization: 0.7, Spill: 0.2, Limit: 8, InFlight: 7, Queued: 3, Replicas: 3, Usable: 2, WarmingUp: 2, Draining: 1, Ejected: 1},
 		{Service: "model", Region: "south", Replicas: 1, Usable: 1},
 	}
 	if diff := cmp.Diff(wantRegions, status.Regions); diff != "" {
--- a/gateway/operators_http.go
+++ b/gateway/operators_http.go
@@ -111,7 +111,7 @@
 			Queued:      service.Queued,
 			Replicas:    service.Replicas,
 			Usable:      service.Usable,
-			Cold:        service.WarmingUp,
+			WarmingUp:   service.WarmingUp,
 			Draining:    service.Draining,
 			Ejected:     service.Ejected,
 		}
