--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -77,7 +77,7 @@
 	}
 
 	goldenExplainStep    = api.ExplainStep{Step: "route", Result: "explain", Reason: "routes.chat"}
-	goldenExplainRegion  = api.ExplainRegion{Region: "north", Rank: 1, Load: 0.5, Knowledge: "fresh", Usable: true, TakesSpill: true}
+	goldenExplainRegion  = api.ExplainRegion{Region: "north", Rank: 1, Load: 0.5, LoadFreshness: "fresh", Usable: true, AcceptsSpill: true}
 	goldenExplainReplica = api.ExplainReplica{Replica: "replica-1", State: "usable", InFlight: 2, Others: 3, Limit: 8, FirstTokenMS: 140}
 	goldenZone           = api.ZoneStatus{Zone: "north-1", Region: "north", Evacuated: true}
 
--- a/api/operator.go
+++ b/api/operator.go
@@ -224,13 +224,13 @@
 	// Rank is the position in the order of attempts, starting at 1; 0 if the region is no
 	// candidate.
 	Rank int `json:"rank"`
-	// Load is its utilization, 1 is full. Knowledge is the freshness of the load:
+	// Load is its utilization, 1 is full. LoadFreshness is the freshness of the load:
 	// "fresh", "stale" (reports have stopped) or "unheard" (never reported).
-	Load      float64 `json:"load"`
-	Knowledge string  `json:"knowledge"`
+	Load          float64 `json:"load"`
+	LoadFreshness string  `json:"knowledge"`
 	// Usable is false if it has no admitted replica or no gateway in the plan.
-	Usable     bool `json:"usable"`
-	TakesSpill bool `json:"takes_spill"`
+	Usable       bool `json:"usable"`
+	AcceptsSpill bool `json:"takes_spill"`
 }
 
 // ExplainReplica is a replica of the responding gateway's region.
--- a/cmd/deckpulleyctl/command/fake_test.go
+++ b/cmd/deckpulleyctl/command/fake_test.go
@@ -76,7 +76,7 @@
 	json.NewEncoder(w).Encode(api.ExplainAnswer{
 		Gateway: "g1", Region: "north",
 		Steps:    []api.ExplainStep{{Step: "route", Result: "ask", Reason: body.String()}},
-		Regions:  []api.ExplainRegion{{Region: "north", Rank: 1, Load: 0.5, Knowledge: "fresh", Usable: true}, {Region: "south", Knowledge: "stale"}},
+		Regions:  []api.ExplainRegion{{Region: "north", Rank: 1, Load: 0.5, LoadFreshness: "fresh", Usable: true}, {Region: "south", LoadFreshness: "stale"}},
 		Replicas: []api.ExplainReplica{{Replica: "r1", State: "usable", Limit: 8, FirstTokenMS: 40}},
 	})
 }
--- a/cmd/deckpulleyctl/command/route.go
+++ b/cmd/deckpulleyctl/command/route.go
@@ -125,7 +125,7 @@
 		if region.Rank > 0 {
 			rank = strconv.Itoa(region.Rank)
 		}
-		table.AddRow(region.Region, rank, printer.Percent(region.Load), region.Knowledge, printer.YesNo(region.Usable), printer.YesNo(region.TakesSpill))
+		table.AddRow(region.Region, rank, printer.Percent(region.Load), region.LoadFreshness, printer.YesNo(region.Usable), printer.YesNo(region.AcceptsSpill))
 	}
 	return table
 }
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -190,12 +190,12 @@
 	service := e.service(resolved.Service)
 	for _, region := range service.Regions {
 		e.answer.Regions = append(e.answer.Regions, api.ExplainRegion{
-			Region:     region.Name,
-			Rank:       slices.Index(order, region.Name) + 1,
-			Load:       region.Load,
-			Knowledge:  freshnessName(region.LoadFreshness),
-			Usable:     region.Usable,
-			TakesSpill: region.AcceptsSpill,
+			Region:        region.Name,
+			Rank:          slices.Index(order, region.Name) + 1,
+			Load:          region.Load,
+			LoadFreshness: freshnessName(region.LoadFreshness),
+			Usable:        region.Usable,
+			AcceptsSpill:  region.AcceptsSpill,
 		})
 	}
 	if len(order) == 0 {
