--- a/api/caller.go
+++ b/api/caller.go
@@ -126,7 +126,7 @@
 
 // Names of server-sent events in a stream.
 const (
-	EventPiece = "piece" // StreamChunk
+	EventChunk = "piece" // StreamChunk
 	EventEnd   = "end"   // StreamEnd; present only if the replica sent it
 	EventError = "error" // Error; the connection is then aborted, never ended cleanly
 )
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -283,7 +283,7 @@
 	values := goldenStrings{
 		Outcomes: []api.Outcome{api.OutcomeSuccess, api.OutcomeRefused, api.OutcomeFailed, api.OutcomeUnknown},
 		Classes:  []api.Class{api.ClassQuick, api.ClassLong, api.ClassFetch},
-		Events:   []string{api.EventPiece, api.EventEnd, api.EventError},
+		Events:   []string{api.EventChunk, api.EventEnd, api.EventError},
 		HTTPReplicaStates: []api.HTTPReplicaState{
 			api.HTTPReplicaReplaced, api.HTTPReplicaEvacuated, api.HTTPReplicaDraining, api.HTTPReplicaEjected,
 			api.HTTPReplicaAvoided, api.HTTPReplicaFull, api.HTTPReplicaCold, api.HTTPReplicaUsable,
--- a/client/stream.go
+++ b/client/stream.go
@@ -57,7 +57,7 @@
 		return nil, streamError(err.Error())
 	}
 	switch event {
-	case api.EventPiece:
+	case api.EventChunk:
 		return s.decodeChunk(data)
 	case api.EventEnd:
 		return nil, s.decodeEnd(data)
--- a/gateway/execution/execution.go
+++ b/gateway/execution/execution.go
@@ -137,7 +137,7 @@
 // blocks; if ctx ends meanwhile, it returns the cause.
 func (e *Execution) AppendChunk(ctx context.Context, data []byte) error {
 	e.mutex.Lock()
-	e.frames = stream.AppendFrame(e.frames, api.EventPiece, data)
+	e.frames = stream.AppendFrame(e.frames, api.EventChunk, data)
 	e.notifyFollowers()
 	for len(e.frames) > maxRetainedStreamBytes && !e.trim() {
 		e.mutex.Unlock()
--- a/gateway/execution/frames.go
+++ b/gateway/execution/frames.go
@@ -15,7 +15,7 @@
 func ForEachChunk(frames []byte, visit func(data []byte) error) error {
 	for len(frames) > 0 {
 		size := bytes.Index(frames, frameSeparator) + len(frameSeparator)
-		if err := visit(stream.FrameData(frames[:size], api.EventPiece)); err != nil {
+		if err := visit(stream.FrameData(frames[:size], api.EventChunk)); err != nil {
 			return err
 		}
 		frames = frames[size:]
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -204,7 +204,7 @@
 
 func chunkFrame(request *api.ReplicaRequest, sequence int) []byte {
 	data, _ := json.Marshal(api.StreamChunk{RequestID: request.RequestID, RunID: "run-1", Sequence: sequence, Text: "word ", Tokens: 1})
-	return stream.AppendFrame(nil, api.EventPiece, data)
+	return stream.AppendFrame(nil, api.EventChunk, data)
 }
 
 func writeStream(w http.ResponseWriter, request *api.ReplicaRequest, chunks int) {
@@ -386,7 +386,7 @@
 	for _, event := range strings.Split(string(body), "\n\n") {
 		kind, data, _ := strings.Cut(strings.TrimPrefix(event, "event: "), "\ndata: ")
 		switch kind {
-		case api.EventPiece:
+		case api.EventChunk:
 			got.chunks++
 		case api.EventEnd:
 			got.ended = new(api.StreamEnd)
--- a/internal/fleet/caller/answer.go
+++ b/internal/fleet/caller/answer.go
@@ -113,7 +113,7 @@
 		return false
 	}
 	switch name {
-	case api.EventPiece:
+	case api.EventChunk:
 		return r.readChunk(data)
 	case api.EventEnd:
 		r.readEnd(data)
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -94,7 +94,7 @@
 		if g.fault == "skipped event" && sequence == 3 {
 			continue
 		}
-		send(api.EventPiece, chunk)
+		send(api.EventChunk, chunk)
 	}
 	switch g.fault {
 	case "no end":
--- a/internal/hollow/replica.go
+++ b/internal/hollow/replica.go
@@ -74,7 +74,7 @@
 	defer ticker.Stop()
 	for i := 1; i <= generation.MaxTokens; i++ {
 		chunk := api.StreamChunk{RequestID: generation.RequestID, RunID: run, Sequence: i, Text: "token", Tokens: 1}
-		if writer.Event(api.EventPiece, chunk) != nil {
+		if writer.Event(api.EventChunk, chunk) != nil {
 			return
 		}
 		select {
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -160,7 +160,7 @@
 			continue
 		}
 		switch event {
-		case api.EventPiece:
+		case api.EventChunk:
 			var chunk api.StreamChunk
 			if o.broken = json.Unmarshal([]byte(data), &chunk); o.broken != nil {
 				return
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -106,7 +106,7 @@
 	if event.Kind == emulator.EventEnd {
 		return r.encodeEnd(event)
 	}
-	return encodeEvent(api.EventPiece, api.StreamChunk{
+	return encodeEvent(api.EventChunk, api.StreamChunk{
 		RequestID: r.identity.request,
 		RunID:     r.identity.run,
 		Sequence:  event.Index,
--- a/stream/example_test.go
+++ b/stream/example_test.go
@@ -13,7 +13,7 @@
 // was closed in order.
 func Example() {
 	var body []byte
-	body = stream.AppendFrame(body, api.EventPiece, []byte(`{"request_id":"q","run_id":"r","sequence":1,"text":"a","tokens":1}`))
+	body = stream.AppendFrame(body, api.EventChunk, []byte(`{"request_id":"q","run_id":"r","sequence":1,"text":"a","tokens":1}`))
 	reader := stream.NewReader(bytes.NewReader(body), stream.Options{RequestID: "q"})
 	defer reader.Close()
 	for {
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -187,7 +187,7 @@
 	kind := r.kind
 	r.kind, r.hasData = r.kind[:0], false
 	switch string(kind) {
-	case api.EventPiece:
+	case api.EventChunk:
 		return r.takeChunk()
 	case api.EventEnd:
 		return r.takeEnd()
--- a/stream/reader_test.go
+++ b/stream/reader_test.go
@@ -16,7 +16,7 @@
 
 func chunkFrame(request, run string, sequence, tokens int, text string) string {
 	data, _ := json.Marshal(&api.StreamChunk{RequestID: request, RunID: run, Sequence: sequence, Text: text, Tokens: tokens})
-	return string(AppendFrame(nil, api.EventPiece, data))
+	return string(AppendFrame(nil, api.EventChunk, data))
 }
 
 func endFrame(request, run string, sequence, tokens int) string {
