--- a/gateway/replica_condition.go
+++ b/gateway/replica_condition.go
@@ -27,7 +27,7 @@
 	if !g.agent.Valid() {
 		return
 	}
-	for _, change := range g.router.Conditions(now) {
+	for _, change := range g.router.ProposeConditions(now) {
 		if !g.allowConditionUpdate(change.Replica, now) {
 			continue
 		}
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -52,9 +52,9 @@
 	// Suspect prevents new requests to a replica until its next report. It does nothing and
 	// reports false if the replica has reported another incarnation since.
 	Suspect(replica, incarnation string, at time.Time) bool
-	// Conditions returns the changes of replica conditions that this gateway must report to
+	// ProposeConditions returns the changes of replica conditions that this gateway must report to
 	// the primary.
-	Conditions(time.Time) []routing.ConditionChange
+	ProposeConditions(time.Time) []routing.ConditionChange
 }
 
 // RetryBudget limits the retries to a fraction of the first attempts.
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -225,7 +225,7 @@
 	if l.isDisconnected(gateway.region) {
 		return
 	}
-	for _, change := range gateway.router.Conditions(time.Now()) {
+	for _, change := range gateway.router.ProposeConditions(time.Now()) {
 		l.updateCondition(change)
 	}
 }
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -21,8 +21,8 @@
 	startGracePeriod = 3 * time.Second
 	// proposalInterval is the time between two proposals of the same change.
 	proposalInterval = 400 * time.Millisecond
-	// If two calls of Conditions are at least processPauseThreshold apart, the process is
-	// assumed to have been paused, and proposes nothing for processPauseRecovery.
+	// If two calls of ProposeConditions are at least processPauseThreshold apart, the
+	// process is assumed to have been paused, and proposes nothing for processPauseRecovery.
 	processPauseThreshold = 3 * time.Second
 	processPauseRecovery  = 2 * time.Second
 )
@@ -41,12 +41,12 @@
 	at        time.Time
 }
 
-// Conditions returns the condition changes that this gateway proposes, sorted by replica:
-// one for each replica whose observed condition differs from the active plan. Each replica
+// ProposeConditions returns the condition changes that this gateway proposes, sorted by
+// replica: one for each replica whose observed condition differs from the active plan. Each replica
 // has one gateway that proposes its condition. A change is proposed repeatedly until the
-// plan contains it. Conditions must be called about as often as replicas are polled, since
-// a long gap between calls is taken for a pause of this process.
-func (r *Router) Conditions(now time.Time) []ConditionChange {
+// plan contains it. ProposeConditions must be called about as often as replicas are polled,
+// since a long gap between calls is taken for a pause of this process.
+func (r *Router) ProposeConditions(now time.Time) []ConditionChange {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.plan == nil || r.pauses.paused(now) {
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -139,7 +139,7 @@
 			}
 			router.Observe(replica.name, replica.report(), now)
 		}
-		for _, change := range router.Conditions(now) {
+		for _, change := range router.ProposeConditions(now) {
 			if !s.prerequisiteSatisfied(change.Replica, change.Old) {
 				continue
 			}
@@ -308,7 +308,7 @@
 func (s *simulation) proposedConditions() []ConditionChange {
 	var changes []ConditionChange
 	for _, name := range s.up() {
-		changes = append(changes, s.gateways[name].Conditions(time.Now())...)
+		changes = append(changes, s.gateways[name].ProposeConditions(time.Now())...)
 	}
 	return changes
 }
