--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -108,7 +108,7 @@
 // until its next report, and polls it at once. It has no effect if the replica has
 // reported another incarnation since the reservation was made.
 func (g *Gateway) suspectReplica(reservation *routing.Reservation) {
-	if g.router.Suspect(reservation.Replica, reservation.Incarnation, time.Now()) {
+	if g.router.RecordConnectionFailure(reservation.Replica, reservation.Incarnation, time.Now()) {
 		g.pollNow(reservation.Replica)
 	}
 }
--- a/internal/experiment/live_request.go
+++ b/internal/experiment/live_request.go
@@ -86,7 +86,7 @@
 		return false
 	}
 	now := time.Now()
-	router.Suspect(slot.Replica, slot.Incarnation, now)
+	router.RecordConnectionFailure(slot.Replica, slot.Incarnation, now)
 	slot.Finish(routing.ResultNotStarted, nil, now)
 	router.Observe(slot.Replica, *report, now)
 	return true
--- a/routing/reports.go
+++ b/routing/reports.go
@@ -37,11 +37,11 @@
 	target.service.rejectInadmissible(at)
 }
 
-// Suspect records that the connection to the given incarnation of a replica broke, or that
-// the replica answered as another incarnation. The replica gets no new requests until its
-// next report. If another incarnation has reported in the meantime, Suspect does nothing
-// and returns false, since the failure concerns the previous incarnation.
-func (r *Router) Suspect(replica, incarnation string, at time.Time) bool {
+// RecordConnectionFailure records that the connection to the given incarnation of a replica
+// broke, or that the replica answered as another incarnation. The replica gets no new requests until its
+// next report. If another incarnation has reported in the meantime,
+// RecordConnectionFailure does nothing and returns false, since the failure concerns the previous incarnation.
+func (r *Router) RecordConnectionFailure(replica, incarnation string, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := r.replicas[replica]
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -65,7 +65,7 @@
 	},
 	{
 		name:  "connection broke",
-		begin: func(_ *fleet, r *Router) { r.Suspect("r1", report("r1").Incarnation, time.Now()) },
+		begin: func(_ *fleet, r *Router) { r.RecordConnectionFailure("r1", report("r1").Incarnation, time.Now()) },
 		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
 	},
 	{
@@ -107,8 +107,8 @@
 	next := report("r1")
 	next.Incarnation = "r1-2"
 	router.Observe("r1", next, time.Now())
-	if router.Suspect("r1", early.Incarnation, time.Now()) {
-		t.Error("Suspect with the previous incarnation returned true")
+	if router.RecordConnectionFailure("r1", early.Incarnation, time.Now()) {
+		t.Error("RecordConnectionFailure with the previous incarnation returned true")
 	}
 	early.Finish(ResultFailed, nil, time.Now())
 	if late := mustReserve(t, router, request("late")); late.Incarnation != "r1-2" {
