--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -129,7 +129,7 @@
 		return
 	}
 	g.metrics.polls.WithLabelValues("answered").Inc()
-	g.router.Observe(replica, *report, now)
+	g.router.RecordReport(replica, *report, now)
 	g.recordObservedVersion(record.Service, report.ConfigurationVersion)
 }
 
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -45,8 +45,8 @@
 type ReplicaHealth interface {
 	// LocalReplicas returns the names of the replicas to poll.
 	LocalReplicas() []string
-	// Observe records a report of a replica.
-	Observe(replica string, report api.ReplicaReport, at time.Time)
+	// RecordReport records a report of a replica.
+	RecordReport(replica string, report api.ReplicaReport, at time.Time)
 	// RecordPollFailure records that a poll of a replica failed.
 	RecordPollFailure(replica string, at time.Time)
 	// RecordConnectionFailure prevents new requests to a replica until its next report. It does nothing and
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -216,7 +216,7 @@
 			gateway.router.RecordPollFailure(name, time.Now())
 			continue
 		}
-		gateway.router.Observe(name, *l.replicaNamed(name).Report(), time.Now())
+		gateway.router.RecordReport(name, *l.replicaNamed(name).Report(), time.Now())
 	}
 }
 
--- a/internal/experiment/live_request.go
+++ b/internal/experiment/live_request.go
@@ -88,7 +88,7 @@
 	now := time.Now()
 	router.RecordConnectionFailure(slot.Replica, slot.Incarnation, now)
 	slot.Finish(routing.ResultNotStarted, nil, now)
-	router.Observe(slot.Replica, *report, now)
+	router.RecordReport(slot.Replica, *report, now)
 	return true
 }
 
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -24,7 +24,7 @@
 			name := fmt.Sprint("r", index)
 			reported := report(name)
 			reported.Slots, reported.Sequence = 64, sequence
-			router.Observe(name, reported, time.Now())
+			router.RecordReport(name, reported, time.Now())
 		}
 	}
 	refresh(1)
--- a/routing/fixture_test.go
+++ b/routing/fixture_test.go
@@ -127,7 +127,7 @@
 	f.replica("r1", "east-a", "east")
 	router := newRouter("east", "g1")
 	router.SetPlan(f.plan())
-	router.Observe("r1", report("r1"), time.Now())
+	router.RecordReport("r1", report("r1"), time.Now())
 	return f, router
 }
 
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -86,7 +86,7 @@
 			reported := report(member.Replica)
 			reported.Running = member.InFlight
 			reported.Sequence = uint64(time.Now().UnixMilli())
-			o.router.Observe(member.Replica, reported, time.Now())
+			o.router.RecordReport(member.Replica, reported, time.Now())
 		}
 	}
 }
--- a/routing/reports.go
+++ b/routing/reports.go
@@ -7,10 +7,10 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Observe records a report of a replica that arrived at the given time, as the response
-// to a poll or together with an answer. It ignores reports that are older than the newest
+// RecordReport records a report of a replica that arrived at the given time, as the
+// response to a poll or together with an answer. It ignores reports that are older than the newest
 // one.
-func (r *Router) Observe(replica string, report api.ReplicaReport, at time.Time) {
+func (r *Router) RecordReport(replica string, report api.ReplicaReport, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := r.replicas[replica]
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -17,7 +17,7 @@
 		f.replica("r2", "west-a", "west")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
-		router.Observe("r1", report("r1"), time.Now())
+		router.RecordReport("r1", report("r1"), time.Now())
 		reservation := mustReserve(t, router, request("free"))
 		f.set(catalog.RouteRecord("large-1", catalog.Route{Service: "large", Home: "west-only"}))
 		router.SetPlan(f.planAfter(reservation.Serial))
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -23,12 +23,12 @@
 		begin: func(_ *fleet, r *Router) {
 			reported := report("r1")
 			reported.Draining, reported.Sequence = true, 2
-			r.Observe("r1", reported, time.Now())
+			r.RecordReport("r1", reported, time.Now())
 		},
 		end: func(_ *fleet, r *Router) {
 			reported := report("r1")
 			reported.Sequence = 3
-			r.Observe("r1", reported, time.Now())
+			r.RecordReport("r1", reported, time.Now())
 		},
 	},
 	{
@@ -61,19 +61,19 @@
 	{
 		name:  "poll failed",
 		begin: func(_ *fleet, r *Router) { r.RecordPollFailure("r1", time.Now()) },
-		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
+		end:   func(_ *fleet, r *Router) { r.RecordReport("r1", report("r1"), time.Now()) },
 	},
 	{
 		name:  "connection broke",
 		begin: func(_ *fleet, r *Router) { r.RecordConnectionFailure("r1", report("r1").Incarnation, time.Now()) },
-		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
+		end:   func(_ *fleet, r *Router) { r.RecordReport("r1", report("r1"), time.Now()) },
 	},
 	{
 		name: "replica reports a newer configuration",
 		begin: func(_ *fleet, r *Router) {
 			reported := report("r1")
 			reported.ConfigurationVersion, reported.Sequence = 2, 2
-			r.Observe("r1", reported, time.Now())
+			r.RecordReport("r1", reported, time.Now())
 		},
 		end: func(f *fleet, _ *Router) {
 			f.set(catalog.ConfigurationRecord(catalog.Configuration{Version: 2}))
@@ -84,7 +84,7 @@
 		begin: func(_ *fleet, r *Router) {
 			reported := report("r1")
 			reported.Incarnation, reported.Cold = "r1-2", true
-			r.Observe("r1", reported, time.Now())
+			r.RecordReport("r1", reported, time.Now())
 		},
 		end: func(f *fleet, _ *Router) {
 			f.set(catalog.ConditionRecord("r1", catalog.Condition{
@@ -95,7 +95,7 @@
 	{
 		name:  "replica stops reporting",
 		begin: func(_ *fleet, _ *Router) { time.Sleep(1500 * time.Millisecond) },
-		end:   func(_ *fleet, r *Router) { r.Observe("r1", report("r1"), time.Now()) },
+		end:   func(_ *fleet, r *Router) { r.RecordReport("r1", report("r1"), time.Now()) },
 	},
 }
 
@@ -106,7 +106,7 @@
 	early := mustReserve(t, router, request("early"))
 	next := report("r1")
 	next.Incarnation = "r1-2"
-	router.Observe("r1", next, time.Now())
+	router.RecordReport("r1", next, time.Now())
 	if router.RecordConnectionFailure("r1", early.Incarnation, time.Now()) {
 		t.Error("RecordConnectionFailure with the previous incarnation returned true")
 	}
@@ -224,7 +224,7 @@
 		f.replica("r2", "west-a", "west")
 		router := newRouter("east", "g1")
 		router.SetPlan(f.plan())
-		router.Observe("r1", report("r1"), time.Now())
+		router.RecordReport("r1", report("r1"), time.Now())
 		resolve := func(generate api.GenerateRequest) Request {
 			generate.RequestID, generate.Model = "q", "large-1"
 			resolved, failure := router.Resolve(generate, time.Now())
@@ -280,12 +280,12 @@
 			for sequence := range uint64(4) { // completes the slow start
 				reported := report("r1")
 				reported.Sequence = sequence + 1
-				router.Observe("r1", reported, time.Now())
+				router.RecordReport("r1", reported, time.Now())
 				mustReserve(t, router, request("warms")).Finish(ResultSuccess, nil, time.Now())
 			}
 			reported := report("r1")
 			reported.Sequence, reported.Running = 9, others
-			router.Observe("r1", reported, time.Now())
+			router.RecordReport("r1", reported, time.Now())
 			granted := 0
 			for range 8 {
 				long := request("long")
@@ -333,7 +333,7 @@
 			for _, name := range []string{"r1", "r2"} {
 				reported := report(name)
 				reported.Sequence = sequence + 1
-				router.Observe(name, reported, time.Now())
+				router.RecordReport(name, reported, time.Now())
 			}
 			first, second := mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))
 			time.Sleep(100 * time.Millisecond)
@@ -355,7 +355,7 @@
 		}
 		reported := report(other)
 		reported.Sequence, reported.Running = 20, 3
-		router.Observe(other, reported, time.Now())
+		router.RecordReport(other, reported, time.Now())
 		granted := make(chan *Reservation, 1)
 		go func() {
 			reservation, _ := router.Acquire(t.Context(), shared)
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -137,7 +137,7 @@
 				router.RecordPollFailure(replica.name, now)
 				continue
 			}
-			router.Observe(replica.name, replica.report(), now)
+			router.RecordReport(replica.name, replica.report(), now)
 		}
 		for _, change := range router.ProposeConditions(now) {
 			if !s.prerequisiteSatisfied(change.Replica, change.Old) {
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -90,7 +90,7 @@
 		replica := region.replicas[id]
 		reported := replica.report()
 		reported.Slots = 4
-		region.router.Observe(replica.name, reported, time.Now())
+		region.router.RecordReport(replica.name, reported, time.Now())
 	}
 	for _, other := range names {
 		regions[other].router.SetRemoteLoad(name, region.router.Load(), time.Now())
--- a/routing/warmup_test.go
+++ b/routing/warmup_test.go
@@ -20,7 +20,7 @@
 		cold := report("r1")
 		cold.Cold = true
 		router.SetPlan(f.plan())
-		router.Observe("r1", cold, time.Now())
+		router.RecordReport("r1", cold, time.Now())
 		wantRejected(t, router, request("another gateway warms it up"), api.CodeNoCapacity)
 		if gateways := router.WarmupGateways("large"); len(gateways) != 1 || gateways[0] != "g9" {
 			t.Fatalf("warm-up gateways are %v, want only g9", gateways)
@@ -30,10 +30,10 @@
 		wantRejected(t, router, request("too early"), api.CodeNoCapacity)
 		time.Sleep(warmupHandoverDelay)
 		cold.Sequence, cold.Running = 2, 1
-		router.Observe("r1", cold, time.Now())
+		router.RecordReport("r1", cold, time.Now())
 		wantRejected(t, router, request("a request of the previous gateway is still running"), api.CodeOverloaded)
 		cold.Sequence, cold.Running = 3, 0
-		router.Observe("r1", cold, time.Now())
+		router.RecordReport("r1", cold, time.Now())
 		mustReserve(t, router, request("first"))
 		wantRejected(t, router, request("second"), api.CodeOverloaded)
 	})
@@ -51,12 +51,12 @@
 		router.SetPlan(f.plan())
 		reported := report("r1")
 		for reported.Sequence = 1; reported.Sequence < 9; reported.Sequence++ {
-			router.Observe("r1", reported, time.Now())
+			router.RecordReport("r1", reported, time.Now())
 			mustReserve(t, router, request("warms")).Finish(ResultSuccess, nil, time.Now())
 		}
 		early := []*Reservation{mustReserve(t, router, request("a")), mustReserve(t, router, request("b"))}
 		reported.Cold, reported.Running = true, 2
-		router.Observe("r1", reported, time.Now())
+		router.RecordReport("r1", reported, time.Now())
 		wantRejected(t, router, request("no warm-up gateway yet"), api.CodeNoCapacity)
 		f.condition(catalog.ConditionWarmingUp, "g1")
 		router.SetPlan(f.plan())
@@ -80,7 +80,7 @@
 		router.SetPlan(f.plan())
 		reported := report("r1")
 		reported.Cold = true
-		router.Observe("r1", reported, time.Now())
+		router.RecordReport("r1", reported, time.Now())
 		long := request("long")
 		long.Class = api.ClassLong
 		wantRejected(t, router, long, api.CodeOverloaded)
@@ -91,10 +91,10 @@
 
 		alone := newRouter("east", "g1")
 		alone.SetPlan(f.plan())
-		alone.Observe("r1", reported, time.Now())
+		alone.RecordReport("r1", reported, time.Now())
 		time.Sleep(time.Second)
 		reported.Sequence++
-		alone.Observe("r1", reported, time.Now())
+		alone.RecordReport("r1", reported, time.Now())
 		time.Sleep(time.Second)
 		mustReserve(t, alone, long)
 	})
