--- a/gateway/agent/activation.go
+++ b/gateway/agent/activation.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next activation.
-func (a *Agent) Changed() <-chan struct{} {
+// Activated returns a channel that is closed at the next activation.
+func (a *Agent) Activated() <-chan struct{} {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.activated
--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -25,7 +25,7 @@
 	for {
 		// Get the channel before pollNewReplicas reads the active state. Otherwise an
 		// activation in between would be missed.
-		changed := g.agent.Changed()
+		changed := g.agent.Activated()
 		known = g.pollNewReplicas(ctx, known, pollSlots, &polls)
 		select {
 		case <-ctx.Done():
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -50,7 +50,7 @@
 // answer, it waits for the next activation, up to versionWaitTimeout in total. It reports
 // false if ctx ended.
 func (g *Gateway) refreshObservedVersion(ctx context.Context, service string, reservation *routing.Reservation) bool {
-	changed := g.agent.Changed()
+	changed := g.agent.Activated()
 	waitContext, cancel := context.WithTimeout(ctx, versionWaitTimeout)
 	defer cancel()
 	report, err := g.replicas.report(waitContext, reservation.Address)
