--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -46,12 +46,12 @@
 	reported sync.Once
 }
 
-func (p *persistentLoads) SetRemoteLoad(region string, load map[string]float64, at time.Time) {
-	p.Router.SetRemoteLoad(region, load, at)
+func (p *persistentLoads) RecordRemoteUtilization(region string, load map[string]float64, at time.Time) {
+	p.Router.RecordRemoteUtilization(region, load, at)
 	p.reported.Do(func() {
 		// Reported in steps of gossipInterval, since a longer gap would count as an outage.
 		for age := gossipInterval; age <= time.Minute; age += gossipInterval {
-			p.Router.SetRemoteLoad(region, load, at.Add(age))
+			p.Router.RecordRemoteUtilization(region, load, at.Add(age))
 		}
 	})
 }
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -68,10 +68,10 @@
 // RegionLoads gives access to the utilization of regions. The maps are by service; 1 is
 // fully utilized.
 type RegionLoads interface {
-	// Load returns the utilization of this gateway's region.
-	Load() map[string]float64
-	// SetRemoteLoad records the utilization of another region.
-	SetRemoteLoad(region string, load map[string]float64, at time.Time)
+	// Utilization returns the utilization of this gateway's region.
+	Utilization() map[string]float64
+	// RecordRemoteUtilization records the utilization of another region.
+	RecordRemoteUtilization(region string, load map[string]float64, at time.Time)
 }
 
 // RouterStatus exports the state of a router.
--- a/gateway/utilization.go
+++ b/gateway/utilization.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		digest.Sequence++
-		digest.UtilizationByService = g.router.Load()
+		digest.UtilizationByService = g.router.Utilization()
 		for _, address := range g.gossipTargets(maxGossipPeers) {
 			g.options.Network.Send(address, peer.KindRegionUtilization, &digest)
 		}
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	if digest.Region != g.region() {
-		g.router.SetRemoteLoad(digest.Region, digest.UtilizationByService, time.Now())
+		g.router.RecordRemoteUtilization(digest.Region, digest.UtilizationByService, time.Now())
 	}
 	return nil, nil
 }
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -257,10 +257,10 @@
 	if l.isDisconnected(gateway.region) {
 		return
 	}
-	load := gateway.router.Load()
+	load := gateway.router.Utilization()
 	for _, other := range l.gateways {
 		if other.region != gateway.region && !l.isDisconnected(other.region) {
-			other.router.SetRemoteLoad(gateway.region, load, time.Now())
+			other.router.RecordRemoteUtilization(gateway.region, load, time.Now())
 		}
 	}
 }
--- a/routing/remote.go
+++ b/routing/remote.go
@@ -64,9 +64,9 @@
 	r.lastReport = latest(r.lastReport, at)
 }
 
-// Load returns the utilization of each service in the local region, for reports to other
-// regions. A utilization of 1 means that all capacity is in use.
-func (r *Router) Load() map[string]float64 {
+// Utilization returns the utilization of each service in the local region, for reports to
+// other regions. A utilization of 1 means that all capacity is in use.
+func (r *Router) Utilization() map[string]float64 {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,9 +80,9 @@
 	return load
 }
 
-// SetRemoteLoad records the utilization of each service in another region, as reported by
-// one of that region's gateways.
-func (r *Router) SetRemoteLoad(region string, load map[string]float64, at time.Time) {
+// RecordRemoteUtilization records the utilization of each service in another region, as
+// reported by one of that region's gateways.
+func (r *Router) RecordRemoteUtilization(region string, load map[string]float64, at time.Time) {
 	if region == r.config.Region {
 		return
 	}
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -77,7 +77,7 @@
 			for ; region.credit >= 1; region.credit-- {
 				s.arrive(regions, name)
 			}
-			region.measured = append(region.measured, region.router.Load()["large"])
+			region.measured = append(region.measured, region.router.Utilization()["large"])
 		}
 		s.advance(20 * time.Millisecond)
 	}
@@ -93,7 +93,7 @@
 		region.router.RecordReport(replica.name, reported, time.Now())
 	}
 	for _, other := range names {
-		regions[other].router.SetRemoteLoad(name, region.router.Load(), time.Now())
+		regions[other].router.RecordRemoteUtilization(name, region.router.Utilization(), time.Now())
 	}
 }
 
@@ -246,7 +246,7 @@
 				q.running.Go(func() { q.runRequest(t.Context(), name, incoming) })
 				synctest.Wait()
 			}
-			region.measured = append(region.measured, region.router.Load()["large"])
+			region.measured = append(region.measured, region.router.Utilization()["large"])
 		}
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
