--- a/api/operator.go
+++ b/api/operator.go
@@ -113,7 +113,8 @@
 	Region string `json:"region"`
 	// Condition is "up", "cold", "draining" or "down".
 	Condition string `json:"condition"`
-	// WarmupGateway is the one gateway that may send requests to it while it is warming up.
+	// WarmupGateway is the one gateway that may send requests to it while it is warming
+	// up.
 	WarmupGateway string `json:"feeder,omitempty"`
 }
 
--- a/catalog/records.go
+++ b/catalog/records.go
@@ -86,7 +86,8 @@
 	return pathRouteKind.record(PathRouteName(value.Name), value)
 }
 
-// HTTPServiceRecord returns the record of a service that is a target of routes by host and path.
+// HTTPServiceRecord returns the record of a service that is a target of routes by host
+// and path.
 func HTTPServiceRecord(value routemap.Service) registry.Record {
 	return poolKind.record(ServiceName(value.Name), value)
 }
--- a/catalog/state.go
+++ b/catalog/state.go
@@ -293,7 +293,8 @@
 // PathRoutes returns the routes by host and path, keyed by name.
 func (s *State) PathRoutes() map[string]routemap.Route { return s.pathRoutes }
 
-// HTTPServices returns the services that are targets of routes by host and path, keyed by name.
+// HTTPServices returns the services that are targets of routes by host and path, keyed by
+// name.
 func (s *State) HTTPServices() map[string]routemap.Service { return s.pools }
 
 // RouteMap returns a new route map of the routes by host and path, sorted by name.
--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -88,8 +88,8 @@
 	c.engine.RecordAddresses(ctx, members)
 }
 
-// AddFromGreetings stores the addresses of members of this node's group, or of any group while
-// this node belongs to none.
+// AddFromGreetings stores the addresses of members of this node's group, or of any group
+// while this node belongs to none.
 func (c *Contacts) AddFromGreetings(ctx context.Context, greetings []Greeting) {
 	cluster := c.engine.Observe().Cluster
 	for _, greeting := range greetings {
@@ -110,8 +110,8 @@
 	c.primary = address
 }
 
-// ReportedPrimary returns the primary's peer address as a member last reported it, empty if
-// none did.
+// ReportedPrimary returns the primary's peer address as a member last reported it, empty
+// if none did.
 func (c *Contacts) ReportedPrimary() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/control/engine/observation.go
+++ b/control/engine/observation.go
@@ -54,8 +54,8 @@
 	return found && !member.Learner
 }
 
-// KnowsNoMembership reports whether this node knows no membership: it has found no group, or
-// was not admitted to one.
+// KnowsNoMembership reports whether this node knows no membership: it has found no group,
+// or was not admitted to one.
 func (o *Observation) KnowsNoMembership() bool { return len(o.Status.Membership.Members) == 0 }
 
 // LeaderAddress returns the peer address of the leader; empty if unknown.
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -19,8 +19,8 @@
 	Catalog *catalog.State
 	// Sequence orders the stored results by age.
 	Sequence uint64
-	// ExcessOperations are the names of the oldest stored results, which the decision's update
-	// deletes.
+	// ExcessOperations are the names of the oldest stored results, which the decision's
+	// update deletes.
 	ExcessOperations []registry.Name
 }
 
--- a/control/statemachine/operationlog.go
+++ b/control/statemachine/operationlog.go
@@ -25,8 +25,8 @@
 // not retained.
 func (l *OperationLog) Serial(name registry.Name) uint32 { return l.serials[name] }
 
-// ExcessOperations returns the oldest operations: those that must be deleted when one is added, so
-// that at most limit are retained.
+// ExcessOperations returns the oldest operations: those that must be deleted when one is
+// added, so that at most limit are retained.
 func (l *OperationLog) ExcessOperations(limit int) []registry.Name {
 	count := len(l.serials) + 1 - limit
 	var names []registry.Name
--- a/dispatch/load.go
+++ b/dispatch/load.go
@@ -59,10 +59,10 @@
 	return t.sums[replica]
 }
 
-// HandleRegionLoads processes a message about the other gateways of the region: their requests in
-// flight, the prompts that they placed, and the prefill times that they measured. Their
-// prompts are added to this gateway's copy of the backlogs, and their measurements are used
-// like its own.
+// HandleRegionLoads processes a message about the other gateways of the region: their
+// requests in flight, the prompts that they placed, and the prefill times that they
+// measured. Their prompts are added to this gateway's copy of the backlogs, and their
+// measurements are used like its own.
 func (d *Dispatcher) HandleRegionLoads(loads *peer.RegionLoads) {
 	now := time.Now()
 	d.mutex.Lock()
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -49,11 +49,12 @@
 	RecordReport(replica string, report api.ReplicaReport, at time.Time)
 	// RecordPollFailure records that a poll of a replica failed.
 	RecordPollFailure(replica string, at time.Time)
-	// RecordConnectionFailure prevents new requests to a replica until its next report. It does nothing and
-	// reports false if the replica has reported another incarnation since.
+	// RecordConnectionFailure prevents new requests to a replica until its next report.
+	// It does nothing and reports false if the replica has reported another incarnation
+	// since.
 	RecordConnectionFailure(replica, incarnation string, at time.Time) bool
-	// ProposeConditions returns the changes of replica conditions that this gateway must report to
-	// the primary.
+	// ProposeConditions returns the changes of replica conditions that this gateway must
+	// report to the primary.
 	ProposeConditions(time.Time) []routing.ConditionChange
 }
 
--- a/peer/lease.go
+++ b/peer/lease.go
@@ -35,8 +35,8 @@
 // Grant answers Renew. Only a primary whose leadership was confirmed by a quorum
 // grants.
 type Grant struct {
-	// QuorumConfirmed says that the primary's quorum contact was recent enough to decide on
-	// leases; it is also true if no lease is granted. The gateway must then apply
+	// QuorumConfirmed says that the primary's quorum contact was recent enough to decide
+	// on leases; it is also true if no lease is granted. The gateway must then apply
 	// ActivationSerial and the transfer, and the lease if LeaseMS is above 0. Without it
 	// only a gateway that has no state yet may apply the transfer.
 	QuorumConfirmed bool   `cbor:"1,keyasint"`
--- a/routemap/table.go
+++ b/routemap/table.go
@@ -39,8 +39,9 @@
 	return nil
 }
 
-// PickService returns the service of one target. The probability of a target is proportional to
-// its weight; draw is a random number in [0, 1) that determines the choice.
+// PickService returns the service of one target. The probability of a target is
+// proportional to its weight; draw is a random number in [0, 1) that determines the
+// choice.
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/routing/conditions.go
+++ b/routing/conditions.go
@@ -22,7 +22,8 @@
 	// proposalInterval is the time between two proposals of the same change.
 	proposalInterval = 400 * time.Millisecond
 	// If two calls of ProposeConditions are at least processPauseThreshold apart, the
-	// process is assumed to have been paused, and proposes nothing for processPauseRecovery.
+	// process is assumed to have been paused, and proposes nothing for
+	// processPauseRecovery.
 	processPauseThreshold = 3 * time.Second
 	processPauseRecovery  = 2 * time.Second
 )
@@ -42,10 +43,11 @@
 }
 
 // ProposeConditions returns the condition changes that this gateway proposes, sorted by
-// replica: one for each replica whose observed condition differs from the active plan. Each replica
-// has one gateway that proposes its condition. A change is proposed repeatedly until the
-// plan contains it. ProposeConditions must be called about as often as replicas are polled,
-// since a long gap between calls is taken for a pause of this process.
+// replica: one for each replica whose observed condition differs from the active plan.
+// Each replica has one gateway that proposes its condition. A change is proposed
+// repeatedly until the plan contains it. ProposeConditions must be called about as often
+// as replicas are polled, since a long gap between calls is taken for a pause of this
+// process.
 func (r *Router) ProposeConditions(now time.Time) []ConditionChange {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/routing/status.go
+++ b/routing/status.go
@@ -60,7 +60,8 @@
 	Suspicion float64
 	// Delay is the smoothed queueing delay before the first token.
 	Delay time.Duration
-	// Candidate holds the inputs of the cost estimate for a prompt without a cached prefix.
+	// Candidate holds the inputs of the cost estimate for a prompt without a cached
+	// prefix.
 	Candidate placement.Candidate
 }
 
