--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -57,7 +57,7 @@
 	}
 
 	goldenReplicaStatus = api.ReplicaStatus{
-		ReplicaEntry: goldenReplicaEntry, Region: "north", Condition: "cold", Feeder: "gateway-1",
+		ReplicaEntry: goldenReplicaEntry, Region: "north", Condition: "cold", WarmupGateway: "gateway-1",
 	}
 
 	goldenMember = api.MemberStatus{
@@ -68,7 +68,7 @@
 
 	goldenLoad = api.ServiceLoad{
 		Service: "explain", Region: "north", Utilization: 0.75, SetPoint: 0.8, Spill: 0.125, Limit: 64, InFlight: 48,
-		Queued: 5, Replicas: 4, Usable: 3, Cold: 1, Draining: 2, Ejected: 6,
+		Queued: 5, Replicas: 4, Usable: 3, WarmingUp: 1, Draining: 2, Ejected: 6,
 	}
 
 	goldenOrder = api.OperationStatus{
@@ -77,7 +77,7 @@
 	}
 
 	goldenExplainStep    = api.ExplainStep{Step: "route", Result: "explain", Reason: "routes.chat"}
-	goldenExplainRegion  = api.ExplainRegion{Region: "north", Rank: 1, Load: 0.5, Knowledge: "fresh", Usable: true, TakesSpill: true}
+	goldenExplainRegion  = api.ExplainRegion{Region: "north", Rank: 1, Load: 0.5, LoadFreshness: "fresh", Usable: true, AcceptsSpill: true}
 	goldenExplainReplica = api.ExplainReplica{Replica: "replica-1", State: "usable", InFlight: 2, Others: 3, Limit: 8, FirstTokenMS: 140}
 	goldenZone           = api.ZoneStatus{Zone: "north-1", Region: "north", Evacuated: true}
 
@@ -283,7 +283,7 @@
 	values := goldenStrings{
 		Outcomes: []api.Outcome{api.OutcomeSuccess, api.OutcomeRefused, api.OutcomeFailed, api.OutcomeUnknown},
 		Classes:  []api.Class{api.ClassQuick, api.ClassLong, api.ClassFetch},
-		Events:   []string{api.EventPiece, api.EventEnd, api.EventError},
+		Events:   []string{api.EventChunk, api.EventEnd, api.EventError},
 		HTTPReplicaStates: []api.HTTPReplicaState{
 			api.HTTPReplicaReplaced, api.HTTPReplicaEvacuated, api.HTTPReplicaDraining, api.HTTPReplicaEjected,
 			api.HTTPReplicaAvoided, api.HTTPReplicaFull, api.HTTPReplicaCold, api.HTTPReplicaUsable,
--- a/api/operator.go
+++ b/api/operator.go
@@ -113,8 +113,9 @@
 	Region string `json:"region"`
 	// Condition is "up", "cold", "draining" or "down".
 	Condition string `json:"condition"`
-	// Feeder is the one gateway that may send requests to it while it is warming up.
-	Feeder string `json:"feeder,omitempty"`
+	// WarmupGateway is the one gateway that may send requests to it while it is warming
+	// up.
+	WarmupGateway string `json:"feeder,omitempty"`
 }
 
 // MemberStatus is the status of one of deckpulley's nodes.
@@ -183,11 +184,11 @@
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 	// Replicas counts all listed replicas, the other fields those in a state.
-	Replicas int `json:"replicas"`
-	Usable   int `json:"usable"`
-	Cold     int `json:"cold"`
-	Draining int `json:"draining"`
-	Ejected  int `json:"ejected"`
+	Replicas  int `json:"replicas"`
+	Usable    int `json:"usable"`
+	WarmingUp int `json:"cold"`
+	Draining  int `json:"draining"`
+	Ejected   int `json:"ejected"`
 }
 
 // OperationStatus is a retained operation result.
@@ -224,13 +225,13 @@
 	// Rank is the position in the order of attempts, starting at 1; 0 if the region is no
 	// candidate.
 	Rank int `json:"rank"`
-	// Load is its utilization, 1 is full. Knowledge is the freshness of the load:
+	// Load is its utilization, 1 is full. LoadFreshness is the freshness of the load:
 	// "fresh", "stale" (reports have stopped) or "unheard" (never reported).
-	Load      float64 `json:"load"`
-	Knowledge string  `json:"knowledge"`
+	Load          float64 `json:"load"`
+	LoadFreshness string  `json:"knowledge"`
 	// Usable is false if it has no admitted replica or no gateway in the plan.
-	Usable     bool `json:"usable"`
-	TakesSpill bool `json:"takes_spill"`
+	Usable       bool `json:"usable"`
+	AcceptsSpill bool `json:"takes_spill"`
 }
 
 // ExplainReplica is a replica of the responding gateway's region.
--- a/control/discovery/contacts.go
+++ b/control/discovery/contacts.go
@@ -72,9 +72,9 @@
 	return addresses
 }
 
-// Learn stores the addresses of members. Members in a gateway's answer have addresses
+// AddMembers stores the addresses of members. Members in a gateway's answer have addresses
 // but no identities.
-func (c *Contacts) Learn(ctx context.Context, members []consensus.Member) {
+func (c *Contacts) AddMembers(ctx context.Context, members []consensus.Member) {
 	if len(members) == 0 {
 		return
 	}
@@ -85,16 +85,16 @@
 		}
 	}
 	c.mutex.Unlock()
-	c.engine.LearnAddresses(ctx, members)
+	c.engine.RecordAddresses(ctx, members)
 }
 
-// LearnFrom stores the addresses of members of this node's group, or of any group while
-// this node belongs to none.
-func (c *Contacts) LearnFrom(ctx context.Context, greetings []Greeting) {
+// AddFromGreetings stores the addresses of members of this node's group, or of any group
+// while this node belongs to none.
+func (c *Contacts) AddFromGreetings(ctx context.Context, greetings []Greeting) {
 	cluster := c.engine.Observe().Cluster
 	for _, greeting := range greetings {
 		if cluster == "" || greeting.Reply.Cluster == cluster {
-			c.Learn(ctx, greeting.Reply.Members)
+			c.AddMembers(ctx, greeting.Reply.Members)
 		}
 	}
 }
@@ -110,19 +110,19 @@
 	c.primary = address
 }
 
-// NamedPrimary returns the primary's peer address as a member last reported it, empty if
-// none did.
-func (c *Contacts) NamedPrimary() string {
+// ReportedPrimary returns the primary's peer address as a member last reported it, empty
+// if none did.
+func (c *Contacts) ReportedPrimary() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.primary
 }
 
 // PrimaryAddress returns the peer address of the primary according to an observation. If
-// this node belongs to no group, it returns NamedPrimary. It is empty if unknown.
+// this node belongs to no group, it returns ReportedPrimary. It is empty if unknown.
 func (c *Contacts) PrimaryAddress(observed *engine.Observation) string {
-	if observed.WithoutGroup() {
-		return c.NamedPrimary()
+	if observed.KnowsNoMembership() {
+		return c.ReportedPrimary()
 	}
 	return observed.LeaderAddress()
 }
--- a/control/engine/observation.go
+++ b/control/engine/observation.go
@@ -30,10 +30,10 @@
 	// Primary is true while this node leads and has applied everything that was
 	// committed before it was elected.
 	Primary bool
-	// Contact is the send time of the newest heartbeat round that a quorum
-	// acknowledged, if ContactKnown.
-	Contact      time.Duration
-	ContactKnown bool
+	// QuorumContact is the send time of the newest heartbeat round that a quorum
+	// acknowledged, if QuorumContactKnown.
+	QuorumContact      time.Duration
+	QuorumContactKnown bool
 	// InForce is the newest serial known to be active at every lease holder, if
 	// InForceKnown.
 	InForce      uint32
@@ -54,9 +54,9 @@
 	return found && !member.Learner
 }
 
-// WithoutGroup reports whether this node knows no membership: it has found no group, or
-// was not admitted to one.
-func (o *Observation) WithoutGroup() bool { return len(o.Status.Membership.Members) == 0 }
+// KnowsNoMembership reports whether this node knows no membership: it has found no group,
+// or was not admitted to one.
+func (o *Observation) KnowsNoMembership() bool { return len(o.Status.Membership.Members) == 0 }
 
 // LeaderAddress returns the peer address of the leader; empty if unknown.
 func (o *Observation) LeaderAddress() string {
--- a/control/engine/renewal.go
+++ b/control/engine/renewal.go
@@ -57,12 +57,12 @@
 		m.changeGatewayRecord(now, change)
 	}
 	grant.ActivationSerial = decision.ActivationSerial
-	if !decision.Authoritative {
+	if !decision.QuorumConfirmed {
 		m.metrics.Renewals.WithLabelValues(renewalRefused).Inc()
 		return grant
 	}
 	m.metrics.Renewals.WithLabelValues(renewalGranted).Inc()
-	grant.Granted = true
+	grant.QuorumConfirmed = true
 	if leadership.leases.MayGrantLease(m.driver.Catalog(), renew.Gateway) {
 		grant.LeaseMS = decision.LeaseDuration.Milliseconds()
 	}
--- a/control/executor/decide.go
+++ b/control/executor/decide.go
@@ -27,14 +27,14 @@
 			return attempt
 		}
 	}
-	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Sequence: state.Sequence, Surplus: state.Surplus})
+	decision, err := execution.Decide(operation.Facts{Catalog: state.Catalog, Sequence: state.Sequence, ExcessOperations: state.ExcessOperations})
 	if err != nil {
 		return rejected(apierror.Internal(err))
 	}
 	if planted.Active(planted.AcknowledgeUnwritten) && state.Catalog.Version() > 0 {
 		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
 	}
-	if planted.Active(planted.PrimaryStays) && e.config.Queue.Now()-observed.Contact > e.config.LeaseLength {
+	if planted.Active(planted.PrimaryStays) && e.config.Queue.Now()-observed.QuorumContact > e.config.LeaseLength {
 		return answered(operation.Answer(execution.ID(), decision.Answer, observed.Serial+1))
 	}
 	result, err := e.engine.Propose(ctx, decision.Update)
@@ -65,7 +65,7 @@
 // It is a conflict if the stored result belongs to other content under the same id.
 func (e *Executor) repeatAnswer(ctx context.Context, execution *execution, state engine.OperationState) attemptResult {
 	if state.Answer.Digest != execution.Digest() {
-		return rejected(operation.Conflict())
+		return rejected(operation.ConflictError())
 	}
 	if planted.Active(planted.RefuseResentOrder) {
 		state.Answer.Accepted, state.Answer.Code = false, string(api.CodeVersionConflict)
--- a/control/operation/decide.go
+++ b/control/operation/decide.go
@@ -19,9 +19,9 @@
 	Catalog *catalog.State
 	// Sequence orders the stored results by age.
 	Sequence uint64
-	// Surplus are the names of the oldest stored results, which the decision's update
-	// deletes.
-	Surplus []registry.Name
+	// ExcessOperations are the names of the oldest stored results, which the decision's
+	// update deletes.
+	ExcessOperations []registry.Name
 }
 
 // Decision is the result of an operation and the update that puts it into effect.
@@ -128,7 +128,7 @@
 			Field:   "zone",
 		})
 	}
-	change := registry.DeleteSet(name, catalog.TypeEvacuation)
+	change := registry.DeleteRRset(name, catalog.TypeEvacuation)
 	if !request.Withdraw {
 		change = registry.Add(catalog.EvacuationRecord(request.Zone, catalog.Evacuation{Author: request.Author, OperationID: request.OperationID}))
 	}
@@ -161,8 +161,8 @@
 func (o *Operation) decision(facts Facts, answer catalog.OperationResult, author string, prerequisite registry.Record, changes []registry.Record) Decision {
 	noResult := registry.Absent(catalog.OperationName(o.ID()), catalog.TypeOperation)
 	changes = append(changes, registry.Add(catalog.OperationResultRecord(o.ID(), answer)))
-	for _, oldest := range facts.Surplus {
-		changes = append(changes, registry.DeleteSet(oldest, catalog.TypeOperation))
+	for _, oldest := range facts.ExcessOperations {
+		changes = append(changes, registry.DeleteRRset(oldest, catalog.TypeOperation))
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite, noResult}, changes)
 	update.Requestor = permission.Operator(author)
@@ -188,8 +188,8 @@
 	return answer
 }
 
-// Conflict returns the error for an operation whose id was used for another one.
-func Conflict() *api.Error {
+// ConflictError returns the error for an operation whose id was used for another one.
+func ConflictError() *api.Error {
 	return &api.Error{
 		Code:    api.CodeOperationConflict,
 		Outcome: api.OutcomeRefused,
@@ -198,9 +198,9 @@
 	}
 }
 
-// Unfinished returns the error for an operation whose deadline has passed. The
+// UnfinishedError returns the error for an operation whose deadline has passed. The
 // operation may have been executed if it was sent to a primary or proposed.
-func Unfinished(maybeExecuted bool) *api.Error {
+func UnfinishedError(maybeExecuted bool) *api.Error {
 	if !maybeExecuted {
 		return apierror.NoPrimary("no primary was reached in time; the order was not executed", api.OutcomeRefused)
 	}
--- a/control/statemachine/operationlog_test.go
+++ b/control/statemachine/operationlog_test.go
@@ -22,8 +22,8 @@
 	for i := range 5 {
 		order := fmt.Sprintf("order-%d", i)
 		changes := []registry.Record{registry.Add(catalog.OperationResultRecord(order, catalog.OperationResult{}))}
-		for _, name := range log.Surplus(limit) {
-			changes = append(changes, registry.DeleteSet(name, catalog.TypeOperation))
+		for _, name := range log.ExcessOperations(limit) {
+			changes = append(changes, registry.DeleteRRset(name, catalog.TypeOperation))
 		}
 		apply(uint32(10+i), changes...)
 		if len(log.serials) > limit {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -249,11 +249,11 @@
 	expect("initially", "near")
 	f.apply(registry.Add(catalog.DrainRecord("near", catalog.Drain{})))
 	expect("drained", "far")
-	f.apply(registry.DeleteSet(catalog.ReplicaName("near"), catalog.TypeDrain))
+	f.apply(registry.DeleteRRset(catalog.ReplicaName("near"), catalog.TypeDrain))
 	expect("drain ended", "near")
 	f.apply(registry.Add(catalog.EvacuationRecord("east-1", catalog.Evacuation{OperationID: "o"})))
 	expect("evacuated", "far")
-	f.apply(registry.DeleteSet(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
+	f.apply(registry.DeleteRRset(catalog.ZoneName("east-1"), catalog.TypeEvacuation))
 	expect("evacuation ended", "near")
 	f.apply(registry.DeleteName(catalog.ReplicaName("near")))
 	expect("removed", "far")
@@ -261,7 +261,7 @@
 	expect("home region without replicas", "")
 	f.addReplica("new", "east-2")
 	expect("new replica in the home region", "new")
-	f.apply(registry.DeleteSet(catalog.PathRouteName("r"), catalog.TypePathRoute))
+	f.apply(registry.DeleteRRset(catalog.PathRouteName("r"), catalog.TypePathRoute))
 	f.configure(func(route *routemap.Route, _ *routemap.Service) { route.Host = "elsewhere" })
 	expect("no route for the host", "")
 }
@@ -346,7 +346,7 @@
 			t.Fatalf("attempts at %v, want only r3, which has an idle connection", f.attemptedReplicas())
 		}
 	}
-	f.dispatcher.Observe(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
+	f.dispatcher.HandleRegionLoads(&peer.RegionLoads{PlacedPrompts: []peer.PlacedPrompt{{Replica: peer.NewReplicaKey("r3"), PrefillMS: 200}}})
 	f.sent = nil
 	send(20)
 	if attempted := f.attemptedReplicas(); len(attempted) != 1 || attempted[0] == "r3" {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -85,7 +85,7 @@
 		Incarnation: info.Incarnation, Zone: info.Zone, Region: info.Region,
 		PeerAddress: info.PeerAddress, HTTPAddress: info.HTTPAddress, Up: !info.Draining,
 	})))
-	grant := &peer.Grant{Granted: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
+	grant := &peer.Grant{QuorumConfirmed: true, Cluster: "cluster", Term: 1, ActivationSerial: p.table.Serial(), ControlAddresses: []string{"control"}}
 	if p.activationLimit != 0 {
 		grant.ActivationSerial = p.activationLimit
 	}
@@ -204,7 +204,7 @@
 
 func chunkFrame(request *api.ReplicaRequest, sequence int) []byte {
 	data, _ := json.Marshal(api.StreamChunk{RequestID: request.RequestID, RunID: "run-1", Sequence: sequence, Text: "word ", Tokens: 1})
-	return stream.AppendFrame(nil, api.EventPiece, data)
+	return stream.AppendFrame(nil, api.EventChunk, data)
 }
 
 func writeStream(w http.ResponseWriter, request *api.ReplicaRequest, chunks int) {
@@ -314,7 +314,7 @@
 			if n.checkServing() != nil || len(n.agent.Active().Gateways()) < len(nodes) {
 				return false
 			}
-			watched := n.router.Watched()
+			watched := n.router.LocalReplicas()
 			services := n.router.Status().Services
 			if len(watched) > 0 && (len(services) == 0 || services[0].Usable < len(watched)) {
 				return false
@@ -386,7 +386,7 @@
 	for _, event := range strings.Split(string(body), "\n\n") {
 		kind, data, _ := strings.Cut(strings.TrimPrefix(event, "event: "), "\ndata: ")
 		switch kind {
-		case api.EventPiece:
+		case api.EventChunk:
 			got.chunks++
 		case api.EventEnd:
 			got.ended = new(api.StreamEnd)
--- a/gateway/replica_health.go
+++ b/gateway/replica_health.go
@@ -25,7 +25,7 @@
 	for {
 		// Get the channel before pollNewReplicas reads the active state. Otherwise an
 		// activation in between would be missed.
-		changed := g.agent.Changed()
+		changed := g.agent.Activated()
 		known = g.pollNewReplicas(ctx, known, pollSlots, &polls)
 		select {
 		case <-ctx.Done():
@@ -46,7 +46,7 @@
 		return known
 	}
 	listed := make(map[string]bool)
-	for _, replica := range g.router.Watched() {
+	for _, replica := range g.router.LocalReplicas() {
 		if _, ok := active.Replicas()[replica]; !ok {
 			continue // the router already has the state that is about to become active
 		}
@@ -108,7 +108,7 @@
 // until its next report, and polls it at once. It has no effect if the replica has
 // reported another incarnation since the reservation was made.
 func (g *Gateway) suspectReplica(reservation *routing.Reservation) {
-	if g.router.Suspect(reservation.Replica, reservation.Incarnation, time.Now()) {
+	if g.router.RecordConnectionFailure(reservation.Replica, reservation.Incarnation, time.Now()) {
 		g.pollNow(reservation.Replica)
 	}
 }
@@ -129,7 +129,7 @@
 		return
 	}
 	g.metrics.polls.WithLabelValues("answered").Inc()
-	g.router.Observe(replica, *report, now)
+	g.router.RecordReport(replica, *report, now)
 	g.recordObservedVersion(record.Service, report.ConfigurationVersion)
 }
 
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -43,18 +43,19 @@
 
 // ReplicaHealth collects observations of the replicas in this gateway's region.
 type ReplicaHealth interface {
-	// Watched returns the names of the replicas to poll.
-	Watched() []string
-	// Observe records a report of a replica.
-	Observe(replica string, report api.ReplicaReport, at time.Time)
+	// LocalReplicas returns the names of the replicas to poll.
+	LocalReplicas() []string
+	// RecordReport records a report of a replica.
+	RecordReport(replica string, report api.ReplicaReport, at time.Time)
 	// RecordPollFailure records that a poll of a replica failed.
 	RecordPollFailure(replica string, at time.Time)
-	// Suspect prevents new requests to a replica until its next report. It does nothing and
-	// reports false if the replica has reported another incarnation since.
-	Suspect(replica, incarnation string, at time.Time) bool
-	// Conditions returns the changes of replica conditions that this gateway must report to
-	// the primary.
-	Conditions(time.Time) []routing.ConditionChange
+	// RecordConnectionFailure prevents new requests to a replica until its next report.
+	// It does nothing and reports false if the replica has reported another incarnation
+	// since.
+	RecordConnectionFailure(replica, incarnation string, at time.Time) bool
+	// ProposeConditions returns the changes of replica conditions that this gateway must
+	// report to the primary.
+	ProposeConditions(time.Time) []routing.ConditionChange
 }
 
 // RetryBudget limits the retries to a fraction of the first attempts.
@@ -68,10 +69,10 @@
 // RegionLoads gives access to the utilization of regions. The maps are by service; 1 is
 // fully utilized.
 type RegionLoads interface {
-	// Load returns the utilization of this gateway's region.
-	Load() map[string]float64
-	// SetRemoteLoad records the utilization of another region.
-	SetRemoteLoad(region string, load map[string]float64, at time.Time)
+	// Utilization returns the utilization of this gateway's region.
+	Utilization() map[string]float64
+	// RecordRemoteUtilization records the utilization of another region.
+	RecordRemoteUtilization(region string, load map[string]float64, at time.Time)
 }
 
 // RouterStatus exports the state of a router.
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -211,12 +211,12 @@
 
 // poll passes the reports of the replicas that a router watches to it.
 func (l *liveFleet) poll(gateway *liveGateway) {
-	for _, name := range gateway.router.Watched() {
+	for _, name := range gateway.router.LocalReplicas() {
 		if l.isDisconnected(gateway.region) {
 			gateway.router.RecordPollFailure(name, time.Now())
 			continue
 		}
-		gateway.router.Observe(name, *l.replicaNamed(name).Report(), time.Now())
+		gateway.router.RecordReport(name, *l.replicaNamed(name).Report(), time.Now())
 	}
 }
 
@@ -225,7 +225,7 @@
 	if l.isDisconnected(gateway.region) {
 		return
 	}
-	for _, change := range gateway.router.Conditions(time.Now()) {
+	for _, change := range gateway.router.ProposeConditions(time.Now()) {
 		l.updateCondition(change)
 	}
 }
@@ -239,7 +239,7 @@
 		prerequisite = registry.Equals(catalog.ConditionRecord(change.Replica, *change.Old))
 	}
 	changes := []registry.Record{
-		registry.DeleteSet(name, catalog.TypeCondition),
+		registry.DeleteRRset(name, catalog.TypeCondition),
 		registry.Add(catalog.ConditionRecord(change.Replica, change.New)),
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite}, changes)
@@ -257,10 +257,10 @@
 	if l.isDisconnected(gateway.region) {
 		return
 	}
-	load := gateway.router.Load()
+	load := gateway.router.Utilization()
 	for _, other := range l.gateways {
 		if other.region != gateway.region && !l.isDisconnected(other.region) {
-			other.router.SetRemoteLoad(gateway.region, load, time.Now())
+			other.router.RecordRemoteUtilization(gateway.region, load, time.Now())
 		}
 	}
 }
--- a/placement/index.go
+++ b/placement/index.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Correct compares the number of tokens that were expected in a replica's cache with
+// RecordMiss compares the number of tokens that were expected in a replica's cache with
 // the number found there. A miss drops the oldest entries of the replica.
-func (ix *Index) Correct(replica, expected, found int) {
+func (ix *Index) RecordMiss(replica, expected, found int) {
 	if found >= expected {
 		return
 	}
@@ -114,8 +114,8 @@
 	ix.dropOldestEntries(ix.entriesOf(replica), replica, count)
 }
 
-// Undo drops a chain that was recorded for a request that then did not run.
-func (ix *Index) Undo(replica int, chain []Link) {
+// RemoveChain drops a chain that was recorded for a request that then did not run.
+func (ix *Index) RemoveChain(replica int, chain []Link) {
 	entries := ix.entriesOf(replica)
 	for _, link := range chain {
 		ix.drop(entries, replica, link.Hash)
--- a/registry/golden_test.go
+++ b/registry/golden_test.go
@@ -23,10 +23,10 @@
 
 func testSchema() *Schema {
 	schema, err := NewSchema(
-		Kind{Type: typeMany, Name: "MANY"},
-		Kind{Type: typeOne, Name: "ONE", Singleton: true},
-		Kind{Type: typeKeyed, Name: "KEYED", Key: func(data []byte) []byte { return data[:min(1, len(data))] }},
-		Kind{Type: typeDigits, Name: "DIGITS", Check: func(data []byte) error {
+		TypeDeclaration{Type: typeMany, Name: "MANY"},
+		TypeDeclaration{Type: typeOne, Name: "ONE", Singleton: true},
+		TypeDeclaration{Type: typeKeyed, Name: "KEYED", Key: func(data []byte) []byte { return data[:min(1, len(data))] }},
+		TypeDeclaration{Type: typeDigits, Name: "DIGITS", Check: func(data []byte) error {
 			if strings.Trim(string(data), "0123456789") != "" {
 				return errNotDigits
 			}
@@ -276,10 +276,10 @@
 		{"3.4.1.3 text, not pseudocode: delete a record of an unrecognized type", ofType(deletion, unrecognized), FormErr},
 		{"3.4.1.2 delete a record with a nonzero TTL", withTTL(deletion, 1), FormErr},
 		{"3.4.1.2 delete a name", DeleteName("x.t."), NoError},
-		{"3.4.1.2 delete an RRset of MAILB", DeleteSet("x.t.", TypeMAILB), FormErr},
-		{"3.4.1.2 delete an RRset of an unrecognized type", DeleteSet("x.t.", unrecognized), FormErr},
-		{"3.4.1.2 delete an RRset with a nonzero TTL", withTTL(DeleteSet("x.t.", typeMany), 1), FormErr},
-		{"3.4.1.2 delete an RRset with data", withData(DeleteSet("x.t.", typeMany)), FormErr},
+		{"3.4.1.2 delete an RRset of MAILB", DeleteRRset("x.t.", TypeMAILB), FormErr},
+		{"3.4.1.2 delete an RRset of an unrecognized type", DeleteRRset("x.t.", unrecognized), FormErr},
+		{"3.4.1.2 delete an RRset with a nonzero TTL", withTTL(DeleteRRset("x.t.", typeMany), 1), FormErr},
+		{"3.4.1.2 delete an RRset with data", withData(DeleteRRset("x.t.", typeMany)), FormErr},
 		{"3.4.1.2 delete a name with data", withData(DeleteName("x.t.")), FormErr},
 		{"7.14 data that the kind's Check rejects", Add(rr("x.t.", typeDigits, "one")), FormErr},
 		{"7.14 data that the kind's Check accepts", Add(rr("x.t.", typeDigits, "1")), NoError},
@@ -334,12 +334,12 @@
 		{"3.4.2.2 CNAME at the apex is ignored", nil, []Record{Add(rr(testApex, TypeCNAME, "n."))}, nil, nil},
 		{"1.1.2 names ignore case", []Record{m1}, []Record{Add(rr("M.T", typeMany, "2"))}, []Record{m1, m2}, nil},
 		{"1.1.3 a wildcard deletes only itself", existing, []Record{DeleteName("*.t.")}, nil, nil},
-		{"2.5.2 delete an RRset", []Record{k1, m1, m2}, []Record{DeleteSet("m.t.", typeMany)}, []Record{k1}, nil},
-		{"2.5.2 deleting an absent RRset is ignored", existing, []Record{DeleteSet("n.t.", typeMany)}, nil, nil},
-		{"3.4.2.3 NS records at the apex are not deleted", nil, []Record{DeleteSet(testApex, TypeNS)}, nil, nil},
-		{"3.4.2.3 the SOA record is not deleted", nil, []Record{DeleteSet(testApex, TypeSOA)}, nil, nil},
-		{"3.4.2.3 another RRset at the apex is deleted", []Record{apexRecord}, []Record{DeleteSet(testApex, typeMany)}, []Record{}, nil},
-		{"3.4.2.3 NS records below the apex are deleted", []Record{delegation}, []Record{DeleteSet("cut.t.", TypeNS)}, []Record{}, nil},
+		{"2.5.2 delete an RRset", []Record{k1, m1, m2}, []Record{DeleteRRset("m.t.", typeMany)}, []Record{k1}, nil},
+		{"2.5.2 deleting an absent RRset is ignored", existing, []Record{DeleteRRset("n.t.", typeMany)}, nil, nil},
+		{"3.4.2.3 NS records at the apex are not deleted", nil, []Record{DeleteRRset(testApex, TypeNS)}, nil, nil},
+		{"3.4.2.3 the SOA record is not deleted", nil, []Record{DeleteRRset(testApex, TypeSOA)}, nil, nil},
+		{"3.4.2.3 another RRset at the apex is deleted", []Record{apexRecord}, []Record{DeleteRRset(testApex, typeMany)}, []Record{}, nil},
+		{"3.4.2.3 NS records below the apex are deleted", []Record{delegation}, []Record{DeleteRRset("cut.t.", TypeNS)}, []Record{}, nil},
 		{"2.5.3 delete a name", []Record{k1, m1, m2}, []Record{DeleteName("m.t.")}, []Record{}, nil},
 		{"2.5.3 names below are not deleted", []Record{rr("b.m.t.", typeMany, "1"), m1}, []Record{DeleteName("m.t.")}, []Record{rr("b.m.t.", typeMany, "1")}, nil},
 		{"3.4.2.7 text, not pseudocode: deleting the apex does not delete its SOA and NS records", []Record{apexRecord}, []Record{DeleteName(testApex)}, []Record{}, nil},
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -82,11 +82,11 @@
 func (o *overloadTest) poll() {
 	status := o.router.Status()
 	for _, service := range status.Services {
-		for _, member := range service.Members {
+		for _, member := range service.ReplicaStatuses {
 			reported := report(member.Replica)
 			reported.Running = member.InFlight
 			reported.Sequence = uint64(time.Now().UnixMilli())
-			o.router.Observe(member.Replica, reported, time.Now())
+			o.router.RecordReport(member.Replica, reported, time.Now())
 		}
 	}
 }
--- a/routing/reports.go
+++ b/routing/reports.go
@@ -7,10 +7,10 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Observe records a report of a replica that arrived at the given time, as the response
-// to a poll or together with an answer. It ignores reports that are older than the newest
-// one.
-func (r *Router) Observe(replica string, report api.ReplicaReport, at time.Time) {
+// RecordReport records a report of a replica that arrived at the given time, as the
+// response to a poll or together with an answer. It ignores reports that are older than
+// the newest one.
+func (r *Router) RecordReport(replica string, report api.ReplicaReport, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := r.replicas[replica]
@@ -37,11 +37,12 @@
 	target.service.rejectInadmissible(at)
 }
 
-// Suspect records that the connection to the given incarnation of a replica broke, or that
-// the replica answered as another incarnation. The replica gets no new requests until its
-// next report. If another incarnation has reported in the meantime, Suspect does nothing
-// and returns false, since the failure concerns the previous incarnation.
-func (r *Router) Suspect(replica, incarnation string, at time.Time) bool {
+// RecordConnectionFailure records that the connection to the given incarnation of a
+// replica broke, or that the replica answered as another incarnation. The replica gets no
+// new requests until its next report. If another incarnation has reported in the
+// meantime, RecordConnectionFailure does nothing and returns false, since the failure
+// concerns the previous incarnation.
+func (r *Router) RecordConnectionFailure(replica, incarnation string, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	target := r.replicas[replica]
@@ -54,10 +55,10 @@
 	return true
 }
 
-// Watched returns the names of all replicas of the local region, sorted. The gateway polls
-// each of them itself instead of relying on what other gateways observe. This does not
-// depend on which gateway proposes a replica's condition.
-func (r *Router) Watched() []string {
+// LocalReplicas returns the names of all replicas of the local region, sorted. The
+// gateway polls each of them itself instead of relying on what other gateways observe.
+// This does not depend on which gateway proposes a replica's condition.
+func (r *Router) LocalReplicas() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	names := make([]string, 0, len(r.replicas))
--- a/routing/status.go
+++ b/routing/status.go
@@ -38,8 +38,8 @@
 	Draining  int
 	// Controllers has the set points, measured values and outputs of the controllers.
 	Controllers []feedback.Status
-	// Members holds the replicas, sorted by name.
-	Members []ReplicaStatus
+	// ReplicaStatuses holds the replicas, sorted by name.
+	ReplicaStatuses []ReplicaStatus
 	// Regions holds all regions of the plan as known to this gateway, sorted by name.
 	Regions []placement.Region
 }
@@ -60,8 +60,9 @@
 	Suspicion float64
 	// Delay is the smoothed queueing delay before the first token.
 	Delay time.Duration
-	// Expected holds the inputs of the cost estimate for a prompt without a cached prefix.
-	Expected placement.Candidate
+	// Candidate holds the inputs of the cost estimate for a prompt without a cached
+	// prefix.
+	Candidate placement.Candidate
 }
 
 // Status returns a snapshot of the current state, with services and replicas sorted by
@@ -95,7 +96,7 @@
 	}
 	for _, target := range s.replicas {
 		member := target.status(now)
-		status.Members = append(status.Members, member)
+		status.ReplicaStatuses = append(status.ReplicaStatuses, member)
 		status.InFlight += member.InFlight
 		if member.Usable {
 			status.Usable++
@@ -105,7 +106,7 @@
 		status.WarmingUp += count(member.WarmingUp)
 		status.Draining += count(member.Draining)
 	}
-	slices.SortFunc(status.Members, func(a, b ReplicaStatus) int {
+	slices.SortFunc(status.ReplicaStatuses, func(a, b ReplicaStatus) int {
 		return strings.Compare(a.Replica, b.Replica)
 	})
 	for _, region := range s.regions {
@@ -146,7 +147,7 @@
 		Limit:             r.concurrencyLimit(),
 		Suspicion:         r.detector.Phi(now),
 		Delay:             r.limit.Delay(),
-		Expected:          r.candidate(0, 0),
+		Candidate:         r.candidate(0, 0),
 	}
 }
 
