--- a/httpgateway/backend.go
+++ b/httpgateway/backend.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// lowestPriority is the largest value of the priority header; 0 is the most urgent.
+	// lowestPriority is the largest value of the priority header, for the least urgent
+	// requests; 0 is the most urgent.
 	lowestPriority = 9
-	// reapInterval is the time between two sweeps for expired idle connections.
-	reapInterval = time.Second
+	// idleSweepInterval is the interval at which expired idle connections are closed.
+	idleSweepInterval = time.Second
 )
 
 var (
-	// errMismatchedResponse is a response to another request, or to none.
-	errMismatchedResponse = errors.New("response belongs to another request")
-	// errRejected is a replica's statement that the request has not run.
-	errRejected = errors.New("replica rejected the request")
+	// errMismatchedResponse reports a response that echoes the ID of another request, or a
+	// successful one that echoes no ID.
+	errMismatchedResponse = errors.New("response does not echo the request ID")
+	// errRejected reports that a replica rejected the request without running it.
+	errRejected = errors.New("replica rejected the request without running it")
 )
 
 // backend sends attempts to replicas over HTTP/1.1. It implements dispatch.Backend.
@@ -34,8 +36,8 @@
 	headers Headers
 }
 
-// newBackend returns a backend that calls onConnect with the duration of each
-// connection's setup.
+// newBackend returns a backend. After each new connection it calls onConnect, if set,
+// with the time that it took to connect.
 func newBackend(headers Headers, onConnect func(address string, took time.Duration)) *backend {
 	return &backend{pool: upstream.NewPool(upstream.Config{OnConnect: onConnect}), headers: headers}
 }
@@ -67,7 +69,8 @@
 	}, nil
 }
 
-// attemptError classifies an error of the connection pool.
+// attemptError converts an error of the connection pool. The attempt is unsent only if no
+// part of the request can have reached the replica; otherwise it is indeterminate.
 func attemptError(err error) *dispatch.AttemptError {
 	reason := dispatch.FailureIndeterminate
 	var requestErr *upstream.RequestError
@@ -79,7 +82,8 @@
 	return &dispatch.AttemptError{Reason: reason, NoResponse: noResponse, Err: err}
 }
 
-// newRequest returns the request as it is sent to the replica.
+// newRequest returns the request to send to the replica: the client's request with the
+// headers that the gateway sets for this attempt.
 func (b *backend) newRequest(attempt *dispatch.Attempt) *http.Request {
 	header := attempt.Request.Header.Clone()
 	remaining := max(1, time.Until(attempt.Deadline).Milliseconds())
@@ -90,7 +94,7 @@
 		header.Set(headerLastEventID, attempt.LastEventID)
 	}
 	if _, set := header["User-Agent"]; !set {
-		header["User-Agent"] = nil // keeps net/http from adding one
+		header["User-Agent"] = nil // stops net/http from adding its default
 	}
 	return &http.Request{
 		Method: attempt.Request.Method,
@@ -100,9 +104,9 @@
 	}
 }
 
-// checkResponse returns an error if a response is a rejection of the request, or not a
-// response to the request with this id. The id is compared first, so that the rejection
-// of another request does not count as that of this one, which may have run.
+// checkResponse returns an error if a response rejects the request or does not belong to
+// the request with the given ID. It compares the ID first: the rejection of another
+// request says nothing about this one, which may have run.
 func (b *backend) checkResponse(response *http.Response, id string) error {
 	echoed := response.Header.Get(b.headers.RequestID)
 	if echoed != "" && echoed != id {
@@ -121,8 +125,8 @@
 	return nil
 }
 
-// retryAfter returns the Retry-After of a response, 0 if it has none that is valid.
-// Unlike in HTTP, the seconds may have a fraction.
+// retryAfter returns the value of a response's Retry-After header, or 0 if it is missing
+// or invalid. Unlike in standard HTTP, the number of seconds may have a fraction.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get(headerRetryAfter), 64)
 	if err != nil || seconds < 0 {
@@ -131,9 +135,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// reap closes expired idle connections until ctx ends.
-func (b *backend) reap(ctx context.Context) {
-	ticker := time.NewTicker(reapInterval)
+// closeExpiredConnections closes expired idle connections periodically until ctx ends.
+func (b *backend) closeExpiredConnections(ctx context.Context) {
+	ticker := time.NewTicker(idleSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/httpgateway/backend_test.go
+++ b/httpgateway/backend_test.go
@@ -9,11 +9,11 @@
 	"github.com/deckpulley/deckpulley/dispatch"
 )
 
-// TestClientHeadersAreForwardedUnchanged checks that a client's headers about model,
-// usage and prompt reach the replica unchanged, and that none of them is added.
+// TestClientHeadersAreForwardedUnchanged checks that the client's headers reach the
+// replica unchanged, and that the gateway adds only the headers of the attempt.
 func TestClientHeadersAreForwardedUnchanged(t *testing.T) {
 	headers := DefaultHeaders()
-	const model = "Deckpulley-Model" // not known to the gateway
+	const model = "Deckpulley-Model" // a header that the gateway does not interpret
 	added := []string{headers.Deadline, headers.Replica, headers.Priority, "User-Agent"}
 	tests := map[string]http.Header{
 		"set":               {model: {"m"}, headers.TokenUsage: {"1460,80"}, headers.PromptPrefix: {"5c1e07a2:800,91bd3f06:410"}, headers.RequestID: {"q"}},
@@ -30,12 +30,12 @@
 			got := newBackend(headers, nil).newRequest(attempt).Header
 			for field, values := range sent {
 				if !slices.Equal(got[field], values) {
-					t.Errorf("%s: got %q, want %q", field, got[field], values)
+					t.Errorf("forwarded header %s: got %q, want %q", field, got[field], values)
 				}
 			}
 			for field := range got {
 				if _, known := sent[field]; !known && !slices.Contains(added, field) {
-					t.Errorf("%s was added", field)
+					t.Errorf("unexpected header %s was added", field)
 				}
 			}
 		})
--- a/httpgateway/example_test.go
+++ b/httpgateway/example_test.go
@@ -24,8 +24,8 @@
     site: {host: example.test, path_prefix: /, kind: repeatable, timeout_ms: 1000, targets: [{service: pages, weight: 1}]}
 `
 
-// exampleState returns the state of a registry with the document and one replica. In a
-// fleet an agent receives it from the primary.
+// exampleState returns the state of a registry that contains exampleDocument and one
+// replica. In production an agent receives the state from the primary.
 func exampleState(replica string) (*catalog.State, error) {
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: "control-1", Serial: 1}, []string{"control-1"})
 	if err != nil {
@@ -48,7 +48,7 @@
 func ExampleProxy() {
 	headers := httpgateway.DefaultHeaders()
 	replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(headers.RequestID, r.Header.Get(headers.RequestID)) // identifies the request that is responded to
+		w.Header().Set(headers.RequestID, r.Header.Get(headers.RequestID)) // a replica must echo the request ID
 		fmt.Fprint(w, "served by ", r.Header.Get(headers.Replica))
 	}))
 	defer replica.Close()
--- a/httpgateway/gateway.go
+++ b/httpgateway/gateway.go
@@ -1,12 +1,14 @@
-// Package httpgateway is the gateway for services that are routed by host and path. It
-// keeps a copy of the registry, forwards requests by it, directs clients to gateways,
-// and exchanges loads with the other gateways.
+// Package httpgateway implements the gateway for services that are routed by host and
+// path. A gateway follows a copy of the registry, forwards requests to replicas
+// according to its routes, directs clients to gateways, and exchanges load reports with
+// the other gateways.
 //
-// If the primary cannot be reached, a gateway goes on with the newest configuration
-// that it has: it cannot tell a partition from the loss of all control nodes, and
-// rejecting requests would end the service in both cases. The primary acknowledges a
-// change only when each gateway with a lease has it in force or its lease has expired,
-// so a gateway that can reach the primary is never behind an acknowledged change.
+// A gateway that cannot reach the primary continues with the newest configuration that
+// it has: it cannot distinguish a partition from the loss of all control nodes, and
+// rejecting requests would interrupt the service in both cases. The primary acknowledges
+// a change only when each gateway with a lease has activated it or that lease has
+// expired, so a gateway that can reach the primary is never behind an acknowledged
+// change.
 package httpgateway
 
 import (
@@ -28,33 +30,37 @@
 
 // Options configure a Gateway. All fields but Headers and Bounds are required.
 type Options struct {
-	// Info is what the primary and the other gateways learn of this one.
+	// Info describes this gateway to the primary and to the other gateways.
 	Info peer.GatewayInfo
-	// Seeds are the addresses of control nodes that are contacted first.
-	Seeds       []string
+	// Seeds are the addresses of the control nodes to contact first.
+	Seeds []string
+	// LeaseConfig configures the lease that the gateway requests from the primary.
 	LeaseConfig lease.Config
-	// Network carries the messages. The Gateway starts and closes it.
+	// Network carries the messages between nodes. The Gateway starts and closes it.
 	Network transport.Network
-	// Headers are the names of the headers of requests. Default DefaultHeaders.
+	// Headers names the headers of requests. The zero value selects DefaultHeaders.
 	Headers Headers
-	// Bounds limit all gateways together. A zero field stands for its default.
+	// Bounds are limits on all gateways together. A zero field selects its default.
 	Bounds dispatch.Bounds
+	// Logger receives the gateway's log.
 	Logger *slog.Logger
 }
 
-// Gateway follows the registry and serves clients by it. It is safe for concurrent use.
+// Gateway follows the registry and forwards clients' requests according to its routes. It
+// is safe for concurrent use.
 type Gateway struct {
 	options Options
 	agent   *agent.Agent
 	proxy   *Proxy
-	// deregistered is set by Deregister.
+	// deregistered is set by Deregister; the gateway is then not ready.
 	deregistered atomic.Bool
 
 	cancel  context.CancelFunc
 	workers sync.WaitGroup
 }
 
-// New returns a Gateway and registers its message handlers. Start starts it.
+// New returns a Gateway and registers its message handlers. The Gateway does nothing
+// until Start.
 func New(options Options) *Gateway {
 	g := &Gateway{options: options}
 	g.proxy = NewProxy(ProxyOptions{
@@ -77,8 +83,8 @@
 	return g
 }
 
-// Start starts the network and the goroutines that follow the registry. Close ends
-// them.
+// Start starts the network and the goroutines that follow the registry and exchange
+// loads. Close stops them.
 func (g *Gateway) Start() error {
 	if err := g.options.Network.Start(); err != nil {
 		return fmt.Errorf("httpgateway: starting the network: %w", err)
@@ -90,20 +96,20 @@
 	return nil
 }
 
-// Counts returns the totals of requests and attempts since the start.
+// Counts returns the numbers of requests and attempts since the Gateway was created.
 func (g *Gateway) Counts() dispatch.Counts { return g.proxy.Counts() }
 
-// Server returns a server for clients, ready to serve a listener.
+// Server returns an HTTP server for clients; the caller passes it a listener to serve.
 func (g *Gateway) Server() *http.Server { return g.proxy.Server() }
 
-// Status describes the gateway's lease and its copy of the registry.
+// Status returns the state of the gateway's lease and of its copy of the registry.
 func (g *Gateway) Status() agent.Status { return g.agent.Status() }
 
 // Ready reports whether clients should use this gateway.
 func (g *Gateway) Ready() bool { return g.proxy.Ready() && !g.deregistered.Load() }
 
-// Where returns the addresses of the gateways that a client of a region should
-// use, at most limit. It is empty when none is known.
+// Where returns at most limit addresses of gateways that a client in the region should
+// use. The result is empty if no gateway is known.
 func (g *Gateway) Where(region string, limit int) []string {
 	state := g.agent.Active()
 	if state == nil {
@@ -119,8 +125,9 @@
 	return query.Answer(state.Gateways())
 }
 
-// Deregister releases the gateway's lease and makes Where direct clients to other
-// gateways. Requests that still arrive are served. Calls after the first do nothing.
+// Deregister prepares a shutdown: it releases the gateway's lease and makes Where direct
+// clients to other gateways. Requests that still arrive are served. Calls after the first
+// have no effect.
 func (g *Gateway) Deregister(ctx context.Context) {
 	if g.deregistered.Swap(true) {
 		return
@@ -128,8 +135,9 @@
 	g.agent.ReleaseLease(ctx)
 }
 
-// Close closes the network and waits for the goroutines of Start. Requests in flight
-// are not affected.
+// Close stops the goroutines that Start started, closes the network and waits for the
+// goroutines to end. It must be called only after Start. It does not interrupt client
+// requests in flight.
 func (g *Gateway) Close() error {
 	g.cancel()
 	err := g.options.Network.Close()
--- a/httpgateway/headers.go
+++ b/httpgateway/headers.go
@@ -10,26 +10,27 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Headers are the names of the headers that clients, gateways and replicas exchange
-// about a request. Those that HTTP defines, Last-Event-Id and Retry-After, have fixed
-// names.
+// Headers holds the names of the HTTP headers in which clients, gateways and replicas
+// exchange properties of a request. The standard headers Last-Event-Id and Retry-After
+// have fixed names and are not included.
 type Headers struct {
-	// RequestID identifies a request. A replica echoes it in its response.
+	// RequestID identifies a request. The replica echoes it in its response.
 	RequestID string
 	// Deadline is how long the sender waits for the response, in milliseconds.
 	Deadline string
-	// Replica identifies the replica that an attempt is for. Another one that has its
-	// address responds with 421 Misdirected Request.
+	// Replica is the ID of the replica to which an attempt is sent. If another replica
+	// has taken over its address, that one responds with 421 Misdirected Request.
 	Replica string
-	// Priority ranks a request at its replica, from 0, the most urgent, to 9.
+	// Priority is the priority of a request at its replica, from 0 (most urgent) to 9.
 	Priority string
 	// PromptPrefix lists the parts of the prompt in order, each as "id:tokens",
-	// separated by commas. The last part belongs to this request only.
+	// separated by commas. If there are several, the last part is unique to the request
+	// and the others form the prefix that it may share with other requests.
 	PromptPrefix string
-	// TokenUsage has the number of tokens of the prompt and of the response, as in
-	// "1460,80".
+	// TokenUsage holds the numbers of tokens of the prompt and of the response,
+	// separated by a comma, as in "1460,80".
 	TokenUsage string
-	// NotExecuted is set when a replica rejects a request that it has not run.
+	// NotExecuted is present in the response of a replica that has not run the request.
 	NotExecuted string
 }
 
@@ -52,30 +53,31 @@
 	contentTypeEvents = "text/event-stream"
 )
 
-// hopByHopHeaders concern one connection only and are not forwarded. Content-Length is
-// among them because it is set anew for each connection.
+// hopByHopHeaders apply to a single connection and are not forwarded. Content-Length is
+// included because it is set again for each connection.
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEndHeaders returns a copy of the headers that are forwarded: all but the
-// hop-by-hop headers and those that the Connection header lists.
+// endToEndHeaders returns a copy of the headers without those that must not be forwarded:
+// the hop-by-hop headers and those that the Connection header lists.
 func endToEndHeaders(header http.Header) http.Header {
-	copied := header.Clone()
+	forwarded := header.Clone()
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
-			copied.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		copied.Del(name)
+		forwarded.Del(name)
 	}
-	return copied
+	return forwarded
 }
 
-// timeout returns how long the client waits, 0 if it does not say.
-func (h *Headers) timeout(header http.Header) time.Duration {
+// clientTimeout returns how long the client waits for the response, or 0 if the deadline header
+// is missing or invalid.
+func (h *Headers) clientTimeout(header http.Header) time.Duration {
 	milliseconds, err := strconv.ParseFloat(header.Get(h.Deadline), 64)
 	if err != nil || milliseconds <= 0 {
 		return 0
@@ -83,10 +85,10 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// prompt returns the chain of shared prefixes of a prompt and the size of the whole
-// prompt in tokens. The last of several parts belongs to this request only and is not
-// part of the chain. Parts that cannot be parsed are skipped.
-func (h *Headers) prompt(header http.Header) (chain []placement.Link, promptTokens float64) {
+// parsePrompt returns the chain of prefixes that the parsePrompt may share with other requests, and
+// the size of the whole parsePrompt in tokens. The last of several parts is unique to the
+// request and is not in the chain. Parts that cannot be parsed are skipped.
+func (h *Headers) parsePrompt(header http.Header) (chain []placement.Link, promptTokens float64) {
 	var parts []api.Prefix
 	total := 0
 	for part := range strings.SplitSeq(header.Get(h.PromptPrefix), ",") {
--- a/httpgateway/load_exchange.go
+++ b/httpgateway/load_exchange.go
@@ -8,7 +8,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// newLoadExchange returns the Proxy's part in the exchange of loads between gateways.
+// newLoadExchange returns the node through which the Proxy exchanges replica loads with
+// the other gateways.
 func (p *Proxy) newLoadExchange() *loadexchange.Node {
 	network := p.options.Network
 	return loadexchange.NewNode(loadexchange.Config{
@@ -25,7 +26,8 @@
 	})
 }
 
-// gatewaysUp returns the gateways that take part in the exchange, by name.
+// gatewaysUp returns the gateways that are up, by name. These take part in the exchange
+// of loads.
 func gatewaysUp(state *catalog.State) map[string]loadexchange.Gateway {
 	up := make(map[string]loadexchange.Gateway)
 	for name, gateway := range state.Gateways() {
@@ -36,7 +38,7 @@
 	return up
 }
 
-// handleReport handles a load report from another gateway. There is no reply.
+// handleReport handles a load report from another gateway. It sends no reply.
 func (p *Proxy) handleReport(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var report peer.ReplicaLoads
 	if err := decode(&report); err != nil {
@@ -46,7 +48,7 @@
 	return nil, nil
 }
 
-// handleDigest handles a digest from another gateway. There is no reply.
+// handleDigest handles a load digest from another gateway. It sends no reply.
 func (p *Proxy) handleDigest(_ context.Context, _ string, decode func(any) error) (any, error) {
 	var digest peer.LoadDigest
 	if err := decode(&digest); err != nil {
--- a/httpgateway/metrics.go
+++ b/httpgateway/metrics.go
@@ -8,13 +8,14 @@
 	"github.com/deckpulley/deckpulley/loadexchange"
 )
 
-// metricsNamespace is the prefix of the names of all metrics.
+// metricsNamespace is the prefix of all metric names of this package.
 const metricsNamespace = "deckpulley_http"
 
-// codeServed is the code label of requests whose response was relayed.
+// codeServed is the value of the label code for requests whose complete response was
+// relayed. For other requests the label is their dispatch.Code.
 const codeServed = "served"
 
-// metricsSource provides the values of a collector.
+// metricsSource provides the values that a collector exports. Proxy implements it.
 type metricsSource interface {
 	Counts() dispatch.Counts
 	Replicas() []api.HTTPReplicaStatus
@@ -42,7 +43,7 @@
 		source:   source,
 		requests: describe("requests_total", "Requests answered: served, or why not.", "code"),
 		attempts: describe("attempts_total", "Attempts at replicas, retries included."),
-		failures: describe("attempt_failures_total", "Attempts without a whole answer, by failure.", "failure"),
+		failures: describe("attempt_failures_total", "Attempts without a complete response, by failure.", "failure"),
 		retries:  describe("retries_total", "Attempts after a first one that reached a replica."),
 		resumed:  describe("resumed_total", "Streams that went on at another replica."),
 		replicas: describe("replicas", "Replicas by service and state.", "service", "state"),
@@ -51,6 +52,7 @@
 	}
 }
 
+// descriptions returns the descriptions of all metrics of the collector.
 func (c *collector) descriptions() []*prometheus.Desc {
 	own := []*prometheus.Desc{c.requests, c.attempts, c.failures, c.retries, c.resumed, c.replicas, c.running}
 	return append(own, c.exchange.all()...)
@@ -83,6 +85,8 @@
 	c.exchange.collect(c.source.LoadExchangeStatus(), metrics)
 }
 
+// collectReplicas sends the number of replicas by service and state, and the number of
+// running requests by service.
 func (c *collector) collectReplicas(metrics chan<- prometheus.Metric) {
 	type group struct {
 		service string
--- a/httpgateway/metrics_test.go
+++ b/httpgateway/metrics_test.go
@@ -38,8 +38,8 @@
 	return loadexchange.Status{Aggregator: "gateway-1", SinceLastContact: 200 * time.Millisecond}
 }
 
-// TestCollector checks that the collector describes all its metrics and that
-// docs/METRICS.md lists them.
+// TestCollector checks that the collector describes each metric that it exports and that
+// docs/METRICS.md lists them all.
 func TestCollector(t *testing.T) {
 	collector := newCollector(fixedMetrics{})
 	metricspage.Compare(t, "../docs/METRICS.md", "deckpulley_http_", collector)
@@ -50,11 +50,11 @@
 		t.Fatal(err)
 	}
 	if len(families) != len(collector.descriptions()) {
-		t.Errorf("%d families gathered, %d described", len(families), len(collector.descriptions()))
+		t.Errorf("gathered %d metric families, but %d are described", len(families), len(collector.descriptions()))
 	}
 	for _, family := range families {
 		if family.GetName() == "deckpulley_http_replicas" && len(family.GetMetric()) != 2 {
-			t.Errorf("%d states of replicas, want 2", len(family.GetMetric()))
+			t.Errorf("replicas counted in %d states, want 2", len(family.GetMetric()))
 		}
 	}
 }
--- a/httpgateway/proxy.go
+++ b/httpgateway/proxy.go
@@ -19,27 +19,27 @@
 
 // ProxyOptions configure a Proxy. Info and Network are required.
 type ProxyOptions struct {
-	// Info has the name and the location of the gateway.
+	// Info describes the gateway. The Proxy uses its name, zone and region.
 	Info peer.GatewayInfo
 	// Network carries the load reports between gateways. The proxy neither starts
 	// nor closes it.
 	Network transport.Network
-	// Headers are the names of the headers of requests. Default DefaultHeaders.
+	// Headers names the headers of requests. The zero value selects DefaultHeaders.
 	Headers Headers
-	// Bounds limit all gateways together. A zero field stands for its default.
+	// Bounds are limits on all gateways together. A zero field selects its default.
 	Bounds dispatch.Bounds
 	// Logger defaults to slog.Default.
 	Logger *slog.Logger
 }
 
-// Proxy is an http.Handler that forwards requests to replicas by the registry's route
-// map, which it receives through Update. It is safe for concurrent use.
+// Proxy is an http.Handler that forwards requests to replicas according to the routes of
+// the registry, whose state it receives through Update. It is safe for concurrent use.
 type Proxy struct {
 	options      ProxyOptions
 	dispatcher   *dispatch.Dispatcher
 	backend      *backend
 	loadExchange *loadexchange.Node
-	// state is the newest state of the registry; nil before the first Update.
+	// state is the state of the registry from the last Update; nil before the first.
 	state atomic.Pointer[catalog.State]
 }
 
@@ -67,33 +67,33 @@
 	return p
 }
 
-// Update makes a state of the registry the one by which requests are forwarded.
+// Update sets the state of the registry that is used to forward requests from now on.
 func (p *Proxy) Update(state *catalog.State) {
 	p.state.Store(state)
 	p.dispatcher.Update(state)
 	p.loadExchange.SetGateways(gatewaysUp(state))
 }
 
-// Run exchanges loads with other gateways and closes expired idle connections until ctx
-// ends.
+// Run exchanges loads with the other gateways and closes expired idle connections. It
+// returns after ctx has ended.
 func (p *Proxy) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	workers.Go(func() { p.loadExchange.Run(ctx) })
-	workers.Go(func() { p.backend.reap(ctx) })
+	workers.Go(func() { p.backend.closeExpiredConnections(ctx) })
 	workers.Wait()
 }
 
-// Ready reports whether a configuration is known.
+// Ready reports whether the Proxy has received a configuration.
 func (p *Proxy) Ready() bool { return p.dispatcher.Ready() }
 
-// Counts returns the totals of requests and attempts since the start.
+// Counts returns the numbers of requests and attempts since the Proxy was created.
 func (p *Proxy) Counts() dispatch.Counts { return p.dispatcher.Counts() }
 
-// LoadExchangeStatus returns the gateway's part in the exchange of loads.
+// LoadExchangeStatus returns the status of the exchange of loads with other gateways.
 func (p *Proxy) LoadExchangeStatus() loadexchange.Status { return p.loadExchange.Status() }
 
-// Replicas returns the status of each replica as this gateway sees it.
+// Replicas returns the status of each replica from this gateway's point of view.
 func (p *Proxy) Replicas() []api.HTTPReplicaStatus { return p.dispatcher.Replicas() }
 
-// Collector returns a collector of the Proxy's metrics.
+// Collector returns a Prometheus collector of the Proxy's metrics.
 func (p *Proxy) Collector() prometheus.Collector { return newCollector(p) }
--- a/httpgateway/response.go
+++ b/httpgateway/response.go
@@ -14,8 +14,8 @@
 	controller *http.ResponseController
 }
 
-// WriteHead implements dispatch.ResponseWriter. The Content-Length of the replica is
-// kept, as the body is forwarded unchanged.
+// WriteHead implements dispatch.ResponseWriter. It forwards the replica's Content-Length,
+// although endToEndHeaders removes it, because the body is forwarded unchanged.
 func (w *responseWriter) WriteHead(status int, header http.Header) {
 	target := w.writer.Header()
 	for name, values := range endToEndHeaders(header) {
@@ -25,7 +25,7 @@
 		target.Set("Content-Length", length)
 	}
 	if _, set := target["Content-Type"]; !set {
-		target["Content-Type"] = nil // keeps net/http from guessing one
+		target["Content-Type"] = nil // stops net/http from guessing it from the body
 	}
 	w.writer.WriteHeader(status)
 }
@@ -33,13 +33,13 @@
 // Write implements dispatch.ResponseWriter.
 func (w *responseWriter) Write(part []byte) (int, error) { return w.writer.Write(part) }
 
-// Flush implements dispatch.ResponseWriter. Its error is dropped: the request's context
-// ends when the client closes its connection.
+// Flush implements dispatch.ResponseWriter. It ignores errors, because the request's
+// context ends when the client closes its connection.
 func (w *responseWriter) Flush() { _ = w.controller.Flush() }
 
 // writeError responds to a request that was not served. If a part of a response was
-// sent already, it aborts the connection, so that the client sees that the response is
-// truncated.
+// already sent or the client has gone, it aborts the connection instead, so that a client
+// can detect that the response is truncated.
 func (p *Proxy) writeError(w http.ResponseWriter, id string, requestErr *dispatch.RequestError) {
 	if requestErr.ResponseStarted || requestErr.Code == dispatch.CodeClientClosed {
 		panic(http.ErrAbortHandler)
@@ -53,8 +53,8 @@
 	WriteProblem(w, statusOf(requestErr.Code), requestProblem(string(requestErr.Code)))
 }
 
-// statusOf returns the HTTP status for a code. Only a request that has not run and may
-// be retried gets 503.
+// statusOf returns the HTTP status for a code. The status 503 is reserved for requests
+// that have not run and may be retried.
 func statusOf(code dispatch.Code) int {
 	switch code {
 	case dispatch.CodeNoRoute:
@@ -68,13 +68,16 @@
 	}
 }
 
-// Problem is the body of a response that the gateway itself makes.
+// Problem is the JSON body of a response that the gateway itself generates, rather than a
+// replica.
 type Problem struct {
-	// Field names what the problem is with.
-	Field  string `json:"field"`
+	// Field names the part of the request that has the problem.
+	Field string `json:"field"`
+	// Reason is a code or an error text.
 	Reason string `json:"reason"`
 }
 
+// requestProblem returns a Problem with the request as a whole.
 func requestProblem(reason string) Problem { return Problem{Field: "request", Reason: reason} }
 
 // WriteProblem responds with an HTTP status and a Problem as JSON.
--- a/httpgateway/server.go
+++ b/httpgateway/server.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxHeaderBytes and maxBodyBytes bound the head and the body of a request. The
-	// configuration may set lower limits.
+	// maxHeaderBytes and maxBodyBytes are the maximum sizes of the header and of the body
+	// of a request. The configuration may set lower limits.
 	maxHeaderBytes = 256 << 10
 	maxBodyBytes   = 16 << 20
-	// HeaderTimeout bounds reading the head of a request, and IdleTimeout the time for
-	// which a client's connection may stay open without a request.
+	// HeaderTimeout is the maximum time to read the header of a request.
 	HeaderTimeout = 15 * time.Second
-	IdleTimeout   = 2 * time.Minute
+	// IdleTimeout is how long a client's connection may stay open between two requests.
+	IdleTimeout = 2 * time.Minute
 )
 
-// Server returns a server for clients, ready to serve a listener.
+// Server returns an HTTP server for clients; the caller passes it a listener to serve.
 func (p *Proxy) Server() *http.Server {
 	return &http.Server{
 		Handler:           p,
@@ -31,7 +31,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler: it proxies one request to a replica.
+// ServeHTTP implements http.Handler: it forwards a request to a replica and relays the
+// response.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	request, readErr := p.readRequest(w, r, arrived)
@@ -45,9 +46,9 @@
 	}
 }
 
-// readError is the error of a request that could not be read.
+// readError reports that a request could not be read.
 type readError struct {
-	// status is the HTTP status of the response.
+	// status is the HTTP status to respond with.
 	status int
 	err    error
 }
@@ -56,7 +57,8 @@
 
 func (e *readError) Unwrap() error { return e.err }
 
-// readRequest reads a request with its whole body.
+// readRequest reads a request with its complete body, so that the body can be sent again
+// in a retry.
 func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request, arrived time.Time) (*dispatch.Request, *readError) {
 	headerLimit, bodyLimit := p.limits()
 	if headerSize(r) > headerLimit {
@@ -68,7 +70,7 @@
 		return nil, &readError{status: readErrorStatus(err), err: err}
 	}
 	headers := p.options.Headers
-	chain, tokens := headers.prompt(r.Header)
+	chain, tokens := headers.parsePrompt(r.Header)
 	return &dispatch.Request{
 		ID:            r.Header.Get(headers.RequestID),
 		Method:        r.Method,
@@ -77,14 +79,14 @@
 		Target:        r.RequestURI,
 		Header:        endToEndHeaders(r.Header),
 		Body:          body,
-		ClientTimeout: headers.timeout(r.Header),
+		ClientTimeout: headers.clientTimeout(r.Header),
 		Arrived:       arrived,
 		PrefixChain:   chain,
 		PromptTokens:  tokens,
 	}, nil
 }
 
-// readErrorStatus returns the HTTP status for an error of reading a body.
+// readErrorStatus returns the HTTP status for an error in reading the body of a request.
 func readErrorStatus(err error) int {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -93,7 +95,8 @@
 	return http.StatusBadRequest
 }
 
-// limits returns the lower of the configuration's limits and the Proxy's own, in bytes.
+// limits returns the maximum sizes of the header and the body of a request in bytes: the
+// lower of the configured limits and of maxHeaderBytes and maxBodyBytes.
 func (p *Proxy) limits() (header int, body int64) {
 	header, body = maxHeaderBytes, maxBodyBytes
 	state := p.state.Load()
@@ -110,7 +113,8 @@
 	return header, body
 }
 
-// headerSize returns the size of a request's head in bytes, without its separators.
+// headerSize returns the size in bytes of a request's method, target, host and header
+// fields, without separators.
 func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/httpgateway/server_test.go
+++ b/httpgateway/server_test.go
@@ -8,28 +8,28 @@
 	"github.com/deckpulley/deckpulley/dispatch"
 )
 
-// TestPromptChainExcludesLastPart checks that the part of the prompt that belongs to
-// the request only is counted, but is not among the shared prefixes.
+// TestPromptChainExcludesLastPart checks that the last part of a prompt, which is unique
+// to the request, counts towards the prompt's size but is not in the chain of prefixes.
 func TestPromptChainExcludesLastPart(t *testing.T) {
 	headers := DefaultHeaders()
 	header := http.Header{}
 	header.Set(headers.PromptPrefix, "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
 	header.Set(headers.TokenUsage, "1460,80")
-	chain, tokens := headers.prompt(header)
+	chain, tokens := headers.parsePrompt(header)
 	if tokens != 1460 || len(chain) != 2 || chain[1].Tokens != 1210 {
-		t.Errorf("got %v, %v", chain, tokens)
+		t.Errorf("got chain %v and %v tokens, want 2 links of which the last ends at 1210, and 1460 tokens", chain, tokens)
 	}
-	if chain, tokens := headers.prompt(http.Header{}); chain != nil || tokens != 0 {
-		t.Errorf("without a prompt: %v, %v", chain, tokens)
+	if chain, tokens := headers.parsePrompt(http.Header{}); chain != nil || tokens != 0 {
+		t.Errorf("without prompt headers: got chain %v and %v tokens, want none", chain, tokens)
 	}
 	header.Set(headers.PromptPrefix, "nonsense,:,a:-1,b:x")
-	if chain, _ := headers.prompt(header); len(chain) != 0 {
-		t.Errorf("from nonsense: %v", chain)
+	if chain, _ := headers.parsePrompt(header); len(chain) != 0 {
+		t.Errorf("malformed header: got chain %v, want none", chain)
 	}
 }
 
-// TestHopByHopHeadersAreNotForwarded checks the listed headers and one that the
-// Connection header names.
+// TestHopByHopHeadersAreNotForwarded checks that the headers in hopByHopHeaders and one
+// that the Connection header lists are removed.
 func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	header := http.Header{}
 	for _, name := range append([]string{"X-Hop", "X-Kept"}, hopByHopHeaders...) {
@@ -38,10 +38,10 @@
 	header.Set("Connection", "close, x-hop")
 	forwarded := endToEndHeaders(header)
 	if len(forwarded) != 1 || forwarded.Get("X-Kept") != "v" {
-		t.Errorf("forwarded: %v", forwarded)
+		t.Errorf("forwarded headers %v, want only X-Kept", forwarded)
 	}
 	if header.Get("X-Hop") != "v" {
-		t.Error("the client's own headers were changed")
+		t.Error("endToEndHeaders modified its argument")
 	}
 }
 
@@ -62,7 +62,7 @@
 		"rejection of another request": {503, "other", true, dispatch.FailureIndeterminate},
 		"success without an id":        {200, "", false, dispatch.FailureIndeterminate},
 		"rejected":                     {503, "id", true, dispatch.FailureRejected},
-		"503 that was executed":        {503, "id", false, ""},
+		"503 after execution":          {503, "id", false, ""},
 		"replaced replica":             {421, "id", false, dispatch.FailureReplaced},
 		"replaced replica, response of another request": {421, "other", false, dispatch.FailureIndeterminate},
 		"bad request, not executed":                     {400, "", true, ""},
@@ -83,7 +83,7 @@
 				got = failure.Reason
 			}
 			if got != test.want {
-				t.Errorf("got %q (%v), want %q", got, err, test.want)
+				t.Errorf("got reason %q (error %v), want %q", got, err, test.want)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 	}
 	for code, status := range want {
 		if got := statusOf(code); got != status {
-			t.Errorf("%s: %d, want %d", code, got, status)
+			t.Errorf("status of code %s: got %d, want %d", code, got, status)
 		}
 	}
 }
