--- a/upstream/config.go
+++ b/upstream/config.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
 	DefaultDialTimeout           = 300 * time.Millisecond
 	DefaultUnacknowledgedTimeout = 1500 * time.Millisecond
 	DefaultIdleTimeout           = 4 * time.Second
 )
 
-// Config configures a Pool. Each zero field stands for its default.
+// Config configures a Pool. A zero timeout selects its default.
 type Config struct {
-	// DialTimeout bounds the time to establish a connection.
+	// DialTimeout is the maximum time to establish a connection.
 	DialTimeout time.Duration
-	// UnacknowledgedTimeout is how long sent bytes may stay unacknowledged before
-	// the kernel closes the connection.
+	// UnacknowledgedTimeout is how long sent data may remain unacknowledged before
+	// the kernel closes the connection (TCP_USER_TIMEOUT).
 	UnacknowledgedTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept if its replica announces
-	// no timeout in a Keep-Alive header.
+	// IdleTimeout is how long an idle connection stays in the pool if its replica
+	// announces no timeout in a Keep-Alive header.
 	IdleTimeout time.Duration
 	// OnConnect, if set, is called for each new connection with the time that it
-	// took to establish. It must not block.
+	// took to establish the connection. It must not block.
 	OnConnect func(address string, took time.Duration)
-	// Dial replaces the dialing of TCP, for tests.
+	// Dial, if set, replaces the TCP dialer. It is meant for tests.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
+// setDefault sets a field that is zero to value.
 func setDefault(field *time.Duration, value time.Duration) {
 	if *field == 0 {
 		*field = value
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -17,29 +17,29 @@
 const (
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
-	// maxInlineBytes is the size of the largest request that is written before the
-	// response is awaited. A larger one is written concurrently, since a replica may
-	// respond before it has read the whole request.
+	// maxInlineBytes is the size of the largest request that is written completely
+	// before its response is read. A larger request is written while the response is
+	// read, since a replica may respond before it has read the whole request.
 	maxInlineBytes = 32 << 10
 	// announcedTimeoutFraction is the fraction of the idle timeout announced by a
-	// replica for which a connection is used again: the replica may close it at the
-	// announced time, while a request is on its way.
+	// replica after which an idle connection is no longer reused. The margin avoids
+	// that the replica closes the connection while a request is on its way.
 	announcedTimeoutFraction = 0.6
 )
 
-// connection is one TCP connection with at most one request in flight.
+// connection is a TCP connection that carries at most one request at a time.
 type connection struct {
 	pool         *Pool
 	address      string
 	raw          net.Conn
 	reader       *bufio.Reader
-	idleDeadline time.Time // when an idle connection must not be used any more
+	idleDeadline time.Time // end of the time for which an idle connection may be reused
 
-	// The fields below belong to the request in flight.
+	// The fields below belong to the current request.
 
-	finished    sync.Once     // release or discard
-	stopContext func() bool   // unregisters from the request's context; false if that has ended
-	written     chan struct{} // closed once the request was written or writing failed
+	finished    sync.Once     // makes sure that release or discard runs once
+	stopContext func() bool   // stops watching the request's context; false if it has ended
+	written     chan struct{} // closed when the request was written or writing it failed
 	writeErr    error         // set before written is closed
 }
 
@@ -49,8 +49,8 @@
 	return c
 }
 
-// receiveRecorder reads from a connection and records in its pool when bytes were
-// received.
+// receiveRecorder is an io.Reader that reads from a connection and records in the pool
+// when it received bytes.
 type receiveRecorder struct{ conn *connection }
 
 func (r receiveRecorder) Read(buffer []byte) (int, error) {
@@ -61,9 +61,9 @@
 	return count, err
 }
 
-// roundTrip writes a request and reads the header of its response. The body of the
-// response releases the connection when it was read to its end, and discards it
-// otherwise.
+// roundTrip writes a request and reads the header of its response. When the body of the
+// response has been read to its end, the connection is released if it is reusable. It is
+// discarded if reading fails or the body is closed before its end.
 func (c *connection) roundTrip(ctx context.Context, request *http.Request, body []byte) (*http.Response, error) {
 	c.finished = sync.Once{}
 	c.stopContext = context.AfterFunc(ctx, func() { _ = c.raw.Close() })
@@ -74,13 +74,13 @@
 	if err != nil {
 		return nil, withContextError(ctx, err)
 	}
-	idleTimeout, reusable := reuse(response, c.pool.config.IdleTimeout)
+	idleTimeout, reusable := reusePolicy(response, c.pool.config.IdleTimeout)
 	response.Body = &responseBody{conn: c, ctx: ctx, inner: response.Body, idleTimeout: idleTimeout, reusable: reusable}
 	return response, nil
 }
 
-// withContextError adds the context's error if the context has ended, since that
-// closes the connection and so causes the other error.
+// withContextError joins err with the context's error if the context has ended. The end
+// of the context closes the connection, which is then the cause of err.
 func withContextError(ctx context.Context, err error) error {
 	if contextErr := ctx.Err(); contextErr != nil {
 		return errors.Join(contextErr, err)
@@ -88,8 +88,9 @@
 	return err
 }
 
-// write sends the request. It returns before a large one is written; the writing
-// ends with the connection at the latest, and written tells when.
+// write sends the request. A request of more than maxInlineBytes is written by another
+// goroutine after write has returned. That goroutine closes written when it ends, at the
+// latest when the connection is closed.
 func (c *connection) write(request *http.Request, body []byte) error {
 	var message bytes.Buffer
 	outgoing := request.Clone(request.Context())
@@ -114,7 +115,8 @@
 	return nil
 }
 
-// readHeader reads the header of the final response and skips informational ones.
+// readHeader reads the header of the final response and skips informational (1xx)
+// responses.
 func (c *connection) readHeader(request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, request)
@@ -127,7 +129,7 @@
 	}
 }
 
-// requestWritten reports whether the whole request was written.
+// requestWritten reports whether the whole request has been written without an error.
 func (c *connection) requestWritten() bool {
 	select {
 	case <-c.written:
@@ -137,9 +139,9 @@
 	}
 }
 
-// release ends the request. The connection becomes idle if the request's context
-// has not ended, the whole request was written and no bytes follow the response;
-// otherwise it is closed.
+// release ends the request. It returns the connection to the pool as idle if the
+// request's context has not ended, the whole request was written and no bytes follow the
+// response. Otherwise it closes the connection.
 func (c *connection) release(idleTimeout time.Duration) {
 	c.finished.Do(func() {
 		if c.stopContext() && c.requestWritten() && c.reader.Buffered() == 0 {
@@ -158,9 +160,9 @@
 	})
 }
 
-// reuse returns how long a connection may be idle after a response, and whether it
-// may be used again at all.
-func reuse(response *http.Response, defaultTimeout time.Duration) (idleTimeout time.Duration, reusable bool) {
+// reusePolicy reports whether a connection may be reused after a response, and for how long
+// it may be idle until then.
+func reusePolicy(response *http.Response, defaultTimeout time.Duration) (idleTimeout time.Duration, reusable bool) {
 	if response.Close || response.StatusCode == http.StatusSwitchingProtocols {
 		return 0, false
 	}
@@ -172,8 +174,8 @@
 	return idleTimeout, idleTimeout > 0
 }
 
-// announcedTimeout returns the timeout parameter of a Keep-Alive header, and whether
-// there is a valid one.
+// announcedTimeout returns the value of the timeout parameter of a Keep-Alive header, and
+// whether the header has a valid one.
 func announcedTimeout(header string) (time.Duration, bool) {
 	for parameter := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -188,17 +190,18 @@
 	return 0, false
 }
 
-// responseBody is the body of a response. It gives the connection back to the pool
-// at its end.
+// responseBody is the body of a response. It returns the connection to the pool when it
+// has been read to its end.
 type responseBody struct {
 	conn        *connection
-	ctx         context.Context //nolint:containedctx // of the request: Read of an io.Reader takes none
+	ctx         context.Context //nolint:containedctx // the request's context, which io.Reader cannot pass to Read
 	inner       io.ReadCloser
 	idleTimeout time.Duration
 	reusable    bool
 }
 
-// Read reads the body. An error other than io.EOF closes the connection.
+// Read implements io.Reader. At the end of the body it releases the connection if that
+// is reusable. Any other error closes the connection.
 func (b *responseBody) Read(buffer []byte) (int, error) {
 	count, err := b.inner.Read(buffer)
 	switch {
@@ -214,7 +217,8 @@
 	return count, err
 }
 
-// Close closes the connection if the body was not read to its end.
+// Close implements io.Closer. It closes the connection if the body was not read to its
+// end.
 func (b *responseBody) Close() error {
 	b.conn.discard()
 	return nil
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,6 +1,7 @@
-// Package upstream keeps HTTP/1.1 connections to replicas and sends one request at
-// a time on each of them. Unlike a general HTTP client it never sends a request
-// twice, and its errors say whether the replica may have received any of it.
+// Package upstream maintains a pool of HTTP/1.1 connections to replicas and sends one
+// request at a time on each of them. Unlike a general-purpose HTTP client, it never
+// retries a request, and its errors report whether the replica may have received a part
+// of the request.
 package upstream
 
 import (
@@ -14,43 +15,45 @@
 	"github.com/deckpulley/deckpulley/internal/sockets"
 )
 
-// Keep-alive probes of a connection on which nothing is sent.
+// Parameters of the TCP keep-alive probes on connections without traffic.
 const (
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// Pool holds the connections of one process. It is safe for concurrent use.
+// Pool is a pool of connections, grouped by the address of the replica. It is safe for
+// concurrent use.
 type Pool struct {
-	config Config
-	mutex  sync.Mutex
-	peers  map[string]*peer // by address
+	config    Config
+	mutex     sync.Mutex
+	addresses map[string]*addressState // by address
 }
 
-// peer is the state of one address. Pool.mutex guards it.
-type peer struct {
-	idle         []*connection // the most recently used last
-	open         int           // connections in use and idle
+// addressState is the pool's state for one address. Pool.mutex guards it.
+type addressState struct {
+	idle         []*connection // in the order of their last use, the most recent last
+	open         int           // number of connections, in use and idle
 	lastReceived time.Time
 }
 
-// NewPool returns an empty pool.
+// NewPool returns a pool without connections.
 func NewPool(config Config) *Pool {
 	setDefault(&config.DialTimeout, DefaultDialTimeout)
 	setDefault(&config.UnacknowledgedTimeout, DefaultUnacknowledgedTimeout)
 	setDefault(&config.IdleTimeout, DefaultIdleTimeout)
-	pool := &Pool{config: config, peers: make(map[string]*peer)}
+	pool := &Pool{config: config, addresses: make(map[string]*addressState)}
 	if pool.config.Dial == nil {
 		pool.config.Dial = pool.dialTCP
 	}
 	return pool
 }
 
-// Do sends one request to an address and returns once the header of the response
-// was read. The request must have no body; the given one is sent with its length.
-// The error is a *RequestError. The end of ctx aborts the request, also while the
-// body of the response is read.
+// Do sends a request to an address and returns when it has read the header of the
+// response. The request must have no body of its own: the parameter body is sent, with
+// its Content-Length. The error is always a *RequestError. If ctx ends, the request is
+// aborted, even while the caller reads the body of the response. The caller must close
+// the response's body.
 func (p *Pool) Do(ctx context.Context, address string, request *http.Request, body []byte) (*http.Response, error) {
 	conn, err := p.acquire(ctx, address)
 	if err != nil {
@@ -64,69 +67,70 @@
 	return response, nil
 }
 
-// LastReceived returns when bytes were last received from an address; the zero
-// time if the pool knows of none. It is dropped when CloseIdleConnections or
-// CloseExpired leaves the address without connections.
+// LastReceived returns when bytes were last received from an address, or the zero time
+// if that is not known. The time is discarded when CloseIdleConnections or CloseExpired
+// leaves the address without connections.
 func (p *Pool) LastReceived(address string) time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if known, found := p.peers[address]; found {
-		return known.lastReceived
+	if state, found := p.addresses[address]; found {
+		return state.lastReceived
 	}
 	return time.Time{}
 }
 
-// HasIdleConnection reports whether there is an idle connection to an address that
-// can be used.
+// HasIdleConnection reports whether the pool has an idle connection to an address that
+// has not expired.
 func (p *Pool) HasIdleConnection(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known, found := p.peers[address]
-	return found && len(known.idle) > 0 && time.Now().Before(known.idle[len(known.idle)-1].idleDeadline)
+	state, found := p.addresses[address]
+	return found && len(state.idle) > 0 && time.Now().Before(state.idle[len(state.idle)-1].idleDeadline)
 }
 
 // CloseIdleConnections closes the idle connections to an address.
 func (p *Pool) CloseIdleConnections(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known, found := p.peers[address]
+	state, found := p.addresses[address]
 	if !found {
 		return
 	}
-	for _, idle := range known.idle {
+	for _, idle := range state.idle {
 		p.closeLocked(idle)
 	}
-	known.idle = nil
-	p.removeUnusedLocked(address, known)
+	state.idle = nil
+	p.removeUnusedLocked(address, state)
 }
 
-// CloseExpired closes the connections whose idle timeout is over at now.
+// CloseExpired closes the idle connections whose idle timeout has passed at the time now.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for address, known := range p.peers {
-		kept := known.idle[:0]
-		for _, idle := range known.idle {
+	for address, state := range p.addresses {
+		kept := state.idle[:0]
+		for _, idle := range state.idle {
 			if now.Before(idle.idleDeadline) {
 				kept = append(kept, idle)
 				continue
 			}
 			p.closeLocked(idle)
 		}
-		known.idle = kept
-		p.removeUnusedLocked(address, known)
+		state.idle = kept
+		p.removeUnusedLocked(address, state)
 	}
 }
 
-// removeUnusedLocked drops the state of an address without connections.
-func (p *Pool) removeUnusedLocked(address string, known *peer) {
-	if known.open == 0 {
-		delete(p.peers, address)
+// removeUnusedLocked removes the state of an address if it has no connections. The caller
+// holds the mutex.
+func (p *Pool) removeUnusedLocked(address string, state *addressState) {
+	if state.open == 0 {
+		delete(p.addresses, address)
 	}
 }
 
-// acquire returns the most recently used idle connection that is still intact, or
-// a new one.
+// acquire returns the most recently used idle connection that is still open and has no
+// unread bytes, or else a new connection.
 func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
 		idle := p.takeIdle(address)
@@ -140,19 +144,19 @@
 	}
 }
 
-// takeIdle removes the most recently used idle connection that has not expired from
-// the pool and returns it; nil if there is none.
+// takeIdle removes the most recently used idle connection that has not expired from the
+// pool and returns it. It returns nil if there is none.
 func (p *Pool) takeIdle(address string) *connection {
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known, found := p.peers[address]
+	state, found := p.addresses[address]
 	if !found {
 		return nil
 	}
-	for len(known.idle) > 0 {
-		last := known.idle[len(known.idle)-1]
-		known.idle = known.idle[:len(known.idle)-1]
+	for len(state.idle) > 0 {
+		last := state.idle[len(state.idle)-1]
+		state.idle = state.idle[:len(state.idle)-1]
 		if now.Before(last.idleDeadline) {
 			return last
 		}
@@ -161,7 +165,7 @@
 	return nil
 }
 
-// connect establishes a connection and counts it as open.
+// connect establishes a connection and adds it to the open connections of its address.
 func (p *Pool) connect(ctx context.Context, address string) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.DialTimeout)
 	defer cancel()
@@ -175,17 +179,17 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known, found := p.peers[address]
+	state, found := p.addresses[address]
 	if !found {
-		known = &peer{}
-		p.peers[address] = known
+		state = &addressState{}
+		p.addresses[address] = state
 	}
-	known.open++
+	state.open++
 	return newConnection(p, address, raw), nil
 }
 
-// dialTCP connects with keep-alive probes and a bound on unacknowledged data, so
-// that the failure of a replica's host fails the connection.
+// dialTCP connects with keep-alive probes and a timeout for unacknowledged data, so that
+// the connection fails soon after the replica's host does.
 func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
@@ -198,27 +202,27 @@
 	return raw, nil
 }
 
-// recordReceived records that bytes were received from an address now.
+// recordReceived sets the time of the last received bytes of an address to now.
 func (p *Pool) recordReceived(address string) {
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if known, found := p.peers[address]; found {
-		known.lastReceived = now
+	if state, found := p.addresses[address]; found {
+		state.lastReceived = now
 	}
 }
 
-// putIdle makes a connection available to other requests for idleTimeout.
+// putIdle makes a connection available to later requests for the duration idleTimeout.
 func (p *Pool) putIdle(conn *connection, idleTimeout time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known, found := p.peers[conn.address]
+	state, found := p.addresses[conn.address]
 	if !found {
 		_ = conn.raw.Close()
 		return
 	}
 	conn.idleDeadline = time.Now().Add(idleTimeout)
-	known.idle = append(known.idle, conn)
+	state.idle = append(state.idle, conn)
 }
 
 // close closes a connection that is not idle.
@@ -228,9 +232,11 @@
 	p.closeLocked(conn)
 }
 
+// closeLocked closes a connection. The caller holds the mutex, and removes the connection
+// from the idle ones if it is among them.
 func (p *Pool) closeLocked(conn *connection) {
 	_ = conn.raw.Close()
-	if known, found := p.peers[conn.address]; found {
-		known.open--
+	if state, found := p.addresses[conn.address]; found {
+		state.open--
 	}
 }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -18,7 +18,7 @@
 // connectionHandler serves one connection of a test server.
 type connectionHandler func(conn net.Conn, reader *bufio.Reader)
 
-// listen starts a server that passes each connection to serve, and counts them.
+// listen starts a server that passes each connection to serve and counts the connections.
 func listen(t *testing.T, serve connectionHandler) (address string, connections *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 	return listener.Addr().String(), connections
 }
 
-// doAndClose sends a request without a body and closes the body of the response.
+// doAndClose sends a request without a body and closes the response's body unread.
 func doAndClose(ctx context.Context, pool *Pool, address string, request *http.Request) error {
 	response, err := pool.Do(ctx, address, request, nil)
 	if err == nil {
@@ -52,7 +52,7 @@
 	return err
 }
 
-// respondWith responds to each request on a connection with the text.
+// respondWith returns a handler that responds to each request with the text.
 func respondWith(text string) connectionHandler {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -77,7 +77,7 @@
 	return request
 }
 
-// fetch sends a request with a body and returns the body of the response.
+// fetch sends a request with a body and returns the complete body of the response.
 func fetch(t *testing.T, pool *Pool, address string) (string, error) {
 	t.Helper()
 	response, err := pool.Do(t.Context(), address, newRequest(t, http.MethodPost), []byte("body"))
@@ -89,6 +89,8 @@
 	return string(text), err
 }
 
+// TestConnectionsAreReused checks that a connection is reused unless the replica closes it,
+// announces that it will, or sends bytes after the response.
 func TestConnectionsAreReused(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 	tests := map[string]struct {
@@ -117,6 +119,9 @@
 	}
 }
 
+// TestUnsolicitedResponseEndsIdleConnection checks that a connection on which a second
+// response arrived is not used again: that response would be taken for the one to the
+// next request.
 func TestUnsolicitedResponseEndsIdleConnection(t *testing.T) {
 	written := make(chan struct{})
 	address, connections := listen(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -135,15 +140,15 @@
 	<-written
 	idle := pool.takeIdle(address)
 	if idle != nil && sockets.Quiet(idle.raw) && idle.reader.Buffered() == 0 {
-		t.Error("a connection with an unsolicited response counts as idle")
+		t.Error("a connection with an unsolicited response would be reused")
 	}
 	if connections.Load() != 1 {
-		t.Errorf("%d connections", connections.Load())
+		t.Errorf("%d connections, want 1", connections.Load())
 	}
 }
 
-// TestErrorsReportWhetherRequestWasSent: that requests run at most once depends on
-// it.
+// TestErrorsReportWhetherRequestWasSent checks the field Sent of errors. After such an
+// error, a request that must run at most once is retried only if the field is false.
 func TestErrorsReportWhetherRequestWasSent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,12 +171,14 @@
 			_, err := fetch(t, NewPool(Config{}), test.address)
 			var failure *RequestError
 			if !errors.As(err, &failure) || failure.Sent != test.sent {
-				t.Errorf("got %v, want sent %v", err, test.sent)
+				t.Errorf("got error %v, want a RequestError with Sent=%t", err, test.sent)
 			}
 		})
 	}
 }
 
+// TestRequestIsNeverSentTwice checks that a request is not retried if the replica closes a
+// reused connection without a response, as net/http does for GET.
 func TestRequestIsNeverSentTwice(t *testing.T) {
 	var requests atomic.Int32
 	address, connections := listen(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -193,19 +200,21 @@
 		err := doAndClose(t.Context(), pool, address, newRequest(t, method))
 		var failure *RequestError
 		if !errors.As(err, &failure) || !failure.Sent {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want a RequestError with Sent=true", err)
 		}
 	}
 	if requests.Load() != 2 || connections.Load() != 1 {
-		t.Errorf("%d requests on %d connections", requests.Load(), connections.Load())
+		t.Errorf("%d requests on %d connections, want 2 on 1", requests.Load(), connections.Load())
 	}
 }
 
+// TestTruncatedResponsesAreErrors checks that a response that the replica cuts off is never
+// reported as complete.
 func TestTruncatedResponsesAreErrors(t *testing.T) {
 	tests := map[string]string{
-		"shorter than its length": "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort",
-		"inside a chunk":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-		"without a last chunk":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+		"shorter than Content-Length": "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort",
+		"inside a chunk":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+		"without a last chunk":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
 	}
 	for name, text := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -214,12 +223,14 @@
 				_, _ = io.WriteString(conn, text)
 			})
 			if got, err := fetch(t, NewPool(Config{}), address); err == nil {
-				t.Errorf("%q passes as complete", got)
+				t.Errorf("truncated response %q was read without an error", got)
 			}
 		})
 	}
 }
 
+// TestContextCancellationAbortsRequest checks that canceling the context closes the
+// connection and ends the request.
 func TestContextCancellationAbortsRequest(t *testing.T) {
 	closed := make(chan struct{})
 	address, _ := listen(t, func(_ net.Conn, reader *bufio.Reader) {
@@ -231,13 +242,14 @@
 	time.AfterFunc(20*time.Millisecond, cancel)
 	err := doAndClose(ctx, NewPool(Config{}), address, newRequest(t, http.MethodPost))
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want context.Canceled", err)
 	}
 	<-closed
 }
 
-// TestEarlyResponseEndsConnection: after a response to an incomplete request the
-// replica still waits for the rest of the body, so the connection is not reused.
+// TestEarlyResponseEndsConnection checks that a connection is not reused if the replica
+// responds before it has read the whole request, since it still expects the rest of the
+// body.
 func TestEarlyResponseEndsConnection(t *testing.T) {
 	address, connections := listen(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
@@ -263,6 +275,8 @@
 	}
 }
 
+// TestCloseIdleConnections checks that CloseExpired closes only expired connections and
+// that CloseIdleConnections closes all idle ones.
 func TestCloseIdleConnections(t *testing.T) {
 	address, _ := listen(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	pool := NewPool(Config{IdleTimeout: time.Minute})
@@ -270,19 +284,19 @@
 		t.Fatal(err)
 	}
 	if pool.CloseExpired(time.Now()); openConnections(pool, address) != 1 {
-		t.Error("a fresh connection was closed")
+		t.Error("CloseExpired closed a connection that has not expired")
 	}
 	if pool.LastReceived(address).IsZero() {
-		t.Error("nothing was received")
+		t.Error("LastReceived is zero after a response")
 	}
 	if pool.CloseExpired(time.Now().Add(time.Hour)); openConnections(pool, address) != 0 {
-		t.Error("an expired connection was kept")
+		t.Error("CloseExpired did not close an expired connection")
 	}
 	if _, err := fetch(t, pool, address); err != nil {
 		t.Fatal(err)
 	}
 	if pool.CloseIdleConnections(address); openConnections(pool, address) != 0 {
-		t.Error("an idle connection was kept")
+		t.Error("CloseIdleConnections did not close an idle connection")
 	}
 }
 
@@ -290,8 +304,8 @@
 func openConnections(pool *Pool, address string) int {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	if known, found := pool.peers[address]; found {
-		return known.open
+	if state, found := pool.addresses[address]; found {
+		return state.open
 	}
 	return 0
 }
