--- a/stream/chunk_scanner.go
+++ b/stream/chunk_scanner.go
@@ -7,32 +7,33 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// chunkFields are the members of one chunk. The byte slices point into the scanned
-// data.
+// chunkFields holds the members of a chunk that was scanned. The byte slices refer to the
+// scanned data.
 type chunkFields struct {
 	requestID []byte
 	runID     []byte
-	text      []byte // still escaped
+	text      []byte // with its JSON escapes
 	sequence  int
 	tokens    int
 }
 
-// Bits of the members that were scanned, to detect a duplicate or missing one.
+// Bits for the members of a chunk, used to detect duplicate and missing members.
 const (
 	hasRequestID = 1 << iota
 	hasRunID
 	hasSequence
 	hasText
 	hasTokens
-	hasAll = 1<<iota - 1
+	hasAllMembers = 1<<iota - 1
 )
 
-// maxDigits bounds scanned integers well below an overflow.
+// maxDigits is the maximum number of digits of a scanned integer, well below an overflow.
 const maxDigits = 9
 
-// scanChunk reads the usual form of a chunk without allocating: one flat object
-// without spaces, with each member once, IDs without escapes and plain integers.
-// It reports false for everything else, valid or not; parseChunk then decides.
+// scanChunk reads a chunk in the usual form without allocating memory. The usual form is
+// a flat JSON object without spaces that has each member once, IDs without escapes, and
+// integers without a sign, fraction or exponent. For any other data scanChunk returns
+// false, and parseChunk must decide whether it is a valid chunk.
 func scanChunk(data []byte) (chunkFields, bool) {
 	var fields chunkFields
 	scan := scanner{data: data}
@@ -50,18 +51,17 @@
 			continue
 		}
 		closed := scan.accept('}') && scan.position == len(data)
-		return fields, closed && members == hasAll
+		return fields, closed && members == hasAllMembers
 	}
 }
 
-// scanner reads JSON from data, without spaces between its tokens.
+// scanner reads JSON that has no spaces between its tokens.
 type scanner struct {
 	data     []byte
 	position int
 }
 
-// accept consumes the next byte if it is the expected one, and reports whether it
-// was.
+// accept consumes the next byte if it is the expected one, and reports whether it did.
 func (s *scanner) accept(expected byte) bool {
 	if s.position < len(s.data) && s.data[s.position] == expected {
 		s.position++
@@ -70,7 +70,8 @@
 	return false
 }
 
-// member reads one member into fields and returns its bit.
+// member reads a member into fields and returns the member's bit. It returns false if the
+// member is unknown or not in the usual form.
 func (s *scanner) member(fields *chunkFields) (int, bool) {
 	name, plain, ok := s.text()
 	if !ok || !plain || !s.accept(':') {
@@ -96,8 +97,9 @@
 	return 0, false
 }
 
-// text reads a string and returns the bytes between its quotes, still escaped;
-// plain is false if there are escapes. It checks that the string is valid UTF-8.
+// text reads a JSON string and returns the bytes between its quotes, without decoding
+// escapes. plain is false if there are escapes. ok is false if the string is malformed, is
+// not valid UTF-8 or has an escape that the scanner does not support.
 func (s *scanner) text() (content []byte, plain, ok bool) {
 	if !s.accept('"') {
 		return nil, false, false
@@ -128,8 +130,8 @@
 	return nil, false, false
 }
 
-// escape consumes one escape sequence of two bytes. Longer ones (\u) are left to
-// parseChunk.
+// escape consumes an escape sequence of two bytes. It returns false for any other one:
+// chunks with \u sequences are left to parseChunk.
 func (s *scanner) escape() bool {
 	if s.position+1 >= len(s.data) {
 		return false
@@ -142,7 +144,7 @@
 	return false
 }
 
-// integer reads an integer of at most maxDigits digits without a sign.
+// integer reads an unsigned integer of at most maxDigits digits.
 func (s *scanner) integer() (int, bool) {
 	start := s.position
 	value := 0
@@ -159,8 +161,8 @@
 	return value, digits > 0 && digits <= maxDigits && !leadingZero
 }
 
-// parseChunk decodes a chunk of any valid form. canonical is its usual form, which
-// is passed on in place of data.
+// parseChunk decodes a chunk in any valid JSON form. canonical is the chunk encoded again
+// by encoding/json, which the Reader returns in place of data.
 func parseChunk(data []byte) (chunk api.StreamChunk, canonical []byte, ok bool) {
 	if !utf8.Valid(data) || json.Unmarshal(data, &chunk) != nil {
 		return chunk, nil, false
--- a/stream/chunk_scanner_test.go
+++ b/stream/chunk_scanner_test.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// TestScanChunkAgreesWithJSON compares the scanner with encoding/json on valid
-// chunks and on damaged ones: what the scanner accepts means the same to both.
+// TestScanChunkAgreesWithJSON checks, with valid and with corrupted chunks, that
+// encoding/json accepts each chunk that the scanner accepts and decodes the same values.
 func TestScanChunkAgreesWithJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		chunk := api.StreamChunk{
@@ -28,12 +28,12 @@
 		}
 		var want api.StreamChunk
 		if err := json.Unmarshal(data, &want); err != nil {
-			t.Fatalf("scanned invalid JSON %q: %v", data, err)
+			t.Fatalf("the scanner accepted invalid JSON %q: %v", data, err)
 		}
 		same := string(fields.requestID) == want.RequestID && string(fields.runID) == want.RunID &&
 			fields.sequence == want.Sequence && fields.tokens == want.Tokens
 		if !same {
-			t.Fatalf("scanned %q as %+v", data, fields)
+			t.Fatalf("the scanner decoded %q as %+v, unlike encoding/json", data, fields)
 		}
 	})
 }
--- a/stream/example_test.go
+++ b/stream/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// A stream that stops before its end marker is an error, also if the connection
-// was closed in order.
+// A stream that ends without an end marker is an error, even if the connection was closed
+// normally.
 func Example() {
 	var body []byte
 	body = stream.AppendFrame(body, api.EventChunk, []byte(`{"request_id":"q","run_id":"r","sequence":1,"text":"a","tokens":1}`))
--- a/stream/fuzz_test.go
+++ b/stream/fuzz_test.go
@@ -9,9 +9,9 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// FuzzReader passes bytes to a Reader. The chunks it returns are in sequence and of
-// one run, the end marker comes once and last, and everything else is a *ReadError
-// with a code.
+// FuzzReader reads arbitrary bytes with a Reader. It checks that the chunks returned are
+// in sequence and belong to one run, that no event follows an end marker or an error
+// event, and that any other result is a *ReadError with a code.
 func FuzzReader(f *testing.F) {
 	complete := "event: piece\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":1,\"text\":\"x\",\"tokens\":1}\n\n" +
 		"event: end\ndata: {\"request_id\":\"r\",\"run_id\":\"a\",\"sequence\":2,\"tokens\":1,\"cached_tokens\":0}\n\n"
@@ -31,30 +31,30 @@
 			if err != nil {
 				var failure *ReadError
 				if !errors.As(err, &failure) || failure.Code == "" {
-					t.Fatalf("not a *ReadError with a code: %v", err)
+					t.Fatalf("got error %v, want a *ReadError with a code", err)
 				}
 				return
 			}
 			if ended {
-				t.Fatal("an event after the last one")
+				t.Fatal("an event was returned after the end of the stream")
 			}
 			ended = event.Chunk == nil
 			if end := event.End; end != nil && (end.Sequence != sequence || end.RunID != runID || end.Tokens != tokens || tokens <= 0) {
-				t.Fatalf("ended with %+v after %d chunks of run %q with %d tokens", end, sequence-1, runID, tokens)
+				t.Fatalf("accepted the end marker %+v after %d chunks of run %q with %d tokens", end, sequence-1, runID, tokens)
 			}
 			if ended {
 				continue
 			}
 			var chunk api.StreamChunk
 			if err := json.Unmarshal(event.Chunk, &chunk); err != nil {
-				t.Fatalf("passed on a chunk that is not JSON: %v", err)
+				t.Fatalf("returned a chunk that is not valid JSON: %v", err)
 			}
 			tokens += chunk.Tokens
 			if runID == "" {
 				runID = chunk.RunID
 			}
 			if chunk.Sequence != sequence || chunk.RequestID != "r" || chunk.RunID != runID {
-				t.Fatalf("chunk %d passed on as %+v of run %q", sequence, chunk, runID)
+				t.Fatalf("accepted %+v as chunk %d of run %q", chunk, sequence, runID)
 			}
 		}
 	})
--- a/stream/read_error.go
+++ b/stream/read_error.go
@@ -6,15 +6,15 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// ReadError is the reason why a stream is not complete and valid.
+// ReadError reports that a stream is invalid or incomplete.
 type ReadError struct {
 	// Code is one of api.CodeReplicaBroken, CodeReplicaMismatch,
 	// CodeReplicaIncomplete and CodeReplicaStalled.
 	Code api.Code
-	// Reason is the reason in words. Callers may see it, so it keeps to the words of
-	// the API, where a chunk is a piece.
+	// Reason describes the error. The gateway may send it to callers, so it uses the
+	// terms of the API, which calls a chunk a piece.
 	Reason string
-	// Cause is the error of the source, if there is one.
+	// Cause is the error that the source returned; nil if there is none.
 	Cause error
 }
 
@@ -26,9 +26,11 @@
 	return fmt.Sprintf("stream: %s: %s", e.Code, e.Reason)
 }
 
-// Unwrap returns the error of the source.
+// Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
+// readErrorf returns a ReadError without a cause, whose reason is formatted as by
+// fmt.Sprintf.
 func readErrorf(code api.Code, format string, arguments ...any) *ReadError {
 	return &ReadError{Code: code, Reason: fmt.Sprintf(format, arguments...)}
 }
--- a/stream/reader.go
+++ b/stream/reader.go
@@ -1,7 +1,7 @@
-// Package stream reads the server-sent events of a replica with strict checks and
-// writes events to callers. An incomplete stream can never be taken for a complete
-// one: the Reader returns a ReadError, and the Writer ends the stream with an error
-// event and an aborted connection.
+// Package stream reads and strictly checks the server-sent events of a replica, and
+// writes events to callers. An incomplete stream cannot be mistaken for a complete one:
+// the Reader returns a ReadError for it, and Writer.Abort ends it with an error event and
+// aborts the connection.
 package stream
 
 import (
@@ -18,51 +18,52 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Event is one checked event. Exactly one of Chunk, End and Error is set.
+// Event is an event that passed all checks. Exactly one of Chunk, End and Error is set.
 type Event struct {
-	// Chunk is the JSON of a chunk, valid until the next call of Next.
+	// Chunk is a chunk in JSON. It is valid until the next call of Reader.Next.
 	Chunk []byte
 	// End is the end marker of a complete stream.
 	End *api.StreamEnd
-	// Error is the error with which the replica ended the stream.
+	// Error is the error that the replica sent as the last event.
 	Error *api.Error
 }
 
 // Options configures a Reader.
 type Options struct {
-	// RequestID is the request that the stream must answer.
+	// RequestID is the ID of the request that the events must belong to.
 	RequestID string
-	// IdleTimeout is the longest wait for an event within Next; 0 disables it. The
-	// time between two calls of Next does not count.
+	// IdleTimeout is the maximum time that a call of Next waits for an event; 0
+	// disables it. The time that the consumer takes between two calls does not count.
 	IdleTimeout time.Duration
-	// Interrupt is called once, from another goroutine, when the idle timeout is
-	// over. It must make the source's Read return, for instance by canceling the
-	// request.
+	// Interrupt is called, from another goroutine, when the idle timeout expires. It
+	// must make the source's Read return, for instance by canceling the request. It is
+	// required if IdleTimeout is set.
 	Interrupt func()
 }
 
-// Reader reads one stream. It is not safe for concurrent use.
+// Reader reads and checks one stream. It is not safe for concurrent use.
 type Reader struct {
 	sequence SequenceChecker
 	lines    *bufio.Reader
-	// kind, data and hasData are the fields of the event that is being read.
+	// kind, data and hasData hold the fields of the event that is being read.
 	kind    []byte
 	data    []byte
 	hasData bool
 
 	idleTimeout time.Duration
 	idleTimer   *time.Timer // nil without an idle timeout
-	paused      bool        // the timer is stopped until the next call of Next
-	stalled     atomic.Bool // the idle timeout is over
+	paused      bool        // idleTimer is stopped until the next call of Next
+	stalled     atomic.Bool // the idle timeout has expired
 }
 
-// lineReaders reuses the buffers of closed readers.
+// lineReaders holds the line buffers of closed Readers for reuse.
 var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, api.MaxStreamLine) }}
 
-// NewReader returns a reader of the stream in source. It must be closed.
+// NewReader returns a Reader of the stream in source. The idle timeout starts at once. The
+// caller must close the Reader.
 func NewReader(source io.Reader, options Options) *Reader {
 	r := &Reader{sequence: SequenceChecker{RequestID: options.RequestID}, idleTimeout: options.IdleTimeout}
-	r.lines = lineReaders.Get().(*bufio.Reader) //nolint:forcetypeassert // New of the pool makes nothing else
+	r.lines = lineReaders.Get().(*bufio.Reader) //nolint:forcetypeassert // the pool holds no other type
 	r.lines.Reset(source)
 	if options.IdleTimeout > 0 {
 		r.idleTimer = time.AfterFunc(options.IdleTimeout, func() {
@@ -73,7 +74,7 @@
 	return r
 }
 
-// Close stops the idle timer and gives the buffers back. The source stays open.
+// Close stops the idle timer and releases the line buffer. It does not close the source.
 func (r *Reader) Close() {
 	if r.idleTimer != nil {
 		r.idleTimer.Stop()
@@ -88,11 +89,12 @@
 // Chunks returns the number of chunks read.
 func (r *Reader) Chunks() int { return r.sequence.Chunks() }
 
-// RunID returns the run of the chunks read; empty before the first.
+// RunID returns the ID of the run that the chunks belong to. It is empty before the first
+// chunk.
 func (r *Reader) RunID() string { return r.sequence.RunID() }
 
-// Next returns the next event. None follows an End or an Error. Its error is always
-// a *ReadError.
+// Next returns the next event. An End or an Error is the last event of a stream; the
+// caller stops reading after it. The error of Next is always a *ReadError.
 func (r *Reader) Next() (Event, error) {
 	r.resumeTimer()
 	for {
@@ -103,13 +105,13 @@
 		if !complete {
 			continue
 		}
-		event, err := r.takeEvent()
+		event, err := r.finishEvent()
 		r.pauseTimer()
 		return event, err
 	}
 }
 
-// pauseTimer stops the idle timer between two calls of Next.
+// pauseTimer stops the idle timer until the next call of Next.
 func (r *Reader) pauseTimer() {
 	if r.idleTimer != nil {
 		r.idleTimer.Stop()
@@ -117,7 +119,7 @@
 	}
 }
 
-// resumeTimer restarts the idle timer if it is paused.
+// resumeTimer restarts the idle timer with the full timeout if it is paused.
 func (r *Reader) resumeTimer() {
 	if r.paused {
 		r.idleTimer.Reset(r.idleTimeout)
@@ -125,11 +127,11 @@
 	}
 }
 
-// readError turns an error of readLine into a *ReadError.
+// readError converts an error of readLine to a *ReadError.
 func (r *Reader) readError(err error) error {
-	var known *ReadError
-	if errors.As(err, &known) {
-		return known
+	var readErr *ReadError
+	if errors.As(err, &readErr) {
+		return readErr
 	}
 	if r.stalled.Load() {
 		return &ReadError{Code: api.CodeReplicaStalled, Reason: "no event within the allowed gap"}
@@ -140,7 +142,7 @@
 	return &ReadError{Code: api.CodeReplicaBroken, Reason: "the stream cannot be read", Cause: err}
 }
 
-// readLine reads one line and reports whether it completed an event.
+// readLine reads one line and reports whether it completes an event.
 func (r *Reader) readLine() (complete bool, err error) {
 	line, err := r.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -159,8 +161,8 @@
 	return false, r.readField(line)
 }
 
-// readField takes one field of an event. An event has one kind and one data line;
-// other fields are not allowed.
+// readField stores one field of an event. An event has exactly one kind and one data
+// line. Other fields are not allowed, although server-sent events have some more.
 func (r *Reader) readField(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
@@ -182,22 +184,24 @@
 	return readErrorf(api.CodeReplicaBroken, "an unknown field in an event")
 }
 
-// takeEvent checks and returns the event that the lines read so far make up.
-func (r *Reader) takeEvent() (Event, error) {
+// finishEvent checks and returns the event whose fields have been read, and prepares the
+// Reader for the next one.
+func (r *Reader) finishEvent() (Event, error) {
 	kind := r.kind
 	r.kind, r.hasData = r.kind[:0], false
 	switch string(kind) {
 	case api.EventChunk:
-		return r.takeChunk()
+		return r.decodeChunk()
 	case api.EventEnd:
-		return r.takeEnd()
+		return r.decodeEnd()
 	case api.EventError:
-		return r.takeError()
+		return r.decodeError()
 	}
 	return Event{}, readErrorf(api.CodeReplicaBroken, "an event of an unknown kind")
 }
 
-func (r *Reader) takeChunk() (Event, error) {
+// decodeChunk checks the data of a chunk event.
+func (r *Reader) decodeChunk() (Event, error) {
 	if fields, ok := scanChunk(r.data); ok {
 		return Event{Chunk: r.data}, r.sequence.checkScanned(&fields)
 	}
@@ -208,7 +212,8 @@
 	return Event{Chunk: canonical}, r.sequence.CheckChunk(&chunk)
 }
 
-func (r *Reader) takeEnd() (Event, error) {
+// decodeEnd decodes and checks the data of an end marker.
+func (r *Reader) decodeEnd() (Event, error) {
 	end := new(api.StreamEnd)
 	if !utf8.Valid(r.data) || json.Unmarshal(r.data, end) != nil {
 		return Event{}, readErrorf(api.CodeReplicaBroken, "an end marker that is not valid JSON")
@@ -216,7 +221,8 @@
 	return Event{End: end}, r.sequence.CheckEnd(end)
 }
 
-func (r *Reader) takeError() (Event, error) {
+// decodeError decodes and checks the data of an error event.
+func (r *Reader) decodeError() (Event, error) {
 	failure := new(api.Error)
 	if json.Unmarshal(r.data, failure) != nil || failure.Code == "" {
 		return Event{}, readErrorf(api.CodeReplicaBroken, "an error event that is not valid JSON")
--- a/stream/reader_test.go
+++ b/stream/reader_test.go
@@ -14,22 +14,26 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
+// chunkFrame returns a chunk event in its wire form.
 func chunkFrame(request, run string, sequence, tokens int, text string) string {
 	data, _ := json.Marshal(&api.StreamChunk{RequestID: request, RunID: run, Sequence: sequence, Text: text, Tokens: tokens})
 	return string(AppendFrame(nil, api.EventChunk, data))
 }
 
+// endFrame returns an end marker in its wire form.
 func endFrame(request, run string, sequence, tokens int) string {
 	data, _ := json.Marshal(&api.StreamEnd{RequestID: request, RunID: run, Sequence: sequence, Tokens: tokens})
 	return string(AppendFrame(nil, api.EventEnd, data))
 }
 
+// TestReaderChecksStreams checks that the Reader accepts complete streams and returns the
+// right code for each kind of invalid or incomplete stream.
 func TestReaderChecksStreams(t *testing.T) {
 	good := chunkFrame("r", "run", 1, 2, "a") + chunkFrame("r", "run", 2, 1, "b\n\"é")
 	tests := []struct {
 		name   string
 		source string
-		chunks int
+		chunks int      // number of chunks before the end or the error
 		code   api.Code // empty if the stream is complete
 	}{
 		{"complete", good + endFrame("r", "run", 3, 3), 2, ""},
@@ -72,21 +76,22 @@
 			}
 			var failure *ReadError
 			if test.code == "" && err != nil {
-				t.Fatalf("got %v", err)
+				t.Fatalf("a complete stream was rejected: %v", err)
 			}
 			if test.code != "" && (!errors.As(err, &failure) || failure.Code != test.code) {
-				t.Fatalf("got %v, want %s", err, test.code)
+				t.Fatalf("got error %v, want code %s", err, test.code)
 			}
 			if reader.Chunks() != test.chunks {
-				t.Fatalf("%d chunks, want %d", reader.Chunks(), test.chunks)
+				t.Fatalf("read %d chunks, want %d", reader.Chunks(), test.chunks)
 			}
 		})
 	}
 }
 
-// TestReaderIdleTimeoutExcludesTheConsumer takes far longer than the idle timeout
-// over each event of a source that has them all ready, and then waits for a source
-// that has none.
+// TestReaderIdleTimeoutExcludesTheConsumer checks that the idle timeout does not include
+// the time that the consumer takes between two events. The source has three events ready,
+// and the consumer waits longer than the timeout after each of them. Next may time out
+// only when the source has no further event.
 func TestReaderIdleTimeoutExcludesTheConsumer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const idleTimeout = time.Second
@@ -104,7 +109,7 @@
 		}()
 		for range 3 {
 			if _, err := reader.Next(); err != nil || interrupted {
-				t.Fatalf("interrupted %t, %v", interrupted, err)
+				t.Fatalf("the source was not idle, but interrupted is %t and the error is %v", interrupted, err)
 			}
 			time.Sleep(5 * idleTimeout)
 		}
@@ -112,11 +117,13 @@
 		_, err := reader.Next()
 		var failure *ReadError
 		if !errors.As(err, &failure) || failure.Code != api.CodeReplicaStalled || time.Since(start) != idleTimeout {
-			t.Fatalf("an idle source: %v after %v", err, time.Since(start))
+			t.Fatalf("idle source: got error %v after %v, want replica_stalled after the idle timeout", err, time.Since(start))
 		}
 	})
 }
 
+// TestReaderIdleTimeout checks that a source without events is interrupted, with the code
+// for a stalled replica.
 func TestReaderIdleTimeout(t *testing.T) {
 	source, sink := io.Pipe()
 	defer sink.Close()
@@ -127,10 +134,11 @@
 	_, err := reader.Next()
 	var failure *ReadError
 	if !errors.As(err, &failure) || failure.Code != api.CodeReplicaStalled {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want replica_stalled", err)
 	}
 }
 
+// BenchmarkReader measures reading a stream of 1000 chunks.
 func BenchmarkReader(b *testing.B) {
 	const chunks = 1000
 	var source bytes.Buffer
--- a/stream/sequence.go
+++ b/stream/sequence.go
@@ -2,12 +2,12 @@
 
 import "github.com/deckpulley/deckpulley/api"
 
-// SequenceChecker checks that the events of one stream belong together: they are
-// of one request and one run, their sequence numbers start at 1 and have no gap,
-// and the tokens of the chunks add up to those of the end marker. Its errors are
-// *ReadError.
+// SequenceChecker checks that the events of a stream are consistent: all belong to the
+// same request and the same run, their sequence numbers start at 1 and have no gaps, and
+// the number of tokens in the end marker is the sum of those of the chunks. Its errors
+// are of type *ReadError.
 type SequenceChecker struct {
-	// RequestID is the request that the stream must answer.
+	// RequestID is the ID of the request that the events must belong to.
 	RequestID    string
 	runID        string
 	lastSequence int
@@ -15,38 +15,39 @@
 	ended        bool
 }
 
-// RunID returns the run of the events so far; empty before the first.
+// RunID returns the ID of the run that the events belong to. It is empty before the first
+// event.
 func (c *SequenceChecker) RunID() string { return c.runID }
 
-// Chunks returns the number of chunks checked.
+// Chunks returns the number of chunks that passed the checks.
 func (c *SequenceChecker) Chunks() int { return c.lastSequence }
 
-// CheckChunk checks the next chunk.
+// CheckChunk checks that a chunk is a valid continuation of the stream.
 func (c *SequenceChecker) CheckChunk(chunk *api.StreamChunk) error {
 	if chunk.RequestID != c.RequestID {
 		return readErrorf(api.CodeReplicaMismatch, "a piece of another request")
 	}
-	return c.next(chunk.RunID, chunk.Sequence, chunk.Tokens)
+	return c.recordChunk(chunk.RunID, chunk.Sequence, chunk.Tokens)
 }
 
-// checkScanned is CheckChunk for scanned fields. It allocates only for the first
-// chunk of a run.
+// checkScanned does the same as CheckChunk for a scanned chunk. It allocates memory only if
+// the run ID differs from that of the previous chunk, as for the first one.
 func (c *SequenceChecker) checkScanned(fields *chunkFields) error {
 	if string(fields.requestID) != c.RequestID {
 		return readErrorf(api.CodeReplicaMismatch, "a piece of another request")
 	}
 	if string(fields.runID) == c.runID {
-		return c.next(c.runID, fields.sequence, fields.tokens)
+		return c.recordChunk(c.runID, fields.sequence, fields.tokens)
 	}
-	return c.next(string(fields.runID), fields.sequence, fields.tokens)
+	return c.recordChunk(string(fields.runID), fields.sequence, fields.tokens)
 }
 
-// CheckEnd checks the end marker. No event may follow it.
+// CheckEnd checks the end marker. After a valid one, all further events are errors.
 func (c *SequenceChecker) CheckEnd(end *api.StreamEnd) error {
 	if end.RequestID != c.RequestID {
 		return readErrorf(api.CodeReplicaMismatch, "the end of another request")
 	}
-	if err := c.checkRun(end.RunID, end.Sequence); err != nil {
+	if err := c.checkOrder(end.RunID, end.Sequence); err != nil {
 		return err
 	}
 	if end.Tokens <= 0 || end.Tokens != c.tokens {
@@ -56,9 +57,10 @@
 	return nil
 }
 
-// next checks the properties of the next chunk and counts it.
-func (c *SequenceChecker) next(runID string, sequence, tokens int) error {
-	if err := c.checkRun(runID, sequence); err != nil {
+// recordChunk checks the run, the sequence number and the tokens of a chunk, and records the
+// chunk.
+func (c *SequenceChecker) recordChunk(runID string, sequence, tokens int) error {
+	if err := c.checkOrder(runID, sequence); err != nil {
 		return err
 	}
 	if tokens < 0 {
@@ -69,9 +71,9 @@
 	return nil
 }
 
-// checkRun checks that an event follows the one before it in the same run. The
-// first event sets the run.
-func (c *SequenceChecker) checkRun(runID string, sequence int) error {
+// checkOrder checks that an event belongs to the run of the events before it and has the
+// next sequence number. The first event determines the run.
+func (c *SequenceChecker) checkOrder(runID string, sequence int) error {
 	if c.ended {
 		return readErrorf(api.CodeReplicaMismatch, "an event after the end")
 	}
--- a/stream/writer.go
+++ b/stream/writer.go
@@ -12,15 +12,15 @@
 // ContentType is the media type of a stream.
 const ContentType = "text/event-stream"
 
-// The parts of an event around its kind and its data.
+// The text of an event before its kind, between kind and data, and after its data.
 const (
 	frameKind = "event: "
 	frameData = "\ndata: "
 	frameEnd  = "\n\n"
 )
 
-// AppendFrame appends one event in its wire form to buffer and returns the extended
-// buffer. data must not contain a line break.
+// AppendFrame appends an event in its wire form, a frame, to buffer and returns the
+// extended buffer. data must not contain a line break.
 func AppendFrame(buffer []byte, kind string, data []byte) []byte {
 	buffer = append(buffer, frameKind...)
 	buffer = append(buffer, kind...)
@@ -29,21 +29,21 @@
 	return append(buffer, frameEnd...)
 }
 
-// FrameData returns the data of a frame that AppendFrame made with the given kind.
-// It is a part of the frame, not a copy.
+// FrameData returns the data of a frame that AppendFrame created with the given kind. The
+// result is a slice of the frame, not a copy.
 func FrameData(frame []byte, kind string) []byte {
 	return frame[len(frameKind)+len(kind)+len(frameData) : len(frame)-len(frameEnd)]
 }
 
-// Writer sends events to one caller. It is not safe for concurrent use.
+// Writer sends the events of one stream to a caller. It is not safe for concurrent use.
 type Writer struct {
 	response   http.ResponseWriter
 	controller *http.ResponseController
 	timeout    time.Duration
 }
 
-// NewWriter writes the header of a stream and returns a writer of its events. A
-// write that the caller does not accept within timeout fails.
+// NewWriter writes the HTTP header of a stream and returns a Writer for its events. A
+// write fails if it takes longer than timeout because the caller does not read.
 func NewWriter(response http.ResponseWriter, timeout time.Duration) *Writer {
 	response.Header().Set("Content-Type", ContentType)
 	response.Header().Set("Cache-Control", "no-store")
@@ -51,7 +51,7 @@
 	return &Writer{response: response, controller: http.NewResponseController(response), timeout: timeout}
 }
 
-// Frames sends events that are in their wire form and flushes them.
+// Frames writes and flushes one or more events that are already in their wire form.
 func (w *Writer) Frames(frames []byte) error {
 	if err := w.controller.SetWriteDeadline(time.Now().Add(w.timeout)); err != nil {
 		return fmt.Errorf("stream: setting the write deadline: %w", err)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Event sends one event with the JSON form of the message as its data.
+// Event writes and flushes one event, whose data is the message in JSON.
 func (w *Writer) Event(kind string, message any) error {
 	data, err := json.Marshal(message)
 	if err != nil {
@@ -74,8 +74,9 @@
 	return w.Frames(AppendFrame(nil, kind, data))
 }
 
-// Abort sends the error as the last event and aborts the connection, so that the
-// stream cannot be taken for a complete one. It panics with http.ErrAbortHandler.
+// Abort sends an error as the last event and aborts the connection, so that the caller
+// cannot mistake the stream for a complete one. It does not return: it panics with
+// http.ErrAbortHandler, which makes the HTTP server close the connection.
 func (w *Writer) Abort(failure *api.Error) {
 	_ = w.Event(api.EventError, failure) // the connection is aborted either way
 	panic(http.ErrAbortHandler)
--- a/stream/writer_test.go
+++ b/stream/writer_test.go
@@ -12,6 +12,8 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
+// TestWriterAbortBreaksTheConnection checks that after Abort the client receives the error
+// event and then an error, rather than the regular end of the body.
 func TestWriterAbortBreaksTheConnection(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		writer := NewWriter(w, time.Second)
@@ -29,9 +31,9 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Fatalf("the connection ended with %v", err)
+		t.Fatalf("reading the body ended with error %v, want io.ErrUnexpectedEOF", err)
 	}
 	if !bytes.Contains(body, []byte("event: error\ndata: {\"code\":\"replica_broken\"")) {
-		t.Fatalf("body %q", body)
+		t.Fatalf("the body has no error event: %q", body)
 	}
 }
