--- a/httpgateway/gateway.go
+++ b/httpgateway/gateway.go
@@ -59,8 +59,8 @@
 	workers sync.WaitGroup
 }
 
-// New returns a Gateway and registers its message handlers. The Gateway does nothing
-// until Start.
+// New returns a Gateway and registers its message handlers. Start starts its
+// network and goroutines.
 func New(options Options) *Gateway {
 	g := &Gateway{options: options}
 	g.proxy = NewProxy(ProxyOptions{
--- a/httpgateway/headers.go
+++ b/httpgateway/headers.go
@@ -75,8 +75,8 @@
 	return forwarded
 }
 
-// clientTimeout returns how long the client waits for the response, or 0 if the deadline header
-// is missing or invalid.
+// clientTimeout returns how long the client waits for the response, or 0 if the deadline
+// header is missing or invalid.
 func (h *Headers) clientTimeout(header http.Header) time.Duration {
 	milliseconds, err := strconv.ParseFloat(header.Get(h.Deadline), 64)
 	if err != nil || milliseconds <= 0 {
@@ -85,8 +85,8 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// parsePrompt returns the chain of prefixes that the parsePrompt may share with other requests, and
-// the size of the whole parsePrompt in tokens. The last of several parts is unique to the
+// parsePrompt returns the chain of prefixes that the prompt may share with other requests,
+// and the size of the whole prompt in tokens. The last of several parts is unique to the
 // request and is not in the chain. Parts that cannot be parsed are skipped.
 func (h *Headers) parsePrompt(header http.Header) (chain []placement.Link, promptTokens float64) {
 	var parts []api.Prefix
