--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory selects the gateway addresses that a client is given when
-// it asks a node where to send its requests. It is pure: it does no I/O and
-// reads no clock.
+// Package directory selects the gateway addresses that a node returns to a client
+// that asks where to send its requests. Its functions are pure: they do no I/O and
+// read no clock.
 package directory
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/deckpulley/deckpulley/placement"
 )
 
-// Query is a client's request for gateways, together with the state of the node
-// that answers it.
+// Query is a client's request for gateway addresses, together with the state of the
+// node that answers it.
 type Query struct {
 	// Region is the client's region.
 	Region string
-	// Limit is the maximum number of addresses in the answer.
+	// Limit is the maximum number of addresses to return.
 	Limit int
-	// Node is the name of the answering node. The order of an answer depends on
-	// it, so that the clients of different nodes prefer different gateways.
+	// Node is the name of the answering node. The order of the addresses depends
+	// on it, so that clients that ask different nodes prefer different gateways.
 	Node string
-	// Draining is set if the answering node is a gateway that shuts down; it
-	// leaves itself out of the answer.
+	// Draining is set if the answering node is a gateway that is shutting down. It
+	// then excludes itself.
 	Draining bool
 	// Partitioned is set if the answering node has lost contact with the primary.
 	// It may be partitioned together with its whole region while clients still
@@ -31,9 +31,9 @@
 }
 
 // Answer returns the HTTP addresses of the gateways to use, at most Limit of
-// them: the gateways of the client's region, or those of all regions if the
-// client's region has none up or the answering node is partitioned. Gateways of
-// other regions then serve what the client's region cannot.
+// them, in order of preference. These are the gateways of the client's region that
+// are up, or those of all regions if the client's region has none up or the
+// answering node is partitioned.
 func (q *Query) Answer(gateways map[string]catalog.Gateway) []string {
 	inRegion := func(gateway catalog.Gateway) bool { return gateway.Region == q.Region }
 	inAnyRegion := func(catalog.Gateway) bool { return true }
@@ -49,8 +49,9 @@
 	return addresses
 }
 
-// usable returns the names of the matching gateways that are up, in the
-// answering node's order.
+// usable returns the names of the matching gateways that are up, except the
+// answering node if it is draining. Rendezvous hashing with the answering node's
+// name determines their order.
 func (q *Query) usable(gateways map[string]catalog.Gateway, matches func(catalog.Gateway) bool) []string {
 	var names []string
 	for name, gateway := range gateways {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -23,12 +23,12 @@
 		query Query
 		want  string
 	}{
-		"own region":                             {Query{Region: "a", Limit: 9, Node: "b1"}, "a1:1 a2:1"},
-		"no gateway up in the region":            {Query{Region: "c", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
-		"unknown region":                         {Query{Region: "x", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
-		"node is draining":                       {Query{Region: "a", Limit: 9, Node: "a1", Draining: true}, "a2:1"},
-		"node is draining, last one of a region": {Query{Region: "b", Limit: 9, Node: "b1", Draining: true}, "a1:1 a2:1"},
-		"node is partitioned":                    {Query{Region: "b", Limit: 9, Node: "b1", Partitioned: true}, "a1:1 a2:1 b1:1"},
+		"gateways up in the region":                       {Query{Region: "a", Limit: 9, Node: "b1"}, "a1:1 a2:1"},
+		"no gateway up in the region":                     {Query{Region: "c", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
+		"unknown region":                                  {Query{Region: "x", Limit: 9, Node: "a1"}, "a1:1 a2:1 b1:1"},
+		"node is draining":                                {Query{Region: "a", Limit: 9, Node: "a1", Draining: true}, "a2:1"},
+		"node is draining, only gateway up in the region": {Query{Region: "b", Limit: 9, Node: "b1", Draining: true}, "a1:1 a2:1"},
+		"node is partitioned":                             {Query{Region: "b", Limit: 9, Node: "b1", Partitioned: true}, "a1:1 a2:1 b1:1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -47,6 +47,6 @@
 		t.Errorf("got %v, want one address", got)
 	}
 	if got := query.Answer(nil); len(got) != 0 {
-		t.Errorf("got %v without any gateways", got)
+		t.Errorf("without gateways: got %v, want no address", got)
 	}
 }
--- a/directory/example_test.go
+++ b/directory/example_test.go
@@ -15,7 +15,7 @@
 	}
 	query := directory.Query{Region: "north", Limit: 8}
 	fmt.Println(query.Answer(gateways))
-	query.Partitioned = true // the answering node has lost contact with the primary; clients may not have
+	query.Partitioned = true // the answering node has lost contact with the primary
 	fmt.Println(len(query.Answer(gateways)), "addresses")
 	// Output:
 	// [10.0.0.1:80]
