--- a/client/client.go
+++ b/client/client.go
@@ -1,9 +1,9 @@
 // Package client implements the client side of deckpulley's HTTP interfaces:
-// the operations of operators and of the platform, which any node accepts, and
-// the requests of callers to gateways. It fails over between addresses and
+// operations of operators and of the platform, which any node accepts, and
+// requests of callers to gateways. It fails over between addresses and
 // resends only what is safe to resend. Every error that it returns is an
 // *api.Error, except that New returns a plain error for a configuration
-// without addresses.
+// without addresses, and Stream.Next returns io.EOF after a complete stream.
 package client
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Defaults of Config.
+// Defaults of the fields of Config.
 const (
 	DefaultAttemptTimeout  = 12 * time.Second
 	DefaultResponseTimeout = 3 * time.Second
@@ -25,8 +25,9 @@
 const (
 	// maxResponseBytes bounds the body of a response.
 	maxResponseBytes = 64 << 20
-	// maxOperationWait bounds how long a node is asked to delay the response to an
-	// operation; the operation is sent again after that.
+	// maxOperationWait bounds how long a node is asked to wait for an operation to
+	// take effect before it responds. If it has not, the client sends the operation
+	// again.
 	maxOperationWait = 3 * time.Second
 	// operationIDBytes is the number of random bytes in an operation ID.
 	operationIDBytes = 12
@@ -37,32 +38,34 @@
 	// Addresses lists the host:port of nodes' operator ports, or of gateways'
 	// caller ports for requests. At least one is required.
 	Addresses []string
-	// Token is the operator's bearer token; empty sends none.
+	// Token is the operator's bearer token. If it is empty, none is sent.
 	Token string
-	// HTTP sends the requests. The default is a new client.
+	// HTTP sends the requests. Nil selects a new client.
 	HTTP *http.Client
-	// AttemptTimeout bounds one attempt at one address. The default is 12 s.
+	// AttemptTimeout bounds one attempt at one address. Zero selects
+	// DefaultAttemptTimeout.
 	AttemptTimeout time.Duration
-	// ResponseTimeout bounds the time to the response header of a read, and of an
-	// operation beyond the time for which the node may delay it. It detects frozen
-	// nodes, which accept connections and never respond. The default is 3 s.
+	// ResponseTimeout bounds the time to the response header. For an operation, the
+	// time for which the node may delay the response is added. It detects frozen
+	// nodes, which accept connections but never respond. Zero selects
+	// DefaultResponseTimeout.
 	ResponseTimeout time.Duration
-	// RetryInterval is the time between two rounds over all addresses. The default
-	// is 200 ms.
+	// RetryInterval is the time between two rounds over all addresses. Zero selects
+	// DefaultRetryInterval.
 	RetryInterval time.Duration
 }
 
 // Client sends operations and requests. It is safe for concurrent use.
 type Client struct {
 	config Config
-	// preferred is the index of the address that responded last.
+	// preferred is the index of the address of the last successful attempt.
 	preferred atomic.Int64
 }
 
-// New returns a client. It fails if the configuration has no address.
+// New returns a client. It returns an error if the configuration has no address.
 func New(config Config) (*Client, error) {
 	if len(config.Addresses) == 0 {
-		return nil, errors.New("client: no address is given")
+		return nil, errors.New("client: the configuration has no addresses")
 	}
 	if config.HTTP == nil {
 		config.HTTP = &http.Client{}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,15 +19,16 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// scriptedServer gives its responses in turn and records the requests.
+// scriptedServer writes its responses in turn, repeats the last one, and records the
+// requests.
 type scriptedServer struct {
-	answers []func(http.ResponseWriter)
+	responses []func(http.ResponseWriter)
 
 	mutex    sync.Mutex
 	recorded recording
 }
 
-// recording holds the requests to a server, in the order of their arrival.
+// recording holds the requests to a server in order of arrival.
 type recording struct {
 	bodies  []string
 	headers []http.Header
@@ -37,16 +38,16 @@
 func (s *scriptedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mutex.Lock()
-	index := min(len(s.recorded.bodies), len(s.answers)-1)
+	index := min(len(s.recorded.bodies), len(s.responses)-1)
 	s.recorded.bodies = append(s.recorded.bodies, string(body))
 	s.recorded.headers = append(s.recorded.headers, r.Header)
 	s.recorded.queries = append(s.recorded.queries, r.Method+" "+r.URL.Path+"?"+r.URL.RawQuery)
 	s.mutex.Unlock()
-	s.answers[index](w)
+	s.responses[index](w)
 }
 
-// requests returns what the server has recorded. The handler of an aborted response
-// is not otherwise ordered before the client's return.
+// requests returns a copy of the recorded requests. It takes the lock because the
+// client may return before the handler of an aborted response does.
 func (s *scriptedServer) requests() recording {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -57,24 +58,25 @@
 	}
 }
 
-func status(code int, body any) func(http.ResponseWriter) {
+func respondJSON(code int, body any) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		w.WriteHeader(code)
 		json.NewEncoder(w).Encode(body)
 	}
 }
 
-func rejection(problem api.Error) func(http.ResponseWriter) {
-	return status(problem.Status(), api.ErrorBody{Error: &problem})
+func respondError(problem api.Error) func(http.ResponseWriter) {
+	return respondJSON(problem.Status(), api.ErrorBody{Error: &problem})
 }
 
-func raw(text string) func(http.ResponseWriter) {
+func respondText(text string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) { io.WriteString(w, text) }
 }
 
 func abortResponse(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// serve starts the servers and returns their addresses.
+// serve starts the servers and returns their addresses. They stop at the end of the
+// test.
 func serve(t *testing.T, scripts ...*scriptedServer) []string {
 	t.Helper()
 	var addresses []string
@@ -112,14 +114,15 @@
 
 var accepted = api.OperationResult{OperationID: "o", Accepted: true, Version: 3, Serial: 9}
 
-// TestOperationsFailOverWithSameID resends an operation after errors and aborted
-// responses until it is accepted.
+// TestOperationsFailOverWithSameID checks that an operation is resent with the same ID
+// after refused connections, retryable errors and aborted responses until it is
+// accepted.
 func TestOperationsFailOverWithSameID(t *testing.T) {
-	first := &scriptedServer{answers: []func(http.ResponseWriter){
-		rejection(api.Error{Code: api.CodeNoPrimary, Outcome: api.OutcomeUnknown, Retry: true}),
+	first := &scriptedServer{responses: []func(http.ResponseWriter){
+		respondError(api.Error{Code: api.CodeNoPrimary, Outcome: api.OutcomeUnknown, Retry: true}),
 		abortResponse,
-		rejection(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown, Retry: true}),
-		status(http.StatusOK, accepted),
+		respondError(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown, Retry: true}),
+		respondJSON(http.StatusOK, accepted),
 	}}
 	addresses := serve(t, first)
 	c := newClient(t, unreachableAddress(t), addresses[0])
@@ -134,42 +137,43 @@
 	want := fmt.Sprintf(`{"order_id":%q,"base_version":2,"document":"x"}`, operation.OperationID)
 	got := first.requests()
 	if operation.OperationID == "" || len(got.bodies) != 4 {
-		t.Fatalf("operation %q, %d attempts", operation.OperationID, len(got.bodies))
+		t.Fatalf("got operation ID %q after %d attempts, want an ID and 4 attempts", operation.OperationID, len(got.bodies))
 	}
 	for i, body := range got.bodies {
 		if body != want || got.headers[i].Get("Authorization") != "Bearer secret" {
-			t.Errorf("attempt %d sent %s", i, body)
+			t.Errorf("attempt %d: wrong body or missing bearer token: %s", i, body)
 		}
 		if !strings.HasPrefix(got.queries[i], "PUT /v1/configuration?wait_ms=") {
-			t.Errorf("attempt %d asked %s", i, got.queries[i])
+			t.Errorf("attempt %d: got request line %s", i, got.queries[i])
 		}
 	}
 }
 
-// TestErrorsHaveCodeAndOutcome checks the error of each kind of failed operation.
+// TestErrorsHaveCodeAndOutcome checks the code and the outcome of the error for each kind
+// of failed operation.
 func TestErrorsHaveCodeAndOutcome(t *testing.T) {
 	conflict := api.Error{Code: api.CodeVersionConflict, Outcome: api.OutcomeRefused, Message: "version is 5"}
 	rejected := api.OperationResult{OperationID: "o", Version: 5, Error: &conflict}
 	cases := []struct {
-		name   string
-		answer func(http.ResponseWriter)
-		want   api.Code
-		run    api.Outcome
+		name    string
+		answer  func(http.ResponseWriter)
+		want    api.Code
+		outcome api.Outcome
 	}{
-		{"rejected operation", status(http.StatusConflict, rejected), api.CodeVersionConflict, api.OutcomeRefused},
-		{"error body", rejection(api.Error{Code: api.CodeUnauthorized, Outcome: api.OutcomeRefused}), api.CodeUnauthorized, api.OutcomeRefused},
-		{"pending until the end", rejection(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown}), api.CodePending, api.OutcomeUnknown},
-		{"no typed error", status(http.StatusBadGateway, "what"), api.CodeNoPrimary, api.OutcomeUnknown},
-		{"malformed success", raw("{"), api.CodeNoPrimary, api.OutcomeUnknown},
-		{"broken off", abortResponse, api.CodeNoPrimary, api.OutcomeUnknown},
+		{"rejected operation", respondJSON(http.StatusConflict, rejected), api.CodeVersionConflict, api.OutcomeRefused},
+		{"error body", respondError(api.Error{Code: api.CodeUnauthorized, Outcome: api.OutcomeRefused}), api.CodeUnauthorized, api.OutcomeRefused},
+		{"pending until the deadline", respondError(api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown}), api.CodePending, api.OutcomeUnknown},
+		{"no error document", respondJSON(http.StatusBadGateway, "what"), api.CodeNoPrimary, api.OutcomeUnknown},
+		{"malformed success", respondText("{"), api.CodeNoPrimary, api.OutcomeUnknown},
+		{"aborted response", abortResponse, api.CodeNoPrimary, api.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			addresses := serve(t, &scriptedServer{answers: []func(http.ResponseWriter){c.answer}})
+			addresses := serve(t, &scriptedServer{responses: []func(http.ResponseWriter){c.answer}})
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			_, err := newClient(t, addresses...).Evacuate(ctx, &api.EvacuationOperation{Zone: "z"})
-			wantError(t, err, c.want, c.run)
+			wantError(t, err, c.want, c.outcome)
 		})
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -177,7 +181,7 @@
 	_, err := newClient(t, unreachableAddress(t)).Status(ctx)
 	wantError(t, err, api.CodeNoPrimary, api.OutcomeRefused)
 	if _, err := New(Config{}); err == nil {
-		t.Error("a client without addresses was made")
+		t.Error("New accepted a configuration without addresses")
 	}
 }
 
@@ -185,45 +189,46 @@
 	t.Helper()
 	var problem *api.Error
 	if !errors.As(err, &problem) || problem.Code != code || problem.Outcome != outcome {
-		t.Fatalf("got %v, want %s (%s)", err, code, outcome)
+		t.Fatalf("got %v, want an *api.Error with code %s and outcome %s", err, code, outcome)
 	}
 }
 
-// TestGenerateResendsOnlyIdempotentRequests aborts or rejects a request at the first
-// gateway and checks whether the alternate gets it.
+// TestGenerateResendsOnlyIdempotentRequests checks whether a request is resent to the
+// alternate after the first gateway aborts or rejects it.
 func TestGenerateResendsOnlyIdempotentRequests(t *testing.T) {
 	cases := []struct {
-		name    string
-		request api.GenerateRequest
-		first   func(http.ResponseWriter)
-		again   bool
+		name       string
+		request    api.GenerateRequest
+		first      func(http.ResponseWriter)
+		wantResent bool
 	}{
 		{"with a ticket", api.GenerateRequest{Ticket: "t"}, abortResponse, true},
-		{"repeatable", api.GenerateRequest{Repeatable: true}, abortResponse, true},
-		{"neither", api.GenerateRequest{}, abortResponse, false},
-		{"answered", api.GenerateRequest{Repeatable: true}, rejection(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, Retry: true}), false},
+		{"idempotent", api.GenerateRequest{Repeatable: true}, abortResponse, true},
+		{"neither ticket nor idempotent", api.GenerateRequest{}, abortResponse, false},
+		{"idempotent but rejected", api.GenerateRequest{Repeatable: true}, respondError(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused, Retry: true}), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			first := &scriptedServer{answers: []func(http.ResponseWriter){c.first}}
-			second := &scriptedServer{answers: []func(http.ResponseWriter){status(http.StatusOK, api.GenerateAnswer{RunID: "run"})}}
+			first := &scriptedServer{responses: []func(http.ResponseWriter){c.first}}
+			second := &scriptedServer{responses: []func(http.ResponseWriter){respondJSON(http.StatusOK, api.GenerateAnswer{RunID: "run"})}}
 			addresses := serve(t, first, second)
 			answer, err := newClient(t, "unused").Generate(testContext(t), c.request, addresses[0], addresses[1])
-			if resent := len(second.requests().bodies) == 1; resent != c.again || (err == nil) != c.again {
-				t.Fatalf("resent %v, error %v", resent, err)
+			if resent := len(second.requests().bodies) == 1; resent != c.wantResent || (err == nil) != c.wantResent {
+				t.Fatalf("got resent=%v, error %v", resent, err)
 			}
-			if c.again && answer.RunID != "run" {
-				t.Errorf("answer %+v", answer)
+			if c.wantResent && answer.RunID != "run" {
+				t.Errorf("got answer %+v, want the alternate's", answer)
 			}
 		})
 	}
 }
 
-// TestGenerateOutcomeUnknownAfterBrokenExchange aborts the first response, after
-// which the request may have run, and has the alternate reject the request.
+// TestGenerateOutcomeUnknownAfterBrokenExchange checks the outcome after the first
+// response was aborted, so that the request may have run, and the alternate is
+// unreachable or rejects the request. Only a rejection by the ticket's owner is final.
 func TestGenerateOutcomeUnknownAfterBrokenExchange(t *testing.T) {
-	overloaded := &scriptedServer{answers: []func(http.ResponseWriter){rejection(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused})}}
-	addresses := serve(t, &scriptedServer{answers: []func(http.ResponseWriter){abortResponse}}, overloaded)
+	overloaded := &scriptedServer{responses: []func(http.ResponseWriter){respondError(api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused})}}
+	addresses := serve(t, &scriptedServer{responses: []func(http.ResponseWriter){abortResponse}}, overloaded)
 	cases := []struct {
 		name      string
 		request   api.GenerateRequest
@@ -232,8 +237,8 @@
 		outcome   api.Outcome
 	}{
 		{"alternate unreachable", api.GenerateRequest{Ticket: "t"}, unreachableAddress(t), api.CodeNoPrimary, api.OutcomeUnknown},
-		{"rejected by the owner", api.GenerateRequest{Ticket: "t"}, addresses[1], api.CodeOverloaded, api.OutcomeRefused},
-		{"rejected by another gateway", api.GenerateRequest{Repeatable: true}, addresses[1], api.CodeOverloaded, api.OutcomeUnknown},
+		{"rejected by the ticket's owner", api.GenerateRequest{Ticket: "t"}, addresses[1], api.CodeOverloaded, api.OutcomeRefused},
+		{"rejected without a ticket", api.GenerateRequest{Repeatable: true}, addresses[1], api.CodeOverloaded, api.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -243,36 +248,37 @@
 	}
 }
 
-// TestWhereFailsOver aborts the first gateway's response: the same request goes
-// to the second one.
+// TestWhereFailsOver checks that the same request goes to the second gateway after the
+// first one has aborted its response.
 func TestWhereFailsOver(t *testing.T) {
 	want := api.WhereAnswer{RequestID: "q", Ticket: "t", Gateway: "owner:80", Alternates: []string{"other:80"}, Region: "north", ExpiresInMS: 900, ConfigurationVersion: 3}
-	first := &scriptedServer{answers: []func(http.ResponseWriter){abortResponse}}
-	second := &scriptedServer{answers: []func(http.ResponseWriter){status(http.StatusOK, want)}}
-	question := api.WhereRequest{RequestID: "q", Model: "m", WaitMS: 1000, Repeatable: true}
-	answer, err := newClient(t, serve(t, first, second)...).Where(testContext(t), question)
+	first := &scriptedServer{responses: []func(http.ResponseWriter){abortResponse}}
+	second := &scriptedServer{responses: []func(http.ResponseWriter){respondJSON(http.StatusOK, want)}}
+	request := api.WhereRequest{RequestID: "q", Model: "m", WaitMS: 1000, Repeatable: true}
+	answer, err := newClient(t, serve(t, first, second)...).Where(testContext(t), request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(&want, answer); diff != "" {
 		t.Errorf("answer (-want +got):\n%s", diff)
 	}
-	for name, asked := range map[string]*scriptedServer{"first": first, "second": second} {
+	for name, server := range map[string]*scriptedServer{"first": first, "second": second} {
 		var got api.WhereRequest
-		requests := asked.requests()
+		requests := server.requests()
 		if len(requests.bodies) != 1 || requests.queries[0] != "POST "+api.PathWhere+"?" {
-			t.Fatalf("the %s gateway was asked %q", name, requests.queries)
+			t.Fatalf("the %s gateway got requests %q, want one POST to PathWhere", name, requests.queries)
 		}
 		if err := json.Unmarshal([]byte(requests.bodies[0]), &got); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(question, got); diff != "" {
-			t.Errorf("question to the %s gateway (-want +got):\n%s", name, diff)
+		if diff := cmp.Diff(request, got); diff != "" {
+			t.Errorf("request to the %s gateway (-want +got):\n%s", name, diff)
 		}
 	}
 }
 
-// TestStreamSequence reads streams that are complete, truncated or out of order.
+// TestStreamSequence checks that only a complete stream of one run, in sequence, ends
+// with io.EOF.
 func TestStreamSequence(t *testing.T) {
 	const (
 		one   = "event: piece\ndata: {\"run_id\":\"r\",\"sequence\":1,\"text\":\"a\"}\n\n"
@@ -285,21 +291,21 @@
 		name   string
 		text   string
 		chunks int
-		want   api.Code // empty is a clean end
+		want   api.Code // empty if the stream must end with io.EOF
 	}{
 		{"complete", one + two + end, 2, ""},
-		{"no end", one + two, 2, api.CodeReplicaBroken},
-		{"truncated end", one + two + strings.TrimSpace(end), 2, api.CodeReplicaBroken},
-		{"skipped", two, 0, api.CodeReplicaBroken},
-		{"spliced", one + other, 1, api.CodeReplicaBroken},
-		{"early end", one + end, 1, api.CodeReplicaBroken},
+		{"missing end event", one + two, 2, api.CodeReplicaBroken},
+		{"truncated end event", one + two + strings.TrimSpace(end), 2, api.CodeReplicaBroken},
+		{"missing first event", two, 0, api.CodeReplicaBroken},
+		{"events of two runs", one + other, 1, api.CodeReplicaBroken},
+		{"missing last chunk", one + end, 1, api.CodeReplicaBroken},
 		{"error event", one + stall, 1, api.CodeReplicaStalled},
 		{"unknown event", "event: x\ndata: {}\n\n", 0, api.CodeReplicaBroken},
-		{"malformed", "event: piece\ndata: {\n\n", 0, api.CodeReplicaBroken},
+		{"malformed chunk event", "event: piece\ndata: {\n\n", 0, api.CodeReplicaBroken},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			addresses := serve(t, &scriptedServer{answers: []func(http.ResponseWriter){raw(c.text)}})
+			addresses := serve(t, &scriptedServer{responses: []func(http.ResponseWriter){respondText(c.text)}})
 			stream, err := newClient(t, "unused").OpenStream(testContext(t), api.GenerateRequest{}, addresses[0])
 			if err != nil {
 				t.Fatal(err)
@@ -313,24 +319,24 @@
 				chunks++
 			}
 			if chunks != c.chunks {
-				t.Errorf("%d chunks", chunks)
+				t.Errorf("got %d chunks", chunks)
 			}
 			if c.want == "" {
 				if !errors.Is(err, io.EOF) || stream.End().Tokens != 2 {
-					t.Errorf("ended with %v", err)
+					t.Errorf("ended with %v, want io.EOF and an end event with 2 tokens", err)
 				}
 				return
 			}
 			var problem *api.Error
 			if !errors.As(err, &problem) || problem.Code != c.want || stream.End() != nil {
-				t.Errorf("ended with %v", err)
+				t.Errorf("wrong error code or unexpected end event: ended with %v", err)
 			}
 		})
 	}
 }
 
-// TestResponseTimeout fails over from a node that accepts requests and never
-// responds.
+// TestResponseTimeout checks that reads and operations fail over from a node that
+// accepts requests but never responds.
 func TestResponseTimeout(t *testing.T) {
 	t.Parallel()
 	released := make(chan struct{})
@@ -363,11 +369,11 @@
 		return connection
 	}
 	if answer, err := connect().Configuration(t.Context(), true); err != nil || answer.Version != 7 {
-		t.Errorf("read: %+v, %v", answer, err)
+		t.Errorf("read: got %+v, %v, want version 7", answer, err)
 	}
 	operation := api.EvacuationOperation{Zone: "north-1"}
 	if answer, err := connect().Evacuate(t.Context(), &operation); err != nil || answer.OperationID != operation.OperationID {
-		t.Errorf("operation: %+v, %v", answer, err)
+		t.Errorf("operation: got %+v, %v, want the ID of the operation", answer, err)
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,8 +12,8 @@
 	"github.com/deckpulley/deckpulley/client"
 )
 
-// An operation keeps its ID over every attempt, so that it is safe to resend after
-// a lost response.
+// An operation has the same ID in every attempt, so that it is safe to resend after a
+// lost response.
 func Example() {
 	attempts := 0
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -20,12 +20,12 @@
 	path   string
 	query  url.Values
 	body   []byte
-	// awaitsCompletion is set if the server delays the response until the
-	// operation is in force.
+	// awaitsCompletion is set for an operation: the server delays the response
+	// until the operation is in force.
 	awaitsCompletion bool
 }
 
-// newCall returns a call with a JSON body. subject names the body in the error.
+// newCall returns a call with a JSON body. The error describes the body by subject.
 func newCall(method, path, subject string, body any) (call, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -34,14 +34,15 @@
 	return call{method: method, path: path, body: encoded}, nil
 }
 
-// queryFor returns the query. For an operation it adds the time for which the
-// server may delay the response, a little less than the context has left.
-func (r call) queryFor(ctx context.Context) url.Values {
+// queryFor returns the query parameters. For an operation it adds the time for which
+// the server may delay the response. This is at most 90 % of the time to the context's
+// deadline, so that the response arrives before it.
+func (c call) queryFor(ctx context.Context) url.Values {
 	query := url.Values{}
-	for key, values := range r.query {
+	for key, values := range c.query {
 		query[key] = values
 	}
-	if r.awaitsCompletion {
+	if c.awaitsCompletion {
 		wait := maxOperationWait
 		if deadline, ok := ctx.Deadline(); ok {
 			wait = min(wait, time.Until(deadline)*9/10)
@@ -51,8 +52,7 @@
 	return query
 }
 
-// do sends the request until it has a final response or the context ends, and
-// returns the decoded response.
+// do sends the request with Client.do and returns the decoded response.
 func do[T any](ctx context.Context, c *Client, request call) (*T, error) {
 	var response T
 	if err := c.do(ctx, request, &response); err != nil {
@@ -61,15 +61,16 @@
 	return &response, nil
 }
 
-// do tries the addresses in turn, beginning with the preferred one, until one
-// gives a final response or the context ends.
+// do tries the addresses in turn, beginning with the preferred one, until one of them
+// returns success or an error that is not retryable, or the context ends. It decodes
+// a success into the given value.
 func (c *Client) do(ctx context.Context, request call, into any) error {
-	last := attemptError{cause: unreachableError(c.config.Addresses[0], context.Cause(ctx))}
-	sent := false
+	lastFailure := attemptError{cause: unreachableError(c.config.Addresses[0], context.Cause(ctx))}
+	mayHaveRun := false
 	for {
 		for i := range c.config.Addresses {
 			if ctx.Err() != nil {
-				return combineOutcome(last, sent)
+				return combineOutcome(lastFailure, mayHaveRun)
 			}
 			index := (int(c.preferred.Load()) + i) % len(c.config.Addresses)
 			failure := c.attempt(ctx, c.config.Addresses[index], request, into)
@@ -77,22 +78,22 @@
 				c.preferred.Store(int64(index))
 				return nil
 			}
-			sent = sent || failure.sent
+			mayHaveRun = mayHaveRun || failure.mayHaveRun
 			if !failure.retryable {
 				return failure.cause
 			}
-			if failure.typed || !last.typed {
-				last = *failure
+			if failure.reported || !lastFailure.reported {
+				lastFailure = *failure
 			}
 		}
-		if err := sleep(ctx, c.retryInterval(last)); err != nil {
-			return combineOutcome(last, sent)
+		if err := sleep(ctx, c.retryInterval(lastFailure)); err != nil {
+			return combineOutcome(lastFailure, mayHaveRun)
 		}
 	}
 }
 
-// retryInterval returns the time to wait after a failure: what the server asked
-// for, else the configured interval.
+// retryInterval returns the time to wait after a failure: the one that the server
+// requested, or else the configured interval.
 func (c *Client) retryInterval(failure attemptError) time.Duration {
 	if after := time.Duration(failure.cause.RetryAfterMS) * time.Millisecond; after > 0 {
 		return after
@@ -111,20 +112,21 @@
 	}
 }
 
-// combineOutcome returns the last error, with the outcome of all attempts
-// together: unknown if the server may have acted on one of them.
-func combineOutcome(last attemptError, sent bool) error {
+// combineOutcome returns the error of an attempt with the outcome of all attempts
+// together, which is unknown if a server may have acted on one of them.
+func combineOutcome(last attemptError, mayHaveRun bool) error {
 	combined := *last.cause
-	if sent {
+	if mayHaveRun {
 		combined.Outcome = api.OutcomeUnknown
 	}
 	return &combined
 }
 
-// errResponseTimeout is the cause of a canceled attempt without a response.
-var errResponseTimeout = errors.New("the node does not begin to answer")
+// errResponseTimeout is the cancellation cause of an attempt without a response header
+// within its timeout.
+var errResponseTimeout = errors.New("no response header within the response timeout")
 
-// attempt sends the request once. It returns nil on success.
+// attempt sends the request once and decodes the response. It returns nil on success.
 func (c *Client) attempt(ctx context.Context, address string, request call, into any) *attemptError {
 	ctx, cancel := context.WithTimeout(ctx, c.config.AttemptTimeout)
 	defer cancel()
@@ -147,7 +149,7 @@
 	return decodeFailure(address, response.StatusCode, body)
 }
 
-// responseTimeout returns how long the response header may take.
+// responseTimeout returns the timeout for the response header.
 func (c *Client) responseTimeout(request call) time.Duration {
 	switch {
 	case request.awaitsCompletion:
@@ -184,8 +186,8 @@
 	return response, nil
 }
 
-// sendOnce sends the request once. Unlike attempt it sets no timeout, and it
-// marks no failure that the gateway reported as retryable.
+// sendOnce sends the request once and decodes the response. Unlike attempt, it sets no
+// timeout, and a failure that the gateway reported is never retryable.
 func (c *Client) sendOnce(ctx context.Context, address string, request call, into any) *attemptError {
 	response, failure := c.send(ctx, address, request)
 	if failure != nil {
--- a/client/operations.go
+++ b/client/operations.go
@@ -10,7 +10,7 @@
 )
 
 // Apply replaces the configuration and waits until the new one is in force. It
-// sets an empty operation ID to a new one; every resend carries the same ID.
+// sets an empty operation ID to a new one, and every resend carries the same ID.
 // After an error with outcome unknown, call Apply again with the same operation.
 func (c *Client) Apply(ctx context.Context, operation *api.ConfigurationOperation) (*api.OperationResult, error) {
 	ensureOperationID(&operation.OperationID)
@@ -24,8 +24,8 @@
 	return c.submit(ctx, http.MethodPatch, api.PathConfiguration, operation)
 }
 
-// Evacuate evacuates a zone, or withdraws an evacuation, and waits until that is
-// in force. It handles operation IDs as Apply does.
+// Evacuate evacuates a zone, or withdraws an evacuation, and waits until the change
+// is in force. It handles operation IDs as Apply does.
 func (c *Client) Evacuate(ctx context.Context, operation *api.EvacuationOperation) (*api.OperationResult, error) {
 	ensureOperationID(&operation.OperationID)
 	return c.submit(ctx, http.MethodPost, api.PathEvacuations, operation)
@@ -43,7 +43,7 @@
 }
 
 func (c *Client) submit(ctx context.Context, method, path string, operation any) (*api.OperationResult, error) {
-	request, err := newCall(method, path, "order", operation)
+	request, err := newCall(method, path, "operation", operation)
 	if err != nil {
 		return nil, err
 	}
@@ -87,8 +87,8 @@
 	return get[api.HTTPReplicasAnswer](ctx, c, api.PathHTTPReplicas, nil)
 }
 
-// Operations lists the newest retained operation results, at most limit of them;
-// 0 is the server's own limit.
+// Operations lists the newest retained operation results, at most limit of them. Zero
+// selects the server's own limit.
 func (c *Client) Operations(ctx context.Context, limit int) (*api.OperationsAnswer, error) {
 	query := url.Values{}
 	if limit > 0 {
@@ -97,7 +97,7 @@
 	return get[api.OperationsAnswer](ctx, c, api.PathOperations, query)
 }
 
-// Explain asks a gateway, at its operator port, where a request would go and
+// Explain asks a gateway, on its operator port, where a request would be sent and
 // why. The request is not run.
 func (c *Client) Explain(ctx context.Context, request *api.GenerateRequest) (*api.ExplainAnswer, error) {
 	explain, err := newCall(http.MethodPost, api.PathExplain, "request", request)
--- a/client/response.go
+++ b/client/response.go
@@ -12,33 +12,34 @@
 // attemptError describes a failed attempt.
 type attemptError struct {
 	cause *api.Error
-	// sent is set if the server may have acted on the request.
-	sent bool
+	// mayHaveRun is set if the server may have acted on the request.
+	mayHaveRun bool
 	// retryable is set if another attempt may succeed.
 	retryable bool
-	// typed is set if the server reported the cause.
-	typed bool
+	// reported is set if the server reported the cause as an api.Error.
+	reported bool
 }
 
-// indeterminateError describes an exchange that broke after it began, so that
-// the server may have acted on the request.
+// indeterminateError describes an exchange that failed after the connection was
+// established, so that the server may have acted on the request.
 func indeterminateError(address string, err error) *attemptError {
 	cause := unreachableError(address, err)
 	cause.Outcome = api.OutcomeUnknown
-	return &attemptError{cause: cause, sent: true, retryable: true}
+	return &attemptError{cause: cause, mayHaveRun: true, retryable: true}
 }
 
-// unreachableError describes a request that was not sent.
+// unreachableError describes a request that was not sent because there was no
+// connection to the server.
 func unreachableError(address string, err error) *api.Error {
 	return &api.Error{
 		Code:    api.CodeNoPrimary,
 		Outcome: api.OutcomeRefused,
-		Message: fmt.Sprintf("no answer from %s: %v", address, err),
+		Message: fmt.Sprintf("no response from %s: %v", address, err),
 		Retry:   true,
 	}
 }
 
-// encodingError describes a body that cannot be encoded.
+// encodingError describes a request body that cannot be encoded as JSON.
 func encodingError(subject string, err error) *api.Error {
 	return &api.Error{
 		Code:    api.CodeInvalid,
@@ -47,7 +48,7 @@
 	}
 }
 
-// readBody reads the bounded body of a response.
+// readBody reads the body of a response, at most maxResponseBytes of it.
 func readBody(address string, response *http.Response) ([]byte, *attemptError) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
@@ -61,22 +62,23 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return indeterminateError(address, fmt.Errorf("malformed answer: %w", err))
+		return indeterminateError(address, fmt.Errorf("malformed response body: %w", err))
 	}
 	return nil
 }
 
-// decodeFailure decodes an error body, or an operation's result with an error.
+// decodeFailure decodes a response without success: an api.ErrorBody, or an
+// api.OperationResult with an error.
 func decodeFailure(address string, status int, body []byte) *attemptError {
 	var decoded api.ErrorBody
 	if err := json.Unmarshal(body, &decoded); err != nil || decoded.Error == nil {
-		return indeterminateError(address, fmt.Errorf("HTTP status %d without a typed error", status))
+		return indeterminateError(address, fmt.Errorf("HTTP status %d without an error document", status))
 	}
 	cause := decoded.Error
 	return &attemptError{
-		cause:     cause,
-		sent:      cause.Outcome != api.OutcomeRefused,
-		retryable: cause.Retry || cause.Code == api.CodePending,
-		typed:     true,
+		cause:      cause,
+		mayHaveRun: cause.Outcome != api.OutcomeRefused,
+		retryable:  cause.Retry || cause.Code == api.CodePending,
+		reported:   true,
 	}
 }
--- a/client/stream.go
+++ b/client/stream.go
@@ -13,16 +13,17 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Stream is a streamed answer. It must not be used by two goroutines at once.
+// Stream is a streamed answer. It is not safe for concurrent use.
 type Stream struct {
 	body    io.ReadCloser
 	scanner *bufio.Scanner
-	next    int    // sequence number of the next event
-	run     string // run of the events so far
+	next    int    // expected sequence number of the next event
+	run     string // run ID of the events so far; empty before the first
 	end     *api.StreamEnd
 }
 
-// OpenStream sends a request with a streamed answer.
+// OpenStream sends a request to a gateway and returns its answer as a stream. The
+// caller must close the stream.
 func (c *Client) OpenStream(ctx context.Context, request api.GenerateRequest, gateway string) (*Stream, error) {
 	request.Stream = true
 	generate, err := newCall(http.MethodPost, api.PathRequests, "request", request)
@@ -46,8 +47,8 @@
 	return &Stream{body: response.Body, scanner: scanner, next: 1}, nil
 }
 
-// Next returns the next chunk, io.EOF after a complete stream, and an *api.Error
-// for everything else: a truncated stream never looks complete.
+// Next returns the next chunk. It returns io.EOF after the last chunk of a complete
+// stream and an *api.Error in all other cases, also if the stream is truncated.
 func (s *Stream) Next() (*api.StreamChunk, error) {
 	if s.end != nil {
 		return nil, io.EOF
@@ -72,10 +73,10 @@
 	}
 }
 
-// End returns the end event once Next has returned io.EOF, and nil before.
+// End returns the end event after Next has returned io.EOF. Before that it returns nil.
 func (s *Stream) End() *api.StreamEnd { return s.end }
 
-// Close aborts the stream if it has not ended, and releases its connection.
+// Close releases the stream's connection. A stream that has not ended is aborted.
 func (s *Stream) Close() error { return s.body.Close() }
 
 // readEvent reads one server-sent event.
@@ -94,13 +95,13 @@
 	if err := s.scanner.Err(); err != nil {
 		return "", nil, err
 	}
-	return "", nil, errors.New("the stream ended without its end marker")
+	return "", nil, errors.New("the stream ended without an end event")
 }
 
 func (s *Stream) decodeChunk(data []byte) (*api.StreamChunk, error) {
 	var chunk api.StreamChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return nil, streamError(fmt.Sprintf("malformed piece: %v", err))
+		return nil, streamError(fmt.Sprintf("malformed chunk event: %v", err))
 	}
 	if err := s.checkSequence(chunk.RunID, chunk.Sequence); err != nil {
 		return nil, err
@@ -111,7 +112,7 @@
 func (s *Stream) decodeEnd(data []byte) error {
 	var end api.StreamEnd
 	if err := json.Unmarshal(data, &end); err != nil {
-		return streamError(fmt.Sprintf("malformed end: %v", err))
+		return streamError(fmt.Sprintf("malformed end event: %v", err))
 	}
 	if err := s.checkSequence(end.RunID, end.Sequence); err != nil {
 		return err
@@ -120,13 +121,14 @@
 	return io.EOF
 }
 
-// checkSequence checks that an event is the next one of the same run.
+// checkSequence checks that an event belongs to the run of the earlier ones and has the
+// next sequence number.
 func (s *Stream) checkSequence(run string, sequence int) error {
 	if s.run == "" {
 		s.run = run
 	}
 	if run != s.run || sequence != s.next {
-		return streamError(fmt.Sprintf("event %d of run %q follows event %d of run %q", sequence, run, s.next-1, s.run))
+		return streamError(fmt.Sprintf("event %d of run %q is out of sequence after event %d of run %q", sequence, run, s.next-1, s.run))
 	}
 	s.next++
 	return nil
