--- a/api/caller.go
+++ b/api/caller.go
@@ -11,27 +11,27 @@
 // Paths that every node serves, on the caller port of a gateway or the operator port of
 // a control node.
 const (
-	PathLive  = "/livez"  // 200 while the process runs its loops
+	PathLive  = "/livez"  // 200 while the process is running
 	PathReady = "/readyz" // 200 if the node is ready, else 503 with an Error
 )
 
 // Limits of the caller port. A request that exceeds one is rejected with CodeTooLarge or
 // CodeInvalid.
 const (
-	MaxBodyBytes      = 1 << 20 // bytes of a request body
-	MaxNameBytes      = 128     // bytes of any id or name
-	MaxPrefixes       = 64      // entries of a prefix sequence
-	MaxPromptTokens   = 1 << 20 // tokens of a prompt, all prefixes included
-	MaxOutputTokens   = 1 << 16 // tokens to generate
-	MaxWaitMS         = 600_000 // longest timeout of a caller, in milliseconds
-	MaxHeaderBytes    = 16 << 10
-	MaxReplicaAnswer  = 8 << 20 // bytes of a complete replica answer
-	MaxStreamLine     = 64 << 10
-	DefaultWaitMillis = 30_000
+	MaxBodyBytes      = 1 << 20  // bytes of a request body
+	MaxNameBytes      = 128      // bytes of any ID or name
+	MaxPrefixes       = 64       // entries of a prefix sequence
+	MaxPromptTokens   = 1 << 20  // tokens of a prompt, all prefixes included
+	MaxOutputTokens   = 1 << 16  // tokens to generate
+	MaxWaitMS         = 600_000  // maximum timeout of a caller, in milliseconds
+	MaxHeaderBytes    = 16 << 10 // bytes of an HTTP header
+	MaxReplicaAnswer  = 8 << 20  // bytes of a replica's complete answer
+	MaxStreamLine     = 64 << 10 // bytes of a line of a stream
+	DefaultWaitMillis = 30_000   // timeout of a caller that sets none, in milliseconds
 )
 
-// Wait returns the timeout of a caller that sets waitMS, in milliseconds; zero or less
-// stands for the default.
+// Wait returns the timeout for a request with the given wait_ms, in milliseconds. Zero or
+// less selects DefaultWaitMillis.
 func Wait(waitMS int64) time.Duration {
 	if waitMS <= 0 {
 		waitMS = DefaultWaitMillis
@@ -47,38 +47,40 @@
 	ClassQuick Class = "quick"
 	// ClassLong is a long streamed answer.
 	ClassLong Class = "long"
-	// ClassFetch is a fetch from a small web service (snippets, portal sheets).
+	// ClassFetch is a request to a small web service, such as snippets or portal sheets.
 	ClassFetch Class = "fetch"
 )
 
-// Prefix is an element of the sequence of shared prompt prefixes, outermost first.
+// Prefix is one of the shared prefixes at the start of a prompt. Requests list them in
+// order, outermost first.
 type Prefix struct {
 	// ID identifies the content of the prefix: equal IDs mean equal tokens.
 	ID string `json:"id"`
-	// Tokens is its length in tokens.
+	// Tokens is the length of the prefix in tokens.
 	Tokens int `json:"tokens"`
 }
 
-// WhereRequest asks where a request should go.
+// WhereRequest asks which gateway a request should be sent to.
 type WhereRequest struct {
 	RequestID  string   `json:"request_id"`
 	Tenant     string   `json:"tenant,omitempty"`
 	Model      string   `json:"model"`
 	Prefixes   []Prefix `json:"prefixes,omitempty"`
-	Home       string   `json:"home,omitempty"`   // name of a home rule of the configuration
+	Home       string   `json:"home,omitempty"`   // name of a home rule in the configuration
 	Client     string   `json:"client,omitempty"` // client group, mapped to a region by the configuration
 	WaitMS     int64    `json:"wait_ms,omitempty"`
 	Repeatable bool     `json:"repeatable"`
 }
 
-// WhereAnswer names the gateway that owns a request.
+// WhereAnswer names the gateway that owns the request, to which the caller should send it.
 type WhereAnswer struct {
 	RequestID string `json:"request_id"`
 	// Ticket is opaque, authenticated and valid only for this request ID.
 	Ticket string `json:"ticket"`
 	// Gateway is the address (host:port) of the owner's caller port.
 	Gateway string `json:"gateway"`
-	// Alternates are gateways that forward the request to the owner.
+	// Alternates are the addresses of other gateways, which forward the request to the
+	// owner.
 	Alternates []string `json:"alternates,omitempty"`
 	Region     string   `json:"region"`
 	// ExpiresInMS is the time until the ticket expires, in milliseconds.
@@ -93,11 +95,11 @@
 	Ticket   string   `json:"ticket,omitempty"`
 	Tenant   string   `json:"tenant,omitempty"`
 	Model    string   `json:"model"`
-	Class    Class    `json:"class,omitempty"` // default by route
+	Class    Class    `json:"class,omitempty"` // empty selects the route's class
 	Prefixes []Prefix `json:"prefixes,omitempty"`
 	// PromptTokens is the length of the prompt after the prefixes.
 	PromptTokens int `json:"prompt_tokens"`
-	// MaxTokens bounds the answer.
+	// MaxTokens is the maximum number of tokens to generate.
 	MaxTokens  int    `json:"max_tokens"`
 	Stream     bool   `json:"stream,omitempty"`
 	Home       string `json:"home,omitempty"`
@@ -106,7 +108,8 @@
 	Repeatable bool   `json:"repeatable"`
 }
 
-// GenerateAnswer is a complete answer, of a replica and to a caller.
+// GenerateAnswer is a complete answer, from a replica to a gateway or from a gateway to a
+// caller.
 type GenerateAnswer struct {
 	RequestID string `json:"request_id"`
 	// RunID identifies the single run, on one replica, that generated the answer.
@@ -120,15 +123,16 @@
 	Replica              string `json:"replica,omitempty"`
 	Region               string `json:"region,omitempty"`
 	ConfigurationVersion uint64 `json:"configuration_version,omitempty"`
-	// Report is the replica's report, sent with the answer; the gateway removes it.
+	// Report is the replica's report of its own state. The gateway removes it from the
+	// answer to the caller.
 	Report *ReplicaReport `json:"report,omitempty"`
 }
 
 // Names of server-sent events in a stream.
 const (
 	EventChunk = "piece" // StreamChunk
-	EventEnd   = "end"   // StreamEnd; present only if the replica sent it
-	EventError = "error" // Error; the connection is then aborted, never ended cleanly
+	EventEnd   = "end"   // StreamEnd; sent only if the replica has sent it
+	EventError = "error" // Error; the connection is then aborted, never closed cleanly
 )
 
 // StreamChunk is the data of a chunk event of a stream. Sequence starts at 1 and
--- a/api/error.go
+++ b/api/error.go
@@ -2,8 +2,8 @@
 // HTTP/1.1 with callers, replicas, operators and the platform. It contains only
 // types and constants, no handlers and no client.
 //
-// The JSON fields are the stable interface; the Go names follow the current terms, so
-// that some differ from their tags.
+// The JSON field names and values are the stable interface. Go names may be renamed, so
+// some of them differ from their JSON names.
 package api
 
 import (
@@ -11,21 +11,21 @@
 	"net/http"
 )
 
-// Outcome says what is known about the execution of a request.
+// Outcome reports what is known about the execution of a request.
 type Outcome string
 
 const (
-	// OutcomeSuccess means the answer is complete and belongs to the request.
+	// OutcomeSuccess means that the answer is complete and belongs to the request.
 	OutcomeSuccess Outcome = "success"
-	// OutcomeRefused means the request never ran and never will.
+	// OutcomeRefused means that the request has not run and never will.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeFailed means the request ran, at least in part, and failed.
+	// OutcomeFailed means that the request ran, at least in part, and failed.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeUnknown means it cannot be determined whether the request ran.
+	// OutcomeUnknown means that it is not known whether the request ran.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Code names the cause of an error. Codes are stable: programs may compare them.
+// Code identifies the cause of an error. Codes are stable: programs may compare them.
 type Code string
 
 const (
@@ -37,7 +37,7 @@
 	CodeTicketInvalid     Code = "ticket_invalid"      // not authentic, or for another request
 	CodeTicketExpired     Code = "ticket_expired"      // used after its deadline
 	CodeTicketOrphaned    Code = "ticket_orphaned"     // the owner was removed or restarted
-	CodeDuplicate         Code = "duplicate"           // a stream for this request already runs elsewhere
+	CodeDuplicate         Code = "duplicate"           // a stream for this request is already running elsewhere
 	CodeOverloaded        Code = "overloaded"          // the queue is full or the quota share is exhausted
 	CodeDeadline          Code = "deadline"            // not completed, or not possible, by the caller's deadline
 	CodeNoCapacity        Code = "no_capacity"         // no replica that may serve the request is available
@@ -45,7 +45,7 @@
 	CodeNoLease           Code = "no_lease"            // the gateway has no valid lease
 	CodeNotReady          Code = "not_ready"           // the node is starting or draining
 	CodeStale             Code = "stale_configuration" // the replica has seen a newer configuration
-	CodeRestarted         Code = "replica_restarted"   // the replica is of another incarnation than the request is for
+	CodeRestarted         Code = "replica_restarted"   // the request is for another incarnation of the replica
 	CodeReplicaDraining   Code = "replica_draining"    // the replica accepts no new requests
 	CodeReplicaError      Code = "replica_error"       // the replica responded with an error
 	CodeReplicaBroken     Code = "replica_broken"      // the connection or stream broke
@@ -60,20 +60,21 @@
 	CodeInternal          Code = "internal"            // a defect in deckpulley
 )
 
-// Error is in the body of every response that is not a success, and the data of a
-// stream's error event.
+// Error describes a failed request. It is in the body of every response that is not a
+// success, and it is the data of a stream's error event.
 type Error struct {
-	// Code names the cause.
+	// Code identifies the cause.
 	Code Code `json:"code"`
-	// Outcome says whether the request ran.
+	// Outcome reports whether the request ran.
 	Outcome Outcome `json:"outcome"`
 	// Message describes the error in one sentence.
 	Message string `json:"message"`
 	// Field is the dotted path of the invalid field, for CodeInvalid.
 	Field string `json:"field,omitempty"`
-	// Retry says whether sending the same request again may succeed.
+	// Retry reports whether sending the same request again may succeed.
 	Retry bool `json:"retry"`
-	// RetryAfterMS is the time to wait before that, in milliseconds; 0 is none.
+	// RetryAfterMS is the time to wait before a retry, in milliseconds. Zero leaves the
+	// time to the client.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	// RequestID is the ID of the request that failed, if any.
 	RequestID string `json:"request_id,omitempty"`
@@ -87,12 +88,12 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code, e.Outcome, e.Message)
 }
 
-// ErrorBody is the JSON body of a response with an Error.
+// ErrorBody is the JSON body of a response that reports an Error.
 type ErrorBody struct {
 	Error *Error `json:"error"`
 }
 
-// Status returns the HTTP status of a response with the error.
+// Status returns the HTTP status of a response that reports the error.
 func (e *Error) Status() int {
 	switch e.Code {
 	case CodeInvalid, CodeTicketRequired, CodeTicketInvalid:
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -18,20 +18,20 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files instead of comparing with them")
 
-// goldenFolder holds the encoded documents of earlier versions. They are never
-// rewritten for a change of Go names: a node of an earlier version sends them.
-const goldenFolder = "testdata/golden"
+// goldenDirectory contains the encoded documents. They must not be rewritten when Go names
+// change, because nodes and clients of earlier versions send this encoding.
+const goldenDirectory = "testdata/golden"
 
 // goldenDocument is one document of the API and the file with its encoded form.
 type goldenDocument struct {
 	file string
 	// document is a pointer to a value of the document's type.
 	document any
-	// minimal documents have only the fields that are always encoded.
+	// minimal is set if the document has only the fields that are always encoded.
 	minimal bool
 }
 
-// Parts that several documents share.
+// Values that several documents contain.
 var (
 	goldenPrefixes = []api.Prefix{{ID: "system", Tokens: 1200}, {ID: "file", Tokens: 300}}
 
@@ -87,8 +87,8 @@
 	}
 )
 
-// goldenDocuments has each document type with every field set, and those with
-// optional fields once more without them.
+// goldenDocuments returns a document of each type with every field set, and for types
+// with optional fields also one without them.
 func goldenDocuments() []goldenDocument {
 	return []goldenDocument{
 		// Callers.
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestGoldenDocuments decodes the stored form of each document and encodes it to
-// the same bytes again.
+// TestGoldenDocuments checks that each document is encoded as in its golden file, and
+// that the file decodes to the same document.
 func TestGoldenDocuments(t *testing.T) {
 	for _, golden := range goldenDocuments() {
 		t.Run(golden.file, func(t *testing.T) { testGoldenDocument(t, golden) })
@@ -198,24 +198,25 @@
 	}
 	encoded, err := json.Marshal(golden.document)
 	if err != nil {
-		t.Fatalf("encoding: %v", err)
+		t.Fatalf("encoding the document: %v", err)
 	}
 	want := readGolden(t, golden.file+".json", append(encoded, '\n'))
 	if got := string(encoded) + "\n"; got != string(want) {
-		t.Errorf("encoded as\n%swant\n%s", got, want)
+		t.Errorf("encoded as\n%swant the golden file\n%s", got, want)
 	}
 	decoded := reflect.New(reflect.TypeOf(golden.document).Elem()).Interface()
 	decoder := json.NewDecoder(bytes.NewReader(want))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(decoded); err != nil {
-		t.Fatalf("decoding: %v", err)
+		t.Fatalf("decoding the golden file: %v", err)
 	}
 	if !reflect.DeepEqual(decoded, golden.document) {
-		t.Errorf("decoded as\n%+v\nwant\n%+v", decoded, golden.document)
+		t.Errorf("the golden file decodes to\n%+v\nwant\n%+v", decoded, golden.document)
 	}
 }
 
-// TestGoldenDocumentsCoverEveryType finds a document type without a golden file.
+// TestGoldenDocumentsCoverEveryType checks that each struct type of the package has a
+// golden document.
 func TestGoldenDocumentsCoverEveryType(t *testing.T) {
 	covered := make(map[string]bool)
 	for _, golden := range goldenDocuments() {
@@ -239,7 +240,7 @@
 	}
 }
 
-// structNames returns the names of the structures that a file declares.
+// structNames returns the names of the struct types that a file declares.
 func structNames(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -260,8 +261,8 @@
 	return names
 }
 
-// goldenStrings are the values of the API's string types and paths by their
-// meaning; programs on the other side compare them.
+// goldenStrings contains the API's string constants, grouped by kind. Clients compare
+// with these values.
 type goldenStrings struct {
 	Outcomes          []api.Outcome          `json:"outcomes"`
 	Classes           []api.Class            `json:"classes"`
@@ -271,14 +272,15 @@
 	Codes             []goldenCode           `json:"codes"`
 }
 
-// goldenCode is a code and the HTTP status of an answer with it.
+// goldenCode is an error code and the HTTP status of a response with it.
 type goldenCode struct {
 	Code   api.Code `json:"code"`
 	Status int      `json:"status"`
 }
 
-// TestGoldenStrings holds the values that are not fields: outcomes, classes,
-// event names, replica states, paths, and the codes with their HTTP statuses.
+// TestGoldenStrings checks that the API's string constants have the values in their
+// golden file: outcomes, classes, event names, replica states, paths, and error codes with
+// their HTTP statuses.
 func TestGoldenStrings(t *testing.T) {
 	values := goldenStrings{
 		Outcomes: []api.Outcome{api.OutcomeSuccess, api.OutcomeRefused, api.OutcomeFailed, api.OutcomeUnknown},
@@ -314,12 +316,13 @@
 	}
 }
 
-// readGolden returns a golden file. With -update-golden it first gets the text.
+// readGolden returns the content of a golden file. With -update-golden it first writes
+// the text to the file.
 func readGolden(t *testing.T, name string, text []byte) []byte {
 	t.Helper()
-	path := filepath.Join(goldenFolder, name)
+	path := filepath.Join(goldenDirectory, name)
 	if *updateGolden {
-		if err := os.MkdirAll(goldenFolder, 0o755); err != nil {
+		if err := os.MkdirAll(goldenDirectory, 0o755); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.WriteFile(path, text, 0o644); err != nil {
@@ -333,8 +336,8 @@
 	return stored
 }
 
-// requireEveryField fails for a field that is not set: a golden document without
-// it would not notice that its encoded name changed.
+// requireEveryField reports each field that is not set, because a change of its encoded
+// name could go unnoticed.
 func requireEveryField(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
--- a/api/operator.go
+++ b/api/operator.go
@@ -21,7 +21,8 @@
 type ConfigurationOperation struct {
 	// OperationID makes the operation idempotent: a resend gets the first result.
 	OperationID string `json:"order_id"`
-	// BaseVersion is the version that the document is based on; 0 if there is none yet.
+	// BaseVersion is the version that the document is based on, or 0 for the first
+	// configuration.
 	BaseVersion uint64 `json:"base_version"`
 	Author      string `json:"author,omitempty"`
 	// Document is the text of the configuration file, in YAML or JSON.
@@ -29,11 +30,12 @@
 }
 
 // ConfigurationPatchOperation changes named items of the configuration document and
-// leaves the rest of its text.
+// leaves the rest of its text unchanged.
 type ConfigurationPatchOperation struct {
 	// OperationID makes the operation idempotent: a resend gets the first result.
 	OperationID string `json:"order_id"`
-	// BaseVersion is the only version to which the change applies.
+	// BaseVersion is the version that the change is based on. The operation is rejected
+	// if it is not the current one.
 	BaseVersion uint64 `json:"base_version"`
 	Author      string `json:"author,omitempty"`
 	// Change is the text of the change, in YAML or JSON.
@@ -52,7 +54,7 @@
 // effect and returned to every resend.
 type OperationResult struct {
 	OperationID string `json:"order_id"`
-	// Accepted is false for a rejected operation; Error then has the reason.
+	// Accepted is false for a rejected operation. Error then describes the reason.
 	Accepted bool `json:"accepted"`
 	// Version is the configuration version after the operation.
 	Version uint64 `json:"version"`
@@ -61,7 +63,7 @@
 	Error  *Error `json:"error,omitempty"`
 }
 
-// ConfigurationAnswer is the current configuration.
+// ConfigurationAnswer contains the current configuration.
 type ConfigurationAnswer struct {
 	Version  uint64 `json:"version"`
 	Serial   uint32 `json:"serial"`
@@ -69,7 +71,7 @@
 	Document string `json:"document"`
 }
 
-// ZoneStatus is a zone and whether it is evacuated.
+// ZoneStatus reports whether a zone is evacuated.
 type ZoneStatus struct {
 	Zone      string `json:"zone"`
 	Region    string `json:"region"`
@@ -89,10 +91,11 @@
 	// Address is host:port of the replica's HTTP server.
 	Address  string `json:"address"`
 	Draining bool   `json:"draining,omitempty"`
-	// Slots is the number of requests that it runs concurrently, 0 if unknown.
+	// Slots is the number of requests that the replica runs concurrently, or 0 if it is
+	// unknown.
 	Slots int `json:"slots,omitempty"`
-	// ColdMS is the remaining warm-up time, in milliseconds; nil if only the gateway that
-	// watches the replica knows it.
+	// ColdMS is the remaining warm-up time, in milliseconds. It is nil if the platform does
+	// not know it; the replica's condition then comes from the gateway that monitors it.
 	ColdMS *int64 `json:"cold_ms,omitempty"`
 }
 
@@ -113,8 +116,8 @@
 	Region string `json:"region"`
 	// Condition is "up", "cold", "draining" or "down".
 	Condition string `json:"condition"`
-	// WarmupGateway is the one gateway that may send requests to it while it is warming
-	// up.
+	// WarmupGateway is the only gateway that may send requests to the replica while it is
+	// warming up.
 	WarmupGateway string `json:"feeder,omitempty"`
 }
 
@@ -146,7 +149,7 @@
 // MembersAnswer lists deckpulley's nodes.
 type MembersAnswer struct {
 	Members []MemberStatus `json:"members"`
-	// RepairDone is true if every voter is reachable and has all committed entries.
+	// RepairDone reports whether every voter is reachable and has all committed entries.
 	RepairDone bool `json:"repair_done"`
 }
 
@@ -165,7 +168,8 @@
 	Leases        int            `json:"leases"`
 	Members       []MemberStatus `json:"members"`
 	Degraded      []string       `json:"degraded,omitempty"`
-	// Services are those of a gateway's region; only gateways set them.
+	// Services has the load of each service in the gateway's region. Control nodes leave it
+	// empty.
 	Services []ServiceLoad `json:"services,omitempty"`
 }
 
@@ -173,17 +177,18 @@
 type ServiceLoad struct {
 	Service string `json:"service"`
 	Region  string `json:"region"`
-	// Utilization is the number of requests over the limit, 1 is full; SetPoint is its
-	// target.
+	// Utilization is the number of requests divided by the limit, so that 1 is full.
+	// SetPoint is its target value.
 	Utilization float64 `json:"utilization"`
 	SetPoint    float64 `json:"set_point"`
-	// Spill is the fraction of the region's requests that is sent to other regions.
+	// Spill is the fraction of the region's requests that are sent to other regions.
 	Spill float64 `json:"spill"`
-	// Limit, InFlight and Queued count requests.
+	// Limit, InFlight and Queued are numbers of requests.
 	Limit    int `json:"limit"`
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
-	// Replicas counts all listed replicas, the other fields those in a state.
+	// Replicas is the number of all listed replicas. The fields below are the numbers of
+	// those in one state.
 	Replicas  int `json:"replicas"`
 	Usable    int `json:"usable"`
 	WarmingUp int `json:"cold"`
@@ -191,7 +196,7 @@
 	Ejected   int `json:"ejected"`
 }
 
-// OperationStatus is a retained operation result.
+// OperationStatus is the stored result of an earlier operation.
 type OperationStatus struct {
 	// Number orders the results by age: a newer one has a larger number.
 	Number      uint64 `json:"number"`
@@ -199,13 +204,13 @@
 	Accepted    bool   `json:"accepted"`
 	// Version is the configuration version after the operation.
 	Version uint64 `json:"version"`
-	// Code, Field and Reason say why an operation was rejected.
+	// Code, Field and Reason describe why the operation was rejected.
 	Code   Code   `json:"code,omitempty"`
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// OperationsAnswer lists the retained operation results, newest first.
+// OperationsAnswer lists the stored results of earlier operations, newest first.
 type OperationsAnswer struct {
 	Serial uint32            `json:"serial"`
 	Orders []OperationStatus `json:"orders"`
@@ -213,7 +218,7 @@
 
 // ExplainStep is a step of a routing decision.
 type ExplainStep struct {
-	// Step names the decision, Result is its result and Reason the cause.
+	// Step names the decision, Result is its result and Reason explains it.
 	Step   string `json:"step"`
 	Result string `json:"result"`
 	Reason string `json:"reason"`
@@ -222,14 +227,15 @@
 // ExplainRegion is a region as the responding gateway sees it.
 type ExplainRegion struct {
 	Region string `json:"region"`
-	// Rank is the position in the order of attempts, starting at 1; 0 if the region is no
-	// candidate.
+	// Rank is the position in the order of attempts, starting at 1, or 0 if the region is
+	// not a candidate.
 	Rank int `json:"rank"`
-	// Load is its utilization, 1 is full. LoadFreshness is the freshness of the load:
-	// "fresh", "stale" (reports have stopped) or "unheard" (never reported).
+	// Load is the utilization of the region, where 1 is full. LoadFreshness is "fresh",
+	// "stale" (reports have stopped) or "unheard" (the region has never reported).
 	Load          float64 `json:"load"`
 	LoadFreshness string  `json:"knowledge"`
-	// Usable is false if it has no admitted replica or no gateway in the plan.
+	// Usable is false if the region has no admitted replica or no gateway in the routing
+	// plan.
 	Usable       bool `json:"usable"`
 	AcceptsSpill bool `json:"takes_spill"`
 }
@@ -237,19 +243,20 @@
 // ExplainReplica is a replica of the responding gateway's region.
 type ExplainReplica struct {
 	Replica string `json:"replica"`
-	// State is "usable", or the reason why it gets no new requests from this gateway.
+	// State is "usable", or the reason why the replica gets no new requests from this
+	// gateway.
 	State string `json:"state"`
-	// InFlight counts this gateway's requests, Others those of other gateways; Limit is
-	// the concurrency limit.
+	// InFlight is the number of this gateway's requests, and Others that of the other
+	// gateways' requests. Limit is the concurrency limit.
 	InFlight int `json:"in_flight"`
 	Others   int `json:"others"`
 	Limit    int `json:"limit"`
-	// FirstTokenMS is the expected time to the first token of this request without a
-	// cached prefix, in milliseconds.
+	// FirstTokenMS is the expected time to the first token of this request if none of its
+	// prefixes is cached, in milliseconds.
 	FirstTokenMS int64 `json:"first_token_ms"`
 }
 
-// ExplainAnswer says where a request would be sent now, and why.
+// ExplainAnswer reports where a request would be sent now, and why.
 type ExplainAnswer struct {
 	Gateway              string           `json:"gateway"`
 	Region               string           `json:"region"`
@@ -258,6 +265,7 @@
 	Steps                []ExplainStep    `json:"steps"`
 	Regions              []ExplainRegion  `json:"regions"`
 	Replicas             []ExplainReplica `json:"replicas"`
-	// Error is what the request would be rejected with, nil if it would not be.
+	// Error is the error with which the request would be rejected, or nil if it would be
+	// accepted.
 	Error *Error `json:"error,omitempty"`
 }
--- a/api/replica.go
+++ b/api/replica.go
@@ -1,6 +1,6 @@
 package api
 
-// Paths that a replica serves.
+// Paths that a replica serves to gateways.
 const (
 	PathReplicaReport   = "/v1/report"   // GET, answered by ReplicaReport
 	PathReplicaGenerate = "/v1/generate" // POST ReplicaRequest
@@ -12,33 +12,36 @@
 	// Incarnation changes with every start of the replica process.
 	Incarnation string `json:"incarnation"`
 	Service     string `json:"service"`
-	// Running and Queued count the replica's requests.
+	// Running and Queued are the numbers of running and of waiting requests.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Slots is the number of requests that it decodes concurrently at full speed.
+	// Slots is the number of requests that the replica decodes concurrently at full speed.
 	Slots int `json:"slots"`
 	// PendingPrefillTokens is the queued prefill work, in tokens.
 	PendingPrefillTokens int `json:"pending_prefill_tokens"`
-	// PrefillTokensPerSecond is its present prefill rate.
+	// PrefillTokensPerSecond is the current prefill rate.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
 	// CacheUsed is the used fraction of the KV cache, 0 to 1.
 	CacheUsed float64 `json:"cache_used"`
-	// CacheEvictions counts prefixes evicted since the start.
+	// CacheEvictions is the number of prefixes evicted from the KV cache since the
+	// process started.
 	CacheEvictions uint64 `json:"cache_evictions"`
 	WeightVersion  string `json:"weight_version"`
 	Cold           bool   `json:"cold"`
 	Draining       bool   `json:"draining"`
-	// ConfigurationVersion is the highest version in a stamp that the replica has seen.
+	// ConfigurationVersion is the highest Stamp.ConfigurationVersion that the replica has
+	// received.
 	ConfigurationVersion uint64 `json:"configuration_version"`
 	// Sequence increases with every report of an incarnation.
 	Sequence uint64 `json:"sequence"`
 }
 
-// Stamp is the part of every request to a replica that identifies the decision to send
-// it there.
+// Stamp identifies the routing decision behind a request to a replica. Every such request
+// contains one.
 type Stamp struct {
-	// ConfigurationVersion is the version under which the replica was chosen. A replica
-	// that has seen a newer one responds with CodeStale and runs nothing.
+	// ConfigurationVersion is the version of the configuration under which the replica was
+	// chosen. A replica that has seen a newer one responds with CodeStale and does not run
+	// the request.
 	ConfigurationVersion uint64 `json:"configuration_version"`
 	// Serial is the registry serial that was active at the gateway.
 	Serial uint32 `json:"serial"`
@@ -46,8 +49,8 @@
 	Gateway     string `json:"gateway"`
 	Incarnation string `json:"incarnation"`
 	// ReplicaIncarnation is the incarnation of the replica that was chosen. A replica of
-	// another incarnation responds with CodeRestarted and runs nothing; an empty one is
-	// not checked.
+	// another incarnation responds with CodeRestarted and does not run the request. An
+	// empty value is not checked.
 	ReplicaIncarnation string `json:"replica_incarnation,omitempty"`
 	Attempt            int    `json:"attempt"`
 }
@@ -62,7 +65,7 @@
 	PromptTokens int      `json:"prompt_tokens"`
 	MaxTokens    int      `json:"max_tokens"`
 	Stream       bool     `json:"stream"`
-	// TimeLeftMS is the time to the caller's deadline, in milliseconds.
+	// TimeLeftMS is the time left until the caller's deadline, in milliseconds.
 	TimeLeftMS int64 `json:"time_left_ms"`
 	Stamp      Stamp `json:"stamp"`
 }
