--- a/transport/accept.go
+++ b/transport/accept.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// acceptRetryDelay follows a failure to accept, most likely for want of file
-// descriptors.
+// acceptRetryDelay is the pause after a failed accept, most likely because the process
+// has run out of file descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
+// acceptLoop accepts connections until the listener is closed or ctx ends.
 func (n *Node) acceptLoop(ctx context.Context) {
 	for {
 		raw, err := n.listener.Accept()
@@ -26,7 +27,8 @@
 	}
 }
 
-// admit serves a connection, or closes it when too many are in their handshake.
+// admit starts serving an accepted connection, or closes it if too many connections
+// are in their handshake.
 func (n *Node) admit(ctx context.Context, raw net.Conn) {
 	select {
 	case n.handshakeSlots <- struct{}{}:
@@ -40,6 +42,7 @@
 	}
 }
 
+// serveAccepted runs the handshake and then serves the connection until it ends.
 func (n *Node) serveAccepted(ctx context.Context, raw net.Conn) {
 	defer n.release(raw)
 	peer, use, err := acceptHandshake(raw, n.config.Name, *n.keys.Load(), time.Now().Add(n.config.HandshakeTimeout))
--- a/transport/bench_test.go
+++ b/transport/bench_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// benchmarkPair returns two started nodes on the loopback device.
+// benchmarkPair returns two started nodes on the loopback interface.
 func benchmarkPair(b *testing.B) (caller, server *Node) {
 	b.Helper()
 	nodes := make([]*Node, 0, 2)
@@ -23,7 +23,7 @@
 	return nodes[0], nodes[1]
 }
 
-// BenchmarkCall makes one call after the other on one connection.
+// BenchmarkCall makes sequential calls on one connection.
 func BenchmarkCall(b *testing.B) {
 	caller, server := benchmarkPair(b)
 	address := server.Address()
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkParallelCalls makes calls from many goroutines on one connection.
+// BenchmarkParallelCalls makes concurrent calls on one connection.
 func BenchmarkParallelCalls(b *testing.B) {
 	caller, server := benchmarkPair(b)
 	address := server.Address()
@@ -69,7 +69,7 @@
 			}
 		}
 		if err := stream.Next(&number{}); err == nil {
-			b.Fatal("a message after the last")
+			b.Fatal("the stream has more messages than requested")
 		}
 	}
 }
--- a/transport/brokenpeers_test.go
+++ b/transport/brokenpeers_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestStreamsOfAConnectionRunOneAfterTheOther: a peer that opens the next stream before
-// the end of the last one gets its handler only after that end.
-func TestStreamsOfAConnectionRunOneAfterTheOther(t *testing.T) {
+// TestStreamsOfAConnectionRunSequentially checks that if a peer opens a stream before
+// the previous one has ended, the handler of the new stream starts only after that end.
+func TestStreamsOfAConnectionRunSequentially(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := NewMemory()
 		a := network.NodeWithConfig(Config{Name: "a", Listen: "a"})
@@ -45,44 +45,46 @@
 		}
 		synctest.Wait()
 		if running := len(started); running != 1 {
-			t.Errorf("%d handlers run on one connection at once, want 1", running)
+			t.Errorf("%d handlers run concurrently on one connection, want 1", running)
 		}
 		release <- struct{}{}
 		synctest.Wait()
 		if begun := len(started); begun != 2 {
-			t.Errorf("%d handlers have begun after the end of the first, want 2", begun)
+			t.Errorf("%d handlers have started after the end of the first, want 2", begun)
 		}
 		close(release)
 	})
 }
 
-// TestStreamHandlerNoticesAPeerThatStoppedReadingFirst: the handler's write waits for a
-// peer that reads nothing. The pings that come meanwhile are not answered, and must not
-// hold up the reader, which is to notice when they end.
-func TestStreamHandlerNoticesAPeerThatStoppedReadingFirst(t *testing.T) {
+// TestStreamHandlerDetectsUnreachablePeerThatStoppedReading checks that a handler is
+// canceled when its peer first stops reading and then becomes unreachable. While the
+// handler's write is blocked, pings are not answered. They must not block the goroutine
+// that reads frames, which has to detect that the pings have stopped.
+func TestStreamHandlerDetectsUnreachablePeerThatStoppedReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, a, _, notes := memoryPair(t, Config{})
+		network, a, _, events := memoryPair(t, Config{})
 		stream, err := a.OpenStream(t.Context(), "b", kindCount, number{Number: 1 << 40})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer stream.Close()
-		time.Sleep(4 * streamPingInterval) // the handler fills the connection
+		time.Sleep(4 * streamPingInterval) // until the handler has filled the connection's buffer
 		network.Partition("a", "b")
 		select {
-		case got := <-notes:
+		case got := <-events:
 			if got != "stream stopped" {
-				t.Errorf("the handler says %q", got)
+				t.Errorf("got event %q, want the end of the stream", got)
 			}
 		case <-time.After(2 * streamTimeout):
-			t.Errorf("the handler goes on %v after the last ping", 2*streamTimeout)
+			t.Errorf("the handler still runs %v after the last ping", 2*streamTimeout)
 		}
 	})
 }
 
-// TestLongFrameCountsAsSignOfLife: a peer that is being sent a long frame can't answer
-// what came before it. The frame's progress counts as a sign of life.
-func TestLongFrameCountsAsSignOfLife(t *testing.T) {
+// TestProgressOfLargeFrameCountsAsResponse checks that progress in writing a large frame
+// counts as a response, since the peer's answers to earlier frames may be delayed until
+// that frame is written.
+func TestProgressOfLargeFrameCountsAsResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, _, _ := memoryPair(t, Config{})
 		connection, err := a.connect(t.Context(), "b", purposeMessages, time.Second)
@@ -93,24 +95,24 @@
 		monitor := newLivenessMonitor(connection)
 		defer monitor.stop()
 		time.Sleep(time.Millisecond)
-		monitor.wrote()
+		monitor.recordWrite()
 		time.Sleep(2 * unresponsiveTimeout)
 		connection.lastChunkWritten.Store(connection.now())
 		if err := monitor.check(); err != nil {
-			t.Errorf("right after a part of a frame was written: %v", err)
+			t.Errorf("the check returned %v right after a chunk of a frame was written", err)
 		}
 		time.Sleep(unresponsiveTimeout)
 		if err := monitor.check(); err == nil {
-			t.Errorf("no silence is reported %v after the last progress", unresponsiveTimeout)
+			t.Errorf("the check returned no error %v after the last chunk was written", unresponsiveTimeout)
 		}
 	})
 }
 
-// TestMessageForARetiredLinkIsSentByTheNext: a link that was long unused may end between
-// being found and being given a message.
-func TestMessageForARetiredLinkIsSentByTheNext(t *testing.T) {
+// TestMessageForRetiredLinkIsSentByNewLink checks that a message is not lost when an idle
+// link is retired after it was looked up and before the message was queued.
+func TestMessageForRetiredLinkIsSentByNewLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, a, _, notes := memoryPair(t, Config{})
+		_, a, _, events := memoryPair(t, Config{})
 		frame, err := encodeMessage(envelope{Type: frameOneWay, Kind: kindOneWay}, text{Text: "hello"}, DefaultMaxFrameBytes)
 		if err != nil {
 			t.Fatal(err)
@@ -124,16 +126,17 @@
 			return l.queue.push(outgoing{kind: kindOneWay, frame: frame})
 		})
 		if err != nil || tries != 2 {
-			t.Fatalf("%v after %d tries", err, tries)
+			t.Fatalf("enqueue returned %v after %d attempts, want success at the second", err, tries)
 		}
-		if got := <-notes; got != "a: hello" {
-			t.Errorf("the peer got %q", got)
+		if got := <-events; got != "a: hello" {
+			t.Errorf("the peer received %q", got)
 		}
 	})
 }
 
-// TestCallThatWasGivenUpIsNotWritten: its caller was told that the peer hasn't seen it.
-func TestCallThatWasGivenUpIsNotWritten(t *testing.T) {
+// TestCanceledCallIsNotWritten checks that a call that was canceled in the queue is
+// not written, since its caller got an error that wraps ErrNotSent.
+func TestCanceledCallIsNotWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, b, _ := memoryPair(t, Config{})
 		connection, err := a.connect(t.Context(), "b", purposeMessages, time.Second)
@@ -149,7 +152,7 @@
 		waiting := &pendingCall{id: 1, done: make(chan struct{})}
 		l.enqueueCall(waiting, kindEcho, frame)
 		if l.removeCall(waiting) {
-			t.Error("a call in the queue counts as written")
+			t.Error("a queued call is reported as written")
 		}
 		monitor := newLivenessMonitor(connection)
 		defer monitor.stop()
@@ -158,7 +161,7 @@
 		}
 		synctest.Wait()
 		if got := b.Counters()[kindEcho].ReceivedMessages; got != 0 {
-			t.Errorf("the peer got the call %d times after it was given up", got)
+			t.Errorf("the peer received the canceled call %d times", got)
 		}
 	})
 }
--- a/transport/call.go
+++ b/transport/call.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// pendingCall is a call without its reply. The link's mutex guards it until done
-// is closed; body and err are read after that.
+// pendingCall is a call that waits for its reply. The link's mutex guards it until
+// done is closed; body and err may be read only after that.
 type pendingCall struct {
 	id      uint64
 	done    chan struct{}
@@ -17,7 +17,7 @@
 	err     error
 }
 
-// enqueueCall queues the request of a call.
+// enqueueCall queues the request of a call and registers the call for its reply.
 func (l *link) enqueueCall(call *pendingCall, kind Kind, frame []byte) pushResult {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -28,8 +28,8 @@
 	return result
 }
 
-// await returns the body of the reply to a queued call.
-func (l *link) await(ctx context.Context, call *pendingCall) (cbor.RawMessage, error) {
+// awaitReply waits for the reply to a queued call and returns its body.
+func (l *link) awaitReply(ctx context.Context, call *pendingCall) (cbor.RawMessage, error) {
 	select {
 	case <-call.done:
 		return call.body, call.err
@@ -40,8 +40,8 @@
 	}
 }
 
-// cancelCall stops waiting for a call and tells the peer so if the request was
-// written. It returns the call's error.
+// cancelCall stops waiting for a call and, if the request was written, sends a
+// cancellation to the peer. It returns the error of the call.
 func (l *link) cancelCall(call *pendingCall, cause error) error {
 	if !l.removeCall(call) {
 		return fmt.Errorf("%w to %s: %w", ErrNotSent, l.address, cause)
@@ -60,8 +60,8 @@
 	return call.written
 }
 
-// markWritten records that an item is about to be written: from here on the peer
-// may see it. It returns false for a call that nobody waits for any more.
+// markWritten records that an item is about to be written, after which the peer may
+// see it. It returns false for a canceled call, which must not be written.
 func (l *link) markWritten(item outgoing) bool {
 	if item.call == nil {
 		return true
@@ -73,7 +73,8 @@
 	return waiting
 }
 
-// completeCall ends a call, unless it has ended.
+// completeCall completes a call with a reply or an error. It does nothing if the call
+// is no longer pending.
 func (l *link) completeCall(id uint64, body cbor.RawMessage, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -87,8 +88,8 @@
 	close(call.done)
 }
 
-// failWrittenCalls ends the calls whose replies were due on a connection that is
-// lost. Those not written yet go out on the next one.
+// failWrittenCalls fails the calls whose requests were written to a connection that
+// is lost. Calls that are still queued are sent on the next connection.
 func (l *link) failWrittenCalls(cause error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -102,16 +103,17 @@
 	}
 }
 
-// drop gives up an item that was not written.
-func (l *link) drop(item outgoing, cause error) {
+// dropItem discards an item that was not written, and fails its call if it has one.
+func (l *link) dropItem(item outgoing, cause error) {
 	l.node.counters.dropped(item.kind)
 	if item.call != nil {
 		l.completeCall(item.call.id, nil, cause)
 	}
 }
 
+// dropQueued drops all queued items.
 func (l *link) dropQueued(cause error) {
 	for _, item := range l.queue.takeAll() {
-		l.drop(item, cause)
+		l.dropItem(item, cause)
 	}
 }
--- a/transport/call_test.go
+++ b/transport/call_test.go
@@ -27,12 +27,12 @@
 	for kind, want := range map[Kind]string{kindFail: "not today", kindUnknown: "no handler for kind 6"} {
 		var remote *RemoteError
 		if err := a.Call(ctx, b.Address(), kind, text{}, nil); !errors.As(err, &remote) || remote.Message != want || remote.Kind != kind {
-			t.Errorf("kind %d: %v", kind, err)
+			t.Errorf("the call of kind %d returned %v", kind, err)
 		}
 	}
 	sent, received := a.Counters()[kindEcho], b.Counters()[kindEcho]
 	if sent.SentMessages != 200 || sent.ReceivedMessages != 200 || received.ReceivedBytes != sent.SentBytes || received.SentBytes != sent.ReceivedBytes {
-		t.Errorf("counters differ: %+v and %+v", sent, received)
+		t.Errorf("counters of the two nodes differ: %+v and %+v", sent, received)
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	cancel()
 	if err := <-done; !errors.Is(err, context.Canceled) || errors.Is(err, ErrNotSent) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("the call returned %v, want context.Canceled without ErrNotSent", err)
 	}
 	if got := <-events; got != "canceled" {
 		t.Fatal(got)
@@ -71,7 +71,7 @@
 	b.Close()
 	err := a.Call(testContext(t), address, kindEcho, text{}, nil)
 	if !errors.Is(err, ErrNotSent) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("the call returned %v, want ErrNotSent", err)
 	}
 }
 
@@ -81,14 +81,14 @@
 	b := listenTCP(t, Config{Name: "b", Keys: [][]byte{keyNew}, MaxFrameBytes: 1 << 10}, events)
 	large := text{Text: strings.Repeat("x", 2<<10)}
 	if err := a.Call(testContext(t), b.Address(), kindEcho, large, nil); !errors.Is(err, ErrConnectionLost) {
-		t.Fatalf("above the receiver's limit: %v", err)
+		t.Fatalf("a request above the receiver's limit returned %v, want ErrConnectionLost", err)
 	}
 	if err := b.Call(testContext(t), a.Address(), kindEcho, large, nil); !errors.Is(err, ErrNotSent) {
-		t.Fatalf("above the sender's limit: %v", err)
+		t.Fatalf("a request above the sender's limit returned %v, want ErrNotSent", err)
 	}
 	var reply text
 	if err := a.Call(testContext(t), b.Address(), kindEcho, text{Text: "small"}, &reply); err != nil {
-		t.Fatalf("afterwards: %v", err)
+		t.Fatalf("a small request after the oversized ones: %v", err)
 	}
 }
 
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -10,25 +10,27 @@
 const (
 	readBufferBytes = 4 << 10
 	writeChunkBytes = 64 << 10
-	// maxReusedBufferBytes bounds the read buffer that a connection keeps from frame
-	// to frame, so that a rare large frame does not hold memory.
+	// maxReusedBufferBytes bounds the read buffer that a connection reuses for the
+	// next frame, so that a rare large frame does not occupy memory permanently.
 	maxReusedBufferBytes = 64 << 10
 )
 
-// conn is one connection after its handshake. One goroutine reads; any may write.
+// conn is one connection after its handshake. Only one goroutine may read; any number
+// may write.
 type conn struct {
 	raw      net.Conn
 	peer     string // the peer's name as authenticated by the handshake
 	reader   *bufio.Reader
-	buffer   []byte // of the next frame's content
+	buffer   []byte // reused for the content of the next frame
 	counters *counters
 	maxFrame int
 
-	// writeToken holds a token while a frame is being written. It is a channel and
-	// no mutex because pong gives up at once.
+	// writeToken holds a token while a frame is being written. It is a channel, not a
+	// mutex, because pong must not block on it.
 	writeToken chan struct{}
-	// lastReceived is when bytes last arrived, lastChunkWritten when a chunk of a
-	// frame was last written that has more to come: nanoseconds since the epoch.
+	// lastReceived is the time when bytes last arrived. lastChunkWritten is the time
+	// when a chunk of a frame, other than the frame's last, was last written. Both are
+	// nanoseconds since the epoch.
 	lastReceived     atomic.Int64
 	lastChunkWritten atomic.Int64
 	epoch            time.Time
@@ -42,10 +44,10 @@
 	return c
 }
 
-// now returns the connection's time in nanoseconds since the epoch.
+// now returns the current time in nanoseconds since the epoch.
 func (c *conn) now() int64 { return int64(time.Since(c.epoch)) }
 
-// receiveTracker reads from a connection and records when bytes arrived.
+// receiveTracker is the reader of a connection's raw bytes. It updates lastReceived.
 type receiveTracker struct{ *conn }
 
 func (t receiveTracker) Read(into []byte) (int, error) {
@@ -56,7 +58,7 @@
 	return n, err
 }
 
-// read fills the envelope with the next frame.
+// read decodes the next frame into the envelope.
 func (c *conn) read(into *envelope) error {
 	content, err := readFrame(c.reader, c.maxFrame, c.buffer)
 	if err != nil {
@@ -72,15 +74,16 @@
 	return nil
 }
 
-// write sends a complete frame. timeout bounds the time of each chunk, 0 is
-// unbounded.
+// write sends a complete frame. timeout bounds the time of each chunk; 0 means no
+// limit.
 func (c *conn) write(kind Kind, frame []byte, timeout time.Duration) error {
 	c.writeToken <- struct{}{}
 	defer func() { <-c.writeToken }()
 	return c.writeLocked(kind, frame, timeout)
 }
 
-// writeLocked must be called with the write token.
+// writeLocked sends a complete frame as write does. The caller must hold the write
+// token.
 func (c *conn) writeLocked(kind Kind, frame []byte, timeout time.Duration) error {
 	c.counters.sent(kind, len(frame))
 	for len(frame) > 0 {
@@ -99,7 +102,8 @@
 	return nil
 }
 
-// deadlineAfter returns the zero time, which is no deadline, for a timeout of 0.
+// deadlineAfter returns the time when the timeout expires. For a timeout of 0 it
+// returns the zero time, which means no deadline.
 func deadlineAfter(timeout time.Duration) time.Time {
 	if timeout == 0 {
 		return time.Time{}
@@ -120,9 +124,9 @@
 	return frame
 }
 
-// pong answers a ping. While another frame is being written it does nothing, as
-// that frame is a sign of life too.
-func (c *conn) pong(timeout time.Duration) error {
+// writePong answers a ping. It does nothing while another frame is being written, since
+// that frame also shows the peer that this node is alive.
+func (c *conn) writePong(timeout time.Duration) error {
 	select {
 	case c.writeToken <- struct{}{}:
 	default:
--- a/transport/connect.go
+++ b/transport/connect.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// connect dials for dialTimeout at most and runs the handshake within
+// connect dials the address within dialTimeout and performs the handshake within
 // HandshakeTimeout. The caller must release the connection. Its errors wrap
 // ErrNotSent.
 func (n *Node) connect(ctx context.Context, address string, use purpose, dialTimeout time.Duration) (*conn, error) {
--- a/transport/counters.go
+++ b/transport/counters.go
@@ -2,20 +2,20 @@
 
 import "sync/atomic"
 
-// MaxKinds bounds the kinds: each is below it. Kind 0 stands for the transport's
-// own frames: pings, pongs and cancellations.
+// MaxKinds is the exclusive upper bound of kinds. Kind 0 counts the transport's own
+// frames: pings, pongs and cancellations.
 const MaxKinds = 128
 
-// KindCounters are the counts of one kind's frames since the node was made. Replies
-// and stream messages count under the kind of their request. Bytes include the
-// frame's length and envelope.
+// KindCounters holds the counters of one kind since the node was created. Replies and
+// stream messages count under the kind of their request. Bytes include the length
+// prefix and the envelope of each frame.
 type KindCounters struct {
 	SentMessages     uint64
 	SentBytes        uint64
 	ReceivedMessages uint64
 	ReceivedBytes    uint64
-	// DroppedMessages counts the messages that this node discarded unsent or
-	// unhandled.
+	// DroppedMessages counts the messages that this node discarded before sending or
+	// handling them.
 	DroppedMessages uint64
 }
 
@@ -29,9 +29,9 @@
 
 type counters [MaxKinds]kindCounters
 
-// of returns the counters of a kind. A received kind that is out of range counts
-// under kind 0.
-func (c *counters) of(kind Kind) *kindCounters {
+// forKind returns the counters of a kind. A received kind that is out of range is
+// counted as kind 0.
+func (c *counters) forKind(kind Kind) *kindCounters {
 	if kind >= MaxKinds {
 		kind = 0
 	}
@@ -39,20 +39,20 @@
 }
 
 func (c *counters) sent(kind Kind, bytes int) {
-	counter := c.of(kind)
+	counter := c.forKind(kind)
 	counter.sentMessages.Add(1)
 	counter.sentBytes.Add(uint64(bytes))
 }
 
 func (c *counters) received(kind Kind, bytes int) {
-	counter := c.of(kind)
+	counter := c.forKind(kind)
 	counter.receivedMessages.Add(1)
 	counter.receivedBytes.Add(uint64(bytes))
 }
 
-func (c *counters) dropped(kind Kind) { c.of(kind).droppedMessages.Add(1) }
+func (c *counters) dropped(kind Kind) { c.forKind(kind).droppedMessages.Add(1) }
 
-// snapshot returns the counters of the kinds that were used.
+// snapshot returns the current values of all kinds with a counter other than zero.
 func (c *counters) snapshot() map[Kind]KindCounters {
 	used := make(map[Kind]KindCounters)
 	for kind := range c {
--- a/transport/endedconnect_test.go
+++ b/transport/endedconnect_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// endingFabric ends a context with the last step of each handshake that is dialled.
+// endingFabric calls end in the last step of each handshake of a dialed connection.
 type endingFabric struct {
 	fabric
 	end context.CancelFunc
@@ -20,6 +20,8 @@
 	return &endingConn{Conn: raw, end: f.end}, err
 }
 
+// endingConn calls end when its deadline is cleared, which is the last step of the
+// handshake.
 type endingConn struct {
 	net.Conn
 	end context.CancelFunc
@@ -32,9 +34,10 @@
 	return c.Conn.SetDeadline(deadline)
 }
 
-// TestConnectionThatEndsWithItsHandshakeIsNotUsed: the context that ends closes the
-// connection. A request written to it would count as one that the peer may have seen.
-func TestConnectionThatEndsWithItsHandshakeIsNotUsed(t *testing.T) {
+// TestConnectFailsIfContextEndsDuringHandshake checks that connect fails if its context
+// ends while the handshake completes. The end of the context closes the connection, and a
+// request written to it would be reported as one that the peer may have seen.
+func TestConnectFailsIfContextEndsDuringHandshake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, _, _ := memoryPair(t, Config{})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -44,7 +47,7 @@
 			a.release(connection.raw)
 		}
 		if !errors.Is(err, ErrNotSent) || !errors.Is(err, context.Canceled) {
-			t.Errorf("connecting returned %v, want that nothing was sent and why", err)
+			t.Errorf("connect returned %v, want an error that wraps ErrNotSent and context.Canceled", err)
 		}
 	})
 }
--- a/transport/example_test.go
+++ b/transport/example_test.go
@@ -9,7 +9,7 @@
 
 const kindGreet transport.Kind = 1
 
-// Two nodes in one process. transport.Listen returns one that speaks TCP.
+// Connects two nodes within one process. Use transport.Listen for a node on TCP.
 func Example() {
 	memory := transport.NewMemory()
 	server, caller := memory.Node("server", "10.0.0.1:7000"), memory.Node("caller", "10.0.0.2:7000")
--- a/transport/fabric.go
+++ b/transport/fabric.go
@@ -8,7 +8,7 @@
 	"github.com/deckpulley/deckpulley/internal/sockets"
 )
 
-// fabric makes connections: over TCP, or within a process for tests.
+// fabric creates listeners and connections, over TCP or within one process for tests.
 type fabric interface {
 	listen(address string) (net.Listener, error)
 	dial(ctx context.Context, address string, use purpose) (net.Conn, error)
@@ -16,8 +16,8 @@
 	reusable(raw net.Conn) bool
 }
 
-// Time-outs of TCP itself. The pings of links and streams detect an unresponsive
-// peer sooner; these end the connections that nobody pings.
+// Timeouts of TCP itself. The pings of links and streams detect an unresponsive peer
+// sooner; these timeouts end the connections on which no pings are sent.
 const (
 	keepAliveIdle         = 10 * time.Second
 	keepAliveInterval     = 3 * time.Second
@@ -25,7 +25,7 @@
 	unacknowledgedTimeout = 3 * time.Second
 )
 
-// tcpFabric is the fabric of TCP sockets.
+// tcpFabric implements fabric over TCP.
 type tcpFabric struct{}
 
 func keepAlive() net.KeepAliveConfig {
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// frameType is the type of a frame. The numbers are sent: they stay.
+// frameType is the type of a frame. The values are part of the wire format and must
+// not change.
 type frameType uint8
 
 const (
@@ -17,35 +18,36 @@
 	frameRequest frameType = 2 // call; answered by frameReply or frameFailure with the same ID
 	frameReply   frameType = 3
 	frameFailure frameType = 4
-	frameCancel  frameType = 5 // the caller no longer waits for the reply to ID
-	framePing    frameType = 6 // answered by framePong at once
+	frameCancel  frameType = 5 // the caller no longer waits for the reply to the call ID
+	framePing    frameType = 6 // answered by framePong, unless another frame is being written
 	framePong    frameType = 7
-	frameOpen    frameType = 8 // request of a stream; followed by items and frameEnd or frameFailure
+	frameOpen    frameType = 8 // opens a stream; answered by items, then frameEnd or frameFailure
 	frameItem    frameType = 9
 	frameEnd     frameType = 10
 )
 
-// envelope is the CBOR content of a frame, an array of its fields in this order.
+// envelope is the content of a frame, encoded as a CBOR array of the fields in this
+// order.
 type envelope struct {
 	_         struct{} `cbor:",toarray"`
 	Type      frameType
-	ID        uint64 // of a call, unique on its connection; 0 for other frames
-	Kind      Kind   // of the message; 0 for frames of the transport's own
-	TimeoutMS int64  // how long the caller still waits, in milliseconds; 0 is unbounded
+	ID        uint64 // call ID, unique on its connection; 0 for other frames
+	Kind      Kind   // message kind; 0 for the transport's own frames
+	TimeoutMS int64  // remaining time until the caller's deadline; 0 means no deadline
 	Error     string // the handler's error in a frameFailure
 	Body      cbor.RawMessage
 }
 
-// A frame is the length of its content in lengthBytes octets, big-endian, and the
-// content.
+// A frame consists of the length of its content, as a big-endian integer of
+// lengthBytes bytes, and the content.
 const (
 	lengthBytes = 4
-	// maxControlFrameBytes bounds the content of a frame of the handshake, and of one
+	// maxControlFrameBytes bounds the content of handshake frames and of frames
 	// without a body.
 	maxControlFrameBytes = 4 << 10
 )
 
-// Limits of what is decoded, beyond the frame's own.
+// Limits of the CBOR decoder, in addition to the limit on the frame's length.
 const (
 	maxArrayItems = 1 << 22
 	maxMapPairs   = 1 << 22
@@ -54,7 +56,7 @@
 
 var (
 	errFrameEmpty    = errors.New("transport: empty frame")
-	errFrameTooLarge = errors.New("transport: frame above the limit")
+	errFrameTooLarge = errors.New("transport: frame exceeds the limit")
 )
 
 var (
@@ -85,7 +87,8 @@
 	return mode
 }
 
-// encodeFrame returns the frame whose content is the value.
+// encodeFrame encodes the value as the content of a frame. It returns
+// errFrameTooLarge if the content exceeds the limit in bytes.
 func encodeFrame(value any, limit int) ([]byte, error) {
 	content, err := encoding.Marshal(value)
 	if err != nil {
@@ -100,7 +103,7 @@
 	return frame, nil
 }
 
-// encodeMessage returns the frame of an envelope whose body is the message.
+// encodeMessage returns a frame with the given envelope and the message as its body.
 func encodeMessage(head envelope, message any, limit int) ([]byte, error) {
 	body, err := encoding.Marshal(message)
 	if err != nil {
@@ -110,8 +113,8 @@
 	return encodeFrame(head, limit)
 }
 
-// readFrame reads one frame's content, into the buffer if that is large enough. The
-// length is checked before anything is allocated.
+// readFrame reads one frame and returns its content, which uses the buffer's memory if
+// that is large enough. The length is checked against the limit before any allocation.
 func readFrame(reader io.Reader, limit int, buffer []byte) ([]byte, error) {
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
@@ -137,7 +140,8 @@
 	return content, nil
 }
 
-// decodeEnvelope decodes an envelope, whose body is a copy.
+// decodeEnvelope decodes an envelope. The body is copied, so that the content's
+// buffer can be reused.
 func decodeEnvelope(content []byte, into *envelope) error {
 	*into = envelope{}
 	if err := decoding.Unmarshal(content, into); err != nil {
--- a/transport/frame_test.go
+++ b/transport/frame_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzReadFrame feeds arbitrary bytes to the decoding that an authenticated
-// peer reaches. It must neither panic nor allocate beyond the limit.
+// FuzzReadFrame passes arbitrary bytes to the decoder of frames from authenticated peers.
+// The decoder must neither panic nor allocate more than the limit allows.
 func FuzzReadFrame(f *testing.F) {
 	complete, err := encodeMessage(envelope{Type: frameRequest, ID: 7, Kind: kindEcho, TimeoutMS: 5}, text{Text: "hello"}, 1<<10)
 	if err != nil {
@@ -27,7 +27,7 @@
 				return
 			}
 			if len(content) > limit || cap(content) > 2*limit {
-				t.Fatalf("%d bytes allocated for a frame", cap(content))
+				t.Fatalf("%d bytes allocated for the content of a frame", cap(content))
 			}
 			var decoded envelope
 			if decodeEnvelope(content, &decoded) != nil {
@@ -39,15 +39,15 @@
 	})
 }
 
-// checkReencoding holds that what was decoded can be encoded and decoded again.
+// checkReencoding checks that a decoded envelope can be encoded and decoded again.
 func checkReencoding(t *testing.T, decoded envelope, limit int) {
 	t.Helper()
 	frame, err := encodeFrame(decoded, limit)
 	if err != nil {
-		t.Fatalf("decoded %+v cannot be encoded: %v", decoded, err)
+		t.Fatalf("the decoded envelope %+v cannot be encoded: %v", decoded, err)
 	}
 	var again envelope
 	if err := decodeEnvelope(frame[lengthBytes:], &again); err != nil {
-		t.Fatalf("encoded %+v cannot be decoded: %v", decoded, err)
+		t.Fatalf("the encoded envelope %+v cannot be decoded: %v", decoded, err)
 	}
 }
--- a/transport/golden_frames_test.go
+++ b/transport/golden_frames_test.go
@@ -14,10 +14,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew from the current code")
+var updateGolden = flag.Bool("update-golden", false, "regenerate the golden files from the current code")
 
-// The golden frames were written by an earlier release, whose nodes run beside
-// those of this one in an upgrade.
+// The golden frames were written by an earlier release, whose nodes run beside nodes of
+// this release during an upgrade.
 var goldenFrames = filepath.Join("testdata", "frames.golden")
 
 func TestGoldenFrameTypes(t *testing.T) {
@@ -46,7 +46,7 @@
 		t.Errorf("purposes are %d and %d, want 1 and 2", purposeMessages, purposeStreams)
 	}
 	if handshakeVersion != 1 {
-		t.Errorf("the handshake's version is %d, want 1", handshakeVersion)
+		t.Errorf("the handshake version is %d, want 1", handshakeVersion)
 	}
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestGoldenFrames reads each frame as an earlier release wrote it, and writes it
-// again.
+// TestGoldenFrames decodes each frame written by an earlier release and encodes it again.
+// The bytes must be the same.
 func TestGoldenFrames(t *testing.T) {
 	cases := goldenFrameCases(t)
 	if *updateGolden {
@@ -128,7 +128,7 @@
 	}
 }
 
-// decodeGoldenFrame returns a frame's content as a value of the sample's type.
+// decodeGoldenFrame decodes the content of a frame as a value of the sample's type.
 func decodeGoldenFrame(t *testing.T, frame []byte, sample any) any {
 	t.Helper()
 	content, err := readFrame(bytes.NewReader(frame), maxControlFrameBytes, nil)
@@ -138,7 +138,8 @@
 	decoded := reflect.New(reflect.TypeOf(sample))
 	if head, ok := decoded.Interface().(*envelope); ok {
 		err = decodeEnvelope(content, head)
-		// A frame without a body has CBOR's null for it, which is read as is.
+		// The body of a frame without one is encoded as CBOR null, which decodes to its
+		// raw byte.
 		if bytes.Equal(head.Body, []byte{0xf6}) {
 			head.Body = nil
 		}
@@ -151,8 +152,8 @@
 	return decoded.Elem().Interface()
 }
 
-// TestGoldenMessageFrame holds that a message and its envelope are encoded as in
-// the golden frames, and that the frames that are encoded once are the golden ones.
+// TestGoldenMessageFrame checks that encodeMessage and the pre-encoded ping and pong yield
+// the same bytes as the golden frames.
 func TestGoldenMessageFrame(t *testing.T) {
 	golden := readGoldenFrames(t)
 	request, err := encodeMessage(envelope{Type: frameRequest, ID: 2, Kind: 127, TimeoutMS: 30_000}, text{Text: "body"}, maxControlFrameBytes)
@@ -174,7 +175,7 @@
 	}
 }
 
-// writeGoldenFrames writes three lines a frame: its name, its content in CBOR's
+// writeGoldenFrames writes three lines for each frame: its name, its content in CBOR
 // diagnostic notation as a comment, and its bytes in hexadecimal.
 func writeGoldenFrames(t *testing.T, cases []goldenFrame) {
 	t.Helper()
@@ -204,7 +205,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(string(content)), "\n")
 	if len(lines)%linesPerFrame != 0 {
-		t.Fatalf("%s has %d lines, not %d a frame", goldenFrames, len(lines), linesPerFrame)
+		t.Fatalf("%s has %d lines, want %d for each frame", goldenFrames, len(lines), linesPerFrame)
 	}
 	frames := make(map[string][]byte)
 	for i := 0; i < len(lines); i += linesPerFrame {
--- a/transport/handshake.go
+++ b/transport/handshake.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// The handshake proves to each side that the other holds one of its keys, over new
-// nonces of both. It does not encrypt what follows. The listener proves each of its
-// keys first, so that a fleet can replace its key node by node.
+// The handshake proves to each side that the other has one of its keys. The proofs cover
+// fresh nonces of both sides, which prevents replay. The traffic that follows is not
+// encrypted. The listener first sends a proof for each of its keys, so that the key of a
+// fleet can be rotated node by node.
 //
 //	dialer    -> hello{version, name, nonce, purpose}
 //	listener  -> challenge{version, name, nonce, one proof for each of its keys}
-//	dialer    -> proof{with the first of its own keys that one of those proofs was made with}
+//	dialer    -> proof{made with the first of its keys that matches one of those proofs}
 //	listener  -> welcome{}
 const (
 	handshakeVersion = 1
@@ -27,7 +28,8 @@
 	dialerLabel      = "deckpulley dialer 1"
 )
 
-// purpose is what a connection carries. The numbers are sent: they stay.
+// purpose is the kind of traffic of a connection. The values are part of the wire
+// format and must not change.
 type purpose uint8
 
 const (
@@ -61,7 +63,8 @@
 	Version int
 }
 
-// transcript is what both proofs cover: the names, nonces and purpose that were sent.
+// transcript is the data that both proofs cover: the names, nonces and purpose that
+// were exchanged.
 type transcript struct {
 	_             struct{} `cbor:",toarray"`
 	Version       int
@@ -72,16 +75,17 @@
 	Purpose       purpose
 }
 
-// ErrHandshake is wrapped by each error of a handshake whose messages are malformed,
-// of another version, or without a shared key.
+// ErrHandshake is wrapped by the errors of a handshake that failed because a message was
+// malformed or had another version, or because the two sides share no key.
 var ErrHandshake = errors.New("transport: handshake failed")
 
 func handshakeError(format string, arguments ...any) error {
 	return fmt.Errorf("%w: %s", ErrHandshake, fmt.Sprintf(format, arguments...))
 }
 
-// authenticate returns the proof of a key over an encoded transcript. The label
-// differs by side, so that neither proof can be sent back as the other.
+// authenticate returns the MAC of an encoded transcript under a key. The two
+// sides use different labels, so that a proof of one side cannot be sent back as a proof of
+// the other.
 func authenticate(key []byte, label string, transcript []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(label))
@@ -91,7 +95,7 @@
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	rand.Read(nonce) // never fails, see the package
+	rand.Read(nonce) // never fails, see crypto/rand
 	return nonce
 }
 
@@ -107,7 +111,7 @@
 	})
 }
 
-// dialHandshake runs the dialer's side and returns the listener's name.
+// dialHandshake performs the dialer's side and returns the listener's name.
 func dialHandshake(raw net.Conn, name string, keys [][]byte, use purpose, deadline time.Time) (string, error) {
 	if err := raw.SetDeadline(deadline); err != nil {
 		return "", err
@@ -129,20 +133,20 @@
 	}
 	key := sharedKey(keys, signed, answer.Proofs)
 	if key == nil {
-		return "", handshakeError("%q holds none of our keys", answer.Name)
+		return "", handshakeError("%q has none of our keys", answer.Name)
 	}
 	if err := writeHandshake(raw, proof{MAC: authenticate(key, dialerLabel, signed)}); err != nil {
 		return "", err
 	}
 	if err := readHandshake(raw, &welcome{}); err != nil {
-		return "", handshakeError("%q did not take our proof: %v", answer.Name, err)
+		return "", handshakeError("%q did not accept our proof: %v", answer.Name, err)
 	}
 	return answer.Name, raw.SetDeadline(time.Time{})
 }
 
-// sharedKey returns the first of the keys that one of the listener's proofs was made
-// with, nil if there is none. It compares all of them, so that the time taken does
-// not tell which.
+// sharedKey returns the first of the keys with which one of the listener's proofs was
+// made, or nil if there is none. It compares all of them, so that the time taken does
+// not reveal which one matched.
 func sharedKey(keys [][]byte, signed []byte, proofs [][]byte) []byte {
 	var shared []byte
 	for _, key := range keys {
@@ -156,7 +160,7 @@
 	return shared
 }
 
-// acceptHandshake runs the listener's side and returns the dialer's name and the
+// acceptHandshake performs the listener's side and returns the dialer's name and the
 // purpose of the connection.
 func acceptHandshake(raw net.Conn, name string, keys [][]byte, deadline time.Time) (string, purpose, error) {
 	if err := raw.SetDeadline(deadline); err != nil {
@@ -182,7 +186,7 @@
 		return "", 0, err
 	}
 	if !verifyProof(keys, signed, received.MAC) {
-		return "", 0, handshakeError("%q holds none of our keys", first.Name)
+		return "", 0, handshakeError("%q has none of our keys", first.Name)
 	}
 	if err := writeHandshake(raw, welcome{Version: handshakeVersion}); err != nil {
 		return "", 0, err
@@ -214,7 +218,7 @@
 }
 
 // verifyProof reports whether the dialer's proof was made with one of the keys. It
-// compares all of them, so that the time taken does not tell which.
+// compares all of them, so that the time taken does not reveal which one matched.
 func verifyProof(keys [][]byte, signed, received []byte) bool {
 	verified := false
 	for _, key := range keys {
@@ -234,8 +238,8 @@
 	return err
 }
 
-// readHandshake reads straight from the connection: a buffer could take bytes of the
-// frames that follow the handshake.
+// readHandshake reads one handshake message. It reads without a buffer, which could
+// consume bytes of the frames that follow the handshake.
 func readHandshake(raw net.Conn, into any) error {
 	content, err := readFrame(raw, maxControlFrameBytes, nil)
 	if err != nil {
--- a/transport/handshake_test.go
+++ b/transport/handshake_test.go
@@ -11,8 +11,8 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/relay"
 )
 
-// TestHandshakeHasItsOwnTimeout holds that a handshake between distant regions may
-// take longer than DialTimeout.
+// TestHandshakeHasItsOwnTimeout checks that a handshake between distant regions may take
+// longer than DialTimeout.
 func TestHandshakeHasItsOwnTimeout(t *testing.T) {
 	const oneWay = 60 * time.Millisecond
 	path := relay.New()
@@ -26,7 +26,7 @@
 	path.Delay("b", "a", oneWay)
 	dialer := listenTCP(t, Config{Name: "a", Keys: [][]byte{keyNew}, DialTimeout: oneWay}, make(chan string, 1))
 	if err := dialer.Call(testContext(t), address, kindEcho, text{}, &text{}); err != nil {
-		t.Fatalf("over a path of %v in each direction: %v", oneWay, err)
+		t.Fatalf("calling over a path with a delay of %v in each direction: %v", oneWay, err)
 	}
 }
 
@@ -36,10 +36,10 @@
 		dialer, listener [][]byte
 		ok               bool
 	}{
-		{"same", [][]byte{keyNew}, [][]byte{keyNew}, true},
-		{"dialer already has the newer", [][]byte{keyNew, keyOld}, [][]byte{keyOld}, true},
-		{"listener already has the newer", [][]byte{keyOld}, [][]byte{keyNew, keyOld}, true},
-		{"nothing shared", [][]byte{keyOld}, [][]byte{keyNew}, false},
+		{"same key", [][]byte{keyNew}, [][]byte{keyNew}, true},
+		{"dialer already has the newer key", [][]byte{keyNew, keyOld}, [][]byte{keyOld}, true},
+		{"listener already has the newer key", [][]byte{keyOld}, [][]byte{keyNew, keyOld}, true},
+		{"no shared key", [][]byte{keyOld}, [][]byte{keyNew}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,20 +48,20 @@
 			b := listenTCP(t, Config{Name: "b", Keys: test.listener}, events)
 			err := a.Call(testContext(t), b.Address(), kindEcho, text{}, nil)
 			if (err == nil) != test.ok {
-				t.Fatalf("got %v", err)
+				t.Fatalf("unexpected result of the call: %v", err)
 			}
 			if !test.ok && (!errors.Is(err, ErrHandshake) || !errors.Is(err, ErrNotSent)) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("the call returned %v, want an error that wraps ErrHandshake and ErrNotSent", err)
 			}
 		})
 	}
 	if _, err := Listen(Config{Listen: "127.0.0.1:0"}, nil); err == nil {
-		t.Fatal("a node without a key was made")
+		t.Fatal("Listen accepted a configuration without a key")
 	}
 }
 
-// TestReplayedHandshakeIsRefused repeats what another dialer sent: the listener's new
-// nonce must make its proof worthless.
+// TestReplayedHandshakeIsRefused sends the recorded bytes of another dialer. Their proof
+// must be rejected, since the listener uses a new nonce.
 func TestReplayedHandshakeIsRefused(t *testing.T) {
 	events := make(chan string, 1)
 	node := listenTCP(t, Config{Name: "b", Keys: [][]byte{keyNew}}, events)
@@ -84,13 +84,14 @@
 	defer replay.Close()
 	replay.Write(<-recorded)
 	before := node.Counters()[kindEcho].ReceivedMessages
-	io.Copy(io.Discard, replay) // ends as the node closes
+	io.Copy(io.Discard, replay) // returns when the node closes the connection
 	if after := node.Counters()[kindEcho].ReceivedMessages; after != before || before != 1 {
-		t.Fatalf("%d calls before the replay, %d after it", before, after)
+		t.Fatalf("the node received %d calls before the replay and %d after it, want 1 and 1", before, after)
 	}
 }
 
-// recordDialer relays one connection to the target and returns what its dialer sent.
+// recordDialer relays one connection to the target and sends the bytes that its dialer
+// sent to recorded.
 func recordDialer(relay net.Listener, target string, recorded chan<- []byte) {
 	dialer, err := relay.Accept()
 	if err != nil {
--- a/transport/helpers_test.go
+++ b/transport/helpers_test.go
@@ -33,7 +33,7 @@
 	Number int `cbor:"1,keyasint"`
 }
 
-// serveTestKinds registers the handlers that the tests call.
+// serveTestKinds registers the handlers of the tests, which report to events.
 func serveTestKinds(node Network, events chan<- string) {
 	node.Handle(kindEcho, func(_ context.Context, from string, decode func(any) error) (any, error) {
 		var request text
@@ -71,12 +71,13 @@
 			}
 		}
 		if upTo.Number%2 == 1 {
-			return errors.New("odd counts end badly")
+			return errors.New("the count is odd")
 		}
 		return nil
 	})
 }
 
+// listenTCP returns a started node on a free port of the loopback interface.
 func listenTCP(t *testing.T, config Config, events chan<- string) *Node {
 	t.Helper()
 	config.Listen = "127.0.0.1:0"
@@ -92,17 +93,19 @@
 	return node
 }
 
+// pairTCP returns the started nodes "a" and "b", and the channel of the events of their
+// handlers.
 func pairTCP(t *testing.T) (*Node, *Node, chan string) {
 	t.Helper()
 	events := make(chan string, 4096)
-	// The first dial may take a second, as a busy machine needs at times.
+	// The first dial may take a second, which a busy machine sometimes needs.
 	const dialTimeout = firstDialDivisor * time.Second
 	a := listenTCP(t, Config{Name: "a", Keys: [][]byte{keyNew}, DialTimeout: dialTimeout}, events)
 	b := listenTCP(t, Config{Name: "b", Keys: [][]byte{keyNew}, DialTimeout: dialTimeout}, events)
 	return a, b, events
 }
 
-// testTimeout only ends a test that hangs.
+// testTimeout ends a test that hangs; no test is expected to reach it.
 const testTimeout = 20 * time.Second
 
 func testContext(t *testing.T) context.Context {
--- a/transport/inbound.go
+++ b/transport/inbound.go
@@ -10,19 +10,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of one accepted connection.
+// Limits of one accepted connection.
 const (
 	maxCallsPerConnection = 1024
 	replyWriteTimeout     = 5 * time.Second // for each chunk of a reply
-	maxErrorBytes         = 4 << 10         // of a handler's error as it is sent
+	maxErrorBytes         = 4 << 10         // of the text of a handler's error, as sent to the peer
 )
 
-// inbound serves the one-way messages and calls of one accepted connection. Calls
-// run at the same time, one-way messages one after the other.
+// inbound serves the one-way messages and calls of one accepted connection. Calls are
+// handled concurrently, one-way messages sequentially.
 type inbound struct {
 	node       *Node
 	connection *conn
-	oneWay     chan envelope // made with the first one-way message
+	oneWay     chan envelope // created for the first one-way message
 	group      sync.WaitGroup
 
 	mutex sync.Mutex
@@ -33,7 +33,8 @@
 	return &inbound{node: node, connection: connection, calls: make(map[uint64]context.CancelFunc)}
 }
 
-// serve returns when the connection ends and its handlers have returned.
+// serve reads and dispatches frames. It returns when the connection has ended and its
+// handlers have returned.
 func (i *inbound) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer i.group.Wait()
@@ -56,18 +57,18 @@
 		case frameCancel:
 			i.endCall(received.ID)
 		case framePing:
-			if err := i.connection.pong(replyWriteTimeout); err != nil {
+			if err := i.connection.writePong(replyWriteTimeout); err != nil {
 				return
 			}
 		default:
-			return // a peer that breaks the protocol
+			return // protocol violation
 		}
 	}
 }
 
-// queueOneWay passes a message to the goroutine that handles them in their order.
-// It drops the message when the queue is full, since the connection's calls and
-// pings must not wait behind a slow handler.
+// queueOneWay passes a message to the goroutine that handles one-way messages in the
+// order of their arrival. It drops the message if the queue is full, since the
+// connection's calls and pings must not wait for a slow handler.
 func (i *inbound) queueOneWay(ctx context.Context, message envelope) {
 	if i.oneWay == nil {
 		i.oneWay = make(chan envelope, i.node.config.QueueLength)
@@ -90,13 +91,13 @@
 			i.node.counters.dropped(message.Kind)
 			continue
 		}
-		if _, err := handler(ctx, i.connection.peer, decoder(message.Body)); err != nil {
+		if _, err := handler(ctx, i.connection.peer, bodyDecoder(message.Body)); err != nil {
 			i.node.logger.Debug("handling a one-way message failed", "kind", message.Kind, "peer", i.connection.peer, "error", err)
 		}
 	}
 }
 
-func decoder(body cbor.RawMessage) func(any) error {
+func bodyDecoder(body cbor.RawMessage) func(any) error {
 	return func(into any) error { return decodeBody(body, into) }
 }
 
@@ -114,7 +115,7 @@
 		i.reply(id, kind, nil, errors.New("too many calls at once on one connection"))
 		return
 	}
-	decode := decoder(request.Body)
+	decode := bodyDecoder(request.Body)
 	i.group.Go(func() {
 		defer i.endCall(id)
 		reply, err := handler(callCtx, i.connection.peer, decode)
@@ -124,8 +125,8 @@
 	})
 }
 
-// requestContext returns the context of a request's handler. It ends no later than
-// the caller's.
+// requestContext returns the context of a request's handler. It has the timeout that the
+// caller sent, if any.
 func requestContext(parent context.Context, request envelope) (context.Context, context.CancelFunc) {
 	if request.TimeoutMS <= 0 {
 		return context.WithCancel(parent)
@@ -133,7 +134,8 @@
 	return context.WithTimeout(parent, time.Duration(request.TimeoutMS)*time.Millisecond)
 }
 
-// addCall registers a running call. It returns false when there are too many.
+// addCall registers a running call. It returns false if maxCallsPerConnection calls are
+// running.
 func (i *inbound) addCall(id uint64, cancel context.CancelFunc) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -144,8 +146,8 @@
 	return true
 }
 
-// endCall cancels the context of a call that has ended or that the caller has
-// canceled.
+// endCall removes a call that has ended or was canceled by the caller, and cancels its
+// context.
 func (i *inbound) endCall(id uint64) {
 	i.mutex.Lock()
 	cancel, found := i.calls[id]
@@ -156,8 +158,8 @@
 	}
 }
 
-// reply sends the handler's reply, or its error, or the error of encoding the
-// reply. It closes the connection if that fails.
+// reply sends the handler's reply, its error, or the error of encoding the reply. It
+// closes the connection if sending fails.
 func (i *inbound) reply(id uint64, kind Kind, reply any, failure error) {
 	head := envelope{Type: frameReply, ID: id, Kind: kind}
 	frame, err := []byte(nil), failure
@@ -177,7 +179,8 @@
 	}
 }
 
-// truncatedMessage returns the error's text as it is sent to the peer.
+// truncatedMessage returns the text of the error, cut to maxErrorBytes, as it is sent to
+// the peer.
 func truncatedMessage(err error) string {
 	message := err.Error()
 	return message[:min(len(message), maxErrorBytes)]
--- a/transport/link.go
+++ b/transport/link.go
@@ -12,18 +12,18 @@
 const (
 	minBackoff      = 20 * time.Millisecond
 	maxBackoff      = 500 * time.Millisecond
-	idleLinkTimeout = 5 * time.Minute // without a frame sent until the link ends
+	idleLinkTimeout = 5 * time.Minute // a link ends after this time without a sent frame
 
-	// firstDialDivisor divides DialTimeout for the first attempt to connect; each
-	// further one has twice the time of the last, up to DialTimeout. A machine that
-	// has just got its power back has not seen the packet that was sent before, and
-	// TCP repeats that one only after a second.
+	// firstDialDivisor divides DialTimeout for the first attempt to connect. Each
+	// further attempt has twice the timeout of the previous one, up to DialTimeout.
+	// A machine that has just been powered on has not received the SYN packet sent
+	// before, and TCP retransmits that only after a second.
 	firstDialDivisor = 4
 )
 
-// link keeps one connection to one address for messages and calls: it connects
-// when there is something to send, replaces a broken or unresponsive connection,
-// and backs off while the address cannot be reached.
+// link maintains one connection to one address for messages and calls. It connects
+// when there is something to send, replaces a broken or unresponsive connection, and
+// backs off while the address cannot be reached.
 type link struct {
 	node    *Node
 	address string
@@ -44,20 +44,20 @@
 	}
 }
 
-// run is the link's goroutine. It returns when ctx ends or the link was idle for
+// run is the link's main loop. It returns when ctx ends or the link has been idle for
 // idleLinkTimeout.
 func (l *link) run(ctx context.Context) {
 	firstDialTimeout := l.node.config.DialTimeout / firstDialDivisor
 	backoff, dialTimeout := minBackoff, firstDialTimeout
 	for {
-		first, found := l.next(ctx)
+		first, found := l.nextItem(ctx)
 		if !found {
 			return
 		}
 		connection, err := l.node.connect(ctx, l.address, purposeMessages, dialTimeout)
 		if err != nil {
 			l.node.logger.Debug("connecting to peer failed", "address", l.address, "error", err)
-			l.drop(first, err)
+			l.dropItem(first, err)
 			l.dropQueued(err)
 			sleep(ctx, jitter(backoff))
 			backoff = min(2*backoff, maxBackoff)
@@ -74,8 +74,8 @@
 	}
 }
 
-// next waits for something to send. It returns false when the link must end.
-func (l *link) next(ctx context.Context) (outgoing, bool) {
+// nextItem waits for an item to send. It returns false when the link must end.
+func (l *link) nextItem(ctx context.Context) (outgoing, bool) {
 	idle := time.NewTimer(idleLinkTimeout)
 	defer idle.Stop()
 	for {
@@ -95,12 +95,12 @@
 	}
 }
 
-// jitter returns a random duration from half of the bound up to the bound.
+// jitter returns a random duration between half of the bound and the bound.
 func jitter(bound time.Duration) time.Duration {
 	return bound/2 + rand.N(bound/2)
 }
 
-// sleep waits for the duration or the end of the context.
+// sleep waits until the duration has passed or the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -127,8 +127,8 @@
 	return connection.lastReceived.Load() > opened
 }
 
-// writeLoop writes the first item and all that is queued until the connection is
-// lost, and returns why.
+// writeLoop writes the first item and then all queued items until the connection is
+// lost. It returns the cause of the loss.
 func (l *link) writeLoop(ctx context.Context, connection *conn, first outgoing, readerDone <-chan struct{}) error {
 	monitor := newLivenessMonitor(connection)
 	defer monitor.stop()
@@ -172,10 +172,12 @@
 	if err := connection.write(item.kind, item.frame, unresponsiveTimeout); err != nil {
 		return err
 	}
-	monitor.wrote()
+	monitor.recordWrite()
 	return nil
 }
 
+// readReplies completes calls with the replies received, until the connection ends or
+// the peer violates the protocol.
 func (l *link) readReplies(connection *conn) {
 	var received envelope
 	for {
@@ -189,7 +191,7 @@
 			l.completeCall(received.ID, nil, &RemoteError{Kind: received.Kind, Message: received.Error})
 		case framePong:
 		default:
-			return // a peer that breaks the protocol
+			return // protocol violation
 		}
 	}
 }
--- a/transport/liveness.go
+++ b/transport/liveness.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Timing of the liveness of a link's connection.
+// Timing of the liveness checks of a link's connection.
 const (
 	pingDelay           = 250 * time.Millisecond // from an unanswered frame to a ping
 	unresponsiveTimeout = time.Second            // from an unanswered frame to a new connection
@@ -14,19 +14,20 @@
 var (
 	errPeerClosed   = errors.New("the peer closed the connection")
 	errUnresponsive = errors.New("the peer does not respond")
-	errLinkIdle     = errors.New("nothing was sent for long")
+	errLinkIdle     = errors.New("nothing was sent within the idle timeout")
 )
 
-// livenessMonitor detects a connection whose peer no longer responds, and one that
-// is no longer used. An idle connection is not pinged: only a frame that was sent
-// makes a response due. Only the goroutine that writes may use it.
+// livenessMonitor detects that the peer of a connection no longer responds, or that the
+// connection is no longer used. It expects a response only after a frame was sent, so an
+// idle connection is not pinged. Only the goroutine that writes to the connection may
+// use it.
 type livenessMonitor struct {
 	connection *conn
 	timer      *time.Timer
-	pingDue    bool  // the timer is set for a ping, not for the idle timeout
-	lastWrite  int64 // in the connection's time
-	// unansweredSince is when the oldest frame was written since which nothing was
-	// received, in the connection's time; 0 is none.
+	pingDue    bool  // the timer is set to pingDelay, not to the idle timeout
+	lastWrite  int64 // in the time of conn.now
+	// unansweredSince is the time, as given by conn.now, at which the oldest frame was
+	// written after which nothing has been received; 0 means that there is none.
 	unansweredSince int64
 }
 
@@ -36,8 +37,8 @@
 
 func (m *livenessMonitor) stop() { m.timer.Stop() }
 
-// wrote records that a frame has just been written.
-func (m *livenessMonitor) wrote() {
+// recordWrite records that a frame has just been written.
+func (m *livenessMonitor) recordWrite() {
 	m.clearAnswered()
 	m.lastWrite = m.connection.now()
 	if m.unansweredSince == 0 {
@@ -53,17 +54,17 @@
 	}
 }
 
-// clearAnswered takes anything that was received as the response to all frames
-// written before.
+// clearAnswered resets unansweredSince if anything was received since then: any received
+// frame counts as the response to all frames written before it.
 func (m *livenessMonitor) clearAnswered() {
 	if m.connection.lastReceived.Load() >= m.unansweredSince {
 		m.unansweredSince = 0
 	}
 }
 
-// check runs when the timer fired: it pings, or returns errUnresponsive or
-// errLinkIdle. A large frame on its way counts as a sign of life with each chunk
-// that was written.
+// check must be called when the timer fires. It sends a ping, or returns errUnresponsive
+// or errLinkIdle. While a large frame is being written, each written chunk counts as a
+// response.
 func (m *livenessMonitor) check() error {
 	m.pingDue = false
 	m.clearAnswered()
--- a/transport/memory.go
+++ b/transport/memory.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// Memory connects nodes within one process, with the frames, handshakes, queues
-// and time-outs of the TCP network. It is for tests and hollow nodes. An address
-// may be any text.
+// Memory is a network within one process, for tests and simulated nodes. It uses the
+// same frames, handshakes, queues and timeouts as the TCP network. An address may be
+// any string.
 type Memory struct {
 	mutex       sync.Mutex
 	listeners   map[string]*memoryListener
@@ -17,13 +17,13 @@
 	loss        func(from, to string, kind Kind) bool
 }
 
-// path is one direction between two addresses.
+// path is one direction of traffic between two addresses.
 type path struct {
 	from string
 	to   string
 }
 
-// memoryKey is the fleet key of nodes that are given none.
+// memoryKey is the key of nodes whose Config has no Keys.
 var memoryKey = []byte("an in-memory key")
 
 // NewMemory returns an empty network.
@@ -36,8 +36,8 @@
 	return m.NodeWithConfig(Config{Name: name, Listen: address})
 }
 
-// NodeWithConfig adds a node. Without Keys it has the network's own. It panics if the
-// address is in use.
+// NodeWithConfig adds a node. If the config has no Keys, the node uses a key that all
+// such nodes share. It panics if the address is in use.
 func (m *Memory) NodeWithConfig(config Config) *Node {
 	if len(config.Keys) == 0 {
 		config.Keys = [][]byte{memoryKey}
@@ -56,8 +56,8 @@
 	return node
 }
 
-// Partition discards everything sent from one address to another until Heal, without an
-// error. A connection that lost something stays broken; new ones work after Heal.
+// Partition silently discards everything sent from one address to another until Heal.
+// A connection that lost data stays broken; new ones work after Heal.
 func (m *Memory) Partition(from, to string) { m.setPartitioned(from, to, true) }
 
 // Heal ends a Partition.
@@ -69,8 +69,9 @@
 	m.partitioned[path{from, to}] = partitioned
 }
 
-// SetLoss installs a rule that drops messages, calls and stream requests before
-// they are sent; nil removes it. Goroutines may call the rule at the same time.
+// SetLoss installs a function that selects the messages, calls and stream requests to
+// drop before they are sent; nil removes it. The function must be safe for concurrent
+// use.
 func (m *Memory) SetLoss(loss func(from, to string, kind Kind) bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -83,7 +84,7 @@
 	return m.partitioned[along]
 }
 
-// memoryFabric is the fabric of the node at one address of a Memory.
+// memoryFabric implements fabric for the node at one address of a Memory.
 type memoryFabric struct {
 	memory  *Memory
 	address string
@@ -93,7 +94,7 @@
 	f.memory.mutex.Lock()
 	defer f.memory.mutex.Unlock()
 	if _, taken := f.memory.listeners[address]; taken {
-		return nil, fmt.Errorf("address %s is taken", address)
+		return nil, fmt.Errorf("address %s is already in use", address)
 	}
 	listener := &memoryListener{memory: f.memory, address: address, incoming: make(chan net.Conn), closed: make(chan struct{})}
 	f.memory.listeners[address] = listener
@@ -110,23 +111,23 @@
 	listener, found := f.memory.listeners[address]
 	f.memory.mutex.Unlock()
 	if !found {
-		return nil, fmt.Errorf("nobody listens on %s", address)
+		return nil, fmt.Errorf("no node listens on %s", address)
 	}
 	local, remote := f.memory.pipe(forward, reverse)
 	select {
 	case listener.incoming <- remote:
 		return local, nil
 	case <-listener.closed:
-		return nil, fmt.Errorf("nobody listens on %s", address)
+		return nil, fmt.Errorf("no node listens on %s", address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// reusable returns false, so that each stream in memory has a new connection.
+// reusable returns false, so that each stream uses a new connection.
 func (f *memoryFabric) reusable(net.Conn) bool { return false }
 
-// memoryListener accepts the remote ends of dialed pipes.
+// memoryListener accepts the remote end of each pipe that is dialed to its address.
 type memoryListener struct {
 	memory   *Memory
 	address  string
--- a/transport/memory_test.go
+++ b/transport/memory_test.go
@@ -11,7 +11,8 @@
 
 // These tests run in virtual time over the in-memory network.
 
-// memoryPair returns the started nodes "a" and "b".
+// memoryPair returns a network with the started nodes "a" and "b", and the channel of
+// the events of their handlers.
 func memoryPair(t *testing.T, config Config) (*Memory, *Node, *Node, chan string) {
 	t.Helper()
 	network := NewMemory()
@@ -46,30 +47,30 @@
 		network.Partition("a", "b")
 		began := time.Now()
 		if err := echo(a, 200*time.Millisecond); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 200*time.Millisecond {
-			t.Fatalf("%v after %v: a call must end with its context", err, time.Since(began))
+			t.Fatalf("the call returned %v after %v, want the end of its context after 200ms", err, time.Since(began))
 		}
 		err := echo(a, time.Hour)
 		if took := time.Since(began); !errors.Is(err, ErrConnectionLost) || took > 1300*time.Millisecond {
-			t.Fatalf("%v after %v: the unresponsive peer must be noticed", err, took)
+			t.Fatalf("the call returned %v after %v, want a lost connection within 1.3s", err, took)
 		}
-		time.Sleep(10 * time.Second) // attempts to connect fail meanwhile
+		time.Sleep(10 * time.Second) // attempts to connect fail during this time
 		network.Heal("a", "b")
 		healed := time.Now()
 		for echo(a, time.Second) != nil {
 			if time.Since(healed) > 5*time.Second {
-				t.Fatal("not connected again")
+				t.Fatal("no reconnection within 5s after the partition was healed")
 			}
 		}
-		t.Logf("answered %v after the partition was healed", time.Since(healed))
+		t.Logf("reconnected %v after the partition was healed", time.Since(healed))
 		if took := time.Since(healed); took > 1600*time.Millisecond {
-			t.Fatalf("connected again after %v only", took)
+			t.Fatalf("reconnected %v after the partition was healed, want at most 1.6s", took)
 		}
 	})
 }
 
-// TestFirstDialTimeoutIsShort holds that a machine that gets its power back between
-// two packets is reached long before DialTimeout, and that a slow one gets more time
-// with each attempt.
+// TestFirstDialTimeoutIsShort checks that the first attempt to connect has a short
+// timeout, so that a machine that has just been powered on is reached long before
+// DialTimeout, and that the timeout grows to DialTimeout for a slow machine.
 func TestFirstDialTimeoutIsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, a, _, _ := memoryPair(t, Config{DialTimeout: time.Second})
@@ -84,10 +85,10 @@
 			began = time.Now()
 		}
 		if took[0] != time.Second/firstDialDivisor {
-			t.Errorf("the first dial took %v", took[0])
+			t.Errorf("the first dial took %v, want DialTimeout/firstDialDivisor", took[0])
 		}
 		if took[3] < time.Second {
-			t.Errorf("the fourth dial took %v, less than DialTimeout", took[3])
+			t.Errorf("the fourth dial took %v, want at least DialTimeout", took[3])
 		}
 		network.Heal("a", "b")
 		if err := echo(a, 2*time.Second); err != nil {
@@ -104,14 +105,14 @@
 		}
 		time.Sleep(4 * time.Minute)
 		if pings := b.Counters()[0].ReceivedMessages; pings > 1 {
-			t.Fatalf("%d pings while nothing was sent", pings)
+			t.Fatalf("received %d pings while nothing was sent, want at most 1", pings)
 		}
 		time.Sleep(20 * time.Minute)
 		a.mutex.Lock()
 		links, open := len(a.links), len(a.connections)
 		a.mutex.Unlock()
 		if links != 0 || open != 0 {
-			t.Fatalf("%d links and %d connections remain for an address long unused", links, open)
+			t.Fatalf("%d links and %d connections remain after the idle timeout, want none", links, open)
 		}
 		if err := echo(a, time.Second); err != nil {
 			t.Fatal(err)
@@ -127,17 +128,17 @@
 			a.Send("b", kindOneWay, text{Text: fmt.Sprint(i)})
 		}
 		if err := echo(a, time.Hour); !errors.Is(err, ErrNotSent) {
-			t.Fatalf("a call beyond the queue: %v", err)
+			t.Fatalf("a call with a full queue returned %v, want ErrNotSent", err)
 		}
 		time.Sleep(2 * time.Second)
 		network.Heal("a", "b")
 		time.Sleep(2 * time.Second)
 		a.Send("b", kindOneWay, text{Text: "last"})
 		if got := <-events; got != "a: last" {
-			t.Fatalf("%q outlived the failed connection", got)
+			t.Fatalf("got %q, want only the message sent after the partition", got)
 		}
 		if dropped := a.Counters()[kindOneWay].DroppedMessages; dropped != 100 {
-			t.Fatalf("%d messages counted as dropped", dropped)
+			t.Fatalf("%d messages counted as dropped, want 100", dropped)
 		}
 	})
 }
@@ -153,24 +154,24 @@
 			if err := stream.Next(&number{}); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Minute) // a slow reader is not unresponsive
+			time.Sleep(time.Minute) // a slow reader must not count as unresponsive
 		}
 		network.Partition("b", "a")
 		began := time.Now()
 		_, err = collect(t, stream)
 		if took := time.Since(began); !errors.Is(err, ErrConnectionLost) || took > 2*streamTimeout {
-			t.Fatalf("%v after %v", err, took)
+			t.Fatalf("the stream ended with %v after %v, want a lost connection within twice streamTimeout", err, took)
 		}
 		if got := <-events; got != "stream stopped" {
 			t.Fatal(got)
 		}
 		if sent := b.Counters()[kindCount].SentMessages; sent > 1000 {
-			t.Fatalf("%d messages were sent to a reader of 10", sent)
+			t.Fatalf("%d messages were sent although the reader took only 10", sent)
 		}
 	})
 }
 
-func TestStreamHandlerNoticesAnUnresponsiveReader(t *testing.T) {
+func TestStreamHandlerDetectsUnresponsiveReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, a, _, events := memoryPair(t, Config{})
 		stream, err := a.OpenStream(t.Context(), "b", kindCount, number{Number: 1 << 40})
@@ -183,7 +184,7 @@
 		network.Partition("a", "b")
 		began := time.Now()
 		if got := <-events; got != "stream stopped" || time.Since(began) > 2*streamTimeout {
-			t.Fatalf("%q after %v", got, time.Since(began))
+			t.Fatalf("got event %q after %v, want the end of the stream within twice streamTimeout", got, time.Since(began))
 		}
 		stream.Close()
 	})
--- a/transport/memoryconn.go
+++ b/transport/memoryconn.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// pipeChunks is how many written chunks one direction of a pipe buffers.
+// pipeChunks is the number of written chunks that one direction of a pipe buffers.
 const pipeChunks = 64
 
-// halfPipe is one direction of a pipe. Either end closes it.
+// halfPipe is one direction of a pipe. Either end may close it.
 type halfPipe struct {
 	chunks chan []byte
 	closed chan struct{}
@@ -34,18 +34,18 @@
 	return local, remote
 }
 
-// memoryConn is one end of a buffered pipe. What is written during a partition, and
-// everything after that, goes to a buffer that nobody reads: a connection of which
-// some bytes are missing cannot go on. Its deadlines apply to reads and writes that
-// begin after they were set.
+// memoryConn is one end of a buffered pipe. Data written during a partition, and all data
+// written after it, goes to a buffer that is never read, because a connection cannot
+// continue once some of its bytes are missing. A deadline applies only to reads and
+// writes that begin after it was set.
 type memoryConn struct {
 	memory    *Memory
-	path      path // of what is written
+	path      path // direction of the writes
 	in        *halfPipe
 	out       *halfPipe
-	broken    atomic.Bool // something that was written is lost
+	broken    atomic.Bool // some written data was lost
 	blackhole chan []byte
-	unread    []byte // rest of the chunk that was received last
+	unread    []byte // rest of the last received chunk
 
 	readDeadline  atomic.Pointer[time.Time]
 	writeDeadline atomic.Pointer[time.Time]
@@ -109,8 +109,8 @@
 	}
 }
 
-// deadlineChannel returns a channel that is ready once the deadline has passed, never
-// without one, and a function that releases it.
+// deadlineChannel returns a channel that receives a value once the deadline has passed,
+// and a function that releases its timer. Without a deadline the channel is nil.
 func deadlineChannel(deadline *atomic.Pointer[time.Time]) (<-chan time.Time, func()) {
 	at := deadline.Load()
 	if at == nil || at.IsZero() {
--- a/transport/node.go
+++ b/transport/node.go
@@ -11,25 +11,27 @@
 	"time"
 )
 
-// maxHandshakes bounds the accepted connections that are not authenticated yet.
+// maxHandshakes bounds the number of accepted connections that are not authenticated
+// yet.
 const maxHandshakes = 512
 
-// Node is the Network over TCP. It is safe for concurrent use.
+// Node implements Network over TCP, or over a Memory in tests. It is safe for concurrent
+// use.
 type Node struct {
 	config   Config
 	logger   *slog.Logger
 	fabric   fabric
 	listener net.Listener
-	epoch    time.Time // start of the connections' clock
+	epoch    time.Time // origin of the connections' timestamps
 	counters counters
 	keys     atomic.Pointer[[][]byte]
 	callID   atomic.Uint64
 	dropRule atomic.Pointer[dropRule]
 
-	// The handlers are written before Start only and read without the mutex.
+	// The handlers are written only before Start, and are read without the mutex.
 	handlers       map[Kind]Handler
 	streamHandlers map[Kind]StreamHandler
-	// handshakeSlots holds a token for each handshake of an accepted connection.
+	// handshakeSlots holds a token for each accepted connection in its handshake.
 	handshakeSlots chan struct{}
 	streams        streamPool
 
@@ -46,14 +48,15 @@
 
 var _ Network = (*Node)(nil)
 
-// Listen binds the peers' address. Register the handlers, then call Start.
+// Listen returns a node that is bound to the configured address. The caller registers
+// the handlers and then calls Start. A nil logger discards the log.
 func Listen(config Config, logger *slog.Logger) (*Node, error) {
 	return listenOn(tcpFabric{}, config, logger)
 }
 
 func listenOn(fabric fabric, config Config, logger *slog.Logger) (*Node, error) {
 	if len(config.Keys) == 0 {
-		return nil, errors.New("transport: no key is given")
+		return nil, errors.New("transport: the configuration has no key")
 	}
 	if logger == nil {
 		logger = slog.New(slog.DiscardHandler)
@@ -95,23 +98,24 @@
 	}
 }
 
-// SetKeys replaces the keys for future handshakes. Open connections stay.
+// SetKeys replaces the keys for future handshakes. It does not affect open connections.
 func (n *Node) SetKeys(keys [][]byte) { n.keys.Store(&keys) }
 
-// Address returns the bound address, of use when the port was given as 0.
+// Address returns the bound address, which has the chosen port if the configured one
+// was 0.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
-// Counters returns the counters of the kinds used since the node was made.
+// Counters returns the counters of the kinds used since the node was created.
 func (n *Node) Counters() map[Kind]KindCounters { return n.counters.snapshot() }
 
-// Handle implements Network. It panics on a kind that is out of range or already
-// registered, and after Start.
+// Handle implements Network. It panics if the kind is out of range or already
+// registered, or if the node has started.
 func (n *Node) Handle(kind Kind, handler Handler) {
 	n.mustRegister(kind)
 	n.handlers[kind] = handler
 }
 
-// HandleStream implements Network. It panics as Handle does.
+// HandleStream implements Network. It panics in the same cases as Handle.
 func (n *Node) HandleStream(kind Kind, handler StreamHandler) {
 	n.mustRegister(kind)
 	n.streamHandlers[kind] = handler
@@ -123,7 +127,7 @@
 	_, isCall := n.handlers[kind]
 	_, isStream := n.streamHandlers[kind]
 	if n.started || isCall || isStream || kind == 0 || kind >= MaxKinds {
-		panic(fmt.Sprintf("transport: kind %d cannot be registered: out of range, doubled or after the start", kind))
+		panic(fmt.Sprintf("transport: kind %d cannot be registered: it is out of range or already registered, or the node has started", kind))
 	}
 }
 
@@ -135,7 +139,7 @@
 		return ErrClosed
 	}
 	if n.started {
-		return errors.New("transport: started twice")
+		return errors.New("transport: node is already started")
 	}
 	n.started = true
 	ctx, cancel := context.WithCancel(context.Background())
@@ -179,7 +183,7 @@
 	return true
 }
 
-// track registers a connection that Close is to end. It returns false after Close.
+// track registers a connection, so that Close closes it. It returns false after Close.
 func (n *Node) track(raw net.Conn) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -190,7 +194,7 @@
 	return true
 }
 
-// release closes a tracked connection.
+// release closes a connection and removes it from the tracked ones.
 func (n *Node) release(raw net.Conn) {
 	n.mutex.Lock()
 	delete(n.connections, raw)
@@ -198,7 +202,7 @@
 	raw.Close()
 }
 
-// link returns the link to an address and starts it if there is none.
+// link returns the link to an address, and starts a new one if there is none.
 func (n *Node) link(address string) (*link, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -218,8 +222,8 @@
 	return created, nil
 }
 
-// retire removes a link that has nothing to send. It returns false if something
-// was queued meanwhile.
+// retire removes a link that has nothing to send. It returns false, and leaves the link
+// in place, if an item has been queued in the meantime.
 func (n *Node) retire(unused *link) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/transport/queue.go
+++ b/transport/queue.go
@@ -2,18 +2,17 @@
 
 import "sync"
 
-// outgoing is one frame to be written to the link's connection.
+// outgoing is a frame that waits to be written to the link's connection.
 type outgoing struct {
 	kind  Kind
 	frame []byte
-	call  *pendingCall // the call whose request it is, else nil
+	call  *pendingCall // the call, if the frame is its request; otherwise nil
 }
 
-// sendQueue is a bounded first-in-first-out queue that uses no memory for items
-// while it is empty.
+// sendQueue is a bounded FIFO queue that uses no memory for items while it is empty.
 type sendQueue struct {
 	limit int           // items
-	wake  chan struct{} // has a token whenever there may be something to take
+	wake  chan struct{} // holds a token whenever there may be an item to take
 
 	mutex   sync.Mutex
 	items   []outgoing
@@ -26,13 +25,14 @@
 const (
 	pushed pushResult = iota
 	queueFull
-	queueRetired // the link has ended; the node makes a new one
+	queueRetired // the link has ended; the node must create a new one
 )
 
 func newSendQueue(limit int) *sendQueue {
 	return &sendQueue{limit: limit, wake: make(chan struct{}, 1)}
 }
 
+// push appends an item, unless the queue is full or retired.
 func (q *sendQueue) push(item outgoing) pushResult {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -47,7 +47,7 @@
 	return pushed
 }
 
-// signalLocked must be called with the mutex held.
+// signalLocked wakes the link's goroutine. The caller must hold the mutex.
 func (q *sendQueue) signalLocked() {
 	select {
 	case q.wake <- struct{}{}:
@@ -82,7 +82,7 @@
 	return items
 }
 
-// retire closes the queue for good if it is empty, and reports whether it was.
+// retire closes the queue permanently if it is empty, and reports whether it was.
 func (q *sendQueue) retire() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/transport/send.go
+++ b/transport/send.go
@@ -9,17 +9,18 @@
 
 var errQueueFull = errors.New("the send queue of this address is full")
 
-// dropRule decides whether a message is lost before it is sent, for tests.
+// dropRule reports whether to drop a message before it is sent. Tests use it to
+// simulate loss.
 type dropRule func(address string, kind Kind) bool
 
-func (n *Node) drops(address string, kind Kind) bool {
+func (n *Node) shouldDrop(address string, kind Kind) bool {
 	rule := n.dropRule.Load()
 	return rule != nil && (*rule)(address, kind)
 }
 
 // Send implements Network.
 func (n *Node) Send(address string, kind Kind, message any) {
-	if n.drops(address, kind) {
+	if n.shouldDrop(address, kind) {
 		n.counters.dropped(kind)
 		return
 	}
@@ -40,7 +41,7 @@
 // Call implements Network. An error that wraps ErrNotSent means that the peer has
 // not seen the request.
 func (n *Node) Call(ctx context.Context, address string, kind Kind, request, reply any) error {
-	if n.drops(address, kind) {
+	if n.shouldDrop(address, kind) {
 		n.counters.dropped(kind)
 		<-ctx.Done()
 		return ctx.Err()
@@ -59,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := used.await(ctx, call)
+	body, err := used.awaitReply(ctx, call)
 	if err != nil {
 		return err
 	}
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// enqueue calls push with the address's link, again with a new link if the first
-// one has just been retired.
+// enqueue calls push with the link to the address. It tries again with a new link if
+// that one has just been retired.
 func (n *Node) enqueue(address string, push func(*link) pushResult) error {
 	for {
 		link, err := n.link(address)
@@ -87,8 +88,8 @@
 	}
 }
 
-// remainingMillis returns the time until the context's deadline in milliseconds,
-// at least 1; 0 without a deadline.
+// remainingMillis returns the time until the context's deadline in milliseconds, at
+// least 1. It returns 0 if the context has no deadline.
 func remainingMillis(ctx context.Context) int64 {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
--- a/transport/stream.go
+++ b/transport/stream.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Timing of streams. The opener pings while a stream runs, so that each side
-// notices an unresponsive peer however slowly the messages come.
+// Timing of streams. The opener sends pings while a stream runs, so that each side
+// detects an unresponsive peer even if messages are rare.
 const (
 	streamPingInterval = 500 * time.Millisecond
-	streamTimeout      = 2 * time.Second // without a frame from the peer
+	streamTimeout      = 2 * time.Second // without a frame from the peer, or for writing one chunk
 )
 
 // OpenStream implements Network. The stream ends with an error when ctx ends.
 func (n *Node) OpenStream(ctx context.Context, address string, kind Kind, request any) (Stream, error) {
-	if n.drops(address, kind) {
+	if n.shouldDrop(address, kind) {
 		n.counters.dropped(kind)
 		<-ctx.Done()
 		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, ctx.Err())
@@ -36,29 +36,30 @@
 		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
 	}
 	stream := &openedStream{node: n, address: address, connection: connection, ctx: ctx, finished: make(chan struct{})}
-	stream.stopWatching = context.AfterFunc(ctx, func() { connection.raw.Close() })
+	stream.detachContext = context.AfterFunc(ctx, func() { connection.raw.Close() })
 	if !n.spawn(stream.pingLoop) {
-		// The request is written, so that this is no ErrNotSent: Next returns that the
-		// connection broke.
+		// The request was written, so this must not be reported as ErrNotSent. Closing
+		// the connection makes Next return ErrConnectionLost.
 		connection.raw.Close()
 	}
 	return stream, nil
 }
 
-// openedStream is the opener's end of a stream. Next is for one goroutine; Close
+// openedStream is the opener's side of a stream. Only one goroutine may call Next; Close
 // may be called from another.
 type openedStream struct {
 	node       *Node
 	address    string
 	connection *conn
-	// ctx only tells fail why the connection broke.
-	ctx          context.Context //nolint:containedctx // a stream lives as long as the context it was opened with, as an http.Request does
-	stopWatching func() bool     // stops closing the connection at the end of ctx
-	finished     chan struct{}
-	once         sync.Once
-	result       error // of every Next once the stream has ended
+	// ctx is used only by fail, to report why the connection was lost.
+	ctx           context.Context //nolint:containedctx // a stream lives as long as the context it was opened with, as an http.Request does
+	detachContext func() bool     // cancels the closing of the connection at the end of ctx
+	finished      chan struct{}
+	once          sync.Once
+	result        error // returned by every Next once the stream has ended
 }
 
+// pingLoop sends pings until the stream has finished or the node closes.
 func (s *openedStream) pingLoop() {
 	ticker := time.NewTicker(streamPingInterval)
 	defer ticker.Stop()
@@ -112,8 +113,8 @@
 	return received, err
 }
 
-// fail ends a stream whose connection broke. A cause that is io.EOF is replaced:
-// it must never be taken for the clean end.
+// fail ends a stream whose connection was lost, and returns the error. It replaces a
+// cause of io.EOF, which a caller would mistake for a clean end.
 func (s *openedStream) fail(cause error) error {
 	if ended := s.ctx.Err(); ended != nil {
 		cause = ended
@@ -125,18 +126,18 @@
 	return s.result
 }
 
-// end ends a stream that the peer has ended.
+// end records that the peer has ended the stream, and returns the result.
 func (s *openedStream) end(result error) error {
 	s.result = result
 	s.finish(true)
 	return result
 }
 
-// finish returns the connection to the pool after a clean end, else closes it.
+// finish returns the connection to the pool after a clean end, and otherwise closes it.
 func (s *openedStream) finish(clean bool) {
 	s.once.Do(func() {
 		close(s.finished)
-		stillOpen := s.stopWatching()
+		stillOpen := s.detachContext()
 		clean = clean && stillOpen && s.connection.raw.SetDeadline(time.Time{}) == nil
 		if !clean || !s.node.streams.put(s.address, s.connection) {
 			s.node.release(s.connection.raw)
--- a/transport/stream_test.go
+++ b/transport/stream_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// collect reads a stream to its end, which it returns as an error.
+// collect reads a stream to its end. It returns the numbers received and the error that
+// ended the stream.
 func collect(t *testing.T, stream Stream) ([]int, error) {
 	t.Helper()
 	var numbers []int
@@ -30,15 +31,15 @@
 		}
 		numbers, err := collect(t, stream)
 		if len(numbers) != length {
-			t.Fatalf("%d of %d messages", len(numbers), length)
+			t.Fatalf("received %d of %d messages", len(numbers), length)
 		}
 		var remote *RemoteError
 		//nolint:errorlint // the end of a stream is io.EOF itself, as of an io.Reader
 		if length%2 == 0 && err != io.EOF || length%2 == 1 && !errors.As(err, &remote) {
-			t.Fatalf("length %d ended with %v", length, err)
+			t.Fatalf("the stream of length %d ended with %v", length, err)
 		}
 		if again := stream.Next(&number{}); !errors.Is(again, err) {
-			t.Fatalf("after the end: %v", again)
+			t.Fatalf("Next after the end returned %v, want the same error again", again)
 		}
 	}
 }
@@ -54,7 +55,7 @@
 		}
 		opened, ok := stream.(*openedStream)
 		if !ok {
-			t.Fatalf("the stream is a %T", stream)
+			t.Fatalf("the stream has type %T, want *openedStream", stream)
 		}
 		used[opened.connection]++
 		//nolint:errorlint // as above
@@ -63,13 +64,13 @@
 		}
 	}
 	if len(used) == streams {
-		t.Fatal("every stream had a connection of its own")
+		t.Fatal("no stream reused a connection")
 	}
 }
 
-// TestStreamWrittenDuringCloseIsNotReportedUnsent has the node close right after
-// the request was written in full: the peer may run it, so that the error must not
-// wrap ErrNotSent.
+// TestStreamWrittenDuringCloseIsNotReportedUnsent closes the node right after the request
+// was written in full. The peer may execute the request, so the error must not wrap
+// ErrNotSent.
 func TestStreamWrittenDuringCloseIsNotReportedUnsent(t *testing.T) {
 	a, b, _ := pairTCP(t)
 	ctx := testContext(t)
@@ -86,14 +87,14 @@
 		defer a.mutex.Unlock()
 		a.closed = closed
 	}
-	setClosed(true) // as Close does first; the idle connection is still open
+	setClosed(true) // the first step of Close; the idle connection is still open
 	stream, err := a.OpenStream(ctx, b.Address(), kindCount, number{Number: 2})
 	setClosed(false)
 	if err != nil {
-		t.Fatalf("the written request is reported as not sent: %v", err)
+		t.Fatalf("OpenStream reported a written request as not sent: %v", err)
 	}
 	if _, err := collect(t, stream); !errors.Is(err, ErrConnectionLost) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("the stream ended with %v", err)
 	}
 }
 
@@ -113,7 +114,7 @@
 		} else {
 			cancel()
 			if _, err := collect(t, stream); !errors.Is(err, context.Canceled) {
-				t.Fatalf("ended with %v", err)
+				t.Fatalf("the stream ended with %v", err)
 			}
 		}
 		if got := <-events; got != "stream stopped" {
@@ -123,7 +124,7 @@
 	}
 }
 
-func TestBrokenStreamIsNotACleanEnd(t *testing.T) {
+func TestBrokenStreamDoesNotEndCleanly(t *testing.T) {
 	a, b, _ := pairTCP(t)
 	stream, err := a.OpenStream(testContext(t), b.Address(), kindCount, number{Number: 1 << 40})
 	if err != nil {
@@ -138,6 +139,6 @@
 	}
 	b.mutex.Unlock()
 	if _, err := collect(t, stream); !errors.Is(err, ErrConnectionLost) || errors.Is(err, io.EOF) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("the stream ended with %v", err)
 	}
 }
--- a/transport/streampool.go
+++ b/transport/streampool.go
@@ -13,8 +13,8 @@
 	maxIdlePerAddress = 16 // connections
 )
 
-// streamPool keeps the connections whose last stream ended cleanly, by address, to
-// be used again.
+// streamPool holds, by address, idle connections whose last stream ended cleanly, so
+// that later streams can reuse them.
 type streamPool struct {
 	mutex sync.Mutex
 	idle  map[string][]idleConn
@@ -25,7 +25,8 @@
 	since      time.Time
 }
 
-// take removes the connection that was put last.
+// take removes and returns the most recently used idle connection to the address. It
+// returns false if there is none.
 func (p *streamPool) take(address string) (idleConn, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -38,7 +39,8 @@
 	return newest, true
 }
 
-// put returns false if the pool has enough connections to the address.
+// put adds an idle connection. It returns false if the pool already has
+// maxIdlePerAddress connections to the address.
 func (p *streamPool) put(address string, connection *conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -52,8 +54,8 @@
 	return true
 }
 
-// streamConnection returns a connection for one stream: an idle one that is still
-// usable, else a new one.
+// streamConnection returns a connection for one stream: an idle one if any is still
+// usable, otherwise a new one.
 func (n *Node) streamConnection(ctx context.Context, address string) (*conn, error) {
 	for {
 		idle, found := n.streams.take(address)
--- a/transport/streamserver.go
+++ b/transport/streamserver.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// listenerIdleTimeout is how long the listener keeps a connection without a stream.
+// listenerIdleTimeout is how long an accepted connection may be without a running stream
+// before it is closed.
 const listenerIdleTimeout = 2 * time.Minute
 
-// streamServer serves the streams of one accepted connection, one after the other.
+// streamServer serves the streams of one accepted connection sequentially.
 type streamServer struct {
 	node       *Node
 	connection *conn
-	current    *streamHandling // nil before the first stream
+	current    *handlerRun // nil before the first stream
 }
 
-// streamHandling is the run of one stream's handler.
-type streamHandling struct {
+// handlerRun is the execution of one stream's handler.
+type handlerRun struct {
 	cancel context.CancelFunc
-	done   chan struct{} // closed when the handler has returned and its end is sent
+	done   chan struct{} // closed when the handler has returned and the end of the stream was sent
 }
 
-func (h *streamHandling) running() bool {
+func (h *handlerRun) running() bool {
 	select {
 	case <-h.done:
 		return false
@@ -35,7 +36,8 @@
 	return &streamServer{node: node, connection: connection}
 }
 
-// serve returns when the connection ends and the handler has returned.
+// serve reads frames and runs the handlers. It returns when the connection has ended
+// and the last handler has returned.
 func (s *streamServer) serve(ctx context.Context) {
 	defer s.stop()
 	var received envelope
@@ -48,19 +50,19 @@
 		}
 		switch received.Type {
 		case framePing:
-			if err := s.connection.pong(0); err != nil {
+			if err := s.connection.writePong(0); err != nil {
 				return
 			}
 		case frameOpen:
 			s.start(ctx, received)
 		default:
-			return // a peer that breaks the protocol
+			return // protocol violation
 		}
 	}
 }
 
-// readTimeout returns how long to wait for the next frame. The opener pings while a
-// stream runs.
+// readTimeout returns how long to wait for the next frame. It is shorter while a
+// stream runs, because the opener then sends pings.
 func (s *streamServer) readTimeout() time.Duration {
 	if s.current != nil && s.current.running() {
 		return streamTimeout
@@ -68,17 +70,17 @@
 	return listenerIdleTimeout
 }
 
-// start runs the handler of a stream. The handler before has sent its end, or the
-// peer would not open another stream.
+// start runs the handler of a stream in a new goroutine. It first waits for
+// the previous handler, which has already sent its end if the peer follows the protocol.
 func (s *streamServer) start(ctx context.Context, request envelope) {
 	if s.current != nil {
 		<-s.current.done
 	}
 	handlerCtx, cancel := requestContext(ctx, request)
-	handling := &streamHandling{cancel: cancel, done: make(chan struct{})}
-	s.current = handling
+	run := &handlerRun{cancel: cancel, done: make(chan struct{})}
+	s.current = run
 	go func() {
-		defer close(handling.done)
+		defer close(run.done)
 		defer cancel()
 		if err := s.run(handlerCtx, request); err != nil {
 			s.connection.raw.Close()
@@ -86,8 +88,8 @@
 	}()
 }
 
-// stop cancels the handler and waits for it. The connection is closed first, since
-// the handler may be blocked in writing to it.
+// stop cancels the handler and waits for it to return. It closes the connection before
+// waiting, since the handler may be blocked in a write to it.
 func (s *streamServer) stop() {
 	if s.current == nil {
 		return
@@ -97,13 +99,13 @@
 	<-s.current.done
 }
 
-// run runs the handler and sends the stream's end. It returns the error of the
-// connection; the handler's goes to the peer.
+// run calls the handler and sends the end of the stream, with the handler's error if
+// there is one. It returns an error only if the end cannot be sent.
 func (s *streamServer) run(ctx context.Context, request envelope) error {
 	failure := fmt.Errorf("no stream handler for kind %d", request.Kind)
 	if handler, found := s.node.streamHandlers[request.Kind]; found {
 		send := func(message any) error { return s.send(ctx, request.Kind, message) }
-		failure = handler(ctx, s.connection.peer, decoder(request.Body), send)
+		failure = handler(ctx, s.connection.peer, bodyDecoder(request.Body), send)
 	}
 	last := envelope{Type: frameEnd, Kind: request.Kind}
 	if failure != nil {
@@ -117,8 +119,8 @@
 	return s.connection.write(request.Kind, frame, streamTimeout)
 }
 
-// send writes one message of the stream. It waits for a slow reader without a time
-// limit: the reader's pings show that it is alive.
+// send writes one message of the stream. It waits for a slow reader without a timeout,
+// since the reader's pings show that it is alive.
 func (s *streamServer) send(ctx context.Context, kind Kind, message any) error {
 	if err := ctx.Err(); err != nil {
 		return err
