--- a/storage/bench_test.go
+++ b/storage/bench_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkSaveSnapshot measures the snapshot of a busy node: of a log of 4,096
-// entries the newest 1,024 stay.
+// BenchmarkSaveSnapshot saves a snapshot that compacts a log of 4,096 entries to the newest
+// 1,024, as on a busy node.
 func BenchmarkSaveSnapshot(b *testing.B) {
 	const length, retained = 4096, 1024
 	for b.Loop() {
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -20,13 +20,13 @@
 	unfinishedSuffix = ".new"
 	fileMode         = 0o600
 	folderMode       = 0o700
-	lockTimeout      = 5 * time.Second // waiting for another process to close the file
+	lockTimeout      = 5 * time.Second // how long to wait for another process to close the file
 	identityBytes    = 16
 	formatVersion    = 1
 )
 
-// The buckets of the file and the keys of the records that exist only once. The log
-// bucket has an entry a key, see indexKey.
+// The buckets of the file and the keys of the singleton records. The log bucket has one
+// key for each entry, see indexKey.
 var (
 	metaBucket     = []byte("meta")
 	stateBucket    = []byte("state")
@@ -41,21 +41,21 @@
 	currentKey   = []byte("current")  // in snapshot
 )
 
-// Disk is a Store in one file of a folder. Each write is one transaction that is
-// synced before the method returns. A write that a power cut interrupted is undone
-// completely at the next Open.
+// Disk is a Store in one bbolt file. Each write is one transaction that is synced before
+// the method returns. A write that was interrupted by a power loss is undone completely at
+// the next Open.
 type Disk struct {
 	database *bolt.DB
-	failed   *FinalError // of the first write that failed, returned by all later calls
+	failed   *FinalError // error of the first failed write, returned by all later calls
 }
 
 var _ Store = (*Disk)(nil)
 
-// Open opens the store in a folder. At the first start it creates the folder, and
-// the store with a random identity.
+// Open opens the store in a folder. If there is none, it creates the folder and a store
+// with a random identity.
 func Open(folder string) (*Disk, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, fmt.Errorf("storage: make folder: %w", err)
+		return nil, fmt.Errorf("storage: create folder: %w", err)
 	}
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
@@ -66,8 +66,8 @@
 	return openFile(path)
 }
 
-// create prepares a store under another name and renames it when it is complete: a
-// power cut before that leaves nothing that looks like a store.
+// create prepares a store under a temporary name and renames it when it is complete, so
+// that a power loss before that leaves no file that could be taken for a store.
 func create(folder, path string) error {
 	unfinished := path + unfinishedSuffix
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -107,14 +107,14 @@
 		if meta.Get(identityKey) != nil {
 			return nil
 		}
-		if err := put(meta, formatKey, singletonIndex, formatVersion); err != nil {
+		if err := putRecord(meta, formatKey, singletonIndex, formatVersion); err != nil {
 			return err
 		}
 		identity, err := newIdentity()
 		if err != nil {
 			return err
 		}
-		return put(meta, identityKey, singletonIndex, identity)
+		return putRecord(meta, identityKey, singletonIndex, identity)
 	})
 }
 
@@ -126,6 +126,7 @@
 	return consensus.ID(hex.EncodeToString(random)), nil
 }
 
+// syncFolder syncs a folder, which makes a rename in it durable.
 func syncFolder(folder string) error {
 	handle, err := os.Open(folder)
 	if err != nil {
@@ -134,8 +135,8 @@
 	return errors.Join(handle.Sync(), handle.Close())
 }
 
-// write runs one synced transaction. The first failure is final: after a failed sync
-// nobody knows what is on the disk.
+// write runs one synced transaction. The first failure is final, because the state on disk
+// is unknown after a failed sync.
 func (d *Disk) write(operation string, change func(*bolt.Tx) error) error {
 	if d.failed != nil {
 		return d.failed
@@ -147,7 +148,8 @@
 	return nil
 }
 
-func put(bucket *bolt.Bucket, key []byte, position uint64, value any) error {
+// putRecord stores the record of a value under a key. See encodeRecord for the position.
+func putRecord(bucket *bolt.Bucket, key []byte, position uint64, value any) error {
 	record, err := encodeRecord(position, value)
 	if err != nil {
 		return err
@@ -158,7 +160,7 @@
 // SetCluster implements Store.
 func (d *Disk) SetCluster(cluster string) error {
 	return d.write("set cluster", func(tx *bolt.Tx) error {
-		return put(tx.Bucket(metaBucket), clusterKey, singletonIndex, cluster)
+		return putRecord(tx.Bucket(metaBucket), clusterKey, singletonIndex, cluster)
 	})
 }
 
@@ -169,7 +171,7 @@
 	}
 	return d.write("save", func(tx *bolt.Tx) error {
 		if state != nil {
-			if err := put(tx.Bucket(stateBucket), hardStateKey, singletonIndex, *state); err != nil {
+			if err := putRecord(tx.Bucket(stateBucket), hardStateKey, singletonIndex, *state); err != nil {
 				return err
 			}
 		}
--- a/storage/example_test.go
+++ b/storage/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// What was saved survives a crash. storage.Open returns a store on a disk.
+// Saves an entry, which survives a crash. Use storage.Open for a store on disk.
 func Example() {
 	store := storage.NewMemory("disk-1")
 	state := consensus.HardState{Term: 3}
--- a/storage/golden_data_folder_test.go
+++ b/storage/golden_data_folder_test.go
@@ -18,16 +18,16 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew from the current code")
+var updateGolden = flag.Bool("update-golden", false, "regenerate the golden files from the current code")
 
-// The golden data folder was written by an earlier release. A node of this release
-// must start on it, and write records that the earlier one can read.
+// The golden data folder was written by an earlier release. A node of this release must be
+// able to start with it, and must write records that the earlier release can read.
 var (
 	goldenDataFolder = filepath.Join("testdata", "data-folder")
 	goldenRecords    = filepath.Join("testdata", "records.golden")
 )
 
-// goldenIdentity takes the place of the random one.
+// goldenIdentity replaces the random identity of the store.
 const goldenIdentity consensus.ID = "00112233445566778899aabbccddeeff"
 
 func goldenMembership() consensus.Membership {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestGoldenDataFolder opens the data folder of an earlier release, reads it, and
-// writes its content into a folder of its own: each record must have the same bytes.
+// TestGoldenDataFolder loads the data folder of an earlier release and writes its content to
+// a new folder. Each record must have the same bytes.
 func TestGoldenDataFolder(t *testing.T) {
 	want := goldenState(t)
 	if *updateGolden {
@@ -81,17 +81,17 @@
 	}
 	records := recordsText(t, opened)
 	if wantRecords := readGoldenRecords(t); records != wantRecords {
-		t.Errorf("the folder has the records\n%s\nwant\n%s", records, wantRecords)
+		t.Errorf("the data folder has the records\n%s\nwant\n%s", records, wantRecords)
 	}
 	rewritten := mustOpen(t, t.TempDir())
 	writeState(t, rewritten, want)
 	if again := recordsText(t, rewritten); again != records {
-		t.Errorf("written again, the records are\n%s\nwant\n%s", again, records)
+		t.Errorf("after writing the state to a new folder, the records are\n%s\nwant\n%s", again, records)
 	}
 }
 
-// TestGoldenDataFolderAcceptsWrites goes on with the data folder of an earlier
-// release, as a node does that was upgraded.
+// TestGoldenDataFolderAcceptsWrites writes to the data folder of an earlier release, as a
+// node does after an upgrade.
 func TestGoldenDataFolderAcceptsWrites(t *testing.T) {
 	want := goldenState(t)
 	folder := t.TempDir()
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if got, wantRecords := recordsText(t, disk), readGoldenRecords(t); got != wantRecords {
-		t.Errorf("with the same entries saved again, the records are\n%s\nwant\n%s", got, wantRecords)
+		t.Errorf("after saving the same entries again, the records are\n%s\nwant\n%s", got, wantRecords)
 	}
 	want.HardState = consensus.HardState{Term: 4, Commit: 9}
 	added := consensus.Entry{Term: 4, Index: 9, Kind: consensus.EntryNormal, Data: []byte("entry 9")}
@@ -123,7 +123,8 @@
 	}
 }
 
-// TestGoldenDataFolderCorruption damages each record of the golden data folder.
+// TestGoldenDataFolderCorruption corrupts each record of the golden data folder in turn and
+// expects Load to report it.
 func TestGoldenDataFolderCorruption(t *testing.T) {
 	type location struct{ bucket, key []byte }
 	locations := map[string]location{
@@ -152,14 +153,14 @@
 			}
 			var corrupt *CorruptError
 			if _, err := disk.Load(); !errors.As(err, &corrupt) || corrupt.Bucket != string(at.bucket) {
-				t.Errorf("load returned %v, want a corrupt record in %s", err, at.bucket)
+				t.Errorf("Load returned %v, want a corrupt record in bucket %s", err, at.bucket)
 			}
 		})
 	}
 }
 
-// writeState fills an empty disk. The first entries are written first and go with
-// the snapshot, as in a node.
+// writeState writes the content to an empty store. As in a node, the log first has all
+// entries from index 1, and the snapshot then removes those before the content's entries.
 func writeState(t *testing.T, disk *Disk, content State) {
 	t.Helper()
 	var compacted []consensus.Entry
@@ -168,7 +169,7 @@
 	}
 	err := errors.Join(
 		disk.write("set identity", func(tx *bolt.Tx) error {
-			return put(tx.Bucket(metaBucket), identityKey, singletonIndex, content.Identity)
+			return putRecord(tx.Bucket(metaBucket), identityKey, singletonIndex, content.Identity)
 		}),
 		disk.SetCluster(content.Cluster),
 		disk.Save(nil, append(compacted, content.Entries...)),
@@ -180,8 +181,8 @@
 	}
 }
 
-// recordsText lists every record with its key and its bytes, in the order of the
-// file.
+// recordsText lists every record with its bucket, its key, its content in CBOR diagnostic
+// notation and its bytes, in the order of the file.
 func recordsText(t *testing.T, disk *Disk) string {
 	t.Helper()
 	var text strings.Builder
--- a/storage/load.go
+++ b/storage/load.go
@@ -20,24 +20,25 @@
 	if err != nil {
 		return State{}, err
 	}
-	return loaded, verify(loaded)
+	return loaded, checkConsistency(loaded)
 }
 
+// readAll reads all records and verifies the checksum of each.
 func readAll(tx *bolt.Tx, loaded *State) error {
 	var format int
-	if err := get(tx, metaBucket, formatKey, &format, true); err != nil {
+	if err := getRecord(tx, metaBucket, formatKey, &format, true); err != nil {
 		return err
 	}
 	if format != formatVersion {
 		return &CorruptError{Bucket: string(metaBucket), Reason: fmt.Sprintf("unknown format %d", format)}
 	}
-	if err := get(tx, metaBucket, identityKey, &loaded.Identity, true); err != nil {
+	if err := getRecord(tx, metaBucket, identityKey, &loaded.Identity, true); err != nil {
 		return err
 	}
-	if err := get(tx, metaBucket, clusterKey, &loaded.Cluster, false); err != nil {
+	if err := getRecord(tx, metaBucket, clusterKey, &loaded.Cluster, false); err != nil {
 		return err
 	}
-	if err := get(tx, stateBucket, hardStateKey, &loaded.HardState, false); err != nil {
+	if err := getRecord(tx, stateBucket, hardStateKey, &loaded.HardState, false); err != nil {
 		return err
 	}
 	if err := readSnapshot(tx, loaded); err != nil {
@@ -46,9 +47,9 @@
 	return readLog(tx, loaded)
 }
 
-// get decodes a record that exists only once. It leaves the value as it is if the
-// record is missing and not required.
-func get(tx *bolt.Tx, bucket, key []byte, value any, required bool) error {
+// getRecord decodes a singleton record into value. It does not change value if the record
+// is missing and not required.
+func getRecord(tx *bolt.Tx, bucket, key []byte, value any, required bool) error {
 	record := tx.Bucket(bucket).Get(key)
 	if record == nil {
 		if required {
@@ -77,7 +78,7 @@
 
 func readLog(tx *bolt.Tx, loaded *State) error {
 	var bounds logBounds
-	if err := get(tx, stateBucket, logBoundsKey, &bounds, false); err != nil {
+	if err := getRecord(tx, stateBucket, logBoundsKey, &bounds, false); err != nil {
 		return err
 	}
 	next := bounds.First
@@ -111,7 +112,7 @@
 		return consensus.Entry{}, &CorruptError{Bucket: string(logBucket), Index: index, Reason: err.Error()}
 	}
 	if entry.Index != index {
-		return consensus.Entry{}, &CorruptError{Bucket: string(logBucket), Index: index, Reason: "entry is of another index"}
+		return consensus.Entry{}, &CorruptError{Bucket: string(logBucket), Index: index, Reason: "index of the entry differs from its key"}
 	}
 	return entry, nil
 }
@@ -120,14 +121,14 @@
 	return &CorruptError{Bucket: string(logBucket), Index: index, Reason: "entry is missing"}
 }
 
-// verify checks the records against each other: terms never fall, the log follows
-// the snapshot without a gap, and every committed entry is there.
-func verify(loaded State) error {
+// checkConsistency checks that the records are consistent: terms never decrease, there is
+// no gap between the snapshot and the log, and every committed entry is present.
+func checkConsistency(loaded State) error {
 	previousTerm := uint64(0)
 	last := loaded.Snapshot.Index
 	for _, entry := range loaded.Entries {
 		if entry.Term < previousTerm {
-			return &CorruptError{Bucket: string(logBucket), Index: entry.Index, Reason: "term falls"}
+			return &CorruptError{Bucket: string(logBucket), Index: entry.Index, Reason: "term is lower than that of the previous entry"}
 		}
 		previousTerm = entry.Term
 	}
--- a/storage/memory.go
+++ b/storage/memory.go
@@ -6,69 +6,71 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// Memory is a Store for tests that can lose power before or after any write.
+// Memory is an in-memory Store for tests. It can simulate a power loss before or after any
+// write.
 type Memory struct {
 	durable State
 	writes  int // since the last ScheduleCrash or Reopen
 	plan    CrashPlan
 	down    bool
-	// unsynced is the number of newest writes that a crash undoes.
-	unsynced int
-	history  []State // before each of these writes, the oldest first
+	// unsyncedWrites is the number of most recent writes that a crash undoes.
+	unsyncedWrites int
+	history        []State // states before each of those writes, oldest first
 }
 
 var _ Store = (*Memory)(nil)
 
-// CrashPlan schedules a power cut at a write.
+// CrashPlan schedules a power loss at a write.
 type CrashPlan struct {
-	// Write is the number of the write, from 1; 0 schedules nothing.
+	// Write is the number of the write, starting at 1; 0 schedules nothing.
 	Write int
-	// AfterWrite cuts the power after that write is durable, not before.
+	// AfterWrite selects a power loss after that write is durable instead of before it.
 	AfterWrite bool
 }
 
-// NewMemory returns an empty disk with an identity.
+// NewMemory returns an empty store with the given identity.
 func NewMemory(identity consensus.ID) *Memory {
 	memory := &Memory{}
 	memory.Wipe(identity)
 	return memory
 }
 
-// Wipe makes the disk an empty one with a new identity, as if it was replaced.
+// Wipe deletes everything and sets a new identity, as if the disk had been replaced.
 func (m *Memory) Wipe(identity consensus.ID) {
 	*m = Memory{durable: State{Identity: identity}}
 }
 
-// ScheduleCrash schedules a power cut, counted from the next write.
+// ScheduleCrash schedules a power loss. The next write has number 1.
 func (m *Memory) ScheduleCrash(plan CrashPlan) {
 	m.plan = plan
 	m.writes = 0
 }
 
-// DropSyncedWrites makes a crash undo the newest writes although they were reported as
-// synced, as a faulty disk does. It exists to show that the checks notice.
+// DropSyncedWrites makes a crash undo the given number of most recent writes although they
+// were reported as synced, as with a faulty disk. Tests use it to verify that their checks
+// detect lost writes.
 func (m *Memory) DropSyncedWrites(writes int) {
-	m.unsynced = writes
+	m.unsyncedWrites = writes
 }
 
-// Crash cuts the power now. Load and the writes fail until Reopen.
+// Crash simulates a power loss now. Load and all writes fail until Reopen.
 func (m *Memory) Crash() {
 	m.down = true
-	if m.unsynced > 0 && len(m.history) > 0 {
+	if m.unsyncedWrites > 0 && len(m.history) > 0 {
 		m.durable = m.history[0]
 		m.history = nil
 	}
 }
 
-// Reopen restores the power and cancels the scheduled power cut. Only what was
-// durable is left.
+// Reopen restores the power and cancels a scheduled power loss. Only the durable state
+// is left.
 func (m *Memory) Reopen() {
 	m.down = false
 	m.plan = CrashPlan{}
 	m.writes = 0
 }
 
-// Down reports whether the power is cut.
+// Down reports whether the store has crashed and was not reopened yet.
 func (m *Memory) Down() bool {
 	return m.down
 }
@@ -78,7 +80,7 @@
 	if m.down {
 		return State{}, ErrCrash
 	}
-	return clone(m.durable), verify(m.durable)
+	return clone(m.durable), checkConsistency(m.durable)
 }
 
 // SetCluster implements Store.
@@ -123,8 +125,8 @@
 	return nil
 }
 
-// write applies one change as a synced transaction, with the scheduled power cut
-// before or after it.
+// write applies one change as a synced transaction. A scheduled power loss happens before
+// or after the change.
 func (m *Memory) write(change func(*State)) error {
 	if m.down {
 		return &FinalError{Operation: "write", Err: ErrCrash}
@@ -144,20 +146,19 @@
 	return nil
 }
 
-// recordHistory keeps the states that a crash may restore, see DropSyncedWrites.
+// recordHistory saves the current state for a crash to restore, see DropSyncedWrites.
 func (m *Memory) recordHistory() {
-	if m.unsynced == 0 {
+	if m.unsyncedWrites == 0 {
 		return
 	}
 	m.history = append(m.history, clone(m.durable))
-	if len(m.history) > m.unsynced {
+	if len(m.history) > m.unsyncedWrites {
 		m.history = m.history[1:]
 	}
 }
 
-// copyOf copies the slice header with its capacity clipped: entries themselves
-// clone returns a copy that shares the entries, which are never changed. Their slice
-// is clipped, so that appending to one copy does not write into the other.
+// clone returns a copy that shares the entries, which are never modified. The capacity of
+// their slice is clipped, so that appending to one copy does not affect the other.
 func clone(loaded State) State {
 	loaded.Entries = slices.Clip(loaded.Entries)
 	return loaded
--- a/storage/persistcrash_test.go
+++ b/storage/persistcrash_test.go
@@ -7,8 +7,8 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// TestCrashWithinPersistLeavesNoGap: entries that follow a snapshot are on the disk only
-// with that snapshot, wherever the power goes.
+// TestCrashWithinPersistLeavesNoGap checks that after a power loss at any point of Persist,
+// entries that follow a snapshot are on disk only together with that snapshot.
 func TestCrashWithinPersistLeavesNoGap(t *testing.T) {
 	snapshot := consensus.Snapshot{Index: 9, Term: 2, Data: []byte("state")}
 	ready := consensus.Ready{
@@ -21,11 +21,11 @@
 			memory := NewMemory("disk")
 			memory.ScheduleCrash(CrashPlan{Write: write, AfterWrite: after})
 			if err := Persist(memory, ready); !errors.Is(err, ErrCrash) {
-				t.Fatalf("write %d, after it %t: the crash returned %v", write, after, err)
+				t.Fatalf("crash at write %d (after the write: %t): Persist returned %v, want ErrCrash", write, after, err)
 			}
 			memory.Reopen()
 			if _, err := memory.Load(); err != nil {
-				t.Errorf("write %d, after it %t: %v", write, after, err)
+				t.Errorf("crash at write %d (after the write: %t): loading the state: %v", write, after, err)
 			}
 		}
 	}
--- a/storage/powerloss_test.go
+++ b/storage/powerloss_test.go
@@ -12,26 +12,28 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// The model of a power loss: a file has what its last sync covered, and each later
-// write is present, missing or torn. The store writes a transaction in two steps,
-// each synced: its pages, then one of the two meta pages at the file's beginning. A
-// loss in the first step leaves any part of the pages and the old meta pages, one in
-// the second step all pages and any part of a meta page.
+// These tests model a power loss as follows. A file has the content of its last sync, and
+// each later write is present, missing or torn. The store writes a transaction in two
+// steps, each of which is synced: first its pages, then one of the two meta pages at the
+// beginning of the file. After a power loss in the first step, the file has any subset of
+// the new pages' sectors and the old meta pages. After a loss in the second step it has all
+// new pages and any subset of the meta page's sectors.
 
 const (
-	// sectorBytes is what a disk writes completely or not at all.
+	// sectorBytes is the size of the unit that a disk writes atomically.
 	sectorBytes = 512
 	metaPages   = 2
 )
 
-// image is a file at a sync, with what was stored then.
+// image is the content of a file after a sync, and the state stored in it.
 type image struct {
 	content []byte
 	loaded  State
 }
 
-// torn returns a file that may be left of the writes from one image to the next.
-func torn(random *rand.Rand, from, to []byte, pageBytes int, secondStep bool) []byte {
+// tornContent returns a random possible content of the file after a power loss during the
+// write that changes the file from one content to the next.
+func tornContent(random *rand.Rand, from, to []byte, pageBytes int, secondStep bool) []byte {
 	left := bytes.Clone(from)
 	if len(to) > len(left) && (secondStep || random.IntN(2) == 0) {
 		left = append(left, make([]byte, len(to)-len(left))...)
@@ -48,7 +50,8 @@
 	return left
 }
 
-// randomImages makes random writes and returns the file after each of them.
+// randomImages makes random writes and returns the image before the first write and after
+// each of them.
 func randomImages(t *testing.T, random *rand.Rand, writes int) (images []image, pageBytes int) {
 	t.Helper()
 	folder := t.TempDir()
@@ -93,10 +96,10 @@
 	return images, pageBytes
 }
 
-// TestPowerLossLeavesOneOfTwoStates holds that after a power loss during a write the
-// store opens with the state before the write or with all of the write, and never
-// with the latter before the second step.
-func TestPowerLossLeavesOneOfTwoStates(t *testing.T) {
+// TestPowerLossLeavesStateBeforeOrAfterWrite checks that after a power loss during a write
+// the store has either the state before the write or the state after it. The latter is
+// possible only if the power was lost in the second step.
+func TestPowerLossLeavesStateBeforeOrAfterWrite(t *testing.T) {
 	const seeds, writes, lossesEach = 8, 12, 4
 	durable, undone := 0, 0
 	for seed := range uint64(seeds) {
@@ -105,7 +108,7 @@
 		for i := 1; i < len(images); i++ {
 			for range lossesEach {
 				second := random.IntN(2) == 0
-				left := torn(random, images[i-1].content, images[i].content, pageBytes, second)
+				left := tornContent(random, images[i-1].content, images[i].content, pageBytes, second)
 				got := reopen(t, left)
 				before, after := cmp.Diff(images[i-1].loaded, got) == "", cmp.Diff(images[i].loaded, got) == ""
 				switch {
@@ -114,17 +117,17 @@
 				case after && second:
 					durable++
 				default:
-					t.Fatalf("seed %d, write %d, second step %v: the store has neither state", seed, i, second)
+					t.Fatalf("seed %d, write %d, loss in the second step %v: the store has neither the old nor the new state", seed, i, second)
 				}
 			}
 		}
 	}
 	if durable < 50 || undone < 50 {
-		t.Errorf("too few losses: %d writes durable, %d undone", durable, undone)
+		t.Errorf("too few cases: %d writes were durable and %d undone, want at least 50 of each", durable, undone)
 	}
 }
 
-// reopen writes a file into a new folder and loads the store from it.
+// reopen writes the content to a file in a new folder and loads the store from it.
 func reopen(t *testing.T, content []byte) State {
 	t.Helper()
 	folder := t.TempDir()
@@ -139,8 +142,8 @@
 	return loaded
 }
 
-// TestPowerLossDuringCreation holds that the next start creates a new store, whatever
-// is left of one that was not renamed yet.
+// TestPowerLossDuringCreation checks that Open creates a new store whatever a power loss
+// has left of a store that was not renamed yet.
 func TestPowerLossDuringCreation(t *testing.T) {
 	complete := t.TempDir()
 	if err := mustOpen(t, complete).Close(); err != nil {
@@ -163,10 +166,10 @@
 			}
 			disk := mustOpen(t, folder)
 			if loaded := mustLoad(t, disk); loaded.Identity == consensus.None || loaded.Cluster != "" {
-				t.Errorf("got %+v", loaded)
+				t.Errorf("loaded %+v, want an empty store with an identity", loaded)
 			}
 			if _, err := os.Stat(filepath.Join(folder, fileName+unfinishedSuffix)); !os.IsNotExist(err) {
-				t.Errorf("the unfinished store is still there: %v", err)
+				t.Errorf("the unfinished file was not removed: %v", err)
 			}
 		})
 	}
--- a/storage/record.go
+++ b/storage/record.go
@@ -10,14 +10,16 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// A record is the checksum of (position, payload), 8 bytes big-endian, then the
-// payload in CBOR. The position is a log index, or singletonIndex for a record that
-// exists only once. It makes a record under the wrong key corrupt too.
+// A record consists of a checksum of position and payload, as 8 big-endian bytes, and the
+// payload in CBOR. The position is the index of a log entry or snapshot, or singletonIndex
+// for other records. Since the checksum covers the position, a record stored under the
+// wrong key is detected as corrupt.
 
 const (
 	checksumSize = 8
 	indexSize    = 8
-	// singletonIndex is the position of the records that exist only once.
+	// singletonIndex is the position of singleton records: those that exist once in a
+	// store and have no index.
 	singletonIndex = 0
 )
 
@@ -26,6 +28,7 @@
 	errChecksumMismatch = errors.New("checksum does not match")
 )
 
+// encodeRecord returns the record of a value at the given position.
 func encodeRecord(position uint64, value any) ([]byte, error) {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
@@ -36,6 +39,8 @@
 	return append(record, payload...), nil
 }
 
+// decodeRecord verifies the checksum of a record at the given position and decodes its
+// payload.
 func decodeRecord(position uint64, record []byte, value any) error {
 	if len(record) < checksumSize {
 		return errRecordTooShort
@@ -47,8 +52,8 @@
 	return cbor.Unmarshal(payload, value)
 }
 
-// decodeSnapshot decodes a snapshot, whose position is its own index: the payload
-// must be decoded before its checksum can be verified.
+// decodeSnapshot decodes the record of a snapshot. Its position is the index of the
+// snapshot, so the payload must be decoded before the checksum can be verified.
 func decodeSnapshot(record []byte) (consensus.Snapshot, error) {
 	var snapshot consensus.Snapshot
 	if len(record) < checksumSize {
@@ -67,11 +72,13 @@
 	return digest.Sum64()
 }
 
-// indexKey returns the key of a log entry. Keys sort as their indexes do.
+// indexKey returns the key of the log entry with the given index. Keys sort in the order
+// of their indexes.
 func indexKey(index uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, index)
 }
 
+// keyIndex returns the index of the log entry with the given key.
 func keyIndex(key []byte) uint64 {
 	return binary.BigEndian.Uint64(key)
 }
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -1,43 +1,44 @@
-// Package storage keeps a member's identity, its log and its snapshot on disk. A
-// write whose method has returned without an error survives a power cut.
+// Package storage stores a member's identity, its Raft log and its snapshot on disk. A
+// write whose method has returned without an error survives a power loss.
 package storage
 
 import (
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// State is everything that is stored on a member's disk.
+// State is everything that a member stores on its disk.
 type State struct {
-	// Identity is the random id of the disk.
+	// Identity is the random ID of the disk.
 	Identity consensus.ID
-	// Cluster is the random id of the cluster; empty until the member has
-	// bootstrapped or joined one.
+	// Cluster is the random ID of the cluster. It is empty until the member has
+	// bootstrapped or joined a cluster.
 	Cluster   string
 	HardState consensus.HardState
-	// Snapshot has index 0 if there is none.
+	// Snapshot is the latest snapshot; its index is 0 if there is none.
 	Snapshot consensus.Snapshot
-	// Entries are in the order of their indexes, without a gap. They may begin at or
-	// before the snapshot's index.
+	// Entries is the log, sorted by index and without gaps. The first entries may be
+	// included in the snapshot.
 	Entries []consensus.Entry
 }
 
-// Store is one member's disk. Implementations are used from one goroutine.
+// Store is the storage of one member. It is not safe for concurrent use.
 //
-// An error of a write is a *FinalError: the state on disk is in doubt and the
-// process must end. A failed sync is never retried.
+// A failed write returns a *FinalError: the state on disk is unknown and the process must
+// exit. A failed sync is never retried.
 type Store interface {
-	// Load reads everything and verifies each record's checksum. It returns a
-	// *CorruptError for a corrupt record and never skips one.
+	// Load reads all records and verifies their checksums. It returns a *CorruptError
+	// if a record is corrupt, and never skips such a record.
 	Load() (State, error)
-	// SetCluster records that this disk belongs to a cluster.
+	// SetCluster stores the ID of the cluster that this disk belongs to.
 	SetCluster(cluster string) error
 	// Save appends entries and the hard state in one synced transaction. Existing
-	// entries from the first new index on are deleted. The state may be nil, the
-	// entries empty.
+	// entries from the first new index on are deleted. state may be nil, and entries
+	// may be empty.
 	Save(state *consensus.HardState, entries []consensus.Entry) error
-	// SaveSnapshot replaces the snapshot and deletes the entries before keepFrom. If
-	// the log does not have the entry that the snapshot ends with, it deletes all.
+	// SaveSnapshot replaces the snapshot and deletes the entries before keepFrom. It
+	// deletes all entries if the log does not have the last entry that the snapshot
+	// includes.
 	SaveSnapshot(snapshot consensus.Snapshot, keepFrom uint64) error
-	// Close releases the disk. It writes nothing.
+	// Close closes the store. It does not write anything.
 	Close() error
 }
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -17,7 +17,7 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// entries returns the entries of a range of indexes, both ends included.
+// entries returns entries with the indexes from..to, inclusive, and the given term.
 func entries(from, to, term uint64) []consensus.Entry {
 	var list []consensus.Entry
 	for index := from; index <= to; index++ {
@@ -57,16 +57,17 @@
 	}
 	again := mustLoad(t, mustOpen(t, folder))
 	if again.Identity != first || again.Cluster != "group" {
-		t.Fatalf("reopened as %+v, want identity %s", again, first)
+		t.Fatalf("the reopened store has %+v, want identity %s and the same cluster", again, first)
 	}
 	if other := mustLoad(t, mustOpen(t, t.TempDir())).Identity; other == first || other == "" {
-		t.Fatalf("another disk has identity %q", other)
+		t.Fatalf("another store has identity %q, want a new one", other)
 	}
 }
 
-// TestDiskEqualsMemory drives both stores through the same random sequence of writes
-// and compares what is read back, with the disk reopened now and then.
-func TestDiskEqualsMemory(t *testing.T) {
+// TestDiskAndMemoryLoadTheSameState applies the same random sequence of writes to a Disk
+// and a Memory, with the Disk reopened at random, and checks that both load the same
+// state.
+func TestDiskAndMemoryLoadTheSameState(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		folder := t.TempDir()
 		disk, err := Open(folder)
@@ -91,15 +92,15 @@
 	})
 }
 
-// storePair is a disk and a memory that were given the same writes.
+// storePair is a Disk and a Memory with the same writes.
 type storePair struct {
 	folder string
 	disk   *Disk
 	memory *Memory
 
-	first, last uint64 // indexes of the log
+	first, last uint64 // first and last index of the log
 	term        uint64
-	snapshot    uint64 // index
+	snapshot    uint64 // index of the snapshot
 }
 
 func (p *storePair) saveEntries(r *rapid.T) {
@@ -110,7 +111,7 @@
 	added := entries(from, p.last, p.term)
 	state := &consensus.HardState{Term: p.term, Vote: "v", Commit: p.snapshot}
 	if p.disk.Save(state, added) != nil || p.memory.Save(state, added) != nil {
-		r.Fatal("save failed")
+		r.Fatal("Save failed")
 	}
 }
 
@@ -118,7 +119,7 @@
 	t.Helper()
 	snapshot, keepFrom := drawSnapshot(r, mustLoad(t, p.memory), p.last, p.term)
 	if p.disk.SaveSnapshot(snapshot, keepFrom) != nil || p.memory.SaveSnapshot(snapshot, keepFrom) != nil {
-		r.Fatal("snapshot failed")
+		r.Fatal("SaveSnapshot failed")
 	}
 	p.snapshot, p.first, p.last = snapshot.Index, snapshot.Index+1, snapshot.Index
 	log := mustLoad(t, p.memory).Entries
@@ -138,7 +139,8 @@
 	p.disk = disk
 }
 
-// drawSnapshot draws either a member's own snapshot or one that a leader sent.
+// drawSnapshot draws a snapshot, which is either the member's own, so that it matches the
+// log, or one sent by a leader. It also draws the index of the first entry to retain.
 func drawSnapshot(r *rapid.T, stored State, last, term uint64) (consensus.Snapshot, uint64) {
 	index := rapid.Uint64Range(stored.Snapshot.Index+1, max(last, stored.Snapshot.Index)+3).Draw(r, "index")
 	snapshot := consensus.Snapshot{Index: index, Term: term, Data: []byte("table")}
@@ -150,8 +152,8 @@
 	return snapshot, rapid.Uint64Range(1, index+1).Draw(r, "keepFrom")
 }
 
-// TestCorruptRecordIsReported damages each kind of record and expects its bucket and
-// index in the error.
+// TestCorruptRecordIsReported corrupts each kind of record and expects Load to report its
+// bucket and index.
 func TestCorruptRecordIsReported(t *testing.T) {
 	damage := func(bucket, key []byte, change func([]byte) []byte) func(*bolt.Tx) error {
 		return func(tx *bolt.Tx) error {
@@ -209,14 +211,14 @@
 			_, err := disk.Load()
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) || corrupt.Bucket != test.bucket || corrupt.Index != test.index {
-				t.Fatalf("got %v, want a corrupt record in %s at %d", err, test.bucket, test.index)
+				t.Fatalf("Load returned %v, want a corrupt record in %s at index %d", err, test.bucket, test.index)
 			}
 		})
 	}
 }
 
-// TestTornWriteIsUndone cuts the newest meta page short, as a power cut in the
-// middle of the last write would, and expects the state before that write.
+// TestTornWriteIsUndone overwrites a part of the newest meta page, as a power loss during
+// the last write would, and expects the state before that write.
 func TestTornWriteIsUndone(t *testing.T) {
 	folder := t.TempDir()
 	disk := mustOpen(t, folder)
@@ -237,6 +239,7 @@
 	}
 }
 
+// tearNewestMeta overwrites a part of the meta page of the last transaction with zeros.
 func tearNewestMeta(t *testing.T, path string, pageSize int64) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -244,7 +247,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }()
-	const transactionOffset = 16 + 48 // page header, then the meta's transaction id
+	const transactionOffset = 16 + 48 // size of the page header, plus offset of the transaction ID in the meta page
 	var newest, highest int64
 	for page := range int64(2) {
 		field := make([]byte, 8)
@@ -260,9 +263,9 @@
 	}
 }
 
-// TestFullDiskIsFinal bounds the file's size and expects the first error from every
-// later call too, even after there is space again.
-func TestFullDiskIsFinal(t *testing.T) {
+// TestWriteErrorOnFullDiskIsFinal limits the size of the file, so that a write fails, and
+// expects the same error from every later call, even after space is available again.
+func TestWriteErrorOnFullDiskIsFinal(t *testing.T) {
 	folder := t.TempDir()
 	disk := mustOpen(t, folder)
 	if err := disk.Save(nil, entries(1, 3, 1)); err != nil {
@@ -286,13 +289,13 @@
 	}
 	var final *FinalError
 	if !errors.As(err, &final) {
-		t.Fatalf("got %v, want a final error", err)
+		t.Fatalf("Save returned %v, want a *FinalError", err)
 	}
 	if err := disk.Save(nil, entries(4, 4, 1)); !errors.Is(err, final) {
-		t.Fatalf("a write after the failure returned %v", err)
+		t.Fatalf("Save after the failure returned %v, want the same error", err)
 	}
 	if _, err := disk.Load(); !errors.Is(err, final) {
-		t.Fatalf("a load after the failure returned %v", err)
+		t.Fatalf("Load after the failure returned %v, want the same error", err)
 	}
 	if err := disk.Close(); err != nil {
 		t.Fatal(err)
@@ -302,9 +305,9 @@
 	}
 }
 
-// TestLongLogIsDropped installs a snapshot over a log of many pages that ends before
-// it, as a member does that was down for long.
-func TestLongLogIsDropped(t *testing.T) {
+// TestSnapshotReplacesLongLog saves a snapshot whose index is after the end of a log of
+// many pages, as on a member that was down for a long time.
+func TestSnapshotReplacesLongLog(t *testing.T) {
 	folder := t.TempDir()
 	disk, err := Open(folder)
 	if err != nil {
@@ -338,11 +341,11 @@
 		t.Fatal(err)
 	}
 	if loaded.Snapshot.Index != 7000 || len(loaded.Entries) != 1 || loaded.Entries[0].Index != 7001 {
-		t.Fatalf("loaded snapshot %d and %d entries", loaded.Snapshot.Index, len(loaded.Entries))
+		t.Fatalf("loaded a snapshot at index %d and %d entries, want index 7000 and only entry 7001", loaded.Snapshot.Index, len(loaded.Entries))
 	}
 }
 
-// TestLongLogIsShortenedAtBothEnds overwrites the end of a log of many pages and
+// TestLongLogIsShortenedAtBothEnds overwrites the end of a log of many pages and then
 // compacts its beginning.
 func TestLongLogIsShortenedAtBothEnds(t *testing.T) {
 	const length, overwriteFrom, keepFrom = 4096, 3000, 1500
@@ -370,7 +373,7 @@
 	}
 	log := loaded.Entries
 	if len(log) != overwriteFrom-keepFrom+1 || log[0].Index != keepFrom || log[len(log)-1].Term != 2 {
-		t.Errorf("the log has %d entries from %d, want %d from %d and the overwriting one last", len(log), log[0].Index, overwriteFrom-keepFrom+1, keepFrom)
+		t.Errorf("the log has %d entries from index %d, want %d from index %d and the entry of term 2 last", len(log), log[0].Index, overwriteFrom-keepFrom+1, keepFrom)
 	}
 }
 
@@ -378,7 +381,7 @@
 	cases := []struct {
 		name  string
 		after bool
-		want  int // entries that are left
+		want  int // number of entries after the crash
 	}{
 		{"before the write", false, 1},
 		{"after the write", true, 2},
@@ -388,8 +391,8 @@
 	}
 }
 
-// checkMemoryCrash cuts the power at the second write and expects a number of entries
-// to be left.
+// checkMemoryCrash schedules a power loss at the second write and checks the number of
+// entries that are left.
 func checkMemoryCrash(t *testing.T, after bool, want int) {
 	t.Helper()
 	memory := NewMemory("disk")
@@ -398,17 +401,17 @@
 		t.Fatal(err)
 	}
 	if err := memory.Save(nil, entries(2, 2, 1)); !errors.Is(err, ErrCrash) {
-		t.Fatalf("scheduled crash returned %v", err)
+		t.Fatalf("the write with the scheduled crash returned %v, want ErrCrash", err)
 	}
 	if err := memory.Save(nil, entries(3, 3, 1)); !errors.Is(err, ErrCrash) {
-		t.Fatalf("a write without power returned %v", err)
+		t.Fatalf("a write after the crash returned %v, want ErrCrash", err)
 	}
 	memory.Reopen()
 	if got := len(mustLoad(t, memory).Entries); got != want {
-		t.Fatalf("%d entries, want %d", got, want)
+		t.Fatalf("%d entries are left after the crash, want %d", got, want)
 	}
 	memory.Wipe("new disk")
 	if loaded := mustLoad(t, memory); loaded.Identity != "new disk" || len(loaded.Entries) != 0 {
-		t.Fatalf("a wiped disk has %+v", loaded)
+		t.Fatalf("the wiped store has %+v, want only the new identity", loaded)
 	}
 }
