--- a/transport/frame.go
+++ b/transport/frame.go
@@ -56,7 +56,7 @@
 
 var (
 	errFrameEmpty    = errors.New("transport: empty frame")
-	errFrameTooLarge = errors.New("transport: frame exceeds the limit")
+	errFrameTooLarge = errors.New("transport: frame above the limit")
 )
 
 var (
