--- a/peer/golden_messages_test.go
+++ b/peer/golden_messages_test.go
@@ -22,10 +22,10 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files anew from the current code")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files from the current code")
 
-// The golden files were written by an earlier release. A node of this release must
-// read them and write the same bytes, because both run side by side in an upgrade.
+// The golden files were written by an earlier release. This release must decode them
+// and encode the same bytes, because both releases run side by side during an upgrade.
 var (
 	goldenMessages = filepath.Join("testdata", "messages.golden")
 	goldenPacked   = filepath.Join("testdata", "packed_transfer.golden")
@@ -39,16 +39,16 @@
 	}{
 		{"consensus", peer.KindConsensus, 1},
 		{"hello", peer.KindHello, 2},
-		{"form", peer.KindBootstrap, 3},
+		{"bootstrap", peer.KindBootstrap, 3},
 		{"join", peer.KindJoin, 4},
 		{"renew", peer.KindRenew, 5},
 		{"notify", peer.KindNotify, 6},
 		{"update", peer.KindUpdate, 7},
-		{"order", peer.KindOperation, 8},
-		{"mint ticket", peer.KindIssueTicket, 9},
+		{"operation", peer.KindOperation, 8},
+		{"issue ticket", peer.KindIssueTicket, 9},
 		{"offer", peer.KindOffer, 10},
 		{"withdraw", peer.KindWithdraw, 11},
-		{"load", peer.KindRegionUtilization, 12},
+		{"region utilization", peer.KindRegionUtilization, 12},
 		{"run", peer.KindRun, 13},
 		{"owner", peer.KindOwner, 14},
 		{"replica loads", peer.KindReplicaLoads, 15},
@@ -61,14 +61,16 @@
 	}
 }
 
-// goldenMessage is a message with a value in each of its fields, or with none.
+// goldenMessage is a message in which either every field has a value or none has. Its
+// name is the key of the message in the golden file, and so may differ from the current
+// name of the type.
 type goldenMessage struct {
 	name  string
 	value any
 }
 
-// goldenMessageCases lists every message and the parts of messages that several
-// kinds share.
+// goldenMessageCases returns every message, and the parts that several kinds of messages
+// have in common.
 func goldenMessageCases() []goldenMessage {
 	var cases []goldenMessage
 	add := func(name string, value any) { cases = append(cases, goldenMessage{name, value}) }
@@ -153,8 +155,8 @@
 	return cases
 }
 
-// TestGoldenMessages reads each message as an earlier release encoded it, and
-// encodes it again.
+// TestGoldenMessages decodes each message as an earlier release encoded it, and checks
+// that encoding it again yields the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	cases := goldenMessageCases()
 	if *updateGolden {
@@ -162,17 +164,17 @@
 	}
 	golden := readGoldenMessages(t)
 	if len(golden) != len(cases) {
-		t.Errorf("the golden file has %d messages, want %d", len(golden), len(cases))
+		t.Errorf("golden file has %d messages, want %d", len(golden), len(cases))
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			encoded, found := golden[test.name]
 			if !found {
-				t.Fatal("not in the golden file")
+				t.Fatal("golden file does not contain this message")
 			}
 			decoded := reflect.New(reflect.TypeOf(test.value))
 			if err := cbor.Unmarshal(encoded, decoded.Interface()); err != nil {
-				t.Fatalf("decoding: %v", err)
+				t.Fatalf("decode: %v", err)
 			}
 			if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, test.value) {
 				t.Errorf("decoded %+v, want %+v", got, test.value)
@@ -184,9 +186,9 @@
 	}
 }
 
-// TestGoldenPackedTransfer reads a packed transfer of an earlier release. Of a
-// transfer packed again it compares the content: how flate compresses it may
-// change with the toolchain and matters to nobody who reads it.
+// TestGoldenPackedTransfer unpacks a packed transfer of an earlier release. It also
+// packs the same transfer again and compares the decompressed content. The compressed
+// bytes may differ between versions of Go, which does not affect a receiver.
 func TestGoldenPackedTransfer(t *testing.T) {
 	want := goldenTransfer()
 	repacked, err := peer.PackTransfer(want)
@@ -194,7 +196,7 @@
 		t.Fatal(err)
 	}
 	if repacked == nil {
-		t.Fatal("the transfer was not packed")
+		t.Fatal("PackTransfer returned nil for a large transfer")
 	}
 	if *updateGolden {
 		writeGolden(t, goldenPacked, hex.EncodeToString(repacked)+"\n")
@@ -208,15 +210,15 @@
 		t.Errorf("unpacked %+v, want %+v", unpacked, want)
 	}
 	if got, want := inflate(t, repacked), inflate(t, packed); !bytes.Equal(got, want) {
-		t.Errorf("packed content is %x, want %x", got, want)
+		t.Errorf("decompressed content of the repacked transfer is %x, want %x", got, want)
 	}
 	grant := peer.Grant{Packed: packed}
-	if difference, err := grant.UnpackTransfer(); err != nil || !reflect.DeepEqual(difference, want) {
-		t.Errorf("the grant's difference is %+v, %v, want %+v", difference, err, want)
+	if transfer, err := grant.UnpackTransfer(); err != nil || !reflect.DeepEqual(transfer, want) {
+		t.Errorf("UnpackTransfer of the grant returned %+v, %v, want %+v", transfer, err, want)
 	}
 }
 
-// goldenTransfer has enough records to be packed.
+// goldenTransfer returns a transfer that has enough records to be packed.
 func goldenTransfer() *registry.Transfer {
 	const records = 100
 	transfer := &registry.Transfer{From: 6, To: 7}
@@ -238,7 +240,7 @@
 	t.Helper()
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
-		t.Fatalf("encoding: %v", err)
+		t.Fatalf("encode: %v", err)
 	}
 	return encoded
 }
@@ -252,8 +254,8 @@
 	return content
 }
 
-// writeGoldenMessages writes three lines a message: its name, its content in CBOR's
-// diagnostic notation as a comment, and its bytes in hexadecimal.
+// writeGoldenMessages writes three lines for each message: its name, its content in
+// CBOR's diagnostic notation as a comment, and its bytes in hexadecimal.
 func writeGoldenMessages(t *testing.T, cases []goldenMessage) {
 	t.Helper()
 	var text strings.Builder
@@ -273,7 +275,7 @@
 	const linesPerMessage = 3
 	lines := strings.Split(strings.TrimSpace(readGolden(t, goldenMessages)), "\n")
 	if len(lines)%linesPerMessage != 0 {
-		t.Fatalf("%s has %d lines, not %d a message", goldenMessages, len(lines), linesPerMessage)
+		t.Fatalf("%s has %d lines, want a multiple of %d", goldenMessages, len(lines), linesPerMessage)
 	}
 	messages := make(map[string][]byte)
 	for i := 0; i < len(lines); i += linesPerMessage {
@@ -312,10 +314,10 @@
 	return &value
 }
 
-// filled returns a value in which no field has its zero value, so that no field is
-// left out of the encoding. Numbers and texts count up in the order of the fields:
-// two fields that changed places are noticed. Maps have one entry, since the order
-// of a map's entries is not fixed.
+// filled returns a value in which every field is nonzero, so that no field is omitted
+// from the encoding. Numbers and texts increase in the order of the fields, so that the
+// test detects two fields that were swapped. Maps have a single entry, because the
+// iteration order of maps is not fixed.
 func filled[T any]() T {
 	var value T
 	count := 0
--- a/peer/lease.go
+++ b/peer/lease.go
@@ -10,59 +10,62 @@
 	Region      string `cbor:"4,keyasint"`
 	PeerAddress string `cbor:"5,keyasint"`
 	HTTPAddress string `cbor:"6,keyasint"`
-	// Draining asks to release the gateway's lease, since it shuts down.
+	// Draining asks the primary to release the gateway's lease, because the gateway is
+	// shutting down.
 	Draining bool `cbor:"7,keyasint,omitempty"`
-	// LinkMbps is the capacity of its network link in Mbit/s; 0 if it is not known.
+	// LinkMbps is the bandwidth of the gateway's network link in Mbit/s, or 0 if unknown.
 	LinkMbps int `cbor:"8,keyasint,omitempty"`
 }
 
 // Renew asks the primary for a lease and reports which state the gateway has. The
-// gateway counts the lease from the moment it sent this message. If it is lost, the
-// gateway sends another.
+// lease is counted from the time at which the gateway sent this message. If the message
+// is lost, the gateway sends a new one.
 type Renew struct {
 	Cluster string      `cbor:"1,keyasint,omitempty"` // empty before the first grant
 	Gateway GatewayInfo `cbor:"2,keyasint"`
 	Term    uint64      `cbor:"3,keyasint"` // highest term that the gateway has observed
-	// ReceivedSerial is the highest zone serial replicated to the gateway; 0 if none.
+	// ReceivedSerial is the newest zone serial replicated to the gateway, or 0 if none.
 	ReceivedSerial uint32 `cbor:"4,keyasint"`
-	// ActiveSerial is the serial that decides the gateway's placements; 0 if none.
+	// ActiveSerial is the serial of the state that the gateway uses to place requests,
+	// or 0 if none.
 	ActiveSerial  uint32 `cbor:"5,keyasint"`
-	ActiveVersion uint64 `cbor:"6,keyasint"` // of the active configuration
-	// LeaseValid says that the gateway had a valid lease when it sent the message.
+	ActiveVersion uint64 `cbor:"6,keyasint"` // version of the active configuration
+	// LeaseValid is true if the gateway had a valid lease when it sent the message.
 	LeaseValid bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Grant answers Renew. Only a primary whose leadership was confirmed by a quorum
-// grants.
+// Grant answers Renew. A node that is not the primary, or a primary that a quorum has
+// not confirmed recently enough, also answers, but does not grant a lease.
 type Grant struct {
-	// QuorumConfirmed says that the primary's quorum contact was recent enough to decide
-	// on leases; it is also true if no lease is granted. The gateway must then apply
-	// ActivationSerial and the transfer, and the lease if LeaseMS is above 0. Without it
-	// only a gateway that has no state yet may apply the transfer.
+	// QuorumConfirmed is true if the sender is the primary and its quorum contact was
+	// recent enough to decide on leases. It does not mean that a lease was granted: see
+	// LeaseMS. If it is true, the gateway must apply ActivationSerial and the transfer.
+	// If it is false, no lease was granted, the gateway must ignore ActivationSerial, and
+	// only a gateway that has no state yet may store the transfer.
 	QuorumConfirmed bool   `cbor:"1,keyasint"`
 	Cluster         string `cbor:"2,keyasint"`
 	Term            uint64 `cbor:"3,keyasint"`
-	// LeaseMS is the duration of the lease in milliseconds, counted from the sending
-	// of Renew. With QuorumConfirmed, 0 means that there is no lease yet: the gateway
-	// activates what it may and renews at once. An earlier lease stays valid until it
-	// expires.
+	// LeaseMS is the duration of the granted lease in milliseconds, counted from the time
+	// at which the gateway sent Renew. It is 0 if no lease was granted, for example
+	// because the gateway must first activate a newer serial. An earlier lease remains
+	// valid until it expires.
 	LeaseMS int64 `cbor:"4,keyasint,omitempty"`
-	// ActivationSerial is the highest serial that the gateway may activate; 0 is none.
+	// ActivationSerial is the newest serial that the gateway may activate, or 0 if none.
 	ActivationSerial uint32 `cbor:"5,keyasint,omitempty"`
-	// Transfer brings the gateway's replica up to date. It is nil if the replica is up
-	// to date or the transfer is in Packed. See UnpackTransfer.
+	// Transfer brings the gateway's copy of the registry up to date. It is nil if the
+	// copy is already up to date or if Packed has the transfer. See UnpackTransfer.
 	Transfer *registry.Transfer `cbor:"6,keyasint,omitempty"`
-	// Primary is the peers' address of the primary if this node is not the primary;
-	// empty if it is unknown.
+	// Primary is the peer address of the primary if the sender is not the primary. It is
+	// empty if the sender does not know the primary.
 	Primary string `cbor:"7,keyasint,omitempty"`
-	// ControlAddresses are the peers' addresses of the current control nodes.
+	// ControlAddresses are the peer addresses of the current control nodes.
 	ControlAddresses []string `cbor:"8,keyasint,omitempty"`
-	// Packed is a large transfer, compressed.
+	// Packed is the transfer in compressed form, used for a large one.
 	Packed PackedTransfer `cbor:"9,keyasint,omitempty"`
 }
 
-// UnpackTransfer returns the transfer in whichever form it was sent; nil if the
-// gateway's replica is up to date.
+// UnpackTransfer returns the transfer, which it decompresses if necessary. It returns
+// nil if the grant has no transfer.
 func (g *Grant) UnpackTransfer() (*registry.Transfer, error) {
 	if g.Packed != nil {
 		return g.Packed.Unpack()
@@ -70,15 +73,15 @@
 	return g.Transfer, nil
 }
 
-// Notify tells a gateway that there is a new serial, a new activation or a new
-// primary, so that it renews at once (as NOTIFY of RFC 1996 does). If it is lost, the
-// next regular renewal brings the same.
+// Notify informs a gateway of a new serial, a new activation serial or a new primary,
+// so that it renews at once (compare NOTIFY in RFC 1996). If the message is lost, the
+// gateway gets the same information with its next regular renewal.
 type Notify struct {
 	Cluster string `cbor:"1,keyasint"`
 	Term    uint64 `cbor:"2,keyasint"`
-	Primary string `cbor:"3,keyasint"` // peers' address
+	Primary string `cbor:"3,keyasint"` // peer address of the primary
 	Serial  uint32 `cbor:"4,keyasint"`
-	// ActivationSerial is as in Grant. A gateway with a lease of this term activates
-	// it at once.
+	// ActivationSerial has the same meaning as in Grant. A gateway whose lease is of this
+	// term activates it at once.
 	ActivationSerial uint32 `cbor:"5,keyasint,omitempty"`
 }
--- a/peer/load.go
+++ b/peer/load.go
@@ -3,25 +3,26 @@
 import "github.com/cespare/xxhash/v2"
 
 // RegionUtilization reports the utilization of a gateway's own region to a gateway of
-// another region. If it is lost or stale, requests spill over less evenly.
+// another region. If it is lost or stale, requests are distributed less evenly when
+// they spill over to other regions.
 type RegionUtilization struct {
 	Region               string             `cbor:"1,keyasint"`
 	Gateway              string             `cbor:"2,keyasint"`
 	Sequence             uint64             `cbor:"3,keyasint"`
-	UtilizationByService map[string]float64 `cbor:"4,keyasint"` // 1 is fully utilized
+	UtilizationByService map[string]float64 `cbor:"4,keyasint"` // 1 is full utilization
 }
 
-// ReplicaKey identifies a replica, or a gateway, in messages that are sent often: 32
-// bits of the hash of its id. Two replicas with the same key count as one in the load
-// of all gateways, which only makes placement less even.
+// ReplicaKey identifies a replica or a gateway in messages that are sent often. It is
+// 32 bits of the hash of the id. If two replicas have the same key, their loads are
+// added up as if they were one replica, which only makes placement less even.
 type ReplicaKey uint32
 
-// NewReplicaKey returns the key of a replica's or gateway's id.
+// NewReplicaKey returns the key of the replica or gateway with this id.
 func NewReplicaKey(id string) ReplicaKey { return ReplicaKey(xxhash.Sum64String(id)) }
 
-// ReplicaLoads reports to a group's aggregator what a gateway has in flight at
-// replicas, and which prompts it has placed and measured since its last report. If it
-// is lost or late, placement is less even.
+// ReplicaLoads reports to the aggregator of a group of gateways what one of them has
+// in flight at replicas, and which prompts it has placed and measured since its
+// previous report. If it is lost or late, placement is less even.
 type ReplicaLoads struct {
 	Gateway        string              `cbor:"1,keyasint"`
 	Loads          map[ReplicaKey]Load `cbor:"2,keyasint,omitempty"`
@@ -29,39 +30,41 @@
 	PrefillSamples []PrefillSample     `cbor:"4,keyasint,omitempty"`
 }
 
-// LoadDigest is what an aggregator knows of its own group's gateways. To these it
-// also sends what it knows of other groups and regions, and to each of them nothing
-// that it reported itself. If a digest is lost, placement is less even.
+// LoadDigest reports the loads of the aggregator's group to the gateways of the group
+// and to other aggregators. A gateway of the group also gets the loads of other groups
+// and regions, but not what it reported itself. An empty digest shows that the
+// aggregator is alive. If a digest is lost, placement is less even.
 type LoadDigest struct {
 	// Aggregator is the gateway that sends the digest.
 	Aggregator string        `cbor:"1,keyasint"`
 	Regions    []RegionLoads `cbor:"2,keyasint"`
 }
 
-// RegionLoads is what the gateways of one region have in flight, or those of one
-// group of the region.
+// RegionLoads is the load that the gateways of one region, or of one group in the
+// region, have in flight.
 type RegionLoads struct {
 	Region string `cbor:"1,keyasint"`
-	// Aggregator is the gateway that summed the loads up.
+	// Aggregator is the gateway that added up the loads.
 	Aggregator string `cbor:"2,keyasint"`
-	// Complete says that Loads has the sums of all loads; otherwise Loads is empty. The
-	// fields after it have what is new since the last message.
+	// Complete is true if Loads has the sums of all loads; otherwise Loads is empty. The
+	// fields after Loads have only what is new since the previous message.
 	Complete bool                `cbor:"3,keyasint,omitempty"`
 	Loads    map[ReplicaKey]Load `cbor:"4,keyasint,omitempty"`
-	// PrefillTotals has the sums of the prompts that are not in PlacedPrompts.
+	// PrefillTotals has, by replica, the expected prefill times of the prompts that are
+	// not in PlacedPrompts.
 	PrefillTotals []PrefillTotal `cbor:"5,keyasint,omitempty"`
-	// PlacedPrompts are the prompts that are sent one by one: long ones, and those with
-	// shared prefixes.
+	// PlacedPrompts are the prompts that are reported individually: long prompts, and
+	// prompts with shared prefixes.
 	PlacedPrompts []PlacedPrompt `cbor:"6,keyasint,omitempty"`
-	// PrefillSamples has the newest sample of each replica that has one.
+	// PrefillSamples has the newest sample of each replica that was measured.
 	PrefillSamples []PrefillSample `cbor:"7,keyasint,omitempty"`
 }
 
-// Load is what one gateway, or several, have in flight at one replica.
+// Load is what one or more gateways have in flight at one replica.
 type Load struct {
 	_        struct{} `cbor:",toarray"`
 	Requests int
-	Tokens   int // of all these requests
+	Tokens   int // total of all these requests
 }
 
 // Add returns the sum of two loads.
@@ -88,18 +91,18 @@
 	// Gateway is the key of the gateway that placed it.
 	Gateway ReplicaKey
 	// Prefixes are the hashes of the shared prefixes that the replica will have in its
-	// cache, the outermost first. Short prefixes are left out.
+	// cache, the outermost first. Short prefixes are omitted.
 	Prefixes []uint64
 }
 
-// PrefillSample is a measurement of a replica's prefill speed, by one prompt that ran
-// alone.
+// PrefillSample is a measurement of a replica's prefill speed, taken with a prompt that
+// was the only one running on the replica.
 type PrefillSample struct {
 	_       struct{} `cbor:",toarray"`
 	Replica ReplicaKey
-	// ReferenceUS is the prefill time of the prompt at a reference replica, in
+	// ReferenceUS is the expected prefill time of the prompt on a reference replica, in
 	// microseconds.
 	ReferenceUS uint32
-	// MeasuredUS is the time until the first event, in microseconds.
+	// MeasuredUS is the measured time until the first event, in microseconds.
 	MeasuredUS uint32
 }
--- a/peer/membership.go
+++ b/peer/membership.go
@@ -2,15 +2,16 @@
 
 import "github.com/deckpulley/deckpulley/consensus"
 
-// ConsensusMessage carries one message of the replicated log between control nodes.
-// A node ignores it if Cluster is not its own. Loss, duplication and reordering are
-// harmless.
+// ConsensusMessage carries one consensus message between control nodes. A node ignores
+// it if Cluster is not the node's own cluster. The consensus protocol tolerates loss,
+// duplication and reordering.
 type ConsensusMessage struct {
 	Cluster string            `cbor:"1,keyasint"`
 	Message consensus.Message `cbor:"2,keyasint"`
 }
 
-// Hello asks a control node for its identity, its cluster and the members it knows.
+// Hello asks a control node for its identity, its cluster and the members that it
+// knows.
 type Hello struct {
 	Name     string       `cbor:"1,keyasint"`           // of the sender
 	Identity consensus.ID `cbor:"2,keyasint,omitempty"` // of the sender, if it is a control node
@@ -21,38 +22,40 @@
 type HelloReply struct {
 	Name     string       `cbor:"1,keyasint"`
 	Identity consensus.ID `cbor:"2,keyasint"`
-	// Cluster is empty while the node belongs to no cluster.
+	// Cluster is the node's cluster; empty if the node does not belong to one yet.
 	Cluster string `cbor:"3,keyasint,omitempty"`
-	// BootstrapCoordinator is the identity of the node whose Bootstrap this node has
-	// promised to accept; empty if there is none.
+	// BootstrapCoordinator is the identity of the node that this node expects to bootstrap
+	// the cluster; empty if there is none. If it is set, this node rejects a Bootstrap
+	// whose membership does not contain that node.
 	BootstrapCoordinator consensus.ID       `cbor:"4,keyasint,omitempty"`
 	Leader               consensus.ID       `cbor:"5,keyasint,omitempty"`
 	Members              []consensus.Member `cbor:"6,keyasint,omitempty"`
 }
 
-// Bootstrap gives a new control node the first membership of a new cluster. A node
-// accepts it once, while it belongs to no cluster; a duplicate changes nothing.
+// Bootstrap sends a new control node the first membership of a new cluster. A node
+// accepts it only while it does not belong to a cluster; a duplicate has no effect.
 type Bootstrap struct {
 	Cluster  string             `cbor:"1,keyasint"`
 	Snapshot consensus.Snapshot `cbor:"2,keyasint"`
 }
 
-// BootstrapReply answers Bootstrap. An accepted one is on disk by then.
+// BootstrapReply answers Bootstrap. If Accepted is true, the node has already written
+// the snapshot to disk.
 type BootstrapReply struct {
 	Accepted bool `cbor:"1,keyasint"`
 }
 
-// Join asks the primary to add a control node whose disk is new. The node repeats it
-// until it is a voter; a duplicate changes nothing.
+// Join asks the primary to add a control node that starts with an empty disk. The node
+// repeats it until it is a voter; a duplicate has no effect.
 type Join struct {
 	Member consensus.Member `cbor:"1,keyasint"`
 }
 
-// JoinReply answers Join with the cluster, and with the primary if this node is not
-// the primary.
+// JoinReply answers Join with the cluster and, if the sender is not the primary, with
+// the primary's address.
 type JoinReply struct {
 	Cluster  string             `cbor:"1,keyasint"`
 	Accepted bool               `cbor:"2,keyasint"`
-	Primary  string             `cbor:"3,keyasint,omitempty"` // peers' address
+	Primary  string             `cbor:"3,keyasint,omitempty"` // peer address of the primary
 	Members  []consensus.Member `cbor:"4,keyasint,omitempty"`
 }
--- a/peer/packed.go
+++ b/peer/packed.go
@@ -10,20 +10,21 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// minPackedRecords is the number of records from which a transfer is compressed. Names,
-// zones and addresses repeat: a large transfer takes about a fifth of its bytes.
+// minPackedRecords is the least number of records for which a transfer is compressed.
+// Names, zones and addresses repeat in a large transfer, so that compression reduces it
+// to about a fifth of its size.
 const minPackedRecords = 64
 
-// errPackedTooLarge is returned for a packed transfer whose content is larger than
-// any transfer may be.
-var errPackedTooLarge = errors.New("peer: a packed transfer is too long")
+// errPackedTooLarge is returned for a packed transfer whose decompressed content is
+// larger than registry.MaxTransferBytes.
+var errPackedTooLarge = errors.New("peer: unpacked transfer is too large")
 
-// PackedTransfer is an encoded transfer, compressed with DEFLATE (RFC 1951). One that
-// was packed once can be sent to many gateways.
+// PackedTransfer is an encoded transfer, compressed with DEFLATE (RFC 1951). The same
+// packed transfer can be sent to many gateways.
 type PackedTransfer []byte
 
-// PackTransfer compresses a large transfer. It returns nil for a small one, which is
-// sent uncompressed.
+// PackTransfer compresses a large transfer. It returns nil for a small transfer, which
+// is sent uncompressed.
 func PackTransfer(transfer *registry.Transfer) (PackedTransfer, error) {
 	if len(transfer.Added)+len(transfer.Removed) < minPackedRecords {
 		return nil, nil
@@ -54,8 +55,8 @@
 	return compressed.Bytes(), nil
 }
 
-// Unpack returns the transfer. Its memory is bounded by registry.MaxTransferBytes,
-// whatever the packed bytes are.
+// Unpack decompresses and decodes the transfer. The decompressed content is limited to
+// registry.MaxTransferBytes, so that invalid input cannot exhaust the memory.
 func (p PackedTransfer) Unpack() (*registry.Transfer, error) {
 	reader := flate.NewReader(bytes.NewReader(p))
 	encoded, err := io.ReadAll(io.LimitReader(reader, registry.MaxTransferBytes+1))
--- a/peer/packed_test.go
+++ b/peer/packed_test.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// fullTransfer returns a full transfer with a number of gateways.
+// fullTransfer returns a full transfer with the records of this number of gateways.
 func fullTransfer(gateways int) *registry.Transfer {
 	transfer := &registry.Transfer{Full: true, To: 7}
 	for i := range gateways {
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if len(packed) == 0 || len(packed) > len(plain)/3 {
-		t.Errorf("%d bytes are packed into %d", len(plain), len(packed))
+		t.Errorf("%d bytes were packed into %d, want at most a third", len(plain), len(packed))
 	}
 	grant := peer.Grant{Packed: packed}
 	unpacked, err := grant.UnpackTransfer()
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(unpacked, transfer) {
-		t.Error("the unpacked transfer differs")
+		t.Error("unpacked transfer differs from the original")
 	}
 }
 
@@ -50,11 +50,11 @@
 	transfer := fullTransfer(3)
 	packed, err := peer.PackTransfer(transfer)
 	if err != nil || packed != nil {
-		t.Errorf("packed into %d bytes, %v", len(packed), err)
+		t.Errorf("PackTransfer returned %d bytes, %v, want nil", len(packed), err)
 	}
 	grant := peer.Grant{Transfer: transfer}
 	if got, err := grant.UnpackTransfer(); err != nil || got != transfer {
-		t.Errorf("got %v, %v", got, err)
+		t.Errorf("UnpackTransfer returned %v, %v, want the transfer itself", got, err)
 	}
 }
 
@@ -74,7 +74,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := test.packed.Unpack(); err == nil {
-				t.Error("unpacked without an error")
+				t.Error("Unpack returned no error")
 			}
 		})
 	}
