--- a/settings/decode.go
+++ b/settings/decode.go
@@ -11,15 +11,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// fieldDecoder fills structs from YAML nodes. Unlike the library's own strict mode,
-// it names the dotted path of every problem and goes on after it.
+// fieldDecoder decodes YAML nodes into structs. Unlike the strict mode of the YAML
+// library, it reports the dotted path of each problem and continues after a problem.
 type fieldDecoder struct {
 	file     string
 	problems Errors
 }
 
-// fail adds a problem with the field at a path.
-func (d *fieldDecoder) fail(path string, node *yaml.Node, format string, arguments ...any) {
+// addProblem records a problem with the field at a dotted path.
+func (d *fieldDecoder) addProblem(path string, node *yaml.Node, format string, arguments ...any) {
 	reason := fmt.Sprintf(format, arguments...)
 	d.problems = append(d.problems, &FieldError{
 		File:   d.file,
@@ -28,11 +28,11 @@
 	})
 }
 
-// decode decodes a node into target. A Duration comes first, since its Go kind is
-// that of a number.
+// decode decodes a node into target. It checks for Duration before the Go kinds, because
+// the kind of a Duration is that of an integer.
 func (d *fieldDecoder) decode(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind == yaml.AliasNode {
-		d.fail(path, node, "aliases are not allowed")
+		d.addProblem(path, node, "aliases are not allowed")
 		return
 	}
 	switch {
@@ -53,41 +53,41 @@
 
 func (d *fieldDecoder) decodeStruct(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		d.fail(path, node, "must be a mapping of fields")
+		d.addProblem(path, node, "must be a mapping of fields")
 		return
 	}
 	fields := structFields(target.Type())
-	d.eachEntry(path, node, func(key string, name, value *yaml.Node) {
+	d.forEachEntry(path, node, func(key string, name, value *yaml.Node) {
 		index, known := fields[key]
 		if !known {
-			d.fail(join(path, key), name, "unknown field")
+			d.addProblem(joinPath(path, key), name, "unknown field")
 			return
 		}
-		d.decode(join(path, key), value, target.Field(index))
+		d.decode(joinPath(path, key), value, target.Field(index))
 	})
 }
 
 func (d *fieldDecoder) decodeMap(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		d.fail(path, node, "must be a mapping of names to addresses")
+		d.addProblem(path, node, "must be a mapping of names to addresses")
 		return
 	}
 	target.Set(reflect.MakeMap(target.Type()))
-	d.eachEntry(path, node, func(key string, _, value *yaml.Node) {
+	d.forEachEntry(path, node, func(key string, _, value *yaml.Node) {
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.decode(join(path, key), value, element)
+		d.decode(joinPath(path, key), value, element)
 		target.SetMapIndex(reflect.ValueOf(key), element)
 	})
 }
 
-// eachEntry calls visit for the entries of a mapping, without those whose name is
-// repeated.
-func (d *fieldDecoder) eachEntry(path string, node *yaml.Node, visit func(key string, name, value *yaml.Node)) {
+// forEachEntry calls visit for each entry of a mapping. It skips an entry that repeats an
+// earlier name, and records a problem instead.
+func (d *fieldDecoder) forEachEntry(path string, node *yaml.Node, visit func(key string, name, value *yaml.Node)) {
 	seen := make(map[string]bool)
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		name := node.Content[i]
 		if seen[name.Value] {
-			d.fail(join(path, name.Value), name, "is given twice")
+			d.addProblem(joinPath(path, name.Value), name, "is given twice")
 			continue
 		}
 		seen[name.Value] = true
@@ -97,7 +97,7 @@
 
 func (d *fieldDecoder) decodeList(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.SequenceNode {
-		d.fail(path, node, "must be a list")
+		d.addProblem(path, node, "must be a list")
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(node.Content), len(node.Content))
@@ -109,11 +109,11 @@
 
 func (d *fieldDecoder) decodeString(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.ScalarNode || node.Tag == "!!null" {
-		d.fail(path, node, "must be a text")
+		d.addProblem(path, node, "must be a string")
 		return
 	}
 	if node.Tag != "!!str" {
-		d.fail(path, node, "must be a text: put %s in quotes", node.Value)
+		d.addProblem(path, node, "must be a string: put %s in quotes", node.Value)
 		return
 	}
 	target.SetString(node.Value)
@@ -121,7 +121,7 @@
 
 func (d *fieldDecoder) decodeNumber(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.ScalarNode || node.Tag != "!!int" && node.Tag != "!!float" {
-		d.fail(path, node, "must be a number")
+		d.addProblem(path, node, "must be a number")
 		return
 	}
 	if target.Kind() == reflect.Float64 {
@@ -130,7 +130,7 @@
 	}
 	number, err := strconv.Atoi(node.Value)
 	if err != nil {
-		d.fail(path, node, "%s is not a whole number", node.Value)
+		d.addProblem(path, node, "%s is not a whole number", node.Value)
 		return
 	}
 	target.SetInt(int64(number))
@@ -139,7 +139,7 @@
 func (d *fieldDecoder) decodeFloat(path string, node *yaml.Node, target reflect.Value) {
 	number, err := strconv.ParseFloat(node.Value, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		d.fail(path, node, "%s is not a number such as 0.2", node.Value)
+		d.addProblem(path, node, "%s is not a number such as 0.2", node.Value)
 		return
 	}
 	target.SetFloat(number)
@@ -147,26 +147,26 @@
 
 func (d *fieldDecoder) decodeDuration(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.ScalarNode {
-		d.fail(path, node, "must be a duration such as 300ms")
+		d.addProblem(path, node, "must be a duration such as 300ms")
 		return
 	}
 	if node.Tag == "!!int" || node.Tag == "!!float" {
-		d.fail(path, node, "%s has no unit: write a duration such as 300ms or 2s", node.Value)
+		d.addProblem(path, node, "%s has no unit: write a duration such as 300ms or 2s", node.Value)
 		return
 	}
 	duration, err := time.ParseDuration(node.Value)
 	if err != nil {
-		d.fail(path, node, "%q is not a duration such as 300ms or 2s", node.Value)
+		d.addProblem(path, node, "%q is not a duration such as 300ms or 2s", node.Value)
 		return
 	}
 	if duration <= 0 {
-		d.fail(path, node, "must be above zero, not %s", node.Value)
+		d.addProblem(path, node, "must be above zero, not %s", node.Value)
 		return
 	}
 	target.SetInt(int64(duration))
 }
 
-// structFields returns the indexes of a struct's fields by their names in the file.
+// structFields returns the indexes of a struct's fields, by the fields' names in the file.
 func structFields(structure reflect.Type) map[string]int {
 	fields := make(map[string]int)
 	for i := range structure.NumField() {
@@ -178,8 +178,8 @@
 	return fields
 }
 
-// join extends a dotted path by a key.
-func join(path, key string) string {
+// joinPath appends a key to a dotted path.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/settings/derived.go
+++ b/settings/derived.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/lease"
 )
 
-// Defaults and upper bounds of Watch.
+// Defaults and maxima of the fields of Watch.
 const (
 	DefaultPollInterval = 500 * time.Millisecond
 	DefaultPollTimeout  = time.Second
@@ -31,18 +31,18 @@
 	"error": slog.LevelError,
 }
 
-// PollInterval returns Interval or its default.
+// PollInterval returns Interval, or its default if it is not set.
 func (w Watch) PollInterval() time.Duration {
 	return cmp.Or(time.Duration(w.Interval), DefaultPollInterval)
 }
 
-// PollTimeout returns Timeout or its default.
+// PollTimeout returns Timeout, or its default if it is not set.
 func (w Watch) PollTimeout() time.Duration {
 	return cmp.Or(time.Duration(w.Timeout), DefaultPollTimeout)
 }
 
-// LeaseConfig returns the configuration of leases, with the defaults of what the file
-// leaves out.
+// LeaseConfig returns the configuration of leases, with the defaults of the fields that
+// are not set.
 func (s *Settings) LeaseConfig() lease.Config {
 	defaults := lease.DefaultConfig()
 	return lease.Config{
@@ -53,19 +53,19 @@
 	}
 }
 
-// LogLevel returns the level of the log.
+// LogLevel returns the level of the log, or slog.LevelInfo if it is not set.
 func (s *Settings) LogLevel() slog.Level { return logLevels[s.Log.Level] }
 
-// Logger returns a logger to standard error at LogLevel, with the node's name in
-// every line.
+// Logger returns a logger that writes to standard error at LogLevel and adds the node's
+// name to every line.
 func (s *Settings) Logger() *slog.Logger {
 	level := new(slog.LevelVar)
 	level.Set(s.LogLevel())
 	return s.NewLogger(os.Stderr, level)
 }
 
-// NewLogger returns a logger like that of Logger, but to a destination and with a
-// level that the caller may change later, as on a reload.
+// NewLogger is like Logger, but writes to a given destination, at a level that the
+// caller may change later, for example when the settings are reloaded.
 func (s *Settings) NewLogger(destination io.Writer, level *slog.LevelVar) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewTextHandler(destination, options)
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/pflag"
 )
 
-// goldenSettings are the settings that the golden files hold. Files like these are
-// on the machines of every fleet, so that no key may change its name or meaning.
+// goldenSettings returns the expected settings of the golden files, by file name. Every
+// fleet has such files on its machines, so that no key may change its name or meaning.
 func goldenSettings() map[string]*Settings {
 	seeds := []string{"10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400"}
 	return map[string]*Settings{
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestGoldenSettings loads files with every key and compares each field.
+// TestGoldenSettings loads the golden files and compares each field. Together, the files
+// must set every key.
 func TestGoldenSettings(t *testing.T) {
 	set := map[string]bool{}
 	for name, want := range goldenSettings() {
@@ -63,23 +64,23 @@
 				t.Errorf("settings differ (-want +got):\n%s", difference)
 			}
 			if got.File() != path {
-				t.Errorf("file is %q, want %q", got.File(), path)
+				t.Errorf("File returned %q, want %q", got.File(), path)
 			}
 			collectSetKeys(reflect.ValueOf(*got), "", set)
 		})
 	}
 	for _, key := range goldenKeys {
 		if !set[key] {
-			t.Errorf("no golden file sets %s", key)
+			t.Errorf("no golden file sets the key %s", key)
 		}
 		delete(set, key)
 	}
 	for key := range set {
-		t.Errorf("key %s is not among the golden keys", key)
+		t.Errorf("a golden file sets the key %s, which goldenKeys does not list", key)
 	}
 }
 
-// goldenKeys are all keys of a settings file.
+// goldenKeys lists all keys of a settings file.
 var goldenKeys = strings.Fields(`
 	name role zone region peer_address caller_address http_address link_mbps operator_address seeds
 	http_bounds.retry_ratio http_bounds.cold_overshoot
@@ -90,7 +91,8 @@
 	dial_overrides
 `)
 
-// TestGoldenKeys holds that a settings file has these keys and no others.
+// TestGoldenKeys checks that goldenKeys are exactly the keys that a settings file may
+// have.
 func TestGoldenKeys(t *testing.T) {
 	got := fileKeys(reflect.TypeFor[Settings](), "")
 	if difference := cmp.Diff(goldenKeys, got, cmpopts.SortSlices(strings.Compare)); difference != "" {
@@ -98,11 +100,11 @@
 	}
 }
 
-// fileKeys returns the dotted keys of a struct.
+// fileKeys returns the dotted keys of a struct's fields.
 func fileKeys(structure reflect.Type, path string) []string {
 	var keys []string
 	for name, index := range structFields(structure) {
-		key := join(path, name)
+		key := joinPath(path, name)
 		if field := structure.Field(index).Type; field.Kind() == reflect.Struct {
 			keys = append(keys, fileKeys(field, key)...)
 			continue
@@ -112,10 +114,10 @@
 	return keys
 }
 
-// collectSetKeys adds the dotted keys of the fields that are not zero to set.
+// collectSetKeys adds the dotted keys of the nonzero fields of value to set.
 func collectSetKeys(value reflect.Value, path string, set map[string]bool) {
 	for name, index := range structFields(value.Type()) {
-		field, key := value.Field(index), join(path, name)
+		field, key := value.Field(index), joinPath(path, name)
 		switch {
 		case field.Kind() == reflect.Struct:
 			collectSetKeys(field, key, set)
@@ -125,7 +127,7 @@
 	}
 }
 
-// TestGoldenFlags holds the flags of the daemons, by role.
+// TestGoldenFlags checks that each role has exactly these flags.
 func TestGoldenFlags(t *testing.T) {
 	const shared = "key-file log-level name operator-address peer-address region seeds token-file zone"
 	cases := []struct {
--- a/settings/load.go
+++ b/settings/load.go
@@ -11,15 +11,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// noFile is the File of settings that came from flags alone.
+// noFile is what File returns for settings that were set only by flags.
 const noFile = "flags"
 
-// maxFileBytes bounds a settings, key or token file, in bytes.
+// maxFileBytes is the maximum size of a settings, key or token file in bytes.
 const maxFileBytes = 1 << 20
 
-// Load reads a settings file strictly: an unknown or repeated field, a wrong type or
-// a missing unit is an error. The error is of type Errors. Load does not validate,
-// since flags may still set what the file leaves out; see LoadFor.
+// Load reads a settings file strictly: an unknown or repeated field, a wrong type or a
+// missing unit is an error. The error is of type Errors. Load does not validate the
+// settings, because flags may still set fields that the file omits; see LoadFor.
 func Load(path string) (*Settings, error) {
 	text, err := readBounded(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 		return nil, Errors{{File: path, Reason: strings.TrimPrefix(err.Error(), "yaml: ")}}
 	}
 	if err := decoder.Decode(&yaml.Node{}); !errors.Is(err, io.EOF) {
-		return nil, Errors{{File: path, Reason: "holds more than one document"}}
+		return nil, Errors{{File: path, Reason: "contains more than one document"}}
 	}
 	fields := fieldDecoder{file: path}
 	fields.decode("", document.Content[0], reflect.ValueOf(settings).Elem())
@@ -45,9 +45,9 @@
 	return settings, nil
 }
 
-// LoadFor returns the settings of a daemon. It reads the file, if path is not empty,
-// applies the flags, sets the role if none is given, and validates. A file for
-// another role is an error. The error is of type Errors.
+// LoadFor returns the validated settings of the daemon with this role. It reads the
+// file unless path is empty, applies the flags, and sets the role if the file has none.
+// A file for another role is an error. The error is of type Errors.
 func LoadFor(role Role, path string, overrides Overrides) (*Settings, error) {
 	settings := &Settings{file: noFile}
 	if path != "" {
@@ -71,7 +71,8 @@
 	return settings, nil
 }
 
-// File returns the path that the settings were loaded from, "flags" without a file.
+// File returns the path of the file that the settings were loaded from, or "flags" if
+// there is no file.
 func (s *Settings) File() string {
 	if s.file == "" {
 		return noFile
@@ -79,7 +80,7 @@
 	return s.file
 }
 
-// readBounded returns the content of a file of at most maxFileBytes.
+// readBounded returns the content of a file. A file larger than maxFileBytes is an error.
 func readBounded(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/settings/overrides.go
+++ b/settings/overrides.go
@@ -2,7 +2,8 @@
 
 import "github.com/spf13/pflag"
 
-// Overrides are the daemons' flags; an empty one leaves the value of the file.
+// Overrides has the values of the daemons' flags. An empty value does not override the
+// file.
 type Overrides struct {
 	Name            string
 	Zone            string
@@ -19,18 +20,18 @@
 	InitialControl  map[string]string
 }
 
-// textFlag is a flag that replaces a text of the settings.
-type textFlag struct {
+// stringFlag is a flag that replaces a string in the settings.
+type stringFlag struct {
 	name, usage string
-	value       *string // of the flag, in Overrides
-	target      *string // in Settings
-	role        Role    // that has the flag, empty for every role
+	value       *string // field of Overrides
+	target      *string // field of Settings
+	role        Role    // the only role that has the flag; empty if every role has it
 }
 
-// textFlags are the flags for texts, with the fields of the overrides and of the
-// settings that they are for.
-func (o *Overrides) textFlags(settings *Settings) []textFlag {
-	return []textFlag{
+// stringFlags returns the flags whose values are strings. They point to the fields of the
+// overrides and of the settings.
+func (o *Overrides) stringFlags(settings *Settings) []stringFlag {
+	return []stringFlag{
 		{name: "name", usage: "node name, unique in the fleet", value: &o.Name, target: &settings.Name},
 		{name: "zone", usage: "availability zone", value: &o.Zone, target: &settings.Zone},
 		{name: "region", usage: "region of the zone", value: &o.Region, target: &settings.Region},
@@ -45,9 +46,9 @@
 	}
 }
 
-// AddFlags registers the flags of a daemon of the role.
+// AddFlags registers the flags of the daemon with this role.
 func (o *Overrides) AddFlags(flags *pflag.FlagSet, role Role) {
-	for _, flag := range o.textFlags(&Settings{}) {
+	for _, flag := range o.stringFlags(&Settings{}) {
 		if flag.role == "" || flag.role == role {
 			flags.StringVar(flag.value, flag.name, "", flag.usage)
 		}
@@ -58,9 +59,9 @@
 	}
 }
 
-// Apply replaces the values of the file by those of the flags that are set.
+// Apply replaces values of the settings with those of the flags that are set.
 func (o Overrides) Apply(settings *Settings) {
-	for _, flag := range o.textFlags(settings) {
+	for _, flag := range o.stringFlags(settings) {
 		if *flag.value != "" {
 			*flag.target = *flag.value
 		}
