--- a/cmd/deckpulley-platform/main.go
+++ b/cmd/deckpulley-platform/main.go
@@ -1,7 +1,8 @@
 // Command deckpulley-platform runs deckpulley's processes on the platform of
 // Kodovka Labs, from the platform's settings file.
 //
-// Exit status: 0 after a stop, 1 after a failure, 2 for settings or usage.
+// Exit status: 0 after a normal shutdown, 1 after a failure, 2 for invalid settings
+// or a usage error.
 package main
 
 import (
@@ -24,7 +25,7 @@
 	exitUsage   = 2
 )
 
-// errUsage is wrapped by errors of the command line.
+// errUsage is wrapped by every usage error of the command line.
 var errUsage = errors.New("usage")
 
 func main() {
@@ -40,8 +41,9 @@
 	os.Exit(exitFailure)
 }
 
-// runner runs a process of one role until the context ends.
-type runner func(ctx context.Context, settings *platform.Settings, logger *slog.Logger) error
+// runFunc runs the process of one role, control node or gateway, until the context is
+// canceled.
+type runFunc func(ctx context.Context, settings *platform.Settings, logger *slog.Logger) error
 
 func newCommand() *cobra.Command {
 	level := "warn"
@@ -51,7 +53,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	command.PersistentFlags().StringVar(&level, "log-level", level, "least level of what is logged: debug, info, warn or error")
+	command.PersistentFlags().StringVar(&level, "log-level", level, "minimum level of logged messages: debug, info, warn or error")
 	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
 	command.AddCommand(
 		newRunCommand("control", "Run a control node", &level, platform.RunControl),
@@ -61,7 +63,7 @@
 	return command
 }
 
-func newRunCommand(name, short string, level *string, run runner) *cobra.Command {
+func newRunCommand(name, short string, level *string, run runFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:   name,
 		Short: short,
@@ -84,9 +86,10 @@
 	}
 }
 
-// watchSettings validates the settings file on each SIGHUP. It applies nothing: only
-// the seeds may change while a process runs, and a running process has learned the
-// addresses of the other nodes. stop waits for the goroutine.
+// watchSettings validates the settings file on each SIGHUP and logs an error if it is
+// invalid. It applies no setting: only the seeds may change while a process runs, and
+// a running process already has the addresses of the other nodes. stop ends the
+// goroutine and waits for it.
 func watchSettings(logger *slog.Logger) (stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -95,7 +98,7 @@
 	checks.Go(func() {
 		for range signals {
 			if _, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable)); err != nil {
-				logger.Error("changed settings are invalid", "error", err)
+				logger.Error("the changed settings file is invalid", "error", err)
 			}
 		}
 	})
@@ -109,7 +112,7 @@
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file",
+		Short: "Validate a settings file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			_, err := platform.LoadSettings(arguments[0])
