--- a/cmd/deckpulley-control/command_test.go
+++ b/cmd/deckpulley-control/command_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestExitStatuses runs command lines that end before a node is started.
+// TestExitStatuses checks the exit statuses of command lines that return before a
+// node is started.
 func TestExitStatuses(t *testing.T) {
 	folder := t.TempDir()
 	incomplete := filepath.Join(folder, "incomplete.yaml")
@@ -18,7 +19,7 @@
 		arguments []string
 		want      int
 	}{
-		{"help", []string{"--help"}, exitStopped},
+		{"help", []string{"--help"}, exitSuccess},
 		{"unexpected argument", []string{"start"}, exitUsage},
 		{"unknown flag", []string{"--unknown"}, exitUsage},
 		{"no settings", nil, exitUsage},
@@ -32,7 +33,7 @@
 			command := newCommand()
 			command.SetArgs(c.arguments)
 			if c.arguments == nil {
-				command.SetArgs([]string{}) // nil stands for os.Args
+				command.SetArgs([]string{}) // cobra reads os.Args if the arguments are nil
 			}
 			if got := execute(command); got != c.want {
 				t.Errorf("exit status %d, want %d", got, c.want)
--- a/cmd/deckpulley-control/daemon.go
+++ b/cmd/deckpulley-control/daemon.go
@@ -20,11 +20,11 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// shutdownTimeout bounds the transfer of leadership and the end of the answers in
-// flight together.
+// shutdownTimeout bounds the total time for transferring leadership and completing
+// the HTTP requests in flight.
 const shutdownTimeout = 4 * time.Second
 
-// daemon is a control node with its two ports.
+// daemon is a control node with its operators' port and its peers' port.
 type daemon struct {
 	source   *settingsSource
 	logger   *slog.Logger
@@ -34,7 +34,8 @@
 	node     *control.Node
 	listener net.Listener
 	server   *http.Server
-	// serving waits for the goroutine of server.Serve, and serveResult has its error.
+	// serving waits for the goroutine that runs server.Serve; serveResult receives its
+	// error.
 	serving     sync.WaitGroup
 	serveResult chan error
 }
@@ -59,8 +60,8 @@
 	return d.supervise(ctx, signals)
 }
 
-// newDaemon binds both ports, opens the data folder and prepares the node. After
-// an error the program ends, which closes what was opened.
+// newDaemon binds both ports, opens the data folder and creates the node. It closes
+// nothing after an error, since the process then exits.
 func newDaemon(source *settingsSource, loaded *settings.Settings) (*daemon, error) {
 	d := &daemon{source: source, level: new(slog.LevelVar), serveResult: make(chan error, 1)}
 	d.level.Set(loaded.LogLevel())
@@ -119,7 +120,8 @@
 	})
 }
 
-// supervise waits for a reason to end, and reloads the settings on SIGHUP.
+// supervise reloads the settings on SIGHUP, and returns after a termination signal or
+// a failure of the server or the node.
 func (d *daemon) supervise(ctx context.Context, signals <-chan os.Signal) error {
 	for {
 		select {
@@ -133,8 +135,8 @@
 		case err := <-d.serveResult:
 			return errors.Join(fmt.Errorf("operators' port: %w", err), d.node.Stop())
 		case <-d.node.Done():
-			// A failed write leaves the state of the disk unknown: end at once, with
-			// the answers in flight aborted.
+			// A failed write leaves the state of the disk unknown: exit at once and
+			// abort the requests in flight.
 			_ = d.server.Close()
 			d.serving.Wait()
 			return d.node.Err()
@@ -142,22 +144,23 @@
 	}
 }
 
-// shutDown transfers leadership, lets the answers in flight end, and stops the
-// node. Leadership goes first, so that the group has a primary while answers end.
+// shutDown transfers leadership, waits for the HTTP requests in flight, and stops the
+// node. Leadership is transferred first, so that the group has a primary during the
+// wait.
 func (d *daemon) shutDown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	d.node.TransferLeadership(ctx)
 	if err := d.server.Shutdown(ctx); err != nil {
-		d.logger.Warn("answers aborted by the shutdown", "error", err)
+		d.logger.Warn("requests in flight aborted by the shutdown", "error", err)
 		_ = d.server.Close()
 	}
 	d.serving.Wait()
 	return d.node.Stop()
 }
 
-// reload takes over the log level, the keys and the tokens. After an error all of
-// them are as they were.
+// reload reads the settings again and applies the log level, the keys and the tokens.
+// After an error none of them has changed.
 func (d *daemon) reload() {
 	loaded, err := d.source.load()
 	if err != nil {
--- a/cmd/deckpulley-control/recover.go
+++ b/cmd/deckpulley-control/recover.go
@@ -12,23 +12,26 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// confirmFlag must be given in full: the recovery can't be undone.
+// confirmFlag has no short form, since a recovery cannot be undone.
 const confirmFlag = "yes-i-lose-unreplicated-data"
 
 func newRecoverCommand(source *settingsSource) *cobra.Command {
 	var confirmed bool
 	command := &cobra.Command{
 		Use:   "recover --settings FILE --" + confirmFlag,
-		Short: "Make a group of one from this node's surviving copy",
-		Long: `Make a group of one from this node's surviving copy, for when most control
-nodes have lost their disks for good. Stop every control node first, and run this
-on the one with the highest index. What was acknowledged and is not in its copy
-is lost. Afterwards start this node, restart every gateway, and add control
-nodes with empty data folders.`,
+		Short: "Restore the control plane from this node's copy of the data",
+		Long: `Restore the control plane from this node's copy of the data, after a majority of
+the control nodes have permanently lost their disks. The node becomes the only
+member of a new group.
+
+Stop every control node first, and run this command on the node with the highest
+applied index. Acknowledged writes that are missing from its copy are lost.
+Afterwards start this node, restart every gateway, and add control nodes with
+empty data folders.`,
 		Args: noArguments,
 		RunE: func(*cobra.Command, []string) error {
 			if !confirmed {
-				return &usageError{errors.New("nothing done: this loses what was not replicated to this disk; confirm with --" + confirmFlag)}
+				return &usageError{errors.New("recovery not started: it discards all writes that were not replicated to this disk; to confirm, pass --" + confirmFlag)}
 			}
 			loaded, err := source.load()
 			if err != nil {
@@ -41,8 +44,8 @@
 	return command
 }
 
-// recoverGroup makes the node of the data folder the only member of a new group,
-// and prints what the group starts with.
+// recoverGroup makes the node that owns the data folder the only member of a new
+// group, and prints the group's initial state.
 func recoverGroup(loaded *settings.Settings) (err error) {
 	store, err := storage.Open(loaded.DataFolder)
 	if err != nil {
