--- a/cmd/deckpulley-gateway/command.go
+++ b/cmd/deckpulley-gateway/command.go
@@ -12,25 +12,26 @@
 
 // Exit statuses. The service manager does not restart a daemon after exitUsage.
 const (
-	exitStopped = 0
+	exitSuccess = 0
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// usageError is a mistake in settings or flags, which a restart does not repair.
+// usageError is an error in the settings or flags. Restarting the daemon does not fix
+// it.
 type usageError struct{ cause error }
 
-// Error returns the text of the cause, marked as one of the settings.
+// Error returns the text of the cause with the prefix "settings: ".
 func (e *usageError) Error() string { return "settings: " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *usageError) Unwrap() error { return e.cause }
 
-// execute runs the command line and returns the exit status of the program.
+// execute runs the command and returns the program's exit status.
 func execute(command *cobra.Command) int {
 	err := command.Execute()
 	if err == nil {
-		return exitStopped
+		return exitSuccess
 	}
 	var usage *usageError
 	if errors.As(err, &usage) {
@@ -66,14 +67,14 @@
 
 func printError(err error) { fmt.Fprintln(os.Stderr, "deckpulley-gateway:", err) }
 
-// settingsSource is where the settings come from: a file, and flags that override
-// it.
+// settingsSource is the source of the settings: a file, and flags that override its
+// values.
 type settingsSource struct {
 	path      string
 	overrides settings.Overrides
 }
 
-// load reads the settings. Its error is a usageError.
+// load reads the settings. Every error that it returns is a usageError.
 func (s *settingsSource) load() (*settings.Settings, error) {
 	loaded, err := settings.LoadFor(settings.RoleGateway, s.path, s.overrides)
 	if err != nil {
--- a/cmd/deckpulley-gateway/daemon.go
+++ b/cmd/deckpulley-gateway/daemon.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// incarnationBytes is the size of the random name of one process.
+	// incarnationBytes is the size of the random ID that identifies one process.
 	incarnationBytes = 8
-	// shutdownTimeout bounds closing the ports after all requests ended.
+	// shutdownTimeout bounds closing the ports after all requests have completed.
 	shutdownTimeout = 2 * time.Second
-	// proxyDrainTimeout bounds how long requests of the HTTP address may finish.
+	// proxyDrainTimeout bounds the wait for requests in flight at the HTTP address.
 	proxyDrainTimeout = 20 * time.Second
 )
 
-// port is a listener and the server that serves it.
+// port is a listener and the HTTP server that accepts its connections.
 type port struct {
 	listener net.Listener
 	server   *http.Server
@@ -50,10 +50,11 @@
 	gateway   *gateway.Gateway
 	callers   port
 	operators port
-	// proxy serves the HTTP address; its listener and server are nil without one.
+	// proxy serves the HTTP address. Its listener and server are nil if the settings
+	// have no HTTP address.
 	proxy port
-	// serving waits for the goroutines of the servers, and serveFailures has the errors
-	// of those that ended by themselves.
+	// serving waits for the goroutines of the servers; serveFailures receives the errors
+	// of servers that ended without a shutdown.
 	serving       sync.WaitGroup
 	serveFailures chan error
 }
@@ -68,8 +69,8 @@
 	if err != nil {
 		return err
 	}
-	// Two channels, since a signal is dropped while another one waits in the channel: a
-	// pending reload must not hide the request to end.
+	// SIGHUP has its own channel: package signal drops a signal if the channel is full,
+	// and a pending reload must not cause a termination signal to be dropped.
 	terminate, hangUp := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangUp, syscall.SIGHUP)
@@ -78,8 +79,8 @@
 	return d.run(terminate, hangUp)
 }
 
-// newDaemon binds all ports and prepares the gateway. After an error the program ends,
-// which closes what was opened.
+// newDaemon binds all ports and creates the gateway. It closes nothing after an error,
+// since the process then exits.
 func newDaemon(source *settingsSource, loaded *settings.Settings) (*daemon, error) {
 	keys, err := loaded.Keys()
 	if err != nil {
@@ -105,7 +106,7 @@
 	return d, nil
 }
 
-// bind binds all ports, so that an address in use is found before anything runs.
+// bind binds all ports. An address in use is thus reported before the gateway starts.
 func (d *daemon) bind(loaded *settings.Settings, keys [][]byte) error {
 	var err error
 	if d.callers.listener, err = net.Listen("tcp", loaded.CallerAddress); err != nil {
@@ -158,14 +159,15 @@
 		Logger:        d.logger,
 	})
 	if err != nil {
-		return fmt.Errorf("preparing the gateway: %w", err)
+		return fmt.Errorf("creating the gateway: %w", err)
 	}
 	d.callers.server = d.gateway.CallersServer()
 	d.operators.server = d.gateway.OperatorsServer()
 	return nil
 }
 
-// newProxy prepares the server of the HTTP address; it returns nil without one.
+// newProxy creates the proxy that serves the HTTP address. It returns nil if the
+// settings have no HTTP address.
 func (d *daemon) newProxy(info peer.GatewayInfo, bounds settings.HTTPBounds) gateway.HTTPProxy {
 	if d.proxy.listener == nil {
 		return nil
@@ -180,18 +182,19 @@
 	return proxy
 }
 
-// randomIdentity returns the name of this process and the seed of its random choices.
+// randomIdentity returns a random ID for this process and the seed of its random
+// number generator.
 func randomIdentity() (incarnation string, seed uint64) {
 	var random [incarnationBytes]byte
 	_, _ = rand.Read(random[:]) // never fails; see package crypto/rand
 	return hex.EncodeToString(random[:]), binary.LittleEndian.Uint64(random[:])
 }
 
-// run serves until terminate delivers a signal or a port fails, and shuts down. It
-// reloads the settings for each signal of hangUp.
+// run serves until terminate delivers a signal or a server fails, and then shuts down.
+// It reloads the settings for each signal from hangUp.
 func (d *daemon) run(terminate, hangUp <-chan os.Signal) error {
 	if err := d.gateway.Start(); err != nil {
-		return fmt.Errorf("starting: %w", err)
+		return fmt.Errorf("starting the gateway: %w", err)
 	}
 	d.serve()
 	d.logger.Info("gateway started", "callers", d.callers.listener.Addr().String(), "operators", d.operators.listener.Addr().String())
@@ -206,12 +209,13 @@
 		case err := <-d.serveFailures:
 			d.logger.Info("shutting down", "error", err)
 			d.shutDown()
-			return fmt.Errorf("serving: %w", err)
+			return fmt.Errorf("serving HTTP: %w", err)
 		}
 	}
 }
 
-// serve starts the servers. Each of them may send one failure without a reader.
+// serve starts the servers. serveFailures has room for one error of each server, so
+// that a server's goroutine never blocks on it.
 func (d *daemon) serve() {
 	ports := []port{d.callers, d.operators}
 	if d.proxy.server != nil {
@@ -227,17 +231,17 @@
 	}
 }
 
-// reload takes over the log level, the keys and the tokens. After an error all of
-// them are as they were.
+// reload reads the settings again and applies the log level, the keys and the tokens.
+// After an error none of them has changed.
 func (d *daemon) reload() {
-	if err := d.tryReload(); err != nil {
+	if err := d.applySettings(); err != nil {
 		d.logger.Error("settings not reloaded", "error", err)
 		return
 	}
 	d.logger.Info("settings reloaded")
 }
 
-func (d *daemon) tryReload() error {
+func (d *daemon) applySettings() error {
 	loaded, err := d.source.load()
 	if err != nil {
 		return err
@@ -259,8 +263,9 @@
 	return nil
 }
 
-// shutDown lets the requests in flight end, releases the lease and closes the ports.
-// The ports are closed last, so that callers of a draining gateway are told so.
+// shutDown waits for the requests in flight, releases the lease and closes the ports.
+// The ports are closed last, so that a draining gateway can still respond to callers
+// that it is draining.
 func (d *daemon) shutDown() {
 	drained := d.drainProxy()
 	d.gateway.Stop(context.Background())
@@ -271,13 +276,14 @@
 	d.closeServer(ctx, d.operators.server)
 	d.serving.Wait()
 	if err := d.network.Close(); err != nil {
-		d.logger.Warn("peers' port not closed", "error", err)
+		d.logger.Warn("closing the peers' port failed", "error", err)
 	}
 	d.logger.Info("shutdown complete")
 }
 
-// drainProxy closes the HTTP address to new requests, which callers send to other
-// gateways, and lets those in flight end. The channel is closed when it is done.
+// drainProxy stops accepting requests at the HTTP address, so that callers use other
+// gateways, and waits for those in flight. The returned channel is closed when the
+// drain is complete.
 func (d *daemon) drainProxy() <-chan struct{} {
 	drained := make(chan struct{})
 	go func() {
@@ -292,9 +298,10 @@
 	return drained
 }
 
-// closeServer lets the answers in flight end until ctx does, and aborts the others.
+// closeServer waits for the requests in flight until ctx is canceled, and aborts those
+// that remain.
 func (d *daemon) closeServer(ctx context.Context, server *http.Server) {
 	if err := server.Shutdown(ctx); err != nil {
-		d.logger.Warn("answers aborted by the shutdown", "error", errors.Join(err, server.Close()))
+		d.logger.Warn("requests in flight aborted by the shutdown", "error", errors.Join(err, server.Close()))
 	}
 }
--- a/cmd/deckpulley-gateway/daemon_test.go
+++ b/cmd/deckpulley-gateway/daemon_test.go
@@ -25,12 +25,13 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// testTimeout bounds every wait of these tests.
+// testTimeout bounds each wait in these tests.
 const testTimeout = 20 * time.Second
 
 const testKey = "00112233445566778899aabbccddeeff"
 
-// replicaRecorder is an HTTP replica that names itself in its answers.
+// replicaRecorder is an HTTP replica that counts its requests and writes its ID into
+// each response.
 type replicaRecorder struct {
 	id     string
 	served atomic.Int64
@@ -47,7 +48,7 @@
 	fmt.Fprintf(w, "%s ran %s", r.id, request.URL.Path)
 }
 
-// httpFleet is one control node and one gateway with an HTTP address.
+// httpFleet is a control node, a gateway with an HTTP address, and HTTP replicas.
 type httpFleet struct {
 	t        *testing.T
 	control  *control.Node
@@ -101,7 +102,7 @@
 	f.t.Cleanup(func() { _ = f.control.Stop() })
 }
 
-// settings are those of the gateway, read from a file as the daemon does it.
+// settings writes a settings file for the gateway and loads it as the daemon does.
 func (f *httpFleet) settings(controlAddress string) *settings.Settings {
 	f.t.Helper()
 	folder := f.t.TempDir()
@@ -146,12 +147,12 @@
 	f.t.Cleanup(func() {
 		terminate <- syscall.SIGTERM
 		if err := <-ended; err != nil {
-			f.t.Errorf("the gateway ended with %v", err)
+			f.t.Errorf("the gateway returned an error at shutdown: %v", err)
 		}
 	})
 }
 
-// submit submits an operation until it is in force.
+// submit retries an operation until the control node reports that it is in force.
 func (f *httpFleet) submit(request peer.OperationRequest) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), testTimeout)
@@ -166,7 +167,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatal("an operation is not in force in time")
+	f.t.Fatal("the operation was not in force before the timeout")
 }
 
 func (f *httpFleet) addReplicas(service string, names ...string) {
@@ -182,7 +183,8 @@
 	f.submit(peer.OperationRequest{Replicas: list})
 }
 
-// get sends one request to the HTTP address.
+// get sends a GET request with an ID to the gateway's HTTP address, and returns the
+// status and the body of the response.
 func (f *httpFleet) get(id, path string) (int, string) {
 	request, err := http.NewRequestWithContext(f.t.Context(), http.MethodGet, "http://"+f.daemon.proxy.listener.Addr().String()+path, nil)
 	if err != nil {
@@ -190,10 +192,10 @@
 	}
 	request.Host = "llm.example"
 	request.Header.Set(httpgateway.DefaultHeaders().RequestID, id)
-	return f.answer(request)
+	return f.do(request)
 }
 
-func (f *httpFleet) answer(request *http.Request) (int, string) {
+func (f *httpFleet) do(request *http.Request) (int, string) {
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
@@ -216,40 +218,41 @@
     pages: {host: llm.example, path_prefix: /pages/, kind: repeatable, timeout_ms: 2000, targets: [{service: pool, weight: 1}]}
 `
 
-// TestDocumentRoutesHTTP submits a configuration document and sends requests to the HTTP
-// address: a request is routed by it, and a changed document changes where requests go.
+// TestDocumentRoutesHTTP checks that requests to the HTTP address are routed by the
+// current configuration document, and that a changed document and an evacuation take
+// effect.
 func TestDocumentRoutesHTTP(t *testing.T) {
 	f := startHTTPFleet(t)
 	if status, text := f.get("early", "/pages/x"); status != http.StatusServiceUnavailable {
-		t.Errorf("before the first document: %d %s", status, text)
+		t.Errorf("request before the first document: got %d %s, want 503", status, text)
 	}
 	f.submit(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "first", Document: httpDocument}})
 	f.addReplicas("pool", "r1", "r2")
 	f.waitFor(func() bool { status, _ := f.get("warm", "/pages/x"); return status == http.StatusOK })
 
 	if status, text := f.get("one", "/pages/x"); status != http.StatusOK || !strings.HasSuffix(text, "ran /pages/x") {
-		t.Errorf("got %d %s", status, text)
+		t.Errorf("request with a route: got %d %s, want 200 from a replica", status, text)
 	}
 	if status, _ := f.get("two", "/elsewhere/"); status != http.StatusNotFound {
-		t.Errorf("without a route: %d", status)
+		t.Errorf("request without a route: got %d, want 404", status)
 	}
 	moved := strings.ReplaceAll(httpDocument, "/pages/", "/moved/")
 	f.submit(peer.OperationRequest{Configuration: &api.ConfigurationOperation{OperationID: "second", BaseVersion: 1, Document: moved}})
 	if status, _ := f.get("three", "/pages/x"); status != http.StatusNotFound {
-		t.Errorf("by the former document: %d", status)
+		t.Errorf("request to a removed route: got %d, want 404", status)
 	}
 	if status, text := f.get("four", "/moved/x"); status != http.StatusOK {
-		t.Errorf("by the new document: %d %s", status, text)
+		t.Errorf("request to a route of the new document: got %d %s, want 200", status, text)
 	}
 	f.submit(peer.OperationRequest{Evacuation: &api.EvacuationOperation{OperationID: "third", Zone: "z1"}})
 	if status, _ := f.get("five", "/moved/x"); status != http.StatusServiceUnavailable {
-		t.Errorf("in an evacuated zone: %d", status)
+		t.Errorf("request while the only zone is evacuated: got %d, want 503", status)
 	}
-	f.checkOperators()
+	f.checkOperatorsPort()
 }
 
-// checkOperators reads what the operators' port shows of the HTTP address.
-func (f *httpFleet) checkOperators() {
+// checkOperatorsPort checks what the operators' port reports about the HTTP address.
+func (f *httpFleet) checkOperatorsPort() {
 	operators := "http://" + f.daemon.operators.listener.Addr().String()
 	for path, want := range map[string]string{
 		api.PathHTTPReplicas: `"state":"evacuated"`,
@@ -259,8 +262,8 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		if status, text := f.answer(request); status != http.StatusOK || !strings.Contains(text, want) {
-			f.t.Errorf("%s: %d without %s in %s", path, status, want, text)
+		if status, text := f.do(request); status != http.StatusOK || !strings.Contains(text, want) {
+			f.t.Errorf("GET %s: status %d, want 200 with %s in the body %s", path, status, want, text)
 		}
 	}
 }
@@ -272,5 +275,5 @@
 			return
 		}
 	}
-	f.t.Fatal("not in time")
+	f.t.Fatal("the condition was not met before the timeout")
 }
