--- a/cmd/deckpulleyctl/command/completion.go
+++ b/cmd/deckpulleyctl/command/completion.go
@@ -11,12 +11,12 @@
 	"github.com/deckpulley/deckpulley/client"
 )
 
-// completionTimeout bounds the request to a control node: a person waits at the
-// shell for it.
+// completionTimeout bounds the request to a control node. It is short because the user
+// waits at the shell prompt.
 const completionTimeout = time.Second
 
-// completeNames completes up to limit arguments by names that a control node
-// lists. Without an answer there are no completions.
+// completeNames completes up to limit arguments with names that list fetches from a
+// control node. If the request fails, there are no completions.
 func (g *globalFlags) completeNames(limit int, list func(context.Context, *client.Client) ([]string, error)) cobra.CompletionFunc {
 	return func(command *cobra.Command, arguments []string, prefix string) ([]cobra.Completion, cobra.ShellCompDirective) {
 		if len(arguments) >= limit {
@@ -36,7 +36,7 @@
 	}
 }
 
-// filterNames returns the names with the prefix that are no arguments yet.
+// filterNames returns the names that have the prefix and are not arguments already.
 func filterNames(names, arguments []string, prefix string) []cobra.Completion {
 	var completions []cobra.Completion
 	for _, name := range names {
--- a/cmd/deckpulleyctl/command/completion_test.go
+++ b/cmd/deckpulleyctl/command/completion_test.go
@@ -17,7 +17,7 @@
 		var output, errorOutput bytes.Buffer
 		Run(append([]string{"__completeNoDesc"}, strings.Split(typed, " ")...), &output, &errorOutput)
 		if got, _, _ := strings.Cut(output.String(), ":"); got != want {
-			t.Errorf("%q is completed by %q", typed, got)
+			t.Errorf("completing %q: got %q", typed, got)
 		}
 	}
 }
@@ -25,8 +25,8 @@
 func TestCompletionScripts(t *testing.T) {
 	line := newCommandLine(t)
 	for _, shell := range []string{"bash", "zsh", "fish"} {
-		if status, output, _ := line.run("completion", shell); status != exitDone || !strings.Contains(output, "deckpulleyctl") {
-			t.Errorf("completion for %s: status %d", shell, status)
+		if status, output, _ := line.run("completion", shell); status != exitSuccess || !strings.Contains(output, "deckpulleyctl") {
+			t.Errorf("completion script for %s: exit status %d", shell, status)
 		}
 	}
 }
--- a/cmd/deckpulleyctl/command/config.go
+++ b/cmd/deckpulleyctl/command/config.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/configuration"
 )
 
-// standardInput in place of a file name stands for the standard input.
+// standardInput is the file name that selects the standard input.
 const standardInput = "-"
 
 func newConfigCommand(flags *globalFlags) *cobra.Command {
@@ -26,7 +26,7 @@
 	return command
 }
 
-// configurationFile is a configuration document and the text that it was read from.
+// configurationFile is a configuration document and the text it was parsed from.
 type configurationFile struct {
 	text     string
 	document *configuration.Document
@@ -48,8 +48,8 @@
 	return configurationFile{text: text, document: document}, nil
 }
 
-// readFile returns the text of a file. From the standard input it reads one byte
-// more than a document may have, so that a longer one is found by its parser.
+// readFile returns the text of a file. From the standard input it reads at most one byte
+// more than the size limit of a document, so that the parser rejects a longer one.
 func readFile(command *cobra.Command, path string) (string, error) {
 	if path == standardInput {
 		text, err := io.ReadAll(io.LimitReader(command.InOrStdin(), configuration.MaxDocumentBytes+1))
--- a/cmd/deckpulleyctl/command/config_apply.go
+++ b/cmd/deckpulleyctl/command/config_apply.go
@@ -12,14 +12,14 @@
 func newConfigApplyCommand(flags *globalFlags) *cobra.Command {
 	return configurationOperation{
 		use:   "apply FILE",
-		short: "Hand over a whole configuration and wait until it is in force everywhere",
-		long: `Hand over a whole configuration and wait until it is in force everywhere.
+		short: "Replace the whole configuration and wait until it is in force everywhere",
+		long: `Replace the whole configuration and wait until it is in force everywhere.
 
 Without --base-version the file replaces the version that is current when the
-command starts. Give the version that the file was built on, so that a change by
-somebody else in the meantime is not undone. Repeat a lost order with the same
---order-id and --base-version.`,
-		baseVersionHelp: "version that the file was built on; default the current one",
+command starts. Specify the version that the file is based on, so that a concurrent
+change by another operator is not overwritten. If the response is lost, repeat the
+command with the same --order-id and --base-version.`,
+		baseVersionHelp: "version that the file is based on; default the current version",
 		readFile: func(command *cobra.Command, path string) (string, error) {
 			file, err := readConfiguration(command, path)
 			return file.text, err
--- a/cmd/deckpulleyctl/command/config_change.go
+++ b/cmd/deckpulleyctl/command/config_change.go
@@ -14,9 +14,9 @@
 func newConfigChangeCommand(flags *globalFlags) *cobra.Command {
 	return configurationOperation{
 		use:   "change FILE",
-		short: "Add, replace or remove named items and wait until that is in force everywhere",
-		long: `Add, replace or remove named items of the configuration, and leave the rest as it
-is. The file has the items by section and name:
+		short: "Add, replace or remove named items and wait until the change is in force everywhere",
+		long: `Add, replace or remove named items of the configuration, and leave all other items
+unchanged. The file lists the items by section and name:
 
   upsert:
     tenants:
@@ -26,11 +26,12 @@
   remove:
     tenants: [old]
 
-Names to remove that the configuration does not have are ignored. The change is
-made to the version given by --base-version, by default the one that is current
-when the command starts, and is refused if another one has become current. Repeat
-a lost order with the same --order-id and --base-version.`,
-		baseVersionHelp: "version that the change is made to; default the current one",
+Names to remove that do not exist in the configuration are ignored. The change
+applies to the version given by --base-version, by default the version that is
+current when the command starts, and is refused if that version is no longer
+current. If the response is lost, repeat the command with the same --order-id and
+--base-version.`,
+		baseVersionHelp: "version that the change applies to; default the current version",
 		readFile:        readPatch,
 		send: func(ctx context.Context, control *client.Client, request configurationRequest) (*api.OperationResult, error) {
 			return control.Patch(ctx, &api.ConfigurationPatchOperation{
@@ -43,8 +44,8 @@
 	}.command(flags)
 }
 
-// readPatch reads a patch of named items and checks its form. Whether it fits the
-// configuration is checked by the control node.
+// readPatch reads a patch of named items and validates its syntax. The control node
+// validates the resulting configuration.
 func readPatch(command *cobra.Command, path string) (string, error) {
 	text, err := readFile(command, path)
 	if err != nil {
--- a/cmd/deckpulleyctl/command/config_diff.go
+++ b/cmd/deckpulleyctl/command/config_diff.go
@@ -43,15 +43,15 @@
 	}
 }
 
-// diffConfiguration compares the meaning of two documents, not their text: a line
-// for each field that differs, ordered by the field's path. No text stands for a
-// fleet without a configuration.
+// diffConfiguration compares the fields of two documents, not their text. It returns a
+// line for each field that differs, ordered by the field's path. An empty currentText
+// means that the fleet has no configuration yet.
 func diffConfiguration(currentText string, desired *configuration.Document) ([]string, error) {
 	current := &configuration.Document{}
 	if strings.TrimSpace(currentText) != "" {
 		parsed, err := configuration.Parse(currentText)
 		if err != nil {
-			return nil, &usageError{fmt.Errorf("the current configuration cannot be read by this program: %w", err)}
+			return nil, &usageError{fmt.Errorf("this version of deckpulleyctl cannot parse the current configuration: %w", err)}
 		}
 		current = parsed
 	}
@@ -66,10 +66,11 @@
 	return diffFields(before, after), nil
 }
 
-// markerWidth is the width of what a line of a difference has before the path.
+// markerWidth is the width of the marker before the path in a line of the diff.
 const markerWidth = len("- ")
 
-// diffFields compares two documents by the values of their paths.
+// diffFields compares two flattened documents. Removed, changed and added fields have
+// the markers -, ~ and +.
 func diffFields(before, after map[string]string) []string {
 	var lines []string
 	for path, value := range before {
@@ -89,8 +90,8 @@
 	return lines
 }
 
-// flattenDocument returns the JSON values of a document's fields by dotted path. A
-// list is one value.
+// flattenDocument maps the dotted path of each field of a document to its JSON value. A
+// list is a single value.
 func flattenDocument(document *configuration.Document) (map[string]string, error) {
 	text, err := json.Marshal(document)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return fields, nil
 }
 
-// flattenValue adds a value below a path to fields.
+// flattenValue adds the value at a path, or all fields below it, to fields.
 func flattenValue(path string, value any, fields map[string]string) {
 	object, isObject := value.(map[string]any)
 	if !isObject {
--- a/cmd/deckpulleyctl/command/config_get.go
+++ b/cmd/deckpulleyctl/command/config_get.go
@@ -26,13 +26,13 @@
 				if flags.outputFormat() != printer.FormatTable {
 					return flags.print(command.OutOrStdout(), current, nil)
 				}
-				// The text alone goes to the standard output, so that it can be kept as a file.
+				// Only the text goes to the standard output, so that it can be redirected to a file.
 				fmt.Fprintf(command.ErrOrStderr(), "version %d, serial %d, by %s\n", current.Version, current.Serial, current.Author)
 				_, err = io.WriteString(command.OutOrStdout(), current.Document)
 				return err
 			})
 		},
 	}
-	command.Flags().BoolVar(&local, "local", false, "the answering node's own copy, which may be behind")
+	command.Flags().BoolVar(&local, "local", false, "read the responding node's local copy, which may be stale")
 	return command
 }
--- a/cmd/deckpulleyctl/command/config_history.go
+++ b/cmd/deckpulleyctl/command/config_history.go
@@ -17,8 +17,8 @@
 	fetch := func(control *client.Client, ctx context.Context) (*api.OperationsAnswer, error) {
 		return control.Operations(ctx, limit)
 	}
-	command := newReadCommand(flags, "history", "List the newest orders and their answers, evacuations included", fetch, operationsTable)
-	command.Flags().IntVar(&limit, "limit", defaultHistoryLimit, "number of orders, newest first")
+	command := newReadCommand(flags, "history", "List the latest operations and their results, including evacuations", fetch, operationsTable)
+	command.Flags().IntVar(&limit, "limit", defaultHistoryLimit, "maximum number of operations, newest first")
 	return command
 }
 
@@ -30,7 +30,7 @@
 	return table
 }
 
-// refusalReason is empty for an accepted operation.
+// refusalReason returns why an operation was refused. It is empty for an accepted one.
 func refusalReason(operation api.OperationStatus) string {
 	if operation.Accepted {
 		return ""
--- a/cmd/deckpulleyctl/command/config_validate.go
+++ b/cmd/deckpulleyctl/command/config_validate.go
@@ -9,7 +9,7 @@
 func newConfigValidateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "validate FILE",
-		Short: "Check a configuration file without sending it",
+		Short: "Validate a configuration file without sending it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			file, err := readConfiguration(command, arguments[0])
--- a/cmd/deckpulleyctl/command/errors.go
+++ b/cmd/deckpulleyctl/command/errors.go
@@ -6,9 +6,9 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Exit statuses. They are part of the interface: scripts compare them.
+// Exit statuses. Scripts depend on them, so they must not change.
 const (
-	exitDone        = 0
+	exitSuccess     = 0
 	exitRefused     = 1
 	exitUsage       = 2
 	exitConflict    = 3
@@ -17,10 +17,11 @@
 	exitDegraded    = 6
 )
 
-// errDegraded is the result of status --check if something is degraded.
-var errDegraded = errors.New("something is degraded")
+// errDegraded is returned by status --check if the fleet is degraded.
+var errDegraded = errors.New("the fleet is degraded")
 
-// usageError is a mistake on the command line or in a file; nothing was sent.
+// usageError is an error on the command line or in a file, found before anything was
+// sent.
 type usageError struct{ cause error }
 
 // Error returns the text of the cause.
@@ -29,14 +30,14 @@
 // Unwrap returns the cause.
 func (e *usageError) Unwrap() error { return e.cause }
 
-// exitStatus returns the exit status for the result of a command. An error that is
-// no *api.Error was found before anything was sent.
+// exitStatus returns the exit status for the result of a command. An error that is not
+// an *api.Error is treated as a usage error, found before anything was sent.
 func exitStatus(err error) int {
 	var usage *usageError
 	var apiError *api.Error
 	switch {
 	case err == nil:
-		return exitDone
+		return exitSuccess
 	case errors.Is(err, errDegraded):
 		return exitDegraded
 	case errors.As(err, &usage), !errors.As(err, &apiError):
--- a/cmd/deckpulleyctl/command/errors_test.go
+++ b/cmd/deckpulleyctl/command/errors_test.go
@@ -20,25 +20,25 @@
 		status         int
 		errorText      string
 	}{
-		{"valid file", []string{"config", "validate", valid}, nil, exitDone, ""},
+		{"valid file", []string{"config", "validate", valid}, nil, exitSuccess, ""},
 		{"invalid file", []string{"config", "validate", invalid}, nil, exitUsage, "routes.ask.service"},
 		{"invalid file is not sent", []string{"config", "apply", invalid}, nil, exitUsage, "routes.ask.service"},
 		{"unknown command", []string{"zones"}, nil, exitUsage, "unknown command"},
 		{"unknown replica", []string{"replicas", "drain", "r9"}, nil, exitUsage, `no replica "r9"`},
 		{"unknown format", append(apply, "-o", "xml"), nil, exitUsage, "xml"},
-		{"refused", apply, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: "why"}, exitRefused, "why"},
-		{"outraced", apply, &api.Error{Code: api.CodeVersionConflict, Outcome: api.OutcomeRefused}, exitConflict, ""},
-		{"unknown", apply, &api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown}, exitUnknown, `--order-id o --author "ada" --base-version 4`},
+		{"refused operation", apply, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: "why"}, exitRefused, "why"},
+		{"version conflict", apply, &api.Error{Code: api.CodeVersionConflict, Outcome: api.OutcomeRefused}, exitConflict, ""},
+		{"unknown outcome", apply, &api.Error{Code: api.CodePending, Outcome: api.OutcomeUnknown}, exitUnknown, `--order-id o --author "ada" --base-version 4`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			line.node.operationError, line.node.operation = c.operationError, nil
 			status, _, errorOutput := line.run(c.arguments...)
 			if status != c.status || !strings.Contains(errorOutput, c.errorText) {
-				t.Errorf("status %d, %s", status, errorOutput)
+				t.Errorf("exit status %d, error output %s", status, errorOutput)
 			}
 			if status == exitUsage && line.node.operation != nil {
-				t.Error("something was sent")
+				t.Error("an operation was sent despite the usage error")
 			}
 		})
 	}
@@ -47,11 +47,11 @@
 func TestExitStatusesWithoutANode(t *testing.T) {
 	var output, errorOutput bytes.Buffer
 	if status := Run([]string{"status", "--address", "127.0.0.1:1", "--timeout", "100ms"}, &output, &errorOutput); status != exitUnreachable {
-		t.Errorf("nobody there: status %d, %s", status, &errorOutput)
+		t.Errorf("unreachable node: exit status %d, error output %s", status, &errorOutput)
 	}
 	t.Setenv(environmentAddress, "")
 	if status := Run([]string{"status"}, &output, &errorOutput); status != exitUsage {
-		t.Errorf("no address: status %d", status)
+		t.Errorf("no address: exit status %d", status)
 	}
 }
 
@@ -61,11 +61,11 @@
 		"status --check":                  exitDegraded,
 		"top --interval 1ms":              exitUsage,
 		"route explain ask --prefix file": exitUsage,
-		"recover":                         exitDone,
+		"recover":                         exitSuccess,
 	} {
 		t.Run(command, func(t *testing.T) {
 			if status, _, errorOutput := line.run(strings.Fields(command)...); status != want {
-				t.Errorf("status %d, want %d, %s", status, want, errorOutput)
+				t.Errorf("exit status %d, want %d, error output %s", status, want, errorOutput)
 			}
 		})
 	}
--- a/cmd/deckpulleyctl/command/fake_test.go
+++ b/cmd/deckpulleyctl/command/fake_test.go
@@ -21,14 +21,15 @@
   ask: {service: model, class: quick}
 `
 
-// fakeNode answers as a control node and a gateway would, and records the last
+// fakeNode serves the API of a control node and of a gateway, and records the last
 // operation that it received.
 type fakeNode struct {
-	// operationError answers every operation if it is set.
+	// operationError is the response to every operation if it is not nil.
 	operationError *api.Error
 	// additionalReplicas are listed after r1 and r2.
 	additionalReplicas []api.ReplicaStatus
-	// operation is the body of the last operation, and authorization its header.
+	// operation is the body of the last operation, and authorization its Authorization
+	// header.
 	operation     []byte
 	authorization string
 }
@@ -36,7 +37,7 @@
 func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodGet:
-		json.NewEncoder(w).Encode(n.documents()[r.URL.Path])
+		json.NewEncoder(w).Encode(n.responses()[r.URL.Path])
 	case r.URL.Path == api.PathExplain:
 		n.serveExplain(w, r)
 	default:
@@ -44,8 +45,8 @@
 	}
 }
 
-// documents are what can be read, by path.
-func (n *fakeNode) documents() map[string]any {
+// responses returns the responses to GET requests by path.
+func (n *fakeNode) responses() map[string]any {
 	control := api.MemberStatus{Name: "c1", Role: "control", Up: true, Voter: true, MatchIndex: 5}
 	gateway := api.MemberStatus{Name: "g1", Role: "gateway", Up: true, LeaseMS: 900, ReceivedSerial: 9, ActiveSerial: 9, ActiveVersion: 4}
 	load := api.ServiceLoad{Service: "model", Region: "north", Utilization: 0.5, SetPoint: 0.8, Spill: 0.1, Limit: 8, InFlight: 3, Queued: 1, Replicas: 2, WarmingUp: 2}
@@ -69,7 +70,7 @@
 	}
 }
 
-// serveExplain puts the request that it received into the reason of a step.
+// serveExplain returns the body of the request as the reason of a step.
 func (n *fakeNode) serveExplain(w http.ResponseWriter, r *http.Request) {
 	var body bytes.Buffer
 	body.ReadFrom(r.Body)
--- a/cmd/deckpulleyctl/command/global.go
+++ b/cmd/deckpulleyctl/command/global.go
@@ -17,7 +17,7 @@
 	"github.com/deckpulley/deckpulley/cmd/deckpulleyctl/printer"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that set the defaults of flags.
 const (
 	environmentAddress   = "DECKPULLEYCTL_ADDRESS"
 	environmentGateways  = "DECKPULLEYCTL_GATEWAYS"
@@ -26,7 +26,7 @@
 
 const defaultTimeout = 30 * time.Second
 
-// globalFlags are the flags that every command has.
+// globalFlags holds the flags that all commands share.
 type globalFlags struct {
 	controlAddresses []string
 	gatewayAddresses []string
@@ -36,15 +36,15 @@
 }
 
 func (g *globalFlags) register(flags *pflag.FlagSet) {
-	flags.StringSliceVarP(&g.controlAddresses, "address", "a", nil, "operators' addresses (host:port) of control nodes, tried in turn; default $"+environmentAddress)
-	flags.StringSliceVarP(&g.gatewayAddresses, "gateways", "g", nil, "operators' addresses (host:port) of gateways, for status, top and route; default $"+environmentGateways)
-	flags.StringVar(&g.tokenFile, "token-file", "", "file that holds the operator's token, or \"name token\"; default $"+environmentTokenFile)
-	flags.DurationVar(&g.timeout, "timeout", defaultTimeout, "longest time to wait")
-	flags.StringVarP(&g.format, "output", "o", string(printer.FormatTable), "table, json or yaml")
+	flags.StringSliceVarP(&g.controlAddresses, "address", "a", nil, "operator addresses (host:port) of control nodes, tried in order; default $"+environmentAddress)
+	flags.StringSliceVarP(&g.gatewayAddresses, "gateways", "g", nil, "operator addresses (host:port) of gateways, for status, top and route; default $"+environmentGateways)
+	flags.StringVar(&g.tokenFile, "token-file", "", "file with the operator's token, optionally preceded by a name (\"name token\"); default $"+environmentTokenFile)
+	flags.DurationVar(&g.timeout, "timeout", defaultTimeout, "maximum time to wait")
+	flags.StringVarP(&g.format, "output", "o", string(printer.FormatTable), "output format: table, json or yaml")
 }
 
-// withControlClient calls run with a client of the control nodes and a context
-// that ends after --timeout.
+// withControlClient calls run with a client for the control nodes and a context that
+// is canceled after --timeout.
 func (g *globalFlags) withControlClient(command *cobra.Command, run func(context.Context, *client.Client) error) error {
 	controlClient, err := g.newControlClient()
 	if err != nil {
@@ -55,27 +55,27 @@
 	return run(ctx, controlClient)
 }
 
-// newControlClient returns a client of the control nodes. It checks --output too,
-// so that a wrong format is found before anything is sent.
+// newControlClient returns a client for the control nodes. It also validates --output,
+// so that an invalid format is reported before anything is sent.
 func (g *globalFlags) newControlClient() (*client.Client, error) {
 	if err := g.validateFormat(); err != nil {
 		return nil, err
 	}
 	addresses := addressesOrEnvironment(g.controlAddresses, environmentAddress)
 	if len(addresses) == 0 {
-		return nil, &usageError{fmt.Errorf("no address: give --address or set %s", environmentAddress)}
+		return nil, &usageError{fmt.Errorf("no control node address: use --address or set %s", environmentAddress)}
 	}
 	return g.newClient(addresses)
 }
 
-// newGatewayClient returns a client of the gateways.
+// newGatewayClient returns a client for the gateways. It also validates --output.
 func (g *globalFlags) newGatewayClient() (*client.Client, error) {
 	if err := g.validateFormat(); err != nil {
 		return nil, err
 	}
 	addresses := g.gateways()
 	if len(addresses) == 0 {
-		return nil, &usageError{fmt.Errorf("no gateway: give --gateways or set %s", environmentGateways)}
+		return nil, &usageError{fmt.Errorf("no gateway address: use --gateways or set %s", environmentGateways)}
 	}
 	return g.newClient(addresses)
 }
@@ -92,7 +92,8 @@
 	return created, nil
 }
 
-// gateways returns the operators' addresses of the gateways, none if not given.
+// gateways returns the operator addresses of the gateways from --gateways or the
+// environment. It is empty if neither is set.
 func (g *globalFlags) gateways() []string {
 	return addressesOrEnvironment(g.gatewayAddresses, environmentGateways)
 }
@@ -106,13 +107,13 @@
 	return nil
 }
 
-// print writes an answer in the format of --output.
+// print writes an answer in the format selected by --output.
 func (g *globalFlags) print(output io.Writer, answer any, tables func() []*printer.Table) error {
 	return g.outputFormat().Print(output, answer, tables)
 }
 
-// addressesOrEnvironment returns the addresses of a flag or, without any, those of
-// an environment variable, separated by commas or spaces.
+// addressesOrEnvironment returns the addresses of a flag. If there are none, it returns
+// those in an environment variable, separated by commas or spaces.
 func addressesOrEnvironment(addresses []string, variable string) []string {
 	if len(addresses) > 0 {
 		return addresses
@@ -120,8 +121,8 @@
 	return strings.FieldsFunc(os.Getenv(variable), func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// readToken returns the last word of the file's first line that is no comment, and
-// no token for no path.
+// readToken returns the last word of the file's first line that is neither blank nor a
+// comment. For an empty path it returns an empty token.
 func readToken(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -136,5 +137,5 @@
 			return words[len(words)-1], nil
 		}
 	}
-	return "", errors.New("token file: holds no token")
+	return "", errors.New("token file: no token found")
 }
--- a/cmd/deckpulleyctl/command/man.go
+++ b/cmd/deckpulleyctl/command/man.go
@@ -5,13 +5,13 @@
 	"github.com/spf13/cobra/doc"
 )
 
-// manSection is the section of user commands.
+// manSection is the manual section for user commands.
 const manSection = "1"
 
 func newManCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "man FOLDER",
-		Short:  "Write the man pages into a folder",
+		Short:  "Write the man pages to a folder",
 		Hidden: true,
 		Args:   cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
--- a/cmd/deckpulleyctl/command/man_test.go
+++ b/cmd/deckpulleyctl/command/man_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// TestManPages finds a man page for every command that is shown.
+// TestManPages checks that the man command writes pages for visible commands.
 func TestManPages(t *testing.T) {
 	line := newCommandLine(t)
-	if status, _, errorOutput := line.run("man", line.folder); status != exitDone {
+	if status, _, errorOutput := line.run("man", line.folder); status != exitSuccess {
 		t.Fatal(errorOutput)
 	}
 	for _, page := range []string{"deckpulleyctl.1", "deckpulleyctl-config-history.1", "deckpulleyctl-route-explain.1", "deckpulleyctl-top.1", "deckpulleyctl-recover.1"} {
--- a/cmd/deckpulleyctl/command/members.go
+++ b/cmd/deckpulleyctl/command/members.go
@@ -11,8 +11,8 @@
 )
 
 func newMembersCommand(flags *globalFlags) *cobra.Command {
-	command := &cobra.Command{Use: "members", Short: "Show the fleet's own nodes"}
-	command.AddCommand(newReadCommand(flags, "list", "List the nodes", (*client.Client).Members, membersTable))
+	command := &cobra.Command{Use: "members", Short: "Show the control nodes and gateways"}
+	command.AddCommand(newReadCommand(flags, "list", "List the control nodes and gateways", (*client.Client).Members, membersTable))
 	return command
 }
 
@@ -25,7 +25,8 @@
 	return table
 }
 
-// memberDetail says how far the log of a control node or the lease of a gateway is.
+// memberDetail returns the log index of a control node, or the remaining lease and the
+// serials of a gateway.
 func memberDetail(member api.MemberStatus) string {
 	switch {
 	case member.Learner:
--- a/cmd/deckpulleyctl/command/operation.go
+++ b/cmd/deckpulleyctl/command/operation.go
@@ -12,19 +12,19 @@
 	"github.com/deckpulley/deckpulley/cmd/deckpulleyctl/printer"
 )
 
-// operationFlags are the flags of every command that sends an operation.
+// operationFlags holds the flags of the commands that send an operation with an ID.
 type operationFlags struct {
 	id     string
 	author string
 }
 
 func (f *operationFlags) register(command *cobra.Command) {
-	command.Flags().StringVar(&f.id, "order-id", "", "repeat an earlier order whose answer was lost; default a new id")
-	command.Flags().StringVar(&f.author, "author", os.Getenv("USER"), "who orders")
+	command.Flags().StringVar(&f.id, "order-id", "", "ID of an earlier operation to repeat after its response was lost; default a new ID")
+	command.Flags().StringVar(&f.author, "author", os.Getenv("USER"), "author recorded with the operation")
 }
 
-// operationID returns the id of the operation, a new one if none was given. Every
-// call returns the same id.
+// operationID returns the operation's ID, and generates one if none was given. Every
+// call returns the same ID.
 func (f *operationFlags) operationID() string {
 	if f.id == "" {
 		f.id = client.NewOperationID()
@@ -32,9 +32,9 @@
 	return f.id
 }
 
-// explainUnknown says how to find out an unknown outcome: by the same operation
-// under the same id, whose stored result is then returned. It returns err.
-func (f *operationFlags) explainUnknown(command *cobra.Command, err error, otherFlags string) error {
+// reportUnknownOutcome prints how to resolve an unknown outcome: repeating the operation with
+// the same ID returns its stored result. It returns err unchanged.
+func (f *operationFlags) reportUnknownOutcome(command *cobra.Command, err error, otherFlags string) error {
 	if exitStatus(err) == exitUnknown {
 		fmt.Fprintf(command.ErrOrStderr(), "the outcome is unknown; repeat this command with --order-id %s --author %q%s\n", f.id, f.author, otherFlags)
 	}
@@ -50,22 +50,22 @@
 	})
 }
 
-// currentVersion is the default of --base-version: the operation is based on the
-// version that is current when the command starts.
+// currentVersion is the default of --base-version. It selects the version that is
+// current when the command starts.
 const currentVersion = -1
 
-// configurationOperation describes a command that sends a file, based on a version
-// of the configuration.
+// configurationOperation describes a command that sends a file as a change to a given
+// version of the configuration.
 type configurationOperation struct {
 	use, short, long string
 	// baseVersionHelp is the help text of --base-version.
 	baseVersionHelp string
-	// readFile returns the file's text after checking it.
+	// readFile returns the file's text after validating it.
 	readFile func(command *cobra.Command, path string) (text string, err error)
 	send     func(ctx context.Context, control *client.Client, request configurationRequest) (*api.OperationResult, error)
 }
 
-// configurationRequest is what a configurationOperation sends.
+// configurationRequest holds the values that a configurationOperation sends.
 type configurationRequest struct {
 	operationID string
 	author      string
@@ -94,7 +94,7 @@
 				request := configurationRequest{operationID: operation.operationID(), author: operation.author, text: text, baseVersion: version}
 				result, err := o.send(ctx, control, request)
 				if err != nil {
-					return operation.explainUnknown(command, err, fmt.Sprintf(" --base-version %d", version))
+					return operation.reportUnknownOutcome(command, err, fmt.Sprintf(" --base-version %d", version))
 				}
 				return flags.printResult(command, result)
 			})
@@ -105,8 +105,8 @@
 	return command
 }
 
-// resolveBaseVersion returns the requested version, or the current one for
-// currentVersion.
+// resolveBaseVersion returns the requested version. If requested is currentVersion, it
+// fetches the version that is current now.
 func resolveBaseVersion(ctx context.Context, control *client.Client, requested int64) (uint64, error) {
 	if requested > currentVersion {
 		return uint64(requested), nil
--- a/cmd/deckpulleyctl/command/operation_test.go
+++ b/cmd/deckpulleyctl/command/operation_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestOperations compares what the commands that change something send.
+// TestOperations checks the body and the token that commands send with an operation.
 func TestOperations(t *testing.T) {
 	line := newCommandLine(t)
 	path := line.writeFile(t, "c.yaml", document)
@@ -47,14 +47,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			status, output, errorOutput := line.run(append(c.arguments, "--token-file", token)...)
-			if status != exitDone || output != "ORDER  ACCEPTED  VERSION  SERIAL\no      yes       5        10\n" {
-				t.Errorf("status %d, %s%s", status, output, errorOutput)
+			if status != exitSuccess || output != "ORDER  ACCEPTED  VERSION  SERIAL\no      yes       5        10\n" {
+				t.Errorf("exit status %d, output %s%s", status, output, errorOutput)
 			}
 			if diff := cmp.Diff(c.want, string(line.node.operation)); diff != "" {
 				t.Error(diff)
 			}
 			if line.node.authorization != "Bearer 0123456789abcdef" {
-				t.Errorf("authorization %q", line.node.authorization)
+				t.Errorf("Authorization header %q", line.node.authorization)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 - routes.ask.class: "quick"
 - routes.ask.service: "model"
 `
-	if status != exitDone {
+	if status != exitSuccess {
 		t.Fatal(errorOutput)
 	}
 	if diff := cmp.Diff(want, output); diff != "" {
--- a/cmd/deckpulleyctl/command/output_test.go
+++ b/cmd/deckpulleyctl/command/output_test.go
@@ -21,8 +21,8 @@
 	} {
 		t.Run(command, func(t *testing.T) {
 			status, output, errorOutput := line.run(strings.Fields(command)...)
-			if status != exitDone {
-				t.Fatalf("status %d, %s", status, errorOutput)
+			if status != exitSuccess {
+				t.Fatalf("exit status %d, error output %s", status, errorOutput)
 			}
 			if diff := cmp.Diff(want, output); diff != "" {
 				t.Error(diff)
@@ -34,7 +34,7 @@
 func TestYAMLOutput(t *testing.T) {
 	line := newCommandLine(t)
 	if _, output, _ := line.run("zone", "list", "-o", "yaml"); output != "zones:\n  - evacuated: true\n    region: north\n    zone: north-1\n" {
-		t.Errorf("yaml %q", output)
+		t.Errorf("unexpected YAML output %q", output)
 	}
 }
 
@@ -42,7 +42,7 @@
 	line := newCommandLine(t)
 	var decoded api.StatusAnswer
 	if _, output, _ := line.run("status", "-o", "json"); json.Unmarshal([]byte(output), &decoded) != nil || decoded.Primary != "c2" {
-		t.Errorf("json %q", output)
+		t.Errorf("unexpected JSON output %q", output)
 	}
 }
 
@@ -74,9 +74,9 @@
 `
 
 const degradedTableText = `DEGRADED, AND WHAT TO DO
-gateway at 127.0.0.1:1 does not answer its operators' port: restart it or its machine
-service model has no usable replica in region north: look at them with deckpulleyctl replicas list
-replica r3 of service model in zone south-1 is down: restart it, or take it off the platform's list
+gateway at 127.0.0.1:1 does not respond on its operators' port: restart the gateway or its machine
+service model has no usable replica in region north: inspect them with deckpulleyctl replicas list
+replica r3 of service model in zone south-1 is down: restart it, or remove it from the platform's list
 `
 
 const explainTablesText = `gateway g1 in region north, configuration version 0, serial 0
@@ -92,7 +92,8 @@
 r1       usable  0          0       8      40
 `
 
-// TestStatusOutput shows the fleet with two gateways, one of which does not answer.
+// TestStatusOutput checks the output for a fleet with two gateways, one of which does
+// not respond.
 func TestStatusOutput(t *testing.T) {
 	line := newDegradedFleet(t)
 	for command, want := range map[string]string{
@@ -102,8 +103,8 @@
 	} {
 		t.Run(command, func(t *testing.T) {
 			status, output, errorOutput := line.run(strings.Fields(command)...)
-			if status != exitDone {
-				t.Errorf("status %d, %s", status, errorOutput)
+			if status != exitSuccess {
+				t.Errorf("exit status %d, error output %s", status, errorOutput)
 			}
 			if diff := cmp.Diff(want, output); diff != "" {
 				t.Error(diff)
@@ -112,7 +113,8 @@
 	}
 }
 
-// newDegradedFleet has a gateway that does not answer, and a replica that is down.
+// newDegradedFleet returns a command line for a fleet with a gateway that does not
+// respond and a replica that is down.
 func newDegradedFleet(t *testing.T) *commandLine {
 	t.Helper()
 	line := newCommandLine(t)
--- a/cmd/deckpulleyctl/command/read.go
+++ b/cmd/deckpulleyctl/command/read.go
@@ -9,7 +9,8 @@
 	"github.com/deckpulley/deckpulley/cmd/deckpulleyctl/printer"
 )
 
-// fetchFunc has the arguments of a method expression of client.Client.
+// fetchFunc fetches one answer. Its parameters have the order of a method expression of
+// client.Client, such as (*client.Client).Zones.
 type fetchFunc[T any] func(*client.Client, context.Context) (*T, error)
 
 // newReadCommand returns a command that fetches one answer from the control nodes
--- a/cmd/deckpulleyctl/command/replicas.go
+++ b/cmd/deckpulleyctl/command/replicas.go
@@ -15,7 +15,7 @@
 	command := &cobra.Command{Use: "replicas", Short: "List and drain replicas"}
 	command.AddCommand(
 		newReadCommand(flags, "list", "List the replicas", (*client.Client).Replicas, replicasTable),
-		newReadCommand(flags, "http", "List the replicas behind a gateway's HTTP address, as it holds them", (*client.Client).HTTPReplicas, httpReplicasTable),
+		newReadCommand(flags, "http", "List the replicas behind a gateway's HTTP address, as that gateway sees them", (*client.Client).HTTPReplicas, httpReplicasTable),
 		newReplicasDrainCommand(flags),
 	)
 	return command
--- a/cmd/deckpulleyctl/command/replicas_drain.go
+++ b/cmd/deckpulleyctl/command/replicas_drain.go
@@ -16,10 +16,11 @@
 	command := &cobra.Command{
 		Use:   "drain REPLICA...",
 		Short: "Mark replicas as draining in the platform's list",
-		Long: `Mark replicas as draining in the platform's list, or no longer with --undo.
+		Long: `Mark replicas as draining in the platform's list, or clear the mark with --undo.
 
-The whole list is read, changed and handed over, as the platform does it: where a
-platform keeps the list, drain there, since its next list replaces this one.`,
+The command reads the whole list, changes it and sends it back. If a platform
+maintains the list, drain the replicas there instead: the next list that it sends
+replaces this one.`,
 		Args:              cobra.MinimumNArgs(1),
 		ValidArgsFunction: flags.completeNames(math.MaxInt, replicaNames),
 		RunE: func(command *cobra.Command, arguments []string) error {
@@ -40,28 +41,28 @@
 			})
 		},
 	}
-	command.Flags().BoolVar(&undo, "undo", false, "no longer draining")
+	command.Flags().BoolVar(&undo, "undo", false, "clear the draining mark")
 	return command
 }
 
 // setDraining returns the list of all replicas with the draining flag of the named
-// ones set or cleared. A name that is not listed is a usageError.
+// replicas set or cleared. It returns a usageError for a name that is not listed.
 func setDraining(current *api.ReplicasAnswer, names []string, draining bool) (api.ReplicaList, error) {
-	missing := make(map[string]bool, len(names))
+	unmatched := make(map[string]bool, len(names))
 	for _, name := range names {
-		missing[name] = true
+		unmatched[name] = true
 	}
 	var list api.ReplicaList
 	for _, replica := range current.Replicas {
 		entry := replica.ReplicaEntry
-		if missing[entry.ID] {
+		if unmatched[entry.ID] {
 			entry.Draining = draining
-			delete(missing, entry.ID)
+			delete(unmatched, entry.ID)
 		}
 		list.Replicas = append(list.Replicas, entry)
 	}
-	for name := range missing {
-		return api.ReplicaList{}, &usageError{fmt.Errorf("no replica %q is listed", name)}
+	for name := range unmatched {
+		return api.ReplicaList{}, &usageError{fmt.Errorf("no replica %q in the list", name)}
 	}
 	return list, nil
 }
--- a/cmd/deckpulleyctl/command/root.go
+++ b/cmd/deckpulleyctl/command/root.go
@@ -1,6 +1,6 @@
-// Package command has the commands of deckpulleyctl, one file each. A command
-// reads its arguments, asks the fleet through package client, and prints the
-// answer through package printer.
+// Package command implements the commands of deckpulleyctl, one file each. A command
+// parses its arguments, calls the fleet through package client, and prints the
+// response through package printer.
 package command
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Run executes one command line and returns the exit status of the program.
+// Run executes one command line and returns the program's exit status.
 func Run(arguments []string, output, errorOutput io.Writer) int {
 	root := newRootCommand()
 	root.SetArgs(arguments)
@@ -32,10 +32,10 @@
 		SilenceErrors: true,
 		Long: `Operate a deckpulley fleet.
 
-Exit statuses: 0 done; 1 refused or failed for certain; 2 wrong usage or an
-invalid file; 3 outraced by another operator; 4 outcome unknown, repeat with the
-printed --order-id; 5 no node could be reached; 6 status --check found something
-degraded.`,
+Exit statuses: 0 success; 1 the operation was refused or definitely failed; 2 usage
+error or invalid file; 3 conflict with another operation; 4 outcome unknown, repeat
+the command with the printed --order-id; 5 no node could be reached; 6 status --check
+found the fleet degraded.`,
 	}
 	flags.register(root.PersistentFlags())
 	root.AddCommand(
--- a/cmd/deckpulleyctl/command/route.go
+++ b/cmd/deckpulleyctl/command/route.go
@@ -14,7 +14,7 @@
 )
 
 func newRouteCommand(flags *globalFlags) *cobra.Command {
-	command := &cobra.Command{Use: "route", Short: "Ask where requests go"}
+	command := &cobra.Command{Use: "route", Short: "Show how requests are routed"}
 	command.AddCommand(newRouteExplainCommand(flags))
 	return command
 }
@@ -25,13 +25,14 @@
 	var prefixes []string
 	command := &cobra.Command{
 		Use:   "explain MODEL",
-		Short: "Say where a request would go now, and why",
-		Long: `Say where a request would go now, and why: each step of the decision of the
-gateway that answers, its view of the regions, and the replicas of its own region.
-Nothing is sent to a replica and nothing is decided.
+		Short: "Explain how a request would be routed now",
+		Long: `Explain how a request would be routed now: each step of the routing decision of the
+gateway that responds, its view of the regions, and the replicas of its own region.
+No request is sent to a replica and no state is changed.
 
-Ask the gateway that would get the request: give it first in --gateways. The id of
-a request decides whether it is one of those that spill, so two ids may differ.`,
+The first address in --gateways must be that of the gateway that would receive the
+request. Whether a request spills to another region depends on its ID, so the results
+for two IDs may differ.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			request.Model, request.Class = arguments[0], api.Class(class)
@@ -44,16 +45,16 @@
 		},
 	}
 	commandFlags := command.Flags()
-	commandFlags.StringVar(&request.RequestID, "request-id", "", "id of the request")
-	commandFlags.StringVar(&request.Tenant, "tenant", "", "tenant")
-	commandFlags.StringVar(&request.Home, "home", "", "home rule that the request names")
+	commandFlags.StringVar(&request.RequestID, "request-id", "", "request ID")
+	commandFlags.StringVar(&request.Tenant, "tenant", "", "tenant that sends the request")
+	commandFlags.StringVar(&request.Home, "home", "", "home rule named by the request")
 	commandFlags.StringVar(&request.Client, "client", "", "client group")
-	commandFlags.StringVar(&class, "class", "", "quick, long or fetch; default by route")
-	commandFlags.StringSliceVar(&prefixes, "prefix", nil, "shared prefix as id=tokens, outermost first")
-	commandFlags.IntVar(&request.PromptTokens, "prompt-tokens", 0, "tokens of the prompt after its prefixes")
-	commandFlags.IntVar(&request.MaxTokens, "max-tokens", 1, "tokens to generate at the most")
-	commandFlags.BoolVar(&request.Stream, "stream", false, "streamed answer")
-	commandFlags.BoolVar(&request.Repeatable, "repeatable", true, "the request may run twice")
+	commandFlags.StringVar(&class, "class", "", "request class: quick, long or fetch; default the class of the route")
+	commandFlags.StringSliceVar(&prefixes, "prefix", nil, "shared prompt prefix as id=tokens, outermost first")
+	commandFlags.IntVar(&request.PromptTokens, "prompt-tokens", 0, "number of prompt tokens after the prefixes")
+	commandFlags.IntVar(&request.MaxTokens, "max-tokens", 1, "maximum number of tokens to generate")
+	commandFlags.BoolVar(&request.Stream, "stream", false, "request a streamed response")
+	commandFlags.BoolVar(&request.Repeatable, "repeatable", true, "the request may be executed more than once")
 	return command
 }
 
@@ -89,7 +90,7 @@
 	return printExplanation(output, answer)
 }
 
-// printExplanation leaves out the tables without rows.
+// printExplanation prints the answer as tables, and omits tables without rows.
 func printExplanation(output io.Writer, answer *api.ExplainAnswer) error {
 	fmt.Fprintf(output, "gateway %s in region %s, configuration version %d, serial %d\n\n", answer.Gateway, answer.Region, answer.ConfigurationVersion, answer.Serial)
 	tables := []*printer.Table{stepsTable(answer), regionsTable(answer.Regions), candidatesTable(answer.Replicas)}
--- a/cmd/deckpulleyctl/command/status.go
+++ b/cmd/deckpulleyctl/command/status.go
@@ -15,11 +15,11 @@
 	"github.com/deckpulley/deckpulley/cmd/deckpulleyctl/printer"
 )
 
-// gatewayTimeout bounds the request to one gateway, so that one that is lost does
+// gatewayTimeout bounds the request to one gateway, so that an unreachable gateway does
 // not delay the status by the whole --timeout.
 const gatewayTimeout = 2 * time.Second
 
-// Roles of members, as the API has them.
+// Values of api.MemberStatus.Role.
 const (
 	roleControl = "control"
 	roleGateway = "gateway"
@@ -29,13 +29,13 @@
 	var check bool
 	command := &cobra.Command{
 		Use:   "status",
-		Short: "Show the whole fleet on one screen",
-		Long: `Show the whole fleet on one screen: primary, voters and learners with their lag,
-leases and the configuration version in force at each gateway, regions with load
-and replicas, and what is degraded with what to do about it.
+		Short: "Show the status of the whole fleet",
+		Long: `Show the status of the whole fleet: the primary, voters and learners with their
+replication lag, the lease and the active configuration version of each gateway, the
+load and replicas of each region, and the degraded components with a suggested remedy.
 
-Load, spill and queues come from the gateways given with --gateways; without them
-only the replicas' conditions are shown.`,
+Load, spill and queues are read from the gateways given with --gateways. Without that
+flag, only the replicas' conditions are shown.`,
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return flags.withControlClient(command, func(ctx context.Context, control *client.Client) error {
@@ -54,12 +54,12 @@
 			})
 		},
 	}
-	command.Flags().BoolVar(&check, "check", false, "exit with status 6 if anything is degraded")
+	command.Flags().BoolVar(&check, "check", false, "exit with status 6 if the fleet is degraded")
 	return command
 }
 
-// fetchStatus asks the control plane and, at the same time, each gateway. All
-// requests have ended when it returns.
+// fetchStatus queries the control plane and all gateways concurrently. It returns after
+// all requests have completed.
 func fetchStatus(ctx context.Context, flags *globalFlags, control *client.Client) (*fleetstatus.Status, error) {
 	addresses := flags.gateways()
 	gateways := make([]fleetstatus.GatewayAnswer, len(addresses))
@@ -88,7 +88,8 @@
 	return answers, err
 }
 
-// fetchGatewayStatus returns nil if the gateway does not answer in time.
+// fetchGatewayStatus returns a gateway's status, or nil if the request fails or exceeds
+// gatewayTimeout.
 func fetchGatewayStatus(ctx context.Context, flags *globalFlags, address string) *api.StatusAnswer {
 	ctx, cancel := context.WithTimeout(ctx, gatewayTimeout)
 	defer cancel()
@@ -143,7 +144,8 @@
 	return table
 }
 
-// replicationLag is the number of committed log entries that a node does not have.
+// replicationLag returns the number of committed log entries that a node has not
+// replicated yet.
 func replicationLag(matchIndex, commitIndex uint64) uint64 {
 	if matchIndex >= commitIndex {
 		return 0
@@ -163,7 +165,7 @@
 	return table
 }
 
-// conditionsTable is what the registry has of the replicas.
+// conditionsTable shows the replica counts by the conditions stored in the registry.
 func conditionsTable(replicas []api.ReplicaStatus) *printer.Table {
 	table := printer.NewTable("REGION", "SERVICE", "REPLICAS UP", "COLD", "DRAINING", "DOWN", "UNSEEN")
 	for _, counts := range fleetstatus.CountReplicas(replicas) {
@@ -172,7 +174,7 @@
 	return table
 }
 
-// loadTable is what the gateways measure in their regions.
+// loadTable shows the load that the gateways measure in their regions.
 func loadTable(loads []api.ServiceLoad) *printer.Table {
 	table := printer.NewTable("REGION", "SERVICE", "LOAD", "AIM", "SPILL", "IN FLIGHT", "QUEUED", "LIMIT", "USABLE", "COLD", "DRAINING", "EJECTED")
 	for _, load := range loads {
--- a/cmd/deckpulleyctl/command/top.go
+++ b/cmd/deckpulleyctl/command/top.go
@@ -15,12 +15,12 @@
 	"github.com/deckpulley/deckpulley/cmd/deckpulleyctl/printer"
 )
 
-// clearScreen moves the cursor of a terminal home and clears what is there.
+// clearScreen moves a terminal's cursor to the top left corner and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
 const (
 	defaultInterval = time.Second
-	// minInterval keeps top from loading the fleet.
+	// minInterval limits the load that top puts on the fleet.
 	minInterval = 200 * time.Millisecond
 )
 
@@ -29,13 +29,13 @@
 	var count int
 	command := &cobra.Command{
 		Use:   "top",
-		Short: "Show load, leases and what is degraded, again and again",
-		Long: `Show load, leases and what is degraded, again and again, until interrupted or
---count times. A node that does not answer is shown as such and asked again.`,
+		Short: "Show load, leases and degraded components, refreshed periodically",
+		Long: `Show load, leases and degraded components, refreshed periodically until interrupted
+or until --count refreshes. A failed request is shown and retried at the next refresh.`,
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if interval < minInterval || count < 0 {
-				return &usageError{fmt.Errorf("--interval must be %v or more, --count 0 or more", minInterval)}
+				return &usageError{fmt.Errorf("--interval must be at least %v, and --count must not be negative", minInterval)}
 			}
 			control, err := flags.newControlClient()
 			if err != nil {
@@ -45,8 +45,8 @@
 			return m.run(command.Context(), interval, count)
 		},
 	}
-	command.Flags().DurationVar(&interval, "interval", defaultInterval, "time between two tables")
-	command.Flags().IntVar(&count, "count", 0, "number of tables; 0 goes on until interrupted")
+	command.Flags().DurationVar(&interval, "interval", defaultInterval, "time between two refreshes")
+	command.Flags().IntVar(&count, "count", 0, "number of refreshes; 0 refreshes until interrupted")
 	return command
 }
 
@@ -57,8 +57,8 @@
 	output  io.Writer
 }
 
-// run refreshes count times, or until the context ends if count is 0. The error is
-// that of the last refresh.
+// run refreshes count times, or until the context is canceled if count is 0. It returns
+// the error of the last refresh, or nil if the context is canceled.
 func (m *monitor) run(ctx context.Context, interval time.Duration, count int) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -75,7 +75,8 @@
 	}
 }
 
-// refresh prints the status, or the error in its place.
+// refresh fetches and prints the status. If the fetch fails, it prints the error
+// instead.
 func (m *monitor) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, min(m.flags.timeout, 2*gatewayTimeout))
 	defer cancel()
--- a/cmd/deckpulleyctl/command/zone.go
+++ b/cmd/deckpulleyctl/command/zone.go
@@ -13,19 +13,20 @@
 func newZoneCommand(flags *globalFlags) *cobra.Command {
 	command := &cobra.Command{Use: "zone", Short: "Evacuate and restore availability zones"}
 	command.AddCommand(
-		newEvacuationCommand(flags, "evacuate ZONE", "Send nothing new to a zone", false),
-		newEvacuationCommand(flags, "restore ZONE", "Withdraw a zone's evacuation", true),
+		newEvacuationCommand(flags, "evacuate ZONE", "Stop sending new requests to a zone", false),
+		newEvacuationCommand(flags, "restore ZONE", "End the evacuation of a zone", true),
 		newReadCommand(flags, "list", "List the zones", (*client.Client).Zones, zonesTable),
 	)
 	return command
 }
 
-// newEvacuationCommand returns the command that evacuates a zone or withdraws that.
+// newEvacuationCommand returns a command that evacuates a zone or, if withdraw is set,
+// ends its evacuation.
 func newEvacuationCommand(flags *globalFlags, use, short string, withdraw bool) *cobra.Command {
 	var operation operationFlags
 	command := &cobra.Command{
 		Use:               use,
-		Short:             short + ", and wait until that is in force everywhere",
+		Short:             short + " and wait until the change is in force everywhere",
 		Args:              cobra.ExactArgs(1),
 		ValidArgsFunction: flags.completeNames(1, zoneNames),
 		RunE: func(command *cobra.Command, arguments []string) error {
@@ -37,7 +38,7 @@
 					Author:      operation.author,
 				})
 				if err != nil {
-					return operation.explainUnknown(command, err, "")
+					return operation.reportUnknownOutcome(command, err, "")
 				}
 				return flags.printResult(command, result)
 			})
--- a/cmd/deckpulleyctl/fleetstatus/conditions.go
+++ b/cmd/deckpulleyctl/fleetstatus/conditions.go
@@ -12,16 +12,16 @@
 // on yet.
 const conditionUnobserved catalog.ConditionState = "unseen"
 
-// ReplicaCounts are the numbers of replicas of a service in a region, by the
-// condition that the registry has of them.
+// ReplicaCounts holds the numbers of replicas of a service in a region, by the condition
+// stored in the registry.
 type ReplicaCounts struct {
 	Region, Service string
 	// Unobserved counts the replicas that no gateway has reported on yet.
 	Up, Cold, Draining, Down, Unobserved int
 }
 
-// CountReplicas counts replicas by condition, ordered by region and service. One
-// that the platform drains counts as draining, whatever its condition.
+// CountReplicas counts replicas by condition, ordered by region and service. A replica
+// that the platform drains counts as draining, regardless of its condition.
 func CountReplicas(replicas []api.ReplicaStatus) []ReplicaCounts {
 	var counts []ReplicaCounts
 	for _, replica := range replicas {
--- a/cmd/deckpulleyctl/fleetstatus/fleetstatus.go
+++ b/cmd/deckpulleyctl/fleetstatus/fleetstatus.go
@@ -1,6 +1,5 @@
-// Package fleetstatus merges what the control plane and the gateways say of
-// themselves into the status of the whole fleet. It is pure: the caller fetches
-// the answers.
+// Package fleetstatus merges the status answers of the control plane and the gateways
+// into the status of the whole fleet. It does no I/O: the caller fetches the answers.
 package fleetstatus
 
 import (
@@ -14,18 +13,18 @@
 
 // Status is the status of the whole fleet.
 type Status struct {
-	// StatusAnswer is the control plane's answer. Degraded has been extended by
-	// what the gateways and replicas add, each with what to do about it.
+	// StatusAnswer is the control plane's answer. Its field Degraded also has the problems
+	// of gateways and replicas, each with a suggested remedy.
 	api.StatusAnswer
 	RepairDone bool `json:"repair_done"`
-	// Regions is the load of each service in each region, by region and service.
+	// Regions is the load of each service in each region, ordered by region and service.
 	Regions  []api.ServiceLoad   `json:"regions"`
 	Replicas []api.ReplicaStatus `json:"replicas"`
-	// Unanswered are the addresses of the gateways that did not answer.
+	// Unanswered lists the addresses of the gateways that did not respond.
 	Unanswered []string `json:"unanswered,omitempty"`
 }
 
-// ControlAnswers are the control plane's answers.
+// ControlAnswers holds the control plane's answers.
 type ControlAnswers struct {
 	Status   *api.StatusAnswer
 	Members  *api.MembersAnswer
@@ -34,13 +33,13 @@
 
 // GatewayAnswer is one gateway's answer.
 type GatewayAnswer struct {
-	// Address is the operators' address (host:port) that was asked.
+	// Address is the operator address (host:port) that the request was sent to.
 	Address string
-	// Status is nil if the gateway did not answer.
+	// Status is nil if the gateway did not respond.
 	Status *api.StatusAnswer
 }
 
-// Merge returns the status of the fleet. The answers are not changed.
+// Merge returns the status of the fleet. It does not modify the answers.
 func Merge(control ControlAnswers, gateways []GatewayAnswer) *Status {
 	status := &Status{
 		StatusAnswer: *control.Status,
@@ -67,7 +66,7 @@
 func (s *Status) addGateway(gateway GatewayAnswer) {
 	if gateway.Status == nil {
 		s.Unanswered = append(s.Unanswered, gateway.Address)
-		s.addDegraded("gateway at %s does not answer its operators' port: restart it or its machine", gateway.Address)
+		s.addDegraded("gateway at %s does not respond on its operators' port: restart the gateway or its machine", gateway.Address)
 		return
 	}
 	for _, reason := range gateway.Status.Degraded {
@@ -78,9 +77,9 @@
 	}
 }
 
-// addLoad merges what several gateways say of one service in one region. Each
-// gateway counts its own requests, so these add up. The rest is measured by each
-// of them for the whole region, and the highest value is taken.
+// addLoad merges the loads that several gateways report for one service in one region.
+// Each gateway counts only its own requests, so these counts are added. Every other
+// value is a gateway's measurement of the whole region, so the maximum is used.
 func (s *Status) addLoad(load api.ServiceLoad) {
 	index := slices.IndexFunc(s.Regions, func(other api.ServiceLoad) bool {
 		return other.Service == load.Service && other.Region == load.Region
@@ -104,26 +103,26 @@
 func (s *Status) checkUsableReplicas() {
 	for _, load := range s.Regions {
 		if load.Replicas > 0 && load.Usable == 0 {
-			s.addDegraded("service %s has no usable replica in region %s: look at them with deckpulleyctl replicas list", load.Service, load.Region)
+			s.addDegraded("service %s has no usable replica in region %s: inspect them with deckpulleyctl replicas list", load.Service, load.Region)
 		}
 	}
 }
 
-// checkSerials reports a newest serial that is not active at every lease holder.
+// checkSerials reports if the newest serial is not active at every lease holder yet.
 func (s *Status) checkSerials() {
 	switch {
 	case s.Primary == "" || s.InForceSerial == s.Serial:
 	case s.InForceSerial == 0:
-		s.addDegraded("the primary does not know yet what is in force: usual for 3 s after an election")
+		s.addDegraded("the primary has not determined the serial in force yet: normal for 3 s after an election")
 	default:
-		s.addDegraded("serial %d is in force, %d is the newest: usual for 3 s after a change, else look for a gateway that is behind", s.InForceSerial, s.Serial)
+		s.addDegraded("serial %d is in force, %d is the newest: normal for 3 s after a change, otherwise look for a gateway that lags behind", s.InForceSerial, s.Serial)
 	}
 }
 
 func (s *Status) checkConditions() {
 	for _, replica := range s.Replicas {
 		if replica.Condition == string(catalog.ConditionDown) && !replica.Draining {
-			s.addDegraded("replica %s of service %s in zone %s is down: restart it, or take it off the platform's list", replica.ID, replica.Service, replica.Zone)
+			s.addDegraded("replica %s of service %s in zone %s is down: restart it, or remove it from the platform's list", replica.ID, replica.Service, replica.Zone)
 		}
 	}
 }
--- a/cmd/deckpulleyctl/fleetstatus/fleetstatus_test.go
+++ b/cmd/deckpulleyctl/fleetstatus/fleetstatus_test.go
@@ -8,7 +8,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-func TestMergeAddsLoadsOfOneRegion(t *testing.T) {
+func TestMergeCombinesLoadsOfOneRegion(t *testing.T) {
 	gateways := []GatewayAnswer{
 		{Address: "g1", Status: &api.StatusAnswer{Node: "g1", Degraded: []string{"no lease"}, Services: []api.ServiceLoad{
 			{Service: "model", Region: "south", Replicas: 1, Usable: 1},
@@ -32,14 +32,14 @@
 	}
 	wantDegraded := []string{
 		"gateway g1: no lease",
-		"gateway at g3 does not answer its operators' port: restart it or its machine",
+		"gateway at g3 does not respond on its operators' port: restart the gateway or its machine",
 	}
 	if diff := cmp.Diff(wantDegraded, status.Degraded); diff != "" {
 		t.Errorf("degraded: %s", diff)
 	}
 }
 
-func TestMergeReportsSerials(t *testing.T) {
+func TestMergeReportsSerialsNotInForce(t *testing.T) {
 	cases := []struct {
 		name    string
 		control api.StatusAnswer
@@ -50,12 +50,12 @@
 		{
 			"new primary",
 			api.StatusAnswer{Primary: "c1", Serial: 4},
-			[]string{"the primary does not know yet what is in force: usual for 3 s after an election"},
+			[]string{"the primary has not determined the serial in force yet: normal for 3 s after an election"},
 		},
 		{
 			"gateway behind",
 			api.StatusAnswer{Primary: "c1", Serial: 4, InForceSerial: 3},
-			[]string{"serial 3 is in force, 4 is the newest: usual for 3 s after a change, else look for a gateway that is behind"},
+			[]string{"serial 3 is in force, 4 is the newest: normal for 3 s after a change, otherwise look for a gateway that lags behind"},
 		},
 	}
 	for _, c := range cases {
@@ -67,14 +67,14 @@
 	}
 }
 
-func TestMergeLeavesTheAnswersAsTheyAre(t *testing.T) {
+func TestMergeDoesNotModifyAnswers(t *testing.T) {
 	reasons := append(make([]string, 0, 4), "zone z is evacuated")
 	answers := controlAnswers(api.StatusAnswer{Degraded: reasons})
 	if status := Merge(answers, []GatewayAnswer{{Address: "g1"}}); len(status.Degraded) != 2 {
 		t.Errorf("degraded: %q", status.Degraded)
 	}
 	if added := reasons[:2][1]; added != "" {
-		t.Errorf("the answer's list has %q too", added)
+		t.Errorf("Merge wrote %q to the list of the control plane's answer", added)
 	}
 }
 
--- a/cmd/deckpulleyctl/printer/printer.go
+++ b/cmd/deckpulleyctl/printer/printer.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Format is an output format, as it is given on the command line.
+// Format is a value of the flag --output.
 type Format string
 
 // Output formats.
@@ -21,7 +21,7 @@
 
 const indentSpaces = 2
 
-// Validate returns an error for a format that does not exist.
+// Validate returns an error for an unknown format.
 func (f Format) Validate() error {
 	switch f {
 	case FormatTable, FormatJSON, FormatYAML:
@@ -31,8 +31,8 @@
 	}
 }
 
-// Print writes the answer in the format. For FormatTable it calls tables, and
-// writes what that returns with an empty line between two tables.
+// Print writes the answer in the format. For FormatTable it writes the tables that
+// tables returns, separated by empty lines; the other formats do not call tables.
 func (f Format) Print(output io.Writer, answer any, tables func() []*Table) error {
 	switch f {
 	case FormatJSON:
@@ -50,8 +50,8 @@
 	return encoder.Encode(answer)
 }
 
-// printYAML goes by the JSON form, since the documents of package api have no
-// YAML names of their own.
+// printYAML converts the answer from its JSON form, since the types of package api have
+// no YAML tags.
 func printYAML(output io.Writer, answer any) error {
 	text, err := json.Marshal(answer)
 	if err != nil {
--- a/cmd/deckpulleyctl/printer/table.go
+++ b/cmd/deckpulleyctl/printer/table.go
@@ -9,10 +9,10 @@
 
 const (
 	columnGap = 2   // spaces between two columns
-	emptyCell = "-" // stands for an empty text, so that columns can be counted
+	emptyCell = "-" // shown for an empty text, so that scripts can split rows into columns
 )
 
-// Table is an answer for people: a header and rows of cells.
+// Table is a human-readable table: a header and rows of cells.
 type Table struct {
 	header []string
 	rows   [][]string
@@ -21,7 +21,7 @@
 // NewTable returns a table without rows.
 func NewTable(header ...string) *Table { return &Table{header: header} }
 
-// AddRow appends a row with the default text of each cell.
+// AddRow appends a row. Each cell is formatted as by fmt.Sprint.
 func (t *Table) AddRow(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
@@ -47,7 +47,7 @@
 	return writer.Flush()
 }
 
-// PrintTables writes tables with an empty line between two of them.
+// PrintTables writes tables separated by empty lines.
 func PrintTables(output io.Writer, tables ...*Table) error {
 	for i, table := range tables {
 		if i > 0 {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// YesNo is the cell of a boolean.
+// YesNo formats a boolean as "yes" or "no".
 func YesNo(value bool) string {
 	if value {
 		return "yes"
@@ -68,5 +68,5 @@
 	return "no"
 }
 
-// Percent is the cell of a fraction: 1 is "100%".
+// Percent formats a fraction as a percentage: 1 is "100%".
 func Percent(fraction float64) string { return fmt.Sprintf("%.0f%%", 100*fraction) }
