--- a/examples/embedding/holder.go
+++ b/examples/embedding/holder.go
@@ -13,11 +13,12 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// clusterName identifies the group in its leases; the daemons draw a random one.
+// clusterName identifies the cluster in its leases. The daemons generate a random
+// name instead.
 const clusterName = "example"
 
-// holder is a client with a secondary copy of the table and a lease on it. It is
-// not safe for concurrent use.
+// holder is a client that has a secondary copy of the table and a lease on it. It
+// is not safe for concurrent use.
 type holder struct {
 	network transport.Network
 	group   consensus.Membership
@@ -25,10 +26,11 @@
 	// primary is the address of the member that last applied an update.
 	primary string
 	table   *registry.Table
-	// activeSerial is the serial that the holder acts on; 0 before the first.
+	// activeSerial is the serial that the holder acts on; 0 before the first
+	// activation.
 	activeSerial uint32
-	// serialInForce is the serial active at every holder with a valid lease; 0 if
-	// unknown.
+	// serialInForce is the serial that is active at every holder with a valid
+	// lease; 0 if unknown.
 	serialInForce uint32
 	lease         *lease.Holder
 	detector      *failuredetector.Detector
@@ -55,7 +57,7 @@
 func (h *holder) now() time.Duration { return time.Since(h.started) }
 
 // update sends an update to each member in turn until the primary has applied it.
-// Its prerequisites make a resend safe after a lost granted.
+// The prerequisites of the update make it safe to resend after a lost reply.
 func (h *holder) update(ctx context.Context, update registry.Update) (updateReply, error) {
 	for ctx.Err() == nil {
 		for _, member := range h.group.Members {
@@ -84,8 +86,8 @@
 	return nil
 }
 
-// renew renews the lease once. The lease counts from before the request is sent,
-// so that it never ends later here than at the primary.
+// renew renews the lease once. The lease period starts before the request is sent,
+// so that the lease never expires later here than at the primary.
 func (h *holder) renew(ctx context.Context) error {
 	sent := h.now()
 	request := renewal{
@@ -121,8 +123,8 @@
 	return h.lease.Valid(h.now()) && h.activeSerial != 0 && h.serialInForce == h.activeSerial
 }
 
-// primaryLost reports whether the detector takes the primary for dead and the
-// lease has expired.
+// primaryLost reports whether the failure detector considers the primary dead and
+// the lease has expired.
 func (h *holder) primaryLost() bool {
 	return h.detector.State(time.Now()) == failuredetector.Dead && !h.lease.Valid(h.now())
 }
@@ -133,7 +135,7 @@
 	return h.network.Call(ctx, address, kind, request, reply)
 }
 
-// waitStep waits for stepInterval or the end of ctx.
+// waitStep waits for stepInterval or until ctx is done.
 func waitStep(ctx context.Context) {
 	timer := time.NewTimer(stepInterval)
 	defer timer.Stop()
--- a/examples/embedding/main.go
+++ b/examples/embedding/main.go
@@ -1,7 +1,7 @@
 // Command embedding shows how to use the coordination packages without the
-// daemons: three members keep a table of records on a replicated log and grant
+// daemons: three members replicate a table of records through a log and grant
 // leases on it, and a holder acts on its copy only while its lease is valid.
-// Everything runs in this process, over the in-memory network and store; a
+// Everything runs in this process, with an in-memory network and store; a
 // deployment uses transport.Listen and storage.Open instead.
 package main
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// run claims a lock twice, takes a lease on the table, stops the primary, and
-// releases the lock at its successor. It prints each result.
+// run claims a lock twice, acquires a lease on the table, stops the primary, and
+// releases the lock at the next primary. It prints each result.
 func run(ctx context.Context, output io.Writer) error {
 	network := transport.NewMemory()
 	group := consensus.Membership{Members: []consensus.Member{
@@ -108,7 +108,8 @@
 	return nil
 }
 
-// leaseConfig returns short lease terms, so that the program ends soon.
+// leaseConfig returns a configuration with short leases, so that the program
+// finishes quickly.
 func leaseConfig() lease.Config {
 	return lease.Config{
 		Duration:            900 * time.Millisecond,
@@ -118,10 +119,11 @@
 	}
 }
 
-// schema returns the schema of the table: one record type, one record a name.
+// schema returns the schema of the table: one record type, with at most one record
+// per name.
 func schema() (*registry.Schema, error) {
 	return registry.NewSchema(registry.TypeDeclaration{Type: typeLock, Name: "LOCK", Singleton: true})
 }
 
-// errNotPrimary is the answer of a member that is not the leader or has stopped.
+// errNotPrimary is returned by a member that is not the primary or has stopped.
 var errNotPrimary = errors.New("not the primary")
--- a/examples/embedding/member.go
+++ b/examples/embedding/member.go
@@ -27,8 +27,9 @@
 	Serial uint32                `cbor:"2,keyasint"`
 }
 
-// renewal asks the primary for a lease and reports the holder's serials. Its field
-// names are its keys in a message; lease.RenewalRequest has the words for them.
+// renewal asks the primary for a lease and reports the holder's serials. The field
+// names are the keys of the encoded message; lease.RenewalRequest documents the
+// fields.
 type renewal struct {
 	Holder, Incarnation string
 	Held, Active        uint32 // the serial received, and the one acted on
@@ -36,7 +37,7 @@
 	Term                uint64
 }
 
-// leaseRequest returns the renewal as the grantor takes it.
+// leaseRequest converts the renewal to the request type of lease.Grantor.
 func (r *renewal) leaseRequest() lease.RenewalRequest {
 	return lease.RenewalRequest{
 		Holder: r.Holder, Incarnation: r.Incarnation,
@@ -54,13 +55,13 @@
 	Transfer         *registry.Transfer `cbor:"5,keyasint,omitempty"`
 }
 
-// entryKey identifies a proposed entry. The index alone does not: a later leader
-// may overwrite an uncommitted entry at it.
+// entryKey identifies a proposed entry. The index alone is not enough: a later
+// leader may overwrite an uncommitted entry at the same index.
 type entryKey struct{ index, term uint64 }
 
-// member is one of the three: a log, the table built from it, and, while it
-// leads, the leases. The goroutine of loop owns group, table, grantor and pending;
-// others send it tasks.
+// member is one of the three members: its log, the table built from the log, and,
+// while it is the primary, the leases. The goroutine of loop owns group, table,
+// grantor and pending; other goroutines send it tasks.
 type member struct {
 	network   transport.Network
 	store     storage.Store
@@ -77,14 +78,14 @@
 	pending map[entryKey]chan<- updateReply // proposed, not applied yet
 }
 
-// startMember starts a member of a new group. Its caller must stop it.
+// startMember starts a member of a new group. The caller must stop it.
 func startMember(memory *transport.Memory, self consensus.Member, group consensus.Membership, seed uint64) (*member, error) {
 	kinds, err := schema()
 	if err != nil {
 		return nil, err
 	}
-	// The first state must be equal on all members, so that the log builds equal
-	// tables.
+	// The initial table must be the same on all members, so that applying the log
+	// gives the same table everywhere.
 	table, err := registry.New(apex, kinds, registry.SOA{Primary: "a", Serial: 1}, []string{"a", "b", "c"})
 	if err != nil {
 		return nil, err
@@ -117,9 +118,9 @@
 	return m, nil
 }
 
-// bootstrap writes the first snapshot, which gives the group its members, and
-// returns the consensus node of what the store holds. After a restart, Load
-// returns what was persisted since.
+// bootstrap writes the first snapshot, which contains the members of the group, and
+// returns a consensus node that starts from the stored state. After a restart,
+// Load also returns the state that was persisted later.
 func bootstrap(store storage.Store, group consensus.Membership, seed uint64) (*consensus.Node, error) {
 	if err := store.SaveSnapshot(consensus.Snapshot{Index: 1, Term: 1, Membership: group}, 2); err != nil {
 		return nil, err
@@ -138,13 +139,13 @@
 	})
 }
 
-// stop ends the member without notice to the others, as the loss of its machine
-// would. It may be called more than once.
+// stop stops the member without notifying the others, as if its machine had
+// failed. It may be called more than once.
 func (m *member) stop() {
 	m.stopOnce.Do(func() {
 		close(m.stopping)
 		<-m.done
-		_ = m.network.Close() // a failed Close loses nothing that is needed
+		_ = m.network.Close() // the member is not used again, so an error has no effect
 		_ = m.store.Close()
 	})
 }
@@ -166,12 +167,12 @@
 			task(m.now())
 		}
 		if err := m.processReady(); err != nil {
-			return // the state of the store is unknown: the member must not go on
+			return // the state of the store is unknown, so the member must stop
 		}
 	}
 }
 
-// do hands a task to the loop. It returns before the task has run.
+// do sends a task to the loop. It returns before the task has run.
 func (m *member) do(ctx context.Context, task func(now time.Duration)) error {
 	select {
 	case m.tasks <- task:
@@ -183,7 +184,8 @@
 	}
 }
 
-// processReady carries out what the log asks for: persist, then send, then apply.
+// processReady handles the output of the consensus node: it persists entries and
+// state, then sends messages, then applies committed entries.
 func (m *member) processReady() error {
 	for m.group.HasReady() {
 		ready := m.group.Ready()
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// apply applies a committed entry to the table and answers whoever proposed it.
+// apply applies a committed entry to the table and replies to its proposer.
 func (m *member) apply(entry consensus.Entry) error {
 	if entry.Kind == consensus.EntryNormal && len(entry.Data) > 0 {
 		update, err := registry.DecodeUpdate(entry.Data)
@@ -218,15 +220,16 @@
 			delete(m.pending, key)
 		}
 	}
-	// Once the first entry of the own term is applied, so is every entry before it.
+	// Once the first entry of this leader's term is applied, all entries of earlier
+	// terms are applied too, and the leader may grant leases.
 	if term, leading := m.group.Leadership(); leading && entry.Term == term && m.grantor == nil {
 		m.grantor = lease.NewGrantor(leaseConfig(), term, m.now(), m.table.Serial())
 	}
 	return nil
 }
 
-// refreshGrantor drops the grantor when its term is over, and passes it the newest
-// serial and quorum contact until then.
+// refreshGrantor discards the grantor when its term has ended. Until then it passes
+// the newest serial and quorum contact to the grantor.
 func (m *member) refreshGrantor() {
 	if m.grantor == nil {
 		return
@@ -302,7 +305,7 @@
 	return answer, nil
 }
 
-// renew decides a renewal; it returns nil if this member may not grant leases.
+// renew answers a renewal. It returns nil if this member may not grant leases.
 func (m *member) renew(now time.Duration, request lease.RenewalRequest) *grant {
 	if m.grantor == nil {
 		return nil
