--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,4 @@
-// Package examples holds the example configuration of each deployment.
+// Package examples embeds the example configuration of each deployment.
 package examples
 
 import (
@@ -9,14 +9,14 @@
 //go:embed *.yaml
 var files embed.FS
 
-// Deployments lists the names that Configuration knows.
+// Deployments returns the names of the deployments that Configuration accepts.
 func Deployments() []string { return []string{"kodovka", "georgia"} }
 
-// Configuration returns the text of a deployment's document.
+// Configuration returns the YAML text of a deployment's example configuration.
 func Configuration(deployment string) (string, error) {
 	text, err := files.ReadFile(deployment + ".yaml")
 	if err != nil {
-		return "", fmt.Errorf("no example configuration of %q, there are %q", deployment, Deployments())
+		return "", fmt.Errorf("unknown deployment %q, must be one of %q", deployment, Deployments())
 	}
 	return string(text), nil
 }
--- a/examples/quickstart/secrets.sh
+++ b/examples/quickstart/secrets.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Makes the fleet's key, an operator's token and the control node's data folder
-# under out/quickstart. Existing ones are kept.
+# Creates the fleet's key, an operator's token and the control node's data folder
+# under out/quickstart. Existing files are not overwritten.
 set -euo pipefail
 umask 077
 folder=out/quickstart
--- a/examples/quickstart/walk.sh
+++ b/examples/quickstart/walk.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Walks through the README's three-node fleet and checks what comes back. It ends
-# only the processes that it started.
+# Runs the three-node fleet of README.md and checks its responses. It stops only
+# the processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 
@@ -62,7 +62,7 @@
 again=$(curl -sN http://127.0.0.1:7423/v1/requests -d "$request")
 expect 'event: end' "$first"
 if [ "$first" != "$again" ]; then
-  printf 'the resent request was answered differently:\n%s\n%s\n' "$first" "$again"
+  printf 'the resent request got a different response:\n%s\n%s\n' "$first" "$again"
   exit 1
 fi
-echo "quickstart: as the README says"
+echo "quickstart: all responses match the README"
