--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for people; `make help` lists them.
+# Run `make help` for a list of targets.
 SHELL := /usr/bin/env bash
 .SHELLFLAGS := -euo pipefail -c
 .DEFAULT_GOAL := help
@@ -10,14 +10,14 @@
 TOOLS := $(CURDIR)/.tools
 
 DEPLOYMENT ?= kodovka
-# make sets SECONDS from the command line; the shell's own variable of that name must not leak in.
+# Take SECONDS from the command line only, not from the environment: bash sets a variable of this name.
 ifeq ($(origin SECONDS),command line)
 RUN_SECONDS := $(SECONDS)
 else
 RUN_SECONDS := 20
 endif
 SCENARIO ?=
-# Records of whole runs, for the page of results.
+# Folder for the records of complete runs, from which docs/RESULTS.md is written.
 RECORDS := out/records
 COMMIT = $(shell git describe --always --dirty --abbrev=12 --exclude='*')
 SEEDS ?= 20000
@@ -35,14 +35,14 @@
 	@grep -hE '^[a-z-]+:.*##' $(MAKEFILE_LIST) | sed -E 's/:.*## /\t/' | expand -t 20
 
 .PHONY: build
-build: ## put all programs into bin/
+build: ## build all programs into bin/
 	mkdir -p bin
 	go build -o bin/ ./cmd/...
 
 .PHONY: test
-test: ## unit, property and simulation tests with the race detector
+test: ## run unit, property and simulation tests with the race detector
 	go test -race -timeout 10m ./...
-	go test -timeout 5m ./internal/simulation # the whole set of 2,000 histories, too slow under the race detector
+	go test -timeout 5m ./internal/simulation # all 2,000 histories; too slow with the race detector
 
 .PHONY: tools
 tools: ## install the pinned formatter and linter into .tools/
@@ -61,19 +61,19 @@
 	$(TOOLS)/golangci-lint run ./...
 
 .PHONY: fuzz
-fuzz: ## run every fuzz target for a while: FUZZTIME=30s
+fuzz: ## run each fuzz target for a limited time: FUZZTIME=30s
 	scripts/fuzz.sh $(FUZZTIME)
 
 .PHONY: fleet
-fleet: build ## run a whole deployment: DEPLOYMENT=kodovka|georgia SECONDS=20
+fleet: build ## run a complete deployment: DEPLOYMENT=kodovka|georgia SECONDS=20
 	bin/deckpulley-fleet run --deployment $(DEPLOYMENT) --seconds $(RUN_SECONDS) $(if $(LEAST_SUCCESS),--least-success $(LEAST_SUCCESS))
 
 .PHONY: calm
-calm: ## a calm minute on the platform: separate processes, stand-ins for the rest
+calm: ## run the platform test for a minute without faults, with stand-ins for external services
 	go test ./platform -run TestCalmDay -calm 60s -v -count 1
 
 .PHONY: quickstart
-quickstart: build ## the three nodes of the README, checked
+quickstart: build ## run and check the three-node fleet of the README
 	examples/quickstart/walk.sh
 
 .PHONY: walk-operations
@@ -81,24 +81,24 @@
 	scripts/walk-operations.sh
 
 .PHONY: mixed-versions
-mixed-versions: ## nodes of a revision beside nodes of the working tree: BASE=REV
+mixed-versions: ## run nodes of a revision together with nodes of the working tree: BASE=REV
 	scripts/mixed-versions.sh $(BASE)
 
 .PHONY: test-counts
-test-counts: ## tests and assertions of a revision beside those of the working tree: BASE=REV
+test-counts: ## compare the numbers of tests and assertions with a revision: BASE=REV
 	scripts/test-counts.sh $(BASE)
 
 .PHONY: man
-man: build ## write the command line's man pages to out/man
+man: build ## write the man pages of deckpulleyctl to out/man
 	mkdir -p out/man
 	bin/deckpulleyctl man out/man
 
 .PHONY: faults-short
-faults-short: build ## the short fault suite on real processes
+faults-short: build ## run the short fault suite on real processes
 	bin/deckpulley-fleet faults --deployment $(DEPLOYMENT) --short --commit $(COMMIT)
 
 .PHONY: faults
-faults: build ## the whole fault suite; SCENARIO=name DEPLOYMENT=name for one
+faults: build ## run the complete fault suite, or one scenario: SCENARIO=name DEPLOYMENT=name
 ifeq ($(SCENARIO),)
 	bin/deckpulley-fleet faults --deployment kodovka
 	bin/deckpulley-fleet faults --deployment georgia
@@ -106,13 +106,13 @@
 	bin/deckpulley-fleet faults --deployment $(DEPLOYMENT) --scenario $(SCENARIO)
 endif
 
-# The daemons with planted defects live beside the plain ones. No plain program
-# may even know the name of the variable that switches a defect on.
+# The daemons with planted defects are built into a folder of their own. The ordinary
+# daemons must not even contain the name of the variable that enables a defect.
 PLANTED_VARIABLE := DECKPULLEY_PLANTED_DEFECT
 DAEMONS := deckpulley-control deckpulley-gateway
 
 .PHONY: build-planted
-build-planted: build ## put daemons with switchable planted defects into bin/planted/
+build-planted: build ## build daemons with selectable planted defects into bin/planted/
 	mkdir -p bin/planted
 	go build -tags planted -o bin/planted/ $(addprefix ./cmd/,$(DAEMONS) standin-replica standin-platform)
 	@for daemon in $(DAEMONS); do \
@@ -121,12 +121,12 @@
 	done
 
 .PHONY: faults-planted
-faults-planted: build-planted ## each planted defect of the daemons and the promise that caught it
+faults-planted: build-planted ## run each planted defect of the daemons and report which promise it breaks
 	go test -tags planted ./internal/planted/...
 	bin/deckpulley-fleet planted --deployment $(DEPLOYMENT) --record $(RECORDS)/planted-$(DEPLOYMENT).json --commit $(COMMIT)
 
 .PHONY: results
-results: build-planted ## the whole fault suite at both deployments and the planted defects, into docs/RESULTS.md
+results: build-planted ## run all faults and planted defects and write docs/RESULTS.md
 	status=0; \
 	for deployment in kodovka georgia; do \
 		bin/deckpulley-fleet faults --deployment $$deployment --record $(RECORDS)/faults-$$deployment.json --commit $(COMMIT) || status=1; \
@@ -136,29 +136,29 @@
 	exit $$status
 
 .PHONY: simulate
-simulate: build ## more histories of the replicated log: SEEDS=20000 FIRST_SEED=1
+simulate: build ## simulate histories of the replicated log: SEEDS=20000 FIRST_SEED=1
 	bin/deckpulley-simulate --seeds $(SEEDS) --first-seed $(FIRST_SEED)
 
 .PHONY: planted
-planted: build ## each planted defect and the seeds until it was caught
+planted: build ## count the simulated histories until each planted defect is detected
 	bin/deckpulley-simulate --planted
 
 .PHONY: experiment
-experiment: build ## an experiment in virtual time: NAME=placement
+experiment: build ## run an experiment: NAME=placement
 	bin/deckpulley-experiment $(NAME)
 
 .PHONY: capacity
-capacity: build ## measure the slopes and rewrite the tables of docs/CAPACITY.md
+capacity: build ## measure the cost per gateway, replica and stream and update docs/CAPACITY.md
 	bin/deckpulley-scale --write docs/CAPACITY.md
 
 .PHONY: scale
-scale: build ## hollow gateways and replicas beside real nodes: NODES=402 REPLICAS=12000
+scale: build ## measure real nodes with hollow gateways and replicas: NODES=402 REPLICAS=12000
 	bin/deckpulley-scale --nodes $(NODES) --replicas $(REPLICAS)
 
 .PHONY: bench-control
-bench-control: build ## speed of the control plane, written into docs/BENCHMARKS.md
+bench-control: build ## benchmark the control plane and update docs/BENCHMARKS.md
 	bin/deckpulley-bench control --write docs/BENCHMARKS.md
 
 .PHONY: bench-gateway
-bench-gateway: build ## speed of a gateway, written into docs/BENCHMARKS.md
+bench-gateway: build ## benchmark a gateway and update docs/BENCHMARKS.md
 	bin/deckpulley-bench gateway --write docs/BENCHMARKS.md
