--- a/cmd/deckpulley-bench/main.go
+++ b/cmd/deckpulley-bench/main.go
@@ -1,6 +1,6 @@
 // Command deckpulley-bench measures control nodes and a gateway on this machine
-// and prints Markdown tables; see package internal/benchmark. It is no part of a
-// deployment.
+// and prints the results as Markdown tables; see package internal/benchmark. It is
+// not part of a deployment.
 package main
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/deckpulley/deckpulley/internal/benchmark"
 )
 
-// workerCommand is the hidden subcommand of child processes.
+// workerCommand is the hidden subcommand that child processes run.
 const workerCommand = "worker"
 
-// measureFunc runs the selected measurements and returns their tables; with an
-// error, those that were finished.
+// measureFunc runs the selected measurements and returns their tables. If one
+// fails, it returns the tables of the finished ones with the error.
 type measureFunc func(benchmark.Options) ([]benchmark.Table, error)
 
 func main() {
 	command := &cobra.Command{
 		Use:           "deckpulley-bench",
-		Short:         "Measure control nodes and a gateway on this machine",
+		Short:         "Benchmark control nodes and a gateway on this machine",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	command.AddCommand(
-		measureCommand("control", "Updates, recovery, elections and the cost of leases", "updates, recovery, failover, leases", benchmark.Control),
-		measureCommand("gateway", "Added latency and the cost of requests and events", "latency, capacity", benchmark.Gateway),
+		measureCommand("control", "Measure updates, recovery, elections and the cost of leases", "updates, recovery, failover, leases", benchmark.Control),
+		measureCommand("gateway", "Measure the added latency and the cost of requests and events", "latency, capacity", benchmark.Gateway),
 		&cobra.Command{
 			Use:    workerCommand + " KIND",
 			Hidden: true,
@@ -48,8 +48,8 @@
 	}
 }
 
-// measureCommand returns the subcommand of a benchmark. Its name is also that of
-// the section that --write replaces.
+// measureCommand returns the subcommand of a benchmark. The name of the subcommand
+// is also the name of the section that --write replaces.
 func measureCommand(name, short, measurements string, measure measureFunc) *cobra.Command {
 	var options benchmark.Options
 	var page string
@@ -61,29 +61,29 @@
 		RunE: func(*cobra.Command, []string) error {
 			program, err := os.Executable()
 			if err != nil {
-				return fmt.Errorf("finding the own program: %w", err)
+				return fmt.Errorf("finding the executable of this process: %w", err)
 			}
 			options.Worker = func(kind string) *exec.Cmd { return exec.Command(program, workerCommand, kind) }
 			if verbose {
 				options.Logger = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 			}
 			if page != "" && len(options.Only) > 0 {
-				return errors.New("--write takes the place of a whole section: leave --only out")
+				return errors.New("--write and --only cannot be used together: --write replaces a whole section")
 			}
 			return run(name, page, options, measure)
 		},
 	}
 	flags := command.Flags()
-	flags.BoolVar(&options.Short, "short", false, "under 20 seconds, to see that every measurement runs")
-	flags.StringSliceVar(&options.Only, "only", nil, "measurements to run: "+measurements)
-	flags.StringVar(&options.Profiles, "profiles", "", "folder for CPU profiles")
-	flags.StringVar(&page, "write", "", "page whose section is replaced by the tables")
-	flags.BoolVar(&verbose, "verbose", false, "print the nodes' warnings")
+	flags.BoolVar(&options.Short, "short", false, "run every measurement briefly, in under 20 seconds in total, as a smoke test")
+	flags.StringSliceVar(&options.Only, "only", nil, "run only these measurements: "+measurements)
+	flags.StringVar(&options.Profiles, "profiles", "", "folder to write CPU profiles to")
+	flags.StringVar(&page, "write", "", "file in which to replace the section of this benchmark with the results")
+	flags.BoolVar(&verbose, "verbose", false, "print warnings logged by the nodes")
 	return command
 }
 
-// run prints the finished tables, also those before an error, and replaces the
-// section of the page only if every measurement succeeded.
+// run prints the tables of all finished measurements, even after an error, and
+// replaces the section of the page only if every measurement succeeded.
 func run(section, page string, options benchmark.Options, measure measureFunc) error {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "\n%s\n", benchmark.Machine(options.Short))
@@ -93,7 +93,7 @@
 	}
 	text.WriteString("\n")
 	if _, err := os.Stdout.Write(text.Bytes()); err != nil {
-		return fmt.Errorf("printing: %w", err)
+		return fmt.Errorf("writing to standard output: %w", err)
 	}
 	if measureErr != nil || page == "" {
 		return measureErr
