--- a/cmd/deckpulley-experiment/main.go
+++ b/cmd/deckpulley-experiment/main.go
@@ -1,6 +1,6 @@
-// Command deckpulley-experiment compares placement policies and shows the step
-// response of the controllers, on emulated replicas under generated load. It is no
-// part of a deployment.
+// Command deckpulley-experiment compares placement policies and plots the step
+// response of the controllers, on emulated replicas under generated load. It is
+// not part of a deployment.
 package main
 
 import (
@@ -19,13 +19,13 @@
 func main() {
 	command := &cobra.Command{
 		Use:           "deckpulley-experiment",
-		Short:         "Compare and tune decisions on emulated replicas",
+		Short:         "Compare placement policies and plot controller responses on emulated replicas",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	var figures figureOutput
-	command.PersistentFlags().StringVar(&figures.folder, "out", "out", "folder for figures")
-	command.PersistentFlags().StringVar(&figures.format, "format", "svg", "form of figures: svg or png")
+	command.PersistentFlags().StringVar(&figures.folder, "out", "out", "folder to write figures to")
+	command.PersistentFlags().StringVar(&figures.format, "format", "svg", "format of figures, one of: svg, png")
 	command.AddCommand(placementCommand(&figures))
 	for _, disturbance := range experiment.Disturbances() {
 		command.AddCommand(responseCommand(&figures, disturbance))
@@ -50,10 +50,10 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringSliceVar(&config.Deployments, "deployments", config.Deployments, "kodovka, georgia, skewed")
-	flags.Float64SliceVar(&config.Loads, "loads", config.Loads, "parts of the capacity")
-	flags.IntVar(&config.Seeds, "seeds", config.Seeds, "runs per point")
-	flags.IntVar(&config.Parallel, "parallel", config.Parallel, "runs at a time")
+	flags.StringSliceVar(&config.Deployments, "deployments", config.Deployments, "deployments to simulate, any of: kodovka, georgia, skewed")
+	flags.Float64SliceVar(&config.Loads, "loads", config.Loads, "loads to apply, as fractions of the capacity")
+	flags.IntVar(&config.Seeds, "seeds", config.Seeds, "number of seeded runs per data point")
+	flags.IntVar(&config.Parallel, "parallel", config.Parallel, "number of runs in parallel")
 	return command
 }
 
@@ -83,14 +83,14 @@
 	var seed uint64
 	command := &cobra.Command{
 		Use:   string(disturbance),
-		Short: "Show how the controllers respond, with real routers in real time",
+		Short: "Plot the response of the controllers, with real routers in real time",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return showResponse(command.Context(), command.OutOrStdout(), figures, deployment, disturbance, seed)
 		},
 	}
-	command.Flags().StringVar(&deployment, "deployment", "kodovka", "kodovka or georgia")
-	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the traffic")
+	command.Flags().StringVar(&deployment, "deployment", "kodovka", "deployment to emulate, one of: kodovka, georgia")
+	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the generated load")
 	return command
 }
 
@@ -114,7 +114,7 @@
 	return experiment.PlotResponse(path, response)
 }
 
-// figureOutput says where figures are written, and in which format.
+// figureOutput configures the folder and the format of figures.
 type figureOutput struct {
 	folder string
 	format string // svg or png
@@ -123,10 +123,10 @@
 // path creates the folder if needed and returns the path of a figure in it.
 func (o *figureOutput) path(name string) (string, error) {
 	if o.format != "svg" && o.format != "png" {
-		return "", fmt.Errorf("--format: %q is neither svg nor png", o.format)
+		return "", fmt.Errorf("invalid value %q for --format: must be svg or png", o.format)
 	}
 	if err := os.MkdirAll(o.folder, 0o755); err != nil {
-		return "", fmt.Errorf("making the output folder: %w", err)
+		return "", fmt.Errorf("creating the output folder: %w", err)
 	}
 	return filepath.Join(o.folder, name+"."+o.format), nil
 }
