--- a/cmd/deckpulley-scale/main.go
+++ b/cmd/deckpulley-scale/main.go
@@ -1,10 +1,10 @@
-// Command deckpulley-scale measures the cost of the control plane at growing
-// sizes, and that of relaying streams at a gateway; see package internal/scale. It
-// prints the slopes, extrapolates them to the target size, and with --write
+// Command deckpulley-scale measures the cost of the control plane at increasing
+// sizes, and the cost of relaying streams at a gateway; see package internal/scale.
+// It prints the slopes, extrapolates them to the target size, and with --write
 // replaces the tables between the markers of the capacity page.
 //
-// It is no part of a deployment. Exit status: 0 after a complete measurement, 1
-// after a failure, 2 for usage.
+// It is not part of a deployment. Exit status: 0 after a complete measurement, 1
+// after a failure, 2 after a usage error.
 package main
 
 import (
@@ -22,12 +22,12 @@
 const (
 	exitFailure = 1
 	exitUsage   = 2
-	// runTimeout bounds a measurement, so that one that hangs ends.
+	// runTimeout bounds the whole measurement, in case it hangs.
 	runTimeout = 8 * time.Minute
 )
 
 func main() {
-	// Children of a measurement are started by it, not by a person: no flags.
+	// Child processes are started by a measurement and take no flags.
 	if len(os.Args) == 2 && os.Args[1] == scale.ChildArgument {
 		if err := scale.ServeChild(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "deckpulley-scale: child:", err)
@@ -46,13 +46,13 @@
 	}
 }
 
-// newCommand returns the root command. It sets measuring once the flags were
-// accepted: errors from then on are failures, not errors of usage.
+// newCommand returns the root command. It sets measuring once the flags have been
+// validated: later errors are failures, not usage errors.
 func newCommand(measuring *bool) *cobra.Command {
 	plan := scale.DefaultPlan()
 	command := &cobra.Command{
 		Use:           "deckpulley-scale",
-		Short:         "Measure the control plane at growing sizes",
+		Short:         "Measure the cost of the control plane at increasing sizes",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -69,12 +69,12 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntSliceVar(&plan.Gateways, "gateways", plan.Gateways, "numbers of hollow gateways")
-	flags.IntSliceVar(&plan.Replicas, "replicas", plan.Replicas, "numbers of listed replicas")
-	flags.IntVar(&plan.BaseReplicas, "base-replicas", plan.BaseReplicas, "listed replicas while the gateways grow")
-	flags.IntVar(&plan.BaseGateways, "base-gateways", plan.BaseGateways, "hollow gateways while the replicas grow")
-	flags.IntSliceVar(&plan.Streams, "streams", plan.Streams, "numbers of streams through one real gateway")
-	flags.IntVar(&plan.Nodes, "nodes", plan.Nodes, "measure this one number of hollow gateways, with one number of --replicas")
-	flags.StringVar(&plan.Page, "write", plan.Page, "page to put the tables into, between its markers")
+	flags.IntSliceVar(&plan.Gateways, "gateways", plan.Gateways, "numbers of hollow gateways to measure")
+	flags.IntSliceVar(&plan.Replicas, "replicas", plan.Replicas, "numbers of listed replicas to measure")
+	flags.IntVar(&plan.BaseReplicas, "base-replicas", plan.BaseReplicas, "number of listed replicas while the number of gateways varies")
+	flags.IntVar(&plan.BaseGateways, "base-gateways", plan.BaseGateways, "number of hollow gateways while the number of replicas varies")
+	flags.IntSliceVar(&plan.Streams, "streams", plan.Streams, "numbers of streams through one real gateway to measure")
+	flags.IntVar(&plan.Nodes, "nodes", plan.Nodes, "measure only this number of hollow gateways; requires a single value for --replicas")
+	flags.StringVar(&plan.Page, "write", plan.Page, "file in which to replace the tables between the markers")
 	return command
 }
