--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -1,5 +1,5 @@
 // Command standin-platform sends the list of a fleet's replicas to its control
-// nodes, for tests and trials on one machine. It is no part of a deployment.
+// nodes, for tests and trials on one machine. It is not part of a deployment.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/deckpulley/deckpulley/internal/standin/command"
 )
 
-// options are the flags.
+// options contains the command-line flags.
 type options struct {
 	control   []string
 	replicas  string
@@ -35,21 +35,21 @@
 
 func main() {
 	var flags options
-	root := command.New("standin-platform", "List the replicas of a fleet to its control nodes",
+	root := command.New("standin-platform", "Send the replica list of a fleet to its control nodes",
 		func(ctx context.Context) error { return run(ctx, flags) })
 	set := root.Flags()
-	set.StringSliceVar(&flags.control, "control", nil, "operators' addresses (host:port) of nodes, tried in turn")
+	set.StringSliceVar(&flags.control, "control", nil, "operator addresses (host:port) of control nodes, tried in order")
 	set.StringVar(&flags.replicas, "replicas", "", "file (YAML or JSON) with the replica list")
-	set.StringVar(&flags.token, "token", "", "token of the platform")
-	set.StringVar(&flags.tokenFile, "token-file", "", "file that holds the token")
+	set.StringVar(&flags.token, "token", "", "token of the platform; ignored if --token-file is set")
+	set.StringVar(&flags.tokenFile, "token-file", "", "file with the token")
 	set.StringVar(&flags.listen, "listen", "127.0.0.1:0", "address (host:port) of the control port")
 	set.StringVar(&flags.log, "log", "", "file to append events to")
-	set.StringVar(&flags.name, "name", "platform", "name in the event log")
-	set.BoolVar(&flags.verbose, "verbose", false, "say why nodes did not acknowledge")
+	set.StringVar(&flags.name, "name", "platform", "name of this process in the event log")
+	set.BoolVar(&flags.verbose, "verbose", false, "log why nodes did not acknowledge the list")
 	command.Execute(root, "control", "replicas")
 }
 
-// run sends the replica list and serves the control port until ctx ends.
+// run sends the replica list and serves the control port until ctx is done.
 func run(ctx context.Context, flags options) error {
 	token, err := readToken(flags)
 	if err != nil {
@@ -88,11 +88,11 @@
 	return err
 }
 
-// resendInterval is the time between attempts while no node acknowledges the list.
+// resendInterval is the delay before the list is resent if no node acknowledged it.
 const resendInterval = time.Second
 
-// reloadLoop sends the list at once and again on each SIGHUP, until ctx ends. A
-// list that no node has acknowledged is sent again after resendInterval.
+// reloadLoop sends the list immediately and on each SIGHUP, until ctx is done. A
+// list that no node has acknowledged is resent after resendInterval.
 func reloadLoop(ctx context.Context, platform *standin.Platform, logger *slog.Logger) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -114,14 +114,15 @@
 	}
 }
 
-// readToken returns the token of the token file, or that of --token without one.
+// readToken returns the content of --token-file, or the value of --token if no file
+// is given.
 func readToken(flags options) (string, error) {
 	if flags.tokenFile == "" {
 		return flags.token, nil
 	}
 	content, err := os.ReadFile(flags.tokenFile)
 	if err != nil {
-		return "", fmt.Errorf("reading the token: %w", err)
+		return "", fmt.Errorf("reading the token file: %w", err)
 	}
 	return strings.TrimSpace(string(content)), nil
 }
