--- a/cmd/standin-replica/main.go
+++ b/cmd/standin-replica/main.go
@@ -1,5 +1,5 @@
 // Command standin-replica serves one emulated replica, for tests and trials of
-// a fleet on one machine. It is no part of a deployment.
+// a fleet on one machine. It is not part of a deployment.
 package main
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/deckpulley/deckpulley/internal/standin/command"
 )
 
-// statusCrash is the exit status of an injected crash, that of a process ended by
-// SIGKILL.
+// statusCrash is the exit status of an injected crash: the status that a shell
+// reports for a process killed by SIGKILL.
 const statusCrash = 137
 
-// shutdownTimeout bounds how long the requests in flight may drain at the end.
+// shutdownTimeout bounds the time for in-flight requests to finish at shutdown.
 const shutdownTimeout = 5 * time.Second
 
-// options are the flags.
+// options contains the command-line flags.
 type options struct {
 	id, service, zone, region string
 	listen                    string
@@ -41,18 +41,18 @@
 	set := root.Flags()
 	set.StringVar(&flags.id, "id", "", "name of the replica")
 	set.StringVar(&flags.service, "service", "", "service that the replica belongs to")
-	set.StringVar(&flags.zone, "zone", "", "availability zone")
-	set.StringVar(&flags.region, "region", "", "region, for the event log")
-	set.StringVar(&flags.listen, "listen", "127.0.0.1:0", "address (host:port) to serve at")
+	set.StringVar(&flags.zone, "zone", "", "availability zone of the replica")
+	set.StringVar(&flags.region, "region", "", "region to record in the event log")
+	set.StringVar(&flags.listen, "listen", "127.0.0.1:0", "address (host:port) to listen on")
 	set.StringVar(&flags.log, "log", "", "file to append events to")
 	set.StringVar(&flags.parameters, "parameters", "", "file (YAML or JSON) with the model's parameters")
-	set.StringVar(&flags.kind, "kind", string(emulator.KindModel), "model or web")
-	set.Uint64Var(&flags.seed, "seed", 1, "seed of the replica's randomness")
-	set.BoolVar(&flags.cold, "cold", false, "start cold")
+	set.StringVar(&flags.kind, "kind", string(emulator.KindModel), "kind of replica, one of: model, web")
+	set.Uint64Var(&flags.seed, "seed", 1, "seed of the replica's random number generator")
+	set.BoolVar(&flags.cold, "cold", false, "start as a cold replica")
 	command.Execute(root, "id", "service")
 }
 
-// run serves the replica until ctx ends.
+// run serves the replica until ctx is done.
 func run(ctx context.Context, flags options) error {
 	parameters, err := loadParameters(flags)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return serve(ctx, listener, replica)
 }
 
-// loadParameters returns the parameters of the file, or the defaults of the kind
-// without one.
+// loadParameters returns the parameters of the file, or the defaults of the kind if
+// no file is given.
 func loadParameters(flags options) (emulator.Parameters, error) {
 	kind := emulator.Kind(flags.kind)
 	if flags.parameters != "" {
@@ -101,7 +101,7 @@
 	return parameters, parameters.Validate()
 }
 
-// serve serves requests until ctx ends, then drains for shutdownTimeout at most.
+// serve serves requests until ctx is done, then drains for at most shutdownTimeout.
 func serve(ctx context.Context, listener net.Listener, replica *standin.Server) error {
 	server := command.NewServer(replica)
 	served := make(chan error, 1)
