--- a/cmd/deckpulley-fleet/faults.go
+++ b/cmd/deckpulley-fleet/faults.go
@@ -12,40 +12,40 @@
 	"github.com/deckpulley/deckpulley/internal/scenario/suite"
 )
 
-// Time limits of the suite.
+// Time limits of the fault suite.
 const (
-	shortLimit    = 5 * time.Minute
-	completeLimit = 40 * time.Minute
+	shortTimeout    = 5 * time.Minute
+	completeTimeout = 40 * time.Minute
 )
 
 type faultFlags struct {
 	suiteFlags
-	short  bool
-	folder string
+	short          bool
+	scenarioFolder string
 }
 
 func newFaultsCommand() *cobra.Command {
 	var flags faultFlags
 	command := &cobra.Command{
 		Use:   "faults",
-		Short: "Run fault scenarios and check every promise",
+		Short: "Run fault scenarios and check all promises",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if err := flags.validate(); err != nil {
 				return err
 			}
-			limit := completeLimit
+			timeout := completeTimeout
 			if flags.short {
-				limit = shortLimit
+				timeout = shortTimeout
 			}
-			ctx, cancel := context.WithTimeout(command.Context(), limit)
+			ctx, cancel := context.WithTimeout(command.Context(), timeout)
 			defer cancel()
 			return runFaults(ctx, command.OutOrStdout(), flags)
 		},
 	}
 	flags.register(command, "scenario")
 	command.Flags().BoolVar(&flags.short, "short", false, "run the short suite")
-	command.Flags().StringVar(&flags.folder, "scenarios", "", "folder of scenario files in place of the shipped ones")
+	command.Flags().StringVar(&flags.scenarioFolder, "scenarios", "", "folder with scenario files to run instead of the shipped ones")
 	return command
 }
 
@@ -54,14 +54,14 @@
 	if err != nil {
 		return err
 	}
-	selection := suite.Selection{Folder: flags.folder, Names: flags.names, Short: flags.short}
-	list, err := selection.Load()
+	selection := suite.Selection{Folder: flags.scenarioFolder, Names: flags.names, Short: flags.short}
+	scenarios, err := selection.Load()
 	if err != nil {
-		return invalidError{err}
+		return usageError{err}
 	}
-	record := flags.record.begin(results.KindFaults, config.Deployment.Name)
+	record := flags.record.newRecord(results.KindFaults, config.Deployment.Name)
 	record.Partial = selection.Partial()
-	faults := suite.RunFaults(ctx, config, list)
+	faults := suite.RunFaults(ctx, config, scenarios)
 	if err := faults.Write(out); err != nil {
 		return err
 	}
--- a/cmd/deckpulley-fleet/logs.go
+++ b/cmd/deckpulley-fleet/logs.go
@@ -11,14 +11,14 @@
 	options := checker.Options{}
 	command := &cobra.Command{
 		Use:   "check FOLDER",
-		Short: "Check the event logs of a folder again",
+		Short: "Check the event logs of an earlier run",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return suite.CheckLogs(command.OutOrStdout(), arguments[0], options)
 		},
 	}
-	command.Flags().IntVar(&options.SlowStartLimit, "cold-ramp", 1, "first step of a cold replica's ramp, in requests")
-	command.Flags().IntVar(&options.Gateways, "gateways", 8, "number of gateways")
+	command.Flags().IntVar(&options.SlowStartLimit, "cold-ramp", 1, "initial concurrency limit of a cold replica, in requests")
+	command.Flags().IntVar(&options.Gateways, "gateways", 8, "number of gateways in the run")
 	return command
 }
 
--- a/cmd/deckpulley-fleet/main.go
+++ b/cmd/deckpulley-fleet/main.go
@@ -1,5 +1,6 @@
 // Command deckpulley-fleet runs a whole deployment on one machine: the ordinary
-// path under load, fault scenarios and planted defects. No deployment runs it.
+// path under load, fault scenarios and planted defects. It is not part of a
+// deployment.
 package main
 
 import (
@@ -15,14 +16,14 @@
 
 // Exit statuses.
 const (
-	statusBroken  = 1
-	statusInvalid = 2
+	statusFailed = 1
+	statusUsage  = 2
 )
 
 func main() {
 	command := &cobra.Command{
 		Use:           "deckpulley-fleet",
-		Short:         "Run a whole deployment on one machine",
+		Short:         "Run a complete deployment on one machine",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -37,9 +38,9 @@
 }
 
 func exitStatus(err error) int {
-	var invalid invalidError
-	if errors.As(err, &invalid) {
-		return statusInvalid
+	var usage usageError
+	if errors.As(err, &usage) {
+		return statusUsage
 	}
-	return statusBroken
+	return statusFailed
 }
--- a/cmd/deckpulley-fleet/planted.go
+++ b/cmd/deckpulley-fleet/planted.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	plantedLimit = 15 * time.Minute
-	// plantedPrograms is the folder of the daemons built with the tag "planted", in
-	// that of the plain ones.
+	plantedTimeout = 15 * time.Minute
+	// plantedPrograms is the folder of the daemons built with the tag "planted",
+	// inside the folder of the ordinary ones.
 	plantedPrograms = "planted"
 )
 
@@ -24,25 +24,25 @@
 	var flags suiteFlags
 	command := &cobra.Command{
 		Use:   "planted",
-		Short: "Run each planted defect and see which promise catches it",
-		Long: "Run each planted defect in the short scenario that shows it. The daemons must be built with the tag\n" +
-			"\"planted\". A defect is caught if the checker reports its promise broken, and no other than those that\n" +
-			"it breaks by what it is. Without --defect each scenario runs once more without a defect, and must then be clean.",
+		Short: "Run each planted defect and report which promise it breaks",
+		Long: "Run each planted defect in the short scenario in which it shows up. The daemons must be built with the tag \"planted\".\n" +
+			"A defect is detected if the checker reports that its promise is broken, and no other except those that it necessarily\n" +
+			"breaks too. Without --defect, each scenario also runs once without a defect and must then break no promise.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if err := flags.validate(); err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(command.Context(), plantedLimit)
+			ctx, cancel := context.WithTimeout(command.Context(), plantedTimeout)
 			defer cancel()
 			return runPlanted(ctx, command.OutOrStdout(), flags)
 		},
 	}
 	flags.register(command, "defect")
 	programs := command.Flags().Lookup("programs")
-	programs.Usage = "folder of programs built with the tag \"planted\""
-	flags.programs = filepath.Join(programFolder(), plantedPrograms)
-	programs.DefValue = flags.programs
+	programs.Usage = "folder with programs built with the tag \"planted\""
+	flags.programFolder = filepath.Join(programFolder(), plantedPrograms)
+	programs.DefValue = flags.programFolder
 	return command
 }
 
@@ -53,9 +53,9 @@
 	}
 	cases, err := suite.SelectCases(flags.names)
 	if err != nil {
-		return invalidError{err}
+		return usageError{err}
 	}
-	record := flags.record.begin(results.KindPlanted, config.Deployment.Name)
+	record := flags.record.newRecord(results.KindPlanted, config.Deployment.Name)
 	record.Partial = len(flags.names) > 0
 	planted := suite.RunPlanted(ctx, config, cases)
 	if err := planted.Write(out); err != nil {
--- a/cmd/deckpulley-fleet/results.go
+++ b/cmd/deckpulley-fleet/results.go
@@ -14,23 +14,24 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "results RECORD...",
-		Short: "Render records of whole runs as one page",
+		Short: "Render the records of complete runs as one Markdown page",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return writeResults(command.OutOrStdout(), path, arguments)
 		},
 	}
-	command.Flags().StringVar(&path, "write", "", "file of the page; empty is standard output")
+	command.Flags().StringVar(&path, "write", "", "file to write the page to (default standard output)")
 	return command
 }
 
-// writeResults writes the page of stored records to a file, or to out without one.
+// writeResults renders stored records as a page and writes it to path, or to out if
+// path is empty.
 func writeResults(out io.Writer, path string, files []string) error {
 	var records []results.Record
 	for _, file := range files {
 		record, err := results.Load(file)
 		if err != nil {
-			return invalidError{err}
+			return usageError{err}
 		}
 		records = append(records, record)
 	}
@@ -40,7 +41,7 @@
 		return nil
 	}
 	if err := os.WriteFile(path, []byte(page), 0o644); err != nil {
-		return fmt.Errorf("writing the page: %w", err)
+		return fmt.Errorf("writing the results page: %w", err)
 	}
 	return nil
 }
