--- a/cmd/deckpulley-simulate/main.go
+++ b/cmd/deckpulley-simulate/main.go
@@ -2,8 +2,8 @@
 // virtual time, with injected faults, and checks the invariants of each. With
 // --planted it counts the simulations until each planted defect is detected.
 //
-// It is no part of a deployment. Exit status: 0 if every check passed, 1 after a
-// violation or an undetected defect, 2 for usage.
+// It is not part of a deployment. Exit status: 0 if every check passed, 1 after a
+// violation or an undetected defect, 2 after a usage error.
 package main
 
 import (
@@ -27,9 +27,9 @@
 const (
 	defaultHistories = 2000
 	defaultWorkers   = 4
-	// huntLimit is the number of histories after which a planted defect counts as
-	// missed, unless --seeds gives another.
-	huntLimit = 20000
+	// detectionLimit is the number of histories after which a planted defect counts
+	// as undetected, unless --seeds sets another limit.
+	detectionLimit = 20000
 )
 
 // Exit statuses.
@@ -39,11 +39,11 @@
 )
 
 var (
-	errViolations = errors.New("a rule was broken")
-	errMissed     = errors.New("a planted defect was not caught")
+	errViolations = errors.New("invariant violated")
+	errUndetected = errors.New("planted defects not detected")
 )
 
-// options are the flags.
+// options contains the command-line flags.
 type options struct {
 	seeds     int
 	firstSeed uint64
@@ -53,10 +53,10 @@
 	only      string
 }
 
-// validate returns an error if a flag is out of range.
+// validate returns an error if the value of a flag is out of range.
 func (o *options) validate() error {
 	if o.seeds < 1 || o.workers < 1 || o.duration < 0 {
-		return errors.New("--seeds and --workers must be above zero, --duration not below")
+		return errors.New("--seeds and --workers must be positive, and --duration must not be negative")
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 	var flags options
 	command := &cobra.Command{
 		Use:           "deckpulley-simulate",
-		Short:         "Play histories of the control plane in virtual time and check them",
+		Short:         "Simulate the control plane in virtual time and check its invariants",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -81,29 +81,29 @@
 				return err
 			}
 			if flags.planted {
-				return hunt(command.OutOrStdout(), command.ErrOrStderr(), flags)
+				return detectDefects(command.OutOrStdout(), command.ErrOrStderr(), flags)
 			}
 			return simulate(command.OutOrStdout(), flags)
 		},
 	}
 	set := command.Flags()
-	set.IntVar(&flags.seeds, "seeds", defaultHistories, "number of histories; with --planted the most for each defect")
-	set.Uint64Var(&flags.firstSeed, "first-seed", 1, "seed of the first history; the others follow it")
-	set.IntVar(&flags.workers, "workers", min(defaultWorkers, runtime.NumCPU()), "histories played at once")
-	set.DurationVar(&flags.duration, "duration", 0, "virtual time with faults in each history, 0 for the default")
-	set.BoolVar(&flags.planted, "planted", false, "plant each known defect in turn and count the histories until it is caught")
-	set.StringVar(&flags.only, "only", "", "with --planted: only the defects whose name contains this")
+	set.IntVar(&flags.seeds, "seeds", defaultHistories, "number of histories; with --planted, the limit for each defect")
+	set.Uint64Var(&flags.firstSeed, "first-seed", 1, "seed of the first history; each further history uses the next seed")
+	set.IntVar(&flags.workers, "workers", min(defaultWorkers, runtime.NumCPU()), "number of histories simulated in parallel")
+	set.DurationVar(&flags.duration, "duration", 0, "virtual time during which faults are injected into each history; 0 selects the default")
+	set.BoolVar(&flags.planted, "planted", false, "enable each known defect in turn and count the histories until it is detected")
+	set.StringVar(&flags.only, "only", "", "with --planted, run only the defects whose name contains this text")
 	return command
 }
 
 func exitStatus(err error) int {
-	if errors.Is(err, errViolations) || errors.Is(err, errMissed) {
+	if errors.Is(err, errViolations) || errors.Is(err, errUndetected) {
 		return statusFailed
 	}
 	return statusUsage
 }
 
-// simulate runs histories of the code without planted defects.
+// simulate runs histories without planted defects and prints a report.
 func simulate(out io.Writer, flags options) error {
 	var summary simulation.Summary
 	started := time.Now()
@@ -135,39 +135,41 @@
 	fmt.Fprintf(out, "violations: %d\n", len(summary.Failures))
 }
 
-// hunt plants each selected defect in turn and counts the histories until a check
-// detects it. It writes one line to progress whenever a defect is finished.
-func hunt(out, progress io.Writer, flags options) error {
+// detectDefects runs histories with each selected defect until a check detects the
+// defect, and prints the number of histories. It writes one line to progress for
+// each finished defect.
+func detectDefects(out, progress io.Writer, flags options) error {
 	limit := flags.seeds
 	if limit == defaultHistories {
-		limit = huntLimit
+		limit = detectionLimit
 	}
 	defects := slices.DeleteFunc(defect.All(), func(planted defect.Defect) bool {
 		return !strings.Contains(planted.String(), flags.only)
 	})
-	catches := make([]simulation.HuntResult, len(defects))
+	detections := make([]simulation.HuntResult, len(defects))
 	simulation.ForEach(len(defects), flags.workers, func(index int) {
-		catches[index] = simulation.Hunt(defects[index], flags.firstSeed, limit)
-		fmt.Fprintf(progress, "%s: %d histories\n", defects[index], catches[index].Seeds)
+		detections[index] = simulation.Hunt(defects[index], flags.firstSeed, limit)
+		fmt.Fprintf(progress, "%s: %d histories\n", defects[index], detections[index].Seeds)
 	})
-	if missed := writeCatches(out, catches); missed > 0 {
-		return fmt.Errorf("%w: %d of %d", errMissed, missed, len(defects))
+	if undetected := writeDetections(out, detections); undetected > 0 {
+		return fmt.Errorf("%w: %d of %d", errUndetected, undetected, len(defects))
 	}
 	return nil
 }
 
-// writeCatches prints one row a defect and returns how many were missed.
-func writeCatches(out io.Writer, catches []simulation.HuntResult) (missed int) {
+// writeDetections prints one row per defect and returns the number of undetected
+// ones.
+func writeDetections(out io.Writer, detections []simulation.HuntResult) (undetected int) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "planted defect\thistories until caught\tseed\trule that caught it")
-	for _, catch := range catches {
-		if catch.Violation == nil {
-			missed++
-			fmt.Fprintf(table, "%s\tnot in %d\t\t\n", catch.Defect, catch.Seeds)
+	fmt.Fprintln(table, "planted defect\thistories until detected\tseed\tviolated invariant")
+	for _, detection := range detections {
+		if detection.Violation == nil {
+			undetected++
+			fmt.Fprintf(table, "%s\tnot detected in %d\t\t\n", detection.Defect, detection.Seeds)
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%s\n", catch.Defect, catch.Seeds, catch.Seed, catch.Violation.Rule)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%s\n", detection.Defect, detection.Seeds, detection.Seed, detection.Violation.Rule)
 	}
 	_ = table.Flush()
-	return missed
+	return undetected
 }
