--- a/internal/defect/defect.go
+++ b/internal/defect/defect.go
@@ -1,67 +1,77 @@
-// Package defect names the deliberate faults that the simulation plants in
-// order to prove that its checks see them. A set is empty unless the simulation
-// makes it: nothing that a deployment configures leads here.
+// Package defect defines mutations of the protocols for mutation testing of package
+// simulation: the simulation applies one to the code under test, and its checks must
+// detect the effect. No configuration of a deployment enables a mutation; only the
+// simulation and tests make a Set that is not empty.
 package defect
 
-// Defect is one deliberate fault.
+// Defect identifies one mutation.
 type Defect uint8
 
+// Mutations, each with the faulty behaviour that it enables.
 const (
-	// CommitOlderTerm counts copies of an entry of an older term as a commit.
+	// CommitOlderTerm commits an entry of an older term as soon as a majority stores it,
+	// which the Raft paper forbids (section 5.4.2).
 	CommitOlderTerm Defect = iota
-	// TwoMembershipChanges lets a leader change several members at once, also
-	// while another change is pending.
+	// TwoMembershipChanges lets a leader change several members at once, even while
+	// another membership change is pending.
 	TwoMembershipChanges
-	// VoteIgnoresLog grants a vote to a log that is less complete.
+	// VoteIgnoresLog grants a vote to a candidate whose log is less up to date than the
+	// voter's.
 	VoteIgnoresLog
-	// ForgetVote loses the vote at a restart.
+	// ForgetVote does not persist the vote, so that a restart loses it.
 	ForgetVote
-	// SendBeforeSync sends messages before the batch is written.
+	// SendBeforeSync sends the messages of a batch before the batch is written to disk.
 	SendBeforeSync
-	// MissingSync loses the newest writes at a crash.
+	// MissingSync loses the newest writes at a crash, as if they had not been synced.
 	MissingSync
-	// SnapshotDropsOrders leaves the answers to orders out of a snapshot.
+	// SnapshotDropsOrders omits the answers to orders from snapshots.
 	SnapshotDropsOrders
 	// ReuseSerial gives two changes the same serial.
 	ReuseSerial
-	// LeaseNotWaitedOut lets a new primary act before older leases have run out.
+	// LeaseNotWaitedOut lets a new primary act before the leases granted by earlier
+	// primaries have expired.
 	LeaseNotWaitedOut
-	// KeepIdentity gives a wiped disk its old identity back.
+	// KeepIdentity lets a wiped disk keep its identity, so that an empty log counts as
+	// the one that was lost.
 	KeepIdentity
-	// ContactFromArrival takes the arrival of an answer for the send time of its round.
+	// ContactFromArrival dates the contact with a quorum from the arrival of the replies
+	// instead of the time at which their heartbeat round was sent.
 	ContactFromArrival
-	// AcknowledgeProposal answers an order when it is proposed, not when it is committed.
+	// AcknowledgeProposal answers an order when it is proposed, before it is committed.
 	AcknowledgeProposal
-	// GrantWithoutQuorumContact grants leases without a proof of leadership.
+	// GrantWithoutQuorumContact grants leases without a recent quorum contact, which
+	// proves that the primary still leads.
 	GrantWithoutQuorumContact
-	// LeaseFromArrival counts a lease from the grant's arrival at the holder.
+	// LeaseFromArrival starts a lease when its grant arrives at the holder instead of
+	// when the holder sent the request.
 	LeaseFromArrival
-	// ChangeOldContent makes changes to the value that was current at the election.
+	// ChangeOldContent applies changes to the value at the time when the primary began to
+	// grant leases instead of the current value.
 	ChangeOldContent
 
 	count
 )
 
-// Set is a set of deliberate faults. The zero value is empty.
+// Set is a set of mutations. The zero value is empty.
 type Set struct {
 	mask uint32
 }
 
-// Of returns the set of the given faults.
+// Of returns the set of the given mutations.
 func Of(defects ...Defect) Set {
 	var set Set
-	for _, planted := range defects {
-		set.mask |= 1 << planted
+	for _, defect := range defects {
+		set.mask |= 1 << defect
 	}
 	return set
 }
 
-// Has tells whether the set holds the fault.
-func (s Set) Has(planted Defect) bool {
-	return s.mask&(1<<planted) != 0
+// Has reports whether the set contains the mutation.
+func (s Set) Has(defect Defect) bool {
+	return s.mask&(1<<defect) != 0
 }
 
-// All returns every fault there is.
+// All returns every mutation.
 func All() []Defect {
 	all := make([]Defect, count)
 	for position := range all {
@@ -70,7 +80,7 @@
 	return all
 }
 
-// String returns the name that the simulation's table shows.
+// String returns the name of the mutation in the report of deckpulley-simulate.
 func (d Defect) String() string {
 	return [count]string{
 		"commit of an older term by counting",
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -1,63 +1,72 @@
-// Package planted holds the deliberate defects that prove the fault suite: each
-// breaks one promise, and the suite must report it. They exist only in programs
-// built with the tag "planted"; in all others Active is the constant false, the
-// compiler removes what it guards, and nothing at run time leads to it.
+// Package planted defines failpoints for mutation testing of the fault-injection
+// suite. Each failpoint breaks one guarantee of the system, and the suite must
+// detect the violation. Failpoints take effect only in programs built with the tag
+// "planted". In every other build Active always returns false, so that the compiler
+// removes the guarded code and nothing can enable it at run time.
 package planted
 
-// Defect names one deliberate defect. The text is what Variable holds.
+// Defect is the name of a failpoint, as set in the environment variable Variable.
 type Defect string
 
-// Defects, by the promise that each breaks.
+// Failpoints, each with the faulty behaviour that it enables.
 const (
 	// RetryAfterFirstByte retries a request that must run at most once after its
 	// first byte reached a replica.
 	RetryAfterFirstByte Defect = "retry-after-first-byte"
 	// RunAfterRefusal runs a request once more after it was refused.
 	RunAfterRefusal Defect = "run-after-refusal"
-	// AcceptWrongID passes on a whole answer that names another request.
+	// AcceptWrongID forwards a complete answer that carries the id of another request.
 	AcceptWrongID Defect = "accept-wrong-id"
-	// JoinRuns goes on with another run where a stream broke.
+	// JoinRuns continues a broken stream with the output of another run.
 	JoinRuns Defect = "join-runs"
-	// CleanEnd closes a broken stream as if it were whole.
+	// CleanEnd ends a broken stream as if it were complete.
 	CleanEnd Defect = "clean-end"
-	// KeepOldConfiguration lets a gateway place without a lease and without regard
-	// to the newer version that replicas report.
+	// KeepOldConfiguration lets a gateway place requests without a lease and ignore
+	// the newer configuration version that replicas report.
 	KeepOldConfiguration Defect = "keep-old-configuration"
-	// StepBack stamps some requests with the version before the active one.
+	// StepBack stamps some requests with the configuration version before the active
+	// one.
 	StepBack Defect = "step-back"
-	// AcknowledgeUnwritten acknowledges an evacuation without writing it.
+	// AcknowledgeUnwritten acknowledges orders without writing them, once a
+	// configuration has been accepted.
 	AcknowledgeUnwritten Defect = "acknowledge-unwritten"
-	// ForgetEvacuations leaves evacuations out when a control node reads its disk.
+	// ForgetEvacuations omits evacuations from the updates that a control node applies
+	// while it is not the leader.
 	ForgetEvacuations Defect = "forget-evacuations"
-	// AcceptOldBase accepts a configuration that was built on an older version.
+	// AcceptOldBase accepts a configuration that is based on an older version than the
+	// current one.
 	AcceptOldBase Defect = "accept-old-base"
-	// RefuseResentOrder answers a resent order with a refusal.
+	// RefuseResentOrder refuses a resent order instead of repeating its first answer.
 	RefuseResentOrder Defect = "refuse-resent-order"
-	// PrimaryStays lets a primary answer orders without its majority.
+	// PrimaryStays lets a primary keep leading and answering orders after it has lost
+	// contact with the majority.
 	PrimaryStays Defect = "primary-stays"
-	// IgnoreDrainReport places on replicas that report that they drain.
+	// IgnoreDrainReport places requests on replicas that report that they are draining.
 	IgnoreDrainReport Defect = "ignore-drain-report"
-	// IgnoreDrainList places on replicas that the platform lists as draining.
+	// IgnoreDrainList places requests on replicas that the platform lists as draining.
 	IgnoreDrainList Defect = "ignore-drain-list"
-	// IgnoreEvacuation places in evacuated zones.
+	// IgnoreEvacuation places requests in evacuated zones.
 	IgnoreEvacuation Defect = "ignore-evacuation"
-	// IgnoreLease lets a gateway place without a lease.
+	// IgnoreLease lets a gateway place requests without a lease.
 	IgnoreLease Defect = "ignore-lease"
-	// IgnoreHome runs requests outside their homes when these have no room.
+	// IgnoreHome lets requests run outside their home regions.
 	IgnoreHome Defect = "ignore-home"
-	// RampPerGateway lets every gateway ramp a cold replica for itself.
+	// RampPerGateway lets every gateway warm up a cold replica independently, without
+	// a common limit.
 	RampPerGateway Defect = "ramp-per-gateway"
-	// UnboundedRetries allows every retry.
+	// UnboundedRetries allows every retry, beyond the retry budget.
 	UnboundedRetries Defect = "unbounded-retries"
-	// SlowTakeover makes a new primary wait far too long for older leases.
+	// SlowTakeover makes a new primary wait far too long for leases granted by earlier
+	// primaries.
 	SlowTakeover Defect = "slow-takeover"
-	// GiveUpLease makes a gateway leave for good after one failed renewal.
+	// GiveUpLease makes a gateway release its lease permanently after one failed
+	// renewal.
 	GiveUpLease Defect = "give-up-lease"
-	// SwingingLimit opens and closes the replicas' limits by turns.
+	// SwingingLimit periodically sets the concurrency limits of all replicas to zero.
 	SwingingLimit Defect = "swinging-limit"
 )
 
-// All lists every defect.
+// All returns every failpoint.
 func All() []Defect {
 	return []Defect{
 		RetryAfterFirstByte, RunAfterRefusal, AcceptWrongID, JoinRuns, CleanEnd, KeepOldConfiguration, StepBack,
--- a/internal/planted/planted_off.go
+++ b/internal/planted/planted_off.go
@@ -2,5 +2,5 @@
 
 package planted
 
-// Active tells whether the defect is switched on: never, in this build.
+// Active reports whether the failpoint is enabled: never, in this build.
 func Active(Defect) bool { return false }
--- a/internal/planted/planted_on.go
+++ b/internal/planted/planted_on.go
@@ -8,21 +8,23 @@
 	"slices"
 )
 
-// Variable is the environment variable that names the one active defect.
+// Variable is the environment variable that names the one enabled failpoint.
 const Variable = "DECKPULLEY_PLANTED_DEFECT"
 
-// active is read once, at the start of the process. A name that there is not
-// ends the process, so that no run passes for want of its defect.
-var active = read()
+// active is the enabled failpoint, empty for none. It is read once, when the process
+// starts.
+var active = activeFromEnvironment()
 
-func read() Defect {
+// activeFromEnvironment returns the failpoint that Variable names. It ends the process
+// if the name is unknown: otherwise a run for a misspelled failpoint would not test it.
+func activeFromEnvironment() Defect {
 	name := Defect(os.Getenv(Variable))
 	if name != "" && !slices.Contains(All(), name) {
-		fmt.Fprintf(os.Stderr, "%s: no defect is named %q\n", Variable, name)
+		fmt.Fprintf(os.Stderr, "%s: unknown defect %q\n", Variable, name)
 		os.Exit(2)
 	}
 	return name
 }
 
-// Active tells whether the defect is switched on.
+// Active reports whether the failpoint is enabled.
 func Active(defect Defect) bool { return active == defect }
