--- a/internal/workload/generator.go
+++ b/internal/workload/generator.go
@@ -50,13 +50,14 @@
 	scenario Scenario
 	idPrefix string
 	random   *rand.Rand
-	// elapsed is the arrival time of the last draw, kept or not.
+	// elapsed is the arrival time that was drawn last, whether or not thinning kept it.
 	elapsed time.Duration
-	// drawn counts the requests, for their ids.
+	// drawn counts the generated requests. Request ids contain the count.
 	drawn uint64
 	// peak is an upper bound of the arrival rate at any time, in requests per second.
 	peak float64
-	// documentRanks holds the cumulative popularity of each tenant's documents.
+	// documentRanks holds the cumulative popularity of each tenant's documents, the most
+	// popular one first.
 	documentRanks map[*Tenant][]float64
 }
 
@@ -95,7 +96,7 @@
 }
 
 // peakRate returns the highest arrival rate over all times. The rate changes only
-// where a phase starts or ends, so it is enough to look there.
+// where a phase starts or ends, so it suffices to evaluate it there.
 func (g *Generator) peakRate() float64 {
 	peak := g.totalRate(g.combinedPhase(0))
 	for _, edge := range g.scenario {
@@ -104,7 +105,7 @@
 	return peak
 }
 
-// combinedPhase returns the combination of the phases in force at a time.
+// combinedPhase returns the combination of the phases that apply at a time.
 func (g *Generator) combinedPhase(at time.Duration) Phase {
 	combined := Phase{RateFactor: 1, PromptFactor: 1, AnswerFactor: 1, LongFactor: 1}
 	for _, phase := range g.scenario {
@@ -129,7 +130,7 @@
 	}
 }
 
-// totalRate returns the arrival rate of all kinds, in requests per second.
+// totalRate returns the arrival rate of all mixes, in requests per second.
 func (g *Generator) totalRate(phase Phase) float64 {
 	total := 0.0
 	for index := range g.profile.Mixes {
@@ -138,7 +139,7 @@
 	return total
 }
 
-// mixRate returns the arrival rate of one kind, in requests per second.
+// mixRate returns the arrival rate of one mix, in requests per second.
 func mixRate(mix *Mix, phase Phase) float64 {
 	if mix.Class == api.ClassLong {
 		return mix.Rate * phase.RateFactor * phase.LongFactor
@@ -162,8 +163,8 @@
 	}
 }
 
-// drawRequest draws one request of a kind. The order of the draws is part of the
-// seed's meaning: changing it changes all generated traffic.
+// drawRequest draws one request of a mix. A change to the order of the random draws
+// changes the traffic that every seed generates.
 func (g *Generator) drawRequest(mix *Mix, phase Phase) Request {
 	g.drawn++
 	region := g.drawRegion(phase)
@@ -252,7 +253,7 @@
 	return bounds.Minimum + int(hash.Sum64()%uint64(bounds.Maximum-bounds.Minimum+1))
 }
 
-// drawRank draws an index by its cumulative distribution.
+// drawRank draws an index from a cumulative distribution.
 func (g *Generator) drawRank(cumulative []float64) int {
 	pick := g.random.Float64()
 	return min(sort.SearchFloat64s(cumulative, pick), len(cumulative)-1)
--- a/internal/workload/profile.go
+++ b/internal/workload/profile.go
@@ -22,7 +22,7 @@
 	ClientShare float64
 }
 
-// Home is a home rule with the only regions that it permits.
+// Home is a home rule: its requests may run only in the listed regions.
 type Home struct {
 	Name    string
 	Regions []string
@@ -57,26 +57,26 @@
 	Sections int
 }
 
-// Mix describes one kind of request in a profile.
+// Mix describes one kind of request in a profile and how often it arrives.
 type Mix struct {
 	Class api.Class
-	// Model is the route that the callers name, Service the service that it leads to.
+	// Model is the route that the callers name, Service the service that it routes to.
 	Model   string
 	Service string
 	// Rate is the arrival rate in requests per second.
 	Rate float64
-	// Population is what tenants and prefixes are drawn from.
+	// Population describes the tenants and prefixes that requests are drawn from.
 	Population *Population
 	// PromptTokens is the length of the prompt after the prefixes, AnswerTokens that
 	// of the answer, both in tokens.
 	PromptTokens Range
 	AnswerTokens Range
 	Stream       bool
-	// WaitMS is the caller's deadline from the arrival on, in milliseconds.
+	// WaitMS is the time from the arrival to the caller's deadline, in milliseconds.
 	WaitMS Range
 	// NonRepeatableShare is the fraction of requests that must run at most once.
 	NonRepeatableShare float64
-	// Home is the home rule that the fraction HomeShare of the requests names. The
+	// Home is the home rule that is named by a fraction HomeShare of the requests. The
 	// home rule of a tenant takes precedence.
 	Home      string
 	HomeShare float64
@@ -92,7 +92,7 @@
 	Mixes        []Mix
 }
 
-// Rate returns the arrival rate of all kinds together, in requests per second.
+// Rate returns the arrival rate of all mixes together, in requests per second.
 func (p *Profile) Rate() float64 {
 	total := 0.0
 	for _, mix := range p.Mixes {
--- a/internal/workload/scenario.go
+++ b/internal/workload/scenario.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// forever is the end of a phase that lasts as long as the run.
+// forever is the end of a phase that lasts until the end of the run.
 const forever time.Duration = 1 << 62
 
-// Phase changes the traffic from Start (inclusive) to End (exclusive), both since
+// Phase changes the traffic from Start (inclusive) to End (exclusive), both relative to
 // the start of the load. The factors of overlapping phases multiply; a factor of 0
 // leaves the value unchanged.
 type Phase struct {
@@ -35,9 +35,9 @@
 	return Scenario{{Start: start, End: start + length, RateFactor: factor}}
 }
 
-// AlternateLengths alternates between long prompts with short answers and short prompts with
-// long answers, each for half a period, from start to end. Lengths are multiplied
-// and divided by factor.
+// AlternateLengths alternates between long prompts with short answers and short prompts
+// with long answers, each for half a period, from start to end. Long means multiplied
+// by factor, short divided by it.
 func AlternateLengths(start, period, end time.Duration, factor float64) Scenario {
 	var scenario Scenario
 	half := period / 2
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -29,8 +29,8 @@
 	return math.Abs(got-want) <= tolerance*want
 }
 
-// TestGeneratedTrafficMatchesProfile compares ten minutes of traffic with the
-// figures of each deployment.
+// TestGeneratedTrafficMatchesProfile compares ten minutes of generated traffic with the
+// rates and shares of each deployment's profile.
 func TestGeneratedTrafficMatchesProfile(t *testing.T) {
 	cases := []struct {
 		deployment    string
@@ -52,7 +52,7 @@
 				t.Error("equal seeds give different requests")
 			}
 			if rate := float64(len(requests)) / length.Seconds(); !withinTolerance(rate, test.rate, 0.03) {
-				t.Errorf("%.1f requests/s, want %.0f", rate, test.rate)
+				t.Errorf("rate = %.1f requests/s, want %.0f", rate, test.rate)
 			}
 			checkClasses(t, requests, length, test.fetches)
 			checkHomeShare(t, requests)
@@ -71,10 +71,10 @@
 		classes[request.Generate.Class]++
 	}
 	if rate := classes[api.ClassFetch] / length.Seconds(); !withinTolerance(rate, fetches, 0.05) {
-		t.Errorf("%.1f fetches/s, want %.0f", rate, fetches)
+		t.Errorf("rate = %.1f fetches/s, want %.0f", rate, fetches)
 	}
 	if ratio := classes[api.ClassQuick] / classes[api.ClassLong]; !withinTolerance(ratio, 2, 0.05) {
-		t.Errorf("quick to long %.2f, want 2", ratio)
+		t.Errorf("ratio of quick to long requests = %.2f, want 2", ratio)
 	}
 }
 
@@ -86,7 +86,7 @@
 		homes += float64(min(len(request.HomeRegions), 1))
 	}
 	if share := homes / float64(len(requests)); share < 0.08 || share > 0.12 {
-		t.Errorf("%.3f bound to a home, want about a tenth", share)
+		t.Errorf("share of requests bound to a home = %.3f, want 0.08 to 0.12", share)
 	}
 }
 
@@ -106,7 +106,7 @@
 		}
 	}
 	if len(ids) != len(requests) {
-		t.Errorf("%d ids for %d requests", len(ids), len(requests))
+		t.Errorf("%d distinct ids for %d requests", len(ids), len(requests))
 	}
 }
 
@@ -123,13 +123,13 @@
 	}
 	for _, region := range profile.Regions {
 		if share := regions[region.Name] / float64(len(requests)); !withinTolerance(share, region.ClientShare/total, 0.06) {
-			t.Errorf("%.3f of the clients in %s, want %.3f", share, region.Name, region.ClientShare/total)
+			t.Errorf("share of requests = %.3f from clients in %s, want %.3f", share, region.Name, region.ClientShare/total)
 		}
 	}
 }
 
-// TestProfilesMatchExampleDocuments keeps the traffic and the example documents of
-// the deployments consistent.
+// TestProfilesMatchExampleDocuments checks that each profile has the regions, clients,
+// homes, routes and tenants of the deployment's example configuration.
 func TestProfilesMatchExampleDocuments(t *testing.T) {
 	for _, name := range examples.Deployments() {
 		t.Run(name, func(t *testing.T) {
@@ -157,10 +157,10 @@
 	for _, region := range profile.Regions {
 		listed := document.Regions[region.Name]
 		if !reflect.DeepEqual(listed.Zones, []string{region.Zone}) || listed.Capacity != region.ModelReplicas {
-			t.Errorf("region %+v, the document has %+v", region, listed)
+			t.Errorf("profile has region %+v, example document has %+v", region, listed)
 		}
 		if client := profile.ClientPrefix + region.Name; document.Clients[client] != region.Name {
-			t.Errorf("client %s is mapped to %q", client, document.Clients[client])
+			t.Errorf("example document maps client %s to %q", client, document.Clients[client])
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	t.Helper()
 	for _, home := range profile.Homes {
 		if !reflect.DeepEqual(document.Homes[home.Name], home.Regions) {
-			t.Errorf("home %+v, the document has %v", home, document.Homes[home.Name])
+			t.Errorf("profile has home %+v, example document has %v", home, document.Homes[home.Name])
 		}
 	}
 }
@@ -180,18 +180,18 @@
 	for _, mix := range profile.Mixes {
 		route := document.Routes[mix.Model]
 		if route.Service != mix.Service || route.Class != string(mix.Class) || route.Home != "" {
-			t.Errorf("model %s of class %s, the document has %+v", mix.Model, mix.Class, route)
+			t.Errorf("profile has model %s of class %s, example document has route %+v", mix.Model, mix.Class, route)
 		}
 		for _, tenant := range mix.Population.Tenants {
 			if document.Tenants[tenant.Name].Home != tenant.Home {
-				t.Errorf("tenant %+v, the document has %+v", tenant, document.Tenants[tenant.Name])
+				t.Errorf("profile has tenant %+v, example document has %+v", tenant, document.Tenants[tenant.Name])
 			}
 		}
 	}
 }
 
-// TestScenarios compares the traffic of three successive 100 s windows with what the
-// phases of a scenario make of it.
+// TestScenarios checks that the phases of a scenario change the traffic as specified. It
+// measures one quantity in three successive windows of 100 s.
 func TestScenarios(t *testing.T) {
 	const second = time.Second
 	const window = 100 * second
@@ -205,11 +205,11 @@
 	}{
 		{"step", Step(100*second, 3), arrivalRate, 65, 195, 195},
 		{"crowd", FlashCrowd(100*second, 100*second, 4), arrivalRate, 65, 260, 65},
-		{"overlap", append(FlashCrowd(100*second, 100*second, 2), FlashCrowd(100*second, 200*second, 1.5)...), arrivalRate, 65, 195, 97.5},
+		{"overlapping phases", append(FlashCrowd(100*second, 100*second, 2), FlashCrowd(100*second, 200*second, 1.5)...), arrivalRate, 65, 195, 97.5},
 		{"long answers", Scenario{{Start: 100 * second, End: 200 * second, AnswerFactor: 3}}, meanAnswerTokens, 47.3, 142, 47.3},
 		{"swing", AlternateLengths(100*second, 200*second, 300*second, 2), meanAnswerTokens, 47.3, 23.7, 94.7},
 		{"move", ShiftClients(100*second, 200*second, profile, "north", "south"), southernShare, 1.0 / 3, 2.0 / 3, 1.0 / 3},
-		{"more long", Scenario{{Start: 100 * second, End: 200 * second, LongFactor: 4}}, arrivalRate, 65, 65 + 52, 65},
+		{"more long requests", Scenario{{Start: 100 * second, End: 200 * second, LongFactor: 4}}, arrivalRate, 65, 65 + 52, 65},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -217,13 +217,15 @@
 			for index, want := range []float64{test.before, test.during, test.after} {
 				start := time.Duration(index) * window
 				if got := test.measure(arrivedBetween(requests, start, start+window)); !withinTolerance(got, want, 0.06) {
-					t.Errorf("%.2f from %v on, want %.2f", got, start, want)
+					t.Errorf("measured %.2f in the window from %v, want %.2f", got, start, want)
 				}
 			}
 		})
 	}
 }
 
+// arrivedBetween returns the requests that arrived from start (inclusive) to end
+// (exclusive).
 func arrivedBetween(requests []Request, start, end time.Duration) []Request {
 	var chosen []Request
 	for _, request := range requests {
@@ -234,8 +236,8 @@
 	return chosen
 }
 
-// arrivalRate returns the arrival rate of requests that arrived within 100 s, per
-// second.
+// arrivalRate returns the arrival rate, per second, of requests that arrived within
+// 100 s.
 func arrivalRate(requests []Request) float64 {
 	return float64(len(requests)) / 100
 }
@@ -248,6 +250,7 @@
 	return float64(total) / float64(len(requests))
 }
 
+// southernShare returns the fraction of requests from the region south.
 func southernShare(requests []Request) float64 {
 	count := 0.0
 	for _, request := range requests {
