--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -2,8 +2,9 @@
 
 import "github.com/deckpulley/deckpulley/api"
 
-// prefixNode is one cached prefix below its parent. The same id below another parent
-// is another node, because keys and values depend on all tokens before them.
+// prefixNode is one prefix in the tree of cached prefixes. The same id below another
+// parent is another node, because the keys and values of a token depend on all tokens
+// before it.
 type prefixNode struct {
 	id       string
 	tokens   int
@@ -11,7 +12,8 @@
 	children map[string]*prefixNode
 	// pins counts the sequences that use the node; a pinned node is not evicted.
 	pins int
-	// ready is set once a sequence has prefilled the node.
+	// ready is set once a sequence has prefilled the prefix; before, space is reserved
+	// for the node, but it holds no keys and values.
 	ready bool
 	// newer and older link the nodes in the order of their last use. Both are nil
 	// while the node is not in the list.
@@ -39,7 +41,7 @@
 	return c
 }
 
-// missingTokens returns the number of tokens of the prefixes that are not cached yet.
+// missingTokens returns the number of tokens in those prefixes that are not cached.
 func (c *prefixCache) missingTokens(prefixes []api.Prefix) int {
 	parent := &c.root
 	missing := 0
@@ -56,9 +58,9 @@
 	return missing
 }
 
-// pin inserts the prefixes that are absent, reserves the private tokens and pins the
-// path, which it returns. It evicts as needed. If the capacity does not suffice it
-// returns false; nodes may have been evicted then, but nothing is pinned or reserved.
+// pin inserts the absent prefixes, reserves the private tokens, and pins and returns the
+// path. It evicts leaves as needed. If the capacity does not suffice it returns false;
+// leaves may have been evicted even then, but nothing is pinned or reserved.
 func (c *prefixCache) pin(prefixes []api.Prefix, private int) ([]*prefixNode, bool) {
 	path := make([]*prefixNode, 0, len(prefixes))
 	parent := &c.root
@@ -90,7 +92,7 @@
 	return path, true
 }
 
-// insert adds a pinned node below the parent. The caller puts it into the list.
+// insert adds a pinned node below the parent. The caller must add it to the list.
 func (c *prefixCache) insert(parent *prefixNode, prefix api.Prefix) *prefixNode {
 	node := &prefixNode{
 		id:       prefix.ID,
@@ -117,8 +119,8 @@
 	}
 }
 
-// touch makes the path the most recently used one, each parent newer than its child,
-// so that the oldest unpinned node is always a leaf.
+// touch marks the path as the most recently used one. Each parent is newer than its
+// child, so that the oldest unpinned node is always a leaf.
 func (c *prefixCache) touch(path []*prefixNode) {
 	for index := len(path) - 1; index >= 0; index-- {
 		node := path[index]
@@ -130,8 +132,8 @@
 	}
 }
 
-// evictFor evicts the least recently used unpinned leaves until so many tokens are
-// free. It reports false if they do not suffice.
+// evictFor evicts the least recently used unpinned leaves until the given number of
+// tokens is free. It reports whether enough could be freed.
 func (c *prefixCache) evictFor(tokens int) bool {
 	candidate := c.list.newer
 	for c.usedTokens+tokens > c.capacityTokens {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,5 +1,5 @@
 // Package emulator models a replica in virtual time: a language model that prefills
-// prompts, keeps shared prefixes in a KV cache and decodes in batches, or a small web
+// prompts, caches shared prefixes in a KV cache and decodes in batches, or a small web
 // service. It performs no I/O, starts no goroutine and reads no clock: callers pass
 // the time since the replica's start, which must never decrease. Equal parameters,
 // seeds and calls give equal events.
@@ -13,7 +13,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Errors that Submit returns. A job that was refused with one of them has not started.
+// Errors that Submit returns. A refused job has not started.
 var (
 	ErrDraining  = errors.New("emulator: the replica is draining")
 	ErrQueueFull = errors.New("emulator: the queue is full")
@@ -37,11 +37,11 @@
 const (
 	// EventToken reports one generated token.
 	EventToken EventKind = iota
-	// EventEnd reports the end of a job. It follows the last token.
+	// EventEnd reports that a job is complete. It follows the last token.
 	EventEnd
 )
 
-// Event reports progress of a job. The events of one job are in order of time.
+// Event reports the progress of a job. The events of a job are ordered by time.
 type Event struct {
 	Job  string // ID of the job
 	Kind EventKind
@@ -54,7 +54,7 @@
 	CachedTokens int
 }
 
-// State describes a replica at one time, as it reports it to gateways.
+// State is the state that a replica reports to gateways.
 type State struct {
 	Running              int
 	Queued               int
@@ -81,7 +81,7 @@
 	// NextEvent returns the next time at which Advance has work to do, and false if
 	// the replica is idle.
 	NextEvent() (time.Duration, bool)
-	// Advance works until now and returns the events since the last call.
+	// Advance runs the replica until now and returns the events since the last call.
 	Advance(now time.Duration) []Event
 	// State returns the replica's state at now.
 	State(now time.Duration) State
@@ -92,7 +92,8 @@
 	MakeCold(now time.Duration)
 }
 
-// New returns a replica, cold or warm. It panics if Validate rejects the parameters.
+// New returns a replica that starts cold or warm. It panics if Validate rejects the
+// parameters.
 func New(parameters Parameters, seed uint64, cold bool) Replica {
 	if err := parameters.Validate(); err != nil {
 		panic("emulator: " + err.Error())
@@ -124,7 +125,7 @@
 	b.draining = draining
 }
 
-// warmUp makes a cold replica warm after WarmRequests answers or WarmSeconds.
+// warmUp makes a cold replica warm after WarmRequests answers or after WarmSeconds.
 func (b *replicaBase) warmUp(now time.Duration) {
 	if !b.cold {
 		return
@@ -135,14 +136,15 @@
 	}
 }
 
-// becomeCold starts the warm-up anew.
+// becomeCold restarts the warm-up.
 func (b *replicaBase) becomeCold(now time.Duration) {
 	b.cold = true
 	b.coldSince = now
 	b.answersSinceCold = 0
 }
 
-// scaleDuration applies the cold factor and jitter to a duration that begins at now.
+// scaleDuration multiplies a duration by the jitter and, if the replica is cold at now,
+// by the cold factor.
 func (b *replicaBase) scaleDuration(now, duration time.Duration) time.Duration {
 	b.warmUp(now)
 	factor := 1 + b.parameters.Jitter*(2*b.random.Float64()-1)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// deterministicParameters returns parameters without jitter.
+// deterministicParameters returns parameters of a model without jitter.
 func deterministicParameters() Parameters {
 	parameters := DefaultParameters(KindModel)
 	parameters.Jitter = 0
@@ -33,7 +33,7 @@
 	}
 }
 
-// prefixChain returns prefixes of 1000 tokens each.
+// prefixChain returns prefixes with the given ids and 1000 tokens each.
 func prefixChain(ids ...string) []api.Prefix {
 	prefixes := make([]api.Prefix, len(ids))
 	for index, id := range ids {
@@ -54,7 +54,7 @@
 	}{
 		{"nothing cached", false, nil, prefixChain("a", "b"), 0, 105 * time.Millisecond, 117 * time.Millisecond},
 		{"all cached", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("a", "b"), 2000, 5 * time.Millisecond, 17 * time.Millisecond},
-		{"common beginning", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("a", "c"), 1000, 55 * time.Millisecond, 67 * time.Millisecond},
+		{"common first prefix", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("a", "c"), 1000, 55 * time.Millisecond, 67 * time.Millisecond},
 		{"same id below another parent", false, [][]api.Prefix{prefixChain("a", "b")}, prefixChain("c", "b"), 0, 105 * time.Millisecond, 117 * time.Millisecond},
 		{"cold", true, nil, prefixChain("a"), 0, 275 * time.Millisecond, 335 * time.Millisecond},
 	}
@@ -94,7 +94,7 @@
 	middle := len(events) / 2
 	gap := events[middle+16].At - events[middle].At
 	if want := 19500 * time.Microsecond; gap != want {
-		t.Errorf("step of a full batch = %v, want %v", gap, want)
+		t.Errorf("duration of a step with a full batch = %v, want %v", gap, want)
 	}
 }
 
@@ -103,7 +103,7 @@
 	parameters.CacheTokens = 4500
 	replica, ok := New(parameters, 1, false).(*modelReplica)
 	if !ok {
-		t.Fatal("not a replica of a model")
+		t.Fatal("New did not return a model replica")
 	}
 	run := func(prefixes ...string) int {
 		t.Helper()
@@ -116,7 +116,7 @@
 	run("a", "b")
 	run("a", "c")
 	run("a", "d")
-	run("a", "b") // c is the oldest leaf now, a and d stay
+	run("a", "b") // now c is the least recently used leaf
 	run("a", "e") // evicts c
 	for _, step := range []struct {
 		leaf string
@@ -127,7 +127,7 @@
 		}
 	}
 	if err := replica.Submit(replica.stepEnd, Job{ID: "huge", PromptTokens: 4500, AnswerTokens: 1}); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a job beyond the cache: %v, want ErrTooLarge", err)
+		t.Errorf("job larger than the cache: error %v, want ErrTooLarge", err)
 	}
 }
 
@@ -138,7 +138,7 @@
 		replica := New(parameters, 1, true)
 		for index := range 3 {
 			if !replica.State(0).Cold {
-				t.Errorf("%s: warm after %d answers, want 3", kind, index)
+				t.Errorf("%s replica is warm after %d answers, want 3", kind, index)
 			}
 			if err := replica.Submit(0, Job{ID: fmt.Sprint(index), PromptTokens: 1, AnswerTokens: 1}); err != nil {
 				t.Fatal(err)
@@ -146,20 +146,21 @@
 			runUntilIdle(replica)
 		}
 		if replica.State(0).Cold {
-			t.Errorf("%s: cold after 3 answers", kind)
+			t.Errorf("%s replica is cold after 3 answers", kind)
 		}
 		replica.MakeCold(time.Minute)
 		if !replica.State(time.Minute + 19*time.Second).Cold {
-			t.Errorf("%s: warm before warm_seconds", kind)
+			t.Errorf("%s replica is warm before warm_seconds have passed", kind)
 		}
 		if replica.State(time.Minute + 20*time.Second).Cold {
-			t.Errorf("%s: cold after warm_seconds", kind)
+			t.Errorf("%s replica is cold after warm_seconds have passed", kind)
 		}
 	}
 }
 
-// TestAcceptedJobsEndExactlyOnce draws histories of submissions, cancellations and
-// cold starts of both kinds, on two replicas with the same seed.
+// TestAcceptedJobsEndExactlyOnce makes random submissions, cancellations and cold starts,
+// for both kinds of replica. It checks the events, and that two replicas with the same
+// seed behave identically.
 func TestAcceptedJobsEndExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Kind{KindModel, KindWeb}).Draw(t, "kind")
@@ -183,7 +184,7 @@
 		history.events = append(history.events, runUntilIdle(history.replica)...)
 		history.twinEvents = append(history.twinEvents, runUntilIdle(history.twin)...)
 		if difference := cmp.Diff(history.twinEvents, history.events); difference != "" {
-			t.Fatalf("equal replicas differ:\n%s", difference)
+			t.Fatalf("replicas with the same seed have different events (-twin +replica):\n%s", difference)
 		}
 		checkEventSequence(t, kind, history.events, history.accepted, history.canceled)
 		if model, isModel := history.replica.(*modelReplica); isModel {
@@ -192,7 +193,8 @@
 	})
 }
 
-// drawnHistory is a history of the same calls on two replicas with the same seed.
+// drawnHistory makes the same random calls on two replicas with the same seed and records
+// the results.
 type drawnHistory struct {
 	replica, twin      Replica
 	now                time.Duration
@@ -201,7 +203,8 @@
 	canceled           map[string]bool
 }
 
-// step waits for a drawn time and makes a drawn call, with the index as the job's id.
+// step advances both replicas by a random time and makes a random call. A submitted job
+// has the index as its id.
 func (h *drawnHistory) step(t *rapid.T, index int) {
 	h.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "wait")) * time.Millisecond
 	h.events = append(h.events, h.replica.Advance(h.now)...)
@@ -220,7 +223,7 @@
 	}
 }
 
-// submit submits a drawn job and checks that both replicas give the same answer.
+// submit submits a random job and checks that both replicas return the same error.
 func (h *drawnHistory) submit(t *rapid.T, id string) {
 	job := Job{
 		ID:           id,
@@ -230,7 +233,7 @@
 	}
 	err := h.replica.Submit(h.now, job)
 	if twinErr := h.twin.Submit(h.now, job); !errors.Is(twinErr, err) {
-		t.Fatalf("equal replicas differ: %v and %v", err, twinErr)
+		t.Fatalf("replicas with the same seed return different errors: %v and %v", err, twinErr)
 	}
 	if err == nil {
 		h.accepted[id] = job.AnswerTokens
@@ -238,35 +241,35 @@
 }
 
 // checkEventSequence checks that times do not decrease, that tokens are in order and
-// that every accepted job ends once and completely unless it was canceled.
+// that every accepted job completes exactly once unless it was canceled.
 func checkEventSequence(t *rapid.T, kind Kind, events []Event, accepted map[string]int, canceled map[string]bool) {
 	tokens := make(map[string]int)
 	ended := make(map[string]bool)
 	var last time.Duration
 	for _, event := range events {
 		if event.At < last {
-			t.Fatalf("time falls at %+v", event)
+			t.Fatalf("event is earlier than the one before: %+v", event)
 		}
 		last = event.At
 		if ended[event.Job] {
-			t.Fatalf("event after the end: %+v", event)
+			t.Fatalf("event after the end of its job: %+v", event)
 		}
 		if event.Kind == EventToken {
 			tokens[event.Job]++
 			if event.Index != tokens[event.Job] {
-				t.Fatalf("token out of order: %+v after %d", event, tokens[event.Job]-1)
+				t.Fatalf("token out of order: %+v after token %d", event, tokens[event.Job]-1)
 			}
 			continue
 		}
 		ended[event.Job] = true
 		complete := event.Index == accepted[event.Job] && (kind == KindWeb || tokens[event.Job] == event.Index)
 		if !complete {
-			t.Fatalf("ended short: %+v of %d", event, accepted[event.Job])
+			t.Fatalf("job ended without its complete answer: %+v, want %d tokens", event, accepted[event.Job])
 		}
 	}
 	for job := range accepted {
 		if !ended[job] && !canceled[job] {
-			t.Fatalf("job %s was accepted and never ended", job)
+			t.Fatalf("accepted job %s has not ended", job)
 		}
 	}
 }
@@ -276,11 +279,11 @@
 	total := 0
 	for node := model.cache.list.older; node != &model.cache.list; node = node.older {
 		if node.pins != 0 || !node.ready {
-			t.Fatalf("idle replica keeps %s: %d pins, ready %v", node.id, node.pins, node.ready)
+			t.Fatalf("idle replica has node %s with %d pins and ready = %v, want none and true", node.id, node.pins, node.ready)
 		}
 		total += node.tokens
 	}
 	if total != model.cache.usedTokens || total > model.cache.capacityTokens {
-		t.Fatalf("cache counts %d tokens, holds %d of %d", model.cache.usedTokens, total, model.cache.capacityTokens)
+		t.Fatalf("usedTokens = %d, nodes have %d tokens, capacity is %d", model.cache.usedTokens, total, model.cache.capacityTokens)
 	}
 }
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -11,16 +11,16 @@
 type sequence struct {
 	job Job
 	// path is the sequence's pinned path in the prefix tree. privateTokens is the
-	// cache space reserved for the rest of the prompt and the answer.
+	// number of cache tokens reserved for the rest of the prompt and the answer.
 	path          []*prefixNode
 	privateTokens int
-	// prefillStarted is set when the prefill begins, which sets cachedTokens and
-	// prefillTokens, the prompt tokens found in the cache and those left to prefill.
+	// prefillStarted is set when the prefill begins. cachedTokens is the number of prompt
+	// tokens found in the cache then, and prefillTokens the number left to prefill.
 	prefillStarted  bool
 	cachedTokens    int
 	prefillTokens   int
 	generatedTokens int
-	// prefillEnds is set while the step runs that completes the prefill.
+	// prefillEnds is set during the step that completes the prefill.
 	prefillEnds bool
 }
 
@@ -87,7 +87,7 @@
 	return m.takeEvents()
 }
 
-// advanceTo completes the steps that end by now and starts their successors.
+// advanceTo completes each step that ends by now and starts the next one.
 func (m *modelReplica) advanceTo(now time.Duration) {
 	for m.stepping && m.stepEnd <= now {
 		end := m.stepEnd
@@ -128,8 +128,8 @@
 	return duration
 }
 
-// admit gives free slots to waiting jobs in order of arrival, until the cache has no
-// space for the next one.
+// admit assigns free slots to waiting jobs in order of arrival, until the cache has no
+// space for the next job.
 func (m *modelReplica) admit() {
 	for len(m.waiting) > 0 && m.freeSlots() > 0 {
 		job := m.waiting[0]
@@ -165,7 +165,7 @@
 	return m.parameters.PrefillChunkTokens - budget
 }
 
-// startPrefill looks the prompt up in the cache. At least one token is prefilled even
+// startPrefill looks up the prompt in the cache. At least one token is prefilled even
 // if all are cached, because decoding needs the output of a prefill.
 func (s *sequence) startPrefill() {
 	s.prefillStarted = true
@@ -240,8 +240,8 @@
 	}
 }
 
-// pendingPrefillTokens returns the number of prompt tokens that are left to prefill,
-// of running and waiting jobs.
+// pendingPrefillTokens returns the number of prompt tokens of running and waiting jobs
+// that are left to prefill.
 func (m *modelReplica) pendingPrefillTokens() int {
 	pending := 0
 	for _, candidate := range m.running {
@@ -264,7 +264,8 @@
 	m.becomeCold(now)
 }
 
-// jobTokens returns the cache space that a job needs beside its prefixes.
+// jobTokens returns the number of cache tokens that a job needs in addition to its
+// prefixes.
 func jobTokens(job Job) int {
 	return job.PromptTokens + job.AnswerTokens
 }
--- a/internal/emulator/parameters.go
+++ b/internal/emulator/parameters.go
@@ -22,7 +22,7 @@
 )
 
 // Parameters describes one replica. It is read from a YAML or JSON file; a field that
-// the file leaves out keeps the default of its kind.
+// is absent from the file has the default value of the kind.
 type Parameters struct {
 	Kind Kind `yaml:"kind"`
 	// Slots is the number of requests that run concurrently.
@@ -31,11 +31,12 @@
 	QueueLength int `yaml:"queue_length"`
 	// PrefillTokensPerSecond is the prefill rate of a warm replica.
 	PrefillTokensPerSecond float64 `yaml:"prefill_tokens_per_second"`
-	// PrefillChunkTokens bounds the prefill work of one step, in tokens.
+	// PrefillChunkTokens is the maximum number of tokens prefilled in one step.
 	PrefillChunkTokens int `yaml:"prefill_chunk_tokens"`
 	// DecodeStepMS is the duration of a decode step with one sequence, in milliseconds.
 	DecodeStepMS float64 `yaml:"decode_step_ms"`
-	// DecodeSequenceMS is added to a step for each further sequence, in milliseconds.
+	// DecodeSequenceMS is the time that each further sequence adds to a decode step, in
+	// milliseconds.
 	DecodeSequenceMS float64 `yaml:"decode_sequence_ms"`
 	// CacheTokens is the capacity of the KV cache in tokens.
 	CacheTokens int `yaml:"cache_tokens"`
@@ -46,7 +47,7 @@
 	// WarmSeconds is the time in seconds after which a cold replica is warm even
 	// without answers.
 	WarmSeconds float64 `yaml:"warm_seconds"`
-	// WeightVersion names the model weights.
+	// WeightVersion is the version of the model weights that the replica reports.
 	WeightVersion string `yaml:"weight_version"`
 	// Jitter is the largest relative deviation of a step's duration, in [0, 1).
 	Jitter float64 `yaml:"jitter"`
@@ -55,7 +56,8 @@
 	WebMaximumMS float64 `yaml:"web_maximum_ms"`
 }
 
-// DefaultParameters returns the parameters of a kind as docs/EMULATOR.md lists them.
+// DefaultParameters returns the default parameters of a kind. docs/EMULATOR.md lists
+// them.
 func DefaultParameters(kind Kind) Parameters {
 	parameters := Parameters{
 		Kind:                   kind,
@@ -82,9 +84,9 @@
 	return parameters
 }
 
-// LoadParameters reads a file over the defaults of the kind that the file names, or
-// of the given kind if it names none. An unknown field and a value that Validate
-// rejects are errors.
+// LoadParameters reads parameters from a file. Absent fields have the default values of
+// the kind that the file names, or of the given kind if it names none. An unknown field
+// or a value that Validate rejects is an error.
 func LoadParameters(path string, kind Kind) (Parameters, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -111,7 +113,7 @@
 	return parameters, nil
 }
 
-// Validate returns an error that names the first field that is out of range.
+// Validate returns an error that names the first field with an invalid value.
 func (p Parameters) Validate() error {
 	if p.Kind != KindModel && p.Kind != KindWeb {
 		return fmt.Errorf("kind: %q is neither %q nor %q", p.Kind, KindModel, KindWeb)
@@ -129,7 +131,7 @@
 	}
 	for _, check := range positive {
 		if check.value <= 0 {
-			return fmt.Errorf("%s: must be above 0", check.field)
+			return fmt.Errorf("%s: must be greater than 0", check.field)
 		}
 	}
 	switch {
@@ -138,15 +140,15 @@
 	case p.DecodeSequenceMS < 0:
 		return errors.New("decode_sequence_ms: must not be negative")
 	case p.ColdFactor < 1:
-		return errors.New("cold_factor: must be 1 or more")
+		return errors.New("cold_factor: must be at least 1")
 	case p.WarmRequests < 0:
 		return errors.New("warm_requests: must not be negative")
 	case p.WarmSeconds < 0:
 		return errors.New("warm_seconds: must not be negative")
 	case p.Jitter < 0 || p.Jitter >= 1:
-		return errors.New("jitter: must be from 0 to below 1")
+		return errors.New("jitter: must be at least 0 and less than 1")
 	case p.WebMaximumMS < p.WebMinimumMS:
-		return errors.New("web_maximum_ms: must not be below web_minimum_ms")
+		return errors.New("web_maximum_ms: must not be less than web_minimum_ms")
 	}
 	return nil
 }
--- a/internal/emulator/web.go
+++ b/internal/emulator/web.go
@@ -12,8 +12,8 @@
 	end time.Duration
 }
 
-// webReplica is a small web service with a fixed number of slots. It answers each job
-// after a short random time.
+// webReplica is a small web service with a fixed number of slots. It answers a job that
+// has a slot after a short random time.
 type webReplica struct {
 	replicaBase
 	waiting []Job
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// start gives a slot to a job and draws its duration.
+// start assigns a slot to a job and draws the job's duration.
 func (w *webReplica) start(now time.Duration, job Job) {
 	spread := w.parameters.WebMaximumMS - w.parameters.WebMinimumMS
 	duration := milliseconds(w.parameters.WebMinimumMS + w.random.Float64()*spread)
@@ -54,7 +54,7 @@
 	w.startWaiting(now)
 }
 
-// startWaiting gives free slots to waiting jobs in order of arrival.
+// startWaiting assigns free slots to waiting jobs in order of arrival.
 func (w *webReplica) startWaiting(now time.Duration) {
 	for len(w.waiting) > 0 && len(w.running) < w.parameters.Slots {
 		w.start(now, w.waiting[0])
@@ -76,7 +76,7 @@
 	return w.takeEvents()
 }
 
-// advanceTo completes the jobs that end by now and starts waiting ones.
+// advanceTo completes the jobs that end by now and starts waiting jobs in their slots.
 func (w *webReplica) advanceTo(now time.Duration) {
 	for len(w.running) > 0 && w.running[0].end <= now {
 		done := w.running[0]
