--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command has what the programs of the stand-ins share: the root command,
-// signals, exit statuses and closing the event log. Daemons never import it.
+// Package command contains the code that the stand-in programs share: the root command,
+// signal handling, exit statuses and closing the event log. The daemons do not import it.
 package command
 
 import (
@@ -27,8 +27,9 @@
 // readHeaderTimeout bounds how long a client may take to send its headers.
 const readHeaderTimeout = 5 * time.Second
 
-// ServingError wraps an error of serving, as opposed to one of flags or files: the
-// program exits with status 1 for it, and with 2 for all others.
+// ServingError wraps an error that occurred while serving, as opposed to an error in
+// flags or files. The program exits with status 1 for a ServingError and with status 2
+// for any other error.
 type ServingError struct{ Err error }
 
 // Error returns the text of the wrapped error.
@@ -37,8 +38,8 @@
 // Unwrap returns the wrapped error.
 func (e ServingError) Unwrap() error { return e.Err }
 
-// New returns the root command of a stand-in. The context of run ends at SIGTERM
-// and SIGINT.
+// New returns the root command of a stand-in. The context passed to run is canceled on
+// SIGTERM and SIGINT.
 func New(name, short string, run func(context.Context) error) *cobra.Command {
 	return &cobra.Command{
 		Use:           name,
@@ -50,8 +51,8 @@
 	}
 }
 
-// Execute runs a root command. It ends the process if the command fails or one of
-// the required flags is missing.
+// Execute runs a root command. It ends the process with an error status if the command
+// fails or a required flag is missing.
 func Execute(command *cobra.Command, required ...string) {
 	for _, name := range required {
 		if err := command.MarkFlagRequired(name); err != nil {
@@ -75,12 +76,12 @@
 	return statusUsage
 }
 
-// NewServer returns an HTTP server for a stand-in, with bounded header reads.
+// NewServer returns an HTTP server for a stand-in, with a timeout for reading headers.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// CloseLog closes an event log, and logs an error if events of it are lost.
+// CloseLog closes an event log, and logs an error if events were lost.
 func CloseLog(writer *eventlog.Writer, logger *slog.Logger) {
 	if err := writer.Close(); err != nil {
 		logger.Error("event log incomplete", "error", err)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -7,14 +7,14 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// engine runs an emulated replica in real time. Its loop delivers the events that
-// are due; every other method delivers them too, before it acts.
+// engine runs an emulated replica in real time. Its loop delivers events when they are
+// due. Every other method first delivers the events that are due, too.
 type engine struct {
 	mutex   sync.Mutex
 	replica emulator.Replica
 	started time.Time
 	runs    map[string]chan emulator.Event
-	// wake tells the loop that the time of the next event may have changed.
+	// wake notifies the loop that the time of the next event may have changed.
 	wake chan struct{}
 	stop chan struct{}
 	done chan struct{}
@@ -39,8 +39,8 @@
 	<-e.done
 }
 
-// submit starts a job and returns the channel of its events. It calls accepted,
-// under the lock, before any event can be received.
+// submit starts a job and returns the channel of its events. It calls accepted, with the
+// mutex held, before any event can be received.
 func (e *engine) submit(job emulator.Job, accepted func(emulator.State)) (<-chan emulator.Event, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -49,14 +49,14 @@
 		return nil, err
 	}
 	accepted(e.replica.State(now))
-	// The buffer has room for every event of the job, so that deliver never blocks.
+	// The buffer holds every event of the job, so that deliver never blocks.
 	events := make(chan emulator.Event, job.AnswerTokens+2)
 	e.runs[job.ID] = events
 	e.wakeLoop()
 	return events, nil
 }
 
-// cancel ends a job; it does nothing for one that has ended.
+// cancel cancels a job. It does nothing if the job has ended.
 func (e *engine) cancel(job string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -65,7 +65,7 @@
 	e.wakeLoop()
 }
 
-// do calls work under the lock, with the time since the engine's start.
+// do calls work with the mutex held, with the time since the engine's start.
 func (e *engine) do(work func(now time.Duration, replica emulator.Replica)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -79,8 +79,8 @@
 	return e.replica.State(e.deliver())
 }
 
-// deliver sends the events that are due to their runs and returns the time. The
-// caller holds the lock.
+// deliver sends the events that are due to the channels of their jobs and returns the
+// time since the engine's start. The caller holds the mutex.
 func (e *engine) deliver() time.Duration {
 	now := time.Since(e.started)
 	for _, event := range e.replica.Advance(now) {
@@ -96,7 +96,7 @@
 	return now
 }
 
-// wakeLoop makes the loop compute the time of the next event again.
+// wakeLoop makes the loop recompute the time of the next event.
 func (e *engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// FaultKind names a fault that a replica can be made to show.
+// FaultKind is the kind of a fault that can be injected into a replica.
 type FaultKind string
 
 const (
-	// FaultCrash ends the replica in the middle of the request.
+	// FaultCrash crashes the replica while the request runs.
 	FaultCrash FaultKind = "crash"
-	// FaultStall sends nothing more for the delay, or until the caller leaves without
-	// one.
+	// FaultStall pauses the response for the delay or, if there is no delay, until the
+	// caller closes the connection.
 	FaultStall FaultKind = "stall"
-	// FaultBreakMidEvent aborts the connection inside an event or body.
+	// FaultBreakMidEvent aborts the connection in the middle of an event or body.
 	FaultBreakMidEvent FaultKind = "break_mid_event"
-	// FaultBreakBetweenEvents aborts the connection after a whole event.
+	// FaultBreakBetweenEvents aborts the connection after a complete event.
 	FaultBreakBetweenEvents FaultKind = "break_between_events"
-	// FaultBreakBeforeEnd aborts a stream after its last chunk.
+	// FaultBreakBeforeEnd aborts a stream after its last chunk, before its end event.
 	FaultBreakBeforeEnd FaultKind = "break_before_end"
 	// FaultTruncate ends an incomplete HTTP response as if it were complete.
 	FaultTruncate FaultKind = "truncate"
-	// FaultLate responds after the delay.
+	// FaultLate sends a correct response after the delay.
 	FaultLate FaultKind = "late"
 	// FaultCrossed swaps the identities of the responses to two concurrent requests.
 	FaultCrossed FaultKind = "crossed"
-	// FaultWrongID responds with a request id that nobody sent.
+	// FaultWrongID responds with the id of a request that does not exist.
 	FaultWrongID FaultKind = "wrong_id"
-	// FaultShortBody announces a longer body than it sends; not for streams.
+	// FaultShortBody announces a longer body than it sends; JSON bodies only.
 	FaultShortBody FaultKind = "short_body"
-	// FaultErrorInSuccess puts an error into a response with status 200.
+	// FaultErrorInSuccess sends an error in a response with status 200.
 	FaultErrorInSuccess FaultKind = "error_in_success"
-	// FaultError responds with status 500 after the delay, though the request has run.
+	// FaultError responds with status 500 after the delay, although the request has run.
 	FaultError FaultKind = "error"
 	// FaultSkipChunk omits a chunk of a stream; streams only.
 	FaultSkipChunk FaultKind = "skip_piece"
@@ -47,8 +47,8 @@
 	FaultClear FaultKind = "clear"
 )
 
-// Kinds of faults by the form of response that can show them: streams alone, JSON
-// bodies alone, or both.
+// Kinds of faults by the form of response that they apply to: streams only, JSON
+// bodies only, or both.
 var (
 	streamOnlyFaults = []FaultKind{FaultBreakBetweenEvents, FaultBreakBeforeEnd, FaultSkipChunk, FaultRepeatChunk}
 	jsonOnlyFaults   = []FaultKind{FaultShortBody}
@@ -58,17 +58,18 @@
 	}
 )
 
-// swapTimeout bounds how long a response waits for one to swap identities with, if
-// the fault has no delay.
+// swapTimeout is the maximum time that a response waits for another one to swap
+// identities with, if the fault has no delay.
 const swapTimeout = 2 * time.Second
 
-// Fault is the body of POST /control/fault. With neither a count nor a
-// probability it affects the next request that it applies to.
+// Fault is the body of POST /control/fault. Without a count and a probability it affects
+// only the next request that it applies to.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
 	// Count is the number of requests to affect; 0 with a probability is unlimited.
 	Count int `json:"count,omitempty"`
-	// Probability is the chance of each request, from 0 to 1; 0 means certain.
+	// Probability is the probability that a request is affected, from 0 to 1; 0 selects
+	// the default of 1.
 	Probability float64 `json:"probability,omitempty"`
 	// AfterEvents is the number of chunks of a stream sent before the fault.
 	AfterEvents int `json:"after_events,omitempty"`
@@ -76,7 +77,7 @@
 	DelayMS int64 `json:"delay_ms,omitempty"`
 }
 
-// Validate returns an error that names the first field out of range.
+// Validate returns an error that names the first field with an invalid value.
 func (f Fault) Validate() error {
 	known := slices.Contains(commonFaults, f.Kind) || slices.Contains(streamOnlyFaults, f.Kind) || slices.Contains(jsonOnlyFaults, f.Kind)
 	switch {
@@ -98,7 +99,7 @@
 	return time.Duration(f.DelayMS) * time.Millisecond
 }
 
-// appliesTo reports whether a response of the form can show the fault.
+// appliesTo reports whether the fault applies to a stream, or to a JSON body.
 func (f Fault) appliesTo(stream bool) bool {
 	if stream {
 		return !slices.Contains(jsonOnlyFaults, f.Kind)
@@ -106,14 +107,14 @@
 	return !slices.Contains(streamOnlyFaults, f.Kind)
 }
 
-// faultSet holds the faults injected into a replica, in their order.
+// faultSet holds the faults injected into a replica, in the order of injection.
 type faultSet struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	faults []Fault
 }
 
-// add adds a fault, or removes all for FaultClear.
+// add adds a fault, or removes all faults for FaultClear.
 func (s *faultSet) add(fault Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -127,8 +128,9 @@
 	s.faults = append(s.faults, fault)
 }
 
-// take returns the fault of one request and counts it; the zero Fault is none.
-// Refusals are taken separately, since they come before the request runs.
+// take returns the fault that affects a request, the zero Fault if there is none, and
+// counts it as used. Refusals are taken by a separate call, because they happen before
+// the request runs.
 func (s *faultSet) take(stream, refusal bool) Fault {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// serveGenerate runs a request, or refuses it before anything of it has run.
+// serveGenerate runs a request, or refuses it before any part of it has run.
 func (s *Server) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	var request api.ReplicaRequest
 	if err := decodeJSON(w, r, &request); err != nil {
@@ -59,9 +59,9 @@
 	s.logEvent(event)
 }
 
-// accept starts the run of a request, or returns why it is refused. The execution
-// is logged before any event of it can be seen, so that no caller knows of a run
-// that the log does not.
+// accept starts the run of a request, or returns why it is refused. The execution is
+// logged before its first event can be received, so that the log contains every run that
+// a caller can observe.
 func (s *Server) accept(request *api.ReplicaRequest) (*run, *api.Error) {
 	s.admission.Lock()
 	defer s.admission.Unlock()
@@ -72,7 +72,7 @@
 		return nil, invalid
 	}
 	if fault := s.faults.take(request.Stream, true); fault.Kind == FaultRefuse {
-		return nil, refusal(request, api.CodeOverloaded, "told to refuse")
+		return nil, refusal(request, api.CodeOverloaded, "refused by an injected fault")
 	}
 	job := emulator.Job{
 		ID:           s.nextRunID(),
@@ -100,7 +100,7 @@
 	}, nil
 }
 
-// refusalCode returns the code of an error of the emulator.
+// refusalCode returns the API error code for an error of the emulator.
 func refusalCode(err error) api.Code {
 	switch {
 	case errors.Is(err, emulator.ErrDraining):
@@ -112,7 +112,7 @@
 	}
 }
 
-// nextRunID returns an id that no other run of any replica has.
+// nextRunID returns an id that is unique among the runs of all replicas.
 func (s *Server) nextRunID() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -120,26 +120,28 @@
 	return fmt.Sprintf("%s/%s/%d", s.config.ID, s.config.Incarnation, s.runs)
 }
 
-// checkStamp refuses a request that was placed by an older configuration than the
-// newest seen, or on another incarnation of this replica.
+// checkStamp refuses a request that was placed by an older configuration version than
+// the newest one seen, or on another incarnation of this replica. It returns nil for an
+// accepted request.
 func (s *Server) checkStamp(request *api.ReplicaRequest) *api.Error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	version := request.Stamp.ConfigurationVersion
 	if version < s.version {
-		message := fmt.Sprintf("placed by configuration version %d, but version %d has been seen", version, s.version)
+		message := fmt.Sprintf("placed by configuration version %d, but this replica has seen version %d", version, s.version)
 		return refusal(request, api.CodeStale, message)
 	}
 	s.version = version
 	placedOn := request.Stamp.ReplicaIncarnation
 	if placedOn != "" && placedOn != s.config.Incarnation {
-		message := fmt.Sprintf("placed on incarnation %s, but this is %s", placedOn, s.config.Incarnation)
+		message := fmt.Sprintf("placed on incarnation %s, but this replica is incarnation %s", placedOn, s.config.Incarnation)
 		return refusal(request, api.CodeRestarted, message)
 	}
 	return nil
 }
 
-// checkRequest refuses a request with a field out of range or no time left.
+// checkRequest refuses a request with an invalid field or without time left. It returns
+// nil for a valid request.
 func checkRequest(request *api.ReplicaRequest) *api.Error {
 	switch {
 	case request.RequestID == "":
@@ -153,14 +155,14 @@
 	}
 	for _, prefix := range request.Prefixes {
 		if prefix.ID == "" || prefix.Tokens < 0 || prefix.Tokens > api.MaxPromptTokens {
-			return refusal(request, api.CodeInvalid, "a prefix is out of range")
+			return refusal(request, api.CodeInvalid, "a prefix has no id or its tokens are out of range")
 		}
 	}
 	return nil
 }
 
-// refusal returns the error of a request that has not run and never will. Retry
-// is set unless every other replica would refuse it too.
+// refusal returns the error for a request that is refused and will not run. Retry is set
+// unless every other replica would refuse the request, too.
 func refusal(request *api.ReplicaRequest, code api.Code, message string) *api.Error {
 	retry := code != api.CodeInvalid && code != api.CodeTooLarge && code != api.CodeDeadline
 	return &api.Error{Code: code, Outcome: api.OutcomeRefused, Message: message, Retry: retry, RequestID: request.RequestID}
--- a/internal/standin/hosted.go
+++ b/internal/standin/hosted.go
@@ -8,13 +8,14 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// ErrBroken means that the replica stopped, or its caller left, during a run.
-var ErrBroken = errors.New("standin: the run broke off")
+// ErrBroken means that the replica stopped, or the caller canceled the request, during a
+// run.
+var ErrBroken = errors.New("standin: the run was interrupted")
 
 // Generate runs a request without HTTP, for processes that host replicas. It calls
-// firstToken once, when the first token is ready. The error of a refused request is
-// an *api.Error, that of a run cut short ErrBroken. Injected faults other than
-// FaultRefuse have no effect here.
+// firstToken once, when the first token is ready. It returns an *api.Error for a refused
+// request and ErrBroken for an interrupted run. Injected faults other than FaultRefuse
+// have no effect here.
 func (s *Server) Generate(ctx context.Context, request *api.ReplicaRequest, firstToken func()) (*api.GenerateAnswer, error) {
 	select {
 	case <-s.stopped:
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -8,12 +8,13 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// decodeJSON decodes the body of a request, strictly and up to api.MaxBodyBytes.
+// decodeJSON decodes the body of a request of up to api.MaxBodyBytes. An unknown field is
+// an error.
 func decodeJSON(w http.ResponseWriter, r *http.Request, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, api.MaxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return fmt.Errorf("decoding the body: %w", err)
+		return fmt.Errorf("decoding the request body: %w", err)
 	}
 	return nil
 }
@@ -21,14 +22,14 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a failed write shows at the client, as a short body
+	_ = json.NewEncoder(w).Encode(body) // a client detects a failed write as an incomplete body
 }
 
 func writeError(w http.ResponseWriter, failure *api.Error) {
 	writeJSON(w, failure.Status(), api.ErrorBody{Error: failure})
 }
 
-// writeInvalid refuses a malformed request.
+// writeInvalid responds that a request is malformed.
 func writeInvalid(w http.ResponseWriter, err error) {
 	writeError(w, &api.Error{Code: api.CodeInvalid, Outcome: api.OutcomeRefused, Message: err.Error()})
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -22,20 +22,20 @@
 
 // Paths of the platform stand-in.
 const (
-	PathPlatformDrain    = "/control/drain"    // POST PlatformDrainRequest; answered once acknowledged
-	PathPlatformReload   = "/control/reload"   // POST, no body; reads the file again
+	PathPlatformDrain    = "/control/drain"    // POST PlatformDrainRequest; answered once a node has acknowledged the list
+	PathPlatformReload   = "/control/reload"   // POST, no body; reads the file again and sends the list
 	PathPlatformReplicas = "/control/replicas" // GET api.ReplicaList as last sent
 )
 
-// Timing of sending the list.
+// Timeouts and retry interval for sending the list.
 const (
 	platformAttemptTimeout = 3 * time.Second
 	platformSendTimeout    = 30 * time.Second
 	platformRetryInterval  = 200 * time.Millisecond
 )
 
-// PlatformDrainRequest is the body of POST /control/drain of the platform: it lists
-// a replica as draining, or not.
+// PlatformDrainRequest is the body of POST /control/drain of the platform. It lists a
+// replica as draining or as not draining.
 type PlatformDrainRequest struct {
 	Replica  string `json:"replica"`
 	Draining bool   `json:"draining"`
@@ -47,11 +47,11 @@
 	Control []string
 	// ReplicasFile holds an api.ReplicaList as JSON or YAML.
 	ReplicasFile string
-	// Token authorizes the platform at the operator port; empty to send none.
+	// Token authorizes the platform at the operator port; if empty, none is sent.
 	Token string
-	// Log takes the events; nil discards them.
+	// Log receives the events; nil discards them.
 	Log Logger
-	// Logger takes the process's log messages.
+	// Logger receives the process's log messages.
 	Logger *slog.Logger
 }
 
@@ -62,16 +62,19 @@
 	client *http.Client
 	mux    *http.ServeMux
 
-	// sending is held while a list is sent, so that no older list follows a newer.
+	// sending is held while a list is sent, so that no older list is sent after a newer
+	// one.
 	sending sync.Mutex
 
 	mutex  sync.Mutex
 	listed []api.ReplicaEntry
-	// drains has the states set by SetDraining; they override the file's.
+	// drains holds the states set by SetDraining, by replica id. They override those of
+	// the file.
 	drains map[string]bool
 }
 
-// NewPlatform returns a platform stand-in. It reads and sends nothing before Reload.
+// NewPlatform returns a platform stand-in. It reads and sends the list only when Reload
+// is called.
 func NewPlatform(config PlatformConfig) *Platform {
 	p := &Platform{
 		config: config,
@@ -94,7 +97,7 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// Reload reads the file and sends the list until a node acknowledges it.
+// Reload reads the file and sends the list, with retries, until a node acknowledges it.
 func (p *Platform) Reload(ctx context.Context) error {
 	content, err := os.ReadFile(p.config.ReplicasFile)
 	if err != nil {
@@ -110,7 +113,7 @@
 	return p.send(ctx)
 }
 
-// parseReplicaList reads YAML or JSON with the field names of package api.
+// parseReplicaList parses YAML or JSON with the field names of package api.
 func parseReplicaList(content []byte) (api.ReplicaList, error) {
 	var document any
 	if err := yaml.Unmarshal(content, &document); err != nil {
@@ -129,7 +132,7 @@
 	return list, nil
 }
 
-// SetDraining lists a replica as draining, or not, and returns once a node has
+// SetDraining lists a replica as draining or as not draining, and returns once a node has
 // acknowledged the list.
 func (p *Platform) SetDraining(ctx context.Context, replica string, draining bool) error {
 	p.mutex.Lock()
@@ -139,7 +142,7 @@
 	}
 	p.mutex.Unlock()
 	if !known {
-		return fmt.Errorf("replica %q is not listed", replica)
+		return fmt.Errorf("replica %q is not in the replica list", replica)
 	}
 	if err := p.send(ctx); err != nil {
 		return err
@@ -166,8 +169,8 @@
 	return list
 }
 
-// send sends the present list to the nodes in turn until one acknowledges it, for
-// platformSendTimeout at most.
+// send sends the current list to the nodes in turn until one acknowledges it or
+// platformSendTimeout has passed.
 func (p *Platform) send(ctx context.Context) error {
 	p.sending.Lock()
 	defer p.sending.Unlock()
@@ -198,7 +201,7 @@
 	url := "http://" + address + api.PathReplicas
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("making the request: %w", err)
+		return fmt.Errorf("creating the request: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if p.config.Token != "" {
@@ -211,7 +214,7 @@
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, api.MaxBodyBytes))
 	if err != nil {
-		return fmt.Errorf("reading the answer: %w", err)
+		return fmt.Errorf("reading the response: %w", err)
 	}
 	if response.StatusCode/100 != 2 {
 		return fmt.Errorf("status %d: %s", response.StatusCode, answer)
@@ -232,8 +235,8 @@
 	p.respond(w, p.Reload(r.Context()))
 }
 
-// respond answers a request of the control port once a node has acknowledged the
-// list, or sending it has failed.
+// respond answers a control request after a node has acknowledged the list, or after
+// sending it has failed with err.
 func (p *Platform) respond(w http.ResponseWriter, err error) {
 	if err != nil {
 		writeError(w, &api.Error{Code: api.CodeNoPrimary, Outcome: api.OutcomeUnknown, Message: err.Error(), Retry: true})
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -17,7 +17,7 @@
 const directoryTimeout = time.Second
 
 // errNoDirectory means that no directory returned an address.
-var errNoDirectory = errors.New("standin: no directory knows an address")
+var errNoDirectory = errors.New("standin: no directory returned an address")
 
 // Client resolves a name at a directory, caches the addresses for their time to
 // live, and sends its requests to them in turn. It is not safe for concurrent use.
@@ -32,8 +32,8 @@
 
 	http      http.Client
 	addresses []string
-	next      int       // index of the last address used, not reduced
-	expiry    time.Time // of addresses
+	next      int       // number of requests sent; selects the address, modulo their number
+	expiry    time.Time // when addresses expire
 }
 
 // Request is one request of a client.
@@ -42,7 +42,7 @@
 	Method string
 	Path   string
 	Body   string
-	// Wait is how long the client waits for the answer; it is sent along.
+	// Wait is how long the client waits for the answer. It is sent in HeaderDeadline.
 	Wait time.Duration
 }
 
@@ -56,11 +56,11 @@
 	RetryAfter time.Duration
 	// Took is the time until the response was complete.
 	Took time.Duration
-	// Err is why there was no complete response.
+	// Err is the error that prevented a complete response.
 	Err error
 }
 
-// Do sends a request once. Any failure is in the Err of the answer.
+// Do sends a request once. It reports a failure in the Err field of the answer.
 func (c *Client) Do(ctx context.Context, request Request) Answer {
 	address, err := c.address(ctx)
 	if err != nil {
@@ -70,7 +70,7 @@
 	answer := c.send(ctx, address, request)
 	answer.Took = time.Since(started)
 	if answer.Status == 0 {
-		c.expiry = time.Time{} // resolves again before the next request
+		c.expiry = time.Time{} // makes the next request resolve the name again
 	}
 	return answer
 }
@@ -103,7 +103,8 @@
 	}
 }
 
-// address returns the next address in turn, after resolving again if they expired.
+// address returns the next address in turn. If the addresses have expired, it resolves
+// the name first.
 func (c *Client) address(ctx context.Context) (string, error) {
 	if time.Now().After(c.expiry) {
 		if err := c.resolve(ctx); err != nil {
@@ -114,13 +115,13 @@
 	return c.addresses[c.next%len(c.addresses)], nil
 }
 
-// resolution is an answer of a directory.
+// resolution is the answer of a directory to a query.
 type resolution struct {
 	Addresses  []string `json:"addresses"`
 	TTLSeconds float64  `json:"ttl_s"`
 }
 
-// resolve asks the directories in turn until one returns an address.
+// resolve queries the directories in turn until one returns an address.
 func (c *Client) resolve(ctx context.Context) error {
 	query := url.Values{"name": {c.Name}, "region": {c.Region}, "zone": {c.Zone}}
 	for _, directory := range c.Directories {
@@ -148,7 +149,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("standin: the directory answered %d", response.StatusCode)
+		return nil, fmt.Errorf("standin: directory responded with status %d", response.StatusCode)
 	}
 	var answer resolution
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
@@ -157,5 +158,5 @@
 	return &answer, nil
 }
 
-// Close ends the client's connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/internal/standin/platform/list.go
+++ b/internal/standin/platform/list.go
@@ -27,11 +27,11 @@
 
 	mutex   sync.Mutex
 	entries []*entry
-	calls   []time.Time // allowed ones of the last second, oldest first
+	calls   []time.Time // calls allowed within the last second, oldest first
 	refused int
 }
 
-// entry is one replica with the times at which changes of it become visible.
+// entry is one replica with the times at which its changes become visible in the list.
 type entry struct {
 	replica    *Replica
 	listedAt   time.Time // zero if listed from the start
@@ -39,7 +39,9 @@
 	removedAt  time.Time // zero if not removed
 }
 
-// NewList starts a list with the given replicas. The caller must stop it with Close.
+// NewList starts a list with the given replicas, whose changes become visible after lag.
+// It allows callsPerSecond calls, or any number if that is 0. The caller must stop the
+// list with Close.
 func NewList(lag time.Duration, callsPerSecond int, replicas ...*Replica) *List {
 	l := &List{lag: lag, rate: callsPerSecond}
 	for _, r := range replicas {
@@ -55,7 +57,7 @@
 // Close stops the list.
 func (l *List) Close() { l.server.Close() }
 
-// Refused returns the number of calls refused for the rate limit.
+// Refused returns the number of calls refused because of the rate limit.
 func (l *List) Refused() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -69,7 +71,7 @@
 	l.entries = append(l.entries, &entry{replica: r, listedAt: time.Now().Add(l.lag)})
 }
 
-// Drain lists a replica as draining: it must get no more requests.
+// Drain lists a replica as draining: clients must send it no more requests.
 func (l *List) Drain(id string) {
 	l.change(id, func(e *entry, visibleAt time.Time) { e.drainingAt = visibleAt })
 }
@@ -107,7 +109,7 @@
 	Next      *string    `json:"next_page_token"`
 }
 
-// replicaSlots is the number of slots that every replica is listed with.
+// replicaSlots is the number of slots that the list reports for every replica.
 const replicaSlots = 8
 
 // ServeHTTP implements http.Handler.
@@ -150,7 +152,7 @@
 	return true
 }
 
-// listed returns the list as it is visible now. The caller holds the mutex.
+// listed returns the entries of the list that are visible now. The caller holds the mutex.
 func (l *List) listed(now time.Time) []instance {
 	instances := []instance{}
 	for _, e := range l.entries {
@@ -173,5 +175,5 @@
 	return instances
 }
 
-// reached reports whether a time is set and not after now.
+// reached reports whether a time is set and has been reached.
 func reached(at, now time.Time) bool { return !at.IsZero() && !now.Before(at) }
--- a/internal/standin/platform/replica.go
+++ b/internal/standin/platform/replica.go
@@ -1,7 +1,7 @@
-// Package platform implements stand-ins for the platform of Kodovka Labs in tests:
-// its replicas, its list of them, and its clients. It has the platform's names, as
-// package platform at the root has, and shares no code with it, so that an error in
-// one shows against the other.
+// Package platform implements test doubles for the platform of Kodovka Labs: its
+// replicas, its list of replicas, and its clients. It uses the same names of headers and
+// fields as package platform at the root of the module, but shares no code with it, so
+// that an error in either one makes tests fail.
 package platform
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Headers of the platform.
+// HTTP headers and content type that the platform uses.
 const (
 	HeaderRequestID   = "X-Deckpulley-Request-Id"
 	HeaderDeadline    = "X-Deckpulley-Deadline-Ms"
@@ -32,30 +32,30 @@
 // StreamEvents is the number of events of a complete stream.
 const StreamEvents = 4
 
-// streamPath is the prefix of the paths that are answered by a stream.
+// streamPath is the prefix of the paths that are answered with a stream.
 const streamPath = "/stream/"
 
 // eventInterval is the time between two events of a stream.
 const eventInterval = 5 * time.Millisecond
 
-// Manner is how a replica answers a request.
+// Manner is the way in which a replica responds to a request.
 type Manner int
 
 // The manners of replicas.
 const (
-	// Plain responds as HTTP demands.
+	// Plain sends a regular response.
 	Plain Manner = iota
-	// Late responds after lateDelay.
+	// Late sends a regular response after lateDelay.
 	Late
 	// Early sends the response's headers before it has read the request's body.
 	Early
-	// Unframed sends no length: the end of the connection ends the response.
+	// Unframed sends no content length: the response ends when the connection is closed.
 	Unframed
 	// Twice sends its response a second time on the same connection.
 	Twice
 	// Cut closes the connection in the middle of the response.
 	Cut
-	// Refusing responds that it has not run the request.
+	// Refusing responds that the request was not executed.
 	Refusing
 )
 
@@ -72,12 +72,12 @@
 
 	mutex   sync.Mutex
 	runs    map[string]int // by request id
-	served  int            // requests, refused ones too
-	manners []Manner       // used in turn
+	served  int            // number of requests, including refused ones
+	manners []Manner       // used in turn, one for each request
 }
 
-// NewReplica starts a replica. Its manners are used in turn, one a request; without
-// any it is always Plain. The caller must stop it with Close.
+// NewReplica starts a replica. It uses the manners in turn, one for each request; without
+// any, it is always Plain. The caller must stop it with Close.
 func NewReplica(id, zone, service string, manners ...Manner) *Replica {
 	r := &Replica{ID: id, Zone: zone, Service: service, runs: make(map[string]int), manners: manners}
 	r.server = httptest.NewServer(r)
@@ -90,14 +90,15 @@
 // Close stops the replica.
 func (r *Replica) Close() { r.server.Close() }
 
-// Runs returns how often each request ran here, by its id.
+// Runs returns the number of times that this replica ran each request, by request id.
 func (r *Replica) Runs() map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return maps.Clone(r.runs)
 }
 
-// Served returns the number of requests that came here, refused ones included.
+// Served returns the number of requests that the replica received, including refused
+// ones.
 func (r *Replica) Served() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -154,13 +155,13 @@
 	}
 }
 
-// echo returns the body of a response that is no stream.
+// echo returns the body of a response that is not a stream.
 func echo(request *http.Request, body []byte) string {
 	return fmt.Sprintf("%s %s %s", request.Method, request.RequestURI, body)
 }
 
-// streamEvents sends the events after the last one that the client has received;
-// only the first of them if it is to break off.
+// streamEvents sends the events after the last one that the client has received. If
+// breakOff is set, it sends only the first of them and aborts the connection.
 func streamEvents(w http.ResponseWriter, request *http.Request, body []byte, breakOff bool) {
 	w.Header().Set("Content-Type", typeEvents)
 	last, _ := strconv.Atoi(request.Header.Get(headerLastEvent)) // 0 for none
@@ -174,7 +175,7 @@
 	}
 }
 
-// respondRaw responds in ways that net/http does not.
+// respondRaw sends responses that an HTTP handler of net/http cannot send.
 func (r *Replica) respondRaw(w http.ResponseWriter, id, text string, manner Manner) {
 	connection, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -200,10 +201,11 @@
 	_ = writer.Flush()
 }
 
-// lingerTimeout bounds how long a connection with a second response stays open.
+// lingerTimeout is the maximum time that a connection stays open after a second response.
 const lingerTimeout = time.Second
 
-// lingerUntilClosed waits until the client closes the connection.
+// lingerUntilClosed waits until the client closes the connection, for lingerTimeout at
+// most.
 func lingerUntilClosed(connection net.Conn) {
 	_ = connection.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, connection)
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -1,7 +1,7 @@
-// Package standin implements stand-ins for the parts of a fleet that the product
-// does not contain, over HTTP: replicas, which run the emulator in real time, serve
-// the interface of package api, show injected faults and log every event; and the
-// platform, which lists the replicas. Daemons never import it.
+// Package standin implements test doubles, over HTTP, for the parts of a fleet that are
+// not part of the product: replicas, which run the emulator in real time, serve the
+// interface of package api, support fault injection and log every event; and the
+// platform, which lists the replicas. The daemons do not import it.
 package standin
 
 import (
@@ -18,25 +18,25 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Paths of a replica's control interface, by which tests inject faults.
+// Paths of a replica's control interface, through which tests inject faults.
 const (
 	PathControlFault = "/control/fault" // POST Fault
 	PathControlDrain = "/control/drain" // POST DrainRequest
 	PathControlCold  = "/control/cold"  // POST, no body
 )
 
-// DrainRequest is the body of POST /control/drain of a replica. Without a body
-// the replica drains.
+// DrainRequest is the body of POST /control/drain of a replica. A request without a body
+// starts draining.
 type DrainRequest struct {
 	Draining bool `json:"draining"`
 }
 
-// Logger takes the events of a stand-in. *eventlog.Writer implements it.
+// Logger receives the events of a stand-in. *eventlog.Writer implements it.
 type Logger interface {
 	Write(eventlog.Event)
 }
 
-// discardLogger is a Logger that drops every event.
+// discardLogger is a Logger that discards every event.
 type discardLogger struct{}
 
 func (discardLogger) Write(eventlog.Event) {}
@@ -47,19 +47,20 @@
 	Service string
 	Zone    string
 	Region  string
-	// Incarnation identifies this start of the replica; empty for a random one.
+	// Incarnation identifies this start of the replica; if empty, a random one is used.
 	Incarnation string
 	Parameters  emulator.Parameters
 	Seed        uint64
 	Cold        bool
-	// Log takes the events; nil discards them.
+	// Log receives the events; nil discards them.
 	Log Logger
 	// Exit ends the process on FaultCrash. If it is nil, the server aborts every
-	// connection from then on.
+	// connection after a crash instead.
 	Exit func()
 }
 
-// Server is one replica. It is an http.Handler, so that one process can host many.
+// Server is one replica. It implements http.Handler, so that one process can host many
+// replicas.
 type Server struct {
 	config Config
 	log    Logger
@@ -71,15 +72,15 @@
 	stopped  chan struct{}
 	stopOnce sync.Once
 
-	// admission makes the check of a stamp and the start of its run atomic, so that
-	// no run of an older configuration begins after one of a newer.
+	// admission makes the check of a request's stamp and the start of its run atomic, so
+	// that no run placed by an older configuration starts after one placed by a newer.
 	admission sync.Mutex
 
 	mutex     sync.Mutex
 	version   uint64 // newest configuration version seen
-	reports   uint64 // reports made
-	runs      uint64 // runs begun
-	warmingUp bool   // as last observed; its end is logged once
+	reports   uint64 // number of reports so far
+	runs      uint64 // number of runs started
+	warmingUp bool   // as last observed; the end of the warm-up is logged once
 	draining  bool
 }
 
@@ -115,7 +116,7 @@
 	return hex.EncodeToString(random[:])
 }
 
-// Close stops the replica and waits for its engine. Requests in progress get no
+// Close stops the replica and waits for its engine. Requests in progress receive no
 // further events.
 func (s *Server) Close() {
 	s.stop()
@@ -141,7 +142,7 @@
 	}
 }
 
-// logEvent fills in the replica's names and logs the event.
+// logEvent adds the replica's id, service and location to the event and logs it.
 func (s *Server) logEvent(event eventlog.Event) {
 	event.Source = s.config.ID
 	event.Replica = s.config.ID
@@ -155,7 +156,7 @@
 	writeJSON(w, http.StatusOK, s.Report())
 }
 
-// Report returns the replica's report of its present state.
+// Report returns the replica's report of its current state.
 func (s *Server) Report() *api.ReplicaReport {
 	state := s.engine.state()
 	s.mutex.Lock()
@@ -181,7 +182,7 @@
 	}
 }
 
-// logWarmedUp logs once that the replica is warm. The caller holds the mutex.
+// logWarmedUp logs the end of a warm-up, once. The caller holds the mutex.
 func (s *Server) logWarmedUp(state emulator.State) {
 	if s.warmingUp && !state.Cold {
 		s.logEvent(eventlog.Event{Kind: eventlog.ReplicaWarm, Incarnation: s.config.Incarnation})
@@ -215,7 +216,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetDraining makes the replica refuse new requests, or accept them again.
+// SetDraining makes the replica refuse new requests, or accept them again. It logs a
+// change.
 func (s *Server) SetDraining(draining bool) {
 	s.engine.do(func(_ time.Duration, replica emulator.Replica) { replica.SetDraining(draining) })
 	s.mutex.Lock()
@@ -237,7 +239,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// MakeCold makes the replica cold: slow until it has warmed up again.
+// MakeCold makes the replica cold, so that it is slow until it has warmed up again.
 func (s *Server) MakeCold() {
 	s.engine.do(func(now time.Duration, replica emulator.Replica) { replica.MakeCold(now) })
 	s.mutex.Lock()
@@ -246,7 +248,8 @@
 	s.logEvent(eventlog.Event{Kind: eventlog.ReplicaFault, Incarnation: s.config.Incarnation, Detail: "cold"})
 }
 
-// crash stops the replica and, with Config.Exit, its process.
+// crash stops the replica and, if Config.Exit is set, ends the process. It does not
+// return.
 func (s *Server) crash() {
 	s.stop()
 	if s.config.Exit != nil {
@@ -255,7 +258,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// sleep waits. It returns false if ctx ended or the replica stopped before.
+// sleep waits for the given time. It returns false if ctx ended or the replica stopped
+// earlier.
 func (s *Server) sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -15,7 +15,7 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Details of a replica_ended event, beside the kinds of faults.
+// Details of a replica_ended event. For a run with a fault the detail is the FaultKind.
 const (
 	endedComplete = "whole"
 	endedCanceled = "canceled"
@@ -24,21 +24,22 @@
 // foreignRequestID is the request id in a response with FaultWrongID.
 const foreignRequestID = "foreign-request"
 
-// unboundedStall is the delay of a FaultStall without one, longer than any caller
+// unboundedStall is the length of a FaultStall without a delay: longer than any caller
 // waits.
 const unboundedStall = 24 * time.Hour
 
-// run is one execution of a request, and its response.
+// run is one execution of a request with its response.
 type run struct {
 	server   *Server
 	request  *api.ReplicaRequest
 	events   <-chan emulator.Event
 	identity identity
-	// job is the run's id in the engine and the log, also if the response has another.
+	// job is the run's id in the engine and the log, even if a fault puts another one
+	// into the response.
 	job string
-	// fault is the zero Fault for none.
+	// fault is the injected fault, the zero Fault if there is none.
 	fault Fault
-	// detail is how the run ended, for the log.
+	// detail describes how the run ended, for the log.
 	detail string
 }
 
@@ -53,8 +54,8 @@
 	r.respondJSON(ctx, w)
 }
 
-// end cancels what is left of the job and logs the end of the run. It is deferred,
-// since abort panics.
+// end cancels the job if it still runs, and logs the end of the run. Callers defer it,
+// because abort panics.
 func (r *run) end() {
 	r.server.engine.cancel(r.job)
 	event := r.server.requestEvent(eventlog.ReplicaEnded, r.request)
@@ -65,7 +66,7 @@
 	r.server.logEvent(event)
 }
 
-// logFault logs that the fault takes effect, and makes it the detail of the end.
+// logFault logs that the fault takes effect, and sets the detail of the run's end to it.
 func (r *run) logFault() {
 	r.detail = string(r.fault.Kind)
 	event := r.server.requestEvent(eventlog.ReplicaFault, r.request)
@@ -74,13 +75,13 @@
 	r.server.logEvent(event)
 }
 
-// abort breaks the connection. It does not return.
+// abort closes the connection without completing the response. It does not return.
 func (r *run) abort() {
 	panic(http.ErrAbortHandler)
 }
 
-// next waits for the run's next event. It returns false if the caller left or the
-// replica stopped.
+// next waits for the run's next event. It returns false if the caller canceled the
+// request or the replica stopped.
 func (r *run) next(ctx context.Context) (emulator.Event, bool) {
 	select {
 	case event := <-r.events:
@@ -94,8 +95,8 @@
 	return emulator.Event{}, false
 }
 
-// awaitEnd waits for the last event. It returns false if the caller left or the
-// replica stopped.
+// awaitEnd waits for the last event. It returns false if the caller canceled the request
+// or the replica stopped.
 func (r *run) awaitEnd(ctx context.Context) bool {
 	for {
 		event, ok := r.next(ctx)
@@ -135,7 +136,7 @@
 	r.sendJSON(w)
 }
 
-// sendJSON writes the response, truncated if the fault demands it.
+// sendJSON writes the response, incomplete if the fault requires it.
 func (r *run) sendJSON(w http.ResponseWriter) {
 	body, err := json.Marshal(r.answer())
 	if err != nil {
@@ -174,7 +175,7 @@
 	}
 }
 
-// write sends and flushes content. It aborts if the connection is gone.
+// write sends and flushes content. If the connection is broken, it aborts the run.
 func (r *run) write(w http.ResponseWriter, content []byte) {
 	if _, err := w.Write(content); err != nil {
 		r.detail = endedCanceled
@@ -193,8 +194,8 @@
 	r.server.crash()
 }
 
-// delay holds the response back for the fault's delay; a stall without one lasts
-// until the connection closes.
+// delay delays the response by the fault's delay. A stall without a delay lasts until the
+// connection is closed.
 func (r *run) delay(ctx context.Context) {
 	r.logFault()
 	wait := r.fault.delay()
@@ -206,8 +207,8 @@
 	}
 }
 
-// swapIdentity exchanges the run's identity for that of a concurrent request. It
-// changes nothing if there is none in time.
+// swapIdentity exchanges the run's identity with that of a concurrent request. It does
+// nothing if no such request arrives in time.
 func (r *run) swapIdentity(ctx context.Context) {
 	timeout := r.fault.delay()
 	if timeout == 0 {
@@ -221,7 +222,7 @@
 	r.identity = other
 }
 
-// fail responds with a server error after the fault's delay, though the request has
+// fail responds with a server error after the fault's delay, although the request has
 // run.
 func (r *run) fail(ctx context.Context, w http.ResponseWriter) {
 	r.logFault()
@@ -231,23 +232,23 @@
 	writeJSON(w, http.StatusInternalServerError, api.ErrorBody{Error: r.failure()})
 }
 
-// failure returns the error that a fault puts into a response.
+// failure returns the error that FaultError and FaultErrorInSuccess send.
 func (r *run) failure() *api.Error {
 	return &api.Error{
 		Code:      api.CodeReplicaError,
 		Outcome:   api.OutcomeFailed,
-		Message:   "told to fail after the run began",
+		Message:   "failed by an injected fault after the run began",
 		RequestID: r.request.RequestID,
 	}
 }
 
-// vocabulary has the words of generated text.
+// vocabulary contains the words of generated text.
 var vocabulary = []string{
 	"amber", "birch", "cedar", "delta", "ember", "fjord", "grove", "harbor",
 	"inlet", "jasper", "kelp", "ledge", "marsh", "north", "ochre", "pebble",
 }
 
-// tokenText returns the text of one token of a run: the same for the same token.
+// tokenText returns the text of a token. It depends only on the run and the index.
 func tokenText(run string, index int) string {
 	hash := fnv.New32a()
 	hash.Write([]byte(run))
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -29,7 +29,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// memoryLog is a Logger that keeps its events.
+// memoryLog is a Logger that stores its events in memory.
 type memoryLog struct {
 	mutex  sync.Mutex
 	events []eventlog.Event
@@ -109,7 +109,7 @@
 	return http.DefaultClient.Do(post)
 }
 
-// outcome is what a client sees of one response.
+// outcome is the response to one request as the client received it.
 type outcome struct {
 	status    int
 	answer    api.GenerateAnswer
@@ -117,7 +117,8 @@
 	sequences []int
 	identity  string
 	end       *api.StreamEnd
-	// broken is the error of reading the response; nil after a regular end.
+	// broken is the error from sending the request or reading the response; nil if the
+	// response ended regularly.
 	broken error
 }
 
@@ -180,6 +181,8 @@
 	}
 }
 
+// TestInjectedFaults checks the response and the logged events for each kind of fault, and
+// that a fault affects one request only.
 func TestInjectedFaults(t *testing.T) {
 	const tokens = 6
 	broken := func(o outcome) bool { return o.broken != nil }
@@ -219,18 +222,18 @@
 				fault := Fault{Kind: test.kind, AfterEvents: 2, DelayMS: 5}
 				response, err := post(t.Context(), url+PathControlFault, fault)
 				if err != nil || response.StatusCode != http.StatusNoContent {
-					t.Fatalf("injecting the fault: %v, %v", response, err)
+					t.Fatalf("injecting the fault: response %v, error %v", response, err)
 				}
 				response.Body.Close()
 			}
 			seen := generate(t.Context(), url, request("r", test.stream, tokens))
 			if !test.check(seen) {
-				t.Errorf("seen %+v", seen)
+				t.Errorf("unexpected outcome %+v", seen)
 			}
 			executed := log.find(eventlog.ReplicaExecuted, "r")
 			if test.ended == "" {
 				if len(executed) != 0 || len(log.find(eventlog.ReplicaRefused, "r")) != 1 {
-					t.Errorf("refused, but executed %v", executed)
+					t.Errorf("refused request was executed or its refusal not logged once; executions: %v", executed)
 				}
 				return
 			}
@@ -243,7 +246,7 @@
 			}
 			again := generate(t.Context(), url, request("again", test.stream, tokens))
 			if again.broken != nil || again.identity != "again" {
-				t.Errorf("the fault took effect twice: %+v", again)
+				t.Errorf("fault affected a second request: %+v", again)
 			}
 		})
 	}
@@ -260,11 +263,13 @@
 		}
 		group.Wait()
 		if seen[0].identity != "second" || seen[1].identity != "first" {
-			t.Errorf("stream %v: got answers of %q and %q, want them swapped", stream, seen[0].identity, seen[1].identity)
+			t.Errorf("stream=%v: requests first and second got the answers of %q and %q, want them swapped", stream, seen[0].identity, seen[1].identity)
 		}
 	}
 }
 
+// TestRefusedRequestsNeverRun sends a request that must be refused while another one runs.
+// It also checks that the running request ends when its caller cancels it.
 func TestRefusedRequestsNeverRun(t *testing.T) {
 	slow := func(parameters *emulator.Parameters) {
 		parameters.DecodeStepMS = 60_000
@@ -283,7 +288,7 @@
 		{"queue full", func(*Server, *api.ReplicaRequest) {}, 429, api.CodeOverloaded},
 		{"no time left", func(_ *Server, r *api.ReplicaRequest) { r.TimeLeftMS = 0 }, 504, api.CodeDeadline},
 		{"no tokens", func(_ *Server, r *api.ReplicaRequest) { r.MaxTokens = 0 }, 400, api.CodeInvalid},
-		{"beyond the cache", func(_ *Server, r *api.ReplicaRequest) { r.PromptTokens = 500_000 }, 413, api.CodeTooLarge},
+		{"larger than the cache", func(_ *Server, r *api.ReplicaRequest) { r.PromptTokens = 500_000 }, 413, api.CodeTooLarge},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -296,26 +301,28 @@
 			test.prepare(server, &refused)
 			seen := generate(t.Context(), url, refused)
 			if seen.status != test.status || seen.failure == nil || seen.failure.Code != test.code || seen.failure.Outcome != api.OutcomeRefused {
-				t.Errorf("seen %+v, want status %d and code %s", seen, test.status, test.code)
+				t.Errorf("outcome = %+v, want a refusal with status %d and code %s", seen, test.status, test.code)
 			}
 			if executed := log.find(eventlog.ReplicaExecuted, "refused"); len(executed) != 0 {
-				t.Errorf("executed %+v", executed)
+				t.Errorf("refused request was executed: %+v", executed)
 			}
 			if events := log.find(eventlog.ReplicaRefused, "refused"); len(events) != 1 || events[0].Version != refused.Stamp.ConfigurationVersion {
-				t.Errorf("logged refusals: %+v", events)
+				t.Errorf("logged refusals = %+v, want one with the request's configuration version", events)
 			}
 			cancel()
 			group.Wait()
 			if ended := log.await(eventlog.ReplicaEnded, "running"); ended.Detail != endedCanceled {
-				t.Errorf("a request whose caller left ended %q, want %q", ended.Detail, endedCanceled)
+				t.Errorf("canceled request ended with detail %q, want %q", ended.Detail, endedCanceled)
 			}
 			if report := server.Report(); report.Running+report.Queued != 0 || report.ConfigurationVersion != 5 {
-				t.Errorf("report after the cancellation: %+v", report)
+				t.Errorf("report after the cancellation = %+v, want no requests and configuration version 5", report)
 			}
 		})
 	}
 }
 
+// TestPlatformSendsListUntilAcknowledged checks that the platform tries the nodes in turn
+// until one acknowledges the list, and sends it again after a change.
 func TestPlatformSendsListUntilAcknowledged(t *testing.T) {
 	received := make(chan api.ReplicaList, 10)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -347,29 +354,29 @@
 		t.Fatal(err)
 	}
 	if list := <-received; len(list.Replicas) != 2 || list.Replicas[1].Address != "127.0.0.1:2" || list.Replicas[1].Draining {
-		t.Errorf("list = %+v", list)
+		t.Errorf("list = %+v, want m1 and m2, not draining", list)
 	}
 	control := httptest.NewServer(platform)
 	defer control.Close()
 	response, err := post(t.Context(), control.URL+PathPlatformDrain, PlatformDrainRequest{Replica: "m2", Draining: true})
 	if err != nil || response.StatusCode != http.StatusNoContent {
-		t.Fatalf("drain: %v, %v", response, err)
+		t.Fatalf("drain: response %v, error %v", response, err)
 	}
 	response.Body.Close()
 	if list := <-received; list.Replicas[0].Draining || !list.Replicas[1].Draining {
-		t.Errorf("list = %+v, want m2 alone draining", list)
+		t.Errorf("list = %+v, want only m2 draining", list)
 	}
 	if event := log.await(eventlog.PlatformDrain, ""); event.Replica != "m2" {
-		t.Errorf("event = %+v", event)
+		t.Errorf("event = %+v, want replica m2", event)
 	}
 	if err := platform.SetDraining(t.Context(), "m3", true); err == nil {
-		t.Error("an unlisted replica was drained")
+		t.Error("SetDraining accepted an unlisted replica")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	platform.config.Control = platform.config.Control[:1]
 	if err := platform.Reload(ctx); err == nil {
-		t.Error("a list that nobody acknowledged counted as acknowledged")
+		t.Error("Reload succeeded although no node acknowledged the list")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -11,7 +11,7 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// respondStream sends the events of the run as they come.
+// respondStream sends the events of the run as server-sent events when they occur.
 func (r *run) respondStream(ctx context.Context, w http.ResponseWriter) {
 	if r.fault.Kind == FaultError {
 		r.fail(ctx, w)
@@ -39,16 +39,16 @@
 	}
 }
 
-// streamAction is what becomes of an event of a stream.
+// streamAction is how respondStream handles an event.
 type streamAction uint8
 
 const (
-	sendEvent streamAction = iota // as without a fault
-	omitEvent                     // leave it out and go on
-	endStream                     // leave it out and end the response
+	sendEvent streamAction = iota // send the event
+	omitEvent                     // omit the event and continue
+	endStream                     // omit the event and end the response
 )
 
-// beforeEvent lets the fault take effect if it is due before this event.
+// beforeEvent injects the fault if it is due before this event.
 func (r *run) beforeEvent(ctx context.Context, w http.ResponseWriter, event emulator.Event) streamAction {
 	last := event.Kind == emulator.EventEnd
 	if last && r.fault.Kind == FaultBreakBeforeEnd {
@@ -61,8 +61,8 @@
 	return r.injectFault(ctx, w, event)
 }
 
-// injectFault lets the fault take effect, once, before an event is sent.
-// FaultBreakBeforeEnd stays for beforeEvent.
+// injectFault injects the fault, once, before an event is sent. It ignores
+// FaultBreakBeforeEnd, which beforeEvent handles.
 func (r *run) injectFault(ctx context.Context, w http.ResponseWriter, event emulator.Event) streamAction {
 	switch r.fault.Kind {
 	case FaultCrash:
@@ -101,7 +101,7 @@
 	return sendEvent
 }
 
-// encode returns the server-sent event of a token or of the end.
+// encode returns the server-sent event for a token or for the end of the run.
 func (r *run) encode(event emulator.Event) []byte {
 	if event.Kind == emulator.EventEnd {
 		return r.encodeEnd(event)
--- a/internal/standin/swap.go
+++ b/internal/standin/swap.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// identity is the part of a response that ties it to one request and run.
+// identity is the part of a response that identifies its request and run.
 type identity struct {
 	request string
 	run     string
@@ -20,14 +20,14 @@
 	waiting *swapPartner // nil if no request waits
 }
 
-// swapPartner is a request that waits for another.
+// swapPartner is a request that waits for another one to swap identities with.
 type swapPartner struct {
 	own   identity
 	other chan identity // buffered, so that the other request never blocks
 }
 
-// exchange waits for another request and returns its identity. It returns false if
-// none came within the timeout.
+// exchange swaps identities with another request and returns the other one's. It returns
+// false if no other request calls it within the timeout.
 func (s *identitySwap) exchange(ctx context.Context, own identity, timeout time.Duration) (identity, bool) {
 	s.mutex.Lock()
 	if partner := s.waiting; partner != nil {
@@ -50,7 +50,8 @@
 	return s.withdraw(partner)
 }
 
-// withdraw removes a partner, unless another request has just taken it.
+// withdraw removes a waiting partner. If another request has just swapped with it, it
+// returns the identity of that request instead.
 func (s *identitySwap) withdraw(partner *swapPartner) (identity, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
