--- a/internal/simulation/batch.go
+++ b/internal/simulation/batch.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// ForEach calls work with every position from 0 to count-1, from the given number of
+// ForEach calls work for every position from 0 to count-1 on the given number of worker
 // goroutines, and waits until all calls have returned.
 func ForEach(count, workers int, work func(position int)) {
 	positions := make(chan int)
@@ -21,8 +21,8 @@
 	group.Wait()
 }
 
-// RunBatch runs count histories with consecutive seeds from firstSeed on. It passes each
-// result to visit, one at a time and in no particular order.
+// RunBatch runs count histories with consecutive seeds, beginning with firstSeed. It calls
+// visit with each result, one at a time and in no particular order.
 func RunBatch(firstSeed uint64, count, workers int, options Options, visit func(Result)) {
 	var mutex sync.Mutex
 	ForEach(count, workers, func(position int) {
@@ -33,10 +33,10 @@
 	})
 }
 
-// Summary is the sum of results. The zero value is empty.
+// Summary aggregates the results of histories. The zero value is empty.
 type Summary struct {
 	Histories int
-	// Total has the sums of the counters; its Seed and Violation are not set.
+	// Total contains the sum of each counter; its Seed and Violation are not set.
 	Total Result
 	// Failures lists the results with a violation.
 	Failures []Result
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -24,8 +24,8 @@
 	elections []election
 	// writtenEntries holds every entry that was ever written to a disk.
 	writtenEntries map[logPosition]writtenEntry
-	// committedLog holds the committed entries as first applied; the position is the
-	// index, and position 0 is unused.
+	// committedLog holds the committed entries as they were first applied, by their index
+	// in the log; element 0 is unused.
 	committedLog []committedEntry
 	// committedAnswers holds the answers in the committed state, by operation id.
 	committedAnswers map[string]answer
@@ -33,7 +33,7 @@
 	serialInForce uint32
 	// acknowledgedAnswers holds the answers that were sent to operators, by operation id.
 	acknowledgedAnswers map[string]answer
-	// history has the answered operations, for the check of linearizability.
+	// history holds the answered operations, for the linearizability check.
 	history []porcupine.Operation
 }
 
@@ -43,8 +43,8 @@
 	at   time.Duration
 }
 
-// writtenEntry describes an entry on a disk. previousTerm is the term of the entry before
-// it, 0 if unknown.
+// writtenEntry describes an entry on a disk. previousTerm is the term of the preceding
+// entry, 0 if unknown.
 type writtenEntry struct {
 	entryDigest  uint64
 	previousTerm uint64
@@ -56,8 +56,8 @@
 	entryDigest uint64
 	stateDigest uint64
 	serial      uint32
-	// commitTerm is the term of the machine that first applied the entry, by when the
-	// entry was committed.
+	// commitTerm is the term of the machine that first applied the entry. The entry was
+	// committed in this term or an earlier one.
 	commitTerm uint64
 }
 
@@ -72,8 +72,9 @@
 	}
 }
 
-// groupFormed records the first membership, which is the entry at index 1 in term 1.
-func (c *checks) groupFormed(group consensus.Membership) {
+// recordInitialMembership records the first membership, which is the entry at index 1 of
+// term 1.
+func (c *checks) recordInitialMembership(group consensus.Membership) {
 	for position, member := range group.Members {
 		c.assignDisk(member.ID, c.world.machines[position])
 	}
@@ -86,7 +87,8 @@
 	c.diskOwners[identity] = m
 }
 
-// machineOf returns the machine that has, or had, a disk. It is nil for an unknown one.
+// machineOf returns the machine that has, or had, a disk. It returns nil if the identity
+// is unknown.
 func (c *checks) machineOf(identity consensus.ID) *machine {
 	return c.diskOwners[identity]
 }
@@ -105,7 +107,7 @@
 }
 
 // observeLeadership checks RuleElectionSafety, and for a new leader
-// RuleLeaderCompleteness. It runs after each step of a machine.
+// RuleLeaderCompleteness. It is called after each step of a machine.
 func (c *checks) observeLeadership(m *machine) {
 	term, leading := m.node.Leadership()
 	if !leading {
@@ -145,11 +147,11 @@
 			return
 		}
 	}
-	c.world.recordViolation(RuleLeaderCompleteness, "%s leads in term %d without index %d of term %d", m.name, term, index, c.committedLog[index].term)
+	c.world.recordViolation(RuleLeaderCompleteness, "%s leads in term %d without the committed entry at index %d of term %d", m.name, term, index, c.committedLog[index].term)
 }
 
-// checkContact checks RuleQuorumContact: the quorum contact that a leader reports is never
-// later than the election of a successor.
+// checkContact checks RuleQuorumContact: a leader never reports a quorum contact that is
+// later than the election of a leader of a higher term.
 func (c *checks) checkContact(m *machine, term uint64) {
 	contact, known := m.node.QuorumContact()
 	if !known {
@@ -158,7 +160,7 @@
 	at := m.worldTime(contact)
 	for _, successor := range c.elections {
 		if successor.term > term && at > successor.at+clockResolution {
-			c.world.recordViolation(RuleQuorumContact, "%s of term %d reports a contact at %v, after the election of term %d at %v",
+			c.world.recordViolation(RuleQuorumContact, "%s of term %d reports a quorum contact at %v, after the election of term %d at %v",
 				m.name, term, at, successor.term, successor.at)
 		}
 	}
@@ -181,7 +183,7 @@
 		differs := before.entryDigest != written.entryDigest ||
 			before.previousTerm != 0 && written.previousTerm != 0 && before.previousTerm != written.previousTerm
 		if differs {
-			c.world.recordViolation(RuleLogMatching, "%s holds another entry at index %d of term %d", m.name, entry.Index, entry.Term)
+			c.world.recordViolation(RuleLogMatching, "%s has a different entry at index %d of term %d", m.name, entry.Index, entry.Term)
 		}
 		if before.previousTerm == 0 {
 			c.writtenEntries[key] = written
@@ -196,30 +198,31 @@
 	if entry.Index <= c.commitIndex() {
 		first := c.committedLog[entry.Index]
 		if first.term != entry.Term || first.entryDigest != content {
-			c.world.recordViolation(RuleStateMachineSafety, "%s applied index %d of term %d, first applied of term %d", m.name, entry.Index, entry.Term, first.term)
+			c.world.recordViolation(RuleStateMachineSafety, "%s applied a different entry at index %d: its term is %d, the term of the first one %d", m.name, entry.Index, entry.Term, first.term)
 		} else if first.stateDigest != digest {
-			c.world.recordViolation(RuleStateMachineSafety, "%s has another state after index %d", m.name, entry.Index)
+			c.world.recordViolation(RuleStateMachineSafety, "%s has a different state after index %d", m.name, entry.Index)
 		}
 		return
 	}
 	if entry.Index != c.commitIndex()+1 {
-		c.world.recordViolation(RuleStateMachineSafety, "%s applied index %d after %d", m.name, entry.Index, c.commitIndex())
+		c.world.recordViolation(RuleStateMachineSafety, "%s applied index %d, but the highest applied index is %d", m.name, entry.Index, c.commitIndex())
 		return
 	}
 	term, _ := m.node.Leadership()
 	previous := c.committedLog[c.commitIndex()]
 	if digest != previous.stateDigest && m.state.serial() <= previous.serial {
-		c.world.recordViolation(RuleSerialIncrease, "index %d changed the state, serial %d after %d", entry.Index, m.state.serial(), previous.serial)
+		c.world.recordViolation(RuleSerialIncrease, "index %d changed the state, but the serial is %d after %d", entry.Index, m.state.serial(), previous.serial)
 	}
 	if m.state.serial() < previous.serial {
-		c.world.recordViolation(RuleSerialIncrease, "serial %d after %d", m.state.serial(), previous.serial)
+		c.world.recordViolation(RuleSerialIncrease, "serial decreased to %d from %d", m.state.serial(), previous.serial)
 	}
 	c.committedLog = append(c.committedLog, committedEntry{entry.Term, content, digest, m.state.serial(), term})
 	c.world.result.Committed++
 	c.recordAnswers(m, entry)
 }
 
-// recordAnswers checks RuleSingleAnswer for the answers that an entry brought.
+// recordAnswers checks RuleSingleAnswer for the answers that an entry contains, and records
+// them as committed.
 func (c *checks) recordAnswers(m *machine, entry consensus.Entry) {
 	if entry.Kind != consensus.EntryNormal {
 		return
@@ -246,19 +249,20 @@
 // snapshotRestored checks the state after a snapshot was restored.
 func (c *checks) snapshotRestored(m *machine, snapshot consensus.Snapshot) {
 	if snapshot.Index > c.commitIndex() {
-		c.world.recordViolation(RuleStateMachineSafety, "%s restored a snapshot at %d, committed is %d", m.name, snapshot.Index, c.commitIndex())
+		c.world.recordViolation(RuleStateMachineSafety, "%s restored a snapshot at index %d, but the commit index is %d", m.name, snapshot.Index, c.commitIndex())
 		return
 	}
 	first := c.committedLog[snapshot.Index]
 	if first.term != snapshot.Term || first.stateDigest != m.state.digest() {
-		c.world.recordViolation(RuleStateMachineSafety, "%s restored another state at index %d", m.name, snapshot.Index)
+		c.world.recordViolation(RuleStateMachineSafety, "%s restored a different state at index %d", m.name, snapshot.Index)
 	}
 }
 
-// answerAcknowledged checks an answer when a machine sends it.
+// answerAcknowledged checks an answer that a machine sends: it must be committed, and equal
+// to every answer that was sent for the operation before.
 func (c *checks) answerAcknowledged(m *machine, id string, given answer) {
 	if committed, known := c.committedAnswers[id]; !known || committed != given {
-		c.world.recordViolation(RuleDurability, "%s acknowledged order %s with %+v, committed is %+v", m.name, id, given, committed)
+		c.world.recordViolation(RuleDurability, "%s acknowledged order %s with %+v, but the committed answer is %+v", m.name, id, given, committed)
 	}
 	if first, known := c.acknowledgedAnswers[id]; known && first != given {
 		c.world.recordViolation(RuleSingleAnswer, "order %s was answered %+v, then %+v", id, first, given)
@@ -267,8 +271,8 @@
 	c.world.afterAnswer(m)
 }
 
-// serialReported checks all gateways against the serial that a primary has just reported
-// as in force.
+// serialReported checks all gateways against a serial that a primary has just reported to
+// be in force.
 func (c *checks) serialReported(serial uint32) {
 	if serial <= c.serialInForce {
 		return
@@ -285,7 +289,7 @@
 // place one. Serials are compared as numbers, since they never wrap in a history.
 func (c *checks) checkPlacement(g *gateway) {
 	if g.activeSerial < c.serialInForce {
-		c.world.recordViolation(RuleSerialInForce, "%s acts on serial %d, %d was reported in force", g.name, g.activeSerial, c.serialInForce)
+		c.world.recordViolation(RuleSerialInForce, "%s acts on serial %d, but serial %d was reported to be in force", g.name, g.activeSerial, c.serialInForce)
 	}
 }
 
@@ -301,20 +305,21 @@
 			continue
 		}
 		if m.node == nil || m.applied != w.checks.commitIndex() || m.state.digest() != last.stateDigest {
-			w.recordViolation(RuleStateMachineSafety, "%s ends at index %d, committed is %d", m.name, m.applied, w.checks.commitIndex())
+			w.recordViolation(RuleStateMachineSafety, "%s ends at applied index %d with commit index %d, or in a different state", m.name, m.applied, w.checks.commitIndex())
 			return
 		}
-		w.checkAnswersKept(m)
+		w.checkAnswersStored(m)
 	}
 	w.checks.checkLinearizability()
 }
 
-// checkAnswersKept checks that a machine's state has every answer that an operator got.
-func (w *world) checkAnswersKept(m *machine) {
+// checkAnswersStored checks that a machine's state contains every answer that an operator
+// received.
+func (w *world) checkAnswersStored(m *machine) {
 	for _, o := range w.operators {
 		for id, given := range o.answers {
 			if stored, _ := m.state.answer(id); stored != given {
-				w.recordViolation(RuleDurability, "%s holds %+v for order %s, its operator was told %+v", m.name, stored, id, given)
+				w.recordViolation(RuleDurability, "%s stores answer %+v to order %s, but its operator received %+v", m.name, stored, id, given)
 			}
 		}
 	}
--- a/internal/simulation/crashes.go
+++ b/internal/simulation/crashes.go
@@ -6,7 +6,7 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// This file has the faults that stop a machine for some time.
+// This file contains the faults that stop a machine temporarily.
 
 func (w *world) crashMachine() {
 	m := w.pickTarget()
@@ -44,8 +44,8 @@
 	w.schedule(w.between(minFreeze, maxFreeze), m.unfreeze)
 }
 
-// stallMachine makes a machine stop after its next write, before it sends the messages
-// that depend on it: a slow write, or a freeze right after one.
+// stallMachine makes a machine freeze after its next write and before it sends the messages
+// that depend on the write, as a slow write does.
 func (w *world) stallMachine() {
 	if m := w.pickTarget(); m.up() {
 		m.plannedStall = w.between(minFreeze, pick(w, []time.Duration{2 * minFreeze, maxFreeze}))
--- a/internal/simulation/disks.go
+++ b/internal/simulation/disks.go
@@ -6,13 +6,13 @@
 	"github.com/deckpulley/deckpulley/internal/defect"
 )
 
-// This file has the faults that lose a disk or replace a machine.
+// This file contains the faults that lose a disk or replace a machine.
 
-// mayLoseDisk reports whether some leader reports a complete group, so that the group
-// must tolerate the loss of a disk.
+// mayLoseDisk reports whether some machine leads a complete group that contains no lost
+// disk. Only then must the group tolerate the loss of a disk.
 func (w *world) mayLoseDisk() bool {
 	for _, m := range w.machines {
-		if m.isRepaired() && !w.hasLostMember(m) {
+		if m.leadsCompleteGroup() && !w.hasLostMember(m) {
 			return true
 		}
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-// wipeDisk crashes a machine and replaces its disk by an empty one with a new identity.
+// wipeDisk crashes a machine and replaces its disk with an empty one with a new identity.
 // The machine restarts later at the same address.
 func (w *world) wipeDisk(m *machine, kind FaultKind) {
 	if m.removed {
@@ -63,7 +63,8 @@
 	return replacedBy(m.node.Status().Membership, m.joinRequest()) < 0
 }
 
-// replaceMachine removes a machine for good and starts another one at a new address.
+// replaceMachine removes a machine permanently and later starts another one at a new
+// address.
 func (w *world) replaceMachine() {
 	if !w.mayLoseDisk() {
 		return
@@ -80,7 +81,7 @@
 	w.schedule(w.between(minDowntime, maxDowntime), replacement.restart)
 }
 
-// newReplacement makes a stopped machine at a new address that replaces another one.
+// newReplacement creates a stopped machine at a new address that replaces another one.
 func (w *world) newReplacement(old *machine) *machine {
 	w.namesIssued++
 	replacement := w.newMachine(fmt.Sprintf("control-%d", w.namesIssued), old.name)
@@ -89,8 +90,9 @@
 	return replacement
 }
 
-// swapMachine starts a machine that is to replace one that still runs.
-func (w *world) swapMachine() {
+// replaceRunningMachine starts a machine that replaces another one, which runs until the
+// replacement is complete.
+func (w *world) replaceRunningMachine() {
 	if !w.mayLoseDisk() {
 		return
 	}
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -8,7 +8,7 @@
 // event is a function that runs at one moment of virtual time.
 type event struct {
 	at time.Duration // since the start of the history
-	// sequence is the number of the call of schedule that made the event.
+	// sequence numbers the events in the order in which they were scheduled.
 	sequence uint64
 	run      func()
 }
@@ -45,13 +45,14 @@
 	sequence uint64
 }
 
-// schedule adds an event that happens after the delay.
+// schedule adds an event that runs after the delay.
 func (w *world) schedule(delay time.Duration, run func()) {
 	w.queue.sequence++
 	heap.Push(&w.queue.events, event{at: w.now + delay, sequence: w.queue.sequence, run: run})
 }
 
-// runUntil runs the events up to a time or to the first violation, and sets the time.
+// runUntil runs the events until the given time or the first violation, and then advances
+// the virtual time to the given one.
 func (w *world) runUntil(end time.Duration) {
 	for len(w.queue.events) > 0 && !w.violated() {
 		if w.queue.events[0].at > end {
@@ -62,8 +63,8 @@
 	w.now = max(w.now, end)
 }
 
-// runUntilRecovered runs events until the service has recovered. Not having recovered
-// at the limit violates RuleProgress.
+// runUntilRecovered runs events until the service has recovered. It records a violation of
+// RuleProgress if the service has not recovered at the limit.
 func (w *world) runUntilRecovered(limit time.Duration) {
 	for !w.violated() && w.now < limit {
 		if w.recovered() {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -6,31 +6,31 @@
 	"github.com/deckpulley/deckpulley/consensus"
 )
 
-// FaultKind is the kind of an injected fault, as reports show it.
+// FaultKind is the kind of an injected fault. The text is shown in reports.
 type FaultKind string
 
 // The kinds of injected faults.
 const (
 	FaultCrash                FaultKind = "crash"
-	FaultCrashAtWrite         FaultKind = "crash around a write"
+	FaultCrashAtWrite         FaultKind = "crash before or after a write"
 	FaultCrashAll             FaultKind = "crash of all machines"
 	FaultFreeze               FaultKind = "freeze"
-	FaultStallBeforeSend      FaultKind = "stop between disk and network"
-	FaultBlockOneWay          FaultKind = "one-way cut"
-	FaultIsolate              FaultKind = "two-way cut of a machine"
-	FaultLossyNetwork         FaultKind = "loss, doubling and reordering"
+	FaultStallBeforeSend      FaultKind = "stall between disk write and send"
+	FaultBlockOneWay          FaultKind = "one-way partition"
+	FaultIsolate              FaultKind = "two-way partition of a machine"
+	FaultLossyNetwork         FaultKind = "message loss, duplication and reordering"
 	FaultWipe                 FaultKind = "wiped disk"
 	FaultWipeAfterAnswer      FaultKind = "disk of the primary wiped after an answer"
 	FaultReplace              FaultKind = "replacement at a new address"
 	FaultTransfer             FaultKind = "leadership transfer"
 	FaultCrashAfterVote       FaultKind = "crash right after a vote"
-	FaultAfterElection        FaultKind = "crash or cut right after an election"
-	FaultBlockedAtFirstCommit FaultKind = "leader cut off at its first commit"
+	FaultAfterElection        FaultKind = "crash or partition right after an election"
+	FaultBlockedAtFirstCommit FaultKind = "leader partitioned at its first commit"
 	FaultSplit                FaultKind = "group split in two"
 	FaultPlannedReplace       FaultKind = "planned replacement of a running machine"
 	FaultGatewayFreeze        FaultKind = "gateway frozen"
 	FaultGatewayRestart       FaultKind = "gateway restarted"
-	FaultGatewayIsolate       FaultKind = "gateway cut off"
+	FaultGatewayIsolate       FaultKind = "gateway partitioned"
 )
 
 // Bounds of the intervals between faults and of their durations, and the worst
@@ -51,29 +51,29 @@
 	maxTailDelay     = 400 * time.Millisecond
 	// maxWritesAhead bounds the number of writes until a scheduled crash.
 	maxWritesAhead = 6
-	// wipeAfterAnswerProbability is the probability that the loss of the primary's disk
-	// follows an answer.
+	// wipeAfterAnswerProbability is the probability that the primary's disk is wiped after
+	// an answer.
 	wipeAfterAnswerProbability = 0.3
 	maxWipeDelay               = 50 * time.Millisecond
 )
 
-// blockedShares are the fractions of the other machines that a leader no longer reaches
-// after a fault of its outgoing links.
-var blockedShares = []float64{0.5, 1}
+// blockProbabilities are the probabilities with which a fault of a leader's outgoing links
+// blocks the link to each other machine.
+var blockProbabilities = []float64{0.5, 1}
 
-// intervalFactors multiply the intervals between faults. One is drawn for each history:
-// with the shortest intervals the group is rarely complete, so that few disks may be
-// lost.
+// intervalFactors multiply the intervals between faults. One is drawn for each history.
+// Longer intervals are needed because with the shortest ones the group is rarely complete,
+// so that few disks may be lost.
 var intervalFactors = []time.Duration{1, 2, 4, 8}
 
-// faultPlan is the state of the fault injector.
+// faultPlan is the configuration and state of fault injection in one history.
 type faultPlan struct {
 	// intervalFactor and the probabilities are drawn for each history.
 	intervalFactor           time.Duration
 	voteCrashProbability     float64
 	electionFaultProbability float64
 	changeSplitProbability   float64
-	// voterCount is the number of voters that a complete group has.
+	// voterCount is the number of voters of a complete group.
 	voterCount int
 	end        time.Duration
 	// lostDisks is the set of identities whose disks were lost.
@@ -88,7 +88,7 @@
 	inject func()
 }
 
-// startFaults draws the fault plan and injects faults until the end.
+// startFaults draws the fault plan and injects faults until the given time.
 func (w *world) startFaults(end time.Duration) {
 	w.faults.end = end
 	w.faults.intervalFactor = pick(w, intervalFactors)
@@ -109,7 +109,7 @@
 		{FaultReplace, 5, w.replaceMachine},
 		{FaultTransfer, 4, w.transferLeadership},
 		{FaultSplit, 6, w.splitGroup},
-		{FaultPlannedReplace, 14, w.swapMachine},
+		{FaultPlannedReplace, 14, w.replaceRunningMachine},
 		{FaultGatewayFreeze, 5, w.freezeGateway},
 		{FaultGatewayRestart, 5, w.restartGateway},
 		{FaultGatewayIsolate, 5, w.isolateGateway},
@@ -117,7 +117,7 @@
 	w.scheduleFault()
 }
 
-// scheduleFault injects a fault after a random interval, and again until the end.
+// scheduleFault injects faults at random intervals until the end of the fault plan.
 func (w *world) scheduleFault() {
 	w.schedule(w.faults.intervalFactor*w.between(minFaultInterval, maxFaultInterval), func() {
 		if w.now >= w.faults.end {
@@ -128,7 +128,7 @@
 	})
 }
 
-// injectFault injects a fault drawn by weight.
+// injectFault injects one fault, drawn with probabilities proportional to the weights.
 func (w *world) injectFault() {
 	total := 0
 	for _, choice := range w.faults.injectors {
@@ -148,7 +148,7 @@
 	w.result.Faults[kind]++
 }
 
-// activeMachines returns the machines that were not removed, running or not.
+// activeMachines returns the machines that have not been removed, whether they run or not.
 func (w *world) activeMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
@@ -159,8 +159,8 @@
 	return present
 }
 
-// pickTarget draws a machine for a fault. It prefers the leader, where faults have the
-// most effect.
+// pickTarget draws a machine for a fault. It prefers the leader, because faults have the
+// most effect there.
 func (w *world) pickTarget() *machine {
 	if leader := w.leader(); leader != nil && w.chance(0.4) {
 		return leader
--- a/internal/simulation/followups.go
+++ b/internal/simulation/followups.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// This file has the faults that follow directly on something that a machine did: a vote,
-// an election, a commit, a change of the membership or an answer. They hit the moments
-// at which a guarantee depends on few machines.
+// This file contains the faults that are triggered by an action of a machine: a vote, an
+// election, a commit, a change of the membership or an answer. At these times a guarantee
+// depends on few machines.
 
 const (
 	// maxQuickDowntime bounds the downtime of a machine that restarts quickly.
 	maxQuickDowntime = 40 * time.Millisecond
-	// maxFollowUpDelay bounds the time from what a machine did to the fault.
+	// maxFollowUpDelay bounds the time from the action of a machine to the fault.
 	maxFollowUpDelay = 40 * time.Millisecond
 )
 
-// changeSplitProbabilities are the values that the probability of a split during a
-// change of the membership is drawn from, once for each history.
+// changeSplitProbabilities are the values from which the probability of a partition during
+// a change of the membership is drawn, once for each history.
 var changeSplitProbabilities = []float64{0.1, 0.6}
 
-// voteCrashProbabilities and electionFaultProbabilities are the values that the
-// probabilities of a crash after a vote and of a fault after an election are drawn from.
+// voteCrashProbabilities and electionFaultProbabilities are the values from which the
+// probabilities of a crash after a vote and of a fault after an election are drawn, once
+// for each history.
 var (
 	voteCrashProbabilities     = []float64{0.02, 0.05, 0.5}
 	electionFaultProbabilities = []float64{0.05, 0.15, 0.7}
@@ -61,8 +62,8 @@
 	})
 }
 
-// atFirstCommit sometimes blocks the outgoing links of a leader when it learns of its
-// first commit, before any other machine does.
+// atFirstCommit sometimes blocks the outgoing links of a leader when it commits the first
+// entries of its term, before any other machine is notified of the commit.
 func (w *world) atFirstCommit(m *machine) {
 	if w.now >= w.faults.end || !w.chance(w.faults.electionFaultProbability) {
 		return
@@ -71,19 +72,20 @@
 	w.blockOutgoing(m)
 }
 
-// afterChange sometimes splits the group while a change of the membership is in progress.
+// afterChange sometimes partitions the group while a change of the membership is in
+// progress.
 func (w *world) afterChange() {
 	if w.now >= w.faults.end || !w.chance(w.faults.changeSplitProbability) {
 		return
 	}
 	if w.chance(0.5) {
-		w.splitGroup() // before the change reaches any other machine
+		w.splitGroup() // before any other machine receives the change
 		return
 	}
 	w.schedule(w.between(0, maxFollowUpDelay), w.splitGroup)
 }
 
-// afterAnswer sometimes wipes the primary's disk right after it acknowledged an
+// afterAnswer sometimes wipes the primary's disk right after the primary acknowledged an
 // operation.
 func (w *world) afterAnswer(m *machine) {
 	if w.now >= w.faults.end || !w.chance(wipeAfterAnswerProbability) {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -14,9 +14,8 @@
 	placementInterval = 60 * time.Millisecond
 )
 
-// gateway is a data-plane node that places requests by the table at its active serial
-// while its lease is valid. It has no disk, so that every restart begins with an empty
-// table.
+// gateway is a data-plane node that places requests according to its table at the active
+// serial while its lease is valid. It has no disk, so that it starts with an empty table.
 type gateway struct {
 	process
 	name string
@@ -43,7 +42,7 @@
 	decision lease.Decision
 	term     uint64
 	transfer *registry.Transfer
-	hint     *machine // possible primary, if the sender is not
+	hint     *machine // the presumed primary, if the sender is not the primary
 }
 
 func (w *world) populateGateways() {
@@ -87,7 +86,7 @@
 	}
 }
 
-// scheduleRenewal renews the lease periodically while the incarnation lasts.
+// scheduleRenewal renews the lease periodically until the incarnation ends.
 func (g *gateway) scheduleRenewal(incarnation int) {
 	g.world.schedule(lease.DefaultConfig().RenewalInterval, func() {
 		if g.incarnation != incarnation || !g.up {
@@ -100,8 +99,8 @@
 	})
 }
 
-// renewLease sends a renewal to the known primary, or to any machine if there is none or
-// the lease has expired.
+// renewLease sends a renewal to the known primary, or to a random machine if no primary is
+// known or the lease has expired.
 func (g *gateway) renewLease() {
 	if g.primary == nil || !g.holder.Valid(g.clock()) {
 		g.primary = pick(g.world, g.world.machines)
@@ -149,7 +148,7 @@
 }
 
 // receiveReply handles the reply to a renewal. A change of the received or active serial
-// is reported to the primary at once, since acknowledgements wait for it.
+// is reported to the primary immediately, since acknowledgements wait for it.
 func (g *gateway) receiveReply(answered renewal, reply renewalReply) {
 	if answered.request.Incarnation != fmt.Sprint(g.incarnation) {
 		return // a reply to an earlier incarnation
@@ -175,8 +174,8 @@
 	}
 }
 
-// applyTransfer applies a transfer to the table and reports whether its serial changed.
-// A late transfer does not fit the table's serial and is ignored.
+// applyTransfer applies a transfer to the table and reports whether the table's serial
+// changed. A late transfer does not match the table's serial and is ignored.
 func (g *gateway) applyTransfer(transfer *registry.Transfer) bool {
 	if transfer == nil {
 		return false
@@ -189,8 +188,8 @@
 	return true
 }
 
-// activate moves the active serial to the highest received one that the primary permits,
-// and reports whether it changed. 0 permits none.
+// activate advances the active serial to the highest received serial up to permitted, and
+// reports whether it changed. A permitted serial of 0 permits none.
 func (g *gateway) activate(permitted uint32) bool {
 	changed := false
 	for len(g.receivedSerials) > 0 && !registry.SerialLess(permitted, g.receivedSerials[0]) && permitted != 0 {
@@ -201,7 +200,7 @@
 	return changed
 }
 
-// schedulePlacement places requests periodically while the incarnation lasts.
+// schedulePlacement places requests periodically until the incarnation ends.
 func (g *gateway) schedulePlacement(incarnation int) {
 	g.world.schedule(placementInterval, func() {
 		if g.incarnation != incarnation || !g.up {
@@ -286,7 +285,7 @@
 func (w *world) describeGateways() string {
 	text := ""
 	for _, g := range w.gateways {
-		text += fmt.Sprintf("%s valid %v held %d active %d; ", g.name, g.canPlace(), g.receivedSerial(), g.activeSerial)
+		text += fmt.Sprintf("%s may place requests: %v, received serial %d, active serial %d; ", g.name, g.canPlace(), g.receivedSerial(), g.activeSerial)
 	}
 	return text
 }
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -11,8 +11,8 @@
 // takes milliseconds.
 const linearizabilityTimeout = time.Minute
 
-// recordOperation adds an operation, as its operator observed it, to the history that is
-// checked for linearizability.
+// recordOperation adds an answered operation, as its operator observed it, to the history
+// for the linearizability check.
 func (c *checks) recordOperation(o *operator, open *pendingOperation, given answer) {
 	c.history = append(c.history, porcupine.Operation{
 		ClientId: operatorIndex(c.world, o),
@@ -23,7 +23,7 @@
 	})
 }
 
-// operatorIndex returns the position of an operator, -1 if it is unknown.
+// operatorIndex returns the position of an operator, or -1 if it is unknown.
 func operatorIndex(w *world, target *operator) int {
 	for position, o := range w.operators {
 		if o == target {
@@ -33,14 +33,14 @@
 	return -1
 }
 
-// checkLinearizability checks RuleLinearizability for the history of all operations. A
-// history that is not decided in time violates it, too.
+// checkLinearizability checks RuleLinearizability for the history of all operations. It
+// also records a violation if the check does not finish within linearizabilityTimeout.
 func (c *checks) checkLinearizability() {
 	switch porcupine.CheckOperationsTimeout(operationModel, c.history, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		c.world.recordViolation(RuleLinearizability, "%d operations have no order", len(c.history))
+		c.world.recordViolation(RuleLinearizability, "the history of %d operations is not linearizable", len(c.history))
 	case porcupine.Unknown:
-		c.world.recordViolation(RuleLinearizability, "undecided after %v: %d operations", linearizabilityTimeout, len(c.history))
+		c.world.recordViolation(RuleLinearizability, "check not finished after %v for %d operations", linearizabilityTimeout, len(c.history))
 	case porcupine.Ok:
 	}
 }
@@ -58,7 +58,7 @@
 var operationModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		current, requested, given := state.(registerState), input.(operation), output.(answer) //nolint:forcetypeassert // porcupine hands back what record and Init gave it
+		current, requested, given := state.(registerState), input.(operation), output.(answer) //nolint:forcetypeassert // porcupine passes the values from recordOperation and Init
 		if first, known := current.answers[requested.ID]; known {
 			return first == given, current
 		}
@@ -76,7 +76,7 @@
 		return given.Accepted == accepted && given.Version == next.version && sameContent, next
 	},
 	Equal: func(one, other any) bool {
-		a, b := one.(registerState), other.(registerState) //nolint:forcetypeassert // porcupine hands back what Init and Step gave it
+		a, b := one.(registerState), other.(registerState) //nolint:forcetypeassert // porcupine passes the values from Init and Step
 		if a.version != b.version || a.content != b.content || len(a.answers) != len(b.answers) {
 			return false
 		}
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -1,6 +1,6 @@
 package simulation
 
-// This file has the faults of the links between machines.
+// This file contains the faults of the links between machines.
 
 func (w *world) blockOneWay() {
 	from, to := w.pickTarget(), pick(w, w.activeMachines())
@@ -56,9 +56,9 @@
 
 // blockOutgoing blocks the links from a machine to some or all of the others.
 func (w *world) blockOutgoing(m *machine) {
-	share := pick(w, blockedShares)
+	probability := pick(w, blockProbabilities)
 	for _, other := range w.machines {
-		if w.chance(share) {
+		if w.chance(probability) {
 			w.network.block(m.name, other.name)
 		}
 	}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -29,7 +29,7 @@
 	replaces string
 	store    *storage.Memory
 
-	// A removed machine never restarts. A retiring one runs until it is replaced.
+	// A removed machine never restarts. A retiring machine runs until it is replaced.
 	removed  bool
 	retiring bool
 	// node is nil while the process is down.
@@ -39,8 +39,8 @@
 	applied       uint64
 	snapshotIndex uint64 // index of the newest snapshot
 
-	// plannedStall, if above 0, is how long the process stops after its next write.
-	// stalledReady is the batch whose messages wait meanwhile.
+	// plannedStall, if above 0, is how long the process freezes after its next write.
+	// stalledReady is the written batch whose messages are sent after the freeze.
 	plannedStall time.Duration
 	stalledReady *consensus.Ready
 
@@ -76,8 +76,8 @@
 	return consensus.ID(fmt.Sprintf("disk-%d", w.namesIssued))
 }
 
-// populate forms a group with count voters, as the first start of a deployment does,
-// with operators and gateways.
+// populate creates a group with count voters, as the first start of a deployment does, and
+// the operators and gateways.
 func (w *world) populate(count int) {
 	var group consensus.Membership
 	for i := range count {
@@ -86,7 +86,7 @@
 		group.Members = append(group.Members, m.asMember(stored.Identity))
 	}
 	w.faults.voterCount = count
-	w.checks.groupFormed(group)
+	w.checks.recordInitialMembership(group)
 	for _, m := range w.machines {
 		first := consensus.Snapshot{Index: 1, Term: 1, Membership: group}
 		if err := m.store.SaveSnapshot(first, 2); err != nil {
@@ -107,7 +107,7 @@
 func (m *machine) start() {
 	stored, err := m.store.Load()
 	if err != nil {
-		m.world.recordViolation(RuleDurability, "%s cannot read its disk: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot load its disk: %v", m.name, err)
 		return
 	}
 	node, err := consensus.New(consensus.Config{
@@ -154,7 +154,7 @@
 	}
 }
 
-// crash ends the process. Writes that were not synced are lost.
+// crash ends the process. The disk loses the writes that were not synced.
 func (m *machine) crash() {
 	m.node = nil
 	m.endFreeze()
@@ -209,8 +209,8 @@
 	m.processReady()
 }
 
-// unfreeze continues a frozen process: it completes the batch that waited, sometimes
-// ticks first, and handles the buffered messages.
+// unfreeze resumes a frozen process. It completes the stalled batch, if any, and handles
+// the buffered messages, sometimes after a tick.
 func (m *machine) unfreeze() {
 	if m.node == nil || !m.frozen {
 		return
@@ -229,7 +229,7 @@
 	}
 }
 
-// processReady persists, sends and applies what the node has ready, in the order that
+// processReady persists, sends and applies the node's ready batches, in the order that
 // consensus.Ready prescribes.
 func (m *machine) processReady() {
 	m.checkLeadership()
@@ -270,7 +270,7 @@
 }
 
 // stallBeforeSend freezes the process after it wrote a batch and before it sends the
-// messages.
+// batch's messages.
 func (m *machine) stallBeforeSend(ready consensus.Ready) {
 	m.world.countFault(FaultStallBeforeSend)
 	m.frozen = true
@@ -319,8 +319,8 @@
 	}
 }
 
-// step passes a message to the node, which refuses one that is addressed to an earlier
-// disk of this machine.
+// step passes a message to the node, which rejects a message that is addressed to an
+// earlier disk of this machine.
 func (m *machine) step(message consensus.Message) {
 	_ = m.node.Step(m.clock(), message)
 }
@@ -354,7 +354,7 @@
 	retained := uint64(m.world.random.IntN(retainedEntriesLimit))
 	snapshot, err := m.node.Compact(m.applied, data, retained)
 	if err != nil {
-		m.world.recordViolation(RuleDurability, "%s cannot compact: %v", m.name, err)
+		m.world.recordViolation(RuleDurability, "%s cannot compact its log: %v", m.name, err)
 		return
 	}
 	m.snapshotIndex = snapshot.Index
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -12,7 +12,7 @@
 	joinInterval = 150 * time.Millisecond
 	// joinRequestTTL is the time after which a leader ignores a join request.
 	joinRequestTTL = time.Second
-	// learnerTimeout is how long a learner without contact stays a member.
+	// learnerTimeout is the time without contact after which a learner is removed.
 	learnerTimeout = 2 * time.Second
 	// reachabilityWindow is the time since its last reply within which a member counts as
 	// reachable.
@@ -59,7 +59,7 @@
 	return false
 }
 
-// hasMember reports whether an identity is a member, as far as this machine knows.
+// hasMember reports whether an identity is a member, according to this machine.
 func (m *machine) hasMember(identity consensus.ID) bool {
 	for _, member := range m.node.Status().Membership.Members {
 		if member.ID == identity {
@@ -94,10 +94,10 @@
 	m.joinRequests[request.member.ID] = request
 }
 
-// repair takes the next step for the machines that asked to join: add one as a learner,
-// wait until it has caught up, promote it and remove the member that it replaces. Only
-// one change of the membership is in progress at a time.
-func (m *machine) repair() {
+// repairMembership takes the next step for the machines that have requested to join: add a
+// machine as a learner, wait until it has caught up, promote it, and remove the member that
+// it replaces. Only one change of the membership is in progress at a time.
+func (m *machine) repairMembership() {
 	status := m.node.Status()
 	if m.removeUnresponsiveLearner(status) {
 		return
@@ -128,8 +128,8 @@
 	return ids
 }
 
-// removeUnresponsiveLearner proposes to remove a learner that has gone away, or whose
-// late join request arrived after its removal. It reports whether it proposed one.
+// removeUnresponsiveLearner proposes to remove a learner that no longer responds, or that
+// was added again by a late join request. It reports whether it proposed a removal.
 func (m *machine) removeUnresponsiveLearner(status consensus.Status) bool {
 	for position, member := range status.Membership.Members {
 		lastContact := max(m.leadership.elected, status.LastResponses[member.ID], m.joinRequests[member.ID].receivedAt)
@@ -143,10 +143,10 @@
 	return false
 }
 
-// nextMembership returns the next membership on the way to what the request asks for,
-// and false if there is nothing to do yet. A reachable voter is removed only after its
-// replacement is a voter. An unreachable one is removed first, since it would only raise
-// the quorum.
+// nextMembership returns the next membership towards the one that the request asks for,
+// and false if no change is possible yet. A reachable voter is removed only after its
+// replacement is a voter. An unreachable voter is removed first, since it would only
+// increase the quorum.
 func (m *machine) nextMembership(status consensus.Status, request joinRequest) (consensus.Membership, bool) {
 	members := slices.Clone(status.Membership.Members)
 	own := slices.IndexFunc(members, func(member consensus.Member) bool { return member.ID == request.member.ID })
@@ -170,7 +170,7 @@
 	}
 }
 
-// caughtUp reports whether a learner lacks so few entries that it may be promoted.
+// caughtUp reports whether a learner has enough of the committed entries to be promoted.
 func (m *machine) caughtUp(status consensus.Status, id consensus.ID) bool {
 	match := status.Match[id]
 	return match > 0 && match+m.world.settings.promoteLag >= status.Commit
@@ -190,7 +190,7 @@
 }
 
 // quorumReachable reports whether a majority of a membership's voters is reachable.
-// Without one the membership could be neither committed nor reverted.
+// Without a majority the membership could be neither committed nor reverted.
 func (m *machine) quorumReachable(status consensus.Status, membership consensus.Membership) bool {
 	voters := membership.Voters()
 	count := 0
@@ -202,10 +202,10 @@
 	return count > len(voters)/2
 }
 
-// isRepaired reports whether the machine leads a complete group: a committed membership
-// with enough voters and no learner, all of them reachable and with every committed
-// entry.
-func (m *machine) isRepaired() bool {
+// leadsCompleteGroup reports whether the machine leads a complete group: one with a
+// committed membership with enough voters and no learners, whose members are all reachable
+// and have every committed entry.
+func (m *machine) leadsCompleteGroup() bool {
 	if !m.up() {
 		return false
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// network carries messages between machines, operators and gateways, which it knows by
-// name.
+// network delivers messages between machines, operators and gateways, which are addressed
+// by name.
 type network struct {
 	world *world
 	// blocked is the set of links that lose every message.
 	blocked map[link]bool
-	// maxDelay is the longest delay of a message that is not in the tail.
+	// maxDelay is the longest delay of a message outside the tail of the distribution.
 	maxDelay time.Duration
 	// loss is the probability that a message is lost, baseLoss its value while no fault
 	// is injected.
 	baseLoss, loss float64
 	// duplication is the probability that a message is delivered twice.
 	duplication float64
-	// tailDelay is the longest additional delay of a message in the tail, which reorders
-	// messages.
+	// tailDelay is the longest additional delay of a message in the tail of the
+	// distribution. It reorders messages.
 	tailDelay time.Duration
 }
 
-// link is the direction from one name to another.
+// link is a one-way connection between two names.
 type link struct {
 	from, to string
 }
@@ -33,10 +33,10 @@
 	tailProbability = 0.2
 )
 
-// maxDelays are the values that maxDelay is drawn from, once for each history.
+// maxDelays are the values from which maxDelay is drawn, once for each history.
 var maxDelays = []time.Duration{3 * time.Millisecond, 3 * time.Millisecond, 40 * time.Millisecond}
 
-// baseLosses are the values that baseLoss is drawn from, once for each history.
+// baseLosses are the values from which baseLoss is drawn, once for each history.
 var baseLosses = []float64{0, 0, 0.15}
 
 func newNetwork(w *world) network {
@@ -46,7 +46,7 @@
 }
 
 // resetConditions sets loss, duplication and tail delay to their values without faults.
-// Blocked links stay blocked.
+// Blocked links remain blocked.
 func (n *network) resetConditions() {
 	n.loss = n.baseLoss
 	n.duplication = baseDuplication
--- a/internal/simulation/operation.go
+++ b/internal/simulation/operation.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// operation replaces or changes the one versioned value. It is accepted only if it is
-// based on the current version.
+// operation replaces or changes the single versioned value of the state machine. It is
+// accepted only if it is based on the current version.
 type operation struct {
 	ID   string
 	Base uint64 // version that the operation is based on
@@ -25,8 +25,8 @@
 	return hash.Sum64()
 }
 
-// answer is the answer to an operation. Each operation has only one, which is stored in
-// the table.
+// answer is the answer to an operation. Each operation has exactly one answer, which is
+// stored in the table.
 type answer struct {
 	Accepted bool   `cbor:"1,keyasint"`
 	Version  uint64 `cbor:"2,keyasint"` // after an accepted operation, or at the time of its refusal
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Behaviour of the operators: their number, think times, timeouts and the probabilities
-// of a resent operation and of one on an old version.
+// Workload of the operators: their number, think times, timeouts and the probabilities of
+// resending an answered operation and of basing an operation on an old version.
 const (
 	operatorCount         = 3
 	operationsPerOperator = 14
@@ -16,13 +16,13 @@
 	maxAnswerTimeout      = 600 * time.Millisecond
 	resendProbability     = 0.3
 	staleBaseProbability  = 0.2
-	// changeInterval is the number of operations of which one changes the value instead
-	// of replacing it.
+	// changeInterval is the interval, in operations, at which an operation changes the
+	// value instead of replacing it.
 	changeInterval = 2
 )
 
-// operator issues operations one after another. It resends each until it is answered,
-// and sometimes resends one that was answered earlier.
+// operator issues operations sequentially. It resends an operation until it is answered,
+// and sometimes resends an operation that has been answered before.
 type operator struct {
 	world *world
 	name  string
@@ -39,7 +39,7 @@
 	operation operation
 	attempt   int
 	issuedAt  time.Duration
-	resent    bool // was answered before
+	resent    bool // whether it was answered before
 }
 
 func (w *world) populateOperators() {
@@ -74,8 +74,8 @@
 	o.send()
 }
 
-// newOperation makes an operation on the newest version that the operator knows, or on
-// the version of a random machine.
+// newOperation creates an operation based on the newest version that the operator has
+// received, or on the version of a random machine if that is newer.
 func (o *operator) newOperation() operation {
 	base := o.knownVersion
 	if reader := pick(o.world, o.world.machines); reader.up() && !o.world.chance(staleBaseProbability) {
--- a/internal/simulation/primary.go
+++ b/internal/simulation/primary.go
@@ -22,8 +22,8 @@
 	elected time.Duration // on the machine's clock
 	// grantor grants leases. It is nil until every entry of earlier terms is applied.
 	grantor *lease.Grantor
-	// proposedOperations holds the log indexes of the operations that are proposed and
-	// not applied, by operation id.
+	// proposedOperations holds the log indexes of the operations that are proposed but
+	// not yet applied, by operation id.
 	proposedOperations map[string]uint64
 	// lastNotice is the notice that was last sent to the gateways.
 	lastNotice notice
@@ -31,7 +31,8 @@
 	contentAtStart uint64
 }
 
-// notice is what makes gateways renew: a new serial, or one that they may activate.
+// notice contains the values whose change makes gateways renew: the serial of the table
+// and the serial that gateways may activate.
 type notice struct {
 	serial, activate uint32
 }
@@ -39,10 +40,10 @@
 // waiter is an operator that waits for the answer to an operation.
 type waiter struct {
 	operator  *operator
-	forwarded bool // by another machine, so that it is not forwarded again
+	forwarded bool // whether another machine forwarded the operation, so that it is not forwarded again
 }
 
-// checkLeadership updates leadership when the machine has become leader or has lost
+// checkLeadership updates m.leadership when the machine has become leader or has lost its
 // leadership.
 func (m *machine) checkLeadership() {
 	term, leading := m.node.Leadership()
@@ -55,8 +56,8 @@
 	}
 }
 
-// startGranting begins to grant leases. It must not be called before the first entry of
-// the machine's own term is applied: only then does the table contain everything that
+// startGranting starts to grant leases. It must not be called before the first entry of
+// the machine's current term is applied: only then does the table contain everything that
 // earlier primaries may have acknowledged.
 func (m *machine) startGranting() {
 	elected := m.leadership.elected
@@ -68,8 +69,8 @@
 	m.propose(m.state.primaryUpdate(m.name))
 }
 
-// propose proposes an update. It returns the log index and whether the node accepted the
-// proposal.
+// propose proposes an update to the group. It returns the log index and whether the node
+// accepted the proposal.
 func (m *machine) propose(update registry.Update) (index uint64, proposed bool) {
 	data, err := registry.EncodeUpdate(&update)
 	if err != nil {
@@ -79,12 +80,12 @@
 	return index, err == nil
 }
 
-// leaderTick does the periodic work of a leader.
+// leaderTick performs the periodic work of a leader.
 func (m *machine) leaderTick() {
 	if m.leadership == nil {
 		return
 	}
-	m.repair()
+	m.repairMembership()
 	m.processReady()
 }
 
@@ -133,7 +134,7 @@
 }
 
 // acknowledgeEarly implements defect.AcknowledgeProposal: it applies the update to a copy
-// of the state and answers from that, before the proposal is committed.
+// of the state and sends the resulting answer before the proposal is committed.
 func (m *machine) acknowledgeEarly(requested operation) {
 	trial := &stateMachine{}
 	data, err := m.state.snapshot(false)
@@ -149,7 +150,7 @@
 	m.sendAnswer(requested.ID, result)
 }
 
-// entryApplied updates leadership after an entry was applied.
+// entryApplied updates m.leadership after an entry was applied.
 func (m *machine) entryApplied(entry consensus.Entry) {
 	if m.leadership == nil {
 		return
@@ -168,7 +169,7 @@
 }
 
 // serialInForce returns the serial that every gateway with a valid lease has activated,
-// and false while it is unknown.
+// and whether it is known.
 func (m *machine) serialInForce() (uint32, bool) {
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return 0, false
@@ -191,9 +192,9 @@
 	return m.node.QuorumContact()
 }
 
-// answerOperations answers the operations whose answer is applied and whose serial is in
-// force at all gateways. It answers in order of their ids, so that the history is
-// deterministic.
+// answerOperations answers the operations whose answer has been applied and whose serial
+// is in force at all gateways. It answers in the order of the operation ids, so that the
+// history is deterministic.
 func (m *machine) answerOperations() {
 	if len(m.waiters) == 0 {
 		return
@@ -226,8 +227,8 @@
 	delete(m.waiters, id)
 }
 
-// notifyGateways makes the gateways renew when the serial or the one that they may
-// activate has changed.
+// notifyGateways makes the gateways renew their leases when the serial of the table or the
+// serial that they may activate has changed.
 func (m *machine) notifyGateways() {
 	if m.leadership == nil || m.leadership.grantor == nil {
 		return
@@ -244,8 +245,8 @@
 	}
 }
 
-// answerRenewal replies to a gateway's renewal: with a lease decision and the changes
-// since the gateway's serial, or with a hint at the leader.
+// answerRenewal replies to a gateway's renewal. A primary replies with a lease decision and
+// the changes since the gateway's serial, any other machine with the leader that it knows.
 func (m *machine) answerRenewal(g *gateway, received renewal) {
 	reply := renewalReply{from: m}
 	if m.leadership != nil && m.leadership.grantor != nil {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// maxDrift is the largest relative deviation of the rate of a clock.
+	// maxDrift is the largest relative deviation of a clock's rate.
 	maxDrift = 0.02
-	// maxBuffered is the number of messages that wait for a frozen process at most.
+	// maxBuffered is the maximum number of messages buffered for a frozen process.
 	maxBuffered = 256
 )
 
-// process is the part of a running process that machines and gateways share: a monotonic
-// clock that drifts, and the messages that wait while the process is frozen.
+// process is the part of a running process that machines and gateways have in common: a
+// monotonic clock that drifts, and the messages buffered while the process is frozen.
 type process struct {
 	world *world
-	// incarnation counts the starts. A timer of an earlier one does nothing.
+	// incarnation counts the starts. Timers of earlier incarnations have no effect.
 	incarnation int
 	started     time.Duration
 	drift       float64
@@ -21,7 +21,7 @@
 	buffered    []func()
 }
 
-// begin begins a new incarnation with a new clock.
+// begin starts a new incarnation with a new clock.
 func (p *process) begin() {
 	p.incarnation++
 	p.started = p.world.now
@@ -42,8 +42,8 @@
 	return p.started + time.Duration(float64(local)/(1+p.drift))
 }
 
-// buffer keeps the handling of a message for the time after a freeze. It drops the message
-// if there are too many.
+// buffer stores a message until the freeze ends. It drops the message if maxBuffered
+// messages are stored already.
 func (p *process) buffer(message func()) {
 	if len(p.buffered) < maxBuffered {
 		p.buffered = append(p.buffered, message)
--- a/internal/simulation/recovery.go
+++ b/internal/simulation/recovery.go
@@ -6,9 +6,10 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// This file has the end of a history: the faults end and the service has to recover.
+// This file implements the end of a history, when the faults end and the service must
+// recover.
 
-// endFaults ends all faults and starts whatever is stopped.
+// endFaults ends all faults and restarts the stopped machines and gateways.
 func (w *world) endFaults() {
 	clear(w.network.blocked)
 	w.network.baseLoss = 0
@@ -29,7 +30,7 @@
 }
 
 // recovered reports whether every operation is answered, the group is complete and all
-// gateways place requests by the newest serial.
+// gateways place requests according to the newest serial.
 func (w *world) recovered() bool {
 	for _, o := range w.operators {
 		if !o.idle() {
@@ -37,7 +38,7 @@
 		}
 	}
 	leader := w.leader()
-	if leader == nil || !leader.isRepaired() {
+	if leader == nil || !leader.leadsCompleteGroup() {
 		return false
 	}
 	for _, m := range w.activeMachines() {
@@ -48,7 +49,8 @@
 	return w.gatewaysRecovered()
 }
 
-// describeUnrecovered lists the state of everything for the violation of RuleProgress.
+// describeUnrecovered describes the pending operations and the state of all machines and
+// gateways, for a violation of RuleProgress.
 func (w *world) describeUnrecovered() string {
 	text := ""
 	for _, o := range w.operators {
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -1,20 +1,20 @@
 package simulation
 
-// Rule is an invariant that must hold in every history, as reports show it.
+// Rule is a property that must hold in every history. The text is shown in reports.
 type Rule string
 
 // The rules. Election safety, leader completeness, log matching and state machine safety
 // are those of the Raft paper.
 const (
-	RuleElectionSafety     Rule = "one leader a term"
-	RuleLeaderCompleteness Rule = "a new leader holds everything committed"
-	RuleLogMatching        Rule = "logs match"
-	RuleStateMachineSafety Rule = "state machines agree"
-	RuleSerialIncrease     Rule = "the serial rises with each change"
-	RuleSingleAnswer       Rule = "an order has one answer"
-	RuleDurability         Rule = "what was acknowledged stays"
-	RuleQuorumContact      Rule = "no fresh contact beside a successor"
-	RuleSerialInForce      Rule = "nobody acts on an older serial than acknowledged"
+	RuleElectionSafety     Rule = "election safety: at most one leader per term"
+	RuleLeaderCompleteness Rule = "leader completeness: a new leader has all committed entries"
+	RuleLogMatching        Rule = "log matching: entries with equal index and term are equal"
+	RuleStateMachineSafety Rule = "state machine safety: all machines apply the same entries"
+	RuleSerialIncrease     Rule = "the serial increases with each change"
+	RuleSingleAnswer       Rule = "an order has only one answer"
+	RuleDurability         Rule = "acknowledged changes are durable"
+	RuleQuorumContact      Rule = "no quorum contact after the election of a successor"
+	RuleSerialInForce      Rule = "no gateway acts on a serial older than the one in force"
 	RuleLinearizability    Rule = "orders are linearizable"
-	RuleProgress           Rule = "service returns"
+	RuleProgress           Rule = "the service recovers after faults"
 )
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -10,9 +10,11 @@
 
 // Options determines, together with the seed, what a history contains.
 type Options struct {
-	// Duration is the virtual time with faults. 0 selects the default of 12 s.
+	// Duration is the virtual time during which faults are injected. Zero selects the
+	// default of 12 s.
 	Duration time.Duration
-	// Defects are planted in every machine. The empty set tests the code as it is.
+	// Defects are the mutations applied to every machine. An empty set tests the unmodified
+	// code.
 	Defects defect.Set
 }
 
@@ -31,13 +33,14 @@
 // Result is the outcome of one history.
 type Result struct {
 	Seed uint64
-	// Violation is the first violation, nil if there is none. The history ends there.
+	// Violation is the first violation, nil if there is none. A violation ends the
+	// history.
 	Violation *Violation
 	// Faults counts the injected faults by kind.
 	Faults map[FaultKind]int
-	// Steps counts events, Elections elected leaders, Committed log entries, Answered
-	// operations that their operators got an answer to, and Placements decisions of
-	// gateways.
+	// Steps counts events, Elections elected leaders, Committed committed log entries,
+	// Answered operations whose operators received an answer, and Placements requests
+	// placed by gateways.
 	Steps      int
 	Elections  int
 	Committed  int
@@ -74,7 +77,7 @@
 	return w.result
 }
 
-// world is the whole state of a history.
+// world is the complete state of a simulated history.
 type world struct {
 	options Options
 	random  *rand.Rand
@@ -93,8 +96,8 @@
 	namesIssued int
 }
 
-// settings are the configuration of the nodes, drawn for each history. The values to
-// draw from include the defaults.
+// settings are the configuration of the nodes, drawn for each history. The possible values
+// include the defaults.
 type settings struct {
 	electionTimeout time.Duration
 	inflight        int
@@ -106,16 +109,16 @@
 // heartbeatsPerTimeout is the election timeout divided by the heartbeat interval.
 const heartbeatsPerTimeout = 6
 
-// Values that the settings are drawn from.
+// Values from which the settings are drawn.
 var (
 	electionTimeouts = []time.Duration{600 * time.Millisecond, 300 * time.Millisecond, 150 * time.Millisecond}
 	inflightLimits   = []int{1, 4, 64}
-	// appendByteLimits give messages with one entry, a few entries, or all entries.
+	// appendByteLimits produce messages with one entry, a few entries, or all entries.
 	appendByteLimits = []int{1, 300, 256 << 10}
 	promoteLags      = []uint64{0, 64}
 )
 
-// newWorld returns a world without machines, with its settings drawn.
+// newWorld draws the settings of a history and returns its world, without machines.
 func newWorld(seed uint64, options Options) *world {
 	w := &world{
 		options: options,
@@ -159,7 +162,7 @@
 	return w.random.Float64() < probability
 }
 
-// pick draws one element of a nonempty slice.
+// pick draws one element of a non-empty slice.
 func pick[T any](w *world, values []T) T {
 	return values[w.random.IntN(len(values))]
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -20,9 +20,9 @@
 	return min(testWorkers, runtime.GOMAXPROCS(0))
 }
 
-// TestHistoriesKeepAllRules runs histories of the code without planted defects. A failure
-// names its seed; deckpulley-simulate --seeds 1 --first-seed SEED repeats it.
-func TestHistoriesKeepAllRules(t *testing.T) {
+// TestHistoriesSatisfyAllRules runs histories of the unmodified code. A failure reports its
+// seed; deckpulley-simulate --seeds 1 --first-seed SEED reproduces it.
+func TestHistoriesSatisfyAllRules(t *testing.T) {
 	var summary Summary
 	RunBatch(1, historyCount, workers(), Options{}, summary.Add)
 	for _, failure := range summary.Failures {
@@ -35,11 +35,11 @@
 	}
 	for _, kind := range kinds {
 		if summary.Total.Faults[kind] == 0 {
-			t.Errorf("no history contains: %s", kind)
+			t.Errorf("no history contains the fault %q", kind)
 		}
 	}
 	if summary.Total.Answered < historyCount || summary.Total.Placements < historyCount {
-		t.Errorf("%d answers and %d placements in %d histories", summary.Total.Answered, summary.Total.Placements, historyCount)
+		t.Errorf("%d answers and %d placements in %d histories, want at least one of each per history", summary.Total.Answered, summary.Total.Placements, historyCount)
 	}
 }
 
@@ -47,19 +47,20 @@
 func TestHistoriesAreDeterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		if difference := gocmp.Diff(Run(seed, Options{}), Run(seed, Options{})); difference != "" {
-			t.Errorf("seed %d: %s", seed, difference)
+			t.Errorf("seed %d: two runs differ (-first +second):\n%s", seed, difference)
 		}
 	}
 }
 
-// faultlessHistories is the number of histories without faults. In each the service must
-// have recovered within faultlessRecoveryTimeout of the last operation. Up to 15% of the
-// operators' messages are lost and resent after up to 0.6 s, so that 1 s is too short.
+// faultlessHistories is the number of histories without faults. In each of them the
+// service must have recovered within faultlessRecoveryTimeout after the last operation. A
+// timeout of 1 s would be too short, because up to 15% of the operators' messages are lost
+// and resent after up to 0.6 s.
 const (
 	faultlessHistories       = 100
 	faultlessRecoveryTimeout = 3 * time.Second
-	// maxReelections is the number of these histories in which lost heartbeats may cause
-	// a second election.
+	// maxReelections is the maximum number of these histories in which lost heartbeats may
+	// cause a second election.
 	maxReelections = 1
 )
 
@@ -78,36 +79,36 @@
 			reelected++
 		}
 		if w.result.Answered < 2*operatorCount {
-			t.Fatalf("seed %d: %d answers", seed, w.result.Answered)
+			t.Fatalf("seed %d: %d answers, want at least two per operator", seed, w.result.Answered)
 		}
 	}
 	if reelected > maxReelections {
-		t.Errorf("%d of %d quiet histories had more than one election", reelected, faultlessHistories)
+		t.Errorf("%d of %d histories without faults did not have exactly one election", reelected, faultlessHistories)
 	}
 }
 
-// TestHuntCatchesPlantedDefects hunts the defects that few histories reveal.
-// deckpulley-simulate --planted hunts all defects.
-func TestHuntCatchesPlantedDefects(t *testing.T) {
-	quick := []defect.Defect{
+// TestHuntDetectsMutations checks that the checks detect the mutations that few histories
+// reveal. deckpulley-simulate --planted tests all mutations.
+func TestHuntDetectsMutations(t *testing.T) {
+	mutations := []defect.Defect{
 		defect.MissingSync, defect.SnapshotDropsOrders, defect.ReuseSerial,
 		defect.LeaseNotWaitedOut, defect.AcknowledgeProposal, defect.SendBeforeSync,
 		defect.VoteIgnoresLog, defect.TwoMembershipChanges, defect.ContactFromArrival,
 		defect.ChangeOldContent,
 	}
-	// No history below huntLimit reveals some of them; the hunt for these starts at a
-	// later seed.
-	first := map[defect.Defect]uint64{defect.TwoMembershipChanges: 1001}
-	ForEach(len(quick), workers(), func(position int) {
-		if catch := Hunt(quick[position], max(1, first[quick[position]]), huntLimit); catch.Violation == nil {
-			t.Errorf("%s was not caught in %d histories", quick[position], catch.Seeds)
+	// Some mutations are not detected with any seed up to huntLimit. For these, firstSeeds
+	// holds the first seed to run.
+	firstSeeds := map[defect.Defect]uint64{defect.TwoMembershipChanges: 1001}
+	ForEach(len(mutations), workers(), func(position int) {
+		if hunt := Hunt(mutations[position], max(1, firstSeeds[mutations[position]]), huntLimit); hunt.Violation == nil {
+			t.Errorf("mutation %q was not detected in %d histories", mutations[position], hunt.Seeds)
 		}
 	})
 }
 
 // lossHistories is the number of histories in which disks are lost while all other
-// machines lose power. Each has up to lossRounds such losses, each at a time at which the
-// group reports that it is complete.
+// machines lose power. Each history has up to lossRounds such losses, each at a time when
+// the group is complete.
 const (
 	lossHistories = 60
 	lossMembers   = 5
@@ -115,27 +116,29 @@
 )
 
 // TestDiskLossDuringPowerLoss wipes two of five disks while all other machines lose power.
-// Acknowledged operations must survive and the service must recover. If wiped disks keep
-// their identity, which is a planted defect, a violation must be found.
+// Acknowledged operations must survive and the service must recover. With the mutation
+// defect.KeepIdentity, which lets wiped disks keep their identity, a violation must be
+// found.
 func TestDiskLossDuringPowerLoss(t *testing.T) {
 	ForEach(lossHistories, workers(), func(position int) {
 		seed := uint64(position + 1)
-		if violation := playDiskLosses(t, seed, defect.Set{}); violation != nil {
+		if violation := runDiskLosses(t, seed, defect.Set{}); violation != nil {
 			t.Errorf("seed %d: %v", seed, violation)
 		}
 	})
 	for seed := uint64(1); seed <= huntLimit; seed++ {
-		if playDiskLosses(t, seed, defect.Of(defect.KeepIdentity)) != nil {
+		if runDiskLosses(t, seed, defect.Of(defect.KeepIdentity)) != nil {
 			return
 		}
 	}
-	t.Errorf("a wiped disk with its old identity was not seen in %d histories", huntLimit)
+	t.Errorf("a wiped disk with its old identity was not detected in %d histories", huntLimit)
 }
 
-// playDiskLosses runs one history with such losses and returns its violation.
-func playDiskLosses(t *testing.T, seed uint64, planted defect.Set) *Violation {
+// runDiskLosses runs one history in which disks and power are lost, and returns its
+// violation, nil if there is none.
+func runDiskLosses(t *testing.T, seed uint64, mutations defect.Set) *Violation {
 	t.Helper()
-	w := newWorld(seed, Options{Duration: 12 * time.Second, Defects: planted})
+	w := newWorld(seed, Options{Duration: 12 * time.Second, Defects: mutations})
 	w.faults.lostDisks = make(map[consensus.ID]bool)
 	w.populate(lossMembers)
 	losses := 0
@@ -145,8 +148,8 @@
 			continue
 		}
 		losses++
-		behind := w.cutOffFollower()
-		w.untilAnswer()
+		behind := w.isolateFollower()
+		w.runUntilAnswer()
 		w.loseDisksAndPower(lossMembers/2, behind)
 		w.unblockAll(behind.name)
 	}
@@ -155,13 +158,14 @@
 	w.runUntil(w.now + drainTime)
 	w.checkFinalState()
 	if w.result.Violation == nil && (losses == 0 || w.result.Answered == 0) {
-		t.Errorf("seed %d: %d losses, %d answers", seed, losses, w.result.Answered)
+		t.Errorf("seed %d: %d losses and %d answers, want at least one of each", seed, losses, w.result.Answered)
 	}
 	return w.result.Violation
 }
 
-// untilAnswer runs until an operation is answered, and a random time of up to 10 ms more.
-func (w *world) untilAnswer() {
+// runUntilAnswer runs events until an operation is answered, and for a random time of up
+// to 10 ms after that.
+func (w *world) runUntilAnswer() {
 	answered := w.result.Answered
 	for w.now < w.options.Duration && w.result.Answered == answered {
 		w.runUntil(w.now + time.Millisecond)
@@ -169,9 +173,9 @@
 	w.runUntil(w.now + w.between(0, 10*time.Millisecond))
 }
 
-// cutOffFollower isolates a machine that is not the leader from the others, so that its
+// isolateFollower isolates a machine that is not the leader from the others, so that its
 // log falls behind.
-func (w *world) cutOffFollower() *machine {
+func (w *world) isolateFollower() *machine {
 	var follower *machine
 	for _, m := range w.activeMachines() {
 		if m != w.leader() {
@@ -204,7 +208,8 @@
 	}
 }
 
-// wipeOrder ranks the primary first and the machine that is behind last.
+// wipeOrder ranks machines for wiping: the primary first and the machine whose log is
+// behind last.
 func wipeOrder(m, leader, behind *machine) int {
 	switch m {
 	case leader:
--- a/internal/simulation/statemachine.go
+++ b/internal/simulation/statemachine.go
@@ -20,7 +20,7 @@
 	contentName registry.Name = "content.places."
 	answersName registry.Name = "orders.places."
 	firstSerial uint32        = 1
-	// serialReuseInterval is the number of serials of which one is used twice with
+	// serialReuseInterval is the interval at which a serial is used twice with
 	// defect.ReuseSerial.
 	serialReuseInterval = 5
 )
@@ -43,8 +43,8 @@
 // the answers to all operations.
 type stateMachine struct {
 	table *registry.Table
-	// answerSerials holds the serial with which an answer came into the table, by
-	// operation id. Answers that came with a snapshot have none.
+	// answerSerials holds the serial at which an answer was added to the table, by
+	// operation id. It lacks the answers that were restored from a snapshot.
 	answerSerials map[string]uint32
 	// snapshotSerial is the serial of the last restored snapshot.
 	snapshotSerial uint32
@@ -96,7 +96,7 @@
 	return binary.BigEndian.Uint64(records[0].Data)
 }
 
-// answer returns the answer to an operation, and whether there is one.
+// answer returns the answer to an operation and reports whether there is one.
 func (s *stateMachine) answer(id string) (answer, bool) {
 	records := s.table.View().Lookup(answerName(id), typeAnswer)
 	if len(records) == 0 {
@@ -109,7 +109,7 @@
 	return stored, true
 }
 
-// answerSerial returns a serial at which the answer is certainly in the table.
+// answerSerial returns a serial at which the table is known to contain the answer.
 func (s *stateMachine) answerSerial(id string) uint32 {
 	if serial, known := s.answerSerials[id]; known {
 		return serial
@@ -126,10 +126,10 @@
 	return serial
 }
 
-// operationUpdate returns the update that answers an operation: the change with its
-// answer, or the refusal. Its prerequisites make it fail if the version has changed or
-// the operation was answered in the meantime. content is the value that an operation
-// with Change set is applied to.
+// operationUpdate returns the update that answers an operation: the new value and an
+// accepting answer, or a refusal. Its prerequisites make it fail if the version has changed
+// or the operation was answered in the meantime. content is the value to which an operation
+// with Change set is applied.
 func (s *stateMachine) operationUpdate(requested operation, content uint64) registry.Update {
 	version := s.version()
 	prerequisites := []registry.Record{registry.Absent(answerName(requested.ID), typeAnswer)}
@@ -180,27 +180,28 @@
 	return record.Name.Labels()[0]
 }
 
-// snapshot encodes the state. With dropAnswers (defect.SnapshotDropsOrders) it leaves the
-// answers out.
+// snapshot encodes the state. With dropAnswers (defect.SnapshotDropsOrders) it omits the
+// answers.
 func (s *stateMachine) snapshot(dropAnswers bool) ([]byte, error) {
 	if !dropAnswers {
 		return s.table.Snapshot()
 	}
 	complete := s.table.TransferSince(0)
-	kept := registry.Transfer{Full: true, To: complete.To}
+	reducedTransfer := registry.Transfer{Full: true, To: complete.To}
 	for _, record := range complete.Added {
 		if record.Type != typeAnswer {
-			kept.Added = append(kept.Added, record)
+			reducedTransfer.Added = append(reducedTransfer.Added, record)
 		}
 	}
 	reduced := registry.NewSecondary(apex, schema)
-	if err := reduced.ApplyTransfer(kept); err != nil {
+	if err := reduced.ApplyTransfer(reducedTransfer); err != nil {
 		return nil, err
 	}
 	return reduced.Snapshot()
 }
 
-// restore replaces the state by a snapshot. Empty data is the state of a new group.
+// restore replaces the state with that of a snapshot. Empty data represents the state of a
+// new group.
 func (s *stateMachine) restore(data []byte) error {
 	restored := newStateMachine()
 	restored.reuseSerials = s.reuseSerials
