--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -1,8 +1,8 @@
-// Package hollow runs gateways and replicas without their work, as Kubernetes'
-// kubemark runs hollow nodes: gateways that hold a lease and a copy of the registry
-// but carry no requests, and replicas that compute nothing. Many fit into one
-// process, so that the cost of a large fleet is measured on one machine. It is no
-// part of a deployment.
+// Package hollow runs simulated gateways and replicas, comparable to the hollow nodes
+// of Kubernetes' kubemark. A hollow gateway holds a lease and a copy of the registry
+// but relays no requests; a hollow replica computes nothing. Many of them fit into one
+// process, so that the control-plane cost of a large fleet can be measured on a single
+// machine. The package is for measurements only and is not part of a deployment.
 package hollow
 
 import (
@@ -26,17 +26,18 @@
 type FleetOptions struct {
 	// Count is the number of gateways.
 	Count int
-	// Prefix begins their names; the index follows it.
+	// Prefix is the prefix of the gateways' names; a name is the prefix, a hyphen and
+	// the index.
 	Prefix string
-	// Location returns the zone and region of the gateway with an index.
+	// Location returns the zone and region of the gateway with the given index.
 	Location func(index int) (zone, region string)
-	// Host is the loopback address to listen on; the system chooses the ports.
+	// Host is the loopback address to listen on; the operating system assigns the ports.
 	Host string
 	// Seeds are the peer addresses of control nodes.
 	Seeds []string
 	// Keys are the fleet's transport keys.
 	Keys [][]byte
-	// LeaseConfig is the fleet's configuration of leases.
+	// LeaseConfig is the lease configuration of the fleet.
 	LeaseConfig lease.Config
 }
 
@@ -45,14 +46,15 @@
 	options  FleetOptions
 	started  time.Time
 	gateways []*hollowGateway
-	// retired sums the transport counters of gateways that were restarted.
-	retired map[transport.Kind]transport.KindCounters
+	// stoppedCounters sums the transport counters of the gateway incarnations that Restart
+	// stopped.
+	stoppedCounters map[transport.Kind]transport.KindCounters
 
-	mutex       sync.Mutex // guards activations, which agents write
+	mutex       sync.Mutex // guards activations, which the agents' callbacks update
 	activations map[uint64]Activation
 }
 
-// hollowGateway is a gateway's agent with a network of its own.
+// hollowGateway is a gateway's agent with its own transport node.
 type hollowGateway struct {
 	network     *transport.Node
 	agent       *agent.Agent
@@ -68,21 +70,22 @@
 	g.loop.Wait()
 }
 
-// Activation says how far the activation of a configuration version has come.
+// Activation describes how many gateways have activated a configuration version.
 type Activation struct {
 	// Gateways is the number of gateways at which the version became active.
 	Gateways int
-	// LastAt is when it did at the last of them, in nanoseconds of eventlog.Now.
+	// LastAt is the time of the most recent of these activations, in nanoseconds of
+	// eventlog.Now.
 	LastAt int64
 }
 
 // Start starts the gateways. The caller must stop them with Close.
 func Start(options FleetOptions) (*Fleet, error) {
 	fleet := &Fleet{
-		options:     options,
-		started:     time.Now(),
-		retired:     make(map[transport.Kind]transport.KindCounters),
-		activations: make(map[uint64]Activation),
+		options:         options,
+		started:         time.Now(),
+		stoppedCounters: make(map[transport.Kind]transport.KindCounters),
+		activations:     make(map[uint64]Activation),
 	}
 	for i := range options.Count {
 		started, err := fleet.startGateway(i, 1)
@@ -95,14 +98,15 @@
 	return fleet, nil
 }
 
-// Restart stops the first count gateways, as the loss of their machines would, and
-// starts each as a new incarnation at another port.
+// Restart stops the first count gateways abruptly, without releasing their leases, as
+// if their machines had failed. It then starts each as a new incarnation on another
+// port.
 func (f *Fleet) Restart(count int) error {
 	for i := range min(count, len(f.gateways)) {
 		lost := f.gateways[i]
 		lost.stop()
 		for kind, counters := range lost.network.Counters() {
-			f.retired[kind] = AddCounters(f.retired[kind], counters)
+			f.stoppedCounters[kind] = AddCounters(f.stoppedCounters[kind], counters)
 		}
 		restarted, err := f.startGateway(i, lost.incarnation+1)
 		if err != nil {
@@ -113,6 +117,8 @@
 	return nil
 }
 
+// startGateway starts the gateway with the given index on a port that the operating
+// system assigns.
 func (f *Fleet) startGateway(index, incarnation int) (*hollowGateway, error) {
 	name := fmt.Sprintf("%s-%d", f.options.Prefix, index)
 	network, err := transport.Listen(transport.Config{Name: name, Listen: f.options.Host + ":0", Keys: f.options.Keys}, nil)
@@ -146,8 +152,8 @@
 	return started, nil
 }
 
-// recordActivation returns the OnActivate callback of one gateway. It counts each
-// version once, also if the gateway activates several states of it.
+// recordActivation returns the OnActivate callback of one gateway. The callback counts
+// each version once, even if the gateway activates several states of the same version.
 func (f *Fleet) recordActivation() func(*catalog.State) {
 	activeVersion := uint64(0)
 	return func(state *catalog.State) {
@@ -163,14 +169,14 @@
 	}
 }
 
-// Activation returns how far the activation of a version has come.
+// Activation returns the activation progress of a configuration version.
 func (f *Fleet) Activation(version uint64) Activation {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.activations[version]
 }
 
-// Leases counts the gateways with a valid lease.
+// Leases returns the number of gateways with a valid lease.
 func (f *Fleet) Leases() int {
 	valid := 0
 	for _, gateway := range f.gateways {
@@ -181,10 +187,10 @@
 	return valid
 }
 
-// Counters sums the transport counters of all gateways, including those of earlier
-// incarnations.
+// Counters returns the sum of the transport counters of all gateways, including those
+// of earlier incarnations, by message kind.
 func (f *Fleet) Counters() map[transport.Kind]transport.KindCounters {
-	sum := maps.Clone(f.retired)
+	sum := maps.Clone(f.stoppedCounters)
 	for _, gateway := range f.gateways {
 		for kind, counters := range gateway.network.Counters() {
 			sum[kind] = AddCounters(sum[kind], counters)
@@ -193,7 +199,7 @@
 	return sum
 }
 
-// AddCounters returns the sum of two readings.
+// AddCounters returns the field-by-field sum of two sets of counters.
 func AddCounters(a, b transport.KindCounters) transport.KindCounters {
 	a.SentMessages += b.SentMessages
 	a.SentBytes += b.SentBytes
--- a/internal/hollow/replica.go
+++ b/internal/hollow/replica.go
@@ -11,26 +11,26 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
-// Replica answers report requests and streams tokens at a fixed rate, and computes
-// nothing. It serves any number of requests at once.
+// Replica answers report requests and streams placeholder tokens at a fixed rate,
+// without computing anything. It does not limit the number of concurrent requests.
 type Replica struct {
-	// ID and Service are as in the platform's list.
+	// ID and Service are the replica's id and service in the platform's replica list.
 	ID      string
 	Service string
-	// Slots is the parallelism that it reports; it does not enforce it.
+	// Slots is the reported number of parallel requests; it is not enforced.
 	Slots int
-	// TokenInterval is the time between two tokens of a stream.
+	// TokenInterval is the time between two consecutive tokens of a stream.
 	TokenInterval time.Duration
 
 	running  atomic.Int64  // streams in progress
-	runs     atomic.Uint64 // streams begun
-	sequence atomic.Uint64 // reports made
+	runs     atomic.Uint64 // streams started, for run ids
+	sequence atomic.Uint64 // reports sent
 }
 
-// prefillRate is the prefill rate that a replica reports, in tokens a second.
+// prefillRate is the prefill rate that a replica reports, in tokens per second.
 const prefillRate = 1e6
 
-// streamTimeout bounds each write of a stream.
+// streamTimeout is the timeout of each write to a stream.
 const streamTimeout = time.Minute
 
 // Handler returns the HTTP handler of the replica.
@@ -56,7 +56,7 @@
 
 func (r *Replica) serveReport(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(r.report()) // fails only if the poller has gone
+	_ = json.NewEncoder(w).Encode(r.report()) // fails only if the poller has disconnected
 }
 
 func (r *Replica) serveGenerate(w http.ResponseWriter, request *http.Request) {
@@ -83,7 +83,7 @@
 			return
 		}
 	}
-	_ = writer.Event(api.EventEnd, api.StreamEnd{ // fails only if the caller is gone or stalls
+	_ = writer.Event(api.EventEnd, api.StreamEnd{ // fails only if the caller has disconnected or does not read
 		RequestID: generation.RequestID, RunID: run,
 		Sequence: generation.MaxTokens + 1, Tokens: generation.MaxTokens,
 	})
--- a/internal/hollow/replica_test.go
+++ b/internal/hollow/replica_test.go
@@ -14,6 +14,8 @@
 	"github.com/deckpulley/deckpulley/stream"
 )
 
+// TestReplicaReportsAndStreams checks the report of a hollow replica and that a stream
+// has as many chunks as tokens were requested.
 func TestReplicaReportsAndStreams(t *testing.T) {
 	replica := &Replica{ID: "r", Service: "s", Slots: 4, TokenInterval: time.Millisecond}
 	server := httptest.NewServer(replica.Handler())
@@ -25,7 +27,7 @@
 	defer response.Body.Close()
 	var report api.ReplicaReport
 	if err := json.NewDecoder(response.Body).Decode(&report); err != nil || report.Replica != "r" || report.Slots != 4 || report.Sequence != 1 {
-		t.Errorf("report %+v, %v", report, err)
+		t.Errorf("report %+v, error %v; want replica r with 4 slots and sequence 1", report, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -52,7 +54,7 @@
 		}
 	}
 	if events.Chunks() != 3 {
-		t.Errorf("%d chunks", events.Chunks())
+		t.Errorf("stream has %d chunks, want 3", events.Chunks())
 	}
 	if _, err := io.Copy(io.Discard, streamed.Body); err != nil {
 		t.Error(err)
