--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -7,13 +7,13 @@
 	"io"
 )
 
-// childCommand is a command to a child process, one line of JSON on its standard
-// input. The first has the Setup; the child answers each with a sample, and ends at
-// the end of its input.
+// childCommand is a command to a child process, sent as one line of JSON on its standard
+// input. The first command contains the Setup. The child answers each command with a
+// sample and exits when its input is closed.
 type childCommand struct {
 	// Setup is set in the first command only.
 	Setup *childConfig `json:"setup,omitempty"`
-	// Collect runs the garbage collector before the sample.
+	// Collect makes the child run a garbage collection before it takes the sample.
 	Collect bool `json:"collect,omitempty"`
 	// Restart is the number of hollow gateways to restart before the sample.
 	Restart int `json:"restart,omitempty"`
@@ -21,33 +21,36 @@
 	Version uint64 `json:"version,omitempty"`
 }
 
-// childConfig is what a child runs, and how.
+// childConfig configures the job that a child process runs. Each role uses only some
+// of the fields.
 type childConfig struct {
-	Role     string            `json:"role"`
-	Name     string            `json:"name"`
-	Zone     string            `json:"zone,omitempty"`
-	Region   string            `json:"region,omitempty"`
-	Peer     string            `json:"peer,omitempty"`
-	HTTP     string            `json:"http,omitempty"`
-	Folder   string            `json:"folder,omitempty"`
-	Initial  map[string]string `json:"initial,omitempty"`
-	Seeds    []string          `json:"seeds,omitempty"`
-	Key      []byte            `json:"key"`
-	Gateways int               `json:"gateways,omitempty"`
-	Gap      string            `json:"gap,omitempty"`
+	Role          string            `json:"role"`
+	Name          string            `json:"name"`
+	Zone          string            `json:"zone,omitempty"`
+	Region        string            `json:"region,omitempty"`
+	Peer          string            `json:"peer,omitempty"`
+	HTTP          string            `json:"http,omitempty"`
+	Folder        string            `json:"folder,omitempty"`
+	Initial       map[string]string `json:"initial,omitempty"`
+	Seeds         []string          `json:"seeds,omitempty"`
+	Key           []byte            `json:"key"`
+	Gateways      int               `json:"gateways,omitempty"`
+	TokenInterval string            `json:"gap,omitempty"`
 }
 
-// job is what a child runs.
+// job is the workload of a child process: a control node, gateways or a replica.
 type job interface {
-	// fill sets the fields of a sample that only this job has.
-	fill(into *sample, version uint64)
+	// fillSample sets the fields of the sample that are specific to this kind of job. version
+	// is the configuration version whose activation is reported.
+	fillSample(into *sample, version uint64)
 	close()
 }
 
-// maxCommandBytes bounds a line of a child's input.
+// maxCommandBytes is the maximum length of one command line.
 const maxCommandBytes = 1 << 20
 
-// ServeChild runs a child until the end of its input.
+// ServeChild runs the child process: it executes the commands that it reads from input
+// and writes a sample for each to output, until input ends.
 func ServeChild(input io.Reader, output io.Writer) error {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxCommandBytes)
@@ -56,7 +59,7 @@
 	for scanner.Scan() {
 		var next childCommand
 		if err := json.Unmarshal(scanner.Bytes(), &next); err != nil {
-			return fmt.Errorf("malformed order: %w", err)
+			return fmt.Errorf("malformed command: %w", err)
 		}
 		if next.Setup != nil {
 			started, err := startJob(*next.Setup)
@@ -72,7 +75,7 @@
 			}
 		}
 		current := sampleProcess(next.Collect)
-		running.fill(&current, next.Version)
+		running.fillSample(&current, next.Version)
 		if err := encoder.Encode(current); err != nil {
 			return err
 		}
@@ -82,18 +85,18 @@
 
 // Roles of a childConfig.
 const (
-	roleControl  = "control"
-	roleGateways = "hollow-gateways"
-	roleGateway  = "gateway"
-	roleReplica  = "hollow-replica"
+	roleControl        = "control"
+	roleHollowGateways = "hollow-gateways"
+	roleGateway        = "gateway"
+	roleReplica        = "hollow-replica"
 )
 
 func startJob(config childConfig) (job, error) {
 	switch config.Role {
 	case roleControl:
 		return startControl(config)
-	case roleGateways:
-		return startGateways(config)
+	case roleHollowGateways:
+		return startHollowGatewaysJob(config)
 	case roleGateway:
 		return startGateway(config)
 	case roleReplica:
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/configuration"
 )
 
-// Sizes of the measured configuration. Regions, zones and models are those of the
-// target size.
+// Sizes of the configuration used in measurements. The numbers of regions, zones and
+// models are those of the target size.
 const (
 	regionCount  = 50
 	zoneCount    = 102
@@ -25,17 +25,18 @@
 func serviceName(index int) string { return fmt.Sprintf("service-%02d", index) }
 func modelName(index int) string   { return fmt.Sprintf("model-%02d", index) }
 
-// regionOfZone spreads the zones evenly over the regions.
+// regionOfZone returns the index of a zone's region. The zones are spread evenly over
+// the regions.
 func regionOfZone(zone int) int { return zone % regionCount }
 
-// gatewayLocation returns the zone and region of the gateway with an index.
+// gatewayLocation returns the zone and region of the gateway with the given index.
 func gatewayLocation(index int) (zone, region string) {
 	zoneIndex := index % zoneCount
 	return zoneName(zoneIndex), regionName(regionOfZone(zoneIndex))
 }
 
-// configurationText returns a configuration; one field differs between consecutive
-// steps.
+// configurationText returns the configuration document of a step. The documents of
+// consecutive steps differ in one field only, the weight of a route.
 func configurationText(step int) (string, error) {
 	document := configuration.Document{
 		Regions:  make(map[string]configuration.Region),
@@ -78,7 +79,8 @@
 }
 
 // replicaList returns a platform's list of replicas, spread over all zones. Their
-// addresses are reserved for documentation, and nobody dials them.
+// addresses are from the block reserved for documentation (RFC 5737), since no gateway
+// of the measurement connects to them.
 func replicaList(count int) api.ReplicaList {
 	list := api.ReplicaList{Replicas: make([]api.ReplicaEntry, count)}
 	for i := range list.Replicas {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -10,15 +10,15 @@
 type line struct {
 	Intercept float64
 	Slope     float64
-	// Residual is the largest distance in y of a point from the line.
+	// Residual is the largest absolute vertical distance of a point from the line.
 	Residual float64
 	// Points is the number of points.
 	Points int
-	// Highest is the largest x of a point.
+	// Highest is the largest x value of the points.
 	Highest float64
 }
 
-// fit fits a line to points. It needs two or more.
+// fit fits a line to the given points, of which there must be at least two.
 func fit(x, y []float64) line {
 	intercept, slope := stat.LinearRegression(x, y, nil, false)
 	fitted := line{Intercept: intercept, Slope: slope, Points: len(x)}
@@ -29,5 +29,5 @@
 	return fitted
 }
 
-// at returns y at x.
+// at returns the y value of the line at x.
 func (l line) at(x float64) float64 { return l.Intercept + l.Slope*x }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -21,7 +21,8 @@
 	pollInterval = 20 * time.Millisecond
 )
 
-// group is three control processes with a configuration and a list of replicas.
+// group is a control plane of three control processes, with a configuration and a list
+// of replicas.
 type group struct {
 	folder    string
 	key       []byte
@@ -30,7 +31,7 @@
 	processes []*process // nil once killed
 	client    *client.Client
 	version   uint64 // configuration version in force
-	step      int    // of the last configuration sent
+	step      int    // step of the last configuration sent; see configurationText
 }
 
 // startGroup starts the control processes and applies a configuration and a list of
@@ -90,7 +91,7 @@
 func controlName(index int) string { return fmt.Sprintf("control-%d", index+1) }
 
 // change applies the next configuration and returns the time until it was
-// acknowledged as in force everywhere.
+// acknowledged, which means that it is in force at every gateway.
 func (g *group) change(ctx context.Context) (time.Duration, error) {
 	g.step++
 	text, err := configurationText(g.step)
@@ -108,7 +109,7 @@
 	return time.Since(sent), nil
 }
 
-// primary waits for a primary and returns its index.
+// primary waits until a running process is the primary and returns its index.
 func (g *group) primary(ctx context.Context) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -124,11 +125,11 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return 0, errors.New("no primary in time")
+	return 0, errors.New("no primary before the timeout")
 }
 
-// killPrimary kills the primary, as the loss of its machine would, and returns the
-// time until the next configuration was acknowledged.
+// killPrimary kills the primary without a shutdown, as if its machine had failed, and
+// returns the time until the next configuration was acknowledged.
 func (g *group) killPrimary(ctx context.Context, index int) (time.Duration, error) {
 	killed := time.Now()
 	g.processes[index].kill()
@@ -139,7 +140,7 @@
 	return time.Since(killed), nil
 }
 
-// stop ends the processes and removes their folders.
+// stop stops the processes and removes their data.
 func (g *group) stop() {
 	for _, child := range g.processes {
 		if child != nil {
@@ -149,10 +150,10 @@
 	_ = os.RemoveAll(g.folder)
 }
 
-// startHollowGateways starts a process of hollow gateways and waits until all have
-// leases.
+// startHollowGateways starts a process that runs count hollow gateways and waits until
+// all of them have a valid lease.
 func (g *group) startHollowGateways(ctx context.Context, count int) (*process, error) {
-	child, err := startProcess(ctx, childConfig{Role: roleGateways, Name: "gateway", Seeds: g.peers, Key: g.key, Gateways: count})
+	child, err := startProcess(ctx, childConfig{Role: roleHollowGateways, Name: "gateway", Seeds: g.peers, Key: g.key, Gateways: count})
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +164,7 @@
 	return child, nil
 }
 
-// awaitLeases waits until a number of gateways in a process have leases.
+// awaitLeases waits until count gateways of a process have a valid lease.
 func awaitLeases(ctx context.Context, child *process, count int) error {
 	deadline := time.Now().Add(readyTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
@@ -176,5 +177,5 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("%d gateways have no lease in time", count)
+	return fmt.Errorf("not all of %d gateways had a lease before the timeout", count)
 }
--- a/internal/scale/jobs.go
+++ b/internal/scale/jobs.go
@@ -19,10 +19,10 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// host is the address that all processes listen at.
+// host is the address on which all processes listen.
 const host = "127.0.0.1"
 
-// controlJob runs one real control node.
+// controlJob runs one complete control node.
 type controlJob struct {
 	network *transport.Node
 	node    *control.Node
@@ -36,7 +36,7 @@
 	}
 	disk, err := storage.Open(config.Folder)
 	if err != nil {
-		return nil, fmt.Errorf("opening the disk: %w", err)
+		return nil, fmt.Errorf("opening the storage: %w", err)
 	}
 	node, err := control.New(control.Options{
 		Name: config.Name, Zone: config.Zone, Region: config.Region,
@@ -56,20 +56,20 @@
 	return started, node.Start()
 }
 
-func (j *controlJob) fill(into *sample, _ uint64) { into.Frames = j.network.Counters() }
+func (j *controlJob) fillSample(into *sample, _ uint64) { into.Frames = j.network.Counters() }
 
 func (j *controlJob) close() {
 	j.server.close()
 	_ = j.node.Stop()
 }
 
-// httpServer is an HTTP server with the goroutine that serves.
+// httpServer is an HTTP server together with the goroutine that accepts connections.
 type httpServer struct {
 	server  *http.Server
 	serving sync.WaitGroup
 }
 
-// startHTTP listens at the address and serves until close.
+// startHTTP listens on the address and serves until close is called.
 func startHTTP(server *http.Server, address string) (*httpServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -80,21 +80,21 @@
 	return s, nil
 }
 
-// close closes the server with its connections and waits for its goroutine.
+// close closes the server and its connections and waits for the serving goroutine.
 func (s *httpServer) close() {
 	_ = s.server.Close()
 	s.serving.Wait()
 }
 
-// hollowGCPercent is the target of the garbage collector in a process of hollow
-// gateways. With the default, their hundreds of copies of the table would take twice
-// their size.
+// hollowGCPercent is the garbage collection target (GOGC) in a process of hollow
+// gateways. At the default of 100, the heap with the gateways' hundreds of copies of the
+// registry table could grow to twice its live size.
 const hollowGCPercent = 25
 
-// hollowGatewaysJob runs a number of hollow gateways.
+// hollowGatewaysJob runs many hollow gateways in one process.
 type hollowGatewaysJob struct{ fleet *hollow.Fleet }
 
-func startGateways(config childConfig) (*hollowGatewaysJob, error) {
+func startHollowGatewaysJob(config childConfig) (*hollowGatewaysJob, error) {
 	debug.SetGCPercent(hollowGCPercent)
 	fleet, err := hollow.Start(hollow.FleetOptions{
 		Count:       config.Gateways,
@@ -111,7 +111,7 @@
 	return &hollowGatewaysJob{fleet: fleet}, nil
 }
 
-func (j *hollowGatewaysJob) fill(into *sample, version uint64) {
+func (j *hollowGatewaysJob) fillSample(into *sample, version uint64) {
 	into.Frames = j.fleet.Counters()
 	into.Leases = j.fleet.Leases()
 	activation := j.fleet.Activation(version)
@@ -120,13 +120,13 @@
 
 func (j *hollowGatewaysJob) close() { j.fleet.Close() }
 
-// Limits of the real gateway.
+// Limits of the complete gateway that gatewayJob runs.
 const (
 	maxConnections  = 4096
 	shutdownTimeout = time.Second
 )
 
-// gatewayJob runs one real gateway.
+// gatewayJob runs one complete gateway, which relays requests.
 type gatewayJob struct {
 	network *transport.Node
 	gateway *gateway.Gateway
@@ -164,7 +164,7 @@
 	return &gatewayJob{network: network, gateway: running, server: server}, nil
 }
 
-func (j *gatewayJob) fill(into *sample, _ uint64) {
+func (j *gatewayJob) fillSample(into *sample, _ uint64) {
 	into.Frames = j.network.Counters()
 	if j.gateway.Agent().Valid() && j.gateway.Agent().Active() != nil {
 		into.Leases = 1
@@ -182,11 +182,12 @@
 // replicaJob runs one hollow replica.
 type replicaJob struct{ server *httpServer }
 
-// replicaSlots is the parallelism of a hollow replica, above every number of streams.
+// replicaSlots is the number of parallel requests that a hollow replica reports. It is
+// above every measured number of streams.
 const replicaSlots = 10_000
 
 func startReplica(config childConfig) (*replicaJob, error) {
-	interval, err := time.ParseDuration(config.Gap)
+	interval, err := time.ParseDuration(config.TokenInterval)
 	if err != nil {
 		return nil, err
 	}
@@ -198,7 +199,7 @@
 	return &replicaJob{server: server}, nil
 }
 
-func (j *replicaJob) fill(*sample, uint64) {}
+func (j *replicaJob) fillSample(*sample, uint64) {}
 
 func (j *replicaJob) close() { j.server.close() }
 
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -11,60 +11,61 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Durations and counts of one measurement.
+// Durations and counts of the steps of one measurement.
 const (
-	settleDuration = 2 * time.Second
-	restDuration   = 5 * time.Second
-	changes        = 10
+	settleDuration = 2 * time.Second // wait for the steady state
+	restDuration   = 5 * time.Second // measurement without changes
+	changeCount    = 10
 	changesInBurst = 50
-	restarts       = 70 // gateways lost at once
+	restartCount   = 70 // gateways that fail at once
 	mebibyte       = 1 << 20
 )
 
-// sizeReading is the cost of one size.
+// sizeReading is the measured cost at one number of gateways and replicas.
 type sizeReading struct {
 	gateways int
 	replicas int
 
 	primary  cost
 	follower cost
-	// gateway is the cost of the hollow process, divided by its gateways.
+	// gateway is the cost of the process of hollow gateways, divided by their number.
 	gateway cost
 
-	acknowledged        []time.Duration // per change, at the sender
-	activatedEverywhere []time.Duration // per change, until active at the last gateway
-	perChange           float64         // bytes at the primary for one change
-	perGateway          float64         // bytes at one gateway for one change
-	changeCPU           float64         // seconds of the primary's processor for one change
-	kinds               []kindRate      // of the primary's frames at rest
-	restart             time.Duration   // loss of some gateways until all have leases again
-	restarted           time.Duration   // that loss until the next change is acknowledged
-	burst               time.Duration   // a number of changes one after the other
-	failover            time.Duration   // loss of the primary until the next change is acknowledged
+	acknowledged          []time.Duration // per change, from sending to the acknowledgement
+	activatedEverywhere   []time.Duration // per change, from sending until active at the last gateway
+	primaryBytesPerChange float64         // bytes at the primary for one change
+	gatewayBytesPerChange float64         // bytes at one gateway for one change
+	primaryCPUPerChange   float64         // seconds of the primary's processor for one change
+	primaryFrameRates     []kindRate      // rates of the primary's frames at rest
+	leasesAfterRestart    time.Duration   // from the failure of some gateways until all have leases again
+	changeAfterRestart    time.Duration   // from that failure until the next change is acknowledged
+	burst                 time.Duration   // duration of changesInBurst changes, one after the other
+	failover              time.Duration   // from the failure of the primary until the next change is acknowledged
 }
 
-// cost is the cost of one process at rest; rates are per second.
+// cost is the resource usage of one process at rest, while nothing changes; rates are
+// per second.
 type cost struct {
 	messages float64
 	bytes    float64
-	cpu      float64 // share of one core
+	cpu      float64 // fraction of one core
 	heap     float64 // bytes
 	resident float64 // bytes
 }
 
-// processSamples has a sample of each process, taken one after the other.
+// processSamples holds one sample of each measured process, taken one after the other.
 type processSamples struct {
 	primary  sample
 	follower sample
 	hollow   sample
 }
 
-// measurement is the measurement of one size.
+// measurement holds the processes measured at one size.
 type measurement struct {
 	group    *group
-	hollow   *process // of the gateways
-	primary  int      // index of its process in the group
-	follower int      // likewise
+	hollow   *process // runs all hollow gateways
+	primary  int      // index of the primary's process in the group
+	follower int      // index of a follower's process in the group
 }
 
 // sampleAll samples the primary, a follower and the gateways.
@@ -87,8 +88,8 @@
 	return all, nil
 }
 
-// measureSize measures one number of gateways and replicas. The order of the steps
-// matters: the last one kills the primary.
+// measureSize runs all measurements with the given numbers of gateways and replicas.
+// The order of the steps matters: the last one kills the primary.
 func measureSize(ctx context.Context, gateways, replicas int) (sizeReading, error) {
 	result := sizeReading{gateways: gateways, replicas: replicas}
 	g, err := startGroup(ctx, replicaList(replicas))
@@ -113,7 +114,7 @@
 	return result, nil
 }
 
-// measureRest measures the costs while nothing changes.
+// measureRest measures the costs at rest, while nothing changes.
 func (m *measurement) measureRest(_ context.Context, result *sizeReading) error {
 	time.Sleep(settleDuration)
 	before, err := m.sampleAll(true)
@@ -128,7 +129,7 @@
 	result.primary = costBetween(before.primary, after.primary)
 	result.follower = costBetween(before.follower, after.follower)
 	result.gateway = costBetween(before.hollow, after.hollow).dividedBy(float64(result.gateways))
-	result.kinds = kindsBetween(before.primary, after.primary)
+	result.primaryFrameRates = kindsBetween(before.primary, after.primary)
 	return nil
 }
 
@@ -139,7 +140,7 @@
 	bytes  float64
 }
 
-// kindsBetween returns the rates between two samples, by ascending kind.
+// kindsBetween returns the frame rates between two samples, ordered by kind.
 func kindsBetween(before, after sample) []kindRate {
 	seconds := float64(after.At-before.At) / float64(time.Second)
 	var rates []kindRate
@@ -155,7 +156,8 @@
 	return rates
 }
 
-// costBetween returns the cost between two samples; sizes are those of the second.
+// costBetween returns the rates between two samples, with the memory sizes of the
+// second one.
 func costBetween(before, after sample) cost {
 	seconds := float64(after.At-before.At) / float64(time.Second)
 	messagesBefore, bytesBefore := before.traffic()
@@ -173,13 +175,14 @@
 	return cost{messages: c.messages / count, bytes: c.bytes / count, cpu: c.cpu / count, heap: c.heap / count, resident: c.resident / count}
 }
 
-// measureChanges measures configuration changes, each after the last is in force.
+// measureChanges measures configuration changes. Each is sent after the previous one is
+// in force.
 func (m *measurement) measureChanges(ctx context.Context, result *sizeReading) error {
 	before, err := m.sampleAll(false)
 	if err != nil {
 		return err
 	}
-	for range changes {
+	for range changeCount {
 		sent := eventlog.Now()
 		acknowledged, err := m.group.change(ctx)
 		if err != nil {
@@ -196,23 +199,25 @@
 	if err != nil {
 		return err
 	}
-	result.perChange = extraBytes(before.primary, after.primary, result.primary.bytes) / changes
+	result.primaryBytesPerChange = extraBytes(before.primary, after.primary, result.primary.bytes) / changeCount
 	cpuSeconds := time.Duration(after.primary.CPU - before.primary.CPU).Seconds()
 	elapsedSeconds := time.Duration(after.primary.At - before.primary.At).Seconds()
-	result.changeCPU = (cpuSeconds - result.primary.cpu*elapsedSeconds) / changes
-	result.perGateway = extraBytes(before.hollow, after.hollow, result.gateway.bytes*float64(result.gateways)) / changes / float64(result.gateways)
+	result.primaryCPUPerChange = (cpuSeconds - result.primary.cpu*elapsedSeconds) / changeCount
+	result.gatewayBytesPerChange = extraBytes(before.hollow, after.hollow, result.gateway.bytes*float64(result.gateways)) / changeCount / float64(result.gateways)
 	return nil
 }
 
-// extraBytes returns the bytes sent and received beyond the rate at rest.
+// extraBytes returns the bytes sent and received between two samples beyond those
+// expected at the rate at rest, in bytes per second.
 func extraBytes(before, after sample, rate float64) float64 {
 	_, bytesBefore := before.traffic()
 	_, bytesAfter := after.traffic()
 	return bytesAfter - bytesBefore - rate*float64(after.At-before.At)/float64(time.Second)
 }
 
-// activatedAt returns when the newest version became active at the last gateway, in
-// nanoseconds of eventlog.Now. It is an error if it is not active at all gateways.
+// activatedAt returns the time at which the newest version became active at the last
+// gateway, in nanoseconds of eventlog.Now. It returns an error if the version is not
+// active at all gateways.
 func (m *measurement) activatedAt(gateways int) (int64, error) {
 	current, err := m.hollow.execute(childCommand{Version: m.group.version})
 	if err != nil {
@@ -224,7 +229,7 @@
 	return current.ActivatedAt, nil
 }
 
-// measureBurst measures a number of changes one after the other.
+// measureBurst measures the duration of changesInBurst changes without pauses.
 func (m *measurement) measureBurst(ctx context.Context, result *sizeReading) error {
 	started := time.Now()
 	for range changesInBurst {
@@ -236,25 +241,26 @@
 	return nil
 }
 
-// measureRestarts measures the loss of many gateways at once, as with a rack, and
-// their restart.
+// measureRestarts measures the simultaneous failure of many gateways, as if a rack had
+// lost power, and their restart. A configuration change is sent meanwhile.
 func (m *measurement) measureRestarts(ctx context.Context, result *sizeReading) error {
 	started := time.Now()
-	if _, err := m.hollow.execute(childCommand{Restart: restarts}); err != nil {
+	if _, err := m.hollow.execute(childCommand{Restart: restartCount}); err != nil {
 		return err
 	}
 	changed := make(chan error, 1)
 	go func() {
 		_, err := m.group.change(ctx)
-		result.restarted = time.Since(started)
+		result.changeAfterRestart = time.Since(started)
 		changed <- err
 	}()
 	err := awaitLeases(ctx, m.hollow, result.gateways)
-	result.restart = time.Since(started)
+	result.leasesAfterRestart = time.Since(started)
 	return errors.Join(err, <-changed)
 }
 
-// measurePrimaryLoss measures the loss of the primary, which stays killed.
+// measurePrimaryLoss measures the failover after the primary is killed. The killed
+// process is not restarted.
 func (m *measurement) measurePrimaryLoss(ctx context.Context, result *sizeReading) error {
 	elapsed, err := m.group.killPrimary(ctx, m.primary)
 	result.failover = elapsed
@@ -264,7 +270,8 @@
 	return awaitLeases(ctx, m.hollow, result.gateways)
 }
 
-// median returns the upper median of durations, of which there must be one.
+// median returns the upper median of the durations, of which there must be at least
+// one.
 func median(durations []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(durations))
 	return sorted[len(sorted)/2]
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,8 +1,8 @@
-// Package scale measures the cost of the control plane at growing sizes, and that of
-// relaying streams at a gateway, on one machine over the loopback interface. The
-// control nodes are real, one a process; the gateways are hollow, many a process. It
-// fits lines to the figures and extrapolates them to the target size. It is no part
-// of a deployment.
+// Package scale measures the cost of the control plane at increasing sizes, and the cost
+// of relaying streams at a gateway, on one machine over the loopback interface. Each
+// control node is a complete one in a process of its own. The gateways are hollow (see
+// package hollow), many in one process. The package fits lines to the figures and
+// extrapolates them to the target size. It is not part of a deployment.
 package scale
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Plan says which sizes are measured.
+// Plan defines the sizes to measure.
 type Plan struct {
 	// Gateways lists numbers of gateways, each measured with BaseReplicas replicas.
 	Gateways     []int
@@ -22,16 +22,18 @@
 	// Replicas lists numbers of replicas, each measured with BaseGateways gateways.
 	Replicas     []int
 	BaseGateways int
-	// Streams lists numbers of streams through one real gateway.
+	// Streams lists numbers of concurrent streams through one complete gateway.
 	Streams []int
-	// Page is a file whose tables, between its markers, are replaced; empty for none.
+	// Page is a file in which the tables between the markers are replaced. If it is
+	// empty, no file is changed.
 	Page string
-	// Nodes, if above zero, is the only number of gateways to measure, with the only
-	// number in Replicas.
+	// Nodes, if above zero, selects the measurement of a single size: this number of
+	// gateways, with the only number in Replicas.
 	Nodes int
 }
 
-// DefaultPlan returns the plan of a complete measurement, up to the target size.
+// DefaultPlan returns the plan of a complete measurement with sizes up to the target
+// size.
 func DefaultPlan() Plan {
 	return Plan{
 		Gateways:     []int{8, 25, 100, 200, targetGateways},
@@ -42,17 +44,18 @@
 	}
 }
 
-// minimumSizes is the number of points from which a fitted line has a residual.
+// minimumSizes is the smallest number of points at which a fitted line has a residual;
+// a line through two points always fits exactly.
 const minimumSizes = 3
 
-// Check returns an error that names the flag of the first invalid field.
+// Check validates the plan. Its error names the command-line flag of an invalid field.
 func (p Plan) Check() error {
 	if p.Nodes > 0 {
-		return p.checkOne()
+		return p.checkSingleSize()
 	}
 	for name, sizes := range map[string][]int{"gateways": p.Gateways, "replicas": p.Replicas, "streams": p.Streams} {
 		if len(sizes) < minimumSizes {
-			return fmt.Errorf("--%s: %d sizes given, %d at least", name, len(sizes), minimumSizes)
+			return fmt.Errorf("--%s: got %d sizes, need at least %d", name, len(sizes), minimumSizes)
 		}
 		if slices.Min(sizes) < 1 {
 			return fmt.Errorf("--%s: sizes must be above zero", name)
@@ -61,37 +64,39 @@
 	return nil
 }
 
-func (p Plan) checkOne() error {
+func (p Plan) checkSingleSize() error {
 	switch {
 	case len(p.Replicas) != 1 || p.Replicas[0] < 1:
-		return errors.New("--replicas: exactly one number, above zero, goes with --nodes")
+		return errors.New("--replicas: must be exactly one number above zero if --nodes is set")
 	case p.Page != "":
-		return errors.New("--write: one size makes no lines, leave --nodes out")
+		return errors.New("--write: cannot be combined with --nodes, since lines cannot be fitted to a single size")
 	default:
 		return nil
 	}
 }
 
-// Run runs the plan. It writes the tables to output and its progress to progress.
+// Run runs the measurements of the plan. It writes the tables to output and progress
+// messages to progress.
 func (p Plan) Run(ctx context.Context, output, progress io.Writer) error {
 	if p.Nodes > 0 {
-		return p.measureOne(ctx, output)
+		return p.measureSingleSize(ctx, output)
 	}
 	return p.measureAll(ctx, output, progress)
 }
 
-// measureOne measures one size and compares it with the bounds of the target.
-func (p Plan) measureOne(ctx context.Context, output io.Writer) error {
+// measureSingleSize measures a single size and writes a comparison with the bounds of the
+// target size.
+func (p Plan) measureSingleSize(ctx context.Context, output io.Writer) error {
 	size, err := measureSize(ctx, p.Nodes, p.Replicas[0])
 	if err != nil {
 		return err
 	}
-	_, err = io.WriteString(output, size.againstBounds())
+	_, err = io.WriteString(output, size.compareWithBounds())
 	return err
 }
 
-// measureAll measures every size of the plan, prints the tables and replaces those
-// of the page.
+// measureAll measures every size of the plan, writes the tables to output and replaces
+// those in the page, if one is set.
 func (p Plan) measureAll(ctx context.Context, output, progress io.Writer) error {
 	report := capacityReport{started: time.Now()}
 	for _, gateways := range p.Gateways {
@@ -110,7 +115,7 @@
 		}
 		report.byReplicas = append(report.byReplicas, size)
 	}
-	fmt.Fprintln(progress, "measuring the relaying of streams")
+	fmt.Fprintln(progress, "measuring stream relaying")
 	var err error
 	if report.relays, err = measureRelay(ctx, p.Streams); err != nil {
 		return err
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// ChildArgument is the only argument of a child process. A program with it must call
-// ServeChild.
+// ChildArgument is the only command-line argument of a child process. A program that is
+// started with it must call ServeChild.
 const ChildArgument = "child"
 
-// process is a child process, as its parent sees it.
+// process is the parent's handle of a child process.
 type process struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  *bufio.Reader
 }
 
-// startProcess starts a child, which is killed when ctx ends. The caller must end it
-// with stop or kill.
+// startProcess starts a child process and its job. The child is killed when ctx is done.
+// The caller must end it with stop or kill.
 func startProcess(ctx context.Context, config childConfig) (*process, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -49,28 +49,28 @@
 	return p, nil
 }
 
-// execute sends a command and returns the sample that answers it.
+// execute sends a command and returns the sample that the child sends in response.
 func (p *process) execute(next childCommand) (sample, error) {
 	line, err := json.Marshal(next)
 	if err != nil {
 		return sample{}, err
 	}
 	if _, err := p.input.Write(append(line, '\n')); err != nil {
-		return sample{}, fmt.Errorf("child has ended: %w", err)
+		return sample{}, fmt.Errorf("child process has exited: %w", err)
 	}
 	answer, err := p.output.ReadBytes('\n')
 	if err != nil {
-		return sample{}, fmt.Errorf("child has ended: %w", err)
+		return sample{}, fmt.Errorf("child process has exited: %w", err)
 	}
 	var received sample
 	return received, json.Unmarshal(answer, &received)
 }
 
-// stopTimeout bounds how long a child may take to end before it is killed.
+// stopTimeout is how long stop waits for a child to exit before killing it.
 const stopTimeout = 5 * time.Second
 
-// stop closes the input of the child and waits for its end. It kills a child that has
-// not ended after stopTimeout.
+// stop closes the input of the child and waits until it exits. It kills a child that is
+// still running after stopTimeout.
 func (p *process) stop() {
 	p.input.Close()
 	ended := make(chan struct{})
@@ -86,7 +86,7 @@
 	}
 }
 
-// kill ends the child at once, as the loss of its machine would.
+// kill kills the child without a shutdown, as if its machine had failed.
 func (p *process) kill() {
 	_ = p.command.Process.Kill()
 	_ = p.command.Wait()
--- a/internal/scale/relay.go
+++ b/internal/scale/relay.go
@@ -16,7 +16,7 @@
 	"github.com/deckpulley/deckpulley/internal/hollow"
 )
 
-// Parameters of the measurements of streams and polls.
+// Parameters of the stream and poll measurements.
 const (
 	tokenInterval     = 33 * time.Millisecond
 	relayDuration     = 4 * time.Second
@@ -24,17 +24,17 @@
 	pollCount         = 2000
 )
 
-// relayReading is the cost of a real gateway while it relays streams.
+// relayReading is the cost of a complete gateway while it relays streams.
 type relayReading struct {
 	streams  int
 	events   float64 // per second, as callers received them
-	cpu      float64 // share of one core of the gateway
+	cpu      float64 // fraction of one core, used by the gateway
 	resident float64 // bytes
-	failed   int
+	failed   int     // streams that ended early
 }
 
-// measureRelay measures a real gateway in front of a hollow replica, at each number of
-// streams.
+// measureRelay measures a complete gateway in front of a hollow replica at each of the
+// given numbers of streams.
 func measureRelay(ctx context.Context, sizes []int) ([]relayReading, error) {
 	addresses, err := freeport.Addresses(host, 3)
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	replicaAddress, peerAddress, callerAddress := addresses[0], addresses[1], addresses[2]
 	list := api.ReplicaList{Replicas: []api.ReplicaEntry{{ID: "replica-0", Service: serviceName(0), Zone: zoneName(0), Address: replicaAddress}}}
-	replica, err := startProcess(ctx, childConfig{Role: roleReplica, Name: "replica-0", HTTP: replicaAddress, Gap: tokenInterval.String()})
+	replica, err := startProcess(ctx, childConfig{Role: roleReplica, Name: "replica-0", HTTP: replicaAddress, TokenInterval: tokenInterval.String()})
 	if err != nil {
 		return nil, err
 	}
@@ -63,10 +63,10 @@
 	if err := awaitLeases(ctx, gateway, 1); err != nil {
 		return nil, err
 	}
-	time.Sleep(settleDuration) // until the gateway has found the replica healthy
+	time.Sleep(settleDuration) // until the gateway's health check has found the replica
 	var readings []relayReading
 	for _, streams := range sizes {
-		measured, err := relayOnce(ctx, gateway, callerAddress, streams)
+		measured, err := measureStreams(ctx, gateway, callerAddress, streams)
 		if err != nil {
 			return nil, err
 		}
@@ -75,8 +75,8 @@
 	return readings, nil
 }
 
-// relayOnce keeps a number of streams open and measures the gateway during them.
-func relayOnce(ctx context.Context, gateway *process, address string, streams int) (relayReading, error) {
+// measureStreams measures the gateway while it relays the given number of streams.
+func measureStreams(ctx context.Context, gateway *process, address string, streams int) (relayReading, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	transport := &http.Transport{MaxIdleConns: streams}
 	caller, err := client.New(client.Config{Addresses: []string{address}, HTTP: &http.Client{Transport: transport}})
@@ -117,7 +117,8 @@
 	return result, err
 }
 
-// readStream reads a stream and counts its events. It always ends with an error.
+// readStream reads a stream until it fails or ends, and counts its events. The returned
+// error is never nil.
 func readStream(ctx context.Context, caller *client.Client, request api.GenerateRequest, address string, events *atomic.Int64) error {
 	stream, err := caller.OpenStream(ctx, request, address)
 	if err != nil {
@@ -132,13 +133,14 @@
 	}
 }
 
-// pollReading is the cost of one poll of a replica's report.
+// pollReading is the average cost of one poll of a replica's report.
 type pollReading struct {
-	bytes float64 // both ways, with HTTP, without TCP and IP
-	cpu   float64 // seconds of both ends together
+	bytes float64 // sent and received, including HTTP headers but not TCP and IP headers
+	cpu   float64 // seconds of CPU time, poller and replica together
 }
 
-// measurePoll polls a hollow replica over one connection, which is kept alive.
+// measurePoll measures polls of a hollow replica over one persistent connection. Poller
+// and replica both run in this process.
 func measurePoll(ctx context.Context) (pollReading, error) {
 	addresses, err := freeport.Addresses(host, 1)
 	if err != nil {
@@ -163,7 +165,7 @@
 		if err != nil {
 			return pollReading{}, err
 		}
-		if err := fetch(caller, request); err != nil {
+		if err := discardResponse(caller, request); err != nil {
 			return pollReading{}, err
 		}
 	}
@@ -171,7 +173,7 @@
 	return pollReading{bytes: float64(bytes.Load()) / pollCount, cpu: cpuSeconds / pollCount}, nil
 }
 
-// countingConn counts the bytes read and written.
+// countingConn is a connection that counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -189,8 +191,8 @@
 	return n, err
 }
 
-// fetch sends a request and discards the response.
-func fetch(caller *http.Client, request *http.Request) error {
+// discardResponse sends a request and discards the response.
+func discardResponse(caller *http.Client, request *http.Request) error {
 	response, err := caller.Do(request)
 	if err != nil {
 		return err
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,7 +11,7 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// Markers around the generated part of the page.
+// Markers that enclose the generated part of the page.
 const (
 	beginMarker = "<!-- begin of the measured tables: written by make capacity -->"
 	endMarker   = "<!-- end of the measured tables -->"
@@ -36,12 +36,12 @@
 	before, rest, begins := strings.Cut(string(page), beginMarker)
 	_, after, ends := strings.Cut(rest, endMarker)
 	if !begins || !ends {
-		return fmt.Errorf("%s lacks the markers %q and %q", path, beginMarker, endMarker)
+		return fmt.Errorf("%s does not contain the markers %q and %q", path, beginMarker, endMarker)
 	}
 	return os.WriteFile(path, []byte(before+beginMarker+"\n"+text+endMarker+after), 0o644)
 }
 
-// markdown builds a text with tables.
+// markdown builds a Markdown text with tables.
 type markdown struct{ strings.Builder }
 
 func (m *markdown) row(cells ...string) {
@@ -61,7 +61,7 @@
 	fmt.Fprintf(m, "\n"+format+"\n\n", arguments...)
 }
 
-// tables returns the generated part of the page.
+// tables returns the generated part of the page: all figures as Markdown tables.
 func (r *capacityReport) tables() string {
 	m := &markdown{}
 	m.paragraph("Measured on %s on a machine of %d cores shared with other work, in %.0f s, over the loopback interface. Processor time is that of the process, user and system, so that other work disturbs it little; times of day are disturbed more.",
@@ -75,7 +75,7 @@
 	return m.String()
 }
 
-// sizesTable adds a table with one row a size.
+// sizesTable adds a table with one row for each measured size.
 func sizesTable(m *markdown, title string, readings []sizeReading) {
 	m.WriteString("\n" + title + "\n\n")
 	m.header("gateways", "replicas", "primary: B/s", "frames/s", "core", "heap MiB", "resident MiB",
@@ -87,15 +87,15 @@
 			number(one.primary.bytes), number(one.primary.messages), percent(one.primary.cpu), number(one.primary.heap/mebibyte), number(one.primary.resident/mebibyte),
 			percent(one.follower.cpu), number(one.follower.resident/mebibyte),
 			number(one.gateway.bytes), number(one.gateway.messages), percent(one.gateway.cpu), number(one.gateway.heap/mebibyte),
-			number(one.perChange), number(1000*one.changeCPU), number(one.perGateway),
+			number(one.primaryBytesPerChange), number(1000*one.primaryCPUPerChange), number(one.gatewayBytesPerChange),
 			millis(median(one.acknowledged)), millis(longest(one.acknowledged)), millis(longest(one.activatedEverywhere)),
-			seconds(one.burst), seconds(one.restart), seconds(one.restarted), seconds(one.failover),
+			seconds(one.burst), seconds(one.leasesAfterRestart), seconds(one.changeAfterRestart), seconds(one.failover),
 		)
 	}
 }
 
-// kindNames has the names of the kinds that control nodes exchange with gateways and
-// each other at rest.
+// kindNames maps the kinds of frames that control nodes exchange at rest, with gateways
+// and with each other, to their names in the report.
 var kindNames = map[transport.Kind]string{
 	0:                  "pings, handshakes",
 	peer.KindConsensus: "consensus",
@@ -108,12 +108,13 @@
 	peer.KindOperation: "order",
 }
 
-// kindTable adds the rates of the primary's frames at the largest number of gateways.
+// kindTable adds a table of the primary's frame rates by kind, at the largest measured
+// number of gateways.
 func (r *capacityReport) kindTable(m *markdown) {
 	largest := r.byGateways[len(r.byGateways)-1]
 	fmt.Fprintf(m, "\n### The primary's frames at rest, at %d gateways\n\n", largest.gateways)
 	m.header("kind", "frames/s, both ways", "B/s, both ways")
-	for _, rate := range largest.kinds {
+	for _, rate := range largest.primaryFrameRates {
 		name, known := kindNames[rate.kind]
 		if !known {
 			name = fmt.Sprintf("between control nodes (kind %d)", rate.kind)
@@ -122,7 +123,7 @@
 	}
 }
 
-// relayTable adds the costs of relaying and polling.
+// relayTable adds a table of the costs of relaying streams, and the cost of a poll.
 func (r *capacityReport) relayTable(m *markdown) {
 	m.WriteString("\n### Streams through one real gateway\n\n")
 	m.header("streams", "events/s", "core", "resident MiB", "failed")
@@ -133,7 +134,7 @@
 		number(r.poll.bytes), r.poll.cpu*1e6, pollCount)
 }
 
-// slopeTable adds the fitted lines.
+// slopeTable adds a table of the fitted lines.
 func (r *capacityReport) slopeTable(m *markdown) {
 	m.WriteString("\n### Slopes\n\n")
 	m.header("figure", "unit", "intercept", "slope", "per", "largest residual", "points", "up to")
@@ -142,7 +143,7 @@
 	}
 }
 
-// targetTable adds the figures at the target size, with their bounds.
+// targetTable adds a table of the figures at the target size, with their bounds.
 func (r *capacityReport) targetTable(m *markdown) {
 	m.WriteString("\n### The target size\n\n")
 	m.header("role", "figure", "worked out as", "value", "bound", "verdict", "mechanism that carries it")
@@ -151,7 +152,7 @@
 	}
 }
 
-// longest returns the longest of durations, 0 of none.
+// longest returns the longest of the durations, or 0 if there are none.
 func longest(durations []time.Duration) time.Duration {
 	var result time.Duration
 	for _, duration := range durations {
@@ -160,8 +161,8 @@
 	return result
 }
 
-// number formats a value with three significant digits; above 1000 with all of its
-// integer part.
+// number formats a value with three significant digits, but with all digits of its
+// integer part from 1000 on.
 func number(value float64) string {
 	switch size := max(value, -value); {
 	case size >= 100:
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -12,23 +12,26 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// sample is what a child reports of itself, one line of JSON.
+// sample is a child's report of its resource usage and state, sent as one line of JSON.
 type sample struct {
 	At         int64 `json:"at"`  // nanoseconds of eventlog.Now
-	CPU        int64 `json:"cpu"` // nanoseconds of processor time since the start
+	CPU        int64 `json:"cpu"` // CPU time used since the process started, in nanoseconds
 	Heap       int64 `json:"heap"`
 	Resident   int64 `json:"resident"`
 	Goroutines int   `json:"goroutines"`
-	// Frames are the transport's counters by kind, summed over the process's nodes.
+	// Frames holds the transport counters by message kind, summed over all transport
+	// nodes of the process.
 	Frames map[transport.Kind]transport.KindCounters `json:"frames,omitempty"`
-	// Leases counts hollow gateways with a valid lease; Activated those at which the
-	// version of the command is active, the last since ActivatedAt.
+	// Leases is the number of gateways with a valid lease.
+	// Activated is the number of gateways that have activated the configuration version
+	// of the command; ActivatedAt is the time of the last of these activations, in
+	// nanoseconds of eventlog.Now.
 	Leases      int   `json:"leases,omitempty"`
 	Activated   int   `json:"activated,omitempty"`
 	ActivatedAt int64 `json:"activated_at,omitempty"`
 }
 
-// traffic returns the sums of the sample's frames, sent and received.
+// traffic returns the total messages and bytes of all kinds, sent and received.
 func (s *sample) traffic() (messages, bytes float64) {
 	for _, counters := range s.Frames {
 		messages += float64(counters.SentMessages + counters.ReceivedMessages)
@@ -37,7 +40,8 @@
 	return messages, bytes
 }
 
-// sampleProcess returns a sample with the fields that every process has.
+// sampleProcess returns a sample with the fields that are common to all jobs. It runs a
+// garbage collection first if collect is true.
 func sampleProcess(collect bool) sample {
 	if collect {
 		runtime.GC()
@@ -53,17 +57,18 @@
 	}
 }
 
-// processorTime returns the processor time that this process has used, user and
-// system, in nanoseconds.
+// processorTime returns the CPU time that this process has used, user and system, in
+// nanoseconds.
 func processorTime() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		panic(fmt.Sprintf("reading the processor time: %v", err)) // cannot fail for the own process
+		panic(fmt.Sprintf("reading the CPU time: %v", err)) // cannot fail for the calling process
 	}
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
-// residentBytes returns the resident size of this process, 0 if it cannot be read.
+// residentBytes returns the resident set size of this process, or 0 if it cannot be
+// read.
 func residentBytes() int64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -13,8 +13,8 @@
 	"github.com/deckpulley/deckpulley/configuration"
 )
 
-// TestMain runs the test binary as a child process of a measurement, if it was started
-// as one.
+// TestMain lets the test binary also serve as the child process of a measurement, which
+// starts it with ChildArgument.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == ChildArgument {
 		if err := ServeChild(os.Stdin, os.Stdout); err != nil {
@@ -29,11 +29,11 @@
 func TestFitLine(t *testing.T) {
 	found := fit([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
 	if math.Abs(found.Slope-2) > 1e-9 || math.Abs(found.Intercept-3) > 1e-9 || found.Residual > 1e-9 || found.Highest != 4 {
-		t.Errorf("an exact line: %+v", found)
+		t.Errorf("fit of collinear points: got %+v, want y = 3 + 2x without residual", found)
 	}
 	bent := fit([]float64{0, 1, 2}, []float64{0, 3, 0})
 	if math.Abs(bent.Residual-2) > 1e-9 || math.Abs(bent.at(10)-1) > 1e-9 {
-		t.Errorf("a bent one: %+v", bent)
+		t.Errorf("fit of points that are not collinear: got %+v, want y = 1 with residual 2", bent)
 	}
 }
 
@@ -49,7 +49,7 @@
 		{math.NaN(), 1, 0, 10, 10, notMet},
 	} {
 		if got := verdictFor(c.value, c.bound, c.residual, c.size, c.measuredTo); got != c.want {
-			t.Errorf("%+v: %s", c, got)
+			t.Errorf("verdict for %+v: got %q", c, got)
 		}
 	}
 }
@@ -67,11 +67,11 @@
 	}
 	got, err := os.ReadFile(path)
 	if want := "a\n" + beginMarker + "\nnew\n" + endMarker + "\nz\n"; err != nil || string(got) != want {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("page after the replacement: %q, error %v", got, err)
 	}
 	write("a page without markers")
 	if err := writeBetweenMarkers(path, "new"); err == nil {
-		t.Error("a page without markers was changed")
+		t.Error("writeBetweenMarkers accepted a page without markers")
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	second, err := configurationText(2)
 	if err != nil || first == second {
-		t.Fatalf("the second document equals the first, or %v", err)
+		t.Fatalf("the document of step 2 equals that of step 1, or is not available: %v", err)
 	}
 	document, err := configuration.Parse(second)
 	if err != nil {
@@ -96,13 +96,13 @@
 		zones += len(region.Zones)
 	}
 	if len(document.Regions) != regionCount || zones != zoneCount || len(document.Routes) != modelCount {
-		t.Errorf("%d regions, %d zones, %d routes", len(document.Regions), zones, len(document.Routes))
+		t.Errorf("document has %d regions, %d zones and %d routes", len(document.Regions), zones, len(document.Routes))
 	}
 }
 
-// TestAcknowledgedChangesAreActive runs the steps of a measurement with real processes:
-// an acknowledged change must be active at every hollow gateway, also after restarts of
-// gateways and the loss of the primary.
+// TestAcknowledgedChangesAreActive runs the steps of a measurement with real processes.
+// It checks that an acknowledged change is active at every hollow gateway, also after
+// gateways were restarted and after the primary was killed.
 func TestAcknowledgedChangesAreActive(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -126,14 +126,14 @@
 	if err := m.measureChanges(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
-	if len(result.activatedEverywhere) != changes || result.perChange <= 0 || result.perGateway <= 0 {
-		t.Errorf("changes left no trace: %+v", result)
+	if len(result.activatedEverywhere) != changeCount || result.primaryBytesPerChange <= 0 || result.gatewayBytesPerChange <= 0 {
+		t.Errorf("changes were not measured: %+v", result)
 	}
 	if err := m.measureRestarts(ctx, &result); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.activatedAt(gateways); err != nil {
-		t.Errorf("after the restart: %v", err)
+		t.Errorf("after the restart of the gateways: %v", err)
 	}
 	if err := m.measurePrimaryLoss(ctx, &result); err != nil {
 		t.Fatal(err)
@@ -154,14 +154,14 @@
 	}
 	text := report.tables()
 	if strings.Contains(text, "NaN") || strings.Contains(text, "%!") {
-		t.Errorf("the report has holes:\n%s", text)
+		t.Errorf("the report has missing values or formatting errors:\n%s", text)
 	}
-	if single := one(3, 9).againstBounds(); strings.Count(single, "\n| ") < 14 || strings.Contains(single, "NaN") {
-		t.Errorf("one size:\n%s", single)
+	if single := one(3, 9).compareWithBounds(); strings.Count(single, "\n| ") < 14 || strings.Contains(single, "NaN") {
+		t.Errorf("comparison of a single size has missing rows or values:\n%s", single)
 	}
 	for _, row := range report.targets() {
 		if !strings.Contains(text, "| "+row.role+" | "+row.figure+" |") || row.mechanism == "" || row.verdict == "" {
-			t.Errorf("row %+v is missing or incomplete", row)
+			t.Errorf("target row %+v is missing from the report or incomplete", row)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	if poll.bytes < 300 || poll.bytes > 3000 || poll.cpu <= 0 {
-		t.Errorf("one poll: %+v", poll)
+		t.Errorf("implausible cost of a poll: %+v", poll)
 	}
 }
 
@@ -191,7 +191,7 @@
 	short.Streams, zero.Gateways = []int{1, 2}, []int{0, 1, 2}
 	for _, bad := range []Plan{short, zero, two, page} {
 		if bad.Check() == nil {
-			t.Errorf("accepted %+v", bad)
+			t.Errorf("Check accepted the invalid plan %+v", bad)
 		}
 	}
 }
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// The target size, its bounds, and what figures at that size are computed with.
-// boundCore is a share of one core, boundBytes a rate per second, boundMemory a size
-// in bytes.
+// The target size, the bounds of its figures, and the parameters used to compute the
+// figures. boundCore is a fraction of one core, boundBytes a rate in bytes per second,
+// and boundMemory a size in bytes.
 const (
-	targetGateways  = 402
-	targetReplicas  = 12_000
-	targetEvents    = 5.5e6 // tokens a second, one event each
-	changesPerDay   = 52_000
-	restartsPerDay  = 1600 + 72
-	secondsPerDay   = 86_400
-	boundCore       = 0.015
-	boundBytes      = 14 << 10
-	boundMemory     = 32 << 20
-	boundInForce    = 8 * time.Second
-	boundFailover   = 12 * time.Second
-	pollsPerSecond  = 2 // of one replica by one gateway
-	updatesPerStart = 4 // registry updates for one restart: down, up, and both member records
-	usableCore      = 0.6
-	collectorFactor = 2  // the garbage collector lets the heap double
-	relayCount      = 13 // of 18 machines, beside 5 voters
+	targetGateways     = 402
+	targetReplicas     = 12_000
+	targetEvents       = 5.5e6 // tokens per second, one event each
+	changesPerDay      = 52_000
+	restartsPerDay     = 1600 + 72
+	secondsPerDay      = 86_400
+	boundCore          = 0.015
+	boundBytes         = 14 << 10
+	boundMemory        = 32 << 20
+	boundInForce       = 8 * time.Second
+	boundFailover      = 12 * time.Second
+	pollsPerSecond     = 2 // by one gateway of one replica
+	updatesPerStart    = 4 // registry updates per restart: down, up, and both member records
+	usableCoreFraction = 0.6
+	heapGrowthFactor   = 2  // the garbage collector lets the heap grow to twice its live size
+	relayCount         = 13 // 18 machines less 5 voters
 )
 
-// verdict says whether a figure is within its bound, and how certain that is.
+// verdict states whether a figure is within its bound and how reliable that result is.
 type verdict string
 
 const (
@@ -39,7 +39,8 @@
 	estimatedOnly   verdict = "estimated only"
 )
 
-// slope is a fitted line with its name and units.
+// slope is a fitted line with the name and unit of its figure, and the unit of its
+// independent variable.
 type slope struct {
 	line
 	name string
@@ -47,14 +48,15 @@
 	per  string
 }
 
-// What a slope is per.
+// Values of slope.per, the unit of the independent variable.
 const (
 	perGateway = "gateway"
 	perReplica = "replica"
 	perEvent   = "event/s"
 )
 
-// fitSlope fits a line to one figure of readings.
+// fitSlope fits a line to one figure of the measured sizes, over the number of gateways
+// or, if per is perReplica, of replicas.
 func fitSlope(name, unit, per string, readings []sizeReading, figure func(sizeReading) float64) slope {
 	var x, y []float64
 	for _, one := range readings {
@@ -68,7 +70,7 @@
 	return slope{line: fit(x, y), name: name, unit: unit, per: per}
 }
 
-// fittedLines has the slopes that figures at the target size are computed from.
+// fittedLines holds the lines from which the figures at the target size are computed.
 type fittedLines struct {
 	primaryBytes, primaryCPU, primaryMemory                 slope
 	followerBytes, followerCPU, followerMemory              slope
@@ -92,12 +94,12 @@
 		gatewayBytes:   fitSlope("gateway, traffic at rest", "B/s", perGateway, g, func(one sizeReading) float64 { return one.gateway.bytes }),
 		gatewayCPU:     fitSlope("gateway, processor at rest", "core", perGateway, g, func(one sizeReading) float64 { return one.gateway.cpu }),
 		gatewayHeap:    fitSlope("gateway, heap and stacks", "B", perGateway, g, func(one sizeReading) float64 { return one.gateway.heap }),
-		changeBytes:    fitSlope("primary, one change", "B", perGateway, g, func(one sizeReading) float64 { return one.perChange }),
-		changeGateway:  fitSlope("gateway, one change", "B", perGateway, g, func(one sizeReading) float64 { return one.perGateway }),
-		changeCPU:      fitSlope("primary, processor for one change", "s", perGateway, g, func(one sizeReading) float64 { return one.changeCPU }),
+		changeBytes:    fitSlope("primary, one change", "B", perGateway, g, func(one sizeReading) float64 { return one.primaryBytesPerChange }),
+		changeGateway:  fitSlope("gateway, one change", "B", perGateway, g, func(one sizeReading) float64 { return one.gatewayBytesPerChange }),
+		changeCPU:      fitSlope("primary, processor for one change", "s", perGateway, g, func(one sizeReading) float64 { return one.primaryCPUPerChange }),
 		inForce:        fitSlope("change in force everywhere, longest", "s", perGateway, g, longestInForce),
 		burstTime:      fitSlope("50 changes one after the other", "s", perGateway, g, func(one sizeReading) float64 { return one.burst.Seconds() }),
-		restart:        fitSlope("up to 70 gateways lost at once, to the next acknowledgement", "s", perGateway, g, func(one sizeReading) float64 { return one.restarted.Seconds() }),
+		restart:        fitSlope("up to 70 gateways lost at once, to the next acknowledgement", "s", perGateway, g, func(one sizeReading) float64 { return one.changeAfterRestart.Seconds() }),
 		failover:       fitSlope("loss of the primary to the next acknowledgement", "s", perGateway, g, func(one sizeReading) float64 { return one.failover.Seconds() }),
 
 		primaryPerReplica:  fitSlope("primary, resident memory", "B", perReplica, s, func(one sizeReading) float64 { return one.primary.resident }),
@@ -131,7 +133,7 @@
 	}
 }
 
-// target is one figure at the target size: a row of its table.
+// target is one figure at the target size, as a row of the target table.
 type target struct {
 	role      string
 	figure    string
@@ -143,11 +145,11 @@
 }
 
 // verdictFor compares a value with its bound. residual is the largest distance of a
-// point from the lines that the value comes from, size the size that the value is
-// for, and measuredTo the largest size that was measured.
+// measured point from the fitted lines that the value was computed from, size is the
+// size to which the value applies, and measuredTo is the largest measured size.
 func verdictFor(value, bound, residual, size, measuredTo float64) verdict {
 	switch {
-	case !(value <= bound): // also if the value is not a number
+	case !(value <= bound): // not value > bound, so that NaN does not pass
 		return notMet
 	case value+residual > bound:
 		return undecided
@@ -158,13 +160,13 @@
 	}
 }
 
-// verdictForSum compares a sum over several lines with its bound. No single run
-// measured it, so that it counts as extrapolated.
+// verdictForSum compares a sum over several lines with its bound. Since no single run
+// measured the sum, it counts as extrapolated.
 func verdictForSum(value, bound, residual float64) verdict {
 	return verdictFor(value, bound, residual, 1, 0)
 }
 
-// updatesPerSecond returns the rate of updates of the registry at the target size.
+// updatesPerSecond returns the rate of registry updates at the target size.
 func updatesPerSecond() float64 {
 	return float64(changesPerDay+restartsPerDay*updatesPerStart) / secondsPerDay
 }
@@ -221,7 +223,7 @@
 	control := l.gatewayBytes.at(targetGateways) + rate*l.changeGateway.at(targetGateways)
 	cpu := l.gatewayCPU.at(targetGateways)
 	heap := l.gatewayHeap.at(targetGateways) + l.gatewayPerReplica.Slope*targetReplicas
-	resident := l.relayMemory.Intercept + collectorFactor*heap
+	resident := l.relayMemory.Intercept + heapGrowthFactor*heap
 	shared := float64(targetReplicas) / targetGateways
 	polls := shared * pollsPerSecond * r.poll.bytes
 	return []target{
@@ -238,7 +240,7 @@
 			verdictForSum(heap, boundMemory, l.gatewayHeap.Residual+l.gatewayPerReplica.Residual), "whole copy of the table; watch-by-region would hold a fiftieth",
 		},
 		{
-			"gateway", "resident memory, idle", fmt.Sprintf("intercept of a real gateway + %d × that heap", collectorFactor), number(resident/mebibyte) + " MiB", number(boundMemory/mebibyte) + " MiB",
+			"gateway", "resident memory, idle", fmt.Sprintf("intercept of a real gateway + %d × that heap", heapGrowthFactor), number(resident/mebibyte) + " MiB", number(boundMemory/mebibyte) + " MiB",
 			verdictForEstimate(resident, boundMemory), "as above; the collector lets the heap double",
 		},
 		{
@@ -248,9 +250,9 @@
 	}
 }
 
-// relayNode returns the traffic of one of the relays that would be placed between
-// voters and gateways.
-func (r *capacityReport) relayNode(l fittedLines) target {
+// relayNodeTarget estimates the traffic of one of the relay nodes that could be placed between
+// voters and gateways. Relay nodes are not implemented.
+func (r *capacityReport) relayNodeTarget(l fittedLines) target {
 	share := math.Ceil(float64(targetGateways) / relayCount)
 	bytes := share * (l.gatewayBytes.at(targetGateways) + updatesPerSecond()*l.changeGateway.at(targetGateways))
 	return target{
@@ -259,7 +261,8 @@
 	}
 }
 
-// verdictForEstimate compares a figure that no run measures with its bound.
+// verdictForEstimate compares an estimated figure, which no run measures, with its
+// bound.
 func verdictForEstimate(value, bound float64) verdict {
 	if value > bound {
 		return notMet
@@ -270,7 +273,7 @@
 func (r *capacityReport) fleetTargets(l fittedLines) []target {
 	inForce := max(l.inForce.at(targetGateways), 0) + max(l.inForcePerReplica.Slope, 0)*targetReplicas
 	burstRate := changesInBurst / l.burstTime.at(targetGateways)
-	eventsPerCore := usableCore / l.relayCPU.Slope
+	eventsPerCore := usableCoreFraction / l.relayCPU.Slope
 	gateways := math.Ceil(targetEvents / eventsPerCore)
 	perGatewayEvents := targetEvents / targetGateways
 	relay := l.relayCPU.at(perGatewayEvents)
@@ -296,18 +299,18 @@
 			verdictFor(relay, 1, l.relayCPU.Residual, perGatewayEvents, l.relayCPU.Highest), "events are checked and passed on one by one; one buffer a stream",
 		},
 		{
-			"fleet", "gateways' cores for 5.5 million events a second", fmt.Sprintf("at %.0f%% use of a core", 100*usableCore), number(gateways) + " cores", fmt.Sprintf("%d machines of one core or more", targetGateways),
+			"fleet", "gateways' cores for 5.5 million events a second", fmt.Sprintf("at %.0f%% use of a core", 100*usableCoreFraction), number(gateways) + " cores", fmt.Sprintf("%d machines of one core or more", targetGateways),
 			verdictForEstimate(gateways, targetGateways), "streams of one region stay in it",
 		},
-		r.relayNode(l),
+		r.relayNodeTarget(l),
 		{"control", "machines", "3 voters of today; with relays 5 voters + 13 relays", "3 today", "18", estimatedOnly, "one replicated log; relays aggregate leases and confirmations"},
 		{"replicas", "first token, between tokens", "depends on the replicas; the gateway's share is measured by the fleet run", "not measured here", "0.92 s, 33 ms", estimatedOnly, "placement by prefix and load, admission by deadline"},
 	}
 }
 
-// againstBounds returns tables of one measured size and of its comparison with the
-// bounds of the target.
-func (r sizeReading) againstBounds() string {
+// compareWithBounds returns two tables: the figures of one measured size, and their
+// comparison with the bounds of the target size.
+func (r sizeReading) compareWithBounds() string {
 	m := &markdown{}
 	sizesTable(m, "### One size", []sizeReading{r})
 	m.WriteString("\n")
@@ -328,7 +331,7 @@
 	compare("gateway", "control processor at rest", r.gateway.cpu, boundCore, percent)
 	compare("gateway", "memory of the copy", r.gateway.heap, boundMemory, memory)
 	compare("fleet", "a change in force everywhere, longest", longestInForce(r), boundInForce.Seconds(), duration)
-	compare("fleet", "up to 70 gateways lost and started, to the next change", r.restarted.Seconds(), boundInForce.Seconds(), duration)
+	compare("fleet", "up to 70 gateways lost and started, to the next change", r.changeAfterRestart.Seconds(), boundInForce.Seconds(), duration)
 	compare("fleet", "loss of the primary, to the next change", r.failover.Seconds(), boundFailover.Seconds(), duration)
 	return m.String()
 }
