--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// shortConfig returns a run that is short enough for tests.
+// shortConfig returns the configuration of a run that is short enough for tests.
 func shortConfig(profile *workload.Profile, policy NamedPolicy) FleetConfig {
 	return FleetConfig{
 		Profile:    profile,
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestRequestsAreCountedOnce compares the counts of each policy with the traffic, and a
-// run with its repetition.
+// TestRequestsAreCountedOnce checks, for each policy, that every request of the traffic is
+// counted exactly once and that a repeated run gives the same result.
 func TestRequestsAreCountedOnce(t *testing.T) {
 	profile := workload.Kodovka().Scale(1.6)
 	for _, policy := range Policies() {
@@ -38,13 +38,13 @@
 			result := Run(config)
 			sent := countModelRequests(config)
 			if counted := result.Answered + result.Refused + result.Unfinished; counted != sent {
-				t.Errorf("%d of %d requests counted", counted, sent)
+				t.Errorf("%d requests counted, %d sent", counted, sent)
 			}
 			if result.HitRate <= 0 || result.HitRate > 1 {
-				t.Errorf("hit rate %f", result.HitRate)
+				t.Errorf("hit rate is %f, want above 0 and at most 1", result.HitRate)
 			}
 			if difference := cmp.Diff(result, Run(config), cmpopts.EquateComparable(), cmp.AllowUnexported(Result{})); difference != "" {
-				t.Errorf("equal runs differ:\n%s", difference)
+				t.Errorf("results of two runs with equal configurations differ:\n%s", difference)
 			}
 		})
 	}
@@ -62,9 +62,10 @@
 	return sent
 }
 
-// TestCurrentLoadMatchesReplicaCapacity checks that the sizes of replicas and requests fit
-// each other: placed by prefix, the profile's load is served well; placed without regard
-// to prefixes, repeated prefill makes the time to first token at least 40% longer.
+// TestCurrentLoadMatchesReplicaCapacity checks that the emulated replicas are sized for the
+// profiles' load. Placement by prefix must serve the load without refusals and within the
+// bound of the time to first token. Placement that ignores prefixes repeats prefill work,
+// which must make the time to first token at least 40% longer.
 func TestCurrentLoadMatchesReplicaCapacity(t *testing.T) {
 	const firstTokenBound = 920 * time.Millisecond
 	policies := Policies()
@@ -75,23 +76,24 @@
 				t.Fatal(err)
 			}
 			if need := Utilization(profile, emulator.DefaultParameters(emulator.KindModel)); need < 0.3 || need > 0.5 {
-				t.Errorf("the load needs %.2f of the capacity, want 0.3 to 0.5", need)
+				t.Errorf("the load takes a fraction of %.2f of the capacity, want 0.3 to 0.5", need)
 			}
 			byPrefix := Run(shortConfig(profile, policies[2]))
 			if byPrefix.Refused > 0 || byPrefix.FirstTokenP95 > firstTokenBound {
-				t.Errorf("by prefix: %d refused, first token p95 %v", byPrefix.Refused, byPrefix.FirstTokenP95)
+				t.Errorf("placement by prefix: %d requests refused, first token p95 %v", byPrefix.Refused, byPrefix.FirstTokenP95)
 			}
-			inTurn := Run(shortConfig(profile, policies[0]))
-			if inTurn.HitRate > byPrefix.HitRate-0.1 || inTurn.FirstTokenP95 < byPrefix.FirstTokenP95*7/5 {
-				t.Errorf("placement by prefix makes no difference: hits %.2f and %.2f, first token p95 %v and %v",
-					inTurn.HitRate, byPrefix.HitRate, inTurn.FirstTokenP95, byPrefix.FirstTokenP95)
+			roundRobin := Run(shortConfig(profile, policies[0]))
+			if roundRobin.HitRate > byPrefix.HitRate-0.1 || roundRobin.FirstTokenP95 < byPrefix.FirstTokenP95*7/5 {
+				t.Errorf("round robin is too close to placement by prefix: hit rates %.2f and %.2f, first token p95 %v and %v",
+					roundRobin.HitRate, byPrefix.HitRate, roundRobin.FirstTokenP95, byPrefix.FirstTokenP95)
 			}
 		})
 	}
 }
 
-// TestPlacementGainReachesTarget compares the gateways' own placement with the best
-// baseline at 70% load.
+// TestPlacementGainReachesTarget checks that at 70% load the gateways' own placement policy
+// has a first token p95 at least 30% below that of the best baseline, without refusing
+// more requests.
 func TestPlacementGainReachesTarget(t *testing.T) {
 	const target = 0.3
 	config := DefaultPlacementConfig()
@@ -104,11 +106,13 @@
 	}
 	for _, comparison := range Compare(points) {
 		if comparison.Gain() < target || comparison.OwnRefused > comparison.BestRefused {
-			t.Errorf("%s: gain %.2f over %s, want %.2f: %+v", comparison.Deployment, comparison.Gain(), comparison.Best, target, comparison)
+			t.Errorf("%s: gain is %.2f over %s, want at least %.2f without more refusals: %+v", comparison.Deployment, comparison.Gain(), comparison.Best, target, comparison)
 		}
 	}
 }
 
+// TestPlacementReport checks the comparisons, the table and the figure of a small placement
+// experiment.
 func TestPlacementReport(t *testing.T) {
 	config := DefaultPlacementConfig()
 	config.Deployments = []string{"georgia"}
@@ -136,7 +140,7 @@
 		t.Fatal(err)
 	}
 	if lines := bytes.Count(table.Bytes(), []byte("\n")); lines != len(points)+1 {
-		t.Errorf("%d lines for %d points", lines, len(points))
+		t.Errorf("table has %d lines for %d points and a header", lines, len(points))
 	}
 	path := filepath.Join(t.TempDir(), "placement.svg")
 	if err := PlotPlacement(path, points); err != nil {
@@ -148,10 +152,10 @@
 	}
 	for _, policy := range Policies() {
 		if !bytes.Contains(drawn, []byte(policy.Name)) {
-			t.Errorf("the figure does not name %s", policy.Name)
+			t.Errorf("the figure does not contain the policy name %q", policy.Name)
 		}
 	}
 	if _, err := RunPlacement(PlacementConfig{Deployments: []string{"nowhere"}}); err == nil {
-		t.Error("an unknown deployment was accepted")
+		t.Error("RunPlacement accepted an unknown deployment")
 	}
 }
--- a/internal/experiment/figure.go
+++ b/internal/experiment/figure.go
@@ -15,14 +15,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of one panel of a figure.
+// Dimensions of the panels of a figure.
 const (
 	panelWidth  = 4.2 * vg.Inch
 	panelHeight = 2.9 * vg.Inch
 	panelGap    = 0.15 * vg.Inch
 )
 
-// Indexes of the colors of the palette.
+// Indexes into palette.
 const (
 	colorGray = iota
 	colorOrange
@@ -46,12 +46,13 @@
 type series struct {
 	name   string
 	points plotter.XYs
-	// colorIndex selects the color, so that a name has the same color in all panels.
+	// colorIndex is the index of the color in the palette. It is explicit, so that a
+	// series can have the same color in all panels.
 	colorIndex int
 	dashed     bool
 }
 
-// newPanel returns a plot of the lines, with or without a legend.
+// newPanel returns a plot of the lines with the given title and axis labels.
 func newPanel(title, x, y string, lines []series, legend bool) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -93,7 +94,7 @@
 	return vgsvg.New(width, height)
 }
 
-// writeFigure writes rows of panels to a file. A nil panel leaves its tile empty.
+// writeFigure writes rows of panels to a file. The tile of a nil panel is left empty.
 func writeFigure(path string, rows [][]*plot.Plot) (err error) {
 	columns := 0
 	for _, row := range rows {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -13,8 +13,8 @@
 const (
 	// pollInterval is the interval at which a gateway polls the replicas' reports.
 	pollInterval = 500 * time.Millisecond
-	// gatewaysPerRegion is the number of gateways of a region. Each knows only its own
-	// requests.
+	// gatewaysPerRegion is the number of gateways in each region. A gateway knows the
+	// requests of the others only from the replicas' reports.
 	gatewaysPerRegion = 3
 	// serviceTimeSmoothing is the weight of one request in the moving average of the
 	// service time.
@@ -27,30 +27,32 @@
 	emulated emulator.Replica
 }
 
-// View is what a gateway knows about a replica.
+// View is a gateway's knowledge about one replica.
 type View struct {
 	Name string
 	// Report is the replica's last report.
 	Report emulator.State
-	// InFlight is the number of the gateway's own requests on the replica,
-	// OtherInFlight that of other gateways' by the last report.
+	// InFlight is the number of requests that this gateway has in flight on the replica.
+	// OtherInFlight is the number of other gateways' requests, according to the last
+	// report.
 	InFlight      int
 	OtherInFlight int
-	// SentTokens is the prefill work sent since the last report, in tokens.
+	// SentTokens is the prefill work, in tokens, that this gateway has sent since the
+	// last report.
 	SentTokens float64
 	// ServiceTime is the moving average of the time from the arrival of a request to its
 	// end, in seconds.
 	ServiceTime float64
 
-	reports uint64 // number of reports so far
+	reports uint64 // number of reports received
 }
 
-// ActiveRequests returns the number of requests on the replica, as far as known.
+// ActiveRequests returns the known number of requests on the replica.
 func (v *View) ActiveRequests() int {
 	return v.InFlight + v.OtherInFlight
 }
 
-// observe updates the view by a report.
+// observe updates the view from a report of the replica.
 func (v *View) observe(state emulator.State) {
 	v.Report = state
 	v.OtherInFlight = max(0, state.Running+state.Queued-v.InFlight)
@@ -65,8 +67,8 @@
 	nextPoll time.Duration
 }
 
-// regionFleet is one region with its replicas and gateways. share is its weight when the
-// region of a request is drawn.
+// regionFleet is one region with its replicas and gateways. share is the weight with
+// which the region is drawn for a request.
 type regionFleet struct {
 	name     string
 	share    float64
@@ -74,7 +76,7 @@
 	gateways []*gateway
 }
 
-// attempt is a request that was sent to a replica and has not ended.
+// attempt is a request that was sent to a replica and is still in progress.
 type attempt struct {
 	request         *workload.Request
 	gateway         *gateway
@@ -96,13 +98,14 @@
 	measureFrom time.Duration
 }
 
-// FleetConfig describes one run.
+// FleetConfig configures one run.
 type FleetConfig struct {
 	Profile    *workload.Profile
 	Parameters emulator.Parameters
 	Scenario   workload.Scenario
 	Seed       uint64
-	// Policy returns a new policy for one gateway.
+	// Policy returns a new policy for the gateway with the given number, for the named
+	// replicas of its region.
 	Policy func(gatewayNumber int, replicas []string) Policy
 	// ByClientRegion distributes the requests over the regions by client share instead
 	// of in proportion to the replicas.
@@ -112,8 +115,8 @@
 	WarmUp, Duration time.Duration
 }
 
-// Run runs one load against one policy. Requests of the class fetch are left out, since
-// they do not go to the model service.
+// Run runs the configured load with the configured policy. It skips requests of the class
+// fetch, which are not sent to the model service.
 func Run(config FleetConfig) *Result {
 	fleet := newFleet(config)
 	generator := workload.New(config.Profile, config.Scenario, config.Seed, "experiment")
@@ -150,8 +153,8 @@
 	return fleet
 }
 
-// newRegionFleet returns a region with warm replicas. Its gateways are numbered from
-// firstGateway on.
+// newRegionFleet returns a region with warm replicas. firstGateway is the number of its
+// first gateway.
 func newRegionFleet(config FleetConfig, region workload.Region, firstGateway int) *regionFleet {
 	fleet := &regionFleet{name: region.Name, share: float64(region.ModelReplicas)}
 	if config.ByClientRegion {
@@ -173,7 +176,8 @@
 	return fleet
 }
 
-// newGateway returns a gateway without reports. The gateways poll at different times.
+// newGateway returns a gateway that has not received a report yet. The times of its polls
+// are offset by its number, so that the gateways poll at different times.
 func newGateway(policy Policy, replicas []string, number int) *gateway {
 	g := &gateway{policy: policy, nextPoll: time.Duration(number) * pollInterval / 16}
 	for _, name := range replicas {
@@ -182,8 +186,8 @@
 	return g
 }
 
-// advanceTo processes the events of all replicas and all polls before now, in order of
-// time.
+// advanceTo processes all events of replicas and all polls before now, in chronological
+// order.
 func (f *Fleet) advanceTo(now time.Duration) {
 	for {
 		next := now
@@ -218,8 +222,8 @@
 	g.nextPoll += pollInterval
 }
 
-// observe updates the view of a replica by its report. The policy learns the gateway's
-// share of new evictions, rounded up.
+// observe updates the view of a replica from its report. It reports new cache evictions
+// to the policy: only this gateway's share of them, rounded up.
 func (g *gateway) observe(target int, state emulator.State) {
 	view := g.views[target]
 	evictions := state.CacheEvictions - view.Report.CacheEvictions
@@ -229,14 +233,14 @@
 	}
 }
 
-// processEvents processes the events of one replica up to a time.
+// processEvents processes the events of one replica up to the given time.
 func (f *Fleet) processEvents(region *regionFleet, index int, at time.Duration) {
 	for _, event := range region.replicas[index].emulated.Advance(at) {
 		current := f.attempts[event.Job]
 		if !current.firstTokenSeen {
 			current.firstTokenSeen = true
 			current.firstTokenAt = event.At
-			current.prefillDone()
+			current.subtractSentPrefill()
 			current.gateway.policy.RecordAnswer(current.target, current.expectedCached, event.CachedTokens)
 		}
 		if event.Kind == emulator.EventEnd {
@@ -245,17 +249,18 @@
 	}
 }
 
-// prefillDone subtracts the request's prefill from the tokens sent since the last report,
-// unless a report since the request was sent accounts for it.
-func (a *attempt) prefillDone() {
+// subtractSentPrefill subtracts the request's prefill work from the tokens sent since the last
+// report, unless a report has arrived since the request was sent: such a report already
+// accounts for the work.
+func (a *attempt) subtractSentPrefill() {
 	view := a.gateway.views[a.target]
 	if view.reports == a.reportsWhenSent {
 		view.SentTokens = max(0, view.SentTokens-a.uncachedTokens)
 	}
 }
 
-// endAttempt updates the view of the gateway and the result after an answer. The answer
-// carries a report of the replica.
+// endAttempt updates the gateway's view and the result after an answer, which includes a
+// report of the replica.
 func (f *Fleet) endAttempt(region *regionFleet, current *attempt, event emulator.Event) {
 	delete(f.attempts, event.Job)
 	view := current.gateway.views[current.target]
@@ -268,8 +273,9 @@
 	}
 }
 
-// placeRequest sends a request to a region drawn by its share, there to a random gateway,
-// and from it to the replica that the policy picks. A refused request is not retried.
+// placeRequest draws a region by its share and a random gateway in it, and sends the
+// request to the replica that the gateway's policy picks. A refused request is not
+// retried.
 func (f *Fleet) placeRequest(request *workload.Request) {
 	region := f.drawRegion()
 	sender := region.gateways[f.random.IntN(len(region.gateways))]
@@ -295,7 +301,7 @@
 	}
 }
 
-// drawRegion draws a region by its share.
+// drawRegion returns a random region, weighted by the regions' shares.
 func (f *Fleet) drawRegion() *regionFleet {
 	total := 0.0
 	for _, region := range f.regions {
@@ -311,11 +317,12 @@
 	return f.regions[0]
 }
 
-// promptTokens returns the length of the whole prompt with its prefixes.
+// promptTokens returns the length of the complete prompt in tokens, including its prefixes.
 func promptTokens(request *workload.Request) float64 {
 	return float64(prefixTokens(request) + request.Generate.PromptTokens)
 }
 
+// prefixTokens returns the total length of the prompt's prefixes in tokens.
 func prefixTokens(request *workload.Request) int {
 	total := 0
 	for _, prefix := range request.Generate.Prefixes {
--- a/internal/experiment/live.go
+++ b/internal/experiment/live.go
@@ -19,46 +19,46 @@
 const (
 	conditionInterval = 200 * time.Millisecond
 	loadInterval      = 200 * time.Millisecond
-	// activationDelay is the time from a change of the table to its activation, which in
-	// a deployment passes until the change is replicated.
+	// activationDelay is the time from a change of the table to its activation. It
+	// stands in for the replication of the change in a deployment.
 	activationDelay = 100 * time.Millisecond
 )
 
-// primaryName is the primary in the SOA record of the table.
+// primaryName is the name of the primary in the table's SOA record.
 const primaryName = "control-1"
 
-// liveFleet is the routing of a deployment in real time and in one process: real routers
-// over emulated replicas, with a registry table and without a network.
+// liveFleet runs the request routing of a deployment in real time within one process:
+// production routers and a registry table, with emulated replicas and without a network.
 type liveFleet struct {
 	profile  *workload.Profile
 	gateways []*liveGateway
 
 	table *registry.Table
-	// activationMutex makes the routers receive plans in the order of the table's
-	// serials.
+	// activationMutex serializes activations, so that the routers receive plans in the
+	// order of the table's serials.
 	activationMutex sync.Mutex
 
-	mutex         sync.Mutex
-	replicas      map[string]*standin.Server
-	disconnected  map[string]bool // regions
-	replicaStarts int             // seed of the next replica, less one
+	mutex           sync.Mutex
+	replicas        map[string]*standin.Server
+	disconnected    map[string]bool // by region
+	startedReplicas int             // replicas started so far; the seed of the next one is one higher
 
 	meter *meter
 }
 
-// liveGateway is the router of one gateway.
+// liveGateway is one gateway, reduced to its router.
 type liveGateway struct {
 	name   string
 	region string
 	router *routing.Router
 }
 
-// newLiveFleet returns a fleet with warm replicas. Its table contains the example document
-// of the deployment as version 1. The caller must call close.
+// newLiveFleet returns a fleet with warm replicas. Its table contains the deployment's
+// example configuration document as version 1. The caller must call close.
 func newLiveFleet(profile *workload.Profile) (*liveFleet, error) {
 	table, err := registry.New(catalog.Apex, catalog.Schema(), registry.SOA{Primary: primaryName, Serial: 1}, []string{primaryName})
 	if err != nil {
-		return nil, fmt.Errorf("making the table: %w", err)
+		return nil, fmt.Errorf("creating the table: %w", err)
 	}
 	l := &liveFleet{
 		profile: profile, table: table, meter: newMeter(),
@@ -74,12 +74,13 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, nil, records)
 	if result := table.Apply(&update, nil); result.Code != registry.NoError {
-		return nil, fmt.Errorf("filling the table: %v", result.Code)
+		return nil, fmt.Errorf("writing the initial records to the table: %v", result.Code)
 	}
 	return l, l.activate()
 }
 
-// addReplicas starts the replicas of a region and returns the changes that register them.
+// addReplicas starts the replicas of a region and returns the registry changes that add
+// them to the table.
 func (l *liveFleet) addReplicas(region workload.Region) []registry.Record {
 	var records []registry.Record
 	service := l.profile.Mixes[0].Service
@@ -92,13 +93,13 @@
 	return records
 }
 
-// replicaName returns the name of a region's replica; index counts from 0.
+// replicaName returns the name of the replica with the given zero-based index in a region.
 func replicaName(region string, index int) string {
 	return fmt.Sprintf("%s-replica-%d", region, index+1)
 }
 
-// addGateways makes the routers of a region and returns the changes that register its
-// gateways.
+// addGateways creates the routers of a region and returns the registry changes that add
+// its gateways to the table.
 func (l *liveFleet) addGateways(region workload.Region) []registry.Record {
 	var records []registry.Record
 	for index := range gatewaysPerRegion {
@@ -113,7 +114,8 @@
 	return records
 }
 
-// exampleRecords returns the changes that apply a deployment's example document.
+// exampleRecords returns the registry changes that apply a deployment's example
+// configuration document.
 func exampleRecords(table *registry.Table, deployment string) ([]registry.Record, error) {
 	text, err := configuration.Example(deployment)
 	if err != nil {
@@ -126,7 +128,7 @@
 	return configuration.Changes(table.View(), document, 1, "experiment", text)
 }
 
-// activate makes the current state of the table the plan of every router.
+// activate sets the current state of the table as the plan of every router.
 func (l *liveFleet) activate() error {
 	l.activationMutex.Lock()
 	defer l.activationMutex.Unlock()
@@ -140,16 +142,17 @@
 	return nil
 }
 
-// startReplica starts a replica. It closes the replica of the same name, if there is one.
+// startReplica starts a replica, warm or cold. It closes an existing replica of the same
+// name first.
 func (l *liveFleet) startReplica(name string, cold bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if previous := l.replicas[name]; previous != nil {
 		previous.Close()
 	}
-	l.replicaStarts++
+	l.startedReplicas++
 	l.replicas[name] = standin.NewServer(standin.Config{
-		ID: name, Service: l.profile.Mixes[0].Service, Seed: uint64(l.replicaStarts), Cold: cold,
+		ID: name, Service: l.profile.Mixes[0].Service, Seed: uint64(l.startedReplicas), Cold: cold,
 		Parameters: emulator.DefaultParameters(emulator.KindModel),
 	})
 }
@@ -163,7 +166,7 @@
 	}
 }
 
-// setDisconnected disconnects a region from all others and from its clients, or
+// setDisconnected disconnects a region from all other regions and from its clients, or
 // reconnects it.
 func (l *liveFleet) setDisconnected(region string, lost bool) {
 	l.mutex.Lock()
@@ -177,14 +180,14 @@
 	return l.disconnected[region]
 }
 
-// replicaNamed returns the current replica with a name.
+// replicaNamed returns the current replica with the given name.
 func (l *liveFleet) replicaNamed(name string) *standin.Server {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.replicas[name]
 }
 
-// run runs the loops of all gateways until ctx is done, and waits for them.
+// run runs the periodic loops of all gateways until ctx is done, and waits until they end.
 func (l *liveFleet) run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, gateway := range l.gateways {
@@ -195,7 +198,7 @@
 	group.Wait()
 }
 
-// runEvery calls work at once and then at every interval until ctx is done.
+// runEvery calls work immediately and then at every interval until ctx is done.
 func runEvery(ctx context.Context, interval time.Duration, work func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -209,7 +212,7 @@
 	}
 }
 
-// poll passes the reports of the replicas that a router watches to it.
+// poll passes the current reports of the replicas that a router watches to the router.
 func (l *liveFleet) poll(gateway *liveGateway) {
 	for _, name := range gateway.router.LocalReplicas() {
 		if l.isDisconnected(gateway.region) {
@@ -220,19 +223,20 @@
 	}
 }
 
-// updateConditions writes the replica conditions that a gateway observed to the table.
+// updateConditions writes the changed replica conditions that a gateway's router proposes
+// to the table.
 func (l *liveFleet) updateConditions(gateway *liveGateway) {
 	if l.isDisconnected(gateway.region) {
 		return
 	}
 	for _, change := range gateway.router.ProposeConditions(time.Now()) {
-		l.updateCondition(change)
+		l.applyConditionChange(change)
 	}
 }
 
-// updateCondition writes one condition, unless it has changed in the meantime, and
-// activates it after a delay.
-func (l *liveFleet) updateCondition(change routing.ConditionChange) {
+// applyConditionChange writes one condition and activates it after activationDelay. It does
+// nothing if the condition in the table has changed in the meantime.
+func (l *liveFleet) applyConditionChange(change routing.ConditionChange) {
 	name := catalog.ReplicaName(change.Replica)
 	prerequisite := registry.Absent(name, catalog.TypeCondition)
 	if change.Old != nil {
@@ -244,7 +248,7 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, []registry.Record{prerequisite}, changes)
 	if result := l.table.Apply(&update, nil); result.Code != registry.NoError {
-		return // the router reports the change again
+		return // the router proposes the change again
 	}
 	time.Sleep(activationDelay)
 	if err := l.activate(); err != nil {
@@ -252,7 +256,8 @@
 	}
 }
 
-// exchangeLoad passes the load of a gateway's region to the gateways of other regions.
+// exchangeLoad sends the utilization that a gateway measures in its region to the gateways
+// of all other connected regions.
 func (l *liveFleet) exchangeLoad(gateway *liveGateway) {
 	if l.isDisconnected(gateway.region) {
 		return
--- a/internal/experiment/live_request.go
+++ b/internal/experiment/live_request.go
@@ -13,7 +13,8 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// runCallers sends the traffic until ctx is done, and waits for the requests in flight.
+// runCallers sends the generated traffic until ctx is done, and waits for the requests in
+// flight.
 func (l *liveFleet) runCallers(ctx context.Context, scenario workload.Scenario, seed uint64) {
 	generator := workload.New(l.profile, scenario, seed, "response")
 	start := time.Now()
@@ -31,13 +32,14 @@
 	}
 }
 
-// reservedSlot is a reservation with the gateway whose router made it.
+// reservedSlot is a reservation together with the gateway whose router made it.
 type reservedSlot struct {
 	slot    *routing.Reservation
 	gateway *liveGateway
 }
 
-// sendRequest sends one request as a caller would and counts its outcome.
+// sendRequest sends one request through a gateway, like a caller, and counts its outcome.
+// run is done when the experiment ends.
 func (l *liveFleet) sendRequest(run context.Context, request workload.Request, random *rand.Rand) {
 	start := time.Now()
 	entry := l.drawGateway(request.Region, random)
@@ -73,12 +75,13 @@
 	l.meter.countRefusal(api.CodeRestarted)
 }
 
-// maxRestartRetries bounds the attempts of one request at replicas that have restarted.
+// maxRestartRetries is the maximum number of attempts of one request that find a restarted
+// replica.
 const maxRestartRetries = 8
 
 // handleRestart reports whether the replica has restarted since the router placed the
-// request. It then does what a gateway does after the refusal: it marks the replica as
-// suspect, finishes the reservation and reads a new report.
+// request. If so, it does what a gateway does when such a replica refuses a request: it
+// marks the replica as suspect, finishes the reservation and reads a new report.
 func (l *liveFleet) handleRestart(reserved reservedSlot) bool {
 	slot, router := reserved.slot, reserved.gateway.router
 	report := l.replicaNamed(slot.Replica).Report()
@@ -92,8 +95,8 @@
 	return true
 }
 
-// drawGateway draws a connected gateway of the region, or of any region if that one is
-// disconnected.
+// drawGateway returns a random gateway of the region, or of any connected region if the
+// given one is disconnected.
 func (l *liveFleet) drawGateway(region string, random *rand.Rand) *liveGateway {
 	var candidates []*liveGateway
 	for _, gateway := range l.gateways {
@@ -105,12 +108,12 @@
 	return candidates[random.IntN(len(candidates))]
 }
 
-// spillWait bounds the time that a spilled request waits in the other region's queue.
+// spillWait is the maximum time that a spilled request waits in the other region's queue.
 const spillWait = 2 * time.Second
 
-// acquire reserves a slot. Like a gateway it tries the regions in the order that the
-// router gives: the local region with a wait in its queue, a region to which the request
-// is spilled with a bounded wait in its queue, and others without a wait.
+// acquire reserves a slot. Like a gateway, it tries the regions in the order that the
+// router returns. In the local region the request waits in the queue; in a region to which
+// it is spilled it waits for at most spillWait; in other regions it does not wait.
 func (l *liveFleet) acquire(ctx context.Context, entry *liveGateway, request routing.Request, random *rand.Rand) (reservedSlot, *api.Error) {
 	regions := entry.router.Regions(request)
 	refused := entry.router.Rejection(request)
@@ -137,8 +140,8 @@
 	return reservedSlot{}, refused
 }
 
-// reserveForRemote reserves a slot for a request of another region, after a wait of up to
-// spillWait if the request was spilled.
+// reserveForRemote reserves a slot for a request from another region. A spilled request
+// waits for a slot for up to spillWait, others do not wait.
 func (g *liveGateway) reserveForRemote(ctx context.Context, request routing.Request, spilled bool) (*routing.Reservation, *api.Error) {
 	if !spilled {
 		return g.router.Reserve(request)
@@ -148,7 +151,8 @@
 	return g.router.Acquire(ctx, request)
 }
 
-// execute runs a request on the reserved replica and counts its outcome.
+// execute runs a request on the reserved replica and counts its outcome. run is done when
+// the experiment ends, ctx also at the deadline of the request.
 func (l *liveFleet) execute(run, ctx context.Context, reserved reservedSlot, request workload.Request, start time.Time) {
 	slot := reserved.slot
 	replica := l.replicaNamed(slot.Replica)
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -16,21 +16,21 @@
 	errors []error // unexpected errors
 }
 
-// counts are the outcomes over some time.
+// counts holds the outcomes of the requests in a period of time.
 type counts struct {
 	answers     int
 	refusals    int
 	failures    int
 	spills      int
 	firstTokens []time.Duration
-	codes       map[api.Code]int // refusals by code; nil if not counted
+	codes       map[api.Code]int // refusals by code; nil if they are not counted by code
 }
 
 func newMeter() *meter {
 	return &meter{total: counts{codes: make(map[api.Code]int)}}
 }
 
-// update applies a change to both counts.
+// update applies a change to the counts of the current window and to the total.
 func (m *meter) update(change func(*counts)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -62,7 +62,7 @@
 	m.errors = append(m.errors, err)
 }
 
-// takeWindow returns the counts since the last call.
+// takeWindow returns the counts since the previous call and resets them.
 func (m *meter) takeWindow() counts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -71,7 +71,7 @@
 	return window
 }
 
-// totals returns the counts since the start and the first recorded error.
+// totals returns the counts since the start, and the first recorded error.
 func (m *meter) totals() (counts, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -22,7 +22,8 @@
 // CacheAwareName is the name of the gateways' own policy in tables and figures.
 const CacheAwareName = "cache aware"
 
-// Policies returns the baselines and, last, the gateways' own policy.
+// Policies returns the compared policies: the baselines and, as the last one, the
+// gateways' own policy.
 func Policies() []NamedPolicy {
 	return []NamedPolicy{
 		{"round robin", func(number int, _ []string) Policy { return &RoundRobin{next: number} }},
@@ -32,22 +33,22 @@
 	}
 }
 
-// PlacementConfig describes the placement experiment.
+// PlacementConfig configures the placement experiment.
 type PlacementConfig struct {
 	// Deployments are names that workload.ByName accepts.
 	Deployments []string
-	// Loads are fractions of the capacity, as Utilization computes it.
+	// Loads are fractions of the replicas' capacity, in the sense of Utilization.
 	Loads []float64
 	// Seeds is the number of runs per point, with the seeds 1 to Seeds.
 	Seeds int
 	// WarmUp is the part of Duration, at its beginning, that does not count in the
 	// results.
 	WarmUp, Duration time.Duration
-	// Parallel is the largest number of concurrent runs.
+	// Parallel is the maximum number of concurrent runs.
 	Parallel int
 }
 
-// DefaultPlacementConfig returns the documented experiment.
+// DefaultPlacementConfig returns the configuration of the documented experiment.
 func DefaultPlacementConfig() PlacementConfig {
 	return PlacementConfig{
 		Deployments: []string{"kodovka", "georgia", "skewed"},
@@ -59,7 +60,7 @@
 	}
 }
 
-// PlacementPoint is the result of one policy at one load, over all seeds.
+// PlacementPoint is the merged result of all runs of one policy at one load.
 type PlacementPoint struct {
 	Deployment string
 	Load       float64
@@ -69,8 +70,8 @@
 	Result *Result
 }
 
-// RunPlacement runs every policy on the same seeded loads. An unknown deployment is an
-// error.
+// RunPlacement runs every policy with the same seeds at every load of every deployment. It
+// returns an error if a deployment is unknown.
 func RunPlacement(config PlacementConfig) ([]PlacementPoint, error) {
 	parameters := emulator.DefaultParameters(emulator.KindModel)
 	var points []PlacementPoint
@@ -110,8 +111,7 @@
 			return nil
 		})
 	}
-	// No run can fail.
-	_ = group.Wait()
+	_ = group.Wait() // no run returns an error
 	merged := results[0]
 	for _, other := range results[1:] {
 		merged.merge(other)
@@ -141,18 +141,18 @@
 	Best    string
 	BestP95 time.Duration
 	OwnP95  time.Duration
-	// BestRefused and OwnRefused count requests.
+	// BestRefused and OwnRefused are the numbers of refused requests.
 	BestRefused int
 	OwnRefused  int
 }
 
-// Gain returns the fraction by which the own p95 is below the best baseline's.
+// Gain returns the fraction by which OwnP95 is below BestP95.
 func (c Comparison) Gain() float64 {
 	return 1 - c.OwnP95.Seconds()/c.BestP95.Seconds()
 }
 
-// Compare returns a comparison for each deployment and load. The points must be complete
-// and in the order in which Placement returns them.
+// Compare returns a comparison for each deployment and load. The points must be those that
+// RunPlacement returned, complete and in the same order.
 func Compare(points []PlacementPoint) []Comparison {
 	var comparisons []Comparison
 	for start := 0; start < len(points); start += len(Policies()) {
--- a/internal/experiment/plot_placement.go
+++ b/internal/experiment/plot_placement.go
@@ -11,8 +11,8 @@
 	maxLatencyMS = 20_000
 )
 
-// PlotPlacement writes a figure of the p95 of the first token and of the prefix hit rate
-// over the load, with a column for each deployment.
+// PlotPlacement writes a figure to a file: the p95 of the time to first token and the
+// prefix hit rate over the load, with a column for each deployment.
 func PlotPlacement(path string, points []PlacementPoint) error {
 	var deployments []string
 	for _, point := range points {
@@ -37,12 +37,12 @@
 	return writeFigure(path, [][]*plot.Plot{latencies, hitRates})
 }
 
-// loadAxis is the label of the load axis.
-const loadAxis = "load (% of capacity)"
+// loadAxisLabel is the label of the horizontal axis.
+const loadAxisLabel = "load (% of capacity)"
 
 func latencyPanel(points []PlacementPoint, deployment string) (*plot.Plot, error) {
 	lines := placementSeries(points, deployment, func(r *Result) float64 { return 1000 * r.FirstTokenP95.Seconds() })
-	panel, err := newPanel(deployment, loadAxis, "first token p95 (ms)", lines, false)
+	panel, err := newPanel(deployment, loadAxisLabel, "first token p95 (ms)", lines, false)
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 
 func hitRatePanel(points []PlacementPoint, deployment string) (*plot.Plot, error) {
 	lines := placementSeries(points, deployment, func(r *Result) float64 { return 100 * r.HitRate })
-	panel, err := newPanel("", loadAxis, "prefix hits (%)", lines, true)
+	panel, err := newPanel("", loadAxisLabel, "prefix hits (%)", lines, true)
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +63,8 @@
 	return panel, nil
 }
 
-// placementSeries returns a line for each policy in one deployment.
+// placementSeries returns one line per policy with the given value over the load in one
+// deployment.
 func placementSeries(points []PlacementPoint, deployment string, value func(*Result) float64) []series {
 	var lines []series
 	for number, policy := range Policies() {
--- a/internal/experiment/plot_response.go
+++ b/internal/experiment/plot_response.go
@@ -7,11 +7,12 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// legendHeadroom scales the value axis so that the legend does not cover a line.
+// legendHeadroom is the factor by which the value axis is extended, so that the legend
+// does not cover a line.
 const legendHeadroom = 1.4
 
-// PlotResponse writes a figure of utilization, first token, outcomes and cold replicas
-// over time, with their set points.
+// PlotResponse writes a figure to a file: utilization, time to first token, request
+// outcomes and cold replicas over time, with the set points of the first two.
 func PlotResponse(path string, r *Response) error {
 	title := fmt.Sprintf("%s, %s", r.Deployment, r.Disturbance)
 	definitions := []struct {
@@ -77,7 +78,7 @@
 	return line
 }
 
-// setPointSeries returns a horizontal line at a set point.
+// setPointSeries returns a horizontal dashed line at a set point.
 func (r *Response) setPointSeries(value float64) series {
 	return series{
 		name: "set point", colorIndex: colorVermillion, dashed: true,
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -7,28 +7,29 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// Policy picks the replica for a request in one gateway.
+// Policy is the placement policy of one gateway: it picks a replica for each request.
 type Policy interface {
-	// Pick returns the index of the picked view and the number of tokens that the policy
-	// expects in that replica's cache.
+	// Pick returns the index of the view of the picked replica, and the number of prompt
+	// tokens that the policy expects in that replica's cache.
 	Pick(request *workload.Request, views []*View) (target, cached int)
-	// RecordAnswer reports the expected number of cached tokens and the number that the
-	// replica found.
+	// RecordAnswer passes the number of cached tokens that Pick expected, and the number
+	// that the replica found in its cache, to the policy.
 	RecordAnswer(target, expected, found int)
-	// RecordEvictions reports this gateway's share of the evictions of a replica.
+	// RecordEvictions passes this gateway's share of the cache evictions of a replica to
+	// the policy.
 	RecordEvictions(target, count int)
 }
 
-// withoutCacheRecord implements the methods of Policy that report on caches, for policies
-// that do not use them.
-type withoutCacheRecord struct{}
+// noCacheTracking implements the Record methods of Policy as no-ops, for policies that
+// do not track the replicas' caches.
+type noCacheTracking struct{}
 
-func (withoutCacheRecord) RecordAnswer(int, int, int) {}
-func (withoutCacheRecord) RecordEvictions(int, int)   {}
+func (noCacheTracking) RecordAnswer(int, int, int) {}
+func (noCacheTracking) RecordEvictions(int, int)   {}
 
 // RoundRobin picks the replicas in turn.
 type RoundRobin struct {
-	withoutCacheRecord
+	noCacheTracking
 	next int
 }
 
@@ -39,9 +40,9 @@
 	return target, 0
 }
 
-// LeastLoaded picks the replica with the fewest known requests, and in turn among equals.
+// LeastLoaded picks the replica with the fewest known requests. Ties are broken in turn.
 type LeastLoaded struct {
-	withoutCacheRecord
+	noCacheTracking
 	next int
 }
 
@@ -58,13 +59,13 @@
 	return target, 0
 }
 
-// AffinityOnly picks the replica that rendezvous hashing assigns to the document,
-// regardless of its load.
+// AffinityOnly picks the replica that rendezvous hashing assigns to the request's document,
+// regardless of the replica's load.
 type AffinityOnly struct {
-	withoutCacheRecord
+	noCacheTracking
 }
 
-// documentDepth is the index of the document in the prefixes of a request.
+// documentDepth is the index of the document among the prefixes of a request.
 const documentDepth = 1
 
 // Pick implements Policy.
@@ -81,7 +82,8 @@
 	return target, 0
 }
 
-// documentKey returns the id of the document, or of the last prefix if there is none.
+// documentKey returns the id of the request's document. Without a document it is the id of
+// the last prefix, and without prefixes it is empty.
 func documentKey(prefixes []api.Prefix) string {
 	if len(prefixes) == 0 {
 		return ""
@@ -89,8 +91,8 @@
 	return prefixes[min(documentDepth, len(prefixes)-1)].ID
 }
 
-// rendezvousScore hashes two names. The finalizer of MurmurHash3 spreads the hashes of
-// names that differ little.
+// rendezvousScore returns the hash of a key and a replica name. The mixing step of
+// MurmurHash3 spreads the FNV hashes of similar names.
 func rendezvousScore(key, replica string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(key))
--- a/internal/experiment/policy_cacheaware.go
+++ b/internal/experiment/policy_cacheaware.go
@@ -8,14 +8,14 @@
 // cacheTrustSmoothing is the weight of one answer in the moving average cacheTrust.
 const cacheTrustSmoothing = 0.1
 
-// CacheAware is the placement policy that gateways run: it picks the replica with the
-// earliest expected first token, by the requests that the gateway sent to each replica
-// and by the replicas' reports.
+// CacheAware is the placement policy that gateways use in production. It picks the replica
+// with the earliest expected first token, estimated from the requests that the gateway
+// sent to each replica and from the replicas' reports.
 type CacheAware struct {
 	index  *placement.Index
 	hashes []uint64
-	// cacheTrust is, by replica, the fraction of the expected cached tokens that was
-	// found, as a moving average.
+	// cacheTrust is, for each replica, the moving average of the fraction of the expected
+	// cached tokens that the replica found in its cache.
 	cacheTrust []float64
 	cached     []int
 	candidates []placement.Candidate
@@ -55,7 +55,7 @@
 	return target, p.cached[target]
 }
 
-// candidate converts a view to what package placement compares.
+// candidate converts a view to the input of package placement.
 func (p *CacheAware) candidate(index int, view *View) placement.Candidate {
 	return placement.Candidate{
 		Number:         index,
--- a/internal/experiment/reaction.go
+++ b/internal/experiment/reaction.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// Reaction describes how a measured value kept to its set point after the disturbance.
+// Reaction describes how a controlled value deviated from its set point after the start of
+// the disturbance and whether it returned.
 type Reaction struct {
 	Value    string
 	SetPoint float64
-	// Before is the mean in the baselineWindow before the disturbance, Peak the highest
-	// value since then.
+	// Before is the mean over the baselineWindow before the disturbance. Peak is the
+	// highest value since the start of the disturbance.
 	Before, Peak float64
-	// Overshoot is the relative deviation of the peak above the set point, 0 if the peak
-	// is below.
+	// Overshoot is the relative deviation of the peak above the set point. It is 0 if
+	// the peak is below the set point.
 	Overshoot float64
-	// Settling is the time from the start of the disturbance until the value was last
-	// more than settledTolerance above its set point. Settled is false if it still was at
-	// the end.
+	// Settling is the time from the start of the disturbance to the last sample that is
+	// more than settledTolerance above the set point. Settled is false if that is the
+	// case for the last sample of the run.
 	Settling time.Duration
 	Settled  bool
 }
 
-// Reactions returns the reactions of the utilization of each region and of the time to
-// first token.
+// Reactions returns the reaction of the utilization of each region, and that of the time
+// to first token.
 func (r *Response) Reactions() []Reaction {
 	reactions := make([]Reaction, 0, len(r.Regions)+1)
 	for _, region := range r.Regions {
 		values := r.smoothedValues(func(s Sample) float64 { return s.Utilization[region] })
-		reactions = append(reactions, r.judge("utilization "+region, r.Limits.TargetUtilization, values))
+		reactions = append(reactions, r.computeReaction("utilization "+region, r.Limits.TargetUtilization, values))
 	}
 	values := r.smoothedValues(func(s Sample) float64 { return 1000 * s.FirstTokenP95.Seconds() })
-	return append(reactions, r.judge("first token p95, ms", float64(r.Limits.FirstTokenMS), values))
+	return append(reactions, r.computeReaction("first token p95, ms", float64(r.Limits.FirstTokenMS), values))
 }
 
-// smoothedValues returns the moving average of a value, with an element for each sample.
+// smoothedValues returns the moving average of a value, with one element per sample.
 func (r *Response) smoothedValues(value func(Sample) float64) []float64 {
 	smoothed := make([]float64, len(r.Samples))
 	for index := range r.Samples {
@@ -49,8 +50,8 @@
 	return smoothed
 }
 
-// judge compares the smoothed values with the set point.
-func (r *Response) judge(name string, setPoint float64, values []float64) Reaction {
+// computeReaction computes the reaction of a value from its smoothed samples and its set point.
+func (r *Response) computeReaction(name string, setPoint float64, values []float64) Reaction {
 	reaction := Reaction{Value: name, SetPoint: setPoint, Settled: true}
 	baselineSamples := 0
 	for index, sample := range r.Samples {
--- a/internal/experiment/response.go
+++ b/internal/experiment/response.go
@@ -21,17 +21,18 @@
 	sampleInterval   = 250 * time.Millisecond
 	// smoothingSamples is the number of samples in the moving average of a value.
 	smoothingSamples = 4
-	// settledTolerance is the relative deviation above its set point up to which a value
-	// is settled.
+	// settledTolerance is the largest relative deviation above the set point at which a
+	// value counts as settled.
 	settledTolerance = 0.1
-	// membershipDelay is the time until the gateways of a disconnected region are marked
-	// as down.
+	// membershipDelay is the time from the disconnection of a region until its gateways
+	// are marked as down.
 	membershipDelay = 3 * time.Second
-	// baselineWindow is the time before the disturbance over which Before is the mean.
+	// baselineWindow is the length of the window before the disturbance over which
+	// Reaction.Before is computed.
 	baselineWindow = 10 * time.Second
 )
 
-// Disturbance is the name of a response experiment.
+// Disturbance names a response experiment by the disturbance that it applies.
 type Disturbance string
 
 const (
@@ -45,25 +46,27 @@
 	DisturbLostRegion Disturbance = "lost-region"
 )
 
-// Disturbances returns all response experiments.
+// Disturbances returns the disturbances of all response experiments.
 func Disturbances() []Disturbance {
 	return []Disturbance{DisturbStep, DisturbSwing, DisturbCold, DisturbLostRegion}
 }
 
-// Response is the outcome of a response experiment.
+// Response is the result of a response experiment.
 type Response struct {
 	Deployment  string
 	Disturbance Disturbance
 	Limits      catalog.Limits
 	Regions     []string
 	Samples     []Sample
-	// Answers, Refusals, Failures and Spills are over the whole run.
+	// Answers, Refusals, Failures and Spills count the requests of the whole run. Codes
+	// counts the refusals by code.
 	Answers, Refusals, Failures, Spills int
 	Codes                               map[api.Code]int
 }
 
-// RunResponse runs the routers of a deployment in real time through a disturbance, which takes
-// responseDuration. It returns what was sampled even if there was an error during the run.
+// RunResponse runs the routers of a deployment in real time through a disturbance. The run
+// takes responseDuration. If an error occurs during the run, RunResponse returns it
+// together with the samples.
 func RunResponse(ctx context.Context, deployment string, disturbance Disturbance, seed uint64) (*Response, error) {
 	profile, err := workload.ByName(deployment)
 	if err != nil {
@@ -99,7 +102,8 @@
 	return response, err
 }
 
-// callerScenario returns how a disturbance changes the traffic.
+// callerScenario returns the traffic scenario of a disturbance, or nil if the disturbance
+// does not change the traffic.
 func callerScenario(disturbance Disturbance) workload.Scenario {
 	switch disturbance {
 	case DisturbStep:
@@ -111,7 +115,7 @@
 	}
 }
 
-// applyDisturbance makes the changes of a disturbance to replicas and regions.
+// applyDisturbance changes replicas and regions at the times of the disturbance.
 func (l *liveFleet) applyDisturbance(ctx context.Context, disturbance Disturbance) {
 	if !sleepContext(ctx, disturbanceStart) {
 		return
@@ -132,7 +136,7 @@
 	}
 }
 
-// sleepContext waits for a duration. It reports false if ctx is done first.
+// sleepContext waits for a duration. It returns false if ctx is done first.
 func sleepContext(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-time.After(wait):
@@ -158,7 +162,7 @@
 	}
 	update := registry.NewUpdate(catalog.Apex, nil, changes)
 	if result := l.table.Apply(&update, nil); result.Code != registry.NoError {
-		l.meter.recordError(fmt.Errorf("writing gateways: %v", result.Code))
+		l.meter.recordError(fmt.Errorf("writing the states of gateways: %v", result.Code))
 	}
 	if err := l.activate(); err != nil {
 		l.meter.recordError(err)
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,21 +7,22 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// Result has the figures of one run, or of several merged ones, after the warm-up.
+// Result holds the figures of one run, or of several merged runs, without the warm-up.
 type Result struct {
-	// Answered, Refused and Unfinished count requests. An unfinished one was in flight at
-	// the end of the run.
+	// Answered, Refused and Unfinished count requests. Unfinished requests were in flight
+	// at the end of the run.
 	Answered   int
 	Refused    int
 	Unfinished int
-	// HitRate is the fraction of the prefix tokens that was found in KV caches.
+	// HitRate is the fraction of all prefix tokens that replicas found in their KV caches.
 	HitRate float64
-	// FirstToken is the time to first token and Gap the mean time between two tokens of a
-	// request; both are quantiles over the requests. A refused request counts as one with
-	// the slowest first token, so that refusals do not improve the figures.
+	// The FirstToken fields are quantiles of the time to first token, the Gap fields
+	// quantiles of the mean time between two tokens of a request. For FirstToken, a
+	// refused request counts like the request with the slowest first token, so that
+	// refusals do not improve the figures.
 	FirstTokenP50, FirstTokenP95, FirstTokenP99 time.Duration
 	GapP50, GapP95                              time.Duration
-	// InFlight is the mean number of requests in flight in the fleet.
+	// InFlight is the mean number of requests in flight in the whole fleet.
 	InFlight float64
 
 	totalPrefixTokens, cachedTokens int
@@ -31,7 +32,7 @@
 	measuredTime                    time.Duration
 }
 
-// addAnswer adds one complete answer.
+// addAnswer adds the figures of one complete answer.
 func (r *Result) addAnswer(done *attempt, end emulator.Event) {
 	r.Answered++
 	r.totalPrefixTokens += prefixTokens(done.request)
@@ -43,7 +44,7 @@
 	}
 }
 
-// merge adds another run with the same configuration but for the seed.
+// merge adds the result of another run, whose configuration differs only in the seed.
 func (r *Result) merge(other *Result) {
 	r.Answered += other.Answered
 	r.Refused += other.Refused
@@ -57,7 +58,7 @@
 	r.computeFigures()
 }
 
-// computeFigures computes the exported figures from the added answers.
+// computeFigures computes the exported rates and quantiles from the added answers.
 func (r *Result) computeFigures() {
 	r.HitRate = float64(r.cachedTokens) / float64(max(1, r.totalPrefixTokens))
 	r.InFlight = float64(r.inFlightTime) / float64(max(1, r.measuredTime))
@@ -68,9 +69,9 @@
 	r.GapP95 = quantile(r.gaps, 0, 0.95)
 }
 
-// quantile returns the value at a rank (0 to 1) among the values and, in addition, as many
-// copies of the largest value as extra says. It returns 0 if there are no values. It sorts
-// the values.
+// quantile returns the value at a rank from 0 to 1 among the values and extra additional
+// copies of the largest value. It returns 0 if there are no values. It sorts values in
+// place.
 func quantile(values []time.Duration, extra int, rank float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -6,16 +6,16 @@
 	"github.com/deckpulley/deckpulley/routing"
 )
 
-// Sample describes the fleet at one time.
+// Sample describes the state of the fleet at one time.
 type Sample struct {
 	At time.Duration
-	// Utilization is the mean utilization that the gateways of a region measure, by
-	// region. 1 is full.
+	// Utilization is, by region, the mean of the utilization that the region's gateways
+	// measure. 1 means fully utilized.
 	Utilization map[string]float64
-	// FirstTokenP95 is the 95th percentile of the time to first token since the last
-	// sample, 0 if there was none.
+	// FirstTokenP95 is the 95th percentile of the time to first token since the previous
+	// sample, or 0 if there was no first token.
 	FirstTokenP95 time.Duration
-	// Answers, Refusals, Failures and Spills are per second.
+	// Answers, Refusals, Failures and Spills are rates per second.
 	Answers, Refusals, Failures, Spills float64
 	// Cold is the number of cold replicas. ColdInFlight is the highest number of requests
 	// on one of them, and ColdLimit the slow-start limit of that replica.
@@ -47,11 +47,11 @@
 	return sample
 }
 
-// maxUtilization bounds the utilization in samples, which is unbounded for a region
-// without a usable replica.
+// maxUtilization is the upper limit of the utilization in samples. The measured
+// utilization of a region without a usable replica has no upper limit.
 const maxUtilization = 2
 
-// sampleColdReplicas adds the cold replicas of one gateway to a sample.
+// sampleColdReplicas adds the cold replicas in the status of one gateway to a sample.
 func (l *liveFleet) sampleColdReplicas(sample *Sample, status routing.ServiceStatus) {
 	for _, member := range status.ReplicaStatuses {
 		if !member.WarmingUp || !member.Usable {
--- a/internal/experiment/utilization.go
+++ b/internal/experiment/utilization.go
@@ -6,12 +6,13 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// utilizationSampleSize is the number of requests over which the mean cost is computed.
+// utilizationSampleSize is the number of generated requests from which Utilization
+// computes the mean cost.
 const utilizationSampleSize = 20_000
 
-// Utilization returns the fraction of the model replicas' capacity that a profile's
-// traffic needs at least: with every prefix cached, all slots in use and all replicas
-// equally loaded. It does not depend on the placement policy.
+// Utilization returns the fraction of the model replicas' capacity that the traffic of a
+// profile needs in the best case: every prefix is cached, all slots are in use and all
+// replicas are equally loaded. It does not depend on the placement policy.
 func Utilization(profile *workload.Profile, parameters emulator.Parameters) float64 {
 	fullStep := parameters.DecodeStepMS + float64(parameters.Slots-1)*parameters.DecodeSequenceMS
 	secondsPerToken := fullStep / 1000 / float64(parameters.Slots)
