--- a/internal/benchmark/benchmark.go
+++ b/internal/benchmark/benchmark.go
@@ -1,7 +1,8 @@
-// Package benchmark measures real nodes of a fleet on one machine: control nodes
-// with files and TCP on loopback, and a gateway between callers and stand-in
-// replicas. What must have its CPU time measured separately runs in a worker: a
-// child process that ends with its parent. No daemon imports it.
+// Package benchmark measures complete nodes of a fleet on one machine: control nodes
+// that store files and communicate over TCP on the loopback interface, and a gateway
+// between callers and stand-in replicas. Nodes whose CPU time must be measured
+// separately run in a worker, which is a child process that exits when its parent does.
+// No daemon imports the package.
 package benchmark
 
 import (
@@ -16,20 +17,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// loopback is a listen address whose port the system chooses.
+// loopback is a listen address whose port the operating system assigns.
 const loopback = "127.0.0.1:0"
 
 // Options configures a benchmark.
 type Options struct {
-	// Short shortens every measurement, to check that all of them run.
+	// Short shortens every measurement. Such a run only checks that all of them work.
 	Short bool
-	// Only names the measurements to run; empty for all.
+	// Only names the measurements to run. If it is empty, all of them run.
 	Only []string
-	// Worker returns the command of a child process that calls RunWorker with the kind.
+	// Worker returns the command of a child process that calls RunWorker with the given
+	// kind.
 	Worker func(kind string) *exec.Cmd
-	// Profiles is a folder for CPU profiles; empty for none.
+	// Profiles is the folder for CPU profiles. If it is empty, none are recorded.
 	Profiles string
-	// Logger takes the log messages of the nodes; nil discards them.
+	// Logger receives the log messages of the nodes. If it is nil, they are discarded.
 	Logger *slog.Logger
 }
 
@@ -39,15 +41,16 @@
 	}
 }
 
-// pick returns the value of a full or of a short run.
-func pick[Value any](o *Options, full, short Value) Value {
+// fullOrShort returns short if the run is a short one, and full otherwise.
+func fullOrShort[Value any](o *Options, full, short Value) Value {
 	if o.Short {
 		return short
 	}
 	return full
 }
 
-// Machine describes the machine, its load and the date in one line of text.
+// Machine returns one line of text that describes the date, the machine, its current load
+// and whether the run is a short one.
 func Machine(short bool) string {
 	load := "unknown"
 	if content, err := os.ReadFile("/proc/loadavg"); err == nil {
--- a/internal/benchmark/benchmark_test.go
+++ b/internal/benchmark/benchmark_test.go
@@ -16,10 +16,11 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// workerVariable is the environment variable that makes the test binary a worker of
-// the kind that is its value.
+// workerVariable is the environment variable that makes the test binary run as a worker.
+// Its value is the kind of the worker.
 const workerVariable = "DECKPULLEY_BENCHMARK_WORKER"
 
+// TestMain lets the test binary also serve as the worker process of a benchmark.
 func TestMain(m *testing.M) {
 	if kind := os.Getenv(workerVariable); kind != "" {
 		if err := RunWorker(kind, os.Stdin, os.Stdout); err != nil {
@@ -50,11 +51,11 @@
 	const page = "intro\n<!-- begin one -->\nold\n<!-- end one -->\nkept\n<!-- begin two -->\nother\n<!-- end two -->\n"
 	got, err := replaceSection([]byte(page), "one", []byte("new\n"))
 	if want := strings.Replace(page, "old", "new", 1); err != nil || string(got) != want {
-		t.Errorf("got %q, %v, want %q", got, err, want)
+		t.Errorf("page is %q, error %v, want %q", got, err, want)
 	}
 	for _, broken := range []string{"", "<!-- begin one -->\n", "<!-- end one -->", "<!-- begin three -->\n<!-- end one -->"} {
 		if _, err := replaceSection([]byte(broken), "one", nil); !errors.Is(err, errNoMarkers) {
-			t.Errorf("%q: error %v", broken, err)
+			t.Errorf("replaceSection on the page %q: got error %v, want errNoMarkers", broken, err)
 		}
 	}
 }
@@ -72,8 +73,8 @@
 	}
 }
 
-// TestAddedLatencies checks that the replica's own time is not part of the result,
-// and that a lost event is a failure.
+// TestAddedLatencies checks that the latencies do not include the time that the replica
+// itself took, and that a stream with a lost event counts as a failure.
 func TestAddedLatencies(t *testing.T) {
 	start := time.Now()
 	after := func(lengths ...int) (moments []time.Time) {
@@ -83,8 +84,8 @@
 		return moments
 	}
 	observer := newObserver()
-	observer.put("whole", replicaTimes{started: after(2)[0], written: after(12, 24, 36)})
-	observer.put("short", replicaTimes{started: after(2)[0], written: after(12, 24)})
+	observer.record("whole", replicaTimes{started: after(2)[0], written: after(12, 24, 36)})
+	observer.record("short", replicaTimes{started: after(2)[0], written: after(12, 24)})
 	p := &path{observer: observer, requests: map[string]callerTimes{"whole": {sent: start, read: after(15, 28, 41)}}}
 	got := p.latencies()
 	if p.failures != nil {
@@ -94,23 +95,25 @@
 		"first":   {got.first.longest(), 5 * time.Millisecond},
 		"total":   {got.total.longest(), 7 * time.Millisecond},
 		"event":   {got.event.longest(), 5 * time.Millisecond},
-		"fastest": {got.event.at(0), 3 * time.Millisecond},
+		"fastest": {got.event.percentile(0), 3 * time.Millisecond},
 	} {
 		if difference := (check[0] - check[1]).Abs(); difference > 10*time.Microsecond {
-			t.Errorf("%s: %v, want %v", name, check[0], check[1])
+			t.Errorf("%s: latency is %v, want %v", name, check[0], check[1])
 		}
 	}
 	p.requests["short"] = callerTimes{sent: start, read: after(15)}
 	if p.latencies(); p.failures == nil {
-		t.Error("a stream with a lost event was counted")
+		t.Error("a stream with a lost event is not recorded as a failure")
 	}
 }
 
-// TestCountedUpdatesAreInTable checks the group that all measurements of control
-// nodes use: every counted update is in the table, also after a crash of the primary.
+// TestCountedUpdatesAreInTable checks the group that all measurements of control nodes use:
+// every update that is counted as applied is in the table, also after a crash of the
+// primary.
 func TestCountedUpdatesAreInTable(t *testing.T) {
-	// A busy machine may stop a leader for longer than the default election timeout. An
-	// update in flight then has no known outcome, and the test is about counted ones.
+	// On a busy machine a leader may pause for longer than the default election timeout.
+	// The outcome of an update in flight is then unknown, and the test would fail although
+	// it only concerns updates that were counted.
 	const electionTimeout = 4 * time.Second
 	o := testOptions(t)
 	g, err := newGroupWithElectionTimeout(3, shortSnapshotInterval, electionTimeout, o.Logger)
@@ -122,7 +125,7 @@
 	before := g.sent.Load()
 	run, err := g.runUpdates(8, awaitTimeout, count)
 	if err != nil || run.latencies.count() != count || g.sent.Load() != before+count {
-		t.Fatalf("%d updates counted, %d sent, %v, want %d", run.latencies.count(), g.sent.Load()-before, err, count)
+		t.Fatalf("%d updates counted, %d sent, error %v; want %d of each", run.latencies.count(), g.sent.Load()-before, err, count)
 	}
 	old, _, serial, err := g.replacePrimary()
 	if err != nil {
@@ -139,7 +142,7 @@
 	}
 	var reply peer.UpdateReply
 	if err := g.client.Call(t.Context(), primary.address, peer.KindUpdate, &check, &reply); err != nil || reply.Code != registry.NoError {
-		t.Errorf("the updates are not in the table: %v, %v", reply.Code, err)
+		t.Errorf("not all updates are in the table of the new primary: code %v, error %v", reply.Code, err)
 	}
 	if err := old.start(); err != nil {
 		t.Fatal(err)
@@ -149,8 +152,8 @@
 	}
 }
 
-// TestSiteRelaysRequests checks that requests and streams pass the gateway complete,
-// and that the costs are those of its process.
+// TestSiteRelaysRequests checks that the gateway relays complete responses and streams,
+// and that a measured run includes the CPU time and allocations of its process.
 func TestSiteRelaysRequests(t *testing.T) {
 	o := testOptions(t)
 	s, err := newSite(o, nil, "")
@@ -165,15 +168,15 @@
 	ctx := t.Context()
 	read, err := s.caller.stream(ctx, api.PathRequests, gatewayRequest("stream", modelName, true, 5), true)
 	if err != nil || len(read) != 6 {
-		t.Errorf("%d events of 5 chunks and the end: %v", len(read), err)
+		t.Errorf("stream has %d events, want 5 chunks and the end: error %v", len(read), err)
 	}
 	if err := s.caller.sendWithTicket(ctx, gatewayRequest("ticketed", webName, false, 1)); err != nil {
 		t.Error(err)
 	}
-	run := closedLoop(s.gateway, 4, 200*time.Millisecond, func(ctx context.Context, id string) error {
+	run := runClosedLoop(s.gateway, 4, 200*time.Millisecond, func(ctx context.Context, id string) error {
 		return s.caller.send(ctx, api.PathRequests, gatewayRequest(id, webName, false, 1))
 	})
 	if run.units == 0 || run.failures != 0 || run.processor <= 0 || run.allocations < run.units {
-		t.Errorf("run %+v", run)
+		t.Errorf("run without answers or costs, or with failures: %+v", run)
 	}
 }
--- a/internal/benchmark/caller.go
+++ b/internal/benchmark/caller.go
@@ -15,21 +15,22 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// maxConnections bounds the callers' connections to one address.
+// maxConnections is the maximum number of connections of the callers to one address.
 const maxConnections = 2048
 
-// requestTimeoutMS bounds a request of a caller, in milliseconds.
+// requestTimeoutMS is the time limit of a caller's request, in milliseconds.
 const requestTimeoutMS = 20_000
 
-// errStreamIncomplete means that a stream ended without its end event.
-var errStreamIncomplete = errors.New("the stream is not whole")
+// errStreamIncomplete means that a stream ended before its end event, or with an error
+// event.
+var errStreamIncomplete = errors.New("the stream is incomplete")
 
-// caller is an HTTP client of a gateway or a replica.
+// caller is an HTTP client of one gateway or one replica.
 type caller struct {
 	http *http.Client
 	// base is the prefix of every URL.
 	base string
-	// events counts the events read so far, also of streams in progress.
+	// events counts the events read so far, including those of streams in progress.
 	events atomic.Int64
 }
 
@@ -40,8 +41,8 @@
 
 func (c *caller) close() { c.http.CloseIdleConnections() }
 
-// post sends a document as JSON and returns the body of a response with status 200.
-// The caller must close it.
+// post sends a document as JSON and returns the body of the response, which must have
+// status 200. The body must be closed.
 func (c *caller) post(ctx context.Context, path string, document any) (io.ReadCloser, error) {
 	encoded, err := json.Marshal(document)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return response.Body, nil
 }
 
-// send sends a request and discards the response, which is no stream.
+// send sends a request without streaming and discards the response.
 func (c *caller) send(ctx context.Context, path string, document any) error {
 	body, err := c.post(ctx, path, document)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return err
 }
 
-// sendWithTicket gets a ticket first, as for a request that must run at most once.
+// sendWithTicket obtains a ticket and sends the request with it, as callers do for a
+// request that must be executed at most once.
 func (c *caller) sendWithTicket(ctx context.Context, request api.GenerateRequest) error {
 	ticketRequest := api.WhereRequest{RequestID: request.RequestID, Model: request.Model, WaitMS: request.WaitMS}
 	body, err := c.post(ctx, api.PathWhere, ticketRequest)
@@ -93,8 +95,8 @@
 	return c.send(ctx, api.PathRequests, request)
 }
 
-// stream reads a stream to its end. If keepTimes is true, it returns when each event
-// was read.
+// stream sends a request and reads the streamed response to its end. If keepTimes is true,
+// it returns the time at which each event was read.
 func (c *caller) stream(ctx context.Context, path string, document any, keepTimes bool) ([]time.Time, error) {
 	body, err := c.post(ctx, path, document)
 	if err != nil {
@@ -121,12 +123,12 @@
 		case bytes.HasPrefix(line, []byte("event: "+api.EventEnd)):
 			ended = true
 		case bytes.HasPrefix(line, []byte("event: "+api.EventError)):
-			return read, fmt.Errorf("%w: it brought an error", errStreamIncomplete)
+			return read, fmt.Errorf("%w: it ended with an error event", errStreamIncomplete)
 		}
 	}
 }
 
-// gatewayRequest returns a request for a gateway.
+// gatewayRequest returns a request as a caller sends it to a gateway.
 func gatewayRequest(id, model string, stream bool, tokens int) api.GenerateRequest {
 	return api.GenerateRequest{
 		RequestID:    id,
@@ -139,7 +141,8 @@
 	}
 }
 
-// replicaRequest returns the same request as a gateway sends it to a replica.
+// replicaRequest returns the same request as gatewayRequest, in the form in which a gateway
+// sends it to a replica.
 func replicaRequest(id, model string, stream bool, tokens int) api.ReplicaRequest {
 	class := api.ClassFetch
 	if model == modelName {
--- a/internal/benchmark/capacity.go
+++ b/internal/benchmark/capacity.go
@@ -10,35 +10,36 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// Targets for one core.
+// Throughput targets for one core.
 const (
-	targetRequests = 3000   // short requests a second
-	targetEvents   = 20_000 // events a second
+	targetRequests = 3000   // short requests per second
+	targetEvents   = 20_000 // stream events per second
 )
 
 // Loads of the capacity measurement.
 const (
 	shortCallers = 64
-	// streamCallers is the number of callers that each read one stream after the
-	// other; together they demand about 65,000 events a second.
+	// streamCallers is the largest number of callers, each of which reads one stream
+	// after the other. Together they request about 65,000 events per second.
 	streamCallers = 800
-	// longTokens is the length of their streams in events, about 3.6 s.
+	// longTokens is the length of these streams in events; such a stream takes about
+	// 3.6 s.
 	longTokens = 300
 )
 
-// capacityRun is the work of a gateway in a window of time, and its cost.
+// capacityRun is the work that a gateway did in a period of time, and its cost.
 type capacityRun struct {
 	elapsed     time.Duration
-	units       float64 // requests or events
+	units       float64 // answered requests or relayed events
 	processor   time.Duration
 	allocations float64
 	allocated   float64 // bytes
 	failures    int64
-	failure     error // the first
+	failure     error // the first failure
 }
 
-// measureCapacity measures a gateway at full load whose process runs Go code on one
-// core.
+// measureCapacity measures a gateway at full load. GOMAXPROCS=1 limits the Go code of its
+// process to one core.
 func measureCapacity(o *Options) ([]Table, error) {
 	s, err := newSite(o, nil, "gateway-capacity", "GOMAXPROCS=1")
 	if err != nil {
@@ -68,17 +69,17 @@
 		Note:    fmt.Sprintf("%d callers, each sends its next request after the answer; the gateway's process has GOMAXPROCS=1. CPU time is that of its process by getrusage, kernel included; per core is what one second of CPU time carries. Ticketed requests ask /v1/where first, so each is two HTTP requests, and has a connection to its replica of its own, so that it cannot be sent twice. A gateway remembers a bounded number of tickets until the waiting time of their requests and some seconds more are over; the lasting rate of ticketed requests is therefore bounded by memory, below the rate of this short run. Direct requests go to one stand-in without a gateway.", shortCallers),
 		Columns: []string{"way", "requests/s", "not answered", "cores used", "CPU µs per request", "requests/s per core", "target", "allocations per request", "bytes allocated per request"},
 	}
-	duration := pick(o, 5*time.Second, 500*time.Millisecond)
+	duration := fullOrShort(o, 5*time.Second, 500*time.Millisecond)
 	direct := newCaller(s.replicas[1].address)
 	defer direct.close()
-	directRun := closedLoop(nil, shortCallers, duration, func(ctx context.Context, id string) error {
+	directRun := runClosedLoop(nil, shortCallers, duration, func(ctx context.Context, id string) error {
 		return direct.send(ctx, api.PathReplicaGenerate, replicaRequest(id, webName, false, 1))
 	})
 	table.add("direct", integer(directRun.rate()), fmt.Sprint(directRun.failures), "", "", "", "", "", "")
 	for _, mode := range s.requestModes(duration) {
-		run := closedLoop(s.gateway, shortCallers, mode.duration, mode.send)
+		run := runClosedLoop(s.gateway, shortCallers, mode.duration, mode.send)
 		if run.units == 0 {
-			return table, fmt.Errorf("no %s request was answered: %w", mode.label, run.failure)
+			return table, fmt.Errorf("none of the requests of the kind %q was answered: %w", mode.label, run.failure)
 		}
 		cells := []string{mode.label, integer(run.rate()), fmt.Sprint(run.failures)}
 		table.add(append(cells, run.costCells(targetRequests)...)...)
@@ -93,8 +94,8 @@
 	send     func(context.Context, string) error
 }
 
-// requestModes returns the modes to measure. The last is short, so that a gateway can
-// remember all of its tickets.
+// requestModes returns the modes to measure. The run of the last one is shorter, so that
+// the gateway can remember all the tickets that it issues.
 func (s *site) requestModes(duration time.Duration) []requestMode {
 	return []requestMode{
 		{"repeatable", duration, func(ctx context.Context, id string) error {
@@ -115,9 +116,9 @@
 		Note:    fmt.Sprintf("Callers that read one stream of %d events after the other, from replicas that decode in steps of 12 ms; the gateway's process has GOMAXPROCS=1. The first row is a load within its reach, the last asks for more than one core carries.", longTokens),
 		Columns: []string{"callers", "events/s", "streams broken", "cores used", "CPU µs per event", "events/s per core", "target", "allocations per event", "bytes allocated per event"},
 	}
-	duration := pick(o, 8*time.Second, time.Second)
-	for _, callers := range pick(o, []int{streamCallers / 8, streamCallers / 3, streamCallers}, []int{streamCallers / 8, streamCallers}) {
-		run, err := streamLoop(s, callers, duration)
+	duration := fullOrShort(o, 8*time.Second, time.Second)
+	for _, callers := range fullOrShort(o, []int{streamCallers / 8, streamCallers / 3, streamCallers}, []int{streamCallers / 8, streamCallers}) {
+		run, err := runStreams(s, callers, duration)
 		if err != nil {
 			return table, err
 		}
@@ -143,19 +144,21 @@
 	}
 }
 
-// setCosts sets what the gateway used between two statuses.
+// setCosts sets the resource usage of the gateway between two statuses.
 func (r *capacityRun) setCosts(before, after workerStatus) {
 	r.processor = after.Processor - before.Processor
 	r.allocations = float64(after.Allocations - before.Allocations)
 	r.allocated = float64(after.Allocated - before.Allocated)
 }
 
-// loopCount numbers the loops, so that their request ids differ.
+// loopCount is the number of calls of runCallers so far. It is part of the request ids, so that
+// the ids of different calls differ.
 var loopCount atomic.Int64
 
-// closedLoop lets callers send one request after the other for a duration and counts
-// the answers. The costs are those of the gateway, if there is one.
-func closedLoop(gateway *worker, callers int, duration time.Duration, send func(context.Context, string) error) capacityRun {
+// runClosedLoop runs callers for a duration, each of which sends one request after the other,
+// and counts the answers. The costs are those of the gateway; they are not set if gateway
+// is nil.
+func runClosedLoop(gateway *worker, callers int, duration time.Duration, send func(context.Context, string) error) capacityRun {
 	var run capacityRun
 	var before, after workerStatus
 	if gateway != nil {
@@ -166,7 +169,7 @@
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), duration+awaitTimeout)
 	defer cancel()
-	answered, failures, failure := loop(ctx, callers, func() bool { return time.Since(started) < duration }, send)
+	answered, failures, failure := runCallers(ctx, callers, func() bool { return time.Since(started) < duration }, send)
 	run.elapsed = time.Since(started)
 	run.units, run.failures, run.failure = float64(answered), failures, failure
 	if gateway != nil {
@@ -180,13 +183,13 @@
 	return run
 }
 
-// failurePause is how long a caller waits after a failure.
+// failurePause is how long a caller waits after a failed request before it sends the next.
 const failurePause = 10 * time.Millisecond
 
-// loop runs callers until proceed returns false or ctx ends, and returns the first
-// failure with the counts. Requests that the end of ctx interrupts count as neither
-// answered nor failed.
-func loop(ctx context.Context, callers int, proceed func() bool, send func(context.Context, string) error) (answered, failures int64, failure error) {
+// runCallers runs callers until proceed returns false or ctx is done. It returns the numbers of
+// answered and failed requests and the first failure. Requests that are interrupted
+// because ctx is done count as neither answered nor failed.
+func runCallers(ctx context.Context, callers int, proceed func() bool, send func(context.Context, string) error) (answered, failures int64, failure error) {
 	var answers, errorCount atomic.Int64
 	var first sync.Once
 	var running sync.WaitGroup
@@ -212,13 +215,13 @@
 	return answers.Load(), errorCount.Load(), failure
 }
 
-// maxRampTime bounds the time over which the first streams of the callers begin, one
-// after the other.
+// maxRampTime is the maximum length of the period over which the starts of the callers'
+// first streams are spread.
 const maxRampTime = time.Second
 
-// streamLoop counts the events that callers read in a window of time in which each of
-// them has a stream.
-func streamLoop(s *site, callers int, duration time.Duration) (capacityRun, error) {
+// runStreams counts the events that callers read in a period of time in which each of them
+// has a stream open.
+func runStreams(s *site, callers int, duration time.Duration) (capacityRun, error) {
 	var run capacityRun
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -227,7 +230,7 @@
 	go func() {
 		defer close(done)
 		var begun atomic.Int64
-		_, run.failures, run.failure = loop(ctx, callers, func() bool { return true }, func(ctx context.Context, id string) error {
+		_, run.failures, run.failure = runCallers(ctx, callers, func() bool { return true }, func(ctx context.Context, id string) error {
 			if turn := begun.Add(1); turn <= int64(callers) {
 				time.Sleep(time.Duration(turn) * ramp / time.Duration(callers))
 			}
--- a/internal/benchmark/control.go
+++ b/internal/benchmark/control.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// measurement is one part of a benchmark.
+// measurement is one part of a benchmark, which can be selected by name.
 type measurement struct {
 	name string
 	run  func(*Options) ([]Table, error)
@@ -22,12 +22,12 @@
 	{"leases", measureLeases},
 }
 
-// Control measures control nodes. With an error it returns the tables that were
-// finished.
+// Control runs the measurements of control nodes. If one fails, Control returns the error
+// and the tables completed before it.
 func Control(o Options) ([]Table, error) { return o.measure("control", controlMeasurements) }
 
-// measure runs the selected measurements in their order, under a CPU profile if
-// profiles are taken.
+// measure runs the selected measurements in order. It records a CPU profile of this process
+// if profiles are enabled.
 func (o *Options) measure(profile string, measurements []measurement) ([]Table, error) {
 	o.withDefaults()
 	known := make([]string, 0, len(measurements))
@@ -36,7 +36,7 @@
 	}
 	for _, name := range o.Only {
 		if !slices.Contains(known, name) {
-			return nil, fmt.Errorf("there is no measurement %q, but %s", name, strings.Join(known, ", "))
+			return nil, fmt.Errorf("unknown measurement %q; known ones are %s", name, strings.Join(known, ", "))
 		}
 	}
 	stop, err := o.profile(profile)
@@ -58,8 +58,8 @@
 	return tables, nil
 }
 
-// profile starts a CPU profile of this process, if profiles are taken. The caller
-// must call stop.
+// profile starts a CPU profile of this process if profiles are enabled. The caller must
+// call stop.
 func (o *Options) profile(name string) (stop func(), err error) {
 	path, err := o.profilePath(name)
 	if err != nil || path == "" {
@@ -79,14 +79,14 @@
 	}, nil
 }
 
-// profilePath creates the folder of profiles and returns the path of a file in it;
-// empty if no profiles are taken.
+// profilePath creates the folder for profiles and returns the path of the named profile in
+// it. It returns an empty path if profiles are disabled.
 func (o *Options) profilePath(name string) (string, error) {
 	if o.Profiles == "" {
 		return "", nil
 	}
 	if err := os.MkdirAll(o.Profiles, 0o755); err != nil {
-		return "", fmt.Errorf("folder of profiles: %w", err)
+		return "", fmt.Errorf("creating the folder for profiles: %w", err)
 	}
 	return filepath.Join(o.Profiles, name+".pprof"), nil
 }
--- a/internal/benchmark/gateway.go
+++ b/internal/benchmark/gateway.go
@@ -5,6 +5,6 @@
 	{"capacity", measureCapacity},
 }
 
-// Gateway measures one gateway between callers and stand-in replicas. With an error
-// it returns the tables that were finished.
+// Gateway runs the measurements of one gateway between callers and stand-in replicas. If
+// one fails, Gateway returns the error and the tables completed before it.
 func Gateway(o Options) ([]Table, error) { return o.measure("callers", gatewayMeasurements) }
--- a/internal/benchmark/gateway_job.go
+++ b/internal/benchmark/gateway_job.go
@@ -13,19 +13,19 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// gatewayJob is a job that runs one gateway, wired as in its daemon.
+// gatewayJob is a job that runs one gateway, set up as in the gateway daemon.
 type gatewayJob struct {
 	gateway *gateway.Gateway
 	network *transport.Node
 	server  *http.Server
 	serving sync.WaitGroup
-	address string // serves callers
+	address string // HTTP address for callers
 }
 
 func newGatewayJob(config workerConfig) (*gatewayJob, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return nil, fmt.Errorf("callers' port: %w", err)
+		return nil, fmt.Errorf("listening for callers: %w", err)
 	}
 	const name = "gateway-1"
 	keys := [][]byte{config.Key}
@@ -60,7 +60,7 @@
 	return j, nil
 }
 
-func (j *gatewayJob) fill(status *workerStatus) {
+func (j *gatewayJob) fillStatus(status *workerStatus) {
 	status.Address = j.address
 	if j.gateway.Agent().Valid() {
 		status.Valid = 1
@@ -69,7 +69,7 @@
 
 func (j *gatewayJob) stop() {
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // nobody waits for the requests in flight
+	cancel() // do not wait for the requests in flight
 	j.gateway.Stop(ctx)
 	_ = j.server.Close()
 	j.serving.Wait()
--- a/internal/benchmark/group.go
+++ b/internal/benchmark/group.go
@@ -25,25 +25,28 @@
 )
 
 const (
-	// awaitTimeout bounds every wait for a condition.
+	// awaitTimeout is the time limit of every wait for a condition.
 	awaitTimeout = 20 * time.Second
-	// callTimeout bounds one call to a node.
+	// callTimeout is the time limit of one call to a node.
 	callTimeout = 5 * time.Second
 	keyBytes    = 32
-	// hopsExhausted keeps a node from forwarding an update.
+	// hopsExhausted is a hop count at which a node no longer forwards an update.
 	hopsExhausted = 3
-	// requestor is the sender that the updates name.
+	// requestor is the name of the sender in the updates.
 	requestor = "gateway:benchmark"
-	// updatedNames is the number of names that updates change in turn.
+	// updatedNames is the number of different names in the table that updates change in
+	// turn.
 	updatedNames = 1000
-	// noSnapshots is a snapshot interval, in entries, that no run reaches.
+	// noSnapshots disables snapshots: it is a snapshot interval, in entries, that no run
+	// reaches.
 	noSnapshots = 1 << 40
 )
 
 // errTimeout means that a condition was not met within awaitTimeout.
-var errTimeout = errors.New("did not happen in time")
+var errTimeout = errors.New("condition not met before the timeout")
 
-// await polls a condition until it is true. Its error names what was awaited.
+// await polls a condition until it is true or awaitTimeout has passed. what describes the
+// condition in the error.
 func await(what string, interval time.Duration, condition func() bool) error {
 	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(interval) {
 		if condition() {
@@ -53,10 +56,10 @@
 	return fmt.Errorf("%s: %w", what, errTimeout)
 }
 
-// member is one control node. It can be stopped and started again on its disk.
+// member is one control node. It can be stopped and restarted with its stored data.
 type member struct {
 	name             string
-	address          string // peer address; stays over restarts
+	address          string // peer address; it stays the same across restarts
 	folder           string
 	snapshotInterval uint64
 	group            *group
@@ -65,34 +68,35 @@
 	network *transport.Node
 	server  *http.Server
 	serving sync.WaitGroup
-	// operatorAddress is that of the newest start.
+	// operatorAddress is the operator address since the last start.
 	operatorAddress string
-	// openTime is how long the newest start took to read the disk.
+	// openTime is the time that the last start took to open the storage and create the
+	// node from it.
 	openTime time.Duration
 }
 
-// group is a group of control nodes in this process, with a client of theirs.
+// group is a group of control nodes in this process, together with a client for it.
 type group struct {
 	folder  string
 	key     []byte
 	members []*member
-	// electionTimeout is that of the members; 0 for the default.
+	// electionTimeout is the election timeout of the members; zero selects the default.
 	electionTimeout time.Duration
 	client          *transport.Node
 	log             *slog.Logger
 	http            *http.Client
-	// sent is the number of the last update sent.
+	// sent is the number of the last update sent by updateAt.
 	sent atomic.Uint64
 }
 
-// newGroup starts a new group and waits until it applies updates. The caller must
-// stop it with close.
+// newGroup starts a new group and waits until it applies updates. The caller must call
+// close.
 func newGroup(voters int, snapshotInterval uint64, log *slog.Logger) (*group, error) {
 	return newGroupWithElectionTimeout(voters, snapshotInterval, 0, log)
 }
 
-// newGroupWithElectionTimeout is newGroup for members that take a leader for lost after
-// the given time.
+// newGroupWithElectionTimeout is like newGroup, but sets the election timeout of the
+// members.
 func newGroupWithElectionTimeout(voters int, snapshotInterval uint64, electionTimeout time.Duration, log *slog.Logger) (*group, error) {
 	g := &group{
 		key:             make([]byte, keyBytes),
@@ -111,7 +115,7 @@
 func (g *group) open(voters int, snapshotInterval uint64) error {
 	var err error
 	if g.folder, err = os.MkdirTemp("", "deckpulley-bench-"); err != nil {
-		return fmt.Errorf("making a folder: %w", err)
+		return fmt.Errorf("creating a folder: %w", err)
 	}
 	if g.client, err = g.listen("benchmark", loopback); err != nil {
 		return err
@@ -159,7 +163,7 @@
 	}
 }
 
-// start starts a member on its disk.
+// start starts a member with its stored data, if there is any.
 func (m *member) start() error {
 	var err error
 	if m.network == nil {
@@ -174,7 +178,7 @@
 	}
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return fmt.Errorf("%s: operators' port: %w", m.name, err)
+		return fmt.Errorf("%s: listening for operators: %w", m.name, err)
 	}
 	m.operatorAddress = listener.Addr().String()
 	m.node, err = control.New(m.options(store))
@@ -211,7 +215,7 @@
 	}
 }
 
-// stop ends a member at once, without handing leadership over.
+// stop stops a member immediately, without transferring leadership.
 func (m *member) stop() error {
 	if m.node == nil {
 		if m.network != nil {
@@ -226,7 +230,7 @@
 	return err
 }
 
-// serial returns the serial of the member's table.
+// serial returns the serial of the member's own table.
 func (m *member) serial() (uint32, error) {
 	response, err := m.group.http.Get("http://" + m.operatorAddress + api.PathConfiguration)
 	if err != nil {
@@ -240,7 +244,7 @@
 	return answer.Serial, nil
 }
 
-// primary returns the member that leads, as the first member that answers knows it.
+// primary returns the current leader, according to the first member that responds.
 func (g *group) primary() (*member, error) {
 	for _, member := range g.members {
 		if member.node == nil {
@@ -255,15 +259,15 @@
 		}
 		for _, listed := range reply.Members {
 			if listed.ID == reply.Leader {
-				return g.at(listed.Address)
+				return g.memberAt(listed.Address)
 			}
 		}
 	}
-	return nil, fmt.Errorf("a primary: %w", errTimeout)
+	return nil, fmt.Errorf("finding the primary: %w", errTimeout)
 }
 
-// at returns the running member with a peer address.
-func (g *group) at(address string) (*member, error) {
+// memberAt returns the running member with the given peer address.
+func (g *group) memberAt(address string) (*member, error) {
 	for _, member := range g.members {
 		if member.address == address && member.node != nil {
 			return member, nil
@@ -272,7 +276,7 @@
 	return nil, fmt.Errorf("no running member at %s", address)
 }
 
-// probe sends an update to the present primary.
+// probe sends an update to the current primary.
 func (g *group) probe(ctx context.Context) error {
 	primary, err := g.primary()
 	if err != nil {
@@ -288,13 +292,14 @@
 	return g.send(ctx, at, catalog.ConditionRecord("probe", condition))
 }
 
-// updateAt sends the next update to a member, which must be the primary, and returns
-// the serial after it.
+// updateAt sends the next update to a member, which must be the primary, and returns the
+// serial of the table after the update.
 func (g *group) updateAt(ctx context.Context, at *member) (uint32, error) {
 	return g.send(ctx, at, updateRecord(g.sent.Add(1)))
 }
 
-// send sends an update of one record, as the health checks of gateways do.
+// send sends an update that adds one record, like the updates that report the results of
+// the gateways' health checks.
 func (g *group) send(ctx context.Context, at *member, record registry.Record) (uint32, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -308,20 +313,20 @@
 		return 0, err
 	}
 	if reply.Code != registry.NoError {
-		return 0, fmt.Errorf("update answered %v", reply.Code)
+		return 0, fmt.Errorf("update rejected with code %v", reply.Code)
 	}
 	return reply.Serial, nil
 }
 
-// updateRecord returns the record that the update of a number adds.
+// updateRecord returns the record that the update with the given number adds.
 func updateRecord(number uint64) registry.Record {
 	condition := catalog.Condition{State: catalog.ConditionUp, Incarnation: fmt.Sprintf("incarnation-%d", number)}
 	return catalog.ConditionRecord(fmt.Sprintf("replica-%d", number%updatedNames), condition)
 }
 
-// operate sends an operation of the operator or the platform to the primary and
-// waits until it is in force.
-func (g *group) operate(request peer.OperationRequest) (*api.OperationResult, error) {
+// applyOperation sends an operation of an operator or of the platform to the primary and waits
+// until it is in force.
+func (g *group) applyOperation(request peer.OperationRequest) (*api.OperationResult, error) {
 	primary, err := g.primary()
 	if err != nil {
 		return nil, err
@@ -331,13 +336,13 @@
 	request.WaitMS = awaitTimeout.Milliseconds()
 	var reply peer.OperationReply
 	if err := g.client.Call(ctx, primary.address, peer.KindOperation, &request, &reply); err != nil {
-		return nil, fmt.Errorf("order: %w", err)
+		return nil, fmt.Errorf("operation: %w", err)
 	}
 	switch {
 	case reply.Error != nil:
-		return nil, fmt.Errorf("order: %w", reply.Error)
+		return nil, fmt.Errorf("operation: %w", reply.Error)
 	case !reply.Answer.Accepted:
-		return nil, fmt.Errorf("order refused: %w", reply.Answer.Error)
+		return nil, fmt.Errorf("operation rejected: %w", reply.Answer.Error)
 	}
 	return reply.Answer, nil
 }
--- a/internal/benchmark/holders.go
+++ b/internal/benchmark/holders.go
@@ -15,17 +15,18 @@
 	"github.com/deckpulley/deckpulley/transport"
 )
 
-// holders is a job that runs the lease holders of many gateways, each with a network
-// of its own.
-type holders struct {
+// holdersJob is a job that runs the agents of many gateways, each with its own transport node.
+// An agent holds its gateway's lease, and is called a holder here; no gateway relays
+// requests.
+type holdersJob struct {
 	agents   []*agent.Agent
 	networks []*transport.Node
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
 
-// workerLogger returns the logger of a worker: warnings on standard error if the
-// benchmark is verbose.
+// workerLogger returns the logger of a worker. It writes warnings to standard error if the
+// benchmark is verbose, and discards all messages otherwise.
 func workerLogger(config workerConfig) *slog.Logger {
 	if config.Verbose {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
@@ -33,9 +34,9 @@
 	return slog.New(slog.DiscardHandler)
 }
 
-func newHolders(config workerConfig) (*holders, error) {
+func newHoldersJob(config workerConfig) (*holdersJob, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &holders{cancel: cancel}
+	h := &holdersJob{cancel: cancel}
 	for i := range config.Count {
 		if err := h.add(ctx, config, i); err != nil {
 			h.stop()
@@ -45,8 +46,8 @@
 	return h, nil
 }
 
-// add starts one more holder. It runs until ctx ends.
-func (h *holders) add(ctx context.Context, config workerConfig, index int) error {
+// add starts another holder, which runs until ctx is done.
+func (h *holdersJob) add(ctx context.Context, config workerConfig, index int) error {
 	name := fmt.Sprintf("gateway-%d", index)
 	network, err := transport.Listen(transport.Config{Name: name, Listen: loopback, Keys: [][]byte{config.Key}}, workerLogger(config))
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-func (h *holders) fill(status *workerStatus) {
+func (h *holdersJob) fillStatus(status *workerStatus) {
 	for i, holder := range h.agents {
 		current := holder.Status()
 		status.Renewals += current.GrantedRenewals
@@ -98,7 +99,7 @@
 	}
 }
 
-func (h *holders) stop() {
+func (h *holdersJob) stop() {
 	h.cancel()
 	h.running.Wait()
 	for _, network := range h.networks {
--- a/internal/benchmark/latency.go
+++ b/internal/benchmark/latency.go
@@ -12,27 +12,28 @@
 	"github.com/deckpulley/deckpulley/internal/emulator"
 )
 
-// The load of the latency measurement.
+// Load and target of the latency measurement.
 const (
-	arrivalRate = 65 // requests a second
+	arrivalRate = 65 // requests per second
 	arrivalSeed = 65
-	// streamTokens is the length of a stream in events, about 0.7 s.
+	// streamTokens is the length of a stream in events; such a stream takes about 0.7 s.
 	streamTokens = 60
 	// targetAdded is the target for the 99th percentile of the added latency.
 	targetAdded = 2 * time.Millisecond
 )
 
-// callerTimes is when a caller sent a request and read its events.
+// callerTimes holds the times at which a caller sent a request and read its events.
 type callerTimes struct {
 	sent time.Time
 	read []time.Time
 }
 
-// path is one way to the replicas, with the times of the requests sent on it.
+// path is one route from callers to replicas, directly or through the gateway, with the
+// times of the requests sent on it.
 type path struct {
 	label    string
 	caller   *caller
-	observer *observer // of the replicas
+	observer *observer // records the times at the replicas
 	send     func(ctx context.Context, id string, stream bool) ([]time.Time, error)
 
 	mutex    sync.Mutex
@@ -40,15 +41,16 @@
 	failures error
 }
 
-// latencies are the callers' latencies less the time that the replica took.
+// latencies holds the callers' latencies, reduced by the time that the replica itself
+// took.
 type latencies struct {
 	first *quantiles // of the first event
 	total *quantiles // of the complete response
-	event *quantiles // of each event since it was written
+	event *quantiles // from the replica's write of an event until the caller read it
 }
 
-// measureLatency sends the same arrivals through the gateway and straight to
-// other replicas of the same kind, at the same time.
+// measureLatency sends requests with the same arrival times through the gateway and, at
+// the same time, directly to another replica of the same kind.
 func measureLatency(o *Options) ([]Table, error) {
 	observer := newObserver()
 	s, err := newSite(o, observer, "gateway-latency")
@@ -84,9 +86,9 @@
 	}
 	defer direct.stop()
 	through := newGatewayPath(s.caller, observer)
-	late := newLateness()
-	sendArrivals(pick(o, 20*time.Second, 1500*time.Millisecond), stream, through, &direct.path)
-	table.Note += fmt.Sprintf(" Meanwhile a timer of the measuring process fired up to %s ms late in 99 of 100 cases, for want of a core.", milliseconds(late.stop().at(99)))
+	late := newTimerLateness()
+	sendArrivals(fullOrShort(o, 20*time.Second, 1500*time.Millisecond), stream, through, &direct.path)
+	table.Note += fmt.Sprintf(" Meanwhile a timer of the measuring process fired up to %s ms late in 99 of 100 cases, because no core was free.", milliseconds(late.stop().percentile(99)))
 	gatewayLatencies, directLatencies := through.latencies(), direct.latencies()
 	if err := errors.Join(through.failures, direct.failures); err != nil {
 		return table, err
@@ -96,7 +98,7 @@
 	return table, nil
 }
 
-// directPath leads to a replica that no gateway knows.
+// directPath is the direct path to a replica that no gateway uses.
 type directPath struct {
 	path
 	replica *replica
@@ -129,7 +131,7 @@
 	d.replica.stop()
 }
 
-// newGatewayPath returns the path through the gateway of a site.
+// newGatewayPath returns the path through the gateway that the given caller uses.
 func newGatewayPath(through *caller, observer *observer) *path {
 	p := &path{label: "gateway", caller: through, observer: observer, requests: make(map[string]callerTimes)}
 	p.send = func(ctx context.Context, id string, stream bool) ([]time.Time, error) {
@@ -142,8 +144,8 @@
 	return p
 }
 
-// sendArrivals sends requests on all paths at the same random times, for a duration,
-// and waits for the last response.
+// sendArrivals sends requests on all paths at the same random arrival times for a duration,
+// and waits for all responses.
 func sendArrivals(duration time.Duration, stream bool, paths ...*path) {
 	ctx, cancel := context.WithTimeout(context.Background(), duration+awaitTimeout)
 	defer cancel()
@@ -164,7 +166,7 @@
 	sending.Wait()
 }
 
-// request sends one request and records its times.
+// request sends one request and records its times or its failure.
 func (p *path) request(ctx context.Context, id string, stream bool) {
 	sent := time.Now()
 	read, err := p.send(ctx, id, stream)
@@ -177,15 +179,15 @@
 	p.requests[id] = callerTimes{sent: sent, read: read}
 }
 
-// latencies joins the times of callers and replicas. A request whose events were not
-// all read is a failure.
+// latencies computes the latencies from the times of callers and replicas. A request whose
+// events were not all read is recorded as a failure.
 func (p *path) latencies() latencies {
 	result := latencies{first: newQuantiles(), total: newQuantiles(), event: newQuantiles()}
-	replicas := p.observer.all()
+	replicas := p.observer.timesByRequest()
 	for id, called := range p.requests {
 		worked, found := replicas[id]
 		if !found || len(worked.written) != len(called.read) || len(called.read) == 0 {
-			p.failures = errors.Join(p.failures, fmt.Errorf("%s: %s: %d events read, %d written", p.label, id, len(called.read), len(worked.written)))
+			p.failures = errors.Join(p.failures, fmt.Errorf("%s: %s: caller read %d events, replica wrote %d", p.label, id, len(called.read), len(worked.written)))
 			continue
 		}
 		last := len(called.read) - 1
@@ -198,7 +200,8 @@
 	return result
 }
 
-// columns returns the figures that a table of streams, or of other requests, shows.
+// columns returns the histograms shown in the table of streams or in that of other
+// requests.
 func (l latencies) columns(stream bool) []*quantiles {
 	if !stream {
 		return []*quantiles{l.total}
@@ -209,39 +212,39 @@
 func (l latencies) row(label string, stream bool) []string {
 	cells := []string{label, fmt.Sprint(l.total.count())}
 	for _, column := range l.columns(stream) {
-		cells = append(cells, milliseconds(column.at(50)), milliseconds(column.at(99)))
+		cells = append(cells, milliseconds(column.percentile(50)), milliseconds(column.percentile(99)))
 	}
 	return cells
 }
 
-// addedRow returns the differences of the quantiles of two paths.
+// addedRow returns the table row with the differences between the quantiles of two paths.
 func addedRow(through, direct latencies, stream bool) []string {
 	cells := []string{"added", ""}
 	baselines := direct.columns(stream)
 	for i, column := range through.columns(stream) {
-		added := column.at(99) - baselines[i].at(99)
-		cells = append(cells, milliseconds(column.at(50)-baselines[i].at(50)),
+		added := column.percentile(99) - baselines[i].percentile(99)
+		cells = append(cells, milliseconds(column.percentile(50)-baselines[i].percentile(50)),
 			fmt.Sprintf("%s (target below %s)", milliseconds(added), milliseconds(targetAdded)))
 	}
 	return cells
 }
 
-// latenessInterval is the length of the timers whose lateness is measured.
+// latenessInterval is the duration of the timers whose lateness is measured.
 const latenessInterval = 2 * time.Millisecond
 
-// lateness measures how late timers fire, which shows how busy the machine is.
-type lateness struct {
+// timerLateness measures how late timers fire, as an indication of how busy the machine is.
+type timerLateness struct {
 	stopping chan struct{}
 	result   chan *quantiles
 }
 
-func newLateness() *lateness {
-	l := &lateness{stopping: make(chan struct{}), result: make(chan *quantiles)}
+func newTimerLateness() *timerLateness {
+	l := &timerLateness{stopping: make(chan struct{}), result: make(chan *quantiles)}
 	go l.run()
 	return l
 }
 
-func (l *lateness) run() {
+func (l *timerLateness) run() {
 	measured := newQuantiles()
 	for {
 		due := time.Now().Add(latenessInterval)
@@ -256,7 +259,7 @@
 }
 
 // stop ends the measurement and returns its result.
-func (l *lateness) stop() *quantiles {
+func (l *timerLateness) stop() *quantiles {
 	close(l.stopping)
 	return <-l.result
 }
--- a/internal/benchmark/leases.go
+++ b/internal/benchmark/leases.go
@@ -12,26 +12,26 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// leasePollInterval is the interval of polling holders until all have leases.
+// leasePollInterval is the interval at which awaitHolders polls the holders.
 const leasePollInterval = 50 * time.Millisecond
 
-// reading is what the control nodes have used until a moment.
-type reading struct {
+// usageReading is the total resource usage of the control nodes up to a point in time.
+type usageReading struct {
 	at           time.Time
 	processor    time.Duration
-	bytes        uint64 // sent and received, all kinds, at all control nodes
-	renewals     uint64 // answered
-	renewalBytes uint64 // of renewals and their answers
+	bytes        uint64 // sent and received by all control nodes, all message kinds
+	renewals     uint64 // answered by all control nodes
+	renewalBytes uint64 // sent and received, for renewals and their answers
 }
 
-// read reads the counters. The CPU time is that of this process, in which only the
+// readUsage reads the counters. The CPU time is that of this process, in which only the
 // control nodes work.
-func (g *group) read() (reading, error) {
+func (g *group) readUsage() (usageReading, error) {
 	used, err := processorTime()
 	if err != nil {
-		return reading{}, err
+		return usageReading{}, err
 	}
-	current := reading{at: time.Now(), processor: used}
+	current := usageReading{at: time.Now(), processor: used}
 	for _, member := range g.members {
 		for kind, counters := range member.network.Counters() {
 			current.bytes += counters.SentBytes + counters.ReceivedBytes
@@ -44,7 +44,7 @@
 	return current, nil
 }
 
-// usage is the difference of two readings.
+// usage is the difference between two readings.
 type usage struct {
 	elapsed      time.Duration
 	processor    float64 // seconds
@@ -54,7 +54,7 @@
 }
 
 // since returns the usage between an earlier reading and this one.
-func (r reading) since(before reading) usage {
+func (r usageReading) since(before usageReading) usage {
 	return usage{
 		elapsed:      r.at.Sub(before.at),
 		processor:    (r.processor - before.processor).Seconds(),
@@ -64,43 +64,43 @@
 	}
 }
 
-// during returns the usage of the control nodes during work.
-func (g *group) during(work func() error) (usage, error) {
-	before, err := g.read()
+// usageDuring runs work and returns the resource usage of the control nodes meanwhile.
+func (g *group) usageDuring(work func() error) (usage, error) {
+	before, err := g.readUsage()
 	if err != nil {
 		return usage{}, err
 	}
 	if err := work(); err != nil {
 		return usage{}, err
 	}
-	after, err := g.read()
+	after, err := g.readUsage()
 	return after.since(before), err
 }
 
-// idle returns work for during that only lets time pass.
-func idle(duration time.Duration) func() error {
+// waitFor returns a work function for usageDuring that only waits.
+func waitFor(duration time.Duration) func() error {
 	return func() error {
 		time.Sleep(duration)
 		return nil
 	}
 }
 
-// leaseCost is the cost of a number of holders.
+// leaseCost holds the measured costs of one number of holders.
 type leaseCost struct {
 	holders  int
-	joined   time.Duration // until all had a lease
-	steady   usage
-	changing usage
-	changes  *quantiles
-	idle     usage // without holders
+	joined   time.Duration // from the start of the holders until all had a lease
+	steady   usage         // with renewals only
+	changing usage         // during configuration changes
+	changes  *quantiles    // time until a change was in force
+	idle     usage         // before the holders were started
 	loss     primaryLoss
 }
 
-// measureLeases measures what the leases of gateways cost the control nodes.
+// measureLeases measures the cost of the gateways' leases at the control nodes.
 func measureLeases(o *Options) ([]Table, error) {
 	var costs []leaseCost
-	for _, count := range pick(o, []int{8, 50, 200, 400}, []int{50}) {
-		cost, err := leaseCostOf(o, count)
+	for _, count := range fullOrShort(o, []int{8, 50, 200, 400}, []int{50}) {
+		cost, err := measureLeaseCost(o, count)
 		if err != nil {
 			return nil, fmt.Errorf("%d holders: %w", count, err)
 		}
@@ -109,16 +109,16 @@
 	return []Table{renewalTable(costs), changeTable(costs), lossTable(costs)}, nil
 }
 
-// leaseCostOf measures a number of holders at three control nodes: renewals alone,
-// renewals during configuration changes, and the loss of the primary.
-func leaseCostOf(o *Options, count int) (cost leaseCost, err error) {
+// measureLeaseCost measures the given number of holders with three control nodes: renewals
+// alone, renewals during configuration changes, and the loss of the primary.
+func measureLeaseCost(o *Options, count int) (cost leaseCost, err error) {
 	cost = leaseCost{holders: count, changes: newQuantiles()}
 	g, err := newGroup(3, 0, o.Logger)
 	if err != nil {
 		return cost, err
 	}
 	defer g.close()
-	if cost.idle, err = g.during(idle(pick(o, 1300*time.Millisecond, 300*time.Millisecond))); err != nil {
+	if cost.idle, err = g.usageDuring(waitFor(fullOrShort(o, 1300*time.Millisecond, 300*time.Millisecond))); err != nil {
 		return cost, err
 	}
 	child, err := o.startWorker(WorkerHolders, g.workerConfig(count))
@@ -135,22 +135,22 @@
 		return cost, err
 	}
 	cost.joined = time.Since(started)
-	if cost.steady, err = g.during(idle(pick(o, 3*time.Second, 600*time.Millisecond))); err != nil {
+	if cost.steady, err = g.usageDuring(waitFor(fullOrShort(o, 3*time.Second, 600*time.Millisecond))); err != nil {
 		return cost, err
 	}
 	var version uint64
-	cost.changing, err = g.during(func() error {
-		version, err = g.change(cost.changes, 0, pick(o, 8, 2))
+	cost.changing, err = g.usageDuring(func() error {
+		version, err = g.applyConfigurations(cost.changes, 0, fullOrShort(o, 8, 2))
 		return err
 	})
 	if err != nil {
 		return cost, err
 	}
-	cost.loss, err = g.losePrimary(child, version)
+	cost.loss, err = g.measurePrimaryLoss(child, version)
 	return cost, err
 }
 
-// workerConfig returns the configuration of a worker that joins the group.
+// workerConfig returns the configuration of a worker whose gateways join the group.
 func (g *group) workerConfig(count int) workerConfig {
 	config := workerConfig{Key: g.key, Count: count, Region: "north", Zone: "north-1"}
 	for _, member := range g.members {
@@ -181,20 +181,20 @@
 	return err
 }
 
-// maxChangePause bounds the random pause before a change. Without it each change
-// would begin just after the heartbeat that completed the last.
+// maxChangePause is the maximum random pause before a change. Without a pause, each change
+// would start just after the heartbeat that completed the previous one.
 const maxChangePause = 200 * time.Millisecond
 
-// change applies configurations one after the other, and records the time until each
-// was in force everywhere. It returns the last version.
-func (g *group) change(latencies *quantiles, version uint64, count int) (uint64, error) {
+// applyConfigurations applies count configurations, one after the other, on top of the given version. It
+// records the time until each was in force everywhere, and returns the last version.
+func (g *group) applyConfigurations(latencies *quantiles, version uint64, count int) (uint64, error) {
 	text, err := configuration.Example("kodovka")
 	if err != nil {
 		return 0, err
 	}
 	const field = "first_token_ms: 920"
 	if !strings.Contains(text, field) {
-		return 0, fmt.Errorf("the example has no %q", field)
+		return 0, fmt.Errorf("the example configuration does not contain %q", field)
 	}
 	random := rand.New(rand.NewPCG(version, 0))
 	for range count {
@@ -202,7 +202,7 @@
 		document := strings.Replace(text, field, fmt.Sprintf("first_token_ms: %d", 921+version), 1)
 		operation := api.ConfigurationOperation{OperationID: fmt.Sprintf("order-%d", version), BaseVersion: version, Document: document}
 		sent := time.Now()
-		answer, err := g.operate(peer.OperationRequest{Configuration: &operation})
+		answer, err := g.applyOperation(peer.OperationRequest{Configuration: &operation})
 		if err != nil {
 			return 0, err
 		}
@@ -212,17 +212,18 @@
 	return version, nil
 }
 
-// primaryLoss is the effect of the loss of a primary on leases. Durations are from
-// its stop.
+// primaryLoss describes the effect of the loss of the primary on leases. All durations
+// start when the primary is stopped.
 type primaryLoss struct {
 	contacted   time.Duration // until the first holder had contact with the new primary
 	renewed     time.Duration // until all holders had renewed with the new primary
-	fewestValid int           // lowest number of valid leases that a poll found
+	fewestValid int           // lowest number of valid leases in any poll
 	inForce     time.Duration // until a change was in force again
 }
 
-// losePrimary stops the primary and polls the holders until all have leases again.
-func (g *group) losePrimary(child *worker, version uint64) (loss primaryLoss, err error) {
+// measurePrimaryLoss stops the primary and polls the holders until all have renewed their leases
+// with the new primary. It then applies a configuration change.
+func (g *group) measurePrimaryLoss(child *worker, version uint64) (loss primaryLoss, err error) {
 	before, err := child.execute(commandStatus)
 	if err != nil {
 		return loss, err
@@ -252,7 +253,7 @@
 		return loss, err
 	}
 	loss.renewed = time.Since(stopped)
-	_, err = g.change(newQuantiles(), version, 1)
+	_, err = g.applyConfigurations(newQuantiles(), version, 1)
 	loss.inForce = time.Since(stopped)
 	return loss, err
 }
@@ -300,7 +301,7 @@
 		scale := cost.changing.elapsed.Seconds() / cost.steady.elapsed.Seconds()
 		bytes := (cost.changing.bytes - cost.steady.bytes*scale) / count
 		processor := (cost.changing.processor - cost.steady.processor*scale) * 1e6 / count
-		table.add(fmt.Sprint(cost.holders), integer(count), milliseconds(cost.changes.at(50)), milliseconds(cost.changes.longest()),
+		table.add(fmt.Sprint(cost.holders), integer(count), milliseconds(cost.changes.percentile(50)), milliseconds(cost.changes.longest()),
 			integer(bytes), integer(bytes/holders), integer(processor), integer(processor/holders))
 	}
 	return table
--- a/internal/benchmark/quantile.go
+++ b/internal/benchmark/quantile.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of recorded durations.
+// Upper limit and precision of the recorded durations.
 const (
 	longestRecorded   = 10 * time.Minute
 	significantDigits = 3
 )
 
-// quantiles is a histogram of durations with a resolution of one microsecond. A
-// shorter duration, also a negative one, counts as one microsecond.
+// quantiles is a histogram of durations with a resolution of one microsecond. Shorter
+// durations, including negative ones, count as one microsecond.
 type quantiles struct {
 	histogram *hdrhistogram.Histogram
 }
@@ -31,8 +31,9 @@
 
 func (q *quantiles) count() int64 { return q.histogram.TotalCount() }
 
-// at returns the duration that percentage of all recorded ones do not exceed.
-func (q *quantiles) at(percentage float64) time.Duration {
+// percentile returns the given percentile of the recorded durations; percentage is between 0 and
+// 100.
+func (q *quantiles) percentile(percentage float64) time.Duration {
 	return time.Duration(q.histogram.ValueAtPercentile(percentage)) * time.Microsecond
 }
 
--- a/internal/benchmark/recovery.go
+++ b/internal/benchmark/recovery.go
@@ -7,19 +7,18 @@
 	"github.com/deckpulley/deckpulley/registry"
 )
 
-// shortSnapshotInterval is the snapshot interval of the runs with a snapshot, in
-// entries.
+// shortSnapshotInterval is the snapshot interval of the runs with snapshots, in entries.
 const shortSnapshotInterval = 64
 
-// measureRecovery measures the restart of one member of three after a number of
-// changes.
+// measureRecovery measures the restart of one of three members after different numbers of
+// changes, with and without snapshots.
 func measureRecovery(o *Options) ([]Table, error) {
 	table := Table{
 		Title:   "Recovery of a control node",
 		Note:    fmt.Sprintf("One node of three is stopped and started again on its disk. Disk is the time to read and check it; serving is the time from the start of the process's work until the node shows every change in its own table, the wait for the group's next heartbeat (every 100 ms) included; five restarts each. With a snapshot, one is taken every %d entries.", shortSnapshotInterval),
 		Columns: []string{"changes", "snapshot", "disk p50 ms", "serving p50 ms", "serving max ms"},
 	}
-	for _, changes := range pick(o, []int64{100, 1000, 10_000}, []int64{100, 1000}) {
+	for _, changes := range fullOrShort(o, []int64{100, 1000, 10_000}, []int64{100, 1000}) {
 		for _, snapshots := range []bool{false, true} {
 			row, err := recoveryRow(o, changes, snapshots)
 			if err != nil {
@@ -49,7 +48,7 @@
 		return nil, err
 	}
 	opening, serving := newQuantiles(), newQuantiles()
-	for range pick(o, 5, 1) {
+	for range fullOrShort(o, 5, 1) {
 		if err := follower.stop(); err != nil {
 			return nil, err
 		}
@@ -64,12 +63,12 @@
 		opening.add(follower.openTime)
 	}
 	return []string{
-		fmt.Sprint(changes), label, milliseconds(opening.at(50)), milliseconds(serving.at(50)), milliseconds(serving.longest()),
+		fmt.Sprint(changes), label, milliseconds(opening.percentile(50)), milliseconds(serving.percentile(50)), milliseconds(serving.longest()),
 	}, nil
 }
 
-// caughtUpFollower returns a member other than the primary once its table has every
-// change, and the serial of that table.
+// caughtUpFollower waits until a member other than the primary has every change in its
+// table. It returns that member and the serial of the table.
 func (g *group) caughtUpFollower() (*member, uint32, error) {
 	primary, err := g.primary()
 	if err != nil {
@@ -84,12 +83,12 @@
 			return candidate, serial, candidate.awaitSerial(serial)
 		}
 	}
-	return nil, 0, fmt.Errorf("a follower: %w", errTimeout)
+	return nil, 0, fmt.Errorf("finding a follower: %w", errTimeout)
 }
 
-// awaitSerial waits until the member's table has reached a serial.
+// awaitSerial waits until the member's table has reached the given serial.
 func (m *member) awaitSerial(serial uint32) error {
-	return await("serial at "+m.name, time.Millisecond, func() bool {
+	return await("table serial of "+m.name, time.Millisecond, func() bool {
 		current, err := m.serial()
 		return err == nil && !registry.SerialLess(current, serial)
 	})
--- a/internal/benchmark/replicas.go
+++ b/internal/benchmark/replicas.go
@@ -23,12 +23,12 @@
 	webName      = "snippet"
 )
 
-// replicaSlots is the parallelism of one replica. It is far above the measured
-// load, so that no replica limits a measurement.
+// replicaSlots is the number of requests that one replica processes in parallel. It is far
+// above the measured load, so that replicas do not limit a measurement.
 const replicaSlots = 256
 
-// replica is a stand-in replica with a port of its own. It reports the times of its
-// requests to an observer, if it has one.
+// replica is a stand-in replica with its own port. It reports the times of its requests to
+// its observer, if it has one.
 type replica struct {
 	id       string
 	service  string
@@ -39,8 +39,8 @@
 	observer *observer // nil for none
 }
 
-// startReplica serves a stand-in replica. Its decode steps do not depend on its load,
-// and the answers of a web service take between one and two milliseconds.
+// startReplica starts a stand-in replica. The duration of its decode steps does not depend
+// on its load, and an answer of a web service takes one to two milliseconds.
 func startReplica(id, service string, kind emulator.Kind, observer *observer) (*replica, error) {
 	parameters := emulator.DefaultParameters(kind)
 	parameters.Slots = replicaSlots
@@ -72,8 +72,8 @@
 	r.standin.Close()
 }
 
-// ServeHTTP passes requests to the stand-in, and records the times of those that
-// run something if there is an observer.
+// ServeHTTP passes requests to the stand-in. If there is an observer, it records the times
+// of generation requests.
 func (r *replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if r.observer == nil || request.URL.Path != api.PathReplicaGenerate {
 		r.standin.ServeHTTP(w, request)
@@ -90,16 +90,16 @@
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	timed := &timingWriter{ResponseWriter: w, times: replicaTimes{started: time.Now()}}
 	r.standin.ServeHTTP(timed, request)
-	r.observer.put(named.RequestID, timed.times)
+	r.observer.record(named.RequestID, timed.times)
 }
 
-// replicaTimes is when a replica worked on a request.
+// replicaTimes holds the times at which a replica processed a request.
 type replicaTimes struct {
-	started time.Time   // when the request had been read
-	written []time.Time // before each write: an event of a stream, or the response
+	started time.Time   // after the request was read
+	written []time.Time // before each write, which is an event of a stream or a complete response
 }
 
-// timingWriter records the time of each write.
+// timingWriter is a response writer that records the time of each write.
 type timingWriter struct {
 	http.ResponseWriter
 	times replicaTimes
@@ -110,10 +110,10 @@
 	return w.ResponseWriter.Write(content)
 }
 
-// Unwrap returns the writer that http.ResponseController flushes.
+// Unwrap returns the underlying writer, so that http.ResponseController can flush it.
 func (w *timingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// observer collects the times of requests at replicas.
+// observer collects the times of requests at replicas. It is safe for concurrent use.
 type observer struct {
 	mutex sync.Mutex
 	times map[string]replicaTimes
@@ -121,14 +121,15 @@
 
 func newObserver() *observer { return &observer{times: make(map[string]replicaTimes)} }
 
-func (o *observer) put(requestID string, times replicaTimes) {
+func (o *observer) record(requestID string, times replicaTimes) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.times[requestID] = times
 }
 
-// all returns the times by request id. It must not be called while requests run.
-func (o *observer) all() map[string]replicaTimes {
+// timesByRequest returns the recorded times by request id. It must not be called while requests are
+// in progress.
+func (o *observer) timesByRequest() map[string]replicaTimes {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.times
--- a/internal/benchmark/site.go
+++ b/internal/benchmark/site.go
@@ -12,8 +12,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// siteDocument is the configuration of one region. Its limits of concurrency are
-// far above the measured load.
+// siteDocument is the configuration of a site. Its concurrency limits are far above the
+// measured load.
 const siteDocument = `
 regions:
   north: {zones: [north-1], capacity: 8}
@@ -28,15 +28,15 @@
   first_token_ms: 5000
 `
 
-// replicasPerService is the number of stand-ins of each service.
+// replicasPerService is the number of stand-in replicas of each service.
 const replicasPerService = 4
 
-// warmUpCount is the number of requests in a row that must succeed before a
-// measurement.
+// warmUpCount is the number of consecutive rounds of warm-up requests that must succeed
+// before a measurement.
 const warmUpCount = 50
 
-// site is one region: a control node and stand-ins in this process, and a gateway
-// in a worker.
+// site is a fleet of one region: a control node and stand-in replicas in this process, and
+// a gateway in a worker.
 type site struct {
 	group    *group
 	replicas []*replica
@@ -44,9 +44,10 @@
 	caller   *caller
 }
 
-// newSite starts a region and waits until its gateway relays requests. observer is
-// that of the replicas, nil for none; the environment entries are added to those of
-// the gateway's process. The caller must stop the site with close.
+// newSite starts a site and waits until its gateway relays requests. observer records the
+// times at the replicas and may be nil. profile names the CPU profile of the gateway. The
+// environment entries are added to the environment of the gateway's process. The caller
+// must call close.
 func newSite(o *Options, observer *observer, profile string, environment ...string) (*site, error) {
 	s := new(site)
 	if err := s.open(o, observer, profile, environment); err != nil {
@@ -98,27 +99,27 @@
 	return nil
 }
 
-// configure applies the configuration and the list of replicas, and waits until
-// they are in force.
+// configure applies the configuration and the list of replicas, and waits until both are
+// in force.
 func (s *site) configure() error {
 	configuration := api.ConfigurationOperation{OperationID: "configuration", Document: siteDocument}
-	if _, err := s.group.operate(peer.OperationRequest{Configuration: &configuration}); err != nil {
+	if _, err := s.group.applyOperation(peer.OperationRequest{Configuration: &configuration}); err != nil {
 		return err
 	}
 	var list api.ReplicaList
 	for _, replica := range s.replicas {
 		list.Replicas = append(list.Replicas, api.ReplicaEntry{ID: replica.id, Service: replica.service, Zone: "north-1", Address: replica.address})
 	}
-	_, err := s.group.operate(peer.OperationRequest{Replicas: &list})
+	_, err := s.group.applyOperation(peer.OperationRequest{Replicas: &list})
 	return err
 }
 
-// warmUp waits until requests of both services have succeeded warmUpCount times in a
-// row.
+// warmUp sends rounds of one request to each service until warmUpCount consecutive rounds
+// have succeeded.
 func (s *site) warmUp() error {
 	answered, number := 0, 0
 	var last error
-	err := await("answers through the gateway", 10*time.Millisecond, func() bool {
+	err := await("consecutive answers through the gateway", 10*time.Millisecond, func() bool {
 		number++
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
--- a/internal/benchmark/table.go
+++ b/internal/benchmark/table.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Table is one table of results.
+// Table is one table of benchmark results.
 type Table struct {
 	Title string
-	// Note says how the figures were measured; it may be empty.
+	// Note explains how the figures were measured. It may be empty.
 	Note    string
 	Columns []string
 	Rows    [][]string
@@ -49,11 +49,11 @@
 	fmt.Fprintf(into, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// errNoMarkers means that a page lacks the markers of a section.
+// errNoMarkers means that a page does not contain the markers of a section.
 var errNoMarkers = errors.New("the page has no such section")
 
-// ReplaceSection replaces the content between the markers of a section of a page,
-// and nothing else.
+// ReplaceSection replaces the content between the begin and end markers of a section in
+// the page at path. The rest of the page is unchanged.
 func ReplaceSection(path, section string, content []byte) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return append(replaced, page[start+length:]...), nil
 }
 
-// milliseconds formats the cell of a duration.
+// milliseconds formats a duration in milliseconds for a table cell.
 func milliseconds(duration time.Duration) string {
 	return fmt.Sprintf("%.2f", float64(duration)/float64(time.Millisecond))
 }
@@ -99,7 +99,7 @@
 
 func decimal(value float64) string { return fmt.Sprintf("%.2f", value) }
 
-// perUnit divides a sum by a count; it returns 0 for a count of 0.
+// perUnit returns sum divided by count, or 0 if count is 0.
 func perUnit(sum, count float64) float64 {
 	if count == 0 {
 		return 0
--- a/internal/benchmark/updates.go
+++ b/internal/benchmark/updates.go
@@ -14,12 +14,12 @@
 	"github.com/deckpulley/deckpulley/storage"
 )
 
-// entryBytes is the size of an entry in the measurement of the disk alone, about
-// that of an update.
+// entryBytes is the size of a log entry in the measurement of the disk alone. It is about
+// the size of an update.
 const entryBytes = 128
 
-// manyWriters is the number of concurrent writers in the throughput measurement, and
-// while a log is filled.
+// manyWriters is the number of concurrent writers in the throughput measurement, and when
+// a log is filled for the recovery measurement.
 const manyWriters = 64
 
 // updateRun is the result of a run of updates.
@@ -28,9 +28,9 @@
 	latencies *quantiles
 }
 
-// runUpdates sends updates to the primary from concurrent writers, each after the
-// answer to its last, for a duration or until count updates were sent; a count of 0
-// sets no limit.
+// runUpdates runs concurrent writers, each of which sends one update after the other to
+// the primary, waiting for each answer. It ends after a duration or after count updates; a
+// count of 0 means no limit.
 func (g *group) runUpdates(writers int, duration time.Duration, count int64) (updateRun, error) {
 	primary, err := g.primary()
 	if err != nil {
@@ -65,7 +65,7 @@
 
 // measureUpdates compares groups of one, three and five voters.
 func measureUpdates(o *Options) ([]Table, error) {
-	duration := pick(o, 2500*time.Millisecond, 150*time.Millisecond)
+	duration := fullOrShort(o, 2500*time.Millisecond, 150*time.Millisecond)
 	table := Table{
 		Title:   "Updates",
 		Note:    "Updates of one record, sent over TCP to the primary and answered after they are on a majority's disks and in its table. Each writer waits for its answer. Ratios are to one voter with as many writers. The first row is the disk alone: one synced write after the other, without network or table.",
@@ -76,10 +76,10 @@
 		return nil, err
 	}
 	table.add(append([]string{"disk alone", "1"}, updateCells(disk, updateRun{})...)...)
-	baselines := make(map[int]updateRun) // one voter, by the number of writers
+	baselines := make(map[int]updateRun) // runs with one voter, by the number of writers
 	for _, voters := range []int{1, 3, 5} {
 		for _, writers := range []int{1, manyWriters} {
-			run, err := updatesAt(o, voters, writers, duration)
+			run, err := measureGroup(o, voters, writers, duration)
 			if err != nil {
 				return nil, fmt.Errorf("%d voters, %d writers: %w", voters, writers, err)
 			}
@@ -93,8 +93,8 @@
 	return []Table{table}, nil
 }
 
-// updatesAt measures a new group of a number of voters.
-func updatesAt(o *Options, voters, writers int, duration time.Duration) (updateRun, error) {
+// measureGroup measures updates at a new group with the given number of voters.
+func measureGroup(o *Options, voters, writers int, duration time.Duration) (updateRun, error) {
 	g, err := newGroup(voters, 0, o.Logger)
 	if err != nil {
 		return updateRun{}, err
@@ -103,26 +103,26 @@
 	return g.runUpdates(writers, duration, 0)
 }
 
-// updateCells returns the cells of a run; the ratios are empty without a baseline.
+// updateCells returns the table cells of a run. The ratios are empty if baseline is empty.
 func updateCells(run, baseline updateRun) []string {
 	rateRatio, latencyRatio := "", ""
 	if baseline.latencies != nil {
 		rateRatio = decimal(run.rate / baseline.rate)
-		latencyRatio = decimal(float64(run.latencies.at(50)) / float64(baseline.latencies.at(50)))
+		latencyRatio = decimal(float64(run.latencies.percentile(50)) / float64(baseline.latencies.percentile(50)))
 	}
 	return []string{
 		integer(run.rate), rateRatio,
-		milliseconds(run.latencies.at(50)), milliseconds(run.latencies.at(90)), milliseconds(run.latencies.at(99)),
-		milliseconds(run.latencies.at(99.9)), milliseconds(run.latencies.longest()), latencyRatio,
+		milliseconds(run.latencies.percentile(50)), milliseconds(run.latencies.percentile(90)), milliseconds(run.latencies.percentile(99)),
+		milliseconds(run.latencies.percentile(99.9)), milliseconds(run.latencies.longest()), latencyRatio,
 	}
 }
 
-// measureDisk persists entries of the size of an update one after the other, without
-// a group.
+// measureDisk measures the storage without a group: it persists entries of the size of an
+// update, one after the other.
 func measureDisk(duration time.Duration) (updateRun, error) {
 	folder, err := os.MkdirTemp("", "deckpulley-bench-")
 	if err != nil {
-		return updateRun{}, fmt.Errorf("making a folder: %w", err)
+		return updateRun{}, fmt.Errorf("creating a folder: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	disk, err := storage.Open(filepath.Join(folder, "disk"))
--- a/internal/benchmark/worker.go
+++ b/internal/benchmark/worker.go
@@ -15,21 +15,21 @@
 
 // Kinds of workers.
 const (
-	WorkerHolders = "holders" // agents of gateways without requests
+	WorkerHolders = "holders" // the agents of many gateways, which relay no requests
 	WorkerGateway = "gateway" // one complete gateway
 )
 
-// Commands to a worker, one a line. A worker ends at the end of its input.
+// Commands to a worker, one per line. A worker exits when its input is closed.
 const (
 	commandStatus       = "status"
 	commandStartProfile = "profile"
 	commandStopProfile  = "profiled"
 )
 
-// stopTimeout bounds how long a worker may take to end before it is killed.
+// stopTimeout is how long stop waits for a worker to exit before killing it.
 const stopTimeout = 10 * time.Second
 
-// workerConfig is the first line that a worker reads.
+// workerConfig is the configuration of a worker, the first line of its input.
 type workerConfig struct {
 	Key     []byte   `json:"key"`
 	Seeds   []string `json:"seeds"`
@@ -40,43 +40,44 @@
 	Verbose bool     `json:"verbose"`
 }
 
-// workerStatus is the answer to every command, one line of JSON.
+// workerStatus is a worker's answer to every command, sent as one line of JSON.
 type workerStatus struct {
 	Error string `json:"error,omitempty"`
-	// Processor is the CPU time used since the start.
+	// Processor is the CPU time used since the process started.
 	Processor   time.Duration `json:"processor"`
 	Allocations uint64        `json:"allocations"`
 	Allocated   uint64        `json:"allocated"` // bytes
-	// Address is where a gateway serves callers.
+	// Address is the HTTP address at which a gateway serves callers.
 	Address string `json:"address,omitempty"`
-	// Valid counts holders with a valid lease, Active those that have activated a
-	// serial; Serial is the lowest active one.
+	// Valid is the number of holders with a valid lease, Active the number of holders
+	// that have activated a serial of the table. Serial is the lowest active serial.
 	Valid    int    `json:"valid"`
 	Active   int    `json:"active"`
 	Serial   uint32 `json:"serial"`
 	Renewals uint64 `json:"renewals"`
-	// Term and NewestTerm are the lowest and highest terms that a holder has seen.
+	// Term is the lowest and NewestTerm the highest term of the holders.
 	Term       uint64 `json:"term"`
 	NewestTerm uint64 `json:"newest_term"`
 }
 
-// job is what a worker runs.
+// job is the workload of a worker process.
 type job interface {
-	// fill sets the fields of a status that only this job has.
-	fill(*workerStatus)
+	// fillStatus sets the fields of the status that are specific to this kind of job.
+	fillStatus(*workerStatus)
 	stop()
 }
 
-// RunWorker runs a worker of a kind until the end of its input. The first line of
-// the input is its configuration, each other a command, which it answers with a line.
+// RunWorker runs a worker of the given kind until its input ends. The first line of the
+// input is the configuration. Every other line is a command, which the worker answers with
+// one line.
 func RunWorker(kind string, input io.Reader, output io.Writer) error {
 	lines := bufio.NewScanner(input)
 	var config workerConfig
 	if !lines.Scan() {
-		return errors.New("a worker reads its configuration from its input")
+		return errors.New("no configuration on the worker's input")
 	}
 	if err := json.Unmarshal(lines.Bytes(), &config); err != nil {
-		return fmt.Errorf("worker's configuration: %w", err)
+		return fmt.Errorf("decoding the worker's configuration: %w", err)
 	}
 	running, err := newJob(kind, config)
 	if err != nil {
@@ -89,10 +90,10 @@
 		if err := profileCommand(lines.Text(), config.Profile); err != nil {
 			status.Error = err.Error()
 		}
-		running.fill(&status)
+		running.fillStatus(&status)
 		fillUsage(&status)
 		if err := answers.Encode(status); err != nil {
-			return fmt.Errorf("answering: %w", err)
+			return fmt.Errorf("writing an answer: %w", err)
 		}
 	}
 	return lines.Err()
@@ -101,7 +102,7 @@
 func newJob(kind string, config workerConfig) (job, error) {
 	switch kind {
 	case WorkerHolders:
-		return newHolders(config)
+		return newHoldersJob(config)
 	case WorkerGateway:
 		return newGatewayJob(config)
 	default:
@@ -109,7 +110,8 @@
 	}
 }
 
-// profileCommand starts or ends a CPU profile on command. An empty path takes none.
+// profileCommand starts or stops a CPU profile if the command asks for it. It does nothing
+// if path is empty.
 func profileCommand(command, path string) error {
 	if path == "" {
 		return nil
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// fillUsage sets the process's use of memory and CPU.
+// fillUsage sets the memory and CPU usage of this process.
 func fillUsage(status *workerStatus) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -140,15 +142,15 @@
 	status.Processor = used
 }
 
-// worker is a child process, as its parent sees it.
+// worker is the parent's handle of a worker process.
 type worker struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  *bufio.Reader
 }
 
-// startWorker starts a worker. The environment entries are added to its command's.
-// The caller must stop it with stop.
+// startWorker starts a worker. The environment entries are added to the environment of its
+// command. The caller must call stop.
 func (o *Options) startWorker(kind string, config workerConfig, environment ...string) (*worker, error) {
 	command := o.Worker(kind)
 	command.Env = append(command.Environ(), environment...)
@@ -171,18 +173,19 @@
 	return w, nil
 }
 
-// execute sends a command and returns the answer.
+// execute sends a command to the worker and returns the answer. A failure reported by the
+// worker is returned as an error.
 func (w *worker) execute(command string) (workerStatus, error) {
 	var status workerStatus
 	if _, err := io.WriteString(w.input, command+"\n"); err != nil {
-		return status, fmt.Errorf("asking a worker: %w", err)
+		return status, fmt.Errorf("sending a command to the worker: %w", err)
 	}
 	line, err := w.output.ReadBytes('\n')
 	if err != nil {
-		return status, fmt.Errorf("a worker's answer: %w", err)
+		return status, fmt.Errorf("reading the worker's answer: %w", err)
 	}
 	if err := json.Unmarshal(line, &status); err != nil {
-		return status, fmt.Errorf("a worker's answer: %w", err)
+		return status, fmt.Errorf("reading the worker's answer: %w", err)
 	}
 	if status.Error != "" {
 		return status, fmt.Errorf("worker: %s", status.Error)
@@ -190,14 +193,14 @@
 	return status, nil
 }
 
-// stop closes the input of the worker and waits for its end. It kills a worker that
-// has not ended after stopTimeout.
+// stop closes the input of the worker and waits until it exits. It kills a worker that is
+// still running after stopTimeout.
 func (w *worker) stop() error {
 	w.input.Close()
 	kill := time.AfterFunc(stopTimeout, func() { _ = w.command.Process.Kill() })
 	defer kill.Stop()
 	if err := w.command.Wait(); err != nil {
-		return fmt.Errorf("ending a worker: %w", err)
+		return fmt.Errorf("stopping the worker: %w", err)
 	}
 	return nil
 }
--- a/internal/scale/relay.go
+++ b/internal/scale/relay.go
@@ -165,7 +165,7 @@
 		if err != nil {
 			return pollReading{}, err
 		}
-		if err := discardResponse(caller, request); err != nil {
+		if err := sendAndDiscard(caller, request); err != nil {
 			return pollReading{}, err
 		}
 	}
@@ -191,8 +191,8 @@
 	return n, err
 }
 
-// discardResponse sends a request and discards the response.
-func discardResponse(caller *http.Client, request *http.Request) error {
+// sendAndDiscard sends a request and discards the response.
+func sendAndDiscard(caller *http.Client, request *http.Request) error {
 	response, err := caller.Do(request)
 	if err != nil {
 		return err
