--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,27 +1,28 @@
-// Package checker decides, from event logs alone, which promises a run kept. It reads
-// what callers, replicas and operators logged, and nothing that a daemon reports of
-// itself. It does no I/O and keeps no state between calls.
+// Package checker determines from event logs alone which promises (guarantees of the
+// serving layer, P1 to P18) a run kept. It uses what callers, replicas and operators
+// logged, and nothing that the daemons report about themselves. It does no I/O and
+// retains no state between calls.
 package checker
 
 import "github.com/deckpulley/deckpulley/internal/eventlog"
 
-// Options hold what the logs do not.
+// Options holds parameters of the fleet that the logs do not contain.
 type Options struct {
-	// SlowStartLimit is the first limit of a cold replica's slow start, in requests in
-	// flight.
+	// SlowStartLimit is the initial concurrency limit of a cold replica's slow start,
+	// in requests in flight.
 	SlowStartLimit int
 	// Gateways is the number of gateways of the fleet.
 	Gateways int
 }
 
-// check is how one promise is examined.
+// check names a promise and the function that examines it.
 type check struct {
 	promise Promise
 	title   string
 	examine func(*index, Options, *Verdict)
 }
 
-// checks returns the checks of all promises in order.
+// checks returns the checks of all promises, ordered by promise number.
 func checks() []check {
 	return []check{
 		{"P1", "non-repeatable requests run at most once", checkAtMostOnce},
@@ -45,7 +46,8 @@
 	}
 }
 
-// Check examines events, which must be ordered by their timestamps, for every promise.
+// Check examines the events for every promise. The events must be ordered by their
+// timestamps.
 func Check(events []eventlog.Event, options Options) Report {
 	indexed := newIndex(events)
 	report := Report{Events: len(events)}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -9,7 +9,7 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Times of the example run, in milliseconds.
+// Times of events in the healthy run, in milliseconds from its start.
 const (
 	secondOperationAt  = 10_000
 	refusedOperationAt = 12_000
@@ -27,10 +27,10 @@
 	refusalAt          = 5_000
 )
 
-// run is a run whose events a test makes and changes.
+// run is a synthetic run whose events a test builds and modifies.
 type run struct{ events []eventlog.Event }
 
-// add adds an event at a time in milliseconds.
+// add adds an event at a time in milliseconds from the start of the run.
 func (r *run) add(at int64, event eventlog.Event) {
 	event.At = (at + 1_000_000) * int64(time.Millisecond)
 	r.events = append(r.events, event)
@@ -67,7 +67,7 @@
 	}
 }
 
-// versionAt returns the version and serial in force at a time.
+// versionAt returns the configuration version and the serial in effect at a time.
 func versionAt(at int64) (uint64, uint32) {
 	switch {
 	case at >= lastOperationAt+200:
@@ -115,7 +115,7 @@
 	r.add(at+51, answer)
 }
 
-// with returns the event as one of another kind.
+// with returns a copy of the event with another kind.
 func with(event eventlog.Event, kind eventlog.Kind) eventlog.Event {
 	event.Kind = kind
 	return event
@@ -131,7 +131,7 @@
 	r.add(at, eventlog.Event{Kind: eventlog.FaultInjected, Detail: detail, Class: class, Target: target})
 }
 
-// healthyRun returns a run that exercises and keeps every promise.
+// healthyRun returns a run that exercises every promise and violates none.
 func healthyRun() *run {
 	r := &run{}
 	for _, region := range []string{"north", "south"} {
@@ -170,7 +170,7 @@
 	return Check(r.events, Options{SlowStartLimit: 1, Gateways: 8})
 }
 
-// violations has, for each promise, one change of the healthy run that breaks it.
+// violations maps each promise to a change of the healthy run that breaks only it.
 var violations = map[Promise]func(*run){
 	"P1": func(r *run) {
 		r.add(200, eventlog.Event{Kind: eventlog.ReplicaExecuted, Request: "request-0", Run: "again", Replica: "replica-south-1", Version: 1, Serial: 10})
@@ -248,7 +248,7 @@
 	for _, check := range checks() {
 		breakPromise, ok := violations[check.promise]
 		if !ok {
-			t.Errorf("%s: no run that breaks it", check.promise)
+			t.Errorf("%s: no violating run is defined", check.promise)
 			continue
 		}
 		r := healthyRun()
@@ -256,11 +256,11 @@
 		for _, verdict := range r.check().Verdicts {
 			broken := verdict.Status() == StatusBroken
 			if broken != (verdict.Promise == check.promise) {
-				t.Errorf("run that breaks %s: %s is %s: %+v", check.promise, verdict.Promise, verdict.Status(), verdict.Violations)
+				t.Errorf("run that violates %s: status of %s is %s: %+v", check.promise, verdict.Promise, verdict.Status(), verdict.Violations)
 			}
 			for _, violation := range verdict.Violations {
 				if len(violation.Evidence) == 0 {
-					t.Errorf("%s: violation %q without evidence", verdict.Promise, violation.Summary)
+					t.Errorf("%s: violation %q has no evidence", verdict.Promise, violation.Summary)
 				}
 			}
 		}
@@ -270,28 +270,28 @@
 func TestEmptyRunExercisesNoPromise(t *testing.T) {
 	for _, verdict := range Check(nil, Options{}).Verdicts {
 		if verdict.Status() != StatusNotExercised {
-			t.Errorf("%s: %s of nothing", verdict.Promise, verdict.Status())
+			t.Errorf("%s: status %s without events, want not exercised", verdict.Promise, verdict.Status())
 		}
 	}
 }
 
-// TestOtherViolationsAreReported has further ways to break a promise.
+// TestOtherViolationsAreReported checks further kinds of violations of a promise.
 func TestOtherViolationsAreReported(t *testing.T) {
 	tests := []struct {
 		name    string
 		promise Promise
 		change  func(*run)
 	}{
-		{"a gateway that goes back to an older version over two replicas", "P6", func(r *run) {
+		{"a gateway places a request on another replica with an older version", "P6", func(r *run) {
 			r.add(secondOperationAt+900, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Gateway: "gateway-1", Version: 1, Serial: 10, Attempt: 1})
 		}},
-		{"two winners on one base", "P8", func(r *run) {
+		{"two operations accepted on one base version", "P8", func(r *run) {
 			r.addOperation(secondOperationAt+3000, "rival", DetailConfiguration, 1, 2, 0, OperationAccepted)
 		}},
-		{"a version that no operation made", "P8", func(r *run) {
+		{"a version that no operation created", "P8", func(r *run) {
 			r.add(refusedOperationAt+100, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-south-3", Gateway: "gateway-7", Version: 9, Serial: 99, Attempt: 1})
 		}},
-		{"one serial with two versions", "P10", func(r *run) {
+		{"two versions with the same serial", "P10", func(r *run) {
 			r.add(freezeAt+9000, eventlog.Event{Kind: eventlog.ReplicaReceived, Replica: "replica-north-3", Gateway: "gateway-7", Version: 1, Serial: 20, Attempt: 1})
 		}},
 		{"an operation accepted by a partitioned node", "P10", func(r *run) {
@@ -301,19 +301,19 @@
 			r.add(crowdAt+5100, eventlog.Event{Kind: eventlog.OperationAnswered, Operation: "alone", Outcome: OperationAccepted, Gateway: "10.0.0.1:1", Serial: 31, Version: 3})
 			r.addFault(crowdAt+24_000, FaultHeal, TargetControl, "control-east")
 		}},
-		{"a success of a run that never began", "P3", func(r *run) {
+		{"a success of a run that never started", "P3", func(r *run) {
 			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-1" },
 				func(e *eventlog.Event) { e.Run = "invented" })
 		}},
-		{"an answer of another request", "P3", func(r *run) {
+		{"the answer to another request", "P3", func(r *run) {
 			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-1" },
 				func(e *eventlog.Event) { e.Run = "run-request-4" })
 		}},
-		{"an end after a gap", "P4", func(r *run) {
+		{"an end marker after a gap in the sequence", "P4", func(r *run) {
 			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.CallerAnswered && e.Request == "request-3" },
 				func(e *eventlog.Event) { e.Sequence = 9 })
 		}},
-		{"an end that the replica did not send", "P4", func(r *run) {
+		{"an end marker that the replica did not send", "P4", func(r *run) {
 			r.rewrite(func(e eventlog.Event) bool { return e.Kind == eventlog.ReplicaEnded && e.Request == "request-3" },
 				func(e *eventlog.Event) { e.Detail = "broken" })
 		}},
@@ -333,7 +333,7 @@
 			test.change(r)
 			verdict, _ := r.check().Verdict(test.promise)
 			if verdict.Status() != StatusBroken {
-				t.Errorf("%s is %s", test.promise, verdict.Status())
+				t.Errorf("status of %s is %s, want broken", test.promise, verdict.Status())
 			}
 		})
 	}
@@ -345,16 +345,17 @@
 	merged := Merge(kept, broken.check())
 	verdict, _ := merged.Verdict("P12")
 	if verdict.Status() != StatusBroken || verdict.Bound.Worst < 5.4 || verdict.Examined <= kept.Verdicts[11].Examined {
-		t.Errorf("merged P12: %+v", verdict)
+		t.Errorf("verdict on P12 after merging: %+v", verdict)
 	}
 	if merged.Events != kept.Events+len(broken.events) {
-		t.Errorf("merged %d events", merged.Events)
+		t.Errorf("merged report has %d events, want the sum of both reports", merged.Events)
 	}
 }
 
-// TestOnlySingleFailuresAreJudged holds that neither a second failure during the first,
-// nor what a partitioned region can't serve, counts against one failure.
-func TestOnlySingleFailuresAreJudged(t *testing.T) {
+// TestOnlySingleFailuresAreEvaluated checks that P17 does not evaluate a failure that
+// overlaps with another one, and does not count requests that a partitioned region
+// cannot serve.
+func TestOnlySingleFailuresAreEvaluated(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*run)
@@ -364,7 +365,7 @@
 			r.addFault(failureAt+500, FaultFreeze, TargetControl, "control-south")
 			r.remove(requestsIn(failureAt-100, failureAt+13_500))
 		}, StatusNotExercised},
-		{"the first one recovers before the second fails", func(r *run) {
+		{"the first control node recovers before the second one fails", func(r *run) {
 			r.addFault(failureAt+100, FaultStart, TargetControl, "control-north")
 			r.addFault(failureAt+500, FaultFreeze, TargetControl, "control-south")
 			r.remove(requestsIn(failureAt+400, failureAt+15_000))
@@ -382,7 +383,7 @@
 				r.add(at, eventlog.Event{Kind: eventlog.CallerAnswered, Request: fmt.Sprintf("single-%d", at), Outcome: "refused", Code: "overloaded"})
 			}
 		}, StatusKept},
-		{"callers of a partitioned region", func(r *run) {
+		{"refusals to callers in a partitioned region", func(r *run) {
 			r.remove(func(e eventlog.Event) bool { return e.Kind == eventlog.FaultInjected && milliseconds(e) == failureAt })
 			r.events = append(r.events, eventlog.Event{At: (failureAt + 1_000_000) * int64(time.Millisecond), Kind: eventlog.FaultInjected, Detail: FaultCut, Class: TargetRegion, Target: "region:south", Region: "south"})
 			for at := int64(failureAt); at < failureAt+14_000; at += 100 {
@@ -399,7 +400,7 @@
 			test.change(r)
 			verdict, _ := r.check().Verdict("P17")
 			if verdict.Status() != test.status {
-				t.Errorf("P17 is %s: %+v", verdict.Status(), verdict.Violations)
+				t.Errorf("status of P17 is %s: %+v", verdict.Status(), verdict.Violations)
 			}
 		})
 	}
--- a/internal/checker/configuration.go
+++ b/internal/checker/configuration.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// configurationBound is the time from an acknowledgement to the last request that an
-	// older configuration decides.
+	// configurationBound is the longest time after the acknowledgement of a
+	// configuration in which requests may still be placed by an older one.
 	configurationBound = 2500 * time.Millisecond
-	// arrivalSkew is the time within which requests of one gateway may reach replicas in
-	// another order than that of their decisions.
+	// arrivalSkew is the longest time by which requests of one gateway may reach
+	// replicas in a different order than the gateway placed them.
 	arrivalSkew = 100 * time.Millisecond
 )
 
-// checkConfigurationBound finds requests decided by an older version that reached a
-// replica too late after an acknowledgement.
+// checkConfigurationBound finds requests that were placed by an older version and
+// reached a replica later than configurationBound after the acknowledgement of a newer
+// version.
 func checkConfigurationBound(x *index, _ Options, verdict *Verdict) {
 	verdict.Bound = &Bound{Allowed: configurationBound.Seconds(), Unit: "s"}
 	for _, ack := range x.acknowledgements(DetailConfiguration) {
-		var late eventlog.Event // the first one
+		var late eventlog.Event // the first such request
 		for _, received := range x.receivedAfter(ack.answer.At) {
 			since := after(ack.answer, received)
 			if since > configurationBound {
@@ -36,15 +37,16 @@
 			}
 		}
 		if late.At != 0 {
-			summary := fmt.Sprintf("version %d decided by %s reached %s %.2f s after version %d was acknowledged",
+			summary := fmt.Sprintf("a placement with version %d by %s reached %s %.2f s after version %d was acknowledged",
 				late.Version, late.Gateway, replicaOf(late), after(ack.answer, late).Seconds(), ack.answer.Version)
 			verdict.addViolation(summary, ack.answer, late)
 		}
 	}
 }
 
-// checkVersionOrder finds versions that decrease: in the executions of a replica, in the
-// decisions of a gateway, and after any replica has received a newer one.
+// checkVersionOrder finds versions that decrease: between the executions of one replica,
+// between the placements of one gateway, and on any replica after some replica received
+// a newer version.
 func checkVersionOrder(x *index, _ Options, verdict *Verdict) {
 	verdict.Bound = &Bound{Allowed: arrivalSkew.Seconds(), Unit: "s of crossing"}
 	checkReplicaVersions(x, verdict)
@@ -59,7 +61,7 @@
 		replica := replicaOf(executed)
 		earlier := newest[replica]
 		if executed.Version < earlier.Version {
-			verdict.addViolation(fmt.Sprintf("%s ran version %d after %d", replica, executed.Version, earlier.Version), earlier, executed)
+			verdict.addViolation(fmt.Sprintf("%s executed a request of version %d after one of version %d", replica, executed.Version, earlier.Version), earlier, executed)
 			continue
 		}
 		newest[replica] = executed
@@ -84,12 +86,13 @@
 		}
 		verdict.measure(after(newer, received).Seconds())
 		if after(newer, received) > arrivalSkew {
-			verdict.addViolation(fmt.Sprintf("%s placed by version %d after %d", received.Gateway, received.Version, newer.Version), newer, received)
+			verdict.addViolation(fmt.Sprintf("%s placed a request with version %d after one with version %d", received.Gateway, received.Version, newer.Version), newer, received)
 		}
 	}
 }
 
-// isIncrease reports whether an event has a newer version than all increases.
+// isIncrease reports whether the version of an event is newer than those of all
+// increases, which are ordered by version.
 func isIncrease(increases []eventlog.Event, event eventlog.Event) bool {
 	return len(increases) == 0 || event.Version > increases[len(increases)-1].Version
 }
@@ -111,14 +114,14 @@
 			increases = append(increases, received)
 		}
 	}
-	reported := map[uint64]bool{} // newer versions
+	reported := map[uint64]bool{} // by newer version
 	for _, executed := range x.executed {
 		newer, ok := firstNewer(increases, executed.Version)
 		if !ok || executed.At < newer.At || after(newer, executed) <= configurationBound || reported[newer.Version] {
 			continue
 		}
 		reported[newer.Version] = true
-		summary := fmt.Sprintf("%s ran version %d, %.2f s after %s had seen version %d",
+		summary := fmt.Sprintf("%s executed a request of version %d, %.2f s after %s had received version %d",
 			replicaOf(executed), executed.Version, after(newer, executed).Seconds(), replicaOf(newer), newer.Version)
 		verdict.addViolation(summary, newer, executed)
 	}
--- a/internal/checker/durability.go
+++ b/internal/checker/durability.go
@@ -6,32 +6,33 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// checkDurability examines what operators read back after control nodes were killed or
-// wiped since an acknowledgement.
+// checkDurability examines what operators read back if control nodes were killed or
+// wiped between the acknowledgement of an operation and the reading.
 func checkDurability(x *index, _ Options, verdict *Verdict) {
 	for _, ack := range x.acknowledgements(DetailConfiguration) {
-		checkConfigurationKept(x, ack, verdict)
+		checkConfigurationPreserved(x, ack, verdict)
 	}
 	for _, ack := range x.acknowledgements(DetailEvacuate) {
-		checkEvacuationKept(x, ack, verdict)
+		checkEvacuationPreserved(x, ack, verdict)
 	}
 }
 
-func checkConfigurationKept(x *index, ack acknowledgement, verdict *Verdict) {
+func checkConfigurationPreserved(x *index, ack acknowledgement, verdict *Verdict) {
 	for _, read := range x.reads {
 		if read.Kind != eventlog.ConfigurationRead || !x.dataLossBetween(ack.answer.At, read.At) {
 			continue
 		}
 		verdict.Examined++
 		if ack.contradictedBy(read) {
-			summary := fmt.Sprintf("acknowledged version %d was gone at a later reading of version %d", ack.answer.Version, read.Version)
+			summary := fmt.Sprintf("acknowledged version %d was lost: a later read returned version %d", ack.answer.Version, read.Version)
 			verdict.addViolation(summary, ack.answer, read)
 			return
 		}
 	}
 }
 
-// contradictedBy reports whether a reading shows that the configuration was lost.
+// contradictedBy reports whether a read shows that the configuration was lost: it
+// returned an older version, or another document under the same version.
 func (a acknowledgement) contradictedBy(read eventlog.Event) bool {
 	if read.Version < a.answer.Version {
 		return true
@@ -39,7 +40,8 @@
 	return read.Version == a.answer.Version && read.Target != a.operation.digest()
 }
 
-// dataLossBetween reports whether control nodes were wiped or killed in (from, to].
+// dataLossBetween reports whether control nodes were wiped or killed in (from, to], so
+// that unreplicated or unwritten state may be lost.
 func (x *index) dataLossBetween(from, to int64) bool {
 	for _, fault := range x.faults {
 		if fault.At > from && fault.At <= to && isDataLoss(fault) {
@@ -56,7 +58,7 @@
 	return fault.Class == TargetControl || fault.Class == TargetControls || fault.Class == TargetFleet
 }
 
-func checkEvacuationKept(x *index, ack acknowledgement, verdict *Verdict) {
+func checkEvacuationPreserved(x *index, ack acknowledgement, verdict *Verdict) {
 	zone, withdrawn := ack.operation.zone(), x.withdrawalAfter(ack)
 	for _, read := range x.reads {
 		if read.Kind != eventlog.ZonesRead || read.Zone != zone {
@@ -67,7 +69,7 @@
 		}
 		verdict.Examined++
 		if read.Detail != DetailEvacuated {
-			verdict.addViolation(fmt.Sprintf("acknowledged evacuation of %s was gone at a later reading", zone), ack.answer, read)
+			verdict.addViolation(fmt.Sprintf("acknowledged evacuation of %s was lost: a later read did not return it", zone), ack.answer, read)
 			return
 		}
 	}
--- a/internal/checker/failure.go
+++ b/internal/checker/failure.go
@@ -7,15 +7,16 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// failure is a time in which a control node, a zone or a region is down.
+// failure is a period in which control nodes, a zone or a region are down.
 type failure struct {
 	fault eventlog.Event
-	// region is down. Requests with no other home can't be served.
+	// region is the region that is down, empty if the failure is smaller than a region.
+	// Requests whose only home region it is cannot be served.
 	region string
-	// partitioned is set if callers of the region still reach its gateways, which must
-	// not place requests.
+	// partitioned is set if the region is cut off but not down: its callers still reach
+	// its gateways, which must not place requests.
 	partitioned bool
-	// end is the time at which it was up again, or unending.
+	// end is the time of the recovery, or unending.
 	end int64
 }
 
@@ -26,7 +27,8 @@
 	return &failure{fault: fault, region: fault.Region, partitioned: fault.Detail == FaultCut, end: unending}
 }
 
-// explains reports whether the failure alone is a reason not to serve a request.
+// explains reports whether the failure alone is a valid reason for not serving a
+// request.
 func (f *failure) explains(request *request) bool {
 	if f.region == "" {
 		return false
@@ -37,14 +39,15 @@
 	return len(request.homeRegions) == 1 && request.homeRegions[0] == f.region
 }
 
-// explained reports whether one of the failures explains that a request was not served.
+// explained reports whether any of the failures is a valid reason for not serving the
+// request.
 func explained(request *request, failures []*failure) bool {
 	return slices.ContainsFunc(failures, func(known *failure) bool { return known.explains(request) })
 }
 
-// findFailures pairs the faults of control nodes, zones and regions with their ends: a
-// thaw, heal or start of the same target or, for a disk that was wiped or a machine that
-// was replaced, the repair.
+// findFailures pairs each fault of control nodes, a zone or a region with its end. That
+// is a thaw, heal or start of the same target or, if a disk was wiped or a machine
+// replaced, the repair of the control group.
 func findFailures(faults []eventlog.Event) []*failure {
 	var list []*failure
 	for _, fault := range faults {
@@ -66,7 +69,8 @@
 	return list
 }
 
-// endRepaired ends the failures that only the repair of the control group ends.
+// endRepaired ends the failures that end with the repair of the control group: wiped
+// disks and killed machines that were replaced.
 func endRepaired(list []*failure, by eventlog.Event) {
 	for _, known := range list {
 		if known.end == unending && (known.fault.Detail == FaultWipe || known.fault.Detail == FaultKill) {
@@ -75,7 +79,8 @@
 	}
 }
 
-// endFailures ends the failures of the target that a fault with this detail began.
+// endFailures ends the open failures of the same target that a fault with the given
+// detail started.
 func endFailures(list []*failure, by eventlog.Event, detail string) {
 	for _, known := range list {
 		if known.end == unending && known.fault.Detail == detail && known.fault.Target == by.Target {
@@ -84,9 +89,9 @@
 	}
 }
 
-// around returns the other failures during which a fault began, and the time at which
-// the next one after it begins.
-func (x *index) around(fault eventlog.Event) (during []*failure, next int64) {
+// overlappingFailures returns the other failures that were in progress when a fault
+// began, and the start time of the next failure after it.
+func (x *index) overlappingFailures(fault eventlog.Event) (during []*failure, next int64) {
 	next = unending
 	for _, known := range x.failures {
 		start := known.fault.At
@@ -101,7 +106,8 @@
 	return during, next
 }
 
-// isFailure reports whether a fault is the failure of one machine, zone or region.
+// isFailure reports whether a fault takes down one control node, gateway, zone or
+// region.
 func isFailure(fault eventlog.Event) bool {
 	switch fault.Detail {
 	case FaultKill, FaultFreeze, FaultWipe, FaultCut:
--- a/internal/checker/index.go
+++ b/internal/checker/index.go
@@ -7,19 +7,19 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// index holds the events of one run, sorted by what they are about. All slices are
-// ordered by time.
+// index groups the events of one run by subject. All slices are ordered by time.
 type index struct {
 	events   []eventlog.Event
 	requests map[string]*request // by id
-	// ordered holds the requests with an event of their caller, by the first one.
+	// ordered holds the requests for which a caller logged an event, ordered by the
+	// first such event.
 	ordered    []*request
-	received   []eventlog.Event          // by replicas
-	executed   []eventlog.Event          // by replicas
-	ended      map[string]eventlog.Event // ends of executions by run
-	operations []*operation              // by their first send
+	received   []eventlog.Event          // logged by replicas
+	executed   []eventlog.Event          // logged by replicas
+	ended      map[string]eventlog.Event // ends of executions, by run
+	operations []*operation              // ordered by first send
 	reads      []eventlog.Event
-	faults     []eventlog.Event // and their ends
+	faults     []eventlog.Event // includes the ends of faults
 	failures   []*failure
 	zones      map[string]string // by replica
 	regions    map[string]string // by replica
@@ -92,7 +92,7 @@
 	}
 }
 
-// request returns the request with an id, which may be a new one.
+// request returns the request with an id and adds it if it is unknown.
 func (x *index) request(id string) *request {
 	if known, ok := x.requests[id]; ok {
 		return known
@@ -102,20 +102,21 @@
 	return added
 }
 
-// receivedAfter returns what replicas received later than at.
+// receivedAfter returns the requests that replicas received later than at.
 func (x *index) receivedAfter(at int64) []eventlog.Event {
 	from := sort.Search(len(x.received), func(i int) bool { return x.received[i].At > at })
 	return x.received[from:]
 }
 
-// requestsBetween returns the requests that began in [from, to).
+// requestsBetween returns the requests whose first caller event is in [from, to).
 func (x *index) requestsBetween(from, to int64) []*request {
 	first := sort.Search(len(x.ordered), func(i int) bool { return x.ordered[i].first.At >= from })
 	last := sort.Search(len(x.ordered), func(i int) bool { return x.ordered[i].first.At >= to })
 	return x.ordered[first:last]
 }
 
-// replicaOf returns the name of the replica of a replica's event.
+// replicaOf returns the name of the replica that an event is about; without one, that of
+// the source that logged it.
 func replicaOf(event eventlog.Event) string {
 	if event.Replica != "" {
 		return event.Replica
@@ -123,8 +124,8 @@
 	return event.Source
 }
 
-// zoneOf returns the zone of a replica's event: that of the inventory, or the one that
-// the replica states if the inventory lacks it.
+// zoneOf returns the zone of the replica that an event is about: the zone in the
+// inventory or, if the replica is missing there, the zone in the event.
 func (x *index) zoneOf(event eventlog.Event) string {
 	if zone, ok := x.zones[replicaOf(event)]; ok {
 		return zone
@@ -132,7 +133,8 @@
 	return event.Zone
 }
 
-// regionOf returns the region of a replica's event, as zoneOf does its zone.
+// regionOf returns the region of the replica that an event is about. Like zoneOf, it
+// prefers the inventory to the event.
 func (x *index) regionOf(event eventlog.Event) string {
 	if region, ok := x.regions[replicaOf(event)]; ok {
 		return region
--- a/internal/checker/operation.go
+++ b/internal/checker/operation.go
@@ -4,11 +4,12 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// operation holds every send and every answer of an operator's operation.
+// operation holds all sends of, and definite answers to, one operation of an operator.
 type operation struct {
 	id    string
 	sends []eventlog.Event // at least one
-	// answers are the definite ones: accepted or refused.
+	// answers holds the definite answers, accepted or refused, and omits unknown
+	// outcomes.
 	answers []eventlog.Event
 }
 
@@ -22,7 +23,8 @@
 	return eventlog.Event{}, false
 }
 
-// refused returns the first answer if there is one and every one is a refusal.
+// refused returns the first answer if the operation was answered and all answers are
+// refusals.
 func (o *operation) refused() (eventlog.Event, bool) {
 	if len(o.answers) == 0 {
 		return eventlog.Event{}, false
@@ -40,10 +42,10 @@
 // digest identifies the document of a configuration.
 func (o *operation) digest() string { return o.sends[0].Target }
 
-// operationIndex collects operations from events.
+// operationIndex groups the events of operations by operation id.
 type operationIndex struct {
 	byID    map[string]*operation
-	ordered []*operation // by their first send
+	ordered []*operation // ordered by first send
 }
 
 func newOperationIndex() *operationIndex {
@@ -67,13 +69,14 @@
 	}
 }
 
-// acknowledgement is the first acceptance of an operation.
+// acknowledgement is an operation with the first answer that accepted it.
 type acknowledgement struct {
 	operation *operation
 	answer    eventlog.Event
 }
 
-// acknowledgements returns the accepted operations of one detail, by their first send.
+// acknowledgements returns the accepted operations with the given detail, ordered by
+// first send.
 func (x *index) acknowledgements(detail string) []acknowledgement {
 	var list []acknowledgement
 	for _, operation := range x.operations {
--- a/internal/checker/placement.go
+++ b/internal/checker/placement.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// drainBound is the time from a drain to the last request that reaches the replica.
+	// drainBound is the longest time after the start of a drain in which requests may
+	// still reach the replica.
 	drainBound = 4 * time.Second
-	// evacuationBound is the time from the acknowledgement of an evacuation to the last
-	// request that reaches the zone.
+	// evacuationBound is the longest time after the acknowledgement of an evacuation in
+	// which requests may still reach the zone.
 	evacuationBound = 5 * time.Second
 )
 
-// exclusion is a time in which some replicas must not receive requests.
+// exclusion is a period in which some replicas must not receive requests.
 type exclusion struct {
 	start eventlog.Event
 	end   int64 // 0 if it lasts to the end of the run
-	// bound is the time after the start in which requests may still arrive.
+	// bound is the longest time after the start in which requests may still arrive.
 	bound time.Duration
-	// excludes reports whether a request reached one of the replicas.
+	// excludes reports whether a request reached one of these replicas.
 	excludes func(received eventlog.Event) bool
 	// summary describes a request that arrived too late.
 	summary func(received eventlog.Event, since time.Duration) string
 }
 
-// checkExclusion examines every request that replicas received after the bound, and
-// reports the first violation.
+// checkExclusion examines every request that replicas received later than the bound and
+// adds the first violation to the verdict.
 func (x *index) checkExclusion(excluded exclusion, verdict *Verdict) {
 	violated := false
 	for _, received := range x.receivedAfter(excluded.start.At) {
@@ -59,21 +60,21 @@
 			start: drained.start, end: drained.end, bound: drainBound,
 			excludes: func(received eventlog.Event) bool { return replicaOf(received) == drained.replica },
 			summary: func(_ eventlog.Event, since time.Duration) string {
-				return fmt.Sprintf("%s got a request %.2f s after it drained", drained.replica, since.Seconds())
+				return fmt.Sprintf("%s received a request %.2f s after its drain began", drained.replica, since.Seconds())
 			},
 		}, verdict)
 	}
 }
 
-// drain is a time in which a replica is draining.
+// drain is a period in which a replica is draining.
 type drain struct {
 	replica string
-	start   eventlog.Event // what the replica reported or the platform listed
+	start   eventlog.Event // logged by the replica or by the platform
 	end     int64          // 0 if it lasts to the end of the run
 }
 
-// drains returns the drains that replicas reported and that the platform listed. The
-// end of one does not end the other.
+// drains returns the drains that replicas reported and those that the platform listed.
+// The two are independent: the end of one does not end the other.
 func (x *index) drains() []drain {
 	var list []drain
 	end := func(replica string, kind eventlog.Kind, at int64) {
@@ -107,13 +108,13 @@
 			start: ack.answer, end: x.withdrawalAfter(ack), bound: evacuationBound,
 			excludes: func(received eventlog.Event) bool { return x.zoneOf(received) == zone },
 			summary: func(received eventlog.Event, since time.Duration) string {
-				return fmt.Sprintf("%s got a request %.2f s after the evacuation of %s", replicaOf(received), since.Seconds(), zone)
+				return fmt.Sprintf("%s received a request %.2f s after the evacuation of %s", replicaOf(received), since.Seconds(), zone)
 			},
 		}, verdict)
 	}
 }
 
-// checkHomes finds executions of home-bound requests outside of their home.
+// checkHomes finds executions of home-bound requests outside their home regions.
 func checkHomes(x *index, _ Options, verdict *Verdict) {
 	for _, request := range x.ordered {
 		if len(request.homeRegions) == 0 {
@@ -123,7 +124,7 @@
 			verdict.Examined++
 			region := x.regionOf(executed)
 			if !slices.Contains(request.homeRegions, region) {
-				summary := fmt.Sprintf("request %s, at home in %v, ran in %s", request.id, request.homeRegions, region)
+				summary := fmt.Sprintf("request %s with home regions %v ran in %s", request.id, request.homeRegions, region)
 				verdict.addViolation(summary, request.first, executed)
 			}
 		}
--- a/internal/checker/recovery.go
+++ b/internal/checker/recovery.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// interval is the length of the intervals in which service and load are judged.
+	// interval is the length of the intervals over which requests and load are counted.
 	interval = time.Second
-	// recoveryBound is the time from a fault, or from the start of machines, until
-	// requests are served again.
+	// recoveryBound is the longest time from a fault, or from the start of machines,
+	// until requests are served again.
 	recoveryBound = 12 * time.Second
 )
 
-// checkRecovery measures how long after the start of machines requests were served.
+// checkRecovery measures the time from the start of the fleet or of all control nodes
+// until requests are served.
 func checkRecovery(x *index, _ Options, verdict *Verdict) {
 	verdict.Bound = &Bound{Allowed: recoveryBound.Seconds(), Unit: "s"}
 	for _, fault := range x.faults {
 		if fault.Detail == FaultStart && (fault.Class == TargetFleet || fault.Class == TargetControls) {
-			_, next := x.around(fault)
+			_, next := x.overlappingFailures(fault)
 			x.checkServing(fault, next, nil, verdict)
 		}
 	}
 }
 
-// checkFailures measures how long after the failure of one machine, zone or region the
-// others served without a refusal. A control node, zone or region is judged only if
-// nothing else was down at that time.
+// checkFailures measures the time from the failure of one machine, zone or region until
+// the others serve without a refusal. The failure of a control node, zone or region is
+// examined only if nothing else was down when it began.
 func checkFailures(x *index, _ Options, verdict *Verdict) {
 	verdict.Bound = &Bound{Allowed: recoveryBound.Seconds(), Unit: "s"}
 	for _, fault := range x.faults {
 		if !isFailure(fault) {
 			continue
 		}
-		during, next := x.around(fault)
+		during, next := x.overlappingFailures(fault)
 		if fault.Class != TargetGateway && len(during) > 0 {
 			continue
 		}
@@ -43,8 +44,8 @@
 	}
 }
 
-// checkServing judges one fault. It says nothing if the run ends or the next failure
-// begins before the bound, and before any interval without a refusal.
+// checkServing examines the service after one fault. It adds no result if the run ends
+// or the next failure begins before the bound is reached and before any clean interval.
 func (x *index) checkServing(fault eventlog.Event, next int64, failures []*failure, verdict *Verdict) {
 	took, ok := x.timeToServe(fault.At, next, failures)
 	if !ok && min(x.end, next)-fault.At < int64(recoveryBound+interval) {
@@ -60,11 +61,11 @@
 	}
 }
 
-// timeToServe returns the time from start to the first interval that is clean, provided
-// that no outage begins after it within the bound. An interval, counted from start, is
-// clean if requests began in it and none was refused or lost. It is an outage if at
-// least half were: a lease that stays valid for a moment after its grantor is down is no
-// recovery.
+// timeToServe returns the time from start to the first clean interval that is not
+// followed by an outage within the bound. An interval, counted from start, is clean if
+// requests began in it and none was refused or lost. It is an outage if at least half of
+// them were. Clean intervals before an outage do not count as recovery, because gateways
+// go on serving until the leases of a failed grantor expire.
 func (x *index) timeToServe(start, limit int64, failures []*failure) (time.Duration, bool) {
 	clean, found := time.Duration(0), false
 	for from := start; from+int64(interval) <= min(x.end, limit); from += int64(interval) {
@@ -83,8 +84,8 @@
 	return clean, found
 }
 
-// countAffected returns how many of the requests the failures do not explain, and how
-// many of these were refused or lost.
+// countAffected returns the number of requests that none of the failures excuses from
+// being served, and how many of these were refused or lost.
 func countAffected(requests []*request, failures []*failure) (counted, affected int) {
 	for _, request := range requests {
 		if explained(request, failures) {
@@ -98,8 +99,8 @@
 	return counted, affected
 }
 
-// firstAffected returns the first answer to the first request from the given time on
-// that was not served without an explanation.
+// firstAffected returns the first answer to the first request, from the given time on,
+// that was refused or lost although none of the failures explains it.
 func (x *index) firstAffected(from int64, failures []*failure) []eventlog.Event {
 	for _, request := range x.requestsBetween(from, x.end) {
 		if request.affected() && !explained(request, failures) {
--- a/internal/checker/refusal.go
+++ b/internal/checker/refusal.go
@@ -6,12 +6,12 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// checkRefusedOperations finds documents in force although their operation was refused,
-// several operations that were accepted on one base version, and versions in force that
-// no operation made.
+// checkRefusedOperations finds documents that are in effect although their operation was
+// refused, several operations that were accepted on one base version, and versions in
+// effect that no operation created.
 func checkRefusedOperations(x *index, _ Options, verdict *Verdict) {
 	refused := map[string]*operation{} // by digest
-	accepted := map[string]bool{}      // or unknown, by digest
+	accepted := map[string]bool{}      // accepted or unknown outcome, by digest
 	for _, operation := range x.operations {
 		if operation.detail() != DetailConfiguration {
 			continue
@@ -29,7 +29,7 @@
 			continue
 		}
 		if len(operation.sends) > 1 {
-			continue // checkResentOperations examines a resend that was refused while in effect
+			continue // checkResentOperations reports resent operations that were refused while in effect
 		}
 		answer, _ := operation.refused()
 		verdict.addViolation(fmt.Sprintf("refused order %s is in effect as version %d", operation.id, read.Version), answer, read)
@@ -44,7 +44,7 @@
 	for _, ack := range x.acknowledgements(DetailConfiguration) {
 		base := ack.operation.base()
 		if other, ok := winners[base]; ok {
-			summary := fmt.Sprintf("orders %s and %s both won on base version %d", other.operation.id, ack.operation.id, base)
+			summary := fmt.Sprintf("orders %s and %s were both accepted on base version %d", other.operation.id, ack.operation.id, base)
 			verdict.addViolation(summary, other.answer, ack.answer)
 			continue
 		}
@@ -52,8 +52,8 @@
 	}
 }
 
-// checkStampedVersions finds requests decided by a version that no operation can have
-// made.
+// checkStampedVersions finds requests that were placed by a version that no operation
+// can have created.
 func checkStampedVersions(x *index, verdict *Verdict) {
 	possible := x.possibleVersions()
 	reported := map[uint64]bool{}
@@ -62,12 +62,12 @@
 			continue
 		}
 		reported[received.Version] = true
-		verdict.addViolation(fmt.Sprintf("version %d decided a placement though no order made it", received.Version), received)
+		verdict.addViolation(fmt.Sprintf("a request was placed by version %d, which no order created", received.Version), received)
 	}
 }
 
-// possibleVersions returns the versions of accepted operations and those that
-// operations with an unknown result may have made.
+// possibleVersions returns the versions of accepted operations and those that operations
+// with an unknown outcome may have created.
 func (x *index) possibleVersions() map[uint64]bool {
 	possible := map[uint64]bool{}
 	for _, operation := range x.operations {
@@ -87,7 +87,7 @@
 
 // checkResentOperations compares every answer to a resent operation with the first one.
 func checkResentOperations(x *index, _ Options, verdict *Verdict) {
-	inEffect := map[string]eventlog.Event{} // first readings by digest
+	inEffect := map[string]eventlog.Event{} // first read of each document, by digest
 	for _, read := range x.reads {
 		if _, ok := inEffect[read.Target]; !ok && read.Kind == eventlog.ConfigurationRead {
 			inEffect[read.Target] = read
@@ -102,12 +102,13 @@
 		answer, refused := operation.refused()
 		read, effective := inEffect[operation.digest()]
 		if refused && effective && operation.detail() == DetailConfiguration {
-			verdict.addViolation(fmt.Sprintf("order %s was refused on resending though it is in effect", operation.id), answer, read)
+			verdict.addViolation(fmt.Sprintf("order %s was refused when resent although it is in effect", operation.id), answer, read)
 		}
 	}
 }
 
-// checkSameAnswer finds the first answer to an operation that differs from the first.
+// checkSameAnswer adds a violation if a later answer to the operation differs from the
+// first one.
 func checkSameAnswer(operation *operation, verdict *Verdict) {
 	first := operation.answers[0]
 	for _, answer := range operation.answers[1:] {
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -7,11 +7,11 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// executionEvidence is the number of executions that a violation shows.
+// executionEvidence is the maximum number of executions listed as evidence of a
+// violation.
 const executionEvidence = 3
 
-// checkAtMostOnce counts the executions of each non-repeatable request over all
-// replicas.
+// checkAtMostOnce counts the executions of each non-repeatable request on all replicas.
 func checkAtMostOnce(x *index, _ Options, verdict *Verdict) {
 	verdict.Bound = &Bound{Allowed: 1, Unit: "executions"}
 	for _, request := range x.ordered {
@@ -26,7 +26,7 @@
 	}
 }
 
-// checkRefusals finds executions of refused requests, before and after the refusal.
+// checkRefusals finds executions of refused requests, both before and after the refusal.
 func checkRefusals(x *index, _ Options, verdict *Verdict) {
 	for _, request := range x.ordered {
 		refusal, ok := request.answerWith(api.OutcomeRefused)
@@ -40,13 +40,14 @@
 	}
 }
 
-// firstOf returns the first events, at most count.
+// firstOf returns at most the first count events.
 func firstOf(events []eventlog.Event, count int) []eventlog.Event {
 	return events[:min(count, len(events))]
 }
 
-// checkSuccesses examines each success: what the caller verified, then the execution it
-// names, which must be of this request and have ended completely.
+// checkSuccesses examines each successful answer: first the result of the caller's own
+// verification, then the execution that the answer names, which must belong to this
+// request and have ended with a complete answer.
 func checkSuccesses(x *index, _ Options, verdict *Verdict) {
 	for _, request := range x.ordered {
 		for _, answer := range request.answers {
@@ -66,11 +67,11 @@
 	}
 	ended, ok := x.ended[answer.Run]
 	if ok && ended.Request != request.id {
-		verdict.addViolation(fmt.Sprintf("request %s got the answer of request %s", request.id, ended.Request), answer, ended)
+		verdict.addViolation(fmt.Sprintf("request %s received the answer to request %s", request.id, ended.Request), answer, ended)
 		return
 	}
 	if !ok {
-		checkRunKnown(request, answer, verdict)
+		checkExecutionStarted(request, answer, verdict)
 		return
 	}
 	if answer.Stream {
@@ -85,15 +86,15 @@
 	}
 }
 
-// checkRunKnown examines a success of an execution without an end in the logs, as that
-// of a replica that was killed. Its start must be there.
-func checkRunKnown(request *request, answer eventlog.Event, verdict *Verdict) {
+// checkExecutionStarted examines a success whose execution has no logged end, as when the
+// replica was killed. The start of the execution must be logged for this request.
+func checkExecutionStarted(request *request, answer eventlog.Event, verdict *Verdict) {
 	for _, executed := range request.executed {
 		if executed.Run == answer.Run {
 			return
 		}
 	}
-	verdict.addViolation(fmt.Sprintf("request %s: success of run %q, which never began for it", request.id, answer.Run), answer)
+	verdict.addViolation(fmt.Sprintf("request %s: success of run %q, which never started for this request", request.id, answer.Run), answer)
 }
 
 // endedCompletely reports whether an execution ended with a complete answer.
--- a/internal/checker/settling.go
+++ b/internal/checker/settling.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// settlingBound is the time from a step of the load until the work in flight has
-	// settled.
+	// settlingBound is the longest time from a step of the load until the work in flight
+	// has settled.
 	settlingBound = 30 * time.Second
 	// settledBand is the deviation from the final level, as a fraction of it, within
 	// which work in flight has settled.
 	settledBand = 0.5
-	// finalFraction is the fraction of the step, at its end, that gives the final level.
+	// finalFraction is the last part of the step whose mean is the final level.
 	finalFraction = 0.25
-	// minimumStep is the length of the shortest step that is judged.
+	// minimumStep is the length of the shortest step that is examined.
 	minimumStep = 10 * time.Second
 )
 
@@ -36,8 +36,8 @@
 	}
 }
 
-// endOfStep returns the time of the first change of the load among the later faults, or
-// the end of the run.
+// endOfStep returns the time of the first of the later faults that changes the load, or
+// the end of the run if there is none.
 func (x *index) endOfStep(later []eventlog.Event) int64 {
 	for _, fault := range later {
 		if fault.Detail == FaultCalm || fault.Detail == FaultCrowd {
@@ -47,7 +47,7 @@
 	return x.end
 }
 
-// checkStep judges one step of the load.
+// checkStep examines one step of the load.
 func (x *index) checkStep(fault eventlog.Event, end int64, verdict *Verdict) {
 	levels := x.workInFlight(fault.At, end)
 	if len(levels) == 0 {
--- a/internal/checker/slowstart.go
+++ b/internal/checker/slowstart.go
@@ -6,13 +6,13 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// slowStart is the state of the slow start of a replica since it became cold.
+// slowStart is the progress of a replica's slow start since it became cold.
 type slowStart struct {
 	completed int
 }
 
-// limit returns the number of requests that may be in flight. It begins at initial and
-// rises by one each time that as many requests as the present limit have completed.
+// limit returns the number of requests that may be in flight. It starts at initial and
+// rises by one whenever as many further requests as the current limit have completed.
 func (s *slowStart) limit(initial int) int {
 	limit, remaining := initial, s.completed
 	for remaining >= limit {
@@ -22,12 +22,12 @@
 	return limit
 }
 
-// detailBecameCold is the detail of a replica's fault after which it is cold although
-// it was not restarted.
+// detailBecameCold is the detail of an injected fault that makes a replica cold without a
+// restart.
 const detailBecameCold = "cold"
 
-// checkSlowStart compares the requests in flight on cold replicas, over all gateways,
-// with their limit and one request for each gateway.
+// checkSlowStart compares the number of requests in flight from all gateways on each cold
+// replica with its slow start limit, which may be exceeded by one request per gateway.
 func checkSlowStart(x *index, options Options, verdict *Verdict) {
 	verdict.Bound = &Bound{Allowed: float64(options.Gateways), Unit: "requests beyond the ramp"}
 	cold := map[string]*slowStart{} // by replica
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkInFlight compares the requests in flight at one event with the limit. Without a
-// state, the replica was cold from the start of the run.
+// checkInFlight compares the number of requests in flight at one event with the limit. A
+// nil state means that the replica has been cold since the start of the run.
 func checkInFlight(event eventlog.Event, state *slowStart, options Options, verdict *Verdict) {
 	if state == nil {
 		state = &slowStart{}
@@ -63,6 +63,6 @@
 	excess := event.InFlight - limit
 	verdict.measure(float64(excess))
 	if excess > options.Gateways {
-		verdict.addViolation(fmt.Sprintf("cold %s held %d requests on a ramp of %d", replicaOf(event), event.InFlight, limit), event)
+		verdict.addViolation(fmt.Sprintf("cold replica %s had %d requests in flight with a slow start limit of %d", replicaOf(event), event.InFlight, limit), event)
 	}
 }
--- a/internal/checker/streams.go
+++ b/internal/checker/streams.go
@@ -7,7 +7,8 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// checkStreams examines each stream of each caller: sequence, run and end.
+// checkStreams examines the sequence numbers, the run and the end of each stream that
+// callers received.
 func checkStreams(x *index, _ Options, verdict *Verdict) {
 	for _, request := range x.ordered {
 		for _, chunks := range request.chunks {
@@ -22,15 +23,16 @@
 	}
 }
 
-// checkChunks finds the first chunk out of sequence or of another execution.
+// checkChunks finds the first chunk that is out of sequence or comes from another
+// execution.
 func checkChunks(request *request, chunks []eventlog.Event, verdict *Verdict) {
 	for i, chunk := range chunks {
 		if chunk.Sequence != i+1 {
-			verdict.addViolation(fmt.Sprintf("request %s: event %d arrived as number %d", request.id, chunk.Sequence, i+1), withPredecessor(chunks, i)...)
+			verdict.addViolation(fmt.Sprintf("request %s: chunk %d arrived at position %d", request.id, chunk.Sequence, i+1), withPredecessor(chunks, i)...)
 			return
 		}
 		if chunk.Run != chunks[0].Run {
-			verdict.addViolation(fmt.Sprintf("request %s: pieces of runs %s and %s", request.id, chunks[0].Run, chunk.Run), chunks[0], chunk)
+			verdict.addViolation(fmt.Sprintf("request %s: chunks of runs %s and %s in one stream", request.id, chunks[0].Run, chunk.Run), chunks[0], chunk)
 			return
 		}
 	}
@@ -45,7 +47,7 @@
 func checkStreamEnd(x *index, request *request, answer eventlog.Event, verdict *Verdict) {
 	if answer.Outcome != string(api.OutcomeSuccess) {
 		if answer.Detail == DetailCleanEnd {
-			verdict.addViolation(fmt.Sprintf("request %s: a failed stream was closed as if it were whole", request.id), answer)
+			verdict.addViolation(fmt.Sprintf("request %s: a failed stream was closed as if it were complete", request.id), answer)
 		}
 		return
 	}
@@ -56,7 +58,7 @@
 	}
 	chunks := request.chunks[answer.Attempt]
 	if answer.Sequence != len(chunks)+1 {
-		verdict.addViolation(fmt.Sprintf("request %s: end numbered %d after %d events", request.id, answer.Sequence, len(chunks)), answer)
+		verdict.addViolation(fmt.Sprintf("request %s: end marker with number %d after %d chunks", request.id, answer.Sequence, len(chunks)), answer)
 		return
 	}
 	ended, ok := x.ended[answer.Run]
--- a/internal/checker/succession.go
+++ b/internal/checker/succession.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// minimumIsolation is the shortest isolation after which a former primary is
-	// watched.
+	// minimumIsolation is the length of the shortest isolation that is examined.
 	minimumIsolation = 20 * time.Second
-	// successionWindow is how long after an isolation the former primary is watched.
+	// successionWindow is the time after the end of an isolation in which writes of the
+	// former primary are still looked for.
 	successionWindow = 10 * time.Second
 )
 
-// isolation is a time in which control nodes were frozen or partitioned from the others.
+// isolation is a period in which control nodes were frozen or partitioned from the
+// others.
 type isolation struct {
 	start, end eventlog.Event
 }
 
-// isolations pairs freezes with thaws and cuts with heals of control nodes.
+// isolations pairs the freezes of control nodes with their thaws, and the partitions with
+// their heals.
 func (x *index) isolations() []isolation {
 	open := map[string]eventlog.Event{} // by target
 	var list []isolation
@@ -48,10 +50,11 @@
 	return false
 }
 
-// checkSuccession looks for two histories of the registry around the isolation of
-// control nodes: a serial with two versions in the requests that replicas received, an
-// operation written at a serial no newer than one acknowledged before it was sent, or an
-// operation that an isolated node accepted.
+// checkSuccession looks for a split brain, that is two diverging histories of the
+// registry, around the isolation of control nodes. Its signs are one serial with two
+// versions in the requests that replicas received, an operation written at a serial no
+// newer than one acknowledged before the operation was sent, and an operation that an
+// isolated node accepted.
 func checkSuccession(x *index, _ Options, verdict *Verdict) {
 	for _, isolated := range x.isolations() {
 		from, to := isolated.start.At, isolated.end.At+int64(successionWindow)
@@ -61,8 +64,8 @@
 	}
 }
 
-// checkAcceptedInIsolation examines the operations sent to nodes while these were
-// partitioned from all others. A frozen node can't answer.
+// checkAcceptedInIsolation examines the operations sent to nodes while they were
+// partitioned from all others. It skips frozen nodes, which cannot answer.
 func checkAcceptedInIsolation(x *index, isolated isolation, verdict *Verdict) {
 	if isolated.start.Detail != FaultCut {
 		return
@@ -73,7 +76,7 @@
 		for _, answer := range operation.answers {
 			if answer.Outcome == OperationAccepted && addresses[answer.Gateway] &&
 				firstSent(operation, answer.Gateway) > isolated.start.At && answer.At < isolated.end.At {
-				summary := fmt.Sprintf("order %s was accepted by %s while it was cut off", operation.id, isolated.start.Target)
+				summary := fmt.Sprintf("order %s was accepted by %s while it was partitioned", operation.id, isolated.start.Target)
 				verdict.addViolation(summary, isolated.start, answer)
 			}
 		}
@@ -112,7 +115,7 @@
 	return 0
 }
 
-// checkStampedSerials finds a serial that replicas received with two versions.
+// checkStampedSerials finds a serial that replicas received with two different versions.
 func checkStampedSerials(x *index, from, to int64, verdict *Verdict) {
 	first := map[uint32]eventlog.Event{} // by serial
 	for _, received := range x.receivedAfter(from) {
@@ -129,7 +132,7 @@
 			continue
 		}
 		if seen.Version != received.Version {
-			verdict.addViolation(fmt.Sprintf("serial %d stood for versions %d and %d", received.Serial, seen.Version, received.Version), seen, received)
+			verdict.addViolation(fmt.Sprintf("serial %d was received with versions %d and %d", received.Serial, seen.Version, received.Version), seen, received)
 			return
 		}
 	}
--- a/internal/checker/verdict.go
+++ b/internal/checker/verdict.go
@@ -7,11 +7,11 @@
 // Promise is the short name of a promise, "P1" to "P18".
 type Promise string
 
-// Status is the short form of a verdict.
+// Status is the overall result of a verdict.
 type Status string
 
 const (
-	// StatusKept means that events were examined and none broke the promise.
+	// StatusKept means that events were examined and none violated the promise.
 	StatusKept Status = "kept"
 	// StatusBroken means that at least one violation was found.
 	StatusBroken Status = "broken"
@@ -19,7 +19,7 @@
 	StatusNotExercised Status = "not exercised"
 )
 
-// Violation is one violation of a promise with the events that prove it.
+// Violation describes one violation of a promise, with the events that prove it.
 type Violation struct {
 	Summary  string           `json:"summary"`
 	Evidence []eventlog.Event `json:"evidence"`
@@ -41,11 +41,11 @@
 	Violations []Violation `json:"violations,omitempty"`
 	// Bound is nil for promises without a measured bound.
 	Bound *Bound `json:"bound,omitempty"`
-	// Remark is a further figure for a reader, such as a settling time.
+	// Remark is additional information for readers, such as the settling time.
 	Remark string `json:"remark,omitempty"`
 }
 
-// Status returns the short form of the verdict.
+// Status returns the overall result of the verdict.
 func (v *Verdict) Status() Status {
 	if len(v.Violations) > 0 {
 		return StatusBroken
@@ -61,7 +61,7 @@
 	v.Violations = append(v.Violations, Violation{Summary: summary, Evidence: evidence})
 }
 
-// measure raises the worst value to the given one, if that is worse.
+// measure records a measured value: the bound's worst value is the largest of them.
 func (v *Verdict) measure(value float64) {
 	if value > v.Bound.Worst {
 		v.Bound.Worst = value
@@ -95,8 +95,8 @@
 	return Verdict{}, false
 }
 
-// Merge returns the verdicts over several runs: the sums of what was examined, all
-// violations, the worst of the values measured and the last remark.
+// Merge combines the reports of several runs. Each verdict has the sum of the examined
+// counts, all violations, the worst measured value and the last remark.
 func Merge(reports ...Report) Report {
 	var merged Report
 	for _, report := range reports {
--- a/internal/checker/vocabulary.go
+++ b/internal/checker/vocabulary.go
@@ -1,7 +1,7 @@
 package checker
 
-// The constants below are the words of event logs that the checker reads. They are
-// stored in logs and stay as they are.
+// The constants below are the values in event logs that the checker interprets. Stored
+// logs contain them, so they must not change.
 
 // Details of operations.
 const (
@@ -24,8 +24,8 @@
 	DetailLate = "late"
 	// DetailStall is a complete stream with a pause in it.
 	DetailStall = "stall"
-	// DetailCleanEnd is a stream that was closed cleanly after an error event, as its
-	// caller saw it.
+	// DetailCleanEnd is what a caller logs if a stream was closed cleanly after an error
+	// event.
 	DetailCleanEnd = "a clean end after an error event"
 )
 
@@ -40,8 +40,8 @@
 	FaultHeal   = "heal"
 	FaultCrowd  = "crowd"
 	FaultCalm   = "calm"
-	// FaultRepaired ends the loss of a disk: the control nodes report that the member
-	// that replaced it has received the whole state.
+	// FaultRepaired ends a failure with a lost disk or machine: the control nodes report
+	// that the replacement member has received the whole state.
 	FaultRepaired = "repaired"
 )
 
@@ -57,8 +57,8 @@
 	TargetLoad     = "load"
 )
 
-// OutcomeUnreachable is an outcome that callers determine themselves: no gateway could
-// be reached.
+// OutcomeUnreachable is an outcome that callers set themselves: they could reach no
+// gateway.
 const OutcomeUnreachable = "unreachable"
 
 // Outcomes of operations.
