--- a/internal/report/chart.go
+++ b/internal/report/chart.go
@@ -31,7 +31,7 @@
 	return &chart{title: title, unit: unit, count: max(1, count), maximum: axisMaximum(maximum)}
 }
 
-// axisMaximum rounds a value up to 1, 2 or 5 times a power of ten.
+// axisMaximum rounds a value up to the next 1, 2 or 5 times a power of ten.
 func axisMaximum(value float64) float64 {
 	if value <= 0 {
 		return 1
@@ -62,7 +62,7 @@
 		c.x(float64(at))+0.3, c.y(to), c.x(1)-c.x(0)-0.6, c.y(from)-c.y(to), color)
 }
 
-// curve draws a line through one value per second; NaN leaves a second out.
+// curve draws a line through one value per second and skips seconds whose value is NaN.
 func (c *chart) curve(values []float64, color string) {
 	var points []string
 	for i, value := range values {
@@ -73,19 +73,19 @@
 	fmt.Fprintf(&c.body, `<polyline points="%s" fill="none" stroke="%s" stroke-width="1.6"/>`, strings.Join(points, " "), color)
 }
 
-// addLegend names the series of a color.
+// addLegend adds the label and color of a series to the legend.
 func (c *chart) addLegend(label, color string) {
 	c.legend = append(c.legend, fmt.Sprintf(`<span><i style="background:%s"></i>%s</span>`, color, template.HTMLEscapeString(label)))
 }
 
-// marker is a fault or an acknowledged operation on the time axis.
+// marker marks a fault or an acknowledged operation on the time axis.
 type marker struct {
 	at    float64 // seconds from the start of the run
 	label string
 	color string
 }
 
-// render returns the chart with its axes and with numbered markers over it.
+// render returns the chart with its axes and numbered markers.
 func (c *chart) render(markers []marker) template.HTML {
 	var out strings.Builder
 	height := chartTop + chartHeight + chartBottom
--- a/internal/report/charts.go
+++ b/internal/report/charts.go
@@ -6,13 +6,13 @@
 	"sort"
 )
 
-// outcomeColors are the colors of the outcomes of requests.
+// outcomeColors maps request outcomes to their colors.
 var outcomeColors = map[string]string{
 	OutcomeSuccess: "#4c9f70", OutcomeRefused: "#e0a030", OutcomeFailed: "#c8553d",
 	OutcomeUnknown: "#7d5ba6", OutcomeUnreachable: "#555555", OutcomeAbandoned: "#a0b4c8", OutcomeUnanswered: "#222222",
 }
 
-// seriesColors are the colors of series in their order.
+// seriesColors are assigned to series in order, and repeat if there are more series.
 var seriesColors = []string{"#3566a8", "#4c9f70", "#e0a030", "#c8553d", "#7d5ba6", "#555555"}
 
 func outcomeChart(seconds []second, markers []marker) template.HTML {
@@ -42,15 +42,15 @@
 	return bars.render(markers)
 }
 
-// series is one named part of a stacked bar.
+// series is a named component of the stacked bars.
 type series struct{ name, color string }
 
-// stackedBars is a chart with one bar a second.
+// stackedBars is a chart with one stacked bar per second.
 type stackedBars struct {
 	title  string
 	unit   string
-	series []series         // from the bottom up
-	values []map[string]int // of each second, by the name of the series
+	series []series         // from bottom to top
+	values []map[string]int // one map per second, by name of the series
 }
 
 func (b *stackedBars) render(markers []marker) template.HTML {
@@ -105,8 +105,8 @@
 	return drawn.render(markers)
 }
 
-// quantile returns the value below which a fraction of the values lies, NaN without
-// values.
+// quantile returns the value below which the given fraction of the values lies, or NaN if
+// there are no values.
 func quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/internal/report/figures.go
+++ b/internal/report/figures.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// printedQuantiles are in percent.
+// printedQuantiles are the printed latency quantiles, in percent.
 var printedQuantiles = []float64{50, 90, 99, 100}
 
 // WriteSummary writes the figures of a run as text tables.
@@ -82,7 +82,7 @@
 	}
 }
 
-// microsPerMilli converts the histograms' values to the printed unit.
+// microsPerMilli converts the histograms' microseconds to the printed milliseconds.
 const microsPerMilli = 1000
 
 func writeHistogram(out io.Writer, name string, histogram *hdrhistogram.Histogram) {
@@ -109,7 +109,7 @@
 	fmt.Fprintf(out, "configuration versions seen\t%s\n", strings.Join(versions, ", "))
 }
 
-// percent returns how many percent of total count is, 0 of nothing.
+// percent returns count as a percentage of total, or 0 if total is 0.
 func percent(count, total int) float64 {
 	if total == 0 {
 		return 0
--- a/internal/report/operations.go
+++ b/internal/report/operations.go
@@ -8,11 +8,11 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Operation says how long an accepted operation took to be in force, judged by
-// the requests that replicas received. All times count from its first send.
+// Operation holds the time that an accepted operation took to take effect, measured
+// on the requests that replicas received. All durations start at its first send.
 type Operation struct {
 	ID string
-	// Detail is its kind, one of the checker's details of orders.
+	// Detail is the kind of operation, one of the checker's details of operations.
 	Detail  string
 	Zone    string
 	Version uint64
@@ -21,19 +21,19 @@
 	// Acknowledged is the time to the acknowledgement.
 	Acknowledged time.Duration
 	// LastWithout is the time to the last request that was placed without the
-	// operation; 0 if there was none.
+	// operation in effect; 0 if there was none.
 	LastWithout time.Duration
 	// FirstReturned is, for a withdrawal, the time to the first request in the zone;
 	// 0 if there was none.
 	FirstReturned time.Duration
 }
 
-// inForceWindow bounds the search for requests placed without an operation, after
-// its acknowledgement.
+// inForceWindow is the time after the acknowledgement of an operation in which requests
+// placed without it are searched for.
 const inForceWindow = 15 * time.Second
 
 // measureOperations measures each accepted operation, in the order of the
-// acknowledgements. Zones gives the zone of each replica.
+// acknowledgements. The map zones holds the zone of each replica.
 func measureOperations(events []eventlog.Event, zones map[string]string) []Operation {
 	var measured []Operation
 	sent := map[string]eventlog.Event{}
@@ -69,7 +69,8 @@
 	return operation
 }
 
-// withdrawnBy reports whether an event sends the withdrawal of the operation's zone.
+// withdrawnBy reports whether an event is the sending of another operation that withdraws
+// the evacuation of the same zone.
 func (o *Operation) withdrawnBy(event eventlog.Event) bool {
 	return event.Kind == eventlog.OperationSent && event.Detail == checker.DetailWithdraw &&
 		event.Operation != o.ID && event.Zone == o.Zone
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -9,20 +9,20 @@
 	"github.com/deckpulley/deckpulley/internal/checker"
 )
 
-// Page is the content of the HTML page of a run.
+// Page holds the content of the HTML page about a run.
 type Page struct {
 	Title   string
 	About   string
 	Summary *Summary
 	Report  checker.Report
-	// Problems are the errors of steps that could not be done.
+	// Problems lists the errors of scenario steps that failed.
 	Problems []string
 }
 
-// verdictRow is the row of one promise in the table.
+// verdictRow is the table row of one promise.
 type verdictRow struct {
 	checker.Verdict
-	Class          string // of the cell's style
+	Class          string // CSS class of the cell
 	Worst, Allowed string
 	Lines          []string // the first violations with their evidence
 }
@@ -44,7 +44,7 @@
 	return rows
 }
 
-// WritePage writes the page as one HTML document without links to other files.
+// WritePage writes the page as one self-contained HTML document.
 func WritePage(out io.Writer, page Page) error {
 	seconds, markers := page.Summary.timeline(), page.Summary.markers()
 	var figures strings.Builder
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -10,7 +10,8 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// exampleRun is a short run: one configuration, one evacuation, three requests.
+// exampleRun returns the events of a short run with one configuration, one evacuation and
+// three requests.
 func exampleRun() []eventlog.Event {
 	at := func(milliseconds int, event eventlog.Event) eventlog.Event {
 		event.At = int64(milliseconds+1000) * int64(time.Millisecond)
@@ -44,19 +45,19 @@
 func TestSummaryCountsAndMeasuresOperations(t *testing.T) {
 	s := Summarize(exampleRun())
 	if got := s.SuccessRatio(); got < 0.66 || got > 0.67 {
-		t.Errorf("success ratio %v", got)
+		t.Errorf("success ratio is %v, want two thirds", got)
 	}
 	if s.CrossRegion != 1 || s.FirstAttempts != 1 || s.Retries != 1 || s.CachedTokens != 50 || s.PromptTokens != 200 {
 		t.Errorf("cross-region %d, first attempts %d, retries %d, cached %d of %d", s.CrossRegion, s.FirstAttempts, s.Retries, s.CachedTokens, s.PromptTokens)
 	}
 	if len(s.Operations) != 2 || s.Operations[0].LastWithout != 60*time.Millisecond || s.Operations[0].Acknowledged != 100*time.Millisecond {
-		t.Errorf("configuration in force: %+v", s.Operations)
+		t.Errorf("wrong times until the configuration was in effect: %+v", s.Operations)
 	}
 	if s.Operations[1].LastWithout != 50*time.Millisecond {
-		t.Errorf("evacuation in force: %+v", s.Operations[1])
+		t.Errorf("wrong times until the evacuation was in effect: %+v", s.Operations[1])
 	}
 	if got := len(s.timeline()); got != 2 {
-		t.Errorf("%d seconds", got)
+		t.Errorf("timeline has %d seconds, want 2", got)
 	}
 }
 
@@ -74,12 +75,12 @@
 			want = "configuration acknowledged (order)"
 		}
 		if !strings.Contains(text, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	for _, link := range []string{"http://", "https://", "<script"} {
 		if strings.Contains(text, link) {
-			t.Errorf("the page holds %q", link)
+			t.Errorf("the page must not contain %q", link)
 		}
 	}
 }
@@ -92,7 +93,7 @@
 	}
 	for _, want := range []string{"request three was refused (code) and ran", `"kind":"replica_executed"`, "a-scenario"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the text lacks %q:\n%s", want, out.String())
+			t.Errorf("the text does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -1,5 +1,5 @@
-// Package report condenses the event logs of a run into figures, into text for
-// a terminal and into one HTML page that needs nothing else.
+// Package report summarizes the event logs of a run in figures, as text for a terminal
+// and as one self-contained HTML page.
 package report
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Outcomes of requests over all their attempts.
+// Final outcomes of requests over all their attempts.
 const (
 	OutcomeSuccess     = string(api.OutcomeSuccess)
 	OutcomeRefused     = string(api.OutcomeRefused)
@@ -23,26 +23,27 @@
 	OutcomeUnanswered  = "unanswered"
 )
 
-// Request is one request over all its attempts.
+// Request summarizes one request over all its attempts.
 type Request struct {
 	ID string
 	// At is the time of its first event, in nanoseconds of the log.
 	At    int64
 	Class string
-	// Region is that of its caller.
+	// Region is the region of the caller.
 	Region string
 	Stream bool
-	// Outcome is the final one, and Code its error code.
+	// Outcome is the final outcome, and Code its error code.
 	Outcome string
 	Code    string
-	// FirstTokenMS and ElapsedMS are those of its first success, in milliseconds.
+	// FirstTokenMS and ElapsedMS are the times to the first token and to the end of the
+	// first successful answer, in milliseconds.
 	FirstTokenMS float64
 	ElapsedMS    float64
 	PromptTokens int
 	CachedTokens int
 }
 
-// Latency holds the distributions of one class of requests, in microseconds.
+// Latency holds the latency distributions of one class of requests, in microseconds.
 type Latency struct {
 	// FirstToken is the time to the first token of a stream.
 	FirstToken *hdrhistogram.Histogram
@@ -69,11 +70,11 @@
 // Summary holds the figures of a run.
 type Summary struct {
 	Requests []*Request
-	// Latency holds the successful requests by class.
+	// Latency holds the latencies of successful requests by class.
 	Latency map[string]*Latency
 	// Outcomes counts requests by their final outcome.
 	Outcomes map[string]int
-	// Codes counts the outcomes and codes of requests without success.
+	// Codes counts unsuccessful requests by outcome and error code.
 	Codes map[string]int
 	// Placements counts executions by region.
 	Placements map[string]int
@@ -83,7 +84,8 @@
 	// FirstAttempts and Retries count the attempts that reached a replica.
 	FirstAttempts int
 	Retries       int
-	// Versions counts receipts by the configuration version that decided them.
+	// Versions counts the requests that replicas received by the configuration version
+	// that placed them.
 	Versions   map[uint64]int
 	Operations []Operation
 	Faults     []eventlog.Event
@@ -92,7 +94,8 @@
 	// Start and End are the times at which the first and the last request began,
 	// in nanoseconds of the log.
 	Start, End int64
-	// CachedTokens of PromptTokens were found in a cache; successes only.
+	// CachedTokens is the number of PromptTokens that were found in a cache. Both count
+	// successful requests only.
 	CachedTokens, PromptTokens int
 
 	executions []eventlog.Event
@@ -158,7 +161,8 @@
 	}
 }
 
-// request returns the request of a caller's event, which may be its first one.
+// request returns the request that a caller's event belongs to, and adds it if the event
+// is its first.
 func (s *Summary) request(event eventlog.Event) *Request {
 	if known, ok := s.requests[event.Request]; ok {
 		return known
@@ -184,7 +188,7 @@
 	s.lastChunk[key] = event.At
 }
 
-// addAnswer keeps the first success, or else the last answer.
+// addAnswer records the first success or, before any success, the latest answer.
 func (r *Request) addAnswer(event eventlog.Event) {
 	if r.Outcome == OutcomeSuccess || r.Outcome == OutcomeAbandoned {
 		return
@@ -196,7 +200,7 @@
 	r.FirstTokenMS, r.ElapsedMS, r.CachedTokens = event.FirstTokenMS, event.ElapsedMS, event.CachedTokens
 }
 
-// count adds a request with its final outcome to the figures.
+// count adds the final state of a request to the figures.
 func (s *Summary) count(request *Request) {
 	s.Outcomes[request.Outcome]++
 	if request.Outcome != OutcomeSuccess {
@@ -214,11 +218,11 @@
 
 func micros(milliseconds float64) int64 { return int64(milliseconds * 1000) }
 
-// record adds a value, in microseconds, to a histogram. A value out of its range
-// counts as the nearest one within.
+// record adds a value, in microseconds, to a histogram. A value outside of the
+// histogram's range is clamped to it.
 func record(histogram *hdrhistogram.Histogram, value int64) {
 	if err := histogram.RecordValue(min(highestMicros, max(lowestMicros, value))); err != nil {
-		panic("report: a value within the bounds of a histogram was not taken: " + err.Error())
+		panic("report: a histogram rejected a value within its range: " + err.Error())
 	}
 }
 
@@ -240,8 +244,8 @@
 	}
 }
 
-// regionOf returns the region of a replica's event: that of the inventory, or the
-// one that the replica states if the inventory lacks it.
+// regionOf returns the region of the replica that an event is about: the region in the
+// inventory or, if the replica is missing there, the region in the event.
 func (s *Summary) regionOf(event eventlog.Event) string {
 	if region, ok := s.regions[event.Replica]; ok {
 		return region
@@ -249,8 +253,8 @@
 	return event.Region
 }
 
-// SuccessRatio returns the ratio of successes, 0 to 1, among the requests that their
-// callers did not abandon.
+// SuccessRatio returns the ratio of successful requests, 0 to 1, to all requests that
+// their callers did not abandon.
 func (s *Summary) SuccessRatio() float64 {
 	counted := len(s.Requests) - s.Outcomes[OutcomeAbandoned]
 	if counted == 0 {
--- a/internal/report/timeline.go
+++ b/internal/report/timeline.go
@@ -8,16 +8,17 @@
 
 // second holds the figures of one second of the run.
 type second struct {
-	outcomes   map[string]int // of the requests that began in it
+	outcomes   map[string]int // of the requests that began in this second
 	placements map[string]int // executions by region
-	// firstTokens are the times to the first token of the successful requests that
-	// began in it, in milliseconds.
+	// firstTokens holds the times to the first token, in milliseconds, of the successful
+	// requests that began in this second.
 	firstTokens []float64
-	// version is the newest configuration version of its executions, 0 without any.
+	// version is the newest configuration version among the executions of this second,
+	// 0 if there were none.
 	version uint64
 }
 
-// timeline divides the run into seconds from the first request on.
+// timeline returns the figures of each second of the run, starting at the first request.
 func (s *Summary) timeline() []second {
 	if s.End <= s.Start {
 		return nil
@@ -45,7 +46,7 @@
 	return seconds
 }
 
-// secondOf returns the index of the second of a time, at most the last of count.
+// secondOf returns the index of the second that contains a time, at most count-1.
 func (s *Summary) secondOf(at int64, count int) int {
 	return min(count-1, max(0, int((at-s.Start)/int64(time.Second))))
 }
@@ -56,7 +57,7 @@
 	operationColor = "#3566a8"
 )
 
-// markers returns the faults and acknowledged operations of the run in their answer.
+// markers returns a marker for each fault and each acknowledged operation of the run.
 func (s *Summary) markers() []marker {
 	var list []marker
 	add := func(at int64, label, color string) {
--- a/internal/report/verdicts.go
+++ b/internal/report/verdicts.go
@@ -11,9 +11,9 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// WriteVerdicts writes one row for each promise, and the violations below the table.
-// Scenarios names for each promise the runs that examined it; nil leaves the column
-// out.
+// WriteVerdicts writes a table with one row per promise, and the violations below it.
+// The map scenarios lists the scenarios that examined each promise; if it is nil, the
+// column is omitted.
 func WriteVerdicts(out io.Writer, report checker.Report, scenarios map[checker.Promise][]string) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprint(table, "promise\t\tverdict\texamined\tviolations\tworst\tallowed")
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// boundText returns the cells for the worst and the allowed value of a promise.
+// boundText returns the table cells with the worst and the allowed value of a promise.
 func boundText(verdict checker.Verdict) (worst, allowed string) {
 	if verdict.Bound == nil {
 		return "-", "0 violations"
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%.4g", verdict.Bound.Worst), fmt.Sprintf("%.4g %s", verdict.Bound.Allowed, verdict.Bound.Unit)
 }
 
-// printedViolations is the number of violations of one promise that are printed.
+// printedViolations is the maximum number of violations printed per promise.
 const printedViolations = 3
 
 func writeViolations(out io.Writer, report checker.Report) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// logLine returns an event as it stands in its log.
+// logLine returns an event in the JSON form of its log.
 func logLine(event eventlog.Event) string {
 	text, err := json.Marshal(event)
 	if err != nil {
