--- a/internal/results/environment.go
+++ b/internal/results/environment.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// unknownCommit stands for the revision of a program built without one.
+// unknownCommit is the revision in the record if the build did not record one.
 const unknownCommit = "unknown"
 
 // CurrentBuild returns the revision that the compiler recorded in this program.
@@ -31,7 +31,7 @@
 	return build
 }
 
-// CurrentMachine describes this machine and its present load.
+// CurrentMachine describes this machine and its current load.
 func CurrentMachine() Machine {
 	machine := Machine{Processors: runtime.NumCPU()}
 	var info unix.Sysinfo_t
@@ -40,7 +40,7 @@
 	}
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
 		lastMinute, _, _ := strings.Cut(string(text), " ")
-		machine.LoadBefore, _ = strconv.ParseFloat(lastMinute, 64) // unknown is 0
+		machine.LoadBefore, _ = strconv.ParseFloat(lastMinute, 64) // 0 if it cannot be parsed
 	}
 	return machine
 }
--- a/internal/results/golden_test.go
+++ b/internal/results/golden_test.go
@@ -13,13 +13,14 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files instead of comparing with them")
 
-// goldenPage is the page of the golden records, as an earlier version rendered it.
+// goldenPage is the path of the page that an earlier version rendered from the golden
+// records.
 const goldenPage = "testdata/page.golden.md"
 
-// goldenRecord returns the file of a record that an earlier version stored.
+// goldenRecord returns the path of a record that an earlier version stored.
 func goldenRecord(kind Kind) string { return filepath.Join("testdata", string(kind)+".golden.json") }
 
-// goldenRecords are a record of each kind in which every field is set.
+// goldenRecords returns a record of each kind. Together they set every field.
 func goldenRecords() []Record {
 	began := time.Date(2026, time.December, 2, 5, 34, 4, 0, time.UTC)
 	build := Build{Commit: "ef61f4d", Modified: true}
@@ -55,7 +56,8 @@
 	}
 }
 
-// TestGoldenRecords reads the records of an earlier version and stores the same bytes.
+// TestGoldenRecords checks that records stored by an earlier version are read, and that
+// the same records are stored with the same bytes.
 func TestGoldenRecords(t *testing.T) {
 	for _, record := range goldenRecords() {
 		t.Run(string(record.Kind), func(t *testing.T) {
@@ -79,7 +81,7 @@
 	}
 }
 
-// TestGoldenPage renders the same page as an earlier version.
+// TestGoldenPage checks that the page is rendered exactly as by an earlier version.
 func TestGoldenPage(t *testing.T) {
 	compareWithGolden(t, goldenPage, []byte(Page(goldenRecords())))
 }
--- a/internal/results/markdown.go
+++ b/internal/results/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// emptyCell stands for a value that there is not.
+// emptyCell is the text of a table cell without a value.
 const emptyCell = "–"
 
 // document builds Markdown text.
@@ -20,7 +20,7 @@
 	d.line("")
 }
 
-// row writes a row of a table, with each cell on one line.
+// row writes a table row. Line breaks within cells become spaces.
 func (d *document) row(cells ...string) {
 	escaped := make([]string, len(cells))
 	for i, cell := range cells {
@@ -36,7 +36,7 @@
 
 func singleLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
 
-// joined lists the items of a cell.
+// joined returns the items of a cell separated by commas, or emptyCell if there are none.
 func joined(items []string) string {
 	if len(items) == 0 {
 		return emptyCell
--- a/internal/results/page.go
+++ b/internal/results/page.go
@@ -33,7 +33,8 @@
 	return ""
 }
 
-// writeShortfalls comes first: it is what a reader looks for.
+// writeShortfalls writes the shortfalls of all records. They come first on the page
+// because readers look for them.
 func writeShortfalls(page *document, records []Record) {
 	page.paragraph("## What fell short")
 	none := true
--- a/internal/results/promises.go
+++ b/internal/results/promises.go
@@ -2,11 +2,11 @@
 
 import "github.com/deckpulley/deckpulley/internal/checker"
 
-// storedViolations is the number of violations stored per promise.
+// storedViolations is the maximum number of violations stored per promise.
 const storedViolations = 3
 
-// Promises condenses a report. Scenarios names, for each promise, the scenarios
-// that examined it.
+// Promises converts the verdicts of a report to their stored form. The map scenarios
+// lists the scenarios that examined each promise.
 func Promises(report checker.Report, scenarios map[checker.Promise][]string) []Promise {
 	var promises []Promise
 	for i := range report.Verdicts {
--- a/internal/results/record.go
+++ b/internal/results/record.go
@@ -1,26 +1,26 @@
-// Package results stores what complete runs of the fault suite and of the planted
-// defects measured, and renders the stored records as the page docs/RESULTS.md:
-// shortfalls first, then the tables.
+// Package results stores the results of complete runs of the fault suite and of the
+// planted defects, and renders the stored records as the page docs/RESULTS.md, which
+// lists the shortfalls first and then the tables.
 package results
 
 import "time"
 
-// Kind is the suite that a record is of.
+// Kind names the suite whose run a record describes.
 type Kind string
 
 const (
-	// KindFaults is a run of the fault suite.
+	// KindFaults is the kind of a run of the fault suite.
 	KindFaults Kind = "faults"
-	// KindPlanted is a run of the planted defects.
+	// KindPlanted is the kind of a run of the planted defects.
 	KindPlanted Kind = "planted"
 )
 
-// Record is one run of a suite on one deployment. Its JSON form is stored in files
-// that later versions must read.
+// Record describes one run of a suite on one deployment. It is stored as JSON in files
+// that later versions must be able to read.
 type Record struct {
 	Kind       Kind   `json:"kind"`
 	Deployment string `json:"deployment"`
-	// Command is the command line that made the record.
+	// Command is the command line of the run.
 	Command string    `json:"command"`
 	Build   Build     `json:"build"`
 	Machine Machine   `json:"machine"`
@@ -55,8 +55,8 @@
 // Scenario is the result of one scenario.
 type Scenario struct {
 	Name string `json:"name"`
-	// Good is set if the scenario kept every promise, did all its steps and
-	// exercised what it is for.
+	// Good is set if the scenario violated no promise, completed all its steps and
+	// exercised every promise that it is meant to exercise.
 	Good     bool `json:"good"`
 	Requests int  `json:"requests"`
 	// Succeeded is the ratio of successful requests, 0 to 1.
@@ -64,7 +64,7 @@
 	Seconds     float64  `json:"seconds"`
 	Broken      []string `json:"broken,omitempty"`
 	Unexercised []string `json:"unexercised,omitempty"`
-	// Problems are the errors that prevented the start, and those of steps.
+	// Problems lists the errors that prevented the start, and those of scenario steps.
 	Problems []string `json:"problems,omitempty"`
 }
 
@@ -98,9 +98,9 @@
 	Because string   `json:"because,omitempty"`
 	// Reported lists the promises that the checker reported as broken.
 	Reported []string `json:"reported,omitempty"`
-	// Caught is set if the result is the expected one; Verdict is its name.
+	// Caught is set if the result is the expected one. Verdict is the result in words.
 	Caught  bool   `json:"caught"`
 	Verdict string `json:"verdict"`
-	// First is the first violation, or the reason why there was no run.
+	// First is the first violation or, if there was no run, the reason for that.
 	First string `json:"first,omitempty"`
 }
--- a/internal/results/results_test.go
+++ b/internal/results/results_test.go
@@ -30,24 +30,24 @@
 	return []Record{faults, planted}
 }
 
-// TestPageListsShortfallsFirst holds that every shortfall stands before the first
-// table, and nothing there that was as it should be.
+// TestPageListsShortfallsFirst checks that all shortfalls, and no results that are as
+// expected, are listed before the first table.
 func TestPageListsShortfallsFirst(t *testing.T) {
 	page := Page(exampleRecords())
 	before, after, found := strings.Cut(page, "## Runs")
 	if !found {
-		t.Fatal("no table of runs")
+		t.Fatal("the page has no table of runs")
 	}
 	for _, want := range []string{
 		"P2 (never) broken, 4 violations: one | ran; two; three\n", "P3 (whole) not exercised", "scenario storm: no primary",
 		"scenario storm left P3 unexercised", "defect unseen in storm: not caught; reported broken: –",
 	} {
 		if !strings.Contains(before, want) {
-			t.Errorf("%q is not among the shortfalls:\n%s", want, before)
+			t.Errorf("shortfall %q is not listed:\n%s", want, before)
 		}
 	}
 	if strings.Contains(before, "P1") || strings.Contains(before, "Nothing") || strings.Contains(before, "defect seen") {
-		t.Errorf("more than the shortfalls:\n%s", before)
+		t.Errorf("results without shortfalls are listed as shortfalls:\n%s", before)
 	}
 	for _, want := range []string{
 		"| `make faults` | abc, with changes | 1970-01-01 00:00:00 UTC | 61 s | 12 | 3.0 GiB | 0.5 |",
@@ -60,7 +60,7 @@
 		}
 	}
 	if complete := Page([]Record{{Kind: KindFaults, Promises: exampleRecords()[0].Promises[:1]}}); !strings.Contains(complete, "Nothing in the runs below.") {
-		t.Errorf("a good run has shortfalls:\n%s", complete)
+		t.Errorf("shortfalls are listed for a run without any:\n%s", complete)
 	}
 }
 
--- a/internal/results/shortfalls.go
+++ b/internal/results/shortfalls.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/internal/checker"
 )
 
-// shortfalls lists everything in a record that is not as it should be.
+// shortfalls lists all results in a record that are not as expected.
 func shortfalls(record Record) []string {
 	var list []string
 	if record.Partial {
--- a/internal/results/store.go
+++ b/internal/results/store.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 )
 
-// Save writes a record to a file and creates the file's folder.
+// Save writes a record to a file. It creates the file's folder if necessary.
 func Save(path string, record Record) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("saving the record: %w", err)
