--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,29 +1,30 @@
 // Package eventlog defines the event logs that stand-in replicas, callers and
 // operators write and that the checker reads: JSON lines with timestamps of the
 // machine's monotonic clock (CLOCK_MONOTONIC), which are comparable between the
-// processes of one machine. The daemons neither write nor read it.
+// processes of one machine. The daemons neither write nor read these logs.
 package eventlog
 
-// Kind names what an event reports.
+// Kind is the kind of an event.
 type Kind string
 
-// Events written by replicas. The comment of a kind names the fields of Event that
-// matter for it beside At, Kind and Source.
+// Kinds of events written by replicas. The comment of each kind lists the main fields of
+// Event that it sets besides At, Kind and Source.
 const (
 	// ReplicaStarted reports that the process is up. Sets Incarnation.
 	ReplicaStarted Kind = "replica_started"
 	// ReplicaReceived reports the arrival of a request. Sets Request and the fields
 	// of the request's stamp: Gateway, Incarnation, Version, Serial, Attempt.
 	ReplicaReceived Kind = "replica_received"
-	// ReplicaExecuted reports that execution began, which is what at-most-once
-	// counts. Sets Request and Run.
+	// ReplicaExecuted reports that an execution began. The at-most-once check counts
+	// these events. Sets Request and Run.
 	ReplicaExecuted Kind = "replica_executed"
-	// ReplicaRefused reports the answer "not started". Sets Code.
+	// ReplicaRefused reports that the replica refused a request without executing it.
+	// Sets Code.
 	ReplicaRefused Kind = "replica_refused"
-	// ReplicaEnded reports the end of an execution. Detail says how: whole, broken,
-	// canceled, late and so on.
+	// ReplicaEnded reports the end of an execution. Sets Detail to the way it ended:
+	// whole, broken, canceled, late and so on.
 	ReplicaEnded Kind = "replica_ended"
-	// ReplicaDraining reports that the replica drains from now on.
+	// ReplicaDraining reports that the replica starts draining.
 	ReplicaDraining Kind = "replica_draining"
 	// ReplicaWarm reports that a cold replica has warmed up.
 	ReplicaWarm Kind = "replica_warm"
@@ -31,10 +32,10 @@
 	ReplicaFault Kind = "replica_fault"
 )
 
-// Events written by callers.
+// Kinds of events written by callers.
 const (
-	// CallerRouted reports the answer to a where-to-go request. Sets Version, Gateway
-	// (which answered) and Target (the gateway to send the request to).
+	// CallerRouted reports the answer to a query for the gateway to use. Sets Version,
+	// Gateway (which answered) and Target (the gateway to send the request to).
 	CallerRouted Kind = "caller_asked"
 	// CallerSent reports that a request was sent. Sets Request, Attempt, Gateway,
 	// Home, Repeatable.
@@ -48,27 +49,27 @@
 	CallerAbandoned Kind = "caller_abandoned"
 )
 
-// Events written by operators, the platform and the fleet tool.
+// Kinds of events written by operators, the platform and the fleet tool.
 const (
-	// OperationSent reports that an operation was sent. Sets Order, Base, Zone, and
+	// OperationSent reports that an operation was sent. Sets Operation, Base, Zone, and
 	// Detail: configuration, evacuate or withdraw.
 	OperationSent Kind = "order_sent"
-	// OperationAnswered reports the answer to an operation. Sets Order, Version, Serial,
+	// OperationAnswered reports the answer to an operation. Sets Operation, Version, Serial,
 	// Code, and Outcome: accepted, refused or unknown.
 	OperationAnswered Kind = "order_answered"
 	// PlatformDrain reports that the platform listed a replica as draining and that
 	// this was acknowledged. Sets Replica.
 	PlatformDrain Kind = "platform_drain"
-	// FaultInjected reports an injected fault. Sets Target, and Detail: kill, freeze,
+	// FaultInjected reports an injected fault or its end. Sets Target, and Detail: kill, freeze,
 	// thaw, wipe, start, cut, heal, evacuate and so on.
 	FaultInjected Kind = "fault_injected"
 	// FleetReady reports that all processes of the fleet are ready.
 	FleetReady Kind = "fleet_ready"
-	// Note is a remark for readers of the log, in Detail; no check reads it.
+	// Note is a remark for readers of the log. Sets Detail. No check uses it.
 	Note Kind = "note"
 )
 
-// Events written by operators when they read the control plane's state back.
+// Kinds of events about the control plane's state and the members of the fleet.
 const (
 	// ConfigurationRead reports a configuration read from a control node. Sets
 	// Version, Serial, Target (digest of the document), Gateway (the node's address).
@@ -76,13 +77,13 @@
 	// ZonesRead reports a zone's state read from a control node. Sets Zone, Gateway
 	// (the node's address), and Detail: evacuated or open.
 	ZonesRead Kind = "zones_read"
-	// Inventory describes one member of the fleet: of a replica Replica, Zone,
-	// Region, Service; of a control node Class "control", Target (its name), Gateway
-	// (its operator address).
+	// Inventory describes one member of the fleet. Sets, for a replica, Replica, Zone,
+	// Region and Service; for a control node, Class ("control"), Target (its name) and
+	// Gateway (its operator address).
 	Inventory Kind = "inventory"
 )
 
-// Event is one line of a log. Only the fields of its kind are set.
+// Event is one line of a log. Fields that do not apply to its kind are not set.
 type Event struct {
 	// At is the time in nanoseconds of CLOCK_MONOTONIC.
 	At          int64  `json:"at"`
@@ -114,7 +115,7 @@
 	CachedTokens int      `json:"cached_tokens,omitempty"`
 	PromptTokens int      `json:"prompt_tokens,omitempty"`
 	Cold         bool     `json:"cold,omitempty"`
-	InFlight     int      `json:"in_flight,omitempty"` // at the replica, this request included
+	InFlight     int      `json:"in_flight,omitempty"` // on the replica, including this request
 	FirstTokenMS float64  `json:"first_token_ms,omitempty"`
 	ElapsedMS    float64  `json:"elapsed_ms,omitempty"`
 	MaxGapMS     float64  `json:"max_gap_ms,omitempty"` // longest gap between two chunks
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -11,7 +11,7 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the golden file instead of comparing with it")
 
-// goldenFile is a log that an earlier version wrote.
+// goldenFile is the path of a log that an earlier version wrote.
 const goldenFile = "testdata/golden.jsonl"
 
 // goldenKinds lists all kinds, in the order of the golden log.
@@ -22,8 +22,8 @@
 	ConfigurationRead, ZonesRead, Inventory,
 }
 
-// goldenEvents returns an event with every field set, and one of each kind with the
-// fields that every event has.
+// goldenEvents returns an event with every field set, followed by one event of each kind
+// with only the fields that all events have.
 func goldenEvents() []Event {
 	events := []Event{{
 		At: 1_000_000_001, Kind: CallerAnswered, Source: "caller-1", Request: "request-1", Run: "run-1", Sequence: 3,
@@ -39,7 +39,8 @@
 	return events
 }
 
-// TestGoldenLog reads a log of an earlier version and writes the same bytes.
+// TestGoldenLog checks that a log written by an earlier version is read, and that the
+// same events are written with the same bytes.
 func TestGoldenLog(t *testing.T) {
 	events := goldenEvents()
 	for i, first := 0, reflect.ValueOf(events[0]); i < first.NumField(); i++ {
--- a/internal/eventlog/read.go
+++ b/internal/eventlog/read.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// logPattern matches the event logs of a run folder.
+	// logPattern matches the names of event logs in a run folder.
 	logPattern = "*.jsonl"
-	// maxLineBytes bounds one line of a log, its newline included.
+	// maxLineBytes is the maximum length of a line, including its newline.
 	maxLineBytes = 1 << 20
-	// readBufferBytes is the size of the buffer of a read.
+	// readBufferBytes is the size of the read buffer.
 	readBufferBytes = 64 << 10
 	// linePrefix begins every line of a log, because At is the first field.
 	linePrefix = `{"at":`
 )
 
 // ReadFolder reads every log (*.jsonl) of the folder and returns the events sorted
-// by time; events of equal time keep their order. An incomplete last line, which a
-// killed writer leaves, is ignored. Any other line that does not decode is an error
-// that names the file and the line.
+// by time; the sort is stable. An incomplete last line, as left by a killed writer, is
+// ignored. Any other line that cannot be decoded results in an error that names the
+// file and the line.
 func ReadFolder(folder string) ([]Event, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, logPattern))
 	if err != nil {
@@ -58,7 +58,7 @@
 	for number := 1; ; number++ {
 		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return events, nil // what follows the last newline is incomplete
+			return events, nil // the line after the last newline is incomplete
 		}
 		if err != nil {
 			return nil, fmt.Errorf("reading %s: %w", path, err)
@@ -76,7 +76,8 @@
 
 // decodeLine decodes one line. A restarted writer appends directly after the
 // incomplete line of its predecessor: the incomplete part is skipped and the event
-// that follows it is decoded. If both fail, the error is that of the whole line.
+// that follows it is decoded. If neither decodes, the error for the whole line is
+// returned.
 func decodeLine(line []byte) (Event, error) {
 	var event Event
 	err := json.Unmarshal(line, &event)
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -11,7 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// flushInterval bounds what a writer loses when its process is killed.
+// flushInterval is the time between flushes. It limits the events that are lost when the
+// process is killed.
 const flushInterval = 50 * time.Millisecond
 
 // writeBufferBytes is the size of a writer's buffer.
@@ -48,7 +49,7 @@
 }
 
 // Write appends the event. It fills in the time and the source if they are not
-// set. Errors are kept and returned by Close.
+// set. Close returns the first error of any write.
 func (w *Writer) Write(event Event) {
 	if event.At == 0 {
 		event.At = Now()
@@ -65,12 +66,13 @@
 	_, err = w.buffer.Write(append(line, '\n'))
 	w.recordError(err)
 	if event.Kind == ReplicaExecuted || event.Kind == ReplicaReceived {
-		// Checks of at-most-once need the record even if the process is killed next.
+		// The at-most-once check needs this event even if the process is killed right
+		// after it.
 		w.recordError(w.buffer.Flush())
 	}
 }
 
-// recordError keeps the first error. The caller holds the mutex.
+// recordError stores the first error. The caller must hold the mutex.
 func (w *Writer) recordError(err error) {
 	if w.err == nil {
 		w.err = err
