--- a/internal/canonical/canonical.go
+++ b/internal/canonical/canonical.go
@@ -30,7 +30,7 @@
 	return mode
 }
 
-// Decoding returns a decoding mode that rejects duplicate keys, unknown fields,
+// Decoding returns a decoding mode with the given bounds. It rejects duplicate keys, unknown fields,
 // tags and indefinite lengths. It panics if the library rejects the bounds, which
 // are constants of the calling package.
 func Decoding(bounds Bounds) cbor.DecMode {
