--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -41,8 +41,7 @@
 	})
 }
 
-// rawConnection returns the access to the connection's socket, or nil if there is
-// none.
+// rawConnection returns raw access to the connection's socket, or nil if it has none.
 func rawConnection(connection net.Conn) syscall.RawConn {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
