--- a/internal/metricspage/metricspage.go
+++ b/internal/metricspage/metricspage.go
@@ -28,10 +28,10 @@
 	listed := listedNames(string(text), prefix)
 	described := describedNames(collector)
 	if len(described) == 0 {
-		t.Fatal("no metric is described")
+		t.Fatal("the collector describes no deckpulley metric")
 	}
 	if difference := cmp.Diff(described, listed); difference != "" {
-		t.Errorf("described (-) and listed (+): %s", difference)
+		t.Errorf("metrics described by the collector (-) differ from those listed on the page (+): %s", difference)
 	}
 }
 
