--- a/internal/planted/catalog/catalog.go
+++ b/internal/planted/catalog/catalog.go
@@ -1,5 +1,6 @@
-// Package catalog says for each planted defect which scenario shows it and which
-// promise that breaks, and judges a report by it. It holds no hook itself.
+// Package catalog maps each planted defect to the scenario that reveals it and the
+// promise that it breaks, and compares reports with these expectations. The failpoints
+// that enable the defects are in package planted.
 package catalog
 
 import (
@@ -10,14 +11,16 @@
 	"github.com/deckpulley/deckpulley/internal/planted"
 )
 
-// Case is one defect with the run that must report it.
+// Case is a defect with the scenario and the promise that must reveal it. A control case
+// has a scenario only.
 type Case struct {
 	Defect planted.Defect
-	// Scenario is a file of the planted scenarios.
+	// Scenario is the name of one of the planted scenarios.
 	Scenario string
-	// Promise must be reported broken.
+	// Promise is the promise that the checker must report as broken.
 	Promise checker.Promise
-	// Also are promises that the defect breaks too, by what it is; Because says why.
+	// Also lists further promises that the defect inevitably breaks; Because is the
+	// reason.
 	Also    []checker.Promise
 	Because string
 }
@@ -53,8 +56,9 @@
 	}
 }
 
-// Controls lists one case without a defect for each scenario of the cases: it
-// must break nothing, or what it reports of a defect would prove nothing.
+// Controls lists one case without a defect for each scenario of the cases. It must break
+// no promise: otherwise a broken promise in this scenario would not prove that the defect
+// was caught.
 func Controls() []Case {
 	var list []Case
 	for _, of := range Cases() {
@@ -65,7 +69,7 @@
 	return list
 }
 
-// Control tells that the case has no defect.
+// Control reports whether the case is a control, that is without a defect.
 func (c Case) Control() bool { return c.Defect == "" }
 
 // Find returns the case of a defect.
@@ -78,9 +82,9 @@
 	return Case{}, fmt.Errorf("no planted defect is named %q", name)
 }
 
-// Judge tells whether a report caught the defect: its promise is broken, and
-// nothing else than what the defect breaks too. A control is as it should be if
-// nothing is broken.
+// Judge returns the promises that a report shows as broken, and whether they match the
+// case: the case's promise is broken and, except for those in Also, no other. A control
+// case matches if no promise is broken.
 func (c Case) Judge(report checker.Report) (broken []checker.Promise, caught bool) {
 	caught = true
 	for i := range report.Verdicts {
--- a/internal/planted/catalog/catalog_test.go
+++ b/internal/planted/catalog/catalog_test.go
@@ -10,8 +10,9 @@
 	"github.com/deckpulley/deckpulley/scenarios"
 )
 
-// TestCasesAreComplete holds every defect to one case, every promise to at least
-// one defect, and every case to a scenario that is for its promise.
+// TestCasesAreComplete checks that every defect has exactly one case, that every promise
+// is broken by at least one defect, and that the scenario of every case is meant to
+// exercise its promise.
 func TestCasesAreComplete(t *testing.T) {
 	files, err := scenario.LoadAll(scenarios.Planted())
 	if err != nil {
@@ -27,22 +28,22 @@
 		defects = append(defects, of.Defect)
 		promises[string(of.Promise)] = true
 		if !slices.Contains(byName[of.Scenario], string(of.Promise)) {
-			t.Errorf("%s: scenario %s is not for %s", of.Defect, of.Scenario, of.Promise)
+			t.Errorf("%s: scenario %s does not list promise %s", of.Defect, of.Scenario, of.Promise)
 		}
 		if (len(of.Also) > 0) != (of.Because != "") {
-			t.Errorf("%s: further promises and their reason go together", of.Defect)
+			t.Errorf("%s: Also and Because must be set together", of.Defect)
 		}
 	}
 	for _, verdict := range checker.Check(nil, checker.Options{}).Verdicts {
 		if !promises[string(verdict.Promise)] {
-			t.Errorf("no defect breaks %s", verdict.Promise)
+			t.Errorf("no case has a defect that breaks %s", verdict.Promise)
 		}
 	}
 	slices.Sort(defects)
 	all := planted.All()
 	slices.Sort(all)
 	if !slices.Equal(defects, all) {
-		t.Errorf("cases for %v, defects %v", defects, all)
+		t.Errorf("cases exist for the defects %v, want all of %v", defects, all)
 	}
 }
 
@@ -67,7 +68,7 @@
 			t.Errorf("%v: broken %v, caught %t", test.broken, broken, caught)
 		}
 		if _, clean := (Case{}).Judge(report); clean != (len(test.broken) == 0) {
-			t.Errorf("%v: clean without a defect is %t", test.broken, clean)
+			t.Errorf("%v: control case matches: %t", test.broken, clean)
 		}
 	}
 }
