--- a/control/internal/golden/golden.go
+++ b/control/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares encoded forms with golden files. These are hexadecimal, in
-// testdata, and were made by an earlier version: every later version must read and
-// write the same bytes.
+// Package golden compares encoded values with golden files. These are hexadecimal files
+// in testdata that an earlier version wrote. Every later version must read and write the
+// same bytes.
 package golden
 
 import (
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files of this package anew")
+var update = flag.Bool("update-golden", false, "rewrite the golden files of this package")
 
-// Read returns the content of a golden file.
+// Read returns the decoded content of a golden file.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path(name))
@@ -29,8 +29,8 @@
 	return decoded
 }
 
-// Compare reports an error unless the encoded form is that of a golden file, whose
-// content it returns. With -update-golden it writes the file before.
+// Compare fails the test unless the encoded bytes equal the content of the golden file,
+// which it returns. With -update-golden it first overwrites the file with them.
 func Compare(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	if *update {
