--- a/internal/docscheck/architecture_test.go
+++ b/internal/docscheck/architecture_test.go
@@ -10,15 +10,16 @@
 	architecturePage = "docs/ARCHITECTURE.md"
 	metricsPage      = "docs/METRICS.md"
 	operationsPage   = "docs/OPERATIONS.md"
-	// architectureLines keeps the page one that is read in one go.
+	// architectureLines is the maximum length of the page, so that it can be read in one
+	// sitting.
 	architectureLines = 150
 	headingLog        = "Log messages"
 	headingMetrics    = "Metrics"
 	headingAct        = "Log messages to act on"
 )
 
-// walkthroughs are the headings whose numbered lists lead through the code, and the
-// fewest steps of each.
+// walkthroughs maps the headings whose numbered lists describe a path through the code
+// to the minimum number of steps of the list.
 var walkthroughs = map[string]int{
 	"A request to `/v1/requests`":         6,
 	"A request by host and path":          6,
@@ -30,12 +31,12 @@
 
 func TestArchitectureIsOnePage(t *testing.T) {
 	if length := readPage(t, architecturePage).length; length > architectureLines {
-		t.Errorf("%d lines, at most %d", length, architectureLines)
+		t.Errorf("the page has %d lines, want at most %d", length, architectureLines)
 	}
 }
 
 func TestArchitectureNamesAreDeclared(t *testing.T) {
-	holdReferences(t, loadSource(t), readPage(t, architecturePage), everyPackage)
+	checkReferences(t, loadSource(t), readPage(t, architecturePage), everyPackage)
 }
 
 func TestArchitectureStepsNameTheirFunctions(t *testing.T) {
@@ -43,7 +44,7 @@
 	for heading, least := range walkthroughs {
 		steps := read.section(t, heading).steps()
 		if len(steps) < least {
-			t.Errorf("%q has %d steps, at least %d", heading, len(steps), least)
+			t.Errorf("%q has %d steps, want at least %d", heading, len(steps), least)
 		}
 		for _, step := range steps {
 			if len(references(step.text)) == 0 {
@@ -53,8 +54,8 @@
 	}
 }
 
-// servingPackages are those that run in a deployment: all but what proves and
-// measures them.
+// servingPackages returns the packages that run in a deployment, that is all except those
+// for testing and measuring.
 func servingPackages(parsed source) []*declarations {
 	var found []*declarations
 	for folder, declared := range parsed {
@@ -68,7 +69,7 @@
 	return found
 }
 
-// listing is what the first column of a table names, each once.
+// listing is the set of names in the first column of a table, where each may occur once.
 type listing map[string]row
 
 func newListing(t *testing.T, read page) listing {
@@ -77,7 +78,7 @@
 	for _, r := range read.rows() {
 		for _, name := range spans(r.cells[0]) {
 			if _, twice := listed[name]; twice {
-				t.Errorf("%s:%d: %q stands twice", read.path, r.number, name)
+				t.Errorf("%s:%d: %q is listed twice", read.path, r.number, name)
 			}
 			listed[name] = r
 		}
@@ -88,8 +89,8 @@
 	return listed
 }
 
-// TestArchitectureLogMessages holds that each row's messages are written by one of
-// the row's functions.
+// TestArchitectureLogMessages checks that each log message of a row is written by one of
+// the functions that the row names.
 func TestArchitectureLogMessages(t *testing.T) {
 	parsed := loadSource(t)
 	for message, r := range newListing(t, readPage(t, architecturePage).section(t, headingLog)) {
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestArchitectureHasEachLogMessage holds that no message of a serving package at
-// info or above is without a row.
+// TestArchitectureHasEachLogMessage checks that every message that a serving package logs
+// at level info or above has a row.
 func TestArchitectureHasEachLogMessage(t *testing.T) {
 	listed := newListing(t, readPage(t, architecturePage).section(t, headingLog))
 	for _, declared := range servingPackages(loadSource(t)) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestOperationsLogMessages holds that the messages that operators act on are
-// logged by a serving package.
+// TestOperationsLogMessages checks that the messages that the page asks operators to act
+// on are logged by a serving package.
 func TestOperationsLogMessages(t *testing.T) {
 	logged := make(map[string]bool)
 	for _, declared := range servingPackages(loadSource(t)) {
@@ -127,12 +128,12 @@
 	}
 	for message, r := range newListing(t, readPage(t, operationsPage).section(t, headingAct)) {
 		if !logged[message] {
-			t.Errorf("%s:%d: nothing logs %q", operationsPage, r.number, message)
+			t.Errorf("%s:%d: no serving package logs %q", operationsPage, r.number, message)
 		}
 	}
 }
 
-// messagesOf are the log messages of all functions that a row names.
+// messagesOf returns the log messages of all functions that a row names.
 func messagesOf(parsed source, r row) []string {
 	var messages []string
 	for _, named := range references(strings.Join(r.cells[1:], " ")) {
@@ -143,8 +144,8 @@
 	return messages
 }
 
-// TestArchitectureMetrics holds that the page has a row with a function for each
-// metric of docs/METRICS.md, and for no other.
+// TestArchitectureMetrics checks that the page has a row that names a function for each
+// metric in docs/METRICS.md, and no row for any other metric.
 func TestArchitectureMetrics(t *testing.T) {
 	listed := newListing(t, readPage(t, architecturePage).section(t, headingMetrics))
 	described := describedMetrics(t)
--- a/internal/docscheck/inventory_test.go
+++ b/internal/docscheck/inventory_test.go
@@ -14,29 +14,31 @@
 	"testing"
 )
 
-// inventory is what the repository has beside the declarations of its packages:
-// what a page may name in a command, a path or a word of its own.
+// inventory lists what else the repository contains besides the declarations of its
+// packages, as far as pages may name it in commands, in paths or as single words.
 type inventory struct {
-	// paths are files and folders, from the root, with slashes.
+	// paths holds all files and folders, relative to the root and with slashes.
 	paths map[string]bool
-	// identifiers are all names that Go files declare, tests included.
+	// identifiers holds all names that Go files, including tests, declare.
 	identifiers map[string]bool
-	// words are string literals and struct tags of Go files as a whole, their words in
-	// capitals, and the names and words of other files that are not pages.
+	// words holds the complete string literals and struct tags of Go files, the words in
+	// capitals within them, and the names and words of other files that are not pages.
 	words map[string]bool
-	// tests are test, fuzz, benchmark and example functions, with their folders.
+	// tests maps test, fuzz, benchmark and example functions to their folders.
 	tests map[string][]string
-	// functions are the functions and methods of each file, by their names alone.
+	// functions maps each file to the names of its functions and methods, without
+	// receivers.
 	functions map[string]map[string]bool
-	// literals are the string literals of a folder's test files, which name subtests.
+	// literals maps each folder to the string literals of its test files, which include
+	// the names of subtests.
 	literals map[string]map[string]bool
-	// testFlags are the flags that a folder's tests declare.
+	// testFlags maps each folder to the flags that its tests declare.
 	testFlags map[string]map[string]bool
-	// programs are the flags of each program of cmd/, shorthands as one letter.
+	// programs maps each program of cmd/ to its flags, including one-letter shorthands.
 	programs map[string]map[string]bool
-	// scripts are the texts of shell and Python scripts.
+	// scripts maps shell and Python scripts to their content.
 	scripts map[string]string
-	// targets and variables are those of the Makefile.
+	// targets and variables are the targets and variables of the Makefile.
 	targets, variables map[string]bool
 }
 
@@ -52,12 +54,12 @@
 	return found
 }
 
-// unread are folders at the root that hold no source: what git keeps, tools, built
-// programs, and the records of runs.
+// unread lists the folders at the root that contain no source: git's data, tools, built
+// programs and the records of runs.
 var unread = map[string]bool{".git": true, ".tools": true, "bin": true, "journal": true}
 
-// written is the folder that programs write and git ignores: what a page says of it is
-// the same before and after a run.
+// written is the folder that programs write and git ignores. It is skipped so that the
+// result of the tests is the same before and after a run.
 const written = "out"
 
 func newInventory(root fs.FS) (*inventory, error) {
@@ -196,11 +198,12 @@
 	}
 }
 
-// flagMethod is a method of package flag or pflag that declares a flag: the name is
-// the first argument, or the second after the variable.
+// flagMethod matches the methods of packages flag and pflag that declare a flag. The
+// flag's name is the first argument or, if a variable comes first, the second.
 var flagMethod = regexp.MustCompile(`^(?:String|Bool|Int|Int64|Uint|Uint64|Float64|Duration)(?:Slice|Array|ToString)?(Var)?(P)?$`)
 
-// addFlags takes a call that declares a flag, of a program or of a folder's tests.
+// addFlags adds the flags that a call declares to those of a program or of a folder's
+// tests.
 func (i *inventory) addFlags(folder string, isTest bool, constants map[string]string, call *ast.CallExpr) {
 	method, isMethod := call.Fun.(*ast.SelectorExpr)
 	if !isMethod {
@@ -210,14 +213,14 @@
 	first, count := 0, 1
 	switch {
 	case method.Sel.Name == "register" && !isTest:
-		count = len(call.Args) // a helper of a program that gets names of flags
+		count = len(call.Args) // a program's own helper whose arguments are names of flags
 	case form == nil:
 		return
 	case form[1] != "":
 		first = 1
 	}
 	if form != nil && form[2] != "" {
-		count = 2 // with the shorthand
+		count = 2 // the name and the shorthand
 	}
 	for _, argument := range call.Args[min(first, len(call.Args)):min(first+count, len(call.Args))] {
 		name, isConstant := constantString(argument)
@@ -235,7 +238,7 @@
 	}
 }
 
-// constantStrings are the string constants of a file by their names.
+// constantStrings returns the string constants of a file by name.
 func constantStrings(file *ast.File) map[string]string {
 	found := make(map[string]string)
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -255,7 +258,7 @@
 	return found
 }
 
-// sharedFlags is the file of the flags that both daemons have from package settings.
+// sharedFlags is the file of package settings that declares the flags of both daemons.
 const sharedFlags = "settings/overrides.go"
 
 var (
@@ -292,7 +295,8 @@
 	return nil
 }
 
-// hasPath says whether a file or folder is there; each * stands for part of a name.
+// hasPath reports whether a file or folder matches the pattern, in which * matches any
+// part of one path element.
 func (i *inventory) hasPath(pattern string) bool {
 	pattern = strings.TrimSuffix(pattern, "/")
 	if !strings.Contains(pattern, "*") {
@@ -306,8 +310,8 @@
 	return false
 }
 
-// hasTest says whether one of the folders declares the test, with a subtest of the
-// name if one is given. An empty folder stands for all.
+// hasTest reports whether a folder declares the test and, if subtest is not empty, has a
+// subtest of that name. An empty folder selects all folders.
 func (i *inventory) hasTest(folder, name, subtest string) bool {
 	for _, declared := range i.tests[name] {
 		if folder != "" && folder != declared {
--- a/internal/docscheck/names_self_test.go
+++ b/internal/docscheck/names_self_test.go
@@ -8,7 +8,8 @@
 	"testing/fstest"
 )
 
-// sampleRepository is a small repository with one of each thing that pages name.
+// sampleRepository returns a small repository with one example of each kind of thing that
+// pages can name.
 func sampleRepository(t *testing.T) (source, *inventory) {
 	t.Helper()
 	root := fstest.MapFS{
@@ -33,13 +34,14 @@
 	return parsed, has
 }
 
-// TestChecker holds that the checker accepts what the sample repository has, and
-// reports each kind of name that it doesn't.
+// TestChecker checks that the checker accepts names that exist in the sample repository,
+// and reports each kind of name that does not.
 func TestChecker(t *testing.T) {
 	parsed, has := sampleRepository(t)
 	tests := []struct {
 		name, text string
-		// want are parts of the reports, in order; none means that nothing is reported.
+		// want lists a part of each expected report, in order. It is empty if the checker
+		// must report nothing.
 		want []string
 	}{
 		{"nothing named", "Plain text, and `code with blanks`.", nil},
@@ -53,7 +55,7 @@
 		{"unknown method", "`sample.(*Node).Stop`", []string{"not declared"}},
 		{"name in an unknown package", "`former.New`", []string{"former.New: no such package"}},
 		{"name in another module's package", "`io.Reader`", nil},
-		{"unknown member", "`Node.Stop`", []string{"no type Node of ours has a member Stop"}},
+		{"unknown member", "`Node.Stop`", []string{"no type Node of this module has a member Stop"}},
 		{"unknown argument", "`sample.New(Old)`", []string{"Old is declared or written nowhere"}},
 		{"unknown word", "`Old` and `former_key`", []string{"Old is declared", "former_key is declared"}},
 		{"word of a string in the form of a Go name", "`Written`", []string{"Written is declared"}},
@@ -99,8 +101,8 @@
 			}
 			var got []string
 			report := func(_ int, format string, arguments ...any) { got = append(got, fmt.Sprintf(format, arguments...)) }
-			held := checker{text: test.text, code: code, parsed: parsed, has: has, report: report}
-			held.check()
+			checked := checker{text: test.text, code: code, parsed: parsed, has: has, report: report}
+			checked.check()
 			if !slices.EqualFunc(got, test.want, strings.Contains) {
 				t.Errorf("reports %q, want %q", got, test.want)
 			}
@@ -125,12 +127,13 @@
 	}
 	for _, text := range []string{"A `lone backtick.", "```\nwithout an end\n"} {
 		if _, err := snippets(text); err == nil {
-			t.Errorf("%q is accepted", text)
+			t.Errorf("snippets accepts %q, want an error", text)
 		}
 	}
 }
 
-// TestExceptionsAreNeeded holds that each exception stands in a page and has a reason.
+// TestExceptionsAreNeeded checks that each exception in notOurs occurs in a page and has a
+// reason.
 func TestExceptionsAreNeeded(t *testing.T) {
 	named := make(map[string]bool)
 	for _, name := range namedPages(t) {
@@ -144,7 +147,7 @@
 	}
 	for exception, reason := range notOurs {
 		if !named[exception] || reason == "" {
-			t.Errorf("%s: in no page, or without a reason", exception)
+			t.Errorf("exception %s occurs in no page or has no reason", exception)
 		}
 	}
 }
--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// notOurs are words in code spans that look like names of this repository and are
-// not, each with what it is.
+// notOurs maps words in code spans that look like names of this repository, but are not,
+// to what they are.
 var notOurs = map[string]string{
 	"--quick": "a flag of the platform's bench",
 	"--why":   "a flag of the platform's bench",
@@ -52,12 +52,13 @@
 	"gateway-capacity.pprof": "a file that deckpulley-bench writes",
 }
 
-// foreignPackages are packages of the standard library whose names pages use.
+// foreignPackages lists the packages of the standard library that pages mention.
 var foreignPackages = map[string]bool{"http": true, "io": true, "slog": true, "testing": true}
 
-// namedPages are all pages whose names must exist. The incidents and CHANGELOG.md
-// are history: they keep the names of their day. So does upgradingPage, which lists
-// old names beside new ones: TestUpgradingNamesWhatIsDeclared holds the new ones.
+// namedPages returns all pages in which every name must exist. Names in the incidents and
+// in CHANGELOG.md may be out of date, because these pages describe past versions.
+// upgradingPage lists old names next to new ones: TestUpgradingNamesWhatIsDeclared checks
+// the new ones.
 func namedPages(t *testing.T) []string {
 	t.Helper()
 	pages := []string{"README.md", "DEVELOPERS.md"}
@@ -74,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if len(pages) < 25 {
-		t.Fatalf("only %d pages", len(pages))
+		t.Fatalf("found only %d pages, some are missing", len(pages))
 	}
 	return pages
 }
@@ -88,15 +89,15 @@
 	return string(text)
 }
 
-// snippet is code in a page: a code span, which may go over lines, or a fenced block.
+// snippet is code in a page: a code span, which may span several lines, or a fenced block.
 type snippet struct {
 	line
 	language string // of a fenced block; "" for none
 	fenced   bool
 }
 
-// snippets returns the code of a page. A paragraph with a backtick too many is an
-// error, since it turns code and prose round.
+// snippets returns the code of a page. It returns an error for a paragraph with an
+// unpaired backtick, after which code and prose would be mistaken for each other.
 func snippets(text string) ([]snippet, error) {
 	var found []snippet
 	var paragraph []string
@@ -144,7 +145,7 @@
 	return found, failure
 }
 
-// command is one simple command of a snippet, word by word.
+// command is a simple command of a snippet, split into words.
 type command struct {
 	number int
 	words  []string
@@ -153,12 +154,13 @@
 var (
 	shellComment   = regexp.MustCompile(`(?:^|\s)#.*`)
 	shellSeparator = regexp.MustCompile(`;|&&|\|\||\||&|[(){}]`)
-	// substitution is a command whose output stands in another one.
+	// substitution matches a command substitution, $(...).
 	substitution = regexp.MustCompile(`\$\(([^()]*)\)`)
 	quotes       = strings.NewReplacer(`"`, "", `'`, "", "[", " ", "]", " ", ",", " ")
 )
 
-// commands splits a snippet into simple commands. Brackets of optional arguments go.
+// commands splits a snippet into simple commands and removes the brackets around optional
+// arguments.
 func (s snippet) commands() []command {
 	if !s.fenced {
 		return []command{{s.number, strings.Fields(quotes.Replace(strings.ReplaceAll(s.text, "|", " ")))}}
@@ -182,7 +184,7 @@
 	return found
 }
 
-// checker holds one page against the repository.
+// checker checks that the names in one page exist in the repository.
 type checker struct {
 	text   string
 	code   []snippet
@@ -208,7 +210,7 @@
 	}
 }
 
-// TestPagesNameWhatExists holds that each package, file, Go name, test, make target,
+// TestPagesNameWhatExists checks that each package, file, Go name, test, make target,
 // script and flag that a page names exists.
 func TestPagesNameWhatExists(t *testing.T) {
 	parsed, has := loadSource(t), loadInventory(t)
@@ -222,13 +224,13 @@
 			report := func(number int, format string, arguments ...any) {
 				t.Errorf("%s:%d: %s", name, number, fmt.Sprintf(format, arguments...))
 			}
-			held := checker{text: text, code: code, parsed: parsed, has: has, report: report}
-			held.check()
+			checked := checker{text: text, code: code, parsed: parsed, has: has, report: report}
+			checked.check()
 		})
 	}
 }
 
-// TestDesignHasEachPackage holds that the design's tables have a row for each package
+// TestDesignHasEachPackage checks that the tables of the design page list each package
 // that is not a program or an example.
 func TestDesignHasEachPackage(t *testing.T) {
 	listed := make(map[string]bool)
@@ -242,13 +244,14 @@
 	}
 }
 
-// TestPlatformRowsNameTheirFiles holds that each file in the table of the platform's
-// words declares a function that the row names, and that each row names one.
+// TestPlatformRowsNameTheirFiles checks, for each row of the table that translates the
+// platform's terms, that it names a function and that each file in it declares one of the
+// row's functions.
 func TestPlatformRowsNameTheirFiles(t *testing.T) {
 	has := loadInventory(t)
 	rows := readPage(t, "docs/PLATFORM.md").section(t, "What is translated into what").rows()
 	if len(rows) < 20 {
-		t.Fatalf("only %d rows", len(rows))
+		t.Fatalf("found only %d rows, some are missing", len(rows))
 	}
 	for _, r := range rows {
 		place := r.cells[len(r.cells)-1]
@@ -259,7 +262,7 @@
 		for _, file := range spans(place) {
 			declaresOne := slices.ContainsFunc(named, func(n reference) bool { return has.functions[file][n.name] })
 			if goFile.MatchString(file) && !declaresOne {
-				t.Errorf("docs/PLATFORM.md:%d: %s declares no function of the row", r.number, file)
+				t.Errorf("docs/PLATFORM.md:%d: %s declares no function that the row names", r.number, file)
 			}
 		}
 	}
@@ -270,7 +273,7 @@
 	namedTest = regexp.MustCompile(`\b((?:Test|Fuzz|Benchmark|Example)[A-Z]\w*)(?:/([\w-]+))?`)
 )
 
-// checkTests holds each name of a test, wherever it stands in the page.
+// checkTests checks each name of a test anywhere in the page, in prose or in code.
 func (c *checker) checkTests() {
 	for number, content := range strings.Split(c.text, "\n") {
 		for _, match := range namedTest.FindAllStringSubmatch(content, -1) {
@@ -286,8 +289,8 @@
 	packageHeading = regexp.MustCompile(`^\|\s*packages?\s*\|`)
 )
 
-// checkPackages holds what follows the word package, and the first column of tables
-// of packages.
+// checkPackages checks the names that follow the word "package", and those in the first
+// column of tables of packages.
 func (c *checker) checkPackages() {
 	inTable := false
 	for number, content := range strings.Split(c.text, "\n") {
@@ -307,10 +310,11 @@
 	}
 }
 
-// namesInFile are names in brackets after the Go file that declares them.
+// namesInFile matches a Go file followed by names in parentheses that it declares.
 var namesInFile = regexp.MustCompile("`([\\w-]+(?:/[\\w-]+)*)/\\w+\\.go` \\(((?:`\\w+`(?:, | and )?)+)\\)")
 
-// checkNamesInFiles holds that such names are declared in the file's package.
+// checkNamesInFiles checks that the names matched by namesInFile are declared in the
+// file's package.
 func (c *checker) checkNamesInFiles() {
 	for number, content := range strings.Split(c.text, "\n") {
 		for _, match := range namesInFile.FindAllStringSubmatch(content, -1) {
@@ -328,15 +332,16 @@
 	oneWord    = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_-]*$`)
 	pathForm   = regexp.MustCompile(`^(?:\./)?[\w.-]+(?:/[\w.*<>-]*)+$`)
 	sourceFile = regexp.MustCompile(`^[\w.-]+\.(?:go|md|sh|py|toml|mod|sum)$`)
-	// withArguments is a call: its function, and names in the brackets.
+	// withArguments matches a call: the function, and a name in the parentheses.
 	withArguments = regexp.MustCompile(`^([\w./()*-]*\w)\((\w*)\)$`)
 	keyForm       = regexp.MustCompile(`^(?:[a-z]\w*)?(?:\.[a-zA-Z]\w*)+$`)
-	// exportedWord is a word in the form of an exported Go name, which must be declared.
+	// exportedWord matches a word in the form of an exported Go name. Such a name must be
+	// declared.
 	exportedWord = regexp.MustCompile(`^[A-Z][a-z][A-Za-z0-9]*$`)
 	placeholder  = regexp.MustCompile(`^[A-Z]+$`)
 )
 
-// checkSpan holds a code span that is one name.
+// checkSpan checks a code span that is a single name.
 func (c *checker) checkSpan(s snippet) {
 	if call := withArguments.FindStringSubmatch(s.text); call != nil {
 		c.checkSpan(snippet{line: line{s.number, call[1]}})
@@ -353,7 +358,7 @@
 	case memberForm.MatchString(s.text) && !fileForm.MatchString(s.text):
 		parts := memberForm.FindStringSubmatch(s.text)
 		if !c.parsed.hasMember(parts[1], parts[2]) {
-			c.report(s.number, "no type %s of ours has a member %s", parts[1], parts[2])
+			c.report(s.number, "no type %s of this module has a member %s", parts[1], parts[2])
 		}
 	case sourceFile.MatchString(s.text):
 		if !c.has.hasFile(s.text) {
@@ -372,8 +377,8 @@
 	}
 }
 
-// checkReference holds a name with dots: a Go name, or a key of settings and
-// configuration, which begin with a small letter and may have a placeholder.
+// checkReference checks a name with dots. It is a Go name, or a key of settings or
+// configuration, which begins with a lowercase letter and may contain a placeholder.
 func (c *checker) checkReference(number int, named reference) {
 	_, _, err := c.parsed.resolve(named)
 	if err == nil || foreignPackages[named.packages] && errors.Is(err, errNoPackage) {
@@ -387,8 +392,8 @@
 	c.report(number, "%v", err)
 }
 
-// isKey says whether each part of a key with dots is written in a source that is no
-// page, or stands for any name.
+// isKey reports whether each part of a key with dots occurs in a file that is not a page
+// or is a placeholder.
 func (c *checker) isKey(name string) bool {
 	for _, part := range strings.Split(strings.TrimPrefix(name, "."), ".") {
 		if !placeholder.MatchString(part) && !c.has.words[part] {
@@ -398,7 +403,7 @@
 	return true
 }
 
-// knows says whether a word is declared, or written in a source that is no page.
+// knows reports whether a word is declared, or occurs in a file that is not a page.
 func (c *checker) knows(name string) bool {
 	if c.has.identifiers[name] || !exportedWord.MatchString(name) && c.has.words[name] || c.has.paths[name] || c.has.programs[name] != nil {
 		return true
@@ -414,10 +419,11 @@
 	return false
 }
 
-// metricPrefixes are what the source writes apart from the rest of a metric's name.
+// metricPrefixes lists the prefixes of metric names, which the source contains separately
+// from the rest of the name.
 var metricPrefixes = []string{"deckpulley_control_", "deckpulley_gateway_", "deckpulley_http_", "deckpulley_http_exchange_"}
 
-// hasFile says whether any folder has a file of the name.
+// hasFile reports whether any folder contains a file with the name.
 func (i *inventory) hasFile(name string) bool {
 	for known := range i.paths {
 		if path.Base(known) == name {
@@ -429,7 +435,7 @@
 
 var angles = regexp.MustCompile(`<\w+>`)
 
-// checkPath holds a path from the repository's root.
+// checkPath checks a path relative to the repository's root.
 func (c *checker) checkPath(number int, name string) {
 	plain := angles.ReplaceAllString(strings.TrimPrefix(name, "./"), "*")
 	plain = strings.TrimSuffix(strings.TrimSuffix(plain, "..."), "/")
@@ -442,7 +448,7 @@
 	}
 }
 
-// checkCommand holds what one command names: make targets, paths, tests and flags.
+// checkCommand checks the make targets, paths, tests and flags that a command names.
 func (c *checker) checkCommand(command command) {
 	words := command.words
 	if len(words) == 0 {
@@ -477,7 +483,8 @@
 	}
 }
 
-// isPathOfOurs says whether a word of a command is a path below a folder at the root.
+// isPathOfOurs reports whether a word of a command is a path below a folder at the
+// repository's root.
 func (c *checker) isPathOfOurs(word string) bool {
 	if _, isReference := parseReference(word); isReference || !pathForm.MatchString(word) {
 		return false
@@ -500,10 +507,10 @@
 	}
 }
 
-// goTestFlags are flags of go test that pages use.
+// goTestFlags lists the flags of go test that pages use.
 var goTestFlags = []string{"bench", "count", "cover", "fuzz", "fuzztime", "race", "run", "short", "tags", "timeout", "v"}
 
-// checkGoTest holds that the package of a go test command has the tests and flags
+// checkGoTest checks that the package of a go test command declares the tests and flags
 // that the command names.
 func (c *checker) checkGoTest(command command) {
 	folder := ""
@@ -540,14 +547,14 @@
 	return false
 }
 
-// flagForm is a long flag, or a short one of one letter.
+// flagForm matches a long flag or a one-letter shorthand.
 var flagForm = regexp.MustCompile(`^(?:--([a-z][a-z0-9-]*)|-([a-z]))(?:=.*)?$`)
 
-// foreignCommands are programs of others whose flags are theirs.
+// foreignCommands lists programs from outside the repository, whose flags are not checked.
 var foreignCommands = []string{"apt-get", "awk", "bash", "curl", "cut", "go", "git", "grep", "ip", "jq", "kill", "mkdir", "mktemp", "od", "rm", "sed", "seq", "sleep", "systemctl", "tail", "tc", "test", "tr", "unshare", "until", "wc", "for", "head", "install", "cp", "cat", "chmod", "trap", "while", "[", "set"}
 
-// checkFlag holds a flag of one of our programs or scripts. Where the command names
-// none, as in `config apply --author`, one that the page names must have it.
+// checkFlag checks a flag of a program or script of the repository. If the command names
+// neither, as in `config apply --author`, a program named in the page must have the flag.
 func (c *checker) checkFlag(command command, program, word string) {
 	form := flagForm.FindStringSubmatch(word)
 	if form == nil || notOurs[word] != "" {
--- a/internal/docscheck/page_test.go
+++ b/internal/docscheck/page_test.go
@@ -8,18 +8,17 @@
 	"testing"
 )
 
-// line is one line of a page, with its number from 1.
+// line is one line of a page. Numbers start at 1.
 type line struct {
 	number int
 	text   string
 }
 
-// page is a Markdown page without its fenced blocks, which are programs and
-// drawings.
+// page is a Markdown page without its fenced blocks, which contain programs and drawings.
 type page struct {
-	path  string // from the repository's root
+	path  string // relative to the repository's root
 	lines []line
-	// length is the number of lines with the fenced blocks.
+	// length is the number of lines including fenced blocks.
 	length int
 }
 
@@ -48,7 +47,8 @@
 	return read
 }
 
-// section returns the lines below a heading, up to the next of its level or above.
+// section returns the lines below a heading, up to the next heading of the same or a
+// higher level.
 func (p page) section(t *testing.T, heading string) page {
 	t.Helper()
 	found := page{path: p.path}
@@ -70,10 +70,10 @@
 	return found
 }
 
-// notInAnchor are the characters that an anchor leaves out of its heading.
+// notInAnchor matches the characters of a heading that its anchor omits.
 var notInAnchor = regexp.MustCompile(`[^a-z0-9 _-]`)
 
-// hasHeading says whether a link to the anchor leads to one of the page's headings.
+// hasHeading reports whether the anchor belongs to one of the page's headings.
 func (p page) hasHeading(anchor string) bool {
 	for _, l := range p.lines {
 		title := strings.TrimSpace(strings.TrimLeft(l.text, "#"))
@@ -99,7 +99,7 @@
 	return found
 }
 
-// row is a row of a table, without the heading and the rule below it.
+// row is a row of a table. Header rows and the rules below them are not included.
 type row struct {
 	line
 	cells []string
@@ -115,7 +115,7 @@
 			continue
 		}
 		if tableRule.MatchString(l.text) {
-			found = found[:max(0, len(found)-1)] // the line above is the heading
+			found = found[:max(0, len(found)-1)] // the line above the rule is the header row
 			continue
 		}
 		cells := strings.Split(strings.Trim(l.text, "|"), "|")
@@ -129,7 +129,7 @@
 
 var numberedStep = regexp.MustCompile(`^\d+\. `)
 
-// steps returns the items of numbered lists, each of one line.
+// steps returns the items of numbered lists. Each item is one line.
 func (p page) steps() []line {
 	var found []line
 	for _, l := range p.lines {
@@ -140,7 +140,7 @@
 	return found
 }
 
-// references returns the code spans that have the form of Go names.
+// references returns the code spans that have the form of qualified Go names.
 func references(text string) []reference {
 	var found []reference
 	for _, span := range spans(text) {
@@ -161,7 +161,7 @@
 		t.Errorf("steps %v", steps)
 	}
 	if !read.hasHeading("one") || read.hasHeading("three") {
-		t.Error("headings are not found by their anchors")
+		t.Error("hasHeading does not find headings by their anchors")
 	}
 	rows := one.rows()
 	if len(rows) != 1 || len(rows[0].cells) != 2 || rows[0].cells[1] != "two" || rows[0].number != 11 {
--- a/internal/docscheck/references_test.go
+++ b/internal/docscheck/references_test.go
@@ -13,19 +13,19 @@
 	"unicode"
 )
 
-// scope says which code spans of a page must be declared.
+// scope selects the code spans of a page that must be declared.
 type scope int
 
 const (
-	// everyPackage: whatever has the form of a Go name.
+	// everyPackage selects all spans in the form of Go names.
 	everyPackage scope = iota
-	// ownPackages: exported names and methods of packages of this module. Other
+	// ownPackages selects exported names and methods of packages of this module. Other
 	// spans may be settings keys or names of other modules.
 	ownPackages
 )
 
-// holdReferences reports each Go name of a page that is not declared.
-func holdReferences(t *testing.T, parsed source, read page, which scope) {
+// checkReferences reports an error for each Go name in a page that is not declared.
+func checkReferences(t *testing.T, parsed source, read page, which scope) {
 	t.Helper()
 	found := 0
 	for _, l := range read.lines {
@@ -41,7 +41,7 @@
 		}
 	}
 	if which == everyPackage && found == 0 {
-		t.Errorf("%s names nothing", read.path)
+		t.Errorf("%s names no Go identifier", read.path)
 	}
 }
 
@@ -49,12 +49,11 @@
 	return named.receiver != "" || unicode.IsUpper(rune(named.name[0]))
 }
 
-// upgradingPage lists old names beside new ones.
+// upgradingPage lists old names next to new ones.
 const upgradingPage = "docs/UPGRADING.md"
 
-// records are pages that tell what was done and measured when. They keep the names
-// of their day. Of upgradingPage the new names are held, see
-// TestUpgradingNamesWhatIsDeclared.
+// records lists pages that record past work and measurements. Names in them may be out of
+// date. TestUpgradingNamesWhatIsDeclared checks the new names in upgradingPage.
 var records = map[string]bool{
 	upgradingPage:       true,
 	"CHANGELOG.md":      true,
@@ -63,7 +62,7 @@
 	"docs/OPEN.md":      true,
 }
 
-// livePages are the pages that tell how things are.
+// livePages returns the pages that describe the current state of the project.
 func livePages(t *testing.T) []string {
 	t.Helper()
 	var found []string
@@ -80,7 +79,7 @@
 		}
 	}
 	if len(found) < 15 {
-		t.Fatalf("only %d pages", len(found))
+		t.Fatalf("found only %d pages, some are missing", len(found))
 	}
 	return found
 }
@@ -88,16 +87,16 @@
 func TestPagesNameWhatIsDeclared(t *testing.T) {
 	parsed := loadSource(t)
 	for _, name := range livePages(t) {
-		t.Run(name, func(t *testing.T) { holdReferences(t, parsed, readPage(t, name), ownPackages) })
+		t.Run(name, func(t *testing.T) { checkReferences(t, parsed, readPage(t, name), ownPackages) })
 	}
 }
 
-// memberForm is a member of a type without its package, as in a design note about
-// one package.
+// memberForm matches a member of a type without its package, as written in design notes
+// about one package.
 var memberForm = regexp.MustCompile(`^([A-Z]\w*)\.(\w+)$`)
 
-// TestPagesNameMembersThatExist holds that such a member is declared by a type of
-// the name, in whichever package.
+// TestPagesNameMembersThatExist checks that a member matched by memberForm is declared by
+// a type of that name in any package.
 func TestPagesNameMembersThatExist(t *testing.T) {
 	parsed := loadSource(t)
 	for _, name := range livePages(t) {
@@ -105,7 +104,7 @@
 			for _, span := range spans(l.text) {
 				parts := memberForm.FindStringSubmatch(span)
 				if parts != nil && !fileForm.MatchString(span) && !parsed.hasMember(parts[1], parts[2]) {
-					t.Errorf("%s:%d: no type %s of ours has a member %s", name, l.number, parts[1], parts[2])
+					t.Errorf("%s:%d: no type %s of this module has a member %s", name, l.number, parts[1], parts[2])
 				}
 			}
 		}
@@ -135,7 +134,7 @@
 	return !errors.Is(err, fs.ErrNotExist)
 }
 
-// link is a Markdown link: its target and the heading in it, either may be empty.
+// link matches a Markdown link: its target and the anchor in it. Either may be empty.
 var link = regexp.MustCompile(`\]\(([^)#\s]*)(?:#([^)\s]+))?\)`)
 
 func TestLinksLeadSomewhere(t *testing.T) {
@@ -151,7 +150,7 @@
 	}
 }
 
-// brokenLink says what is wrong with a link of a page, "" for nothing.
+// brokenLink returns what is wrong with a link of a page, or "" if the link works.
 func brokenLink(t *testing.T, from page, target, heading string) string {
 	t.Helper()
 	if strings.Contains(target, "://") {
@@ -174,7 +173,7 @@
 	return ""
 }
 
-// TestPackageTables holds that the tables of packages in the pages name folders.
+// TestPackageTables checks that the tables of packages list only folders that exist.
 func TestPackageTables(t *testing.T) {
 	tables := []struct{ page, heading string }{
 		{"docs/DESIGN.md", "Packages and imports"},
@@ -184,7 +183,7 @@
 		t.Run(table.page, func(t *testing.T) {
 			rows := readPage(t, table.page).section(t, table.heading).rows()
 			if len(rows) < 15 {
-				t.Fatalf("only %d rows", len(rows))
+				t.Fatalf("found only %d rows, some are missing", len(rows))
 			}
 			for _, r := range rows {
 				if missing := slices.DeleteFunc(spans(r.cells[0]), exists); len(missing) > 0 {
@@ -195,8 +194,8 @@
 	}
 }
 
-// TestUpgradingNamesWhatIsDeclared holds the new names of the page that lists them
-// beside the old ones: packages that exist, and names that the package declares.
+// TestUpgradingNamesWhatIsDeclared checks the new names in upgradingPage: the packages must
+// exist and declare the names.
 func TestUpgradingNamesWhatIsDeclared(t *testing.T) {
 	parsed := loadSource(t)
 	read := readPage(t, upgradingPage)
@@ -220,13 +219,13 @@
 	}
 }
 
-// TestMessageTableNamesTypes holds that the messages of the control node's design
-// note are types of ours.
+// TestMessageTableNamesTypes checks that the messages in the design note of the control
+// node are types of this module.
 func TestMessageTableNamesTypes(t *testing.T) {
 	parsed := loadSource(t)
 	rows := readPage(t, "docs/design/control.md").section(t, "Messages").rows()
 	if len(rows) < 10 {
-		t.Fatalf("only %d rows", len(rows))
+		t.Fatalf("found only %d rows, some are missing", len(rows))
 	}
 	for _, r := range rows {
 		for _, name := range spans(r.cells[0]) {
@@ -237,19 +236,19 @@
 	}
 }
 
-// TestModelsPointAtFiles holds that each model project is shown by files of ours,
-// for layout, naming and comments.
+// TestModelsPointAtFiles checks that the section about each model project names files of
+// this module as examples of layout, naming and comments.
 func TestModelsPointAtFiles(t *testing.T) {
 	read := readPage(t, "DEVELOPERS.md")
 	for _, model := range []string{"etcd", "memberlist", "Prometheus"} {
 		t.Run(model, func(t *testing.T) {
 			rows := read.section(t, model).rows()
 			if len(rows) != 3 {
-				t.Fatalf("%d rows, want layout, naming and comments", len(rows))
+				t.Fatalf("found %d rows, want three: layout, naming and comments", len(rows))
 			}
 			for _, r := range rows {
 				if !slices.ContainsFunc(spans(r.cells[len(r.cells)-1]), goFile.MatchString) {
-					t.Errorf("%s:%d: the row names no file of ours", read.path, r.number)
+					t.Errorf("%s:%d: the row names no Go file of this module", read.path, r.number)
 				}
 			}
 		})
--- a/internal/docscheck/source_self_test.go
+++ b/internal/docscheck/source_self_test.go
@@ -85,7 +85,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			parsedReference, isReference := parseReference(test.span)
 			if !isReference {
-				t.Fatalf("%q is not taken for a reference", test.span)
+				t.Fatalf("parseReference rejects %q, want a reference", test.span)
 			}
 			found, key, err := parsed.resolve(parsedReference)
 			if !errors.Is(err, test.failure) {
@@ -101,7 +101,7 @@
 func TestParseReferenceLeavesOtherSpans(t *testing.T) {
 	for _, span := range []string{"main.go", "settings.toml", "control", "deckpulley_control_term", "PUT /v1/configuration", "lease ran out", "--log-level", "Node.Start"} {
 		if parsed, isReference := parseReference(span); isReference {
-			t.Errorf("%q is taken for a reference to %s", span, parsed.packages)
+			t.Errorf("parseReference accepts %q as a reference to package %s", span, parsed.packages)
 		}
 	}
 }
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -17,29 +17,30 @@
 	"testing"
 )
 
-// repositoryRoot leads from this folder to the repository's root.
+// repositoryRoot is the path from this folder to the repository's root.
 const repositoryRoot = "../.."
 
-// declarations are what the files of one package declare, tests excepted.
+// declarations holds what the files of one package, except tests, declare.
 type declarations struct {
-	// folder is the package's path from the repository's root, with slashes.
+	// folder is the package's path relative to the repository's root, with slashes.
 	folder string
 	name   string
 	types  map[string]bool
-	// values are constants, variables and functions without a receiver.
+	// values holds constants, variables and functions without a receiver.
 	values map[string]bool
-	// members are methods, struct fields and methods of interfaces, as "Type.Member".
+	// members holds methods, struct fields and interface methods, as "Type.Member".
 	members map[string]bool
-	// receivers are the types of methods' receivers, as "*Type" or "Type", by member.
+	// receivers maps methods, as "Type.Method", to the type of their receiver, "*Type" or
+	// "Type".
 	receivers map[string]string
-	// files are the names of the package's files, without the folder.
+	// files lists the names of the package's files, without the folder.
 	files []string
-	// messages are the constant log messages at info and above that a function
-	// writes, by "Function" or "Type.Method".
+	// messages maps functions, as "Function" or "Type.Method", to the constant messages
+	// that they log at level info or above.
 	messages map[string][]string
 }
 
-// source is the Go source of the module, by the folders of its packages.
+// source maps the folders of the module's packages to their declarations.
 type source map[string]*declarations
 
 // moduleSource parses the module once for all tests.
@@ -54,8 +55,8 @@
 	return parsed
 }
 
-// parseSource reads every Go file below a root except tests, test data and what
-// begins with a dot.
+// parseSource parses all Go files below a root, except tests, test data and files or
+// folders whose names begin with a dot.
 func parseSource(root fs.FS) (source, error) {
 	parsed := make(source)
 	files := token.NewFileSet()
@@ -131,7 +132,7 @@
 	}
 }
 
-// receiverOf writes a receiver's type without its type parameters.
+// receiverOf returns a receiver's type without its type parameters.
 func receiverOf(expression ast.Expr) string {
 	switch receiver := expression.(type) {
 	case *ast.StarExpr:
@@ -176,10 +177,10 @@
 	}
 }
 
-// logLevels are the methods of a logger that write at info and above.
+// logLevels lists the methods of a logger that log at level info or above.
 var logLevels = []string{"Info", "Warn", "Error", "InfoContext", "WarnContext", "ErrorContext"}
 
-// loggedMessages lists the constant messages of the log calls in a function.
+// loggedMessages returns the constant messages of the log calls in a function.
 func loggedMessages(body *ast.BlockStmt) []string {
 	var messages []string
 	ast.Inspect(body, func(node ast.Node) bool {
@@ -202,7 +203,8 @@
 	return messages
 }
 
-// isLogger goes by the name: log, logger, Logger, or package slog.
+// isLogger reports whether an expression is a logger, judging by its name only: log,
+// logger, Logger or package slog.
 func isLogger(expression ast.Expr) bool {
 	name := ""
 	switch receiver := expression.(type) {
@@ -223,9 +225,9 @@
 	return text, err == nil
 }
 
-// reference is a Go name in a page: pkg.Function, pkg.Type, pkg.Type.Member,
-// pkg.(*Type).Method or pkg.(Type).Method. pkg is a package's name, or its folder
-// where several packages have the name.
+// reference is a qualified Go name in a page: pkg.Function, pkg.Type, pkg.Type.Member,
+// pkg.(*Type).Method or pkg.(Type).Method. Here pkg is the name of a package, or its
+// folder if several packages have the name.
 type reference struct {
 	text     string
 	packages string // name or folder
@@ -239,7 +241,8 @@
 	fileForm      = regexp.MustCompile(`\.(go|md|mod|sum|yaml|yml|toml|json|jsonl|sh|py|txt|csv|svg)$`)
 )
 
-// parseReference reads a code span; false if it doesn't have the form of a Go name.
+// parseReference parses a code span. It returns false if the span does not have the form
+// of a qualified Go name.
 func parseReference(span string) (reference, bool) {
 	parts := referenceForm.FindStringSubmatch(span)
 	if parts == nil || fileForm.MatchString(span) {
@@ -248,15 +251,15 @@
 	return reference{text: span, packages: parts[1], receiver: parts[2], name: parts[3], member: parts[4]}, true
 }
 
-// Errors of references that don't resolve.
+// Errors of references that cannot be resolved.
 var (
 	errNoPackage        = errors.New("no such package")
-	errAmbiguousPackage = errors.New("several packages have this name, write the folder")
+	errAmbiguousPackage = errors.New("several packages have this name, use the folder instead")
 	errNotDeclared      = errors.New("not declared there")
-	errReceiver         = errors.New("the method has another kind of receiver")
+	errReceiver         = errors.New("the method has a different receiver type")
 )
 
-// resolve finds the package of a reference and the key of what it names there.
+// resolve returns the package of a reference and the key of the named declaration in it.
 func (s source) resolve(r reference) (*declarations, string, error) {
 	found, err := s.find(r.packages)
 	if err != nil {
@@ -269,8 +272,8 @@
 	return found, key, nil
 }
 
-// find takes a folder or a package's name. Of several with the name the only one
-// that is not internal is meant.
+// find returns the package with the given folder or name. If several packages have the
+// name, those in internal/ are considered only if there is no other.
 func (s source) find(name string) (*declarations, error) {
 	if exact, found := s[name]; found {
 		return exact, nil
@@ -299,7 +302,7 @@
 	}
 }
 
-// fileNames are the names of all files, without their folders.
+// fileNames returns the names of all files, without their folders.
 func (s source) fileNames() map[string]bool {
 	names := make(map[string]bool)
 	for _, declared := range s {
@@ -310,7 +313,7 @@
 	return names
 }
 
-// hasMember says whether a type of the name has the member in any package.
+// hasMember reports whether any package declares a type of the name with the member.
 func (s source) hasMember(typeName, member string) bool {
 	for _, declared := range s {
 		if declared.members[typeName+"."+member] {
@@ -320,7 +323,7 @@
 	return false
 }
 
-// missing says what is wrong with a package or a name in one, nil for nothing.
+// missing returns an error if the name is neither a package nor a name declared in one.
 func (s source) missing(name string) error {
 	if named, isReference := parseReference(name); isReference {
 		_, _, err := s.resolve(named)
@@ -332,8 +335,8 @@
 	return nil
 }
 
-// declares says whether the package has the name: "Name" of a function, value or type,
-// "Type.Member", or a member's name alone.
+// declares reports whether the package declares the name, which is a function, value or
+// type, a member as "Type.Member", or the name of a member alone.
 func (d *declarations) declares(name string) bool {
 	if d.values[name] || d.types[name] || d.members[name] {
 		return true
@@ -346,7 +349,7 @@
 	return false
 }
 
-// hasType says whether any package declares the type.
+// hasType reports whether any package declares the type.
 func (s source) hasType(name string) bool {
 	for _, declared := range s {
 		if declared.types[name] {
