--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -7,9 +7,9 @@
 	"net"
 )
 
-// addressBlock is a block of loopback addresses, 127.second.third.0/24, that one fleet
-// uses exclusively, so that fleets run side by side and a restarted process finds its
-// ports free.
+// addressBlock is a block of loopback addresses, 127.second.third.0/24, reserved for one
+// fleet. Several fleets can therefore run at the same time, and a restarted process can
+// bind its ports again.
 type addressBlock struct {
 	second, third int
 	nextHost      int
@@ -19,9 +19,10 @@
 const (
 	firstSecondByte = 16
 	lastSecondByte  = 250
-	// reserveAttempts is the number of random blocks that are tried.
+	// reserveAttempts is the number of random blocks tried before reserveBlock fails.
 	reserveAttempts = 50
-	// guardHost and guardPort are those of the listener that marks a block as in use.
+	// guardHost and guardPort are the host number and the port of the listener that marks a
+	// block as in use.
 	guardHost = 1
 	guardPort = 47000
 	firstHost = 10
--- a/internal/fleet/caller/answer.go
+++ b/internal/fleet/caller/answer.go
@@ -16,17 +16,17 @@
 
 const streamType = "text/event-stream"
 
-// answerReader reads and verifies one answer with status 200.
+// answerReader reads and verifies the body of one response with status 200.
 type answerReader struct {
 	session *session
 	attempt int
 	gateway string
 
-	// The rest is the state of a stream.
+	// The following fields are the state of a stream.
 	got       result
 	lastChunk time.Time
 	chunks    int
-	failure   *api.Error // of an error event
+	failure   *api.Error // from an error event, if any
 	ended     bool       // by an end event
 }
 
@@ -38,8 +38,8 @@
 	return r.readBody(response.Body)
 }
 
-// readBody verifies an answer that is no stream: it must be that of this request, and
-// as long as it states and as was requested.
+// readBody verifies an answer that is not a stream: it must belong to this request, and its
+// length must match both the stated and the requested number of tokens.
 func (r *answerReader) readBody(body io.Reader) result {
 	text, err := io.ReadAll(io.LimitReader(body, api.MaxReplicaAnswer))
 	if err != nil {
@@ -57,7 +57,7 @@
 	return got
 }
 
-// faultOf returns what is wrong with an answer, "" if nothing is.
+// faultOf describes the first fault in an answer. It returns "" if the answer is correct.
 func (r *answerReader) faultOf(text []byte, answer api.GenerateAnswer) string {
 	request := r.session.arrival.Generate
 	var failed api.ErrorBody
@@ -79,10 +79,11 @@
 	return ""
 }
 
-// initialLineBytes is the initial size of the buffer for a line of a stream.
+// initialLineBytes is the initial size of the line buffer of a stream.
 const initialLineBytes = 4096
 
-// readStream logs every event and verifies identity, order and end of the stream.
+// readStream logs every chunk of the stream and verifies its request ID, its run ID, its
+// number of tokens and how it ends.
 func (r *answerReader) readStream(body io.Reader) result {
 	r.lastChunk = r.session.start
 	scanner := bufio.NewScanner(body)
@@ -105,8 +106,7 @@
 	return r.streamResult(scanner.Err())
 }
 
-// readEvent verifies one event and reports whether the caller abandons the stream
-// after it.
+// readEvent verifies one event. It reports whether the caller now abandons the stream.
 func (r *answerReader) readEvent(name string, data []byte) (abandon bool) {
 	if r.ended || r.failure != nil {
 		r.addFault("an event after the last one")
@@ -125,7 +125,7 @@
 	return false
 }
 
-// addFault keeps the first fault that is found in the answer.
+// addFault records a fault of the answer. Only the first one is retained.
 func (r *answerReader) addFault(text string) {
 	if r.got.detail == "" {
 		r.got.detail = text
@@ -149,7 +149,7 @@
 	return r.session.treatment.abandon && r.chunks >= abandonAfter
 }
 
-// measure takes the time of a chunk.
+// measure updates the latency figures with the arrival time of a chunk.
 func (r *answerReader) measure(now time.Time) {
 	if r.chunks == 0 {
 		r.got.firstTokenMS = r.session.elapsed()
@@ -178,8 +178,8 @@
 	}
 }
 
-// readStreamError accepts an error event with and without the envelope of an error
-// body.
+// readStreamError reads an error event. The error may be wrapped in an api.ErrorBody or
+// not.
 func (r *answerReader) readStreamError(data []byte) {
 	var body api.ErrorBody
 	if json.Unmarshal(data, &body) == nil && body.Error != nil {
@@ -193,8 +193,8 @@
 	r.failure = &failure
 }
 
-// streamResult returns the result of a stream that ended with err, nil for a clean
-// end.
+// streamResult returns the result of a stream. The error err is that of reading the body,
+// or nil if the connection was closed cleanly.
 func (r *answerReader) streamResult(err error) result {
 	switch {
 	case r.failure != nil:
@@ -210,7 +210,8 @@
 		r.got.outcome, r.got.code = string(api.OutcomeUnknown), codeBroken
 		r.addFault(err.Error())
 	default:
-		// A clean close without an end event looks finished to a simple reader.
+		// A simple client would take a clean close without an end event for a complete
+		// stream.
 		r.got.outcome = string(api.OutcomeSuccess)
 		r.addFault("a clean close without an end event")
 	}
--- a/internal/fleet/caller/caller_test.go
+++ b/internal/fleet/caller/caller_test.go
@@ -18,8 +18,8 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// fakeGateway answers as a gateway does, or incorrectly as its fault says, and logs
-// the executions that a replica would.
+// fakeGateway answers as a gateway does, or incorrectly according to its fault. It logs
+// executions as a replica would.
 type fakeGateway struct {
 	fault   string
 	log     *eventlog.Writer
@@ -109,8 +109,9 @@
 	send(api.EventEnd, api.StreamEnd{RequestID: request.RequestID, RunID: run, Sequence: request.MaxTokens + 1, Tokens: request.MaxTokens})
 }
 
-// runAgainst sends a few requests to a gateway with one fault and checks the log.
-func runAgainst(t *testing.T, fault string, stream bool, count int) checker.Report {
+// checkFakeGateway sends count requests to a gateway with the given fault and returns the
+// checker's report on the log.
+func checkFakeGateway(t *testing.T, fault string, stream bool, count int) checker.Report {
 	t.Helper()
 	folder := t.TempDir()
 	log, err := eventlog.Open(filepath.Join(folder, "log.jsonl"), "test")
@@ -128,7 +129,7 @@
 		}})
 	}
 	if !pool.Wait(20 * time.Second) {
-		t.Fatal("requests without an end")
+		t.Fatal("requests still in flight after the timeout")
 	}
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
@@ -161,11 +162,11 @@
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("%s/stream=%v", test.fault, test.stream), func(t *testing.T) {
-			report := runAgainst(t, test.fault, test.stream, 3)
+			report := checkFakeGateway(t, test.fault, test.stream, 3)
 			for _, verdict := range report.Verdicts {
 				broken := verdict.Status() == checker.StatusBroken
 				if broken != (verdict.Promise == test.broken) {
-					t.Errorf("%s is %s: %+v", verdict.Promise, verdict.Status(), verdict.Violations)
+					t.Errorf("status of promise %s is %s: %+v", verdict.Promise, verdict.Status(), verdict.Violations)
 				}
 			}
 		})
@@ -204,10 +205,10 @@
 		}
 		answered++
 		if event.Outcome != string(api.OutcomeSuccess) && event.Code != codeAbandoned {
-			t.Errorf("%s %s: %s", event.Outcome, event.Code, event.Detail)
+			t.Errorf("unexpected outcome %s, code %s: %s", event.Outcome, event.Code, event.Detail)
 		}
 	}
 	if answered == 0 {
-		t.Error("nothing was sent")
+		t.Error("no request was answered")
 	}
 }
--- a/internal/fleet/caller/events.go
+++ b/internal/fleet/caller/events.go
@@ -7,7 +7,7 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// event returns an event with the fields that all events of this request carry.
+// event returns an event with the fields common to all events of this request.
 func (s *session) event(kind eventlog.Kind) eventlog.Event {
 	request := s.arrival.Generate
 	return eventlog.Event{
@@ -18,7 +18,7 @@
 	}
 }
 
-func (s *session) logAsked(gateway string, answer api.WhereAnswer) {
+func (s *session) logRouted(gateway string, answer api.WhereAnswer) {
 	event := s.event(eventlog.CallerRouted)
 	event.Gateway, event.Target, event.Version = gateway, answer.Gateway, answer.ConfigurationVersion
 	event.ElapsedMS = s.elapsed()
@@ -53,7 +53,7 @@
 	s.pool.config.Log.Write(event)
 }
 
-// elapsed returns the milliseconds since the request began.
+// elapsed returns the time since the start of the request in milliseconds.
 func (s *session) elapsed() float64 {
 	return milliseconds(time.Since(s.start))
 }
--- a/internal/fleet/caller/http.go
+++ b/internal/fleet/caller/http.go
@@ -11,17 +11,17 @@
 	"github.com/deckpulley/deckpulley/api"
 )
 
-// post sends a body as JSON. The caller closes the response's body.
+// post sends a body as JSON. The caller must close the response body.
 func (s *session) post(ctx context.Context, gateway, path string, body any) (*http.Response, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return nil, fmt.Errorf("encoding: %w", err)
+		return nil, fmt.Errorf("encoding the request: %w", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+path, bytes.NewReader(text))
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the HTTP library never resends a request on its own.
+	// Without GetBody, net/http never resends a request by itself.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	return s.pool.client.Do(request)
@@ -29,12 +29,12 @@
 
 func decode(body io.Reader, into any) error {
 	if err := json.NewDecoder(io.LimitReader(body, api.MaxReplicaAnswer)).Decode(into); err != nil {
-		return fmt.Errorf("decoding: %w", err)
+		return fmt.Errorf("decoding the response: %w", err)
 	}
 	return nil
 }
 
-// readError reads the typed error of a response. It fails if there is none.
+// readError reads the typed error of a response. It fails if the response has none.
 func readError(response *http.Response) (*api.Error, error) {
 	var body api.ErrorBody
 	if err := decode(response.Body, &body); err != nil {
--- a/internal/fleet/caller/pool.go
+++ b/internal/fleet/caller/pool.go
@@ -1,7 +1,8 @@
-// Package caller generates the load of a deployment as its callers do: open loop,
-// each request first asks which gateway to use. Some requests are sent more than
-// once and some streams are abandoned. Callers verify every answer themselves and
-// log all of it.
+// Package caller generates the load of a deployment with simulated callers. The load is
+// open loop: requests start at their scheduled times whether or not earlier ones have been
+// answered. For each request, a caller first asks a gateway which gateway to use. Some
+// requests are sent more than once and some streams are abandoned. Callers verify every
+// answer and log every step.
 package caller
 
 import (
@@ -16,26 +17,29 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// Ratios are the fractions of requests, 0 to 1, that get a special treatment.
+// Ratios holds the fractions of requests, 0 to 1, that are handled specially.
 type Ratios struct {
-	// Duplicated requests are sent to two gateways at once; non-repeatable ones only.
+	// Duplicated is the fraction of non-repeatable requests that are sent to two gateways
+	// at once.
 	Duplicated float64
-	// Resent requests are sent once more after their answer; non-repeatable ones only.
+	// Resent is the fraction of non-repeatable requests that are sent again after their
+	// answer.
 	Resent float64
-	// Abandoned streams are closed by their caller after a few events.
+	// Abandoned is the fraction of streams that the caller closes after a few events.
 	Abandoned float64
 }
 
-// DefaultRatios exercise each treatment without distorting the load.
+// DefaultRatios returns ratios that exercise each treatment without distorting the load.
 func DefaultRatios() Ratios {
 	return Ratios{Duplicated: 0.10, Resent: 0.05, Abandoned: 0.01}
 }
 
-// Config describes the callers.
+// Config configures a Pool.
 type Config struct {
-	// Gateways lists the addresses for callers by region.
+	// Gateways holds the gateways' caller addresses by region.
 	Gateways map[string][]string
-	// Regions are the regions in the order in which those of others are tried.
+	// Regions lists the regions in the order in which a caller tries regions other than
+	// its own.
 	Regions []string
 	Log     *eventlog.Writer
 	Seed    uint64
@@ -50,23 +54,24 @@
 	maximumInFlight           = 4000
 )
 
-// Pool holds the callers of one run. Its methods are safe for concurrent use.
+// Pool runs the callers of one run. Its methods are safe for concurrent use.
 type Pool struct {
 	config   Config
 	client   *http.Client
 	suspects *suspects
 	inFlight sync.WaitGroup
-	// slots is a semaphore that bounds the requests in flight.
+	// slots is a semaphore that limits the number of requests in flight.
 	slots chan struct{}
 
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-// randomStream distinguishes the callers' random numbers from others of one seed.
+// randomStream selects a random sequence for the callers that differs from others with the
+// same seed.
 const randomStream = 0x63616c6c
 
-// New returns callers that have not begun.
+// New returns a pool that has not started any request.
 func New(config Config) *Pool {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -83,8 +88,8 @@
 	}
 }
 
-// Generate sends what the generator draws, at the times drawn, until ctx ends. It
-// does not wait for answers; Wait does.
+// Generate starts the generator's requests at their arrival times until ctx ends. It does
+// not wait for answers; use Wait for that.
 func (p *Pool) Generate(ctx context.Context, generator *workload.Generator) {
 	start := time.Now()
 	for {
@@ -100,7 +105,8 @@
 	}
 }
 
-// begin starts a request, unless too many are in flight.
+// begin starts a request. If too many are in flight, it only logs that the request was not
+// sent.
 func (p *Pool) begin(arrival workload.Request) {
 	select {
 	case p.slots <- struct{}{}:
@@ -117,8 +123,8 @@
 	}()
 }
 
-// Wait waits for the requests in flight, for at most timeout. It reports whether all
-// of them have ended.
+// Wait waits at most timeout for the requests in flight. It reports whether all of them have
+// ended.
 func (p *Pool) Wait(timeout time.Duration) bool {
 	done := make(chan struct{})
 	go func() {
--- a/internal/fleet/caller/session.go
+++ b/internal/fleet/caller/session.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// whereTimeout bounds the time in which a gateway says where to go.
+	// whereTimeout limits the time of one "where" query, which asks a gateway where to send
+	// the request.
 	whereTimeout = 2 * time.Second
-	// whereAttempts bounds the number of gateways that are asked where to go.
+	// whereAttempts limits the number of gateways that are queried.
 	whereAttempts = 4
-	// answerGrace is added to the wait that the request states.
+	// answerGrace is added to the maximum wait stated in the request.
 	answerGrace = 2 * time.Second
-	// resendDelay lies between an answer and the resend after it.
+	// resendDelay is the time between an answer and the following resend.
 	resendDelay = 300 * time.Millisecond
 	// abandonAfter is the number of events after which a stream is abandoned.
 	abandonAfter = 3
@@ -37,14 +38,14 @@
 	codeAbandoned   = "abandoned"
 )
 
-// session is one request of one caller with all its attempts.
+// session is one request of a caller, including all attempts to send it.
 type session struct {
 	pool         *Pool
 	arrival      workload.Request
 	treatment    treatment
 	start        time.Time
 	attempts     atomic.Int32
-	promptTokens int // prefixes included
+	promptTokens int // including prefixes
 }
 
 func newSession(pool *Pool, arrival workload.Request, drawn treatment) *session {
@@ -72,8 +73,8 @@
 	}
 }
 
-// gatewaysOf returns the gateways for a request: the one that it was directed to,
-// then the alternates, or another one that the caller knows if there are none.
+// gatewaysOf returns the gateways to try for a request: the one that it was directed to,
+// then the alternates. If there are no alternates, it adds another known gateway.
 func (s *session) gatewaysOf(where api.WhereAnswer) []string {
 	isDirected := func(gateway string) bool { return gateway == where.Gateway }
 	alternates := slices.DeleteFunc(slices.Clone(where.Alternates), isDirected)
@@ -97,9 +98,9 @@
 	both.Wait()
 }
 
-// sendUntilAnswered resends the same ticket through other gateways after a lost
-// connection or a timeout. A repeatable request is resent only if no gateway can have
-// received it.
+// sendUntilAnswered sends the request to one gateway after the other until it is answered,
+// with the same ticket each time. After a lost connection or a timeout, a repeatable request
+// is not resent, because a gateway may have received it.
 func (s *session) sendUntilAnswered(ticket string, gateways []string) {
 	for _, gateway := range gateways {
 		switch s.send(ticket, gateway) {
@@ -114,12 +115,14 @@
 	}
 }
 
-// askWhere asks where to send the request, the first gateway that can be reached.
+// askWhere asks the first reachable gateway where to send the request. If no gateway can be
+// reached or the gateway returns an error, it logs this as the result of the request and
+// returns false.
 func (s *session) askWhere() (api.WhereAnswer, bool) {
 	var last error
 	gateways := s.treatment.gateways
 	for _, gateway := range gateways[:min(whereAttempts, len(gateways))] {
-		answer, failure, err := s.where(gateway)
+		answer, failure, err := s.queryWhere(gateway)
 		if err != nil {
 			s.pool.suspects.add(gateway)
 			last = err
@@ -129,16 +132,16 @@
 			s.logAnswered(0, gateway, resultOf(failure))
 			return api.WhereAnswer{}, false
 		}
-		s.logAsked(gateway, answer)
+		s.logRouted(gateway, answer)
 		return answer, true
 	}
 	s.logAnswered(0, "", result{outcome: checker.OutcomeUnreachable, code: codeUnreachable, detail: fmt.Sprint(last)})
 	return api.WhereAnswer{}, false
 }
 
-// where asks one gateway. It returns an answer, or the gateway's typed error, or the
-// error that kept it from answering.
-func (s *session) where(gateway string) (api.WhereAnswer, *api.Error, error) {
+// queryWhere asks one gateway queryWhere to send the request. It returns an answer, or the gateway's
+// typed error, or the reason why there is no valid response.
+func (s *session) queryWhere(gateway string) (api.WhereAnswer, *api.Error, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), whereTimeout)
 	defer cancel()
 	response, err := s.post(ctx, gateway, api.PathWhere, s.arrival.WhereRequest())
@@ -157,14 +160,15 @@
 	return answer, nil, nil
 }
 
-// attemptEnd says how one attempt ended for the caller.
+// attemptEnd classifies how an attempt ended for the caller.
 type attemptEnd int
 
 const (
 	attemptAnswered attemptEnd = iota
-	// attemptLost means that the connection broke or the wait was over.
+	// attemptLost means that the connection broke or the attempt timed out.
 	attemptLost
-	// attemptUnreachable means that no byte was sent.
+	// attemptUnreachable means that the connection could not be established, so that no
+	// byte was sent.
 	attemptUnreachable
 )
 
@@ -179,13 +183,13 @@
 	defer cancel()
 	response, err := s.post(ctx, gateway, api.PathRequests, request)
 	if err != nil {
-		return s.lost(attempt, gateway, err)
+		return s.logLostAttempt(attempt, gateway, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		failure, err := readError(response)
 		if err != nil {
-			return s.lost(attempt, gateway, err)
+			return s.logLostAttempt(attempt, gateway, err)
 		}
 		s.logAnswered(attempt, gateway, resultOf(failure))
 		return attemptAnswered
@@ -199,8 +203,8 @@
 	return attemptAnswered
 }
 
-// lost logs an attempt that no gateway answered.
-func (s *session) lost(attempt int, gateway string, err error) attemptEnd {
+// logLostAttempt logs an attempt without a valid response and classifies its end.
+func (s *session) logLostAttempt(attempt int, gateway string, err error) attemptEnd {
 	s.pool.suspects.add(gateway)
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -215,7 +219,7 @@
 	return attemptLost
 }
 
-// result is the end of one attempt as the caller sees it.
+// result is the result of one attempt as seen by the caller.
 type result struct {
 	outcome string
 	code    string
@@ -224,12 +228,12 @@
 	detail       string
 	run          string
 	replica      string
-	sequence     int // of the end of a stream
+	sequence     int // of the stream's end event
 	tokens       int
 	cachedTokens int
 	version      uint64 // of the configuration
 	firstTokenMS float64
-	maxGapMS     float64 // between two events of a stream
+	maxGapMS     float64 // longest time between two chunks of a stream
 }
 
 func resultOf(failure *api.Error) result {
--- a/internal/fleet/caller/suspects.go
+++ b/internal/fleet/caller/suspects.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// suspectTime is how long a gateway that failed is tried last.
+// suspectTime is how long a gateway is tried last after a failure.
 const suspectTime = 3 * time.Second
 
-// suspects remembers gateways that could not be reached recently.
+// suspects tracks the gateways that failed recently.
 type suspects struct {
 	mutex  sync.Mutex
 	expiry map[string]time.Time // by gateway
@@ -22,7 +22,8 @@
 	s.expiry[gateway] = time.Now().Add(suspectTime)
 }
 
-// moveLast returns the gateways in their order, with the suspects at the end.
+// moveLast returns the gateways with the suspects moved to the end. The order is otherwise
+// preserved.
 func (s *suspects) moveLast(gateways []string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/fleet/caller/treatment.go
+++ b/internal/fleet/caller/treatment.go
@@ -6,16 +6,16 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// treatment is how a caller treats its request.
+// treatment determines how a caller sends its request.
 type treatment struct {
-	gateways  []string // to ask where to go, in this order
+	gateways  []string // in the order in which they are asked where to send the request
 	duplicate bool
 	resend    bool
 	abandon   bool
 }
 
-// draw draws the treatment of a request. Requests draw in the order of their
-// arrival, so that a seed gives the same treatments.
+// draw selects the treatment of a request at random. It is called in the order of arrival,
+// so that the same seed gives the same treatments.
 func (p *Pool) draw(arrival workload.Request) treatment {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -33,8 +33,8 @@
 	return drawn
 }
 
-// gatewaysFor orders the gateways for a caller: those of its region first, each
-// region from a random one on, and those that failed recently last.
+// gatewaysFor returns the gateways in the order in which a caller tries them: its own region
+// first, a random starting point within each region, and recently failed gateways last.
 func (p *Pool) gatewaysFor(region string) []string {
 	list := rotated(p.config.Gateways[region], p.random)
 	for _, other := range p.config.Regions {
@@ -45,7 +45,7 @@
 	return p.suspects.moveLast(list)
 }
 
-// rotated returns a copy of the list that begins at a random item.
+// rotated returns a copy of the list, rotated to start at a random item.
 func rotated(list []string, random *rand.Rand) []string {
 	if len(list) == 0 {
 		return nil
--- a/internal/fleet/deployment.go
+++ b/internal/fleet/deployment.go
@@ -1,7 +1,7 @@
 // Package fleet runs a complete deployment on one machine as ordinary processes on
-// loopback addresses: three control nodes, eight gateways, stand-ins for the replicas
-// and for the platform. It writes their settings, keys and tokens into a run folder
-// and ends every process that it started.
+// loopback addresses: three control nodes, eight gateways, and test doubles (stand-ins)
+// for the replicas and the platform. It writes their settings, keys and tokens to a run
+// folder and terminates every process that it started.
 package fleet
 
 import (
@@ -19,37 +19,38 @@
 	KindWeb   = "web"
 )
 
-// RegionPlan is the layout of one region, which has one zone.
+// RegionPlan describes one region, which consists of a single zone.
 type RegionPlan struct {
 	Name string
 	Zone string
-	// Gateways, Models and Webs are numbers of gateways, of model replicas and of
-	// replicas of the web service.
+	// Gateways, Models and Webs are the numbers of gateways, model replicas and web
+	// service replicas.
 	Gateways int
 	Models   int
 	Webs     int
 }
 
-// Deployment is the layout of a deployment with its configuration.
+// Deployment describes the regions and the configuration of a deployment.
 type Deployment struct {
 	Name    string
 	Regions []RegionPlan
-	// ModelService and WebService are names of services in the configuration.
+	// ModelService and WebService are the names of the model service and the web service
+	// in the configuration.
 	ModelService string
 	WebService   string
-	// Document is the text of the configuration.
+	// Document is the configuration as YAML text.
 	Document string
 }
 
-// modelCounts are the numbers of model replicas by deployment, in the order of the
-// regions.
+// modelCounts holds the number of model replicas per region, in the order of regionNames,
+// by deployment name.
 var modelCounts = map[string][]int{
 	"kodovka": {5, 4, 3},
 	"georgia": {4, 3, 2},
 }
 
-// The regions and their numbers of gateways and of replicas of the web service are the
-// same in each deployment.
+// All deployments have the same regions, with the same numbers of gateways and web service
+// replicas.
 var (
 	regionNames   = []string{"north", "central", "south"}
 	gatewayCounts = []int{3, 3, 2}
@@ -57,16 +58,16 @@
 
 const websPerRegion = 1
 
-// Deployments returns the names that LoadDeployment knows, sorted.
+// Deployments returns the names that LoadDeployment accepts, sorted.
 func Deployments() []string {
 	return slices.Sorted(maps.Keys(modelCounts))
 }
 
-// LoadDeployment returns a deployment with its example configuration.
+// LoadDeployment returns the named deployment with its example configuration.
 func LoadDeployment(name string) (Deployment, error) {
 	counts, ok := modelCounts[name]
 	if !ok {
-		return Deployment{}, fmt.Errorf("unknown deployment %q: one of %v", name, Deployments())
+		return Deployment{}, fmt.Errorf("unknown deployment %q: must be one of %v", name, Deployments())
 	}
 	text, err := examples.Configuration(name)
 	if err != nil {
@@ -91,7 +92,8 @@
 	return deployment, nil
 }
 
-// serviceOfKind returns the name of the one service of a kind.
+// serviceOfKind returns the name of the only service of the given kind. It fails unless
+// there is exactly one.
 func serviceOfKind(document configuration.Document, kind string) (string, error) {
 	var names []string
 	for name, service := range document.Services {
@@ -100,7 +102,7 @@
 		}
 	}
 	if len(names) != 1 {
-		return "", fmt.Errorf("the configuration has %d services of kind %s, not one", len(names), kind)
+		return "", fmt.Errorf("the configuration has %d services of kind %s, want exactly one", len(names), kind)
 	}
 	return names[0], nil
 }
--- a/internal/fleet/deployment_test.go
+++ b/internal/fleet/deployment_test.go
@@ -16,24 +16,24 @@
 			t.Fatal(err)
 		}
 		if len(profile.Homes) == 0 || len(profile.Regions) != 3 || profile.ClientPrefix == "" {
-			t.Errorf("%s: %+v", name, profile)
+			t.Errorf("%s: incomplete profile %+v", name, profile)
 		}
 		changed, err := deployment.WithRoute("extra")
 		if err != nil || !strings.Contains(changed, "extra") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: the route was not added (error %v)", name, err)
 		}
 	}
 }
 
-func TestLoadDeploymentRefusesUnknownNames(t *testing.T) {
+func TestLoadDeploymentRejectsUnknownNames(t *testing.T) {
 	if _, err := LoadDeployment("nowhere"); err == nil || !strings.Contains(err.Error(), `"nowhere"`) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that quotes the unknown name", err)
 	}
 }
 
-// TestSpareZoneIsNoOnlyHome holds that every home has a region outside of the spare
+// TestSpareZoneIsNotTheOnlyHome checks that every home has a region outside of the spare
 // zone.
-func TestSpareZoneIsNoOnlyHome(t *testing.T) {
+func TestSpareZoneIsNotTheOnlyHome(t *testing.T) {
 	for _, name := range Deployments() {
 		deployment, err := LoadDeployment(name)
 		if err != nil {
@@ -42,7 +42,7 @@
 		spare := deployment.SpareZone()
 		for home, regions := range deployment.homes() {
 			if len(regions) == 1 && regions[0]+"-1" == spare {
-				t.Errorf("%s: %s is the only home of %s", name, spare, home)
+				t.Errorf("%s: the spare zone %s is the only home of %s", name, spare, home)
 			}
 		}
 	}
--- a/internal/fleet/document.go
+++ b/internal/fleet/document.go
@@ -19,8 +19,7 @@
 	return document, nil
 }
 
-// homes returns the home rules of the configuration: the regions by the name of the
-// home.
+// homes returns the home rules of the configuration: the allowed regions by home name.
 func (d Deployment) homes() map[string][]string {
 	document, err := d.parseDocument()
 	if err != nil {
@@ -29,8 +28,8 @@
 	return document.Homes
 }
 
-// SpareZone returns the smallest zone that is not the only home of any request: all
-// requests can be served while it is evacuated.
+// SpareZone returns the smallest zone that is not the only home of any request. All
+// requests can be served while this zone is evacuated.
 func (d Deployment) SpareZone() string {
 	required := map[string]bool{} // by region
 	for _, regions := range d.homes() {
@@ -46,14 +45,14 @@
 	return d.Regions[len(d.Regions)-1].Zone
 }
 
-// WithRoute returns the text of the configuration with one more route, from model to
-// the web service.
+// WithRoute returns the configuration text with an additional route from model to the web
+// service.
 func (d Deployment) WithRoute(model string) (string, error) {
 	return addRoute(d.Document, model, d.WebService)
 }
 
-// WithBadRoute returns the text of the configuration with a route to a service that
-// does not exist, which validation refuses.
+// WithBadRoute returns the configuration text with an additional route to a service that
+// does not exist, which validation rejects.
 func (d Deployment) WithBadRoute(model string) (string, error) {
 	return addRoute(d.Document, model, missingService)
 }
@@ -63,11 +62,11 @@
 const (
 	missingService = "no-such-service"
 	routesField    = "routes"
-	// addedClass is the class of the routes that are added.
+	// addedClass is the class of an added route.
 	addedClass = "fetch"
 )
 
-// addRoute edits the text as a document tree, so that its comments stay.
+// addRoute edits the YAML node tree of the text, which preserves comments.
 func addRoute(text, model, service string) (string, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal([]byte(text), &document); err != nil {
@@ -82,13 +81,13 @@
 	routes.Content = append(routes.Content, scalar(model), route)
 	changed, err := yaml.Marshal(&document)
 	if err != nil {
-		return "", fmt.Errorf("writing the configuration: %w", err)
+		return "", fmt.Errorf("encoding the configuration: %w", err)
 	}
 	return string(changed), nil
 }
 
-// routesOf finds the mapping of the routes. A mapping's content holds keys and values
-// in turn.
+// routesOf returns the mapping node of the routes. The content of a mapping node alternates
+// between keys and values.
 func routesOf(document *yaml.Node) (*yaml.Node, error) {
 	if len(document.Content) == 0 {
 		return nil, errNoRoutes
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,33 +12,34 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/relay"
 )
 
-// Options describe a fleet.
+// Options configures a fleet.
 type Options struct {
 	Deployment Deployment
-	// Programs is the folder of the built programs.
+	// Programs is the folder with the compiled programs.
 	Programs string
-	// Folder is the run folder. It must not contain an earlier run.
+	// Folder is the run folder. It must not contain the files of an earlier run.
 	Folder string
-	// Seed is that of the replicas' random behaviour.
+	// Seed is the seed of the replicas' random behaviour.
 	Seed uint64
-	// Relays puts relays into the links between nodes.
+	// Relays routes connections between nodes through relays, so that links can be cut.
 	Relays bool
-	// ReplicaRelays puts relays also into the links from gateways to replicas, if
-	// Relays is set.
+	// ReplicaRelays also routes connections from gateways to replicas through relays. It
+	// has an effect only if Relays is set.
 	ReplicaRelays bool
-	// Parameters is a file for the model replicas; empty means their defaults.
+	// Parameters is the path of a parameter file for the model replicas. If it is empty,
+	// they use their defaults.
 	Parameters string
-	// Cold starts the model replicas cold.
+	// Cold starts the model replicas cold, so that they warm up first.
 	Cold bool
-	// LogLevel is the level of the daemons' logs.
+	// LogLevel is the log level of the nodes.
 	LogLevel string
-	// Environment is added to that of the daemons, as NAME=value.
+	// Environment holds additional environment variables of the nodes, as NAME=value.
 	Environment []string
 }
 
 // Fleet is a deployment on one machine. Its methods are safe for concurrent use.
 type Fleet struct {
-	// Log receives the fleet's own events: inventory and faults.
+	// Log is the event log of the fleet itself, for inventory and faults.
 	Log *eventlog.Writer
 	// Links holds the relays between the nodes.
 	Links *relay.Network
@@ -48,7 +49,7 @@
 	options   Options
 	block     *addressBlock
 	relayHost string
-	// initialControl holds the peer addresses of the first control nodes by name.
+	// initialControl holds the peer addresses of the initial control nodes by name.
 	initialControl map[string]string
 
 	keyPath           string
@@ -73,12 +74,12 @@
 	secretFolder   = "secrets"
 )
 
-// New prepares a run: addresses, settings, keys, tokens and lists. It starts no
-// process. Close releases what the fleet holds.
+// New prepares a run: it allocates addresses and writes settings, keys, tokens and the
+// replica list. It does not start any process. Close releases all resources.
 func New(options Options) (*Fleet, error) {
 	for _, name := range []string{settingsFolder, dataFolder, logFolder, eventFolder, secretFolder} {
 		if err := os.MkdirAll(filepath.Join(options.Folder, name), 0o700); err != nil {
-			return nil, fmt.Errorf("making the run folder: %w", err)
+			return nil, fmt.Errorf("creating the run folder: %w", err)
 		}
 	}
 	block, err := reserveBlock()
@@ -92,8 +93,9 @@
 	return f, nil
 }
 
-// prepare writes everything that the processes read. The order matters: settings name
-// the addresses of all nodes and replicas, and the files with the secrets.
+// prepare writes all files that the processes read. Secrets and addresses come before the
+// settings, which contain the paths of the secret files and the addresses of all nodes and
+// replicas.
 func (f *Fleet) prepare() error {
 	log, err := eventlog.Open(f.eventPath("fleet"), "fleet")
 	if err != nil {
@@ -106,7 +108,7 @@
 	if err := f.writeSecrets(); err != nil {
 		return err
 	}
-	if err := f.addAll(); err != nil {
+	if err := f.addMembers(); err != nil {
 		return err
 	}
 	for _, node := range f.nodes {
@@ -117,8 +119,8 @@
 	return f.writeInventory()
 }
 
-// Close kills every process that the fleet started and releases its addresses.
-// Further calls have no effect.
+// Close kills every process that the fleet started and releases its addresses. Calls after
+// the first have no effect.
 func (f *Fleet) Close() error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -148,7 +150,7 @@
 	return errors.Join(failures...)
 }
 
-// processesLocked returns every process that was started.
+// processesLocked returns all started processes. The caller holds the lock.
 func (f *Fleet) processesLocked() []*process.Process {
 	var list []*process.Process
 	for _, node := range f.nodes {
@@ -174,7 +176,7 @@
 	return filepath.Join(f.EventFolder(), name+".jsonl")
 }
 
-// OpenLog opens an event log in the folder of the run. The caller closes it.
+// OpenLog opens an event log in the event folder. The caller must close it.
 func (f *Fleet) OpenLog(name string) (*eventlog.Writer, error) {
 	return eventlog.Open(f.eventPath(name), name)
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -16,10 +16,10 @@
 
 var healthClient = &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// errNotRunning means that a process has ended that should run.
-var errNotRunning = errors.New("it runs no longer")
+// errNotRunning means that a process that should be running has ended.
+var errNotRunning = errors.New("no longer running")
 
-// checkHealth requests a path and expects status 200.
+// checkHealth requests a path and returns an error unless the status is 200.
 func checkHealth(ctx context.Context, address, path string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// WaitReplicas waits until every replica answers with its report.
+// WaitReplicas waits until every replica serves its report.
 func (f *Fleet) WaitReplicas(ctx context.Context) error {
 	for _, replica := range f.Replicas() {
 		err := wait.Poll(ctx, pollInterval, func() error { return checkHealth(ctx, replica.Address, api.PathReplicaReport) })
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// waitNode polls a path of a node and gives up once the node's process has ended.
+// waitNode polls a path of a node until it succeeds. It fails as soon as the node's process
+// has ended.
 func (f *Fleet) waitNode(ctx context.Context, node *Node, path string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -84,7 +85,7 @@
 	return f.waitNode(ctx, node, api.PathReady)
 }
 
-// CheckReady returns an error if a running node is not ready now.
+// CheckReady returns an error if any running node is not ready.
 func (f *Fleet) CheckReady(ctx context.Context) error {
 	for _, node := range f.Nodes() {
 		if !node.Running() {
@@ -97,5 +98,5 @@
 	return nil
 }
 
-// pollInterval is the pause between two checks of a condition.
+// pollInterval is the time between two health checks while waiting.
 const pollInterval = 50 * time.Millisecond
--- a/internal/fleet/lifecycle.go
+++ b/internal/fleet/lifecycle.go
@@ -10,10 +10,10 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// stopTimeout is how long a node may take to shut down gracefully.
+// stopTimeout is the time that a node has to shut down gracefully before it is killed.
 const stopTimeout = 8 * time.Second
 
-// StartAll starts replicas and nodes. It does not wait until they are ready.
+// StartAll starts all replicas and nodes. It does not wait until they are ready.
 func (f *Fleet) StartAll() error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -30,15 +30,15 @@
 	return nil
 }
 
-// StartPlatform starts the stand-in for the platform, which tells the control nodes
-// which replicas there are.
+// StartPlatform starts the platform stand-in, which reports the list of replicas to the
+// control nodes.
 func (f *Fleet) StartPlatform() error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.startPlatform()
 }
 
-// StartNode starts a node that does not run.
+// StartNode starts a node that is not running.
 func (f *Fleet) StartNode(node *Node) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -46,15 +46,15 @@
 		return os.ErrProcessDone
 	}
 	if node.Running() {
-		return fmt.Errorf("%s runs already", node.Name)
+		return fmt.Errorf("%s is already running", node.Name)
 	}
 	return f.startNode(node)
 }
 
-// KillNode kills a node and waits for its end.
+// KillNode kills a node and waits until its process has ended.
 func (f *Fleet) KillNode(node *Node) error { return node.process.Kill() }
 
-// FreezeNode suspends a node, which cannot notice it.
+// FreezeNode suspends a node with SIGSTOP, which the node cannot detect.
 func (f *Fleet) FreezeNode(node *Node) error { return node.process.Freeze() }
 
 // ThawNode resumes a frozen node.
@@ -66,8 +66,8 @@
 	return err
 }
 
-// WipeNode kills a control node and empties its data folder, as if its disk had been
-// replaced.
+// WipeNode kills a control node and deletes the contents of its data folder, to simulate a
+// replaced disk.
 func (f *Fleet) WipeNode(node *Node) error {
 	if err := node.process.Kill(); err != nil {
 		return err
@@ -84,11 +84,11 @@
 	return nil
 }
 
-// successorSuffix is added to the name of a control node that is replaced.
+// successorSuffix is appended to the name of a replaced control node to name its successor.
 const successorSuffix = "-b"
 
-// ReplaceControl kills a control node for good and starts a new one in its zone, with
-// another name, address and data folder.
+// ReplaceControl permanently kills a control node and starts a new one in the same zone,
+// with a new name, address and data folder.
 func (f *Fleet) ReplaceControl(node *Node) (*Node, error) {
 	if err := node.process.Kill(); err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	return successor, f.startNode(successor)
 }
 
-// StartReplica starts a replica that does not run. A cold one warms up first.
+// StartReplica starts a replica that is not running. A cold replica warms up first.
 func (f *Fleet) StartReplica(replica *Replica, cold bool) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -118,11 +118,11 @@
 		return os.ErrProcessDone
 	}
 	if replica.Running() {
-		return fmt.Errorf("%s runs already", replica.ID)
+		return fmt.Errorf("%s is already running", replica.ID)
 	}
 	replica.Cold = cold
 	return f.startReplica(replica)
 }
 
-// KillReplica kills a replica and waits for its end.
+// KillReplica kills a replica and waits until its process has ended.
 func (f *Fleet) KillReplica(replica *Replica) error { return replica.process.Kill() }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -7,8 +7,9 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// addAll adds the nodes and replicas of the deployment, with names and addresses.
-func (f *Fleet) addAll() error {
+// addMembers creates the nodes and replicas of the deployment with their names and addresses,
+// and allocates the address of the platform.
+func (f *Fleet) addMembers() error {
 	f.initialControl = map[string]string{}
 	for _, plan := range f.options.Deployment.Regions {
 		node, err := f.newNode(controlName(plan.Name), settings.RoleControl, plan)
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// allocate returns addresses with free ports on a host of their own.
+// allocate returns count addresses with free ports on a newly allocated host.
 func (f *Fleet) allocate(count int) ([]string, error) {
 	host, err := f.block.allocate()
 	if err != nil {
@@ -42,12 +43,12 @@
 
 func controlName(region string) string { return "control-" + region }
 
-// GatewayName returns the name of a gateway. Numbers begin at 1 in each region.
+// GatewayName returns the name of a gateway. Numbers start at 1 in each region.
 func GatewayName(region string, number int) string {
 	return fmt.Sprintf("gateway-%s-%d", region, number)
 }
 
-// ModelName returns the id of a model replica. Numbers begin at 1 in each region.
+// ModelName returns the ID of a model replica. Numbers start at 1 in each region.
 func ModelName(region string, number int) string {
 	return fmt.Sprintf("model-%s-%d", region, number)
 }
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// controlsLocked and gatewaysLocked are called with the lock held, or from New, before
-// anything else can use the fleet.
+// The caller of controlsLocked or gatewaysLocked must hold the lock, except within New,
+// where nothing else can use the fleet yet.
 func (f *Fleet) controlsLocked() []*Node { return f.nodesLocked(settings.RoleControl) }
 func (f *Fleet) gatewaysLocked() []*Node { return f.nodesLocked(settings.RoleGateway) }
 
@@ -130,7 +131,7 @@
 	return append([]*Replica(nil), f.replicas...)
 }
 
-// Node returns the node with a name.
+// Node returns the node with the given name.
 func (f *Fleet) Node(name string) (*Node, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -142,7 +143,7 @@
 	return nil, fmt.Errorf("no node %q", name)
 }
 
-// Replica returns the replica with an id.
+// Replica returns the replica with the given ID.
 func (f *Fleet) Replica(id string) (*Replica, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// Node is one daemon of the fleet: a control node or a gateway.
+// Node is a control node or a gateway of the fleet.
 type Node struct {
 	Name   string
 	Role   settings.Role
@@ -30,7 +30,7 @@
 	process      *process.Process // nil before the first start
 }
 
-// HealthAddress returns the address at which the node answers health checks.
+// HealthAddress returns the address at which the node serves health checks.
 func (n *Node) HealthAddress() string {
 	if n.Role == settings.RoleGateway {
 		return n.CallerAddress
@@ -38,26 +38,26 @@
 	return n.OperatorAddress
 }
 
-// Running reports whether the node's process runs.
+// Running reports whether the node's process is running.
 func (n *Node) Running() bool { return n.process != nil && n.process.Running() }
 
-// Usage returns what the kernel counts for the node's process. It fails if the node
-// does not run.
+// Usage returns the resource usage of the node's process. It fails if the node is not
+// running.
 func (n *Node) Usage() (process.Usage, error) {
 	if !n.Running() {
-		return process.Usage{}, fmt.Errorf("%s does not run", n.Name)
+		return process.Usage{}, fmt.Errorf("%s is not running", n.Name)
 	}
 	return n.process.ReadUsage()
 }
 
-// Numbers of ports of a node.
+// Number of ports of a node, by role.
 const (
 	controlPorts = 2
 	gatewayPorts = 3
 )
 
-// newNode returns a node with its addresses and, for a control node, with an empty
-// data folder.
+// newNode returns a node with allocated addresses. For a control node it also creates an
+// empty data folder.
 func (f *Fleet) newNode(name string, role settings.Role, plan RegionPlan) (*Node, error) {
 	count := controlPorts
 	if role == settings.RoleGateway {
@@ -78,15 +78,15 @@
 	}
 	node.DataFolder = filepath.Join(f.options.Folder, dataFolder, name)
 	if err := os.MkdirAll(node.DataFolder, 0o700); err != nil {
-		return nil, fmt.Errorf("making the data folder of %s: %w", name, err)
+		return nil, fmt.Errorf("creating the data folder of %s: %w", name, err)
 	}
 	return node, nil
 }
 
-// seedCount is the number of other nodes that a node's settings name as seeds.
+// seedCount is the maximum number of seeds in a node's settings.
 const seedCount = 3
 
-// writeSettings writes the node's settings nodeSettings.
+// writeSettings writes the node's settings file.
 func (f *Fleet) writeSettings(node *Node) error {
 	nodeSettings := settings.Settings{
 		Name: node.Name, Role: node.Role, Zone: node.Zone, Region: node.Region,
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// seedsFor returns the peer addresses of other nodes, control nodes first.
+// seedsFor returns the peer addresses of up to seedCount other nodes, control nodes first.
 func (f *Fleet) seedsFor(node *Node) []string {
 	var seeds []string
 	for _, other := range append(f.controlsLocked(), f.gatewaysLocked()...) {
@@ -125,8 +125,8 @@
 	return seeds
 }
 
-// dialOverrides opens the relays for the links that the node dials. It returns the
-// relay's address by that of the target; nil without relays.
+// dialOverrides opens a relay for each address that the node dials. It returns the relay
+// addresses by target address, or nil if relays are disabled.
 func (f *Fleet) dialOverrides(node *Node) (map[string]string, error) {
 	if !f.options.Relays {
 		return nil, nil
@@ -155,7 +155,7 @@
 	return overrides, nil
 }
 
-// Files of the programs.
+// File names of the programs.
 const (
 	controlProgram  = "deckpulley-control"
 	gatewayProgram  = "deckpulley-gateway"
@@ -182,10 +182,10 @@
 	return nil
 }
 
-// logTailLines is the number of lines of a log that errors quote.
+// logTailLines is the number of log lines included in an error.
 const logTailLines = 5
 
-// logTail returns the end of a process's log, "" if there is none.
+// logTail returns the last lines of a process's log, or "" if the log cannot be read.
 func (f *Fleet) logTail(name string) string {
 	text, err := os.ReadFile(f.logPath(name))
 	if err != nil {
--- a/internal/fleet/operator/client.go
+++ b/internal/fleet/operator/client.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// maximumAnswerBytes bounds the body of an answer.
+	// maximumAnswerBytes limits the size of a response body.
 	maximumAnswerBytes = 16 << 20
-	// readTimeout bounds one reading from one node.
+	// readTimeout limits one read request to one node.
 	readTimeout = 3 * time.Second
 )
 
-// post sends an operation once and returns the status and the body of the answer.
+// post sends an operation once and returns the status and the body of the response.
 func (o *Operator) post(ctx context.Context, address string, operation Operation) (int, []byte, error) {
 	path := fmt.Sprintf("%s?wait_ms=%d", operation.path, serverWait.Milliseconds())
 	return o.do(ctx, operation.method, address, path, operation.body)
 }
 
-// do makes one request with an optional body, sent as JSON.
+// do sends one request with an optional body, which is encoded as JSON.
 func (o *Operator) do(ctx context.Context, method, address, path string, body any) (int, []byte, error) {
 	var content io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
-			return 0, nil, fmt.Errorf("encoding: %w", err)
+			return 0, nil, fmt.Errorf("encoding the request: %w", err)
 		}
 		content = bytes.NewReader(text)
 	}
@@ -48,7 +48,7 @@
 	return response.StatusCode, text, err
 }
 
-// get reads from the first node that answers, whose address it returns.
+// get reads from the first node that answers and returns the address of this node.
 func (o *Operator) get(ctx context.Context, path string, into any) (string, error) {
 	var from string
 	err := o.tryNodes(ctx, func(address string) error {
--- a/internal/fleet/operator/operation.go
+++ b/internal/fleet/operator/operation.go
@@ -14,18 +14,19 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// Operation is an operation that can be sent any number of times with the same id.
+// Operation is an idempotent operation: it can be sent any number of times with the same
+// ID.
 type Operation struct {
 	ID     string
 	method string
 	path   string
 	body   any
-	// event carries the fields of its events that are the same for each send.
+	// event holds the event fields that are the same each time the operation is sent.
 	event eventlog.Event
 }
 
-// Configuration returns an operation that replaces the whole configuration, based
-// on the version base.
+// Configuration returns an operation that replaces the whole configuration. It takes effect
+// only if base is the current version.
 func (o *Operator) Configuration(base uint64, document string) Operation {
 	id := o.nextID()
 	return Operation{
@@ -35,7 +36,7 @@
 	}
 }
 
-// Evacuation returns an operation that evacuates a zone, or withdraws that.
+// Evacuation returns an operation that evacuates a zone, or that withdraws its evacuation.
 func (o *Operator) Evacuation(zone string, withdraw bool) Operation {
 	id := o.nextID()
 	detail := checker.DetailEvacuate
@@ -49,7 +50,7 @@
 	}
 }
 
-// nextID returns the id of a new operation.
+// nextID returns a new operation ID.
 func (o *Operator) nextID() string {
 	return fmt.Sprintf("%s-%d", o.name, o.operations.Add(1))
 }
@@ -62,18 +63,19 @@
 // Answer is a definite answer to an operation.
 type Answer struct {
 	Accepted bool
-	// Version and Serial are those at which the operation was written.
+	// Version and Serial are the configuration version and the serial at which the operation
+	// was committed.
 	Version uint64
 	Serial  uint32
-	// Code and Message say why the operation was refused.
+	// Code and Message describe why the operation was refused.
 	Code    api.Code
 	Message string
 	// Took is the time from the first send to the answer.
 	Took time.Duration
 }
 
-// parseAnswer reads an answer. It is definite unless the same operation must be sent
-// again to learn its result.
+// parseAnswer parses an answer. The answer is definite unless the operation must be sent
+// again to determine its result.
 func parseAnswer(status int, text []byte) (answer Answer, definite bool) {
 	var body api.OperationResult
 	if json.Unmarshal(text, &body) != nil {
@@ -91,7 +93,7 @@
 	return answer, body.Error.Outcome == api.OutcomeRefused && !body.Error.Retry
 }
 
-// outcomeOf returns the outcome of an answer in the event log.
+// outcomeOf returns the outcome that the event log records for an answer.
 func outcomeOf(answer Answer, definite bool) string {
 	switch {
 	case !definite:
--- a/internal/fleet/operator/operator.go
+++ b/internal/fleet/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator sends operations as a person at a terminal does: to one control
-// node after the other, and again with the same operation id after a lost answer. It
-// logs what was sent, answered and read back.
+// Package operator simulates a human operator. It sends an operation to one control node
+// after the other, and resends it with the same operation ID if the answer is lost. It logs
+// the operations sent, the answers and the state read back.
 package operator
 
 import (
@@ -16,30 +16,30 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
-// Operator is one person with a token. It is safe for concurrent use.
+// Operator is a simulated operator with an access token. It is safe for concurrent use.
 type Operator struct {
 	name       string
 	token      string
 	addresses  func() []string
 	log        *eventlog.Writer
 	client     *http.Client
-	operations atomic.Uint64 // number of operations made so far
+	operations atomic.Uint64 // number of operations created so far
 }
 
 const (
-	// attemptTimeout bounds one send. A node answers once the operation is in force.
+	// attemptTimeout limits one attempt. A node answers once the operation is in force.
 	attemptTimeout = 8 * time.Second
 	// serverWait is how long a node may wait before it answers that an operation is
 	// pending.
 	serverWait = 6 * time.Second
 	// retryInterval is the pause between two rounds over the nodes.
 	retryInterval = 100 * time.Millisecond
-	// lostAnswerTimeout is how long SendAndLose waits before it drops the connection.
+	// lostAnswerTimeout is how long SendAndLose waits before it closes the connection.
 	lostAnswerTimeout = 50 * time.Millisecond
 )
 
-// New returns an operator. Addresses returns the control nodes' addresses for
-// operators in the order in which they are tried.
+// New returns an operator. The function addresses returns the operator addresses of the
+// control nodes in the order in which they are tried.
 func New(name, token string, addresses func() []string, log *eventlog.Writer) *Operator {
 	return &Operator{
 		name: name, token: token, addresses: addresses, log: log,
@@ -47,11 +47,11 @@
 	}
 }
 
-// errNoAnswer means that the result of a send is unknown.
+// errNoAnswer means that the result of an attempt is unknown.
 var errNoAnswer = errors.New("no definite answer")
 
-// Send sends the operation to one node after the other until one answers
-// definitely, or ctx ends.
+// Send sends the operation to one node after the other until a node gives a definite answer
+// or ctx ends.
 func (o *Operator) Send(ctx context.Context, operation Operation) (Answer, error) {
 	start := time.Now()
 	var answer Answer
@@ -61,7 +61,7 @@
 		return err
 	})
 	if err != nil {
-		return Answer{}, fmt.Errorf("order %s: %w", operation.ID, err)
+		return Answer{}, fmt.Errorf("operation %s: %w", operation.ID, err)
 	}
 	answer.Took = time.Since(start)
 	return answer, nil
@@ -86,8 +86,8 @@
 	}
 }
 
-// SendTo sends the operation once to one node. An error means that its result is
-// unknown.
+// SendTo sends the operation once to one node. An error means that the result of the
+// operation is unknown.
 func (o *Operator) SendTo(ctx context.Context, address string, operation Operation) (Answer, error) {
 	o.logSent(operation, address)
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
@@ -105,7 +105,8 @@
 	return answer, nil
 }
 
-// SendAndLose sends the operation to one node and loses the answer.
+// SendAndLose sends the operation to one node and ignores the answer, to simulate a lost
+// answer.
 func (o *Operator) SendAndLose(ctx context.Context, address string, operation Operation) {
 	o.logSent(operation, address)
 	ctx, cancel := context.WithTimeout(ctx, lostAnswerTimeout)
--- a/internal/fleet/operator/operator_test.go
+++ b/internal/fleet/operator/operator_test.go
@@ -18,8 +18,8 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// fakeNode answers operations in turn, the last answer again and again, and remembers
-// the ids.
+// fakeNode gives its answers in order, repeats the last one, and records the operation IDs
+// that it receives.
 type fakeNode struct {
 	mutex   sync.Mutex
 	answers []api.OperationResult
@@ -61,9 +61,9 @@
 	return server.Listener.Addr().String()
 }
 
-// operatorOf returns an operator of the nodes and a function that returns the outcomes
-// logged so far. The latter closes the log.
-func operatorOf(t *testing.T, addresses ...string) (*Operator, func() []string) {
+// newTestOperator returns an operator for the nodes and a function that closes the log and
+// returns the outcomes logged.
+func newTestOperator(t *testing.T, addresses ...string) (*Operator, func() []string) {
 	t.Helper()
 	folder := t.TempDir()
 	log, err := eventlog.Open(filepath.Join(folder, "log.jsonl"), "test")
@@ -89,7 +89,7 @@
 	return New("operator-1", "token", func() []string { return addresses }, log), outcomes
 }
 
-func TestSendRepeatsOneIDUntilADefiniteAnswer(t *testing.T) {
+func TestSendRetriesWithSameIDUntilDefiniteAnswer(t *testing.T) {
 	pending := api.OperationResult{Error: &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeUnknown, Retry: true}}
 	refused := api.OperationResult{Error: &api.Error{Code: api.CodeOverloaded, Outcome: api.OutcomeRefused}}
 	accepted := api.OperationResult{Accepted: true, Version: 7, Serial: 40}
@@ -99,7 +99,7 @@
 		accepted bool
 		outcomes []string
 	}{
-		{"accepted at once", []api.OperationResult{accepted}, true, []string{checker.OperationUnknown, checker.OperationAccepted}},
+		{"accepted immediately", []api.OperationResult{accepted}, true, []string{checker.OperationUnknown, checker.OperationAccepted}},
 		{"refused", []api.OperationResult{refused}, false, []string{checker.OperationUnknown, checker.OperationRefused}},
 		{
 			"pending, then accepted",
@@ -111,18 +111,18 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			node := &fakeNode{answers: test.answers}
-			operator, outcomes := operatorOf(t, startBroken(t), node.start(t))
+			operator, outcomes := newTestOperator(t, startBroken(t), node.start(t))
 			operation := operator.Configuration(6, "document")
 			answer, err := operator.Send(t.Context(), operation)
 			if err != nil || answer.Accepted != test.accepted {
 				t.Fatalf("answer %+v, error %v", answer, err)
 			}
 			if test.accepted && (answer.Version != 7 || answer.Serial != 40) {
-				t.Errorf("answer %+v", answer)
+				t.Errorf("answer %+v, want version 7 and serial 40", answer)
 			}
 			for _, id := range node.ids {
 				if id != operation.ID {
-					t.Errorf("sent with id %s, not %s", id, operation.ID)
+					t.Errorf("sent with ID %s, want %s", id, operation.ID)
 				}
 			}
 			if difference := cmp.Diff(test.outcomes, outcomes()); difference != "" {
@@ -133,18 +133,18 @@
 }
 
 func TestSendEndsWithItsContext(t *testing.T) {
-	operator, _ := operatorOf(t, startBroken(t))
+	operator, _ := newTestOperator(t, startBroken(t))
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := operator.Send(ctx, operator.Evacuation("north-1", false)); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want deadline exceeded", err)
 	}
 }
 
 func TestOperationsHaveDifferentIDs(t *testing.T) {
-	operator, _ := operatorOf(t)
+	operator, _ := newTestOperator(t)
 	first, second := operator.Evacuation("north-1", false), operator.Evacuation("north-1", false)
 	if first.ID == second.ID {
-		t.Errorf("two operations with id %s", first.ID)
+		t.Errorf("two operations have the same ID %s", first.ID)
 	}
 }
--- a/internal/fleet/operator/read.go
+++ b/internal/fleet/operator/read.go
@@ -8,13 +8,13 @@
 	"github.com/deckpulley/deckpulley/internal/eventlog"
 )
 
-// linearizable is the query of a read that no older state may answer.
+// linearizable is the query string of a linearizable read, which never returns stale state.
 const linearizable = "?linearizable=true"
 
-// zoneOpen is the detail of a zone in the event log that is not evacuated.
+// zoneOpen is the event detail of a zone that is not evacuated.
 const zoneOpen = "open"
 
-// ReadConfiguration reads the configuration in force back and logs it.
+// ReadConfiguration reads the configuration in force and logs it.
 func (o *Operator) ReadConfiguration(ctx context.Context) (api.ConfigurationAnswer, error) {
 	var answer api.ConfigurationAnswer
 	address, err := o.get(ctx, api.PathConfiguration+linearizable, &answer)
@@ -28,7 +28,7 @@
 	return answer, nil
 }
 
-// ReadZones reads the zones back and logs them.
+// ReadZones reads the state of the zones and logs it.
 func (o *Operator) ReadZones(ctx context.Context) (api.ZonesAnswer, error) {
 	var answer api.ZonesAnswer
 	address, err := o.get(ctx, api.PathZones+linearizable, &answer)
@@ -45,21 +45,21 @@
 	return answer, nil
 }
 
-// ReadStatus asks the node at address for its status.
+// ReadStatus reads the status of the node at address.
 func (o *Operator) ReadStatus(ctx context.Context, address string) (api.StatusAnswer, error) {
 	var answer api.StatusAnswer
 	err := o.getFrom(ctx, address, api.PathStatus, &answer)
 	return answer, err
 }
 
-// ReadMembers asks any node for the members.
+// ReadMembers reads the cluster members from any control node.
 func (o *Operator) ReadMembers(ctx context.Context) (api.MembersAnswer, error) {
 	var answer api.MembersAnswer
 	_, err := o.get(ctx, api.PathMembers, &answer)
 	return answer, err
 }
 
-// ReadReplicas asks any node for the replicas.
+// ReadReplicas reads the replicas from any control node.
 func (o *Operator) ReadReplicas(ctx context.Context) (api.ReplicasAnswer, error) {
 	var answer api.ReplicasAnswer
 	_, err := o.get(ctx, api.PathReplicas, &answer)
--- a/internal/fleet/platform.go
+++ b/internal/fleet/platform.go
@@ -12,11 +12,11 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/process"
 )
 
-// platformName names the process of the platform stand-in and its logs.
+// platformName is the name of the platform stand-in's process and of its logs.
 const platformName = "platform"
 
-// writeInventory writes the platform's list of replicas and, for the checker, the zones
-// and regions of replicas and the addresses of control nodes.
+// writeInventory writes the replica list for the platform. For the checker, it logs the
+// zones and regions of the replicas and the addresses of the control nodes.
 func (f *Fleet) writeInventory() error {
 	var list api.ReplicaList
 	for _, replica := range f.replicas {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// logControl writes the address of a control node for operators to the event log.
+// logControl records the operator address of a control node in the event log.
 func (f *Fleet) logControl(node *Node) {
 	f.Log.Write(eventlog.Event{
 		Kind: eventlog.Inventory, Class: checker.TargetControl, Target: node.Name, Gateway: node.OperatorAddress,
--- a/internal/fleet/process/process.go
+++ b/internal/fleet/process/process.go
@@ -1,6 +1,6 @@
-// Package process starts, suspends, resumes and ends the processes of a fleet. It
-// signals only processes that it started, by their id. The kernel kills them when
-// the program that started them ends, for whatever reason.
+// Package process starts, suspends, resumes and terminates the processes of a fleet. It
+// signals only processes that it started, by their process ID. The kernel kills them when
+// the parent program ends for any reason.
 package process
 
 import (
@@ -18,10 +18,11 @@
 type Command struct {
 	// Name identifies the process in errors.
 	Name string
-	// Path is the file of the program.
+	// Path is the path of the executable.
 	Path      string
 	Arguments []string
-	// Environment is added to that of this program, as NAME=value.
+	// Environment holds variables, as NAME=value, that are added to the environment of this
+	// program.
 	Environment []string
 	// LogPath is the file to which standard output and standard error are appended.
 	LogPath string
@@ -38,9 +39,9 @@
 	exitErr error
 }
 
-// startThread returns the queue of a goroutine that starts processes on one thread
-// of its own. The kernel sends the parent-death signal when the thread that started
-// the child ends, so that thread must live as long as the program.
+// startThread returns the queue of a goroutine that starts all processes on one dedicated
+// thread. The kernel sends the parent-death signal when the thread that started the child
+// ends, so this thread must live as long as the program.
 var startThread = sync.OnceValue(func() chan<- func() {
 	starts := make(chan func())
 	go func() {
@@ -52,7 +53,7 @@
 	return starts
 })
 
-// Start starts the command in a process group of its own.
+// Start starts the command in a new process group.
 func Start(command Command) (*Process, error) {
 	output, err := os.OpenFile(command.LogPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -81,10 +82,10 @@
 	close(p.exited)
 }
 
-// PID returns the process id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is still running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.exited:
@@ -94,14 +95,15 @@
 	}
 }
 
-// ExitError returns how the process failed; nil while it runs and after exit status 0.
+// ExitError returns the error with which the process exited. It is nil while the process is
+// running and after exit status 0.
 func (p *Process) ExitError() error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.exitErr
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has ended.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// Freeze suspends the process, which cannot notice or prevent it.
+// Freeze suspends the process with SIGSTOP, which it can neither detect nor block.
 func (p *Process) Freeze() error {
 	p.mutex.Lock()
 	p.frozen = true
@@ -133,9 +135,9 @@
 	return p.frozen
 }
 
-// Stop terminates the process and kills it if it has not ended within timeout. It
-// reports whether the process ended gracefully. A frozen process, which cannot, is
-// killed at once.
+// Stop sends SIGTERM to the process and kills it if it has not ended within timeout. It
+// reports whether the process ended gracefully. A frozen process cannot handle SIGTERM and
+// is killed immediately.
 func (p *Process) Stop(timeout time.Duration) (graceful bool, err error) {
 	if p.Frozen() {
 		return false, p.Kill()
@@ -153,8 +155,8 @@
 	}
 }
 
-// signal sends a signal to this process alone, not to its group. It is no error if
-// the process has ended.
+// signal sends a signal to this process only, not to its group. If the process has already
+// ended, it returns nil.
 func (p *Process) signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if err == nil || errors.Is(err, os.ErrProcessDone) {
--- a/internal/fleet/process/process_test.go
+++ b/internal/fleet/process/process_test.go
@@ -17,7 +17,8 @@
 	return p
 }
 
-// waitForOutput waits until a process has written to its log.
+// waitForOutput waits until the process has written to its log, which shows that it is
+// running.
 func waitForOutput(t *testing.T, logPath string) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; {
@@ -25,13 +26,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("did not begin")
+			t.Fatal("the process wrote no output within 10 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestStopIsGracefulOrKills(t *testing.T) {
+func TestStopTerminatesGracefullyOrKills(t *testing.T) {
 	tests := []struct {
 		name     string
 		script   string
@@ -72,12 +73,12 @@
 	p := startShell(t, "-c", "while :; do sleep 1; done")
 	usage, err := p.ReadUsage()
 	if err != nil || usage.Resident == 0 {
-		t.Errorf("usage %+v, %v", usage, err)
+		t.Errorf("usage %+v, error %v; want resident memory above 0", usage, err)
 	}
 }
 
 func TestStartOfMissingProgramFails(t *testing.T) {
 	if _, err := Start(Command{Name: "absent", Path: "/nonexistent/program", LogPath: filepath.Join(t.TempDir(), "log")}); err == nil {
-		t.Error("no error")
+		t.Error("starting a missing program returned no error")
 	}
 }
--- a/internal/fleet/process/usage.go
+++ b/internal/fleet/process/usage.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Usage holds what the kernel counts for a process.
+// Usage holds the resource usage of a process as reported by the kernel.
 type Usage struct {
 	// Resident is the resident memory in bytes.
 	Resident int64
-	// CPU is the user and system time since the start.
+	// CPU is the user and system time since the start of the process.
 	CPU time.Duration
-	// Read and Written are the bytes of read and write system calls since the start,
-	// network included.
+	// Read and Written are the bytes transferred by read and write system calls since the
+	// start, including network traffic.
 	Read, Written int64
 }
 
 // clockTicksPerSecond is the unit of CPU times in /proc.
 const clockTicksPerSecond = 100
 
-// Indexes of fields of /proc/<pid>/stat, counted after the command's name.
+// Indexes of fields in /proc/<pid>/stat, starting after the command name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
@@ -35,7 +35,7 @@
 // started.
 const statmResident = 1
 
-// ReadUsage reads the present usage from /proc. It fails once the process has ended.
+// ReadUsage reads the current usage from /proc. It fails if the process has ended.
 func (p *Process) ReadUsage() (Usage, error) {
 	usage, err := readUsage(filepath.Join("/proc", strconv.Itoa(p.PID())))
 	if err != nil {
@@ -73,7 +73,7 @@
 	nameEnd := bytes.LastIndexByte(stat, ')') // the name may contain spaces
 	fields := strings.Fields(string(stat[nameEnd+1:]))
 	if len(fields) <= statSystemTime {
-		return 0, fmt.Errorf("unexpected stat of %d fields", len(fields))
+		return 0, fmt.Errorf("/proc stat has only %d fields", len(fields))
 	}
 	var ticks int64
 	for _, field := range []int{statUserTime, statSystemTime} {
@@ -86,11 +86,11 @@
 	return time.Duration(ticks) * time.Second / clockTicksPerSecond, nil
 }
 
-// parseResident returns bytes.
+// parseResident returns the resident memory in bytes.
 func parseResident(statm []byte) (int64, error) {
 	fields := strings.Fields(string(statm))
 	if len(fields) <= statmResident {
-		return 0, fmt.Errorf("unexpected statm of %d fields", len(fields))
+		return 0, fmt.Errorf("/proc statm has only %d fields", len(fields))
 	}
 	pages, err := strconv.ParseInt(fields[statmResident], 10, 64)
 	if err != nil {
@@ -99,7 +99,8 @@
 	return pages * int64(os.Getpagesize()), nil
 }
 
-// parseCounts returns bytes; a count that is missing or malformed is 0.
+// parseCounts returns the numbers of bytes read and written. A missing or malformed count
+// is 0.
 func parseCounts(counts []byte) (read, written int64) {
 	for _, line := range strings.Split(string(counts), "\n") {
 		name, value, ok := strings.Cut(line, ": ")
--- a/internal/fleet/profile.go
+++ b/internal/fleet/profile.go
@@ -11,8 +11,8 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// Profile returns the deployment's traffic in the names of its configuration: regions,
-// homes, client groups, routes and services.
+// Profile returns the deployment's traffic profile, with the regions, homes, client groups,
+// routes and services named as in its configuration.
 func (d Deployment) Profile() (*workload.Profile, error) {
 	profile, err := workload.ByName(d.Name)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return slices.Sorted(maps.Keys(values))
 }
 
-// clientPrefix returns the part of the client groups' names before that of a region.
+// clientPrefix returns the prefix that precedes the region name in the names of client
+// groups.
 func clientPrefix(document configuration.Document, regions []RegionPlan) (string, error) {
 	for _, name := range sortedNames(document.Clients) {
 		for _, plan := range regions {
@@ -60,7 +61,8 @@
 	return "", errors.New("no client group is named after a region")
 }
 
-// routeOfClass returns the model and the service of the first route of a class.
+// routeOfClass returns the model and the service of the first route, by model name, of the
+// given class.
 func routeOfClass(document configuration.Document, class string) (model, service string, err error) {
 	for _, name := range sortedNames(document.Routes) {
 		if document.Routes[name].Class == class {
--- a/internal/fleet/relay/forward.go
+++ b/internal/fleet/relay/forward.go
@@ -11,8 +11,8 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
-// forward serves one connection from its client to the target. It dials the target
-// once both directions are open, since a handshake needs both.
+// forward relays one client connection to the target. It dials the target only once both
+// directions are open, because a TCP handshake needs both.
 func (n *Network) forward(client net.Conn, target string, outbound, inbound *gate) {
 	defer n.tasks.Done()
 	defer client.Close()
@@ -44,7 +44,7 @@
 	pump(client, server, inbound)
 	writers.Wait()
 	cancel()
-	closeBoth() // ends the readers
+	closeBoth() // unblocks the readers
 	readers.Wait()
 }
 
@@ -56,12 +56,12 @@
 	end streamEnd
 }
 
-// streamEnd says whether and how a direction ends with a chunk.
+// streamEnd describes whether and how a direction of a connection ends with a chunk.
 type streamEnd int
 
 const (
 	notEnded streamEnd = iota
-	// closedCleanly ends this direction alone.
+	// closedCleanly ends only this direction.
 	closedCleanly
 	// broken ends the whole connection.
 	broken
@@ -69,12 +69,12 @@
 
 const (
 	chunkBytes = 32 << 10
-	// chunksInFlight bounds the data in flight in one direction. Beyond it the sender
-	// waits, as with a full TCP window.
+	// chunksInFlight limits the data in flight in one direction. When the limit is reached,
+	// the sender blocks, as with a full TCP window.
 	chunksInFlight = 64
 )
 
-// readChunks reads one direction until it ends, and closes chunks.
+// readChunks reads one direction until it ends, then closes the channel chunks.
 func readChunks(ctx context.Context, from net.Conn, chunks chan<- chunk, gate *gate) {
 	defer close(chunks)
 	for {
@@ -98,7 +98,7 @@
 	return broken
 }
 
-// writeChunks delivers one direction, each chunk once it is due and the gate is
+// writeChunks writes the chunks of one direction, each as soon as it is due and the gate is
 // open. It calls abort if the connection is broken.
 func writeChunks(ctx context.Context, abort context.CancelFunc, to net.Conn, chunks <-chan chunk, gate *gate) {
 	for next := range chunks {
@@ -136,7 +136,8 @@
 	return wait.Sleep(ctx, remaining)
 }
 
-// closeWrite closes one direction of a connection, or all of one that cannot.
+// closeWrite closes the write side of a connection. If the connection does not support this,
+// it closes the whole connection.
 func closeWrite(connection net.Conn) error {
 	if half, ok := connection.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/fleet/relay/gate.go
+++ b/internal/fleet/relay/gate.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// gate is the state of one direction between two nodes.
+// gate controls one direction of traffic between two nodes: whether it is blocked and by how
+// much it is delayed.
 type gate struct {
 	mutex  sync.Mutex
 	delay  time.Duration
@@ -52,7 +53,7 @@
 	return g.delay
 }
 
-// wait returns nil once the gate is open, or the error of ctx.
+// wait blocks until the gate is open. It returns the error of ctx if ctx ends first.
 func (g *gate) wait(ctx context.Context) error {
 	g.mutex.Lock()
 	opened := g.opened
--- a/internal/fleet/relay/relay.go
+++ b/internal/fleet/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay forwards TCP connections between the processes of a fleet so that a
-// scenario can cut, delay and heal the links between them, each direction
-// separately. A cut link loses nothing and reports nothing: bytes, new connections
-// and closes wait until the link is healed, as packets do that are retransmitted.
+// Package relay forwards TCP connections between the processes of a fleet so that a scenario
+// can cut, delay and heal each direction of the links between them. A cut link neither loses
+// data nor reports errors: bytes, new connections and connection closes are held back until
+// the link is healed, like packets that are retransmitted until they arrive.
 package relay
 
 import (
@@ -14,7 +14,7 @@
 
 // Network holds the relays of one fleet. Its methods are safe for concurrent use.
 type Network struct {
-	context context.Context //nolint:containedctx // ends with the network: its connections outlast every call
+	context context.Context //nolint:containedctx // canceled by Close; connections outlive the calls that open them
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup // listeners and connections
 
@@ -35,9 +35,9 @@
 	return &Network{context: ctx, cancel: cancel, gates: map[direction]*gate{}, links: map[direction]map[string]string{}}
 }
 
-// Link opens a relay on host for connections that node from dials to target, an
-// address of node to. It returns the relay's address, which is the same for each
-// call with the same nodes and target.
+// Link opens a relay on host for the connections that the node named from dials to target,
+// which is an address of the node named to. It returns the relay's address. Repeated calls
+// with the same nodes and target return the same address.
 func (n *Network) Link(host, from, to, target string) (string, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -70,14 +70,14 @@
 	return g
 }
 
-// Cut blocks everything that goes from one node to the other until Heal.
+// Cut blocks all traffic from one node to the other until Heal is called.
 func (n *Network) Cut(from, to string) { n.gate(from, to).close() }
 
-// Heal delivers what a cut has blocked and everything after it.
+// Heal delivers the traffic that Cut has blocked and unblocks the direction.
 func (n *Network) Heal(from, to string) { n.gate(from, to).open() }
 
-// Delay delays everything that goes from one node to the other from now on. It
-// replaces an earlier delay.
+// Delay sets the delay of the traffic from one node to the other. It replaces the previous
+// delay and does not affect data that is already in flight.
 func (n *Network) Delay(from, to string, delay time.Duration) { n.gate(from, to).setDelay(delay) }
 
 func (n *Network) gate(from, to string) *gate {
@@ -86,7 +86,7 @@
 	return n.gateLocked(direction{from: from, to: to})
 }
 
-// Close ends every relay and waits until all of its goroutines have ended.
+// Close closes all relays and connections and waits until their goroutines have ended.
 func (n *Network) Close() {
 	n.cancel()
 	n.mutex.Lock()
--- a/internal/fleet/relay/relay_test.go
+++ b/internal/fleet/relay/relay_test.go
@@ -15,11 +15,11 @@
 
 const (
 	readTimeout = 10 * time.Second
-	// quietTime is how long a cut link is watched for a byte that must not come.
+	// quietTime is how long a test checks that no byte arrives through a cut link.
 	quietTime = 50 * time.Millisecond
 )
 
-// startEcho returns the address of a server that sends back all that it receives.
+// startEcho starts an echo server and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +103,7 @@
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(quietTime))
 	if _, err := c.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.t.Fatalf("read through a cut: %v", err)
+		c.t.Fatalf("read from a cut link: error %v, want a deadline error", err)
 	}
 }
 
@@ -136,7 +136,7 @@
 	c.send("late")
 	c.expect("late")
 	if took := time.Since(start); took < delay {
-		t.Errorf("answer after %v through a delay of %v", took, delay)
+		t.Errorf("answer after %v, before the delay of %v", took, delay)
 	}
 }
 
@@ -148,7 +148,7 @@
 	c.expect("last")
 	c.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("read after the half-close: error %v, want EOF", err)
 	}
 }
 
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -7,23 +7,23 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/process"
 )
 
-// Replica is one replica stand-in of the fleet.
+// Replica is a replica stand-in of the fleet.
 type Replica struct {
 	ID      string
 	Service string
-	// Kind is that of its service.
+	// Kind is the kind of the replica's service: KindModel or KindWeb.
 	Kind    string
 	Zone    string
 	Region  string
 	Address string
-	// Cold makes its next start a cold one.
+	// Cold makes the replica start cold the next time.
 	Cold bool
 
-	number  int              // from 1 on, part of its seed
+	number  int              // starts at 1; part of the replica's seed
 	process *process.Process // nil before the first start
 }
 
-// Running reports whether the replica's process runs.
+// Running reports whether the replica's process is running.
 func (r *Replica) Running() bool { return r.process != nil && r.process.Running() }
 
 func (f *Fleet) newReplica(id, kind string, plan RegionPlan) (*Replica, error) {
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// replicaSeeds is the number of seeds of replicas for each seed of a fleet.
+// replicaSeeds is the number of replica seeds derived from each fleet seed.
 const replicaSeeds = 1000
 
 func (f *Fleet) startReplica(replica *Replica) error {
--- a/internal/fleet/secrets.go
+++ b/internal/fleet/secrets.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// secretBytes is the length of keys and tokens.
+// secretBytes is the length of keys and tokens before hex encoding.
 const secretBytes = 32
 
 func randomSecret() string {
@@ -17,8 +17,8 @@
 	return hex.EncodeToString(secret)
 }
 
-// writeSecrets writes the key that the nodes share and the tokens of the operator and
-// of the platform.
+// writeSecrets writes the key shared by the nodes and the tokens of the operator and the
+// platform.
 func (f *Fleet) writeSecrets() error {
 	folder := filepath.Join(f.options.Folder, secretFolder)
 	f.keyPath = filepath.Join(folder, "keys")
--- a/internal/fleet/wait/wait.go
+++ b/internal/fleet/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for a condition, and no longer than a context lasts.
+// Package wait waits for a duration or a condition until a context ends.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for the given time. It returns the error of ctx if that ends first.
+// Sleep waits for the given duration. It returns the error of ctx if ctx ends first.
 func Sleep(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -18,9 +18,9 @@
 	}
 }
 
-// Poll calls condition until it returns nil, with a pause of interval after each call
-// that does not. If ctx ends first, it returns the last error of condition, which is
-// called at least once.
+// Poll calls condition until it returns nil, and waits for interval after each failed call.
+// If ctx ends first, it returns the last error of condition. It calls condition at least
+// once.
 func Poll(ctx context.Context, interval time.Duration, condition func() error) error {
 	for {
 		err := condition()
--- a/internal/fleet/wait/wait_test.go
+++ b/internal/fleet/wait/wait_test.go
@@ -11,10 +11,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := Sleep(ctx, time.Hour); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want context canceled", err)
 	}
 	if err := Sleep(t.Context(), time.Nanosecond); err != nil {
-		t.Errorf("error %v after the time", err)
+		t.Errorf("error %v after the duration elapsed, want none", err)
 	}
 }
 
@@ -29,7 +29,7 @@
 		return nil
 	})
 	if err != nil || calls != 3 {
-		t.Errorf("%d calls, error %v", calls, err)
+		t.Errorf("%d calls, error %v; want 3 calls and no error", calls, err)
 	}
 }
 
@@ -40,6 +40,6 @@
 	calls := 0
 	err := Poll(ctx, time.Hour, func() error { calls++; return errNotYet })
 	if !errors.Is(err, errNotYet) || calls != 1 {
-		t.Errorf("%d calls, error %v", calls, err)
+		t.Errorf("%d calls, error %v; want 1 call and the error of the condition", calls, err)
 	}
 }
