--- a/internal/scenario/action.go
+++ b/internal/scenario/action.go
@@ -1,18 +1,18 @@
 package scenario
 
-// Action is what a step does.
+// Action is the kind of a step.
 type Action string
 
-// Actions on nodes. On a zone or region they concern all nodes in it.
+// Actions on nodes. If the target is a zone or region, they affect all nodes in it.
 const (
 	Kill    Action = "kill"
 	Start   Action = "start"
 	Stop    Action = "stop"    // graceful shutdown
-	Restart Action = "restart" // rolling: stop, start and wait, one node after the other
+	Restart Action = "restart" // rolling: stop one node, start it, wait until it is ready, then the next
 	Freeze  Action = "freeze"
 	Thaw    Action = "thaw"
-	Wipe    Action = "wipe"    // kill, and empty the data folder
-	Replace Action = "replace" // kill, and start a new control node in its zone
+	Wipe    Action = "wipe"    // kill, and delete the contents of the data folder
+	Replace Action = "replace" // kill, and start a new control node in the same zone
 	Cut     Action = "cut"
 	Heal    Action = "heal"
 	Delay   Action = "delay"
@@ -23,39 +23,39 @@
 	ReplicaFault Action = "replica_fault"
 	Drain        Action = "drain" // the replica reports that it is draining
 	Undrain      Action = "undrain"
-	ListDrain    Action = "list_drain" // the platform lists it as draining
+	ListDrain    Action = "list_drain" // the platform lists the replica as draining
 	ListUndrain  Action = "list_undrain"
 )
 
 // Actions of operators.
 const (
 	Configure    Action = "configure"
-	ConfigureBad Action = "configure_bad" // a configuration that validation refuses
-	Outrace      Action = "outrace"       // a configuration on an old base version
-	Race         Action = "race"          // two operators on one base version
-	LoseAnswer   Action = "lose_answer"   // send, lose the answer, resend to every node
+	ConfigureBad Action = "configure_bad" // send a configuration that validation rejects
+	Outrace      Action = "outrace"       // send a configuration with an outdated base version
+	Race         Action = "race"          // two operators send configurations with the same base version
+	LoseAnswer   Action = "lose_answer"   // send a configuration, lose the answer, resend to every node
 	Resend       Action = "resend"        // resend the latest operations to every node
 	Evacuate     Action = "evacuate"
 	Withdraw     Action = "withdraw"
-	Fill         Action = "fill" // many operations that change nothing but the log
-	Read         Action = "read" // read configuration and zones back
+	Fill         Action = "fill" // many operations that have no effect except to extend the log
+	Read         Action = "read" // read the configuration and the zones back
 )
 
 // Actions on the load.
 const (
 	Crowd Action = "crowd" // additional load
-	Calm  Action = "calm"  // the end of it
+	Calm  Action = "calm"  // end the additional load
 	Swing Action = "swing"
 	Move  Action = "move" // clients move from one region to another
 	Wait  Action = "wait"
 )
 
-// required says which fields of a step an action needs.
+// required lists the step fields that an action requires.
 type required struct {
 	target, to, fault, factor, count, length bool
 }
 
-// requirements has an entry for each action.
+// requirements holds the required fields of every valid action.
 var requirements = map[Action]required{
 	Kill: {target: true}, Start: {target: true}, Stop: {target: true}, Restart: {target: true},
 	Freeze: {target: true}, Thaw: {target: true}, Wipe: {target: true}, Replace: {target: true},
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -9,8 +9,8 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
-// performLink cuts, heals or delays the links between the target and another one, or
-// between the target and everything else.
+// performLink cuts, heals or delays the links between the target and step.To, or between the
+// target and all other nodes and replicas if step.To is empty.
 func (r *runner) performLink(ctx context.Context, step Step, on target) error {
 	others, err := r.otherEnds(ctx, step, on)
 	if err != nil {
@@ -25,7 +25,7 @@
 	if step.For == 0 || step.Do == Heal {
 		return nil
 	}
-	_ = wait.Sleep(ctx, time.Duration(step.For)) // healed also if ctx ends
+	_ = wait.Sleep(ctx, time.Duration(step.For)) // heal even if ctx ends
 	r.logFault(checker.FaultHeal, labeled)
 	heal := step
 	heal.Do, heal.Delay = Heal, 0
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// setLinks changes the links between a target and the others, in both directions
-// unless the step is one-way.
+// setLinks changes the links between the target and the other nodes and replicas, in both
+// directions unless the step is one-way.
 func (r *runner) setLinks(on target, others []string, step Step) {
 	for _, node := range on.nodes {
 		for _, other := range others {
@@ -46,7 +46,7 @@
 	}
 }
 
-// setLink changes one direction of a link. Healing also ends a delay.
+// setLink changes one direction of a link. Heal also removes a delay.
 func (r *runner) setLink(from, to string, step Step) {
 	switch step.Do {
 	case Cut:
@@ -59,8 +59,8 @@
 	}
 }
 
-// otherEnds returns the names of the remote ends: those of step.To, or every node and
-// replica outside of the target.
+// otherEnds returns the names of the nodes and replicas at the remote end of the links: those
+// of step.To, or all that are not part of the target.
 func (r *runner) otherEnds(ctx context.Context, step Step, on target) ([]string, error) {
 	inside := map[string]bool{}
 	for _, node := range on.nodes {
@@ -79,7 +79,7 @@
 	return outside(r.fleet.Nodes(), r.fleet.Replicas(), inside), nil
 }
 
-// outside returns the names of the nodes and replicas that are not inside.
+// outside returns the names of the nodes and replicas that are not in the set inside.
 func outside(nodes []*fleet.Node, replicas []*fleet.Replica, inside map[string]bool) []string {
 	var names []string
 	for _, node := range nodes {
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -10,8 +10,8 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// load is what the callers of a run send: the ordinary load and, at times, a crowd
-// beside it. Its methods are safe for concurrent use.
+// load controls the request load of a run: the ordinary load and, temporarily, an additional
+// load called the crowd. Its methods are safe for concurrent use.
 type load struct {
 	pool    *caller.Pool
 	profile *workload.Profile // of the ordinary load
@@ -20,12 +20,12 @@
 	generators sync.WaitGroup
 
 	mutex         sync.Mutex
-	stopOrdinary  context.CancelFunc // nil before the ordinary load begins
-	stopAddition  context.CancelFunc // nil without a crowd
+	stopOrdinary  context.CancelFunc // nil before the ordinary load starts
+	stopCrowd     context.CancelFunc // nil without a crowd
 	generatorsRun int
 }
 
-// setOrdinary replaces the ordinary load. Without phases the load is constant.
+// setOrdinary starts or replaces the ordinary load. Without phases the load is constant.
 func (l *load) setOrdinary(ctx context.Context, phases workload.Scenario) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -35,29 +35,29 @@
 	l.stopOrdinary = l.generateLocked(ctx, l.profile, phases)
 }
 
-// addCrowd adds load beside the ordinary one, so that both together are factor times
-// the ordinary one. It replaces an earlier crowd.
+// addCrowd adds load so that the total is factor times the ordinary load. It replaces an
+// earlier crowd.
 func (l *load) addCrowd(ctx context.Context, factor float64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.stopAddition != nil {
-		l.stopAddition()
+	if l.stopCrowd != nil {
+		l.stopCrowd()
 	}
-	l.stopAddition = l.generateLocked(ctx, l.profile.Scale(factor-1), nil)
+	l.stopCrowd = l.generateLocked(ctx, l.profile.Scale(factor-1), nil)
 }
 
-// removeCrowd ends the load beside the ordinary one.
+// removeCrowd ends the additional load.
 func (l *load) removeCrowd() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.stopAddition != nil {
-		l.stopAddition()
-		l.stopAddition = nil
+	if l.stopCrowd != nil {
+		l.stopCrowd()
+		l.stopCrowd = nil
 	}
 }
 
-// generateLocked starts a generator with a name of its own, which keeps the ids of
-// its requests apart from those of others.
+// generateLocked starts a generator with a unique name, so that its request IDs differ from
+// those of other generators. The caller holds the lock.
 func (l *load) generateLocked(ctx context.Context, profile *workload.Profile, phases workload.Scenario) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	l.generatorsRun++
@@ -70,8 +70,8 @@
 	return cancel
 }
 
-// end ends all load and waits for the answers, for at most timeout. It reports
-// whether all requests have ended.
+// end stops the load and waits at most timeout for the answers. It reports whether all
+// requests have ended.
 func (l *load) end(timeout time.Duration) bool {
 	l.removeCrowd()
 	l.mutex.Lock()
--- a/internal/scenario/nodes.go
+++ b/internal/scenario/nodes.go
@@ -11,7 +11,7 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
-// Details of faults in the event log that the checker does not read.
+// Details of fault events that the checker does not evaluate.
 const (
 	detailStop    = "stop"
 	detailReplace = "replace"
@@ -44,8 +44,8 @@
 	return fmt.Errorf("unknown action %q", step.Do)
 }
 
-// forEachNode calls work for all nodes of a target at the same time, as one event hits
-// several machines, and waits for all calls.
+// forEachNode calls work concurrently for all nodes of a target, because a fault of a zone or
+// region affects all of its machines at the same time. It waits for all calls.
 func forEachNode(on target, work func(*fleet.Node) error) error {
 	ended := make(chan error, len(on.nodes))
 	for _, node := range on.nodes {
@@ -80,8 +80,8 @@
 	return errors.Join(failures...)
 }
 
-// restart restarts the nodes one after the other. Each is ready before the next one
-// stops.
+// restart restarts the nodes one after the other. It waits until a node is ready before it
+// stops the next one.
 func (r *runner) restart(ctx context.Context, on target) error {
 	for _, node := range on.nodes {
 		r.fleet.LogFault(detailStop, on.class, node.Name, "")
@@ -104,7 +104,7 @@
 	return r.fleet.WaitNodeReady(ctx, node)
 }
 
-// freeze freezes nodes, for the duration of the step if it has one.
+// freeze freezes nodes. If the step has a duration, it thaws them afterwards.
 func (r *runner) freeze(ctx context.Context, step Step, on target) error {
 	r.setFrozen(on, true)
 	r.logFault(checker.FaultFreeze, on)
@@ -114,7 +114,7 @@
 	if step.For == 0 {
 		return nil
 	}
-	_ = wait.Sleep(ctx, time.Duration(step.For)) // thawed also if ctx ends
+	_ = wait.Sleep(ctx, time.Duration(step.For)) // thaw even if ctx ends
 	return r.thaw(on)
 }
 
@@ -124,7 +124,7 @@
 	return forEachNode(on, r.fleet.ThawNode)
 }
 
-// replace replaces control nodes. The last target is then the successors.
+// replace replaces control nodes and makes their successors the last target.
 func (r *runner) replace(on target) error {
 	r.logFault(checker.FaultKill, on)
 	successors := target{class: on.class}
--- a/internal/scenario/operations.go
+++ b/internal/scenario/operations.go
@@ -35,8 +35,8 @@
 	return fmt.Errorf("unknown action %q", step.Do)
 }
 
-// newConfigurationLocked returns an operation with a document that differs from all
-// earlier ones, based on a version.
+// newConfigurationLocked returns an operation on the given base version, with a document that
+// differs from all earlier ones. The caller holds the lock configuring.
 func (r *runner) newConfigurationLocked(by *operator.Operator, base uint64) (operator.Operation, error) {
 	r.addedRoutes++
 	document, err := r.options.Deployment.WithRoute(fmt.Sprintf("extra-%d", r.addedRoutes))
@@ -46,8 +46,8 @@
 	return by.Configuration(base, document), nil
 }
 
-// configure sends a new configuration, first to the named node if there is one, then
-// to any.
+// configure sends a new configuration. If the target first is not empty, it sends it to that
+// node first and to any node if that fails.
 func (r *runner) configure(ctx context.Context, first string) error {
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
@@ -65,7 +65,7 @@
 		return err
 	}
 	if len(on.nodes) != 1 {
-		return fmt.Errorf("target: %s is not one node", first)
+		return fmt.Errorf("target: %s is not a single node", first)
 	}
 	answer, err := by.SendTo(ctx, on.nodes[0].OperatorAddress, operation)
 	if err != nil {
@@ -74,7 +74,8 @@
 	return r.acceptLocked(answer, err)
 }
 
-// acceptLocked stores the version of a configuration, which must have been accepted.
+// acceptLocked records the version of a new configuration. It fails if the configuration was
+// not accepted. The caller holds the lock configuring.
 func (r *runner) acceptLocked(answer operator.Answer, err error) error {
 	if err != nil {
 		return err
@@ -87,9 +88,9 @@
 	return nil
 }
 
-var errAccepted = errors.New("accepted, not refused")
+var errUnexpectedlyAccepted = errors.New("operation was accepted, want it refused")
 
-// configureBad sends a configuration that validation must refuse.
+// configureBad sends an invalid configuration, which validation must reject.
 func (r *runner) configureBad(ctx context.Context) error {
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
@@ -101,12 +102,12 @@
 	by := r.operators[0]
 	answer, err := r.send(ctx, by, by.Configuration(r.version, document))
 	if err == nil && answer.Accepted {
-		return errAccepted
+		return errUnexpectedlyAccepted
 	}
 	return err
 }
 
-// outrace sends a configuration based on the version before the present one, which
+// outrace sends a new configuration and then one that is based on the version before it, which
 // must be refused.
 func (r *runner) outrace(ctx context.Context) error {
 	if err := r.configure(ctx, ""); err != nil {
@@ -121,13 +122,13 @@
 	}
 	answer, err := r.send(ctx, by, outdated)
 	if err == nil && answer.Accepted {
-		return errAccepted
+		return errUnexpectedlyAccepted
 	}
 	return err
 }
 
-// race sends one configuration per operator, all based on one version, through
-// different nodes. One must be accepted.
+// race sends one configuration per operator concurrently through different nodes, all with the
+// same base version. Exactly one must be accepted.
 func (r *runner) race(ctx context.Context) error {
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
@@ -151,12 +152,12 @@
 		return err
 	}
 	if accepted != 1 {
-		return fmt.Errorf("%d operators won, not one", accepted)
+		return fmt.Errorf("%d of the concurrent configurations were accepted, want exactly one", accepted)
 	}
 	return nil
 }
 
-// sendAtOnce sends one operation by each operator at the same time.
+// sendAtOnce sends the operations concurrently, the i-th one by the i-th operator.
 func (r *runner) sendAtOnce(ctx context.Context, operations []operator.Operation) ([]operator.Answer, error) {
 	answers := make([]operator.Answer, len(operations))
 	failures := make([]error, len(operations))
@@ -172,8 +173,8 @@
 	return answers, errors.Join(failures...)
 }
 
-// loseAnswer sends a configuration, loses the answer and sends the same operation
-// again until it is answered, then to every node.
+// loseAnswer sends a configuration and ignores the answer. It resends the same operation until
+// it is answered, and then to every node.
 func (r *runner) loseAnswer(ctx context.Context) error {
 	r.configuring.Lock()
 	defer r.configuring.Unlock()
@@ -190,10 +191,10 @@
 	return r.sendEverywhere(ctx, by, operation)
 }
 
-// maximumResends is the number of operations that are sent again, the latest ones.
+// maximumResends is the maximum number of recent operations that resend sends again.
 const maximumResends = 10
 
-// resend sends the latest operations again, by another operator.
+// resend sends the most recent operations again to every node, by the second operator.
 func (r *runner) resend(ctx context.Context) error {
 	r.operationMutex.Lock()
 	operations := append([]operator.Operation(nil), r.operations[max(0, len(r.operations)-maximumResends):]...)
@@ -205,7 +206,8 @@
 	return errors.Join(failures...)
 }
 
-// sendEverywhere sends an operation to each running node until it answers.
+// sendEverywhere sends an operation to each running control node, repeatedly until the node
+// gives a definite answer.
 func (r *runner) sendEverywhere(ctx context.Context, by *operator.Operator, operation operator.Operation) error {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -214,7 +216,7 @@
 			continue
 		}
 		if err := sendUntilAnswered(ctx, by, node.OperatorAddress, operation); err != nil {
-			return fmt.Errorf("sending order %s again to %s: %w", operation.ID, node.Name, err)
+			return fmt.Errorf("resending operation %s to %s: %w", operation.ID, node.Name, err)
 		}
 	}
 	return nil
@@ -241,11 +243,11 @@
 	return nil
 }
 
-// fillSenders is the number of operations in flight.
+// fillSenders is the number of operations that fill sends concurrently.
 const fillSenders = 16
 
-// fill sends operations that withdraw an evacuation which does not exist. Each becomes
-// an entry of the replicated log, which a restart must replay.
+// fill sends operations that withdraw a nonexistent evacuation. Each adds an entry to the
+// replicated log, which a restarted node must replay.
 func (r *runner) fill(ctx context.Context, count int) error {
 	zone := r.options.Deployment.Regions[0].Zone
 	by := r.operators[1]
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Duration is a duration that is written with its unit, as "300ms" or "2s".
+// Duration is a duration that is written with its unit, such as "300ms" or "2s".
 type Duration time.Duration
 
 // UnmarshalYAML reads a duration, which must not be negative.
@@ -32,8 +32,8 @@
 	defaultTail = 5 * time.Second
 )
 
-// Parse reads a scenario. It refuses unknown fields and steps that lack what their
-// action needs, with an error that names the field.
+// Parse parses a scenario. It rejects unknown fields and steps without a field that their
+// action requires. The error names the field.
 func Parse(name string, text []byte) (*Scenario, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
@@ -62,14 +62,14 @@
 	return nil
 }
 
-// validate reports the first field that is missing or wrong.
+// validate returns an error for the first missing or invalid field.
 func (s Step) validate(in *Scenario) error {
 	needs, ok := requirements[s.Do]
 	if !ok {
 		return fmt.Errorf("do: unknown action %q", s.Do)
 	}
 	switch s.When {
-	case "", WhenReady, WhenRepaired, WhenSucceeded:
+	case "", WhenReady, WhenRepaired, WhenNewPrimary:
 	default:
 		return fmt.Errorf("when: unknown condition %q", s.When)
 	}
@@ -109,7 +109,7 @@
 // fileSuffix is the suffix of scenario files.
 const fileSuffix = ".yaml"
 
-// LoadAll reads every scenario of a folder, sorted by name.
+// LoadAll reads all scenarios of a folder. They are sorted by name.
 func LoadAll(folder fs.FS) ([]*Scenario, error) {
 	names, err := fs.Glob(folder, "*"+fileSuffix)
 	if err != nil {
--- a/internal/scenario/perform.go
+++ b/internal/scenario/perform.go
@@ -10,7 +10,7 @@
 	"github.com/deckpulley/deckpulley/internal/workload"
 )
 
-// perform performs one step.
+// perform executes the action of a step.
 func (r *runner) perform(ctx context.Context, step Step) error {
 	switch step.Do {
 	case Wait:
@@ -35,12 +35,12 @@
 	}
 }
 
-// logFault writes a fault of a target to the event log.
+// logFault records a fault of a target in the event log.
 func (r *runner) logFault(detail string, on target) {
 	r.fleet.LogFault(detail, on.class, on.label, on.region)
 }
 
-// swingPeriods is the number of periods in a swinging load.
+// swingPeriods is the number of periods of an oscillating load within a step.
 const swingPeriods = 2
 
 func (r *runner) performLoad(ctx context.Context, step Step) error {
@@ -52,7 +52,7 @@
 		if length == 0 {
 			return nil
 		}
-		_ = wait.Sleep(ctx, length) // ended also if ctx ends
+		_ = wait.Sleep(ctx, length) // end the crowd even if ctx ends
 		fallthrough
 	case Calm:
 		r.fleet.LogFault(checker.FaultCalm, checker.TargetLoad, "load", "")
--- a/internal/scenario/random.go
+++ b/internal/scenario/random.go
@@ -7,15 +7,17 @@
 	"github.com/deckpulley/deckpulley/internal/fleet"
 )
 
-// episode draws the steps of a fault and of its end, after which the fleet is healthy
-// again.
+// episode returns randomly drawn steps that inject a fault and end it, so that the fleet is
+// healthy afterwards.
 type episode func(random *rand.Rand, deployment fleet.Deployment) []Step
 
-// randomStream distinguishes the random faults from other random numbers of one seed.
+// randomStream selects a random sequence for the faults that differs from others with the
+// same seed.
 const randomStream = 0x72616e64
 
-// drawSteps draws episodes from the seed for the given time. Each ends before the next
-// begins, so that at most one control node, zone or region is lost at a time.
+// drawSteps draws episodes from the seed until they fill the given time. Each episode ends
+// before the next one starts, so that at most one control node, zone or region is lost at a
+// time.
 func drawSteps(spec Random, seed uint64, deployment fleet.Deployment) []Step {
 	random := rand.New(rand.NewPCG(seed, randomStream))
 	episodes := []episode{
@@ -50,7 +52,7 @@
 	return []string{targetPrimary, targetFollower}[random.IntN(2)]
 }
 
-// between draws a duration of at least from and less than to.
+// between draws a random duration in the half-open interval [from, to).
 func between(random *rand.Rand, from, to time.Duration) *Duration {
 	drawn := Duration(from + time.Duration(random.Int64N(int64(to-from))))
 	return &drawn
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -12,48 +12,49 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/process"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
 	Scenario   *Scenario
 	Deployment fleet.Deployment
-	// Programs is the folder of the built programs.
+	// Programs is the folder with the compiled programs.
 	Programs string
 	// Folder is the run folder. It must be new or empty.
 	Folder string
-	// Seed is that of load and faults.
+	// Seed is the seed of the load and of the faults.
 	Seed uint64
-	// LogLevel is the level of the daemons' logs.
+	// LogLevel is the log level of the nodes.
 	LogLevel string
-	// Environment is added to that of the daemons, as NAME=value.
+	// Environment holds additional environment variables of the nodes, as NAME=value.
 	Environment []string
-	// Progress receives one line for each step, without a newline; nil discards them.
+	// Progress receives progress messages without a trailing newline. If it is nil, they are
+	// discarded.
 	Progress func(format string, arguments ...any)
 }
 
-// NodeUsage is what the process of a node used.
+// NodeUsage is the resource usage of a node's process.
 type NodeUsage struct {
 	Name  string
 	Usage process.Usage
-	// Since is the time from the start of the load to the reading.
+	// Since is the time from the start of the load to the measurement.
 	Since time.Duration
 }
 
-// Result is the result of a run that came to its end.
+// Result is the result of a completed run.
 type Result struct {
 	Scenario   *Scenario
 	Deployment string
 	Folder     string
-	// Events are those of all event logs, ordered by their timestamps.
+	// Events holds the events of all event logs, ordered by timestamp.
 	Events []eventlog.Event
 	Report checker.Report
-	// Usage lists the nodes that ran at the end of the steps.
+	// Usage holds the usage of the nodes that were running after the last step.
 	Usage []NodeUsage
-	// Problems are the errors of steps that could not be done.
+	// Problems holds the errors of failed steps and of the end of the run.
 	Problems []error
 	Took     time.Duration
 }
 
-// Unexercised returns the promises that the scenario must exercise and did not.
+// Unexercised returns the promises that the scenario must exercise but did not.
 func (r *Result) Unexercised() []string {
 	var list []string
 	for _, promise := range r.Scenario.Promises {
@@ -65,14 +66,14 @@
 	return list
 }
 
-// Good reports whether the run broke no promise, did all its steps and exercised all
-// promises that it must.
+// Good reports whether the run broke no promise, had no failed step and exercised all required
+// promises.
 func (r *Result) Good() bool {
 	return !r.Report.Broken() && len(r.Problems) == 0 && len(r.Unexercised()) == 0
 }
 
-// Run runs one scenario on a fleet of its own and checks it. An error means that the
-// run did not come to its end; Result.Problems has the errors of steps.
+// Run runs a scenario on a new fleet and checks the event logs. An error means that the run was
+// not completed. The errors of individual steps are in Result.Problems.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Progress == nil {
 		options.Progress = func(string, ...any) {}
@@ -100,27 +101,27 @@
 	}, nil
 }
 
-// abort ends a run whose context has ended. The fleet ends first, so that requests in
-// flight end at once.
+// abort ends a run whose context has ended. It closes the fleet first, so that requests in
+// flight end immediately.
 func (r *runner) abort() error {
 	err := r.fleet.Close()
 	r.endLoad()
 	return errors.Join(err, r.close())
 }
 
-// finish ends the load, reads the state back, and then ends the fleet.
+// finish ends the load, reads the state back and closes the fleet.
 func (r *runner) finish(ctx context.Context) {
 	r.endLoad()
 	if err := r.read(ctx); err != nil {
-		r.addProblem(fmt.Errorf("reading back at the end: %w", err))
+		r.addProblem(fmt.Errorf("reading the state back after the load: %w", err))
 	}
 	if err := r.close(); err != nil {
-		r.addProblem(fmt.Errorf("ending the fleet: %w", err))
+		r.addProblem(fmt.Errorf("closing the fleet: %w", err))
 	}
 }
 
-// slowStartLimit is the first limit of a cold replica in the example configurations, in
-// requests.
+// slowStartLimit is the initial limit of concurrent requests of a cold replica in the example
+// configurations.
 const slowStartLimit = 1
 
 func checkerOptions(deployment fleet.Deployment) checker.Options {
@@ -131,7 +132,7 @@
 	return options
 }
 
-// usage reads the usage of the nodes that run.
+// usage reads the usage of the running nodes.
 func (r *runner) usage() []NodeUsage {
 	var list []NodeUsage
 	for _, node := range r.fleet.Nodes() {
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -11,7 +11,7 @@
 	"github.com/deckpulley/deckpulley/internal/fleet/wait"
 )
 
-// runner performs the steps of a scenario.
+// runner executes the steps of a scenario.
 type runner struct {
 	*session
 	scenario  *Scenario
@@ -20,8 +20,8 @@
 	background sync.WaitGroup // steps in the background
 
 	mutex sync.Mutex
-	// last is the target of the last step that had one, lost that of the last kill or
-	// wipe.
+	// last is the target of the most recent step that had one, and lost that of the most
+	// recent kill or wipe.
 	last, lost target
 	frozen     map[string]bool // by node
 	problems   []error
@@ -76,8 +76,8 @@
 	}
 }
 
-// runSteps begins the load, performs the steps and waits for the tail. It ends early
-// if ctx ends.
+// runSteps starts the load, executes the steps and waits for the tail. It returns early if ctx
+// ends.
 func (r *runner) runSteps(ctx context.Context) {
 	r.load.setOrdinary(ctx, nil)
 	steps := r.scenario.Steps
@@ -104,7 +104,7 @@
 	return fmt.Errorf("steps[%d] (%s %s): %w", index, step.Do, step.Target, err)
 }
 
-// startStep performs a step, in the background if it says so.
+// startStep executes a step, in the background if step.Background is set.
 func (r *runner) startStep(ctx context.Context, index int, step Step) {
 	perform := func() {
 		r.progress("%6.2f s  %s %s", time.Since(r.loadStart).Seconds(), step.Do, step.Target)
@@ -123,7 +123,7 @@
 	}()
 }
 
-// await waits for the time and then for the condition of a step.
+// await waits for the start time of a step and then for its condition.
 func (r *runner) await(ctx context.Context, step Step) error {
 	r.awaitTime(ctx, step)
 	if step.When == "" {
@@ -136,7 +136,8 @@
 	return r.awaitCondition(ctx, step.When, timeout)
 }
 
-// awaitTime returns early if ctx ends, which runSteps checks.
+// awaitTime waits for the start time of a step. It returns early if ctx ends, which runSteps
+// checks.
 func (r *runner) awaitTime(ctx context.Context, step Step) {
 	switch {
 	case step.At != nil:
@@ -161,9 +162,9 @@
 	return nil
 }
 
-var errNotYet = errors.New("not yet")
+var errConditionNotMet = errors.New("the condition does not hold yet")
 
-// check returns nil if a condition holds now.
+// check returns nil if the condition currently holds.
 func (r *runner) check(ctx context.Context, condition Condition) error {
 	switch condition {
 	case WhenReady:
@@ -174,13 +175,13 @@
 			return err
 		}
 		if !members.RepairDone {
-			return errNotYet
+			return errConditionNotMet
 		}
 		return nil
-	case WhenSucceeded:
+	case WhenNewPrimary:
 		primary, ok := r.knownPrimary(ctx)
 		if !ok || primary.Name == r.lastTarget().label {
-			return errNotYet
+			return errConditionNotMet
 		}
 		return nil
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,5 @@
-// Package scenario reads declarative fault scenarios and runs them on a fleet under
-// load. The words of the files are those of the constants' values; docs/FAULTS.md has
-// them.
+// Package scenario reads declarative fault scenarios and runs them on a fleet under load. The
+// values of the constants are the keywords of scenario files; docs/FAULTS.md describes them.
 package scenario
 
 import (
@@ -9,45 +8,47 @@
 	"github.com/deckpulley/deckpulley/internal/fleet"
 )
 
-// Scenario is the content of one file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
-	// Name is that of the file, without its suffix.
+	// Name is the file name without its suffix.
 	Name string `yaml:"-"`
-	// About says in one sentence what happens.
+	// About describes the scenario in one sentence.
 	About string `yaml:"about"`
 	// Short includes the scenario in the short suite.
 	Short bool `yaml:"short,omitempty"`
-	// Promises are those that the scenario must exercise.
+	// Promises lists the promises that the scenario must exercise.
 	Promises []string `yaml:"promises"`
 	// Load multiplies the deployment's request rate. The default is 1.
 	Load float64 `yaml:"load,omitempty"`
 	// Cold starts the model replicas cold.
 	Cold bool `yaml:"cold,omitempty"`
-	// Relays puts relays into the links between nodes, ReplicaRelays also into those
-	// from gateways to replicas. Links without relays can't be cut or delayed.
+	// Relays puts relays into the links between nodes. ReplicaRelays also puts relays into
+	// the links from gateways to replicas. Links without relays cannot be cut or delayed.
 	Relays        bool `yaml:"relays,omitempty"`
 	ReplicaRelays bool `yaml:"replica_relays,omitempty"`
-	// Random replaces Steps by faults drawn from the seed.
+	// Random generates faults from the seed instead of executing Steps.
 	Random *Random `yaml:"random,omitempty"`
 	Steps  []Step  `yaml:"steps,omitempty"`
 	// Tail is how long the load continues after the last step. The default is 5 s.
 	Tail Duration `yaml:"tail,omitempty"`
 }
 
-// Random draws faults, one after the other.
+// Random configures a sequence of randomly drawn faults.
 type Random struct {
-	// For is the total time and Interval the time from one fault to the next.
+	// For is the total duration. Interval is the time between the scheduled starts of
+	// consecutive faults.
 	For      Duration `yaml:"for"`
 	Interval Duration `yaml:"interval"`
 }
 
-// Step is one action at a time or on a condition.
+// Step is an action, together with the time or the condition at which it starts.
 type Step struct {
-	// At counts from the start of the load, After from the end of the step before.
-	// They exclude each other.
+	// At is measured from the start of the load, After from the end of the previous step.
+	// They are mutually exclusive.
 	At    *Duration `yaml:"at,omitempty"`
 	After *Duration `yaml:"after,omitempty"`
-	// When waits for a condition after that, for Within at most. The default is 30 s.
+	// When is a condition to wait for after that time, for at most Within. The default of
+	// Within is 30 s.
 	When   Condition `yaml:"when,omitempty"`
 	Within Duration  `yaml:"within,omitempty"`
 
@@ -57,21 +58,22 @@
 	Target string `yaml:"target,omitempty"`
 	// To is the other end of a link, or the region to which clients move.
 	To string `yaml:"to,omitempty"`
-	// OneWay cuts or delays only what goes from Target to To.
+	// OneWay cuts or delays only the direction from Target to To.
 	OneWay bool `yaml:"one_way,omitempty"`
-	// For is the duration of what the action begins. Without it, a later step ends it.
+	// For is the duration of the effect of the action. If it is zero, the effect lasts until
+	// a later step ends it.
 	For Duration `yaml:"for,omitempty"`
-	// Delay is that of a link.
+	// Delay is the delay of a link.
 	Delay Duration `yaml:"delay,omitempty"`
-	// Factor multiplies the load.
+	// Factor is the multiplier of the load.
 	Factor float64 `yaml:"factor,omitempty"`
-	// Count is a number of operations.
+	// Count is the number of operations to send.
 	Count int `yaml:"count,omitempty"`
 	// Cold starts a replica cold.
 	Cold bool `yaml:"cold,omitempty"`
-	// Fault is that of replicas.
+	// Fault is the fault to inject into replicas.
 	Fault *fleet.ReplicaFault `yaml:"fault,omitempty"`
-	// Background lets the next step begin before this one has ended.
+	// Background lets the next step start before this one has ended.
 	Background bool `yaml:"background,omitempty"`
 }
 
@@ -83,11 +85,12 @@
 	WhenReady Condition = "ready"
 	// WhenRepaired holds while the control nodes report that repair is done.
 	WhenRepaired Condition = "repaired"
-	// WhenSucceeded holds while a node other than the last target is the primary.
-	WhenSucceeded Condition = "succeeded"
+	// WhenNewPrimary holds while a node other than the last target is the primary: another
+	// node has succeeded it.
+	WhenNewPrimary Condition = "succeeded"
 )
 
-// Length returns the estimated time under load.
+// Length returns the estimated duration of the scenario under load.
 func (s *Scenario) Length() time.Duration {
 	if s.Random != nil {
 		return time.Duration(s.Random.For) + time.Duration(s.Tail)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -27,12 +27,12 @@
 		}
 	}
 	if short != 8 {
-		t.Errorf("%d scenarios in the short suite", short)
+		t.Errorf("%d scenarios in the short suite, want 8", short)
 	}
 	for number := 1; number <= 18; number++ {
 		promise := "P" + strconv.Itoa(number)
 		if !exercised[promise] {
-			t.Errorf("no scenario is for %s", promise)
+			t.Errorf("no scenario lists promise %s", promise)
 		}
 	}
 }
@@ -44,10 +44,10 @@
 		{"missing target", "about: x\nsteps: [{do: kill}]", "target: missing"},
 		{"missing factor", "about: x\nsteps: [{do: crowd}]", "factor: missing"},
 		{"time without unit", "about: x\nsteps: [{do: wait, at: 5}]", "not a duration"},
-		{"two times", "about: x\nsteps: [{do: wait, at: 5s, after: 1s}]", "exclude each other"},
+		{"both at and after", "about: x\nsteps: [{do: wait, at: 5s, after: 1s}]", "exclude each other"},
 		{"cut without relays", "about: x\nsteps: [{do: cut, target: primary}]", "relays: true"},
 		{"unknown condition", "about: x\nsteps: [{do: wait, when: never}]", `unknown condition "never"`},
-		{"nothing to do", "about: x", "either steps or random"},
+		{"neither steps nor random", "about: x", "either steps or random"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestRandomStepsAreValidAndDependOnTheSeedAlone(t *testing.T) {
+func TestRandomStepsAreValidAndDeterministic(t *testing.T) {
 	deployment, err := fleet.LoadDeployment("georgia")
 	if err != nil {
 		t.Fatal(err)
@@ -73,6 +73,6 @@
 		}
 	}
 	if difference := cmp.Diff(steps, drawSteps(random, 7, deployment)); difference != "" {
-		t.Errorf("one seed gave two runs:\n%s", difference)
+		t.Errorf("two runs with the same seed drew different steps:\n%s", difference)
 	}
 }
--- a/internal/scenario/session.go
+++ b/internal/scenario/session.go
@@ -19,13 +19,13 @@
 const (
 	startTimeout     = 60 * time.Second
 	listedTimeout    = 20 * time.Second
-	answerTimeout    = 25 * time.Second // of the requests in flight at the end
+	answerTimeout    = 25 * time.Second // for the requests in flight at the end
 	operationTimeout = 30 * time.Second
 	readTimeout      = 20 * time.Second
 	stepTimeout      = 30 * time.Second
 )
 
-// session is a fleet under load, with its callers and operators.
+// session is a running fleet with its load, callers and operators.
 type session struct {
 	options   Options
 	fleet     *fleet.Fleet
@@ -34,19 +34,19 @@
 	logs      []*eventlog.Writer
 	progress  func(format string, arguments ...any)
 
-	// configuring serializes configurations. It guards version and addedRoutes.
+	// configuring serializes configuration changes. It guards version and addedRoutes.
 	configuring sync.Mutex
-	version     uint64 // the newest version known
-	addedRoutes int    // in all documents so far
+	version     uint64 // latest known configuration version
+	addedRoutes int    // number of routes added so far
 
 	operationMutex sync.Mutex
-	operations     []operator.Operation // sent so far
+	operations     []operator.Operation // all operations sent so far
 }
 
-// operatorCount is two, so that they can race.
+// operatorCount is 2, so that two operators can send conflicting operations.
 const operatorCount = 2
 
-// openSession starts a fleet and its clients. The load has not begun.
+// openSession starts a fleet and its clients. It does not start the load.
 func openSession(ctx context.Context, options Options) (*session, error) {
 	profile, err := options.Deployment.Profile()
 	if err != nil {
@@ -71,8 +71,9 @@
 	return s, nil
 }
 
-// start brings the fleet to the state in which the load may begin. Gateways are ready
-// only with a configuration and replicas, so that these come first.
+// start prepares the fleet for the load. Gateways become ready only when they have a
+// configuration and replicas, so it sends the configuration and starts the platform before it
+// waits for them.
 func (s *session) start(ctx context.Context) error {
 	if err := s.openClients(); err != nil {
 		return err
@@ -107,22 +108,23 @@
 	return s.fleet.WaitLive(ctx)
 }
 
-// configureFirst sends the deployment's configuration.
+// configureFirst sends the initial configuration of the deployment.
 func (s *session) configureFirst(ctx context.Context) error {
 	by := s.operators[0]
 	answer, err := s.send(ctx, by, by.Configuration(0, s.options.Deployment.Document))
 	if err != nil {
-		return fmt.Errorf("sending the first configuration: %w", err)
+		return fmt.Errorf("sending the initial configuration: %w", err)
 	}
 	if !answer.Accepted {
-		return fmt.Errorf("the first configuration was refused: %s: %s", answer.Code, answer.Message)
+		return fmt.Errorf("the initial configuration was refused: %s: %s", answer.Code, answer.Message)
 	}
 	s.version = answer.Version
 	return nil
 }
 
-// waitListed waits until the registry has a condition of every replica. It gives up
-// after a while: what is missing then shows in the load.
+// waitListed waits until the registry lists every replica as available. After listedTimeout it
+// only logs a message, because the effect of missing replicas is visible in the results of the
+// load.
 func (s *session) waitListed(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listedTimeout)
 	defer cancel()
@@ -132,16 +134,16 @@
 			return err
 		}
 		if len(answer.Replicas) != len(s.fleet.Replicas()) || !allAvailable(answer.Replicas) {
-			return errNotYet
+			return errConditionNotMet
 		}
 		return nil
 	})
 	if err != nil {
-		s.progress("not every replica has a condition in the registry")
+		s.progress("the registry does not list every replica as available")
 	}
 }
 
-// Conditions of a replica that can serve.
+// Conditions of a replica that can serve requests.
 const (
 	conditionUp   = "up"
 	conditionCold = "cold"
@@ -156,7 +158,7 @@
 	return true
 }
 
-// openClients opens the operators and the callers with their logs.
+// openClients creates the operators and the callers and opens their event logs.
 func (s *session) openClients() error {
 	for index := range operatorCount {
 		name := fmt.Sprintf("operator-%d", index+1)
@@ -197,8 +199,8 @@
 	return log, nil
 }
 
-// operatorAddresses returns the control nodes' addresses for operators, beginning with
-// the node of the given index.
+// operatorAddresses returns the operator addresses of the control nodes, starting with the node
+// of the given index.
 func (s *session) operatorAddresses(first int) []string {
 	nodes := s.fleet.Controls()
 	var addresses []string
@@ -208,29 +210,29 @@
 	return addresses
 }
 
-// endLoad ends the load and waits for the answers.
+// endLoad stops the load and waits for outstanding answers.
 func (s *session) endLoad() {
 	if !s.load.end(answerTimeout) {
-		s.progress("some requests had no answer %v after the load", answerTimeout)
+		s.progress("some requests were still unanswered %v after the end of the load", answerTimeout)
 	}
 }
 
-// send sends an operation and remembers it for resends.
+// send sends an operation and records it, so that it can be resent later.
 func (s *session) send(ctx context.Context, by *operator.Operator, operation operator.Operation) (operator.Answer, error) {
-	s.remember(operation)
+	s.recordOperation(operation)
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	return by.Send(ctx, operation)
 }
 
-func (s *session) remember(operation operator.Operation) {
+func (s *session) recordOperation(operation operator.Operation) {
 	s.operationMutex.Lock()
 	defer s.operationMutex.Unlock()
 	s.operations = append(s.operations, operation)
 }
 
-// read reads configuration and zones back, which the checker compares with what was
-// acknowledged.
+// read reads the configuration and the zones back. The checker compares them with the
+// acknowledged operations.
 func (s *session) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -241,7 +243,7 @@
 	return err
 }
 
-// close ends the fleet and closes the logs. Further calls have no effect.
+// close closes the fleet and the logs. Calls after the first have no effect.
 func (s *session) close() error {
 	failures := []error{s.fleet.Close()}
 	for _, log := range s.logs {
@@ -251,5 +253,5 @@
 	return errors.Join(failures...)
 }
 
-// conditionInterval is the pause between two checks of a condition.
+// conditionInterval is the time between two checks of a condition.
 const conditionInterval = 100 * time.Millisecond
--- a/internal/scenario/suite/check.go
+++ b/internal/scenario/suite/check.go
@@ -8,8 +8,8 @@
 	"github.com/deckpulley/deckpulley/internal/report"
 )
 
-// CheckLogs checks the event logs of a folder again and writes figures and verdicts.
-// It returns ErrBroken if a promise is broken.
+// CheckLogs checks the event logs of an earlier run in a folder and writes the summary and the
+// verdicts. It returns ErrBroken if a promise is broken.
 func CheckLogs(out io.Writer, folder string, options checker.Options) error {
 	events, err := eventlog.ReadFolder(folder)
 	if err != nil {
--- a/internal/scenario/suite/faults.go
+++ b/internal/scenario/suite/faults.go
@@ -13,12 +13,12 @@
 	"github.com/deckpulley/deckpulley/internal/scenario"
 )
 
-// outcome is what became of one scenario.
+// outcome is the outcome of one scenario.
 type outcome struct {
 	scenario *scenario.Scenario
-	// folder holds the logs of the run; it is empty if the run had none.
+	// folder is the path of the run folder, or empty if it could not be determined.
 	folder string
-	// result is nil if the scenario could not begin.
+	// result is nil if the run was not completed.
 	result  *scenario.Result
 	summary *report.Summary
 	page    string // path of the HTML report
@@ -36,8 +36,8 @@
 	examinedBy map[checker.Promise][]string
 }
 
-// RunFaults runs scenarios, each on a fleet of its own. What kept one from its end
-// is part of its outcome.
+// RunFaults runs scenarios, each on a separate fleet. If a run is not completed, the reason is
+// part of its outcome.
 func RunFaults(ctx context.Context, config Config, list []*scenario.Scenario) *Faults {
 	faults := &Faults{config: config, outcomes: make([]outcome, len(list))}
 	forEach(config.Parallel, len(list), func(index int) {
@@ -50,19 +50,19 @@
 func (c Config) runFaultScenario(ctx context.Context, toRun *scenario.Scenario) outcome {
 	done := outcome{scenario: toRun}
 	done.result, done.folder, done.err = c.start(ctx, run{
-		scenario: toRun, folder: toRun.Name, label: labelOf(toRun.Name),
+		scenario: toRun, folder: toRun.Name, label: progressLabel(toRun.Name),
 	})
 	if done.err != nil {
 		return done
 	}
 	done.summary = report.Summarize(done.result.Events)
 	done.page, done.err = writePage(done.result, done.summary)
-	// The logs are on disk; those of many runs at once would fill the memory.
+	// The events of many concurrent runs would use too much memory. They remain on disk.
 	done.result.Events = nil
 	return done
 }
 
-// merge joins the reports of all scenarios that began.
+// merge merges the reports of all completed scenarios.
 func (f *Faults) merge() {
 	var reports []checker.Report
 	f.examinedBy = map[checker.Promise][]string{}
@@ -84,7 +84,8 @@
 // Count returns the number of scenarios.
 func (f *Faults) Count() int { return len(f.outcomes) }
 
-// Write writes one row for each scenario, their problems, and the verdicts over all.
+// Write writes a table with one row per scenario, the problems of the scenarios, and the merged
+// verdicts.
 func (f *Faults) Write(out io.Writer) error {
 	if err := f.writeTable(out); err != nil {
 		return err
@@ -114,13 +115,13 @@
 			verdict = "bad"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%.2f%%\t%.0f\t%s\t%s\t%s\n", done.scenario.Name, verdict, len(done.summary.Requests),
-			100*done.summary.SuccessRatio(), done.result.Took.Seconds(), joined(brokenPromises(done.result.Report)),
-			joined(done.result.Unexercised()), done.page)
+			100*done.summary.SuccessRatio(), done.result.Took.Seconds(), joinItems(brokenPromises(done.result.Report)),
+			joinItems(done.result.Unexercised()), done.page)
 	}
 	return table.Flush()
 }
 
-// Record adds scenarios and promises to the record of the run.
+// Record adds the scenarios and the promises to the record of the run.
 func (f *Faults) Record(record *results.Record) {
 	for _, done := range f.outcomes {
 		record.Scenarios = append(record.Scenarios, done.record())
@@ -146,8 +147,8 @@
 	return recorded
 }
 
-// Check returns ErrBroken, with the reasons, if a scenario was not good, or if a
-// complete run left a promise unexercised.
+// Check returns ErrBroken, with the reasons, if any scenario was not good, or if a complete run
+// did not exercise every promise.
 func (f *Faults) Check(partial bool) error {
 	var reasons []string
 	for _, done := range f.outcomes {
@@ -164,25 +165,25 @@
 	return nil
 }
 
-// reason says in one line why a scenario was not good: the end of a long output may
-// be all that is left of it.
+// reason describes in one line why a scenario was not good. It is complete without the rest of
+// the output, of which possibly only the end is available.
 func (o outcome) reason() string {
 	if o.err != nil {
 		return fmt.Sprintf("%s: %s", o.scenario.Name, firstLine(o.err))
 	}
 	return fmt.Sprintf("%s: broken %s, not exercised %s, %d problems", o.scenario.Name,
-		joined(brokenPromises(o.result.Report)), joined(o.result.Unexercised()), len(o.result.Problems))
+		joinItems(brokenPromises(o.result.Report)), joinItems(o.result.Unexercised()), len(o.result.Problems))
 }
 
 func brokenPromises(checked checker.Report) []string {
-	return texts(promisesOf(checked, checker.StatusBroken))
+	return promiseNames(promisesOf(checked, checker.StatusBroken))
 }
 
 func unexercisedPromises(checked checker.Report) []checker.Promise {
 	return promisesOf(checked, checker.StatusNotExercised)
 }
 
-// promisesOf lists the promises with a status.
+// promisesOf returns the promises with the given status.
 func promisesOf(checked checker.Report, status checker.Status) []checker.Promise {
 	var list []checker.Promise
 	for i := range checked.Verdicts {
@@ -193,7 +194,7 @@
 	return list
 }
 
-func texts(promises []checker.Promise) []string {
+func promiseNames(promises []checker.Promise) []string {
 	var list []string
 	for _, promise := range promises {
 		list = append(list, string(promise))
@@ -206,8 +207,8 @@
 	return line
 }
 
-// joined lists the items of a cell.
-func joined(items []string) string {
+// joinItems returns the items as the text of a table cell.
+func joinItems(items []string) string {
 	if len(items) == 0 {
 		return "-"
 	}
--- a/internal/scenario/suite/finding.go
+++ b/internal/scenario/suite/finding.go
@@ -10,12 +10,12 @@
 	"github.com/deckpulley/deckpulley/internal/results"
 )
 
-// findingFile is the file that a scenario that was not good leaves in its run
-// folder, beside the logs of its processes and events.
+// findingFile is the name of the file that is written into the run folder of a scenario that
+// was not good, next to the process logs and event logs.
 const findingFile = "finding.txt"
 
-// WriteFindings writes a finding for each scenario that was not good. Build is the
-// source of the programs.
+// WriteFindings writes a finding for each scenario that was not good. The parameter build
+// identifies the source of the programs.
 func (f *Faults) WriteFindings(out io.Writer, build results.Build) error {
 	for _, done := range f.outcomes {
 		if done.good() || done.folder == "" {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// writeFinding stores what is needed to look into a scenario that was not good:
-// source, seed and machine, what was broken, and the command that repeats the run.
+// writeFinding stores the information that is needed to investigate a scenario that was not
+// good: source, seed, machine, cause, and the command that repeats the run.
 func (c Config) writeFinding(done outcome, build results.Build) error {
 	name := done.scenario.Name
 	lines := []string{
@@ -49,10 +49,10 @@
 	}
 	path := filepath.Join(done.folder, findingFile)
 	if err := os.MkdirAll(done.folder, 0o755); err != nil {
-		return fmt.Errorf("keeping a finding: %w", err)
+		return fmt.Errorf("writing the finding: %w", err)
 	}
 	if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-		return fmt.Errorf("keeping a finding: %w", err)
+		return fmt.Errorf("writing the finding: %w", err)
 	}
 	return nil
 }
--- a/internal/scenario/suite/finding_test.go
+++ b/internal/scenario/suite/finding_test.go
@@ -12,8 +12,8 @@
 	"github.com/deckpulley/deckpulley/internal/scenario"
 )
 
-// TestFindingNamesCauseAndCommandToRepeat holds that, whatever kept a scenario from
-// being good, the run folder names source, seed, cause and command.
+// TestFindingNamesCauseAndCommandToRepeat checks that the finding of a scenario that could not
+// be run contains the source, the seed, the cause and the command that repeats the run.
 func TestFindingNamesCauseAndCommandToRepeat(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "run")
 	failed := outcome{scenario: &scenario.Scenario{Name: "gateway-killed"}, folder: folder, err: errors.New("no port was free")}
@@ -27,7 +27,7 @@
 	}
 	for _, want := range []string{"commit: abc", "seed: 17", "--deployment georgia --scenario gateway-killed --seed 17", "no port was free"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("the finding does not say %q:\n%s", want, text)
+			t.Errorf("the finding does not contain %q:\n%s", want, text)
 		}
 	}
 }
--- a/internal/scenario/suite/ordinary.go
+++ b/internal/scenario/suite/ordinary.go
@@ -12,7 +12,7 @@
 	"github.com/deckpulley/deckpulley/internal/scenario"
 )
 
-// Times of the ordinary path, as fractions of its length.
+// Times of the steps of the ordinary path, as fractions of its length.
 const (
 	configureAt  = 0.2
 	evacuateAt   = 0.4
@@ -20,8 +20,8 @@
 	withdrawAt   = 1 - ordinaryTail
 )
 
-// ordinaryPath returns the scenario that spreads a configuration, an evacuation and
-// its withdrawal over the given length under load.
+// ordinaryPath returns a scenario without faults: under load for the given length, it changes
+// the configuration, evacuates a zone and withdraws the evacuation.
 func ordinaryPath(deployment fleet.Deployment, length time.Duration) *scenario.Scenario {
 	zone := deployment.SpareZone()
 	at := func(fraction float64) *scenario.Duration {
@@ -41,10 +41,9 @@
 	}
 }
 
-// RunOrdinary runs the ordinary path for the given length under load and writes
-// figures, verdicts and the path of the report. It returns ErrBroken if a promise
-// was broken, a step could not be done, or a smaller ratio of requests than
-// leastSuccess, 0 to 1, succeeded.
+// RunOrdinary runs the ordinary path for the given length under load and writes the summary, the
+// verdicts and the path of the report. It returns ErrBroken if a promise was broken, a step
+// failed, or the success ratio of requests was less than leastSuccess, 0 to 1.
 func RunOrdinary(ctx context.Context, out io.Writer, config Config, length time.Duration, leastSuccess float64) error {
 	result, _, err := config.start(ctx, run{scenario: ordinaryPath(config.Deployment, length), folder: "run"})
 	if err != nil {
@@ -60,7 +59,7 @@
 	}
 	fmt.Fprintf(out, "report %s\n", page)
 	if !result.Good() || summary.SuccessRatio() < leastSuccess {
-		return fmt.Errorf("%w: %.2f%% succeeded, %.2f%% wanted; broken promises: %v; steps not done: %d",
+		return fmt.Errorf("%w: %.2f%% of requests succeeded, want %.2f%%; any promise broken: %v; problems: %d",
 			ErrBroken, 100*summary.SuccessRatio(), 100*leastSuccess, result.Report.Broken(), len(result.Problems))
 	}
 	return nil
@@ -81,7 +80,7 @@
 	mebibyte = 1 << 20
 )
 
-// writeUsage writes what each daemon used, one row a daemon.
+// writeUsage writes a table of resource usage with one row per node.
 func writeUsage(out io.Writer, usage []scenario.NodeUsage) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "node\tresident MiB\tCPU\tread KiB/s\twritten KiB/s")
--- a/internal/scenario/suite/planted.go
+++ b/internal/scenario/suite/planted.go
@@ -17,11 +17,12 @@
 	"github.com/deckpulley/deckpulley/scenarios"
 )
 
-// defectVariable names the defect to daemons built with the tag "planted".
+// defectVariable is the environment variable that selects the defect in daemons built with the
+// tag "planted".
 const defectVariable = "DECKPULLEY_PLANTED_DEFECT"
 
-// SelectCases returns the cases of the named defects, each once; without names all
-// of them and the control runs.
+// SelectCases returns the cases of the named defects without duplicates. Without names it
+// returns all cases and the control runs.
 func SelectCases(names []string) ([]catalog.Case, error) {
 	if len(names) == 0 {
 		return append(catalog.Cases(), catalog.Controls()...), nil
@@ -29,7 +30,7 @@
 	var selected []catalog.Case
 	for i, name := range names {
 		if slices.Contains(names[:i], name) {
-			continue // two runs of one name would share a folder
+			continue // two runs with the same name would share a folder
 		}
 		found, err := catalog.Find(name)
 		if err != nil {
@@ -40,16 +41,16 @@
 	return selected, nil
 }
 
-// caseOutcome is what became of one planted defect or control run.
+// caseOutcome is the outcome of a planted defect or control run.
 type caseOutcome struct {
-	// expected is what was to be run and seen.
+	// expected is the case that was run, with its expected result.
 	expected catalog.Case
-	// result is nil if the scenario could not begin.
+	// result is nil if the run was not completed.
 	result *scenario.Result
 	broken []checker.Promise
-	// caught is set if the result is the one that the case expects.
+	// caught reports whether the run had the expected result.
 	caught bool
-	// evidence is the first violation, or why the scenario could not begin.
+	// evidence is the first violation, or the reason why the run was not completed.
 	evidence string
 	err      error
 }
@@ -57,8 +58,8 @@
 // Planted holds the outcomes of a run of planted defects.
 type Planted struct{ outcomes []caseOutcome }
 
-// RunPlanted runs cases, each on a fleet of its own. The daemons must be built with
-// the tag "planted".
+// RunPlanted runs cases, each on a separate fleet. The daemons must be built with the tag
+// "planted".
 func RunPlanted(ctx context.Context, config Config, cases []catalog.Case) *Planted {
 	planted := &Planted{outcomes: make([]caseOutcome, len(cases))}
 	forEach(config.Parallel, len(cases), func(index int) {
@@ -81,7 +82,7 @@
 	if verdict, ok := done.result.Report.Verdict(expected.Promise); ok && len(verdict.Violations) > 0 {
 		done.evidence = verdict.Violations[0].Summary
 	}
-	done.result.Events = nil // they are on disk
+	done.result.Events = nil // they remain on disk
 	return done
 }
 
@@ -92,13 +93,13 @@
 		return nil, err
 	}
 	result, _, err := c.start(ctx, run{
-		scenario: shown, folder: "planted-" + name, label: labelOf(name),
+		scenario: shown, folder: "planted-" + name, label: progressLabel(name),
 		environment: []string{defectVariable + "=" + string(expected.Defect)},
 	})
 	return result, err
 }
 
-// loadPlanted reads the scenario of a case.
+// loadPlanted reads the scenario with the given name that is used for planted defects.
 func loadPlanted(name string) (*scenario.Scenario, error) {
 	text, err := fs.ReadFile(scenarios.Planted(), name+".yaml")
 	if err != nil {
@@ -107,10 +108,10 @@
 	return scenario.Parse(name, text)
 }
 
-// defect returns the name of the defect, "none" for a control run.
+// defect returns the name of the defect, or "none" for a control run.
 func (o caseOutcome) defect() string { return cmp.Or(string(o.expected.Defect), "none") }
 
-// verdict names the outcome in one or two words.
+// verdict describes the outcome in one or two words.
 func (o caseOutcome) verdict() string {
 	switch {
 	case o.expected.Control() && o.caught:
@@ -127,7 +128,7 @@
 // Count returns the number of cases.
 func (p *Planted) Count() int { return len(p.outcomes) }
 
-// Check returns ErrBroken if a case did not have the expected result.
+// Check returns ErrBroken if any case did not have the expected result.
 func (p *Planted) Check() error {
 	if slices.ContainsFunc(p.outcomes, func(done caseOutcome) bool { return !done.caught }) {
 		return ErrBroken
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// Record adds the defects to the record of the run.
+// Record adds the outcomes of the cases to the record of the run.
 func (p *Planted) Record(record *results.Record) {
 	for _, done := range p.outcomes {
 		record.Defects = append(record.Defects, done.record())
@@ -144,8 +145,8 @@
 
 func (o caseOutcome) record() results.Defect {
 	recorded := results.Defect{
-		Name: o.defect(), Scenario: o.expected.Scenario, Promise: string(o.expected.Promise), Also: texts(o.expected.Also),
-		Because: o.expected.Because, Reported: texts(o.broken), Caught: o.caught, Verdict: o.verdict(), First: o.evidence,
+		Name: o.defect(), Scenario: o.expected.Scenario, Promise: string(o.expected.Promise), Also: promiseNames(o.expected.Also),
+		Because: o.expected.Because, Reported: promiseNames(o.broken), Caught: o.caught, Verdict: o.verdict(), First: o.evidence,
 	}
 	if o.result != nil {
 		recorded.Seconds = o.result.Took.Seconds()
@@ -153,15 +154,15 @@
 	return recorded
 }
 
-// Write writes one row for each case, then the reasons of consequences and what a
-// run reported that was not expected.
+// Write writes a table with one row per case. It then explains which other promises a defect
+// also breaks, and lists the details of runs that did not have the expected result.
 func (p *Planted) Write(out io.Writer) error {
 	if err := p.writeTable(out); err != nil {
 		return fmt.Errorf("writing the table: %w", err)
 	}
 	for _, done := range p.outcomes {
 		if done.expected.Because != "" {
-			fmt.Fprintf(out, "%s breaks %s too: %s\n", done.expected.Defect, strings.Join(texts(done.expected.Also), " "), done.expected.Because)
+			fmt.Fprintf(out, "%s breaks %s too: %s\n", done.expected.Defect, strings.Join(promiseNames(done.expected.Also), " "), done.expected.Because)
 		}
 		if !done.caught && done.result != nil {
 			done.writeUnexpected(out)
@@ -179,12 +180,12 @@
 			took = fmt.Sprintf("%.0f", done.result.Took.Seconds())
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", done.defect(), done.expected.Scenario, took,
-			cmp.Or(string(done.expected.Promise), "-"), joined(texts(done.expected.Also)), joined(texts(done.broken)), done.verdict(), done.evidence)
+			cmp.Or(string(done.expected.Promise), "-"), joinItems(promiseNames(done.expected.Also)), joinItems(promiseNames(done.broken)), done.verdict(), done.evidence)
 	}
 	return table.Flush()
 }
 
-// writeUnexpected writes everything that a run reported.
+// writeUnexpected writes the details of a run that did not have the expected result.
 func (o caseOutcome) writeUnexpected(out io.Writer) {
 	fmt.Fprintf(out, "%s in %s: %s; logs in %s\n", o.defect(), o.expected.Scenario, o.verdict(), o.result.Folder)
 	if unexercised := o.result.Unexercised(); len(unexercised) > 0 {
--- a/internal/scenario/suite/selection.go
+++ b/internal/scenario/suite/selection.go
@@ -13,21 +13,21 @@
 	"github.com/deckpulley/deckpulley/scenarios"
 )
 
-// Selection says which scenarios to run.
+// Selection determines which scenarios to run.
 type Selection struct {
-	// Folder holds scenario files; empty stands for the shipped ones.
+	// Folder is a folder of scenario files. If it is empty, the shipped scenarios are used.
 	Folder string
-	// Names are the scenarios to run; empty stands for all.
+	// Names lists the scenarios to run. If it is empty, all are run.
 	Names []string
-	// Short leaves out those that are not in the short suite.
+	// Short excludes scenarios that are not in the short suite.
 	Short bool
 }
 
-// Partial reports whether the selection may leave scenarios out.
+// Partial reports whether the selection may exclude scenarios.
 func (s Selection) Partial() bool { return s.Short || len(s.Names) > 0 }
 
-// Load reads the selected scenarios, the longest first, so that parallel runs end
-// close together.
+// Load reads the selected scenarios and sorts them by descending length, so that parallel
+// workers finish at about the same time.
 func (s Selection) Load() ([]*scenario.Scenario, error) {
 	all, err := loadScenarios(s.Folder)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return scenario.LoadAll(scenarios.Files)
 }
 
-// WriteList writes one row for each shipped scenario.
+// WriteList writes a table with one row per shipped scenario.
 func WriteList(out io.Writer) error {
 	list, err := loadScenarios("")
 	if err != nil {
--- a/internal/scenario/suite/suite.go
+++ b/internal/scenario/suite/suite.go
@@ -1,6 +1,6 @@
-// Package suite runs fault scenarios and planted defects on one deployment, several
-// fleets side by side, and condenses what they measured into tables, records and
-// findings. The program deckpulley-fleet reads flags and calls it.
+// Package suite runs fault scenarios and planted defects on a deployment, with several fleets
+// in parallel, and summarizes the results as tables, records and findings. It is used by the
+// program deckpulley-fleet.
 package suite
 
 import (
@@ -18,39 +18,40 @@
 	"github.com/deckpulley/deckpulley/internal/scenario"
 )
 
-// ErrBroken means that runs came to their end and did not keep what they should.
-var ErrBroken = errors.New("the run did not keep what it should")
+// ErrBroken means that the runs ended without the required results.
+var ErrBroken = errors.New("the run did not meet its requirements")
 
-// Config says on what, from where and how runs are made.
+// Config configures runs: the deployment, the paths and the execution.
 type Config struct {
 	Deployment fleet.Deployment
-	// Programs is the folder of the built programs.
+	// Programs is the folder with the compiled programs.
 	Programs string
-	// Folder receives one run folder for each run.
+	// Folder is the folder in which a run folder is created for each run.
 	Folder string
-	// Seed is that of load and faults.
+	// Seed is the seed of the load and of the faults.
 	Seed uint64
-	// LogLevel is the level of the daemons' logs.
+	// LogLevel is the log level of the nodes.
 	LogLevel string
-	// Parallel is the number of fleets side by side, at least 1.
+	// Parallel is the number of fleets that run in parallel. It must be at least 1.
 	Parallel int
-	// Progress takes one line for each step. It must be safe for concurrent use.
+	// Progress receives the progress messages, one per line. It must be safe for concurrent
+	// use.
 	Progress io.Writer
 }
 
-// run is one scenario to run under a configuration.
+// run is a single run of a scenario.
 type run struct {
 	scenario *scenario.Scenario
-	// folder is the name of the run in that of its folder.
+	// folder is the part of the run folder's name that identifies the run.
 	folder string
-	// label begins each line of progress.
+	// label is the prefix of each progress message.
 	label string
-	// environment is added to that of the daemons, as NAME=value.
+	// environment holds additional environment variables of the nodes, as NAME=value.
 	environment []string
 }
 
-// start runs a scenario in a run folder of its own. The path of the folder is valid
-// also with an error, unless it is empty.
+// start runs a scenario in a new run folder. Even with an error, the returned folder is valid
+// unless it is empty.
 func (c Config) start(ctx context.Context, run run) (result *scenario.Result, folder string, err error) {
 	folder, err = c.runFolder(run.folder)
 	if err != nil {
@@ -72,16 +73,16 @@
 	folder := fmt.Sprintf("%s-%s-%s-%d", timestamp, c.Deployment.Name, name, os.Getpid())
 	path, err := filepath.Abs(filepath.Join(c.Folder, folder))
 	if err != nil {
-		return "", fmt.Errorf("naming the run folder: %w", err)
+		return "", fmt.Errorf("determining the path of the run folder: %w", err)
 	}
 	return path, nil
 }
 
-// labelOf pads the name of a run so that the lines of several align.
-func labelOf(name string) string { return fmt.Sprintf("%-22s ", name) }
+// progressLabel pads the name of a run so that the progress messages of parallel runs are aligned.
+func progressLabel(name string) string { return fmt.Sprintf("%-22s ", name) }
 
-// forEach calls work with each index below count, in order, on up to parallel
-// goroutines, and returns once all calls have.
+// forEach calls work with each index from 0 to count-1. It starts the calls in order, on up to
+// parallel goroutines, and waits for all of them.
 func forEach(parallel, count int, work func(index int)) {
 	indexes := make(chan int)
 	var workers sync.WaitGroup
--- a/internal/scenario/suite/suite_test.go
+++ b/internal/scenario/suite/suite_test.go
@@ -26,11 +26,11 @@
 	})
 	for index := range calls {
 		if got := calls[index].Load(); got != 1 {
-			t.Errorf("index %d was called %d times", index, got)
+			t.Errorf("index %d was called %d times, want once", index, got)
 		}
 	}
 	if most.Load() > parallel {
-		t.Errorf("%d calls at the same time", most.Load())
+		t.Errorf("%d concurrent calls, above the limit", most.Load())
 	}
 }
 
@@ -48,19 +48,20 @@
 		}
 	}
 	if len(selected) == 0 {
-		t.Error("no scenario in the short suite")
+		t.Error("the short suite is empty")
 	}
 }
 
-func TestSelectionRefusesUnknownNames(t *testing.T) {
+func TestSelectionRejectsUnknownNames(t *testing.T) {
 	_, err := Selection{Names: []string{"gateway-killed", "no-such-scenario"}}.Load()
 	if err == nil || !strings.Contains(err.Error(), `"no-such-scenario"`) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that quotes the unknown name", err)
 	}
 }
 
-// example returns the outcome of a scenario for P1 whose run reported the verdicts.
-func example(name string, verdicts ...checker.Verdict) outcome {
+// exampleOutcome returns the outcome of a scenario that must exercise P1 and whose run reported the
+// given verdicts.
+func exampleOutcome(name string, verdicts ...checker.Verdict) outcome {
 	run := &scenario.Scenario{Name: name, Promises: []string{"P1"}}
 	return outcome{scenario: run, result: &scenario.Result{Scenario: run, Report: checker.Report{Verdicts: verdicts}}}
 }
@@ -75,12 +76,12 @@
 		partial bool
 		reason  string // empty if the run is good
 	}{
-		{"every promise kept", example("calm", kept), false, ""},
-		{"a broken promise", example("storm", broken), true, "storm: broken P1, not exercised -, 0 problems"},
-		{"an unexercised promise of the scenario", example("storm", idle), true, "storm: broken -, not exercised P1, 0 problems"},
-		{"an unexercised promise of a partial run", example("calm", kept, idle), true, ""},
-		{"an unexercised promise of a complete run", example("calm", kept, idle), false, "not exercised: [P2]"},
-		{"no start", outcome{scenario: &scenario.Scenario{Name: "storm"}, err: errors.New("no port\nlog")}, true, "storm: no port"},
+		{"every promise kept", exampleOutcome("calm", kept), false, ""},
+		{"a broken promise", exampleOutcome("storm", broken), true, "storm: broken P1, not exercised -, 0 problems"},
+		{"an unexercised promise of the scenario", exampleOutcome("storm", idle), true, "storm: broken -, not exercised P1, 0 problems"},
+		{"an unexercised promise of a partial run", exampleOutcome("calm", kept, idle), true, ""},
+		{"an unexercised promise of a complete run", exampleOutcome("calm", kept, idle), false, "not exercised: [P2]"},
+		{"a run that was not completed", outcome{scenario: &scenario.Scenario{Name: "storm"}, err: errors.New("no port\nlog")}, true, "storm: no port"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -89,7 +90,7 @@
 			err := faults.Check(test.partial)
 			if test.reason == "" {
 				if err != nil {
-					t.Errorf("error %v", err)
+					t.Errorf("error %v, want none", err)
 				}
 				return
 			}
@@ -104,14 +105,14 @@
 	name := string(catalog.Cases()[0].Defect)
 	selected, err := SelectCases([]string{name, name})
 	if err != nil || len(selected) != 1 || string(selected[0].Defect) != name {
-		t.Errorf("selected %+v, error %v", selected, err)
+		t.Errorf("selected %+v, error %v; want the named defect once", selected, err)
 	}
 	all, err := SelectCases(nil)
 	if err != nil || len(all) != len(catalog.Cases())+len(catalog.Controls()) {
-		t.Errorf("selected %d, error %v", len(all), err)
+		t.Errorf("without names, selected %d cases, error %v; want all cases and control runs", len(all), err)
 	}
 	if _, err := SelectCases([]string{"no-such-defect"}); err == nil {
-		t.Error("an unknown defect was selected")
+		t.Error("selecting an unknown defect returned no error")
 	}
 }
 
--- a/internal/scenario/target.go
+++ b/internal/scenario/target.go
@@ -12,9 +12,9 @@
 	"github.com/deckpulley/deckpulley/settings"
 )
 
-// target is what a step acts on.
+// target is the set of nodes and replicas on which a step acts.
 type target struct {
-	// label names it in the event log and class is its class there.
+	// label and class are the name and the class of the target in the event log.
 	label string
 	class string
 	// region is set for zones and regions only.
@@ -27,18 +27,18 @@
 const (
 	targetPrimary  = "primary"
 	targetFollower = "follower"
-	targetLast     = "last" // that of the step before
-	targetLost     = "lost" // that of the last kill or wipe
+	targetLast     = "last" // target of the most recent step that had one
+	targetLost     = "lost" // target of the most recent kill or wipe
 	targetAll      = "all"
 	targetControls = "controls"
 	zonePrefix     = "zone:"
 	regionPrefix   = "region:"
-	modelsPrefix   = "models:" // and a region, or one of the next two
+	modelsPrefix   = "models:" // followed by a region, modelsAll or modelsHalf
 	modelsAll      = "all"
 	modelsHalf     = "half"
 )
 
-// resolve returns the target with a name, as of now.
+// resolve returns the target that the name currently refers to.
 func (r *runner) resolve(ctx context.Context, name string) (target, error) {
 	switch name {
 	case targetLast:
@@ -66,15 +66,15 @@
 	return r.named(name)
 }
 
-// earlier returns the target of an earlier step, if there was one.
+// earlier returns the target of an earlier step. It fails if no earlier step had a target.
 func earlier(on target) (target, error) {
 	if on.label == "" {
-		return target{}, errors.New("target: no earlier step had one")
+		return target{}, errors.New("target: no earlier step had a target")
 	}
 	return on, nil
 }
 
-// named returns the node or replica with a name.
+// named returns the node or replica with the given name.
 func (r *runner) named(name string) (target, error) {
 	if node, err := r.fleet.Node(name); err == nil {
 		class := checker.TargetGateway
@@ -85,12 +85,12 @@
 	}
 	replica, err := r.fleet.Replica(name)
 	if err != nil {
-		return target{}, fmt.Errorf("target: nothing is named %q", name)
+		return target{}, fmt.Errorf("target: no node or replica is named %q", name)
 	}
 	return target{label: name, class: checker.TargetReplica, replicas: []*fleet.Replica{replica}}, nil
 }
 
-// within returns the nodes and replicas whose zone and region includes accepts.
+// within returns the nodes and replicas for which includes returns true.
 func (r *runner) within(label, class string, includes func(zone, region string) bool) (target, error) {
 	found := target{label: label, class: class}
 	for _, node := range r.fleet.Nodes() {
@@ -105,12 +105,13 @@
 		}
 	}
 	if len(found.nodes) == 0 {
-		return target{}, fmt.Errorf("target: nothing stands in %q", label)
+		return target{}, fmt.Errorf("target: no nodes in %q", label)
 	}
 	return found, nil
 }
 
-// models returns the model replicas of a region, or all or half of them.
+// models returns the model replicas of a region, of all regions, or every other one of all
+// regions.
 func (r *runner) models(label, which string) (target, error) {
 	found := target{label: label, class: checker.TargetReplica}
 	for _, replica := range r.fleet.Replicas() {
@@ -138,7 +139,7 @@
 	return half
 }
 
-// primary waits until a primary is known.
+// primary waits until a primary is known and returns it.
 func (r *runner) primary(ctx context.Context) (target, error) {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
@@ -146,7 +147,7 @@
 	err := wait.Poll(ctx, conditionInterval, func() error {
 		var ok bool
 		if primary, ok = r.knownPrimary(ctx); !ok {
-			return errNotYet
+			return errConditionNotMet
 		}
 		return nil
 	})
@@ -156,8 +157,8 @@
 	return target{label: primary.Name, class: checker.TargetControl, nodes: []*fleet.Node{primary}}, nil
 }
 
-// knownPrimary returns the primary of the highest term that any control node reports.
-// Frozen nodes are not asked.
+// knownPrimary returns the primary with the highest term that any control node reports. It does
+// not query frozen nodes.
 func (r *runner) knownPrimary(ctx context.Context) (*fleet.Node, bool) {
 	var highestTerm uint64
 	var primary *fleet.Node
@@ -187,5 +188,5 @@
 			return target{label: node.Name, class: checker.TargetControl, nodes: []*fleet.Node{node}}, nil
 		}
 	}
-	return target{}, errors.New("target: no follower runs")
+	return target{}, errors.New("target: no follower is running")
 }
