--- a/configuration/http_test.go
+++ b/configuration/http_test.go
@@ -96,7 +96,7 @@
 	configure(t, table, baseDocument+httpPart)
 	with := read(t, table)
 	if len(with.PathRoutes()) != 2 || len(with.HTTPServices()) != 2 || with.RequestLimits().MaxHeaderBytes != 16384 {
-		t.Errorf("after adding the part for HTTP: routes %v, pools %v, limits %v", with.PathRoutes(), with.HTTPServices(), with.RequestLimits())
+		t.Errorf("after adding the part for HTTP: routes %v, HTTP services %v, limits %v", with.PathRoutes(), with.HTTPServices(), with.RequestLimits())
 	}
 	if _, found := with.Route("snippet"); !found {
 		t.Error("the routes by model name were removed")
@@ -104,6 +104,6 @@
 	configure(t, table, baseDocument)
 	without := read(t, table)
 	if len(without.PathRoutes()) != 0 || len(without.HTTPServices()) != 0 || without.RequestLimits() != (routemap.Limits{}) {
-		t.Errorf("after removing the part for HTTP: routes %v, pools %v, limits %v", without.PathRoutes(), without.HTTPServices(), without.RequestLimits())
+		t.Errorf("after removing the part for HTTP: routes %v, HTTP services %v, limits %v", without.PathRoutes(), without.HTTPServices(), without.RequestLimits())
 	}
 }
--- a/directory/example_test.go
+++ b/directory/example_test.go
@@ -15,7 +15,9 @@
 	}
 	query := directory.Query{Region: "north", Limit: 8}
 	fmt.Println(query.Answer(gateways))
-	query.Partitioned = true // the answering node has lost contact with the primary
+	// The answering node has lost contact with the primary; clients may not have, and may
+	// still reach the other regions.
+	query.Partitioned = true
 	fmt.Println(len(query.Answer(gateways)), "addresses")
 	// Output:
 	// [10.0.0.1:80]
--- a/internal/checker/durability.go
+++ b/internal/checker/durability.go
@@ -24,7 +24,7 @@
 		}
 		verdict.Examined++
 		if ack.contradictedBy(read) {
-			summary := fmt.Sprintf("acknowledged version %d was lost: a later read returned version %d", ack.answer.Version, read.Version)
+			summary := fmt.Sprintf("the acknowledged document of version %d was lost: a later read returned another document, of version %d", ack.answer.Version, read.Version)
 			verdict.addViolation(summary, ack.answer, read)
 			return
 		}
--- a/internal/checker/failure.go
+++ b/internal/checker/failure.go
@@ -106,8 +106,8 @@
 	return during, next
 }
 
-// isFailure reports whether a fault takes down one control node, gateway, zone or
-// region.
+// isFailure reports whether a fault is the failure of one control node, gateway, zone or
+// region: it kills, freezes, wipes or cuts it off.
 func isFailure(fault eventlog.Event) bool {
 	switch fault.Detail {
 	case FaultKill, FaultFreeze, FaultWipe, FaultCut:
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -117,7 +117,7 @@
 	run("a", "c")
 	run("a", "d")
 	run("a", "b") // now c is the least recently used leaf
-	run("a", "e") // evicts c
+	run("a", "e") // evicts c; a, b and d stay
 	for _, step := range []struct {
 		leaf string
 		want int
--- a/internal/experiment/response_test.go
+++ b/internal/experiment/response_test.go
@@ -13,9 +13,10 @@
 )
 
 // TestColdReplicasStayWithinSlowStartLimit runs the cold-restart experiment in the fake time
-// of a synctest bubble. It guards against gateways that overload replicas which have
-// restarted with an empty cache: their requests in flight must stay within the slow-start
-// limit.
+// of a synctest bubble: real routers, and the replicas of the largest region, which all
+// restart cold under the load of the profile. It guards against gateways that overload
+// replicas which have restarted with an empty cache: their requests in flight must stay
+// within the slow-start limit.
 func TestColdReplicasStayWithinSlowStartLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		response, err := RunResponse(t.Context(), "georgia", DisturbCold, 1)
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -198,7 +198,7 @@
 	if entry.Index <= c.commitIndex() {
 		first := c.committedLog[entry.Index]
 		if first.term != entry.Term || first.entryDigest != content {
-			c.world.recordViolation(RuleStateMachineSafety, "%s applied a different entry at index %d: its term is %d, the term of the first one %d", m.name, entry.Index, entry.Term, first.term)
+			c.world.recordViolation(RuleStateMachineSafety, "%s applied an entry at index %d that differs in term or content from the first one: its term is %d, the term of the first one %d", m.name, entry.Index, entry.Term, first.term)
 		} else if first.stateDigest != digest {
 			c.world.recordViolation(RuleStateMachineSafety, "%s has a different state after index %d", m.name, entry.Index)
 		}
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -15,7 +15,8 @@
 )
 
 // gateway is a data-plane node that places requests according to its table at the active
-// serial while its lease is valid. It has no disk, so that it starts with an empty table.
+// serial while its lease is valid. It has no disk, so that every restart begins with an
+// empty table.
 type gateway struct {
 	process
 	name string
--- a/loadexchange/exchange_test.go
+++ b/loadexchange/exchange_test.go
@@ -9,7 +9,8 @@
 	"github.com/deckpulley/deckpulley/peer"
 )
 
-// seeds is the number of seeds with which simulations are run.
+// seeds is the number of seeds of TestUpdatesReachAllGateways, TestAggregatorFailover and
+// TestBothSidesOfPartitionAggregate.
 const seeds = 20
 
 // TestUpdatesReachAllGateways checks that each other gateway of the region observes a placed
@@ -23,7 +24,8 @@
 		"not urgent":            {15, 300 * time.Millisecond, 0},
 		"urgent in its region":  {60, 100 * time.Millisecond, 1400 * time.Millisecond},
 		"urgent in all regions": {250, 100 * time.Millisecond, 500 * time.Millisecond},
-		// A critical prompt is sent to other regions with a shorter interval.
+		// A critical prompt delays others by itself, so that its update is sent to other
+		// regions with a shorter interval.
 		"critical": {400, 100 * time.Millisecond, 180 * time.Millisecond},
 	}
 	for name, test := range tests {
@@ -92,13 +94,15 @@
 	maxDigestsPerSecond = 1200
 	// maxReceivedBytesPerSecond limits what a gateway receives.
 	maxReceivedBytesPerSecond = 14_000
-	// maxNarrowLinkBytesPerSecond limits what an aggregator sends over a link of 10 Mbit/s.
+	// maxNarrowLinkBytesPerSecond limits what an aggregator sends over a link of 10 Mbit/s
+	// to 1.2 times the share that its digests may use.
 	maxNarrowLinkBytesPerSecond = 1.2 * linkShare * 10_000_000 / 8
 )
 
 // TestCostPerGatewayDoesNotGrowWithFleet checks that with ten times as many gateways and the
-// same number of requests in a region, one gateway does not send or receive notably more,
-// and that the digests of an aggregator stay within their budget.
+// same number of requests in a region, one gateway receives no more messages than before,
+// and at most 1.3 times as many bytes, and sends at most 1.3 times as many messages. It also
+// checks that the digests of an aggregator stay within their budget.
 func TestCostPerGatewayDoesNotGrowWithFleet(t *testing.T) {
 	few, many := measureCost(t, 13, 100), measureCost(t, 134, 100)
 	if many.sent > 1.3*few.sent || many.received > few.received || many.receivedBytes > 1.3*few.receivedBytes {
@@ -115,7 +119,7 @@
 	for _, gateways := range []int{29, 134} {
 		narrow := measureCost(t, gateways, 0)
 		if sent := narrow.aggregatorBytes; sent > maxNarrowLinkBytesPerSecond {
-			t.Errorf("with %d gateways in a region an aggregator sends %.0f bytes per second over a link of 10 Mbit/s, more than its share", gateways, sent)
+			t.Errorf("with %d gateways in a region an aggregator sends %.0f bytes per second over a link of 10 Mbit/s, more than 1.2 times its share", gateways, sent)
 		}
 	}
 }
@@ -344,7 +348,8 @@
 
 // TestUrgentUpdatesInLargeRegions checks, in three regions of 100 gateways with prompts that
 // are urgent in all regions, that updates reach the other gateways of their region with a
-// short delay, and that the digests of an aggregator stay within their share of the link.
+// short delay, and that the digests of an aggregator stay within 1.2 times their share of
+// the link.
 func TestUrgentUpdatesInLargeRegions(t *testing.T) {
 	const (
 		gateways, replicas = 100, 53
@@ -378,7 +383,7 @@
 		}
 		for name, g := range s.gateways {
 			if sent := float64(g.sentBytes) / length; sent > maxNarrowLinkBytesPerSecond {
-				t.Errorf("seed %d: gateway %s sends %.0f bytes per second over a link of 10 Mbit/s, more than its share", seed, name, sent)
+				t.Errorf("seed %d: gateway %s sends %.0f bytes per second over a link of 10 Mbit/s, more than 1.2 times its share", seed, name, sent)
 			}
 			if g.largest > maxDigestBytes {
 				t.Errorf("seed %d: gateway %s sent a message of %d bytes, which is too large", seed, name, g.largest)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -99,9 +99,9 @@
 	},
 }
 
-// TestSuspectPreviousIncarnation checks that a broken connection to an incarnation of a
-// replica does not affect the next incarnation, which has already reported.
-func TestSuspectPreviousIncarnation(t *testing.T) {
+// TestConnectionFailureOfPreviousIncarnation checks that a broken connection to an
+// incarnation of a replica does not affect the next incarnation, which has already reported.
+func TestConnectionFailureOfPreviousIncarnation(t *testing.T) {
 	_, router := newSingleReplicaFleet(t)
 	early := mustReserve(t, router, request("early"))
 	next := report("r1")
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -231,7 +231,8 @@
 // TestWarmupLimitAppliesAcrossGateways checks that no cold replica has more requests in
 // flight from all gateways together than its slow start allows, and that all replicas
 // become warm and are used by every gateway. The region is overloaded and starts with cold
-// replicas only; replicas restart during their slow start, and one gateway goes down.
+// replicas only; replicas restart during their slow start, and one gateway goes down. The
+// test runs with several seeds.
 func TestWarmupLimitAppliesAcrossGateways(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
--- a/routing/spill_test.go
+++ b/routing/spill_test.go
@@ -137,8 +137,9 @@
 
 // TestSpillStep triples the load of one region, so that it exceeds what the region can
 // serve. The test checks that the region's utilization settles near the set point, that the
-// rest is spilled in proportion to the capacity of the other regions and not rejected, and
-// that those, which have a load of their own but spare capacity, send nothing back.
+// rest is spilled and not rejected, that west, which has more capacity than south, gets more
+// of it, and that these two, which have a load of their own but spare capacity, send nothing
+// back.
 func TestSpillStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		regions, names := newSpillFleet(t)
@@ -333,7 +334,7 @@
 			for _, b := range q.names[i+1:] {
 				traded := min(q.ran[a][b], q.ran[b][a])
 				if traded*20 > q.ran[a][a]+q.ran[b][b] {
-					t.Errorf("%s and %s each ran %d requests of the other, want at most a twentieth of those of their own", a, b, traded)
+					t.Errorf("%s and %s each ran at least %d requests of the other, want at most a twentieth of all requests of their own that they ran", a, b, traded)
 				}
 			}
 		}
--- a/storage/storage_test.go
+++ b/storage/storage_test.go
@@ -412,6 +412,6 @@
 	}
 	memory.Wipe("new disk")
 	if loaded := mustLoad(t, memory); loaded.Identity != "new disk" || len(loaded.Entries) != 0 {
-		t.Fatalf("the wiped store has %+v, want only the new identity", loaded)
+		t.Fatalf("the wiped store has %+v, want the new identity and no entries", loaded)
 	}
 }
