--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,8 @@
 #!/usr/bin/env bash
-# Runs every fuzz target for a while: scripts/fuzz.sh [30s]. A failing input is
-# kept under the package's testdata/fuzz and fails from then on as a test.
+# Runs every fuzz target for a limited time. A failing input is stored in the
+# testdata/fuzz folder of the package, and go test runs it from then on.
+#
+# Usage: scripts/fuzz.sh [DURATION]     default: 30s
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,10 +15,10 @@
     printf '%-16s %-24s %s\n' "$package" "$target" "$(grep -E 'execs:' <<< "$output" | tail -1)"
     continue
   fi
-  # The engine reports its own time limit as a failure when a worker is busy at
-  # the end; a real failure names the input that it wrote.
+  # The fuzzing engine reports its own time limit as a failure if a worker is busy
+  # at the end. A real failure names the input file that it wrote.
   if grep -q 'context deadline exceeded' <<< "$output" && ! grep -q 'Failing input written' <<< "$output"; then
-    printf '%-16s %-24s %s (ended in mid-run)\n' "$package" "$target" "$(grep -E 'execs:' <<< "$output" | tail -1)"
+    printf '%-16s %-24s %s (stopped by the time limit)\n' "$package" "$target" "$(grep -E 'execs:' <<< "$output" | tail -1)"
     continue
   fi
   printf '%s\n' "$output"
--- a/scripts/mixed-versions.sh
+++ b/scripts/mixed-versions.sh
@@ -1,16 +1,18 @@
 #!/usr/bin/env bash
 # Runs control nodes and gateways of two builds together: of the git revision BASE
-# and of the working tree. Each fleet gets a configuration, places requests, and
-# has a request with a ticket sent again through the other gateway, which must get
-# the same answer without a second execution. The fleets are:
+# and of the working tree. Each fleet gets a configuration and places requests. A
+# request with a ticket is resent through the other gateway, and must get the same
+# answer without a second execution. The fleets are:
 #
-#   - a control node of one build with gateways of the other, both ways;
+#   - a control node of one build with gateways of the other;
 #   - a control node that is restarted with the other build on the same data
-#     folder, both ways, before a gateway of each build;
-#   - three control nodes that are restarted with the other build one by one, both
-#     ways, before a gateway of each build.
+#     folder, with one gateway of each build;
+#   - three control nodes that are restarted with the other build one by one, with
+#     one gateway of each build.
 #
-# Everything runs on loopback addresses. The script ends only the processes that
+# Each of them runs twice, with the builds swapped.
+#
+# Everything runs on loopback addresses. The script stops only the processes that
 # it started, by their ids.
 #
 # Usage: scripts/mixed-versions.sh BASE
@@ -18,15 +20,15 @@
 cd "$(dirname "$0")/.."
 
 base=${1:?usage: scripts/mixed-versions.sh BASE}
-git rev-parse --verify --quiet "$base^{commit}" > /dev/null || { echo "no revision $base in this clone" >&2; exit 2; }
+git rev-parse --verify --quiet "$base^{commit}" > /dev/null || { echo "unknown revision $base" >&2; exit 2; }
 
-readonly ready_seconds=30 # longest wait for a node, an answer or the end of a process
+readonly ready_seconds=30 # timeout for a node, an answer or the end of a process
 readonly poll_seconds=0.1
 
 scratch=$(mktemp -d)
 readonly scratch
-# The script's own part of the loopback network, so that runs beside each other
-# don't meet.
+# A part of the loopback network for this run, so that concurrent runs do not
+# interfere.
 readonly network=127.77.$(($$ % 256))
 
 passed=0
@@ -66,7 +68,7 @@
   if [ "$status" = 0 ]; then
     rm -rf "$scratch"
   else
-    echo "logs and data folders are kept in $scratch" >&2
+    echo "logs and data folders: $scratch" >&2
   fi
   exit "$status"
 }
@@ -85,7 +87,7 @@
   fi
 }
 
-# eventually repeats a command until it succeeds.
+# eventually retries a command until it succeeds or ready_seconds have passed.
 eventually() { # COMMAND...
   local deadline=$((SECONDS + ready_seconds))
   until "$@"; do
@@ -132,8 +134,8 @@
 
 random_hex() { head -c "$1" /dev/urandom | od -An -tx1 | tr -d ' \n'; }
 
-# new_fleet ends the fleet before it, and prepares a folder with secrets, settings
-# and documents for the control nodes and two gateways.
+# new_fleet stops the previous fleet, prepares a folder with secrets, settings and
+# documents for the control nodes and two gateways, and starts a replica.
 new_fleet() { # NAME CONTROL-NODES
   local node
   stop_all
@@ -160,7 +162,7 @@
     --listen "$(replica_address replica-1)" --log "$fleet/replica-1.jsonl"
 }
 
-# joined prints what a function prints of each node, with a separator between.
+# joined calls a function for each node and prints the outputs with a separator.
 joined() { # FUNCTION SEPARATOR NODES...
   local function=$1 separator=$2 text= node
   shift 2
@@ -193,7 +195,8 @@
   } > "$fleet/$1.yaml"
 }
 
-# write_configuration has the route of the model chat and one more.
+# write_configuration prints a configuration with the route chat and, if ROUTE is
+# another name, that route too.
 write_configuration() { # ROUTE
   cat << END
 regions:
@@ -213,7 +216,8 @@
 
 is_ready() { curl -sf --max-time 5 "http://$1/readyz" > /dev/null; }
 
-# ready waits for nodes; without them nothing else can be checked.
+# ready waits until nodes are ready. The script stops if one is not, because no other
+# check can succeed.
 ready() { # NODES...
   local node
   for node in "$@"; do
@@ -232,15 +236,15 @@
     --data "@$fleet/replicas.json" "http://$(operator_address control-1)/v1/replicas" > /dev/null
 }
 
-# apply hands a configuration over twice with one order id, by the command line of
-# each build: the second answer is the first one, repeated.
+# apply applies a configuration twice with the same order id, with the command line
+# of each build, and checks that both get the same answer.
 apply() { # FILE ORDER-ID BASE-VERSION
   local arguments=(config apply "$fleet/$1" --author mixed --order-id "$2" --base-version "$3" --output json) first again
   first=$(control tree "${arguments[@]}") || true
   again=$(control base "${arguments[@]}") || true
   check "configuration $1 is accepted" contains '"accepted": true' echo "$first"
   check "configuration $1 becomes version $(($3 + 1))" contains "\"version\": $(($3 + 1))," echo "$first"
-  check "order $2 sent again gets the same answer" same "$first" "$again"
+  check "order $2 gets the same answer when resent" same "$first" "$again"
 }
 
 # ---- Requests
@@ -260,22 +264,22 @@
 
 declare -A request_of answer_of # documents and answers of requests with a ticket, by request id
 
-# run_once gets a ticket for a request at one gateway, sends the request there and
-# once more through the other gateway.
+# run_once gets a ticket for a request at one gateway, sends the request there, and
+# resends it through the other gateway.
 run_once() { # REQUEST-ID GATEWAY OTHER-GATEWAY
   local ticket again
   ticket=$(ask "$2" /v1/where "{\"request_id\":\"$1\",\"model\":\"chat\",\"repeatable\":false}" | sed -n 's/.*"ticket":"\([^"]*\)".*/\1/p')
   request_of[$1]="{\"request_id\":\"$1\",\"ticket\":\"$ticket\",\"model\":\"chat\",\"prompt_tokens\":40,\"max_tokens\":3,\"stream\":true,\"repeatable\":false}"
   answer_of[$1]=$(ask "$2" /v1/requests "${request_of[$1]}") || true
   again=$(ask "$3" /v1/requests "${request_of[$1]}") || true
-  check "$1 by $2 is answered" contains 'event: end' echo "${answer_of[$1]}"
-  check "$1 sent again by $3 gets the same answer" same "${answer_of[$1]}" "$again"
+  check "$1 through $2 is answered" contains 'event: end' echo "${answer_of[$1]}"
+  check "$1 resent through $3 gets the same answer" same "${answer_of[$1]}" "$again"
   check "$1 was executed once" same 1 "$(executions "$1")"
 }
 
-# resend sends a request that was answered before through another gateway.
+# resend resends a request that was already answered, through another gateway.
 resend() { # REQUEST-ID GATEWAY
-  check "$1 sent again later by $2 gets the same answer" same "${answer_of[$1]}" "$(ask "$2" /v1/requests "${request_of[$1]}" || true)"
+  check "$1 resent later through $2 gets the same answer" same "${answer_of[$1]}" "$(ask "$2" /v1/requests "${request_of[$1]}" || true)"
   check "$1 was not executed again" same 1 "$(executions "$1")"
 }
 
@@ -300,9 +304,9 @@
   place_requests before chat
 }
 
-# change applies the second configuration and uses what it adds.
+# change applies the second configuration and uses the route that it adds.
 change() {
-  check "the first configuration is kept" contains 'configuration version  1' control base status
+  check "the first configuration is still active" contains 'configuration version  1' control base status
   apply second.yaml order-2 1
   check "the base build's command line reads it" contains chat-new control base config get
   check "the working tree's command line reads it" contains chat-new control tree config get
@@ -330,7 +334,7 @@
     stop "$node"
     start_node "$node" "$after"
     ready "$node"
-    check "the configuration is read while $node is the newest" contains "chat:" control "$after" config get
+    check "the configuration can be read after the restart of $node" contains "chat:" control "$after" config get
   done
   ready gateway-1 gateway-2
   change
@@ -348,6 +352,6 @@
   restarted_control "$before" 3
 done
 
-echo "the fleets took $((SECONDS - began)) s after the builds"
+echo "the fleets ran for $((SECONDS - began)) s"
 echo "mixed versions: $passed passed, $failed failed"
 [ "$failed" = 0 ]
--- a/scripts/packages.sh
+++ b/scripts/packages.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Builds the programs as deploy/system.toml says, with nothing but Go and the
-# Debian packages that it lists under "packages": in a fresh clone, with empty
-# caches, on a PATH that holds the programs of those packages, of what they depend
-# on and of Debian's essential ones. Then it looks up who owns every program,
-# header and library that compiler and linker opened, which a PATH does not hide.
+# Runs the build command of deploy/system.toml with only Go and the Debian packages
+# that the file lists under "packages": in a fresh clone, with empty caches, and with
+# a PATH that contains only the programs of those packages, of their dependencies
+# and of Debian's essential packages. Then checks that every program, header and
+# library that the compiler and linker opened belongs to one of these packages,
+# because PATH does not restrict which files they can open.
 #
-# Usage: packages.sh             fails unless the list is enough
-#        packages.sh --prove     also fails unless each package is needed: builds
-#                                once more without each of them
+# Usage: packages.sh             fails unless the listed packages are sufficient
+#        packages.sh --prove     also fails unless each package is necessary, by
+#                                building once more without each of them
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -17,13 +18,13 @@
 
 say() { printf 'packages: %s\n' "$*"; }
 
-# listed prints the packages of deploy/system.toml, one a line.
+# listed prints the packages of deploy/system.toml, one per line.
 listed() {
   sed -n '/^\[/q; s/^packages = \[\(.*\)\]$/\1/p' deploy/system.toml | tr -d '" ' | tr ',' '\n'
 }
 
-# closure prints the installed packages that the given ones depend on, with
-# themselves and the essential ones. Recommended packages are not counted.
+# closure prints the given packages, their installed dependencies and the essential
+# packages. Recommended packages are not included.
 closure() {
   local essential
   essential=$(dpkg-query -W -f='${Essential} ${Package}\n' | sed -n 's/^yes //p')
@@ -32,26 +33,27 @@
     comm -12 - <(dpkg-query -W -f='${Package}\n' | sort -u)
 }
 
-# files prints the files of packages, as they are named when no link is left.
+# files prints the files of packages, with all symbolic links resolved.
 files() {
   dpkg -L "$@" | grep '^/' | xargs -d '\n' realpath -q -e | sort -u || true
 }
 
-# programs fills a folder with links to the programs among files.
+# programs reads file names and fills a folder with links to the executable ones.
 programs() {
   local folder=$1 program name
   mkdir -p "$folder"
   while read -r program; do
     [ -f "$program" ] && [ -x "$program" ] && ln -sf "$program" "$folder/${program##*/}"
   done
-  # Names that are links themselves, such as gcc for gcc-12.
+  # Names that are symbolic links themselves, such as gcc for gcc-12.
   for name in /usr/bin/*; do
     [ -L "$name" ] && [ -e "$folder/$(basename "$(realpath "$name")")" ] && ln -sf "$name" "$folder/${name##*/}"
   done
   ln -sf "$(go env GOROOT)/bin/go" "$folder/go"
 }
 
-# opened prints the files that compiler and linker opened, as their records tell.
+# opened prints the files that the compiler and linker opened, according to their
+# trace output.
 opened() {
   local record=$1
   tr ' \\' '\n\n' <"$record/headers" 2>/dev/null || true
@@ -59,7 +61,8 @@
   grep -hoE '^ */[^ ]+/(cc1|collect2|as|ld)\b' "$record/tools" || true
 }
 
-# build builds with the given packages alone. It prints what went wrong.
+# build runs the build with the given packages only. It prints the reason of a
+# failure.
 build() {
   local work
   work=$(mktemp -d -p "$scratch")
@@ -84,32 +87,33 @@
     grep -vE '^go: downloading|^/' "$work/output" | tail -3
     return 1
   fi
-  # The build has passed, so its compiler is there to be asked for its own parts.
+  # The build succeeded, so the compiler is available: -v prints the programs that
+  # it runs.
   env -i PATH="$work/bin" gcc -v -x c -o "$work/empty" - <<<'int main(void) { return 0; }' 2>"$work/tools"
   opened "$work" | grep '^/' | grep -v "^$scratch" | grep -v "^$(go env GOROOT)/" | grep -v '^/tmp/' |
     xargs -d '\n' realpath -q -e | sort -u >"$work/opened" || true
   if ! grep -q '\.h$' "$work/opened" || ! grep -q 'crt1\.o$' "$work/opened"; then
-    echo "no record of headers or start files"
+    echo "the trace output names no headers or no start files"
     return 1
   fi
-  say "$(wc -l <"$work/opened") files of packages opened"
+  say "$(wc -l <"$work/opened") files opened by the compiler and linker"
   if comm -23 "$work/opened" "$work/files" | grep .; then
-    echo "belong to no package of the list"
+    echo "the files above belong to none of the packages"
     return 1
   fi
 }
 
 line=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/system.toml)
 mapfile -t list < <(listed)
-[ "${#list[@]}" -gt 0 ] || { say "deploy/system.toml lists none"; exit 1; }
+[ "${#list[@]}" -gt 0 ] || { say "deploy/system.toml lists no packages"; exit 1; }
 for package in "${list[@]}"; do
   dpkg-query -W -f='${Status}' "$package" 2>/dev/null | grep -q 'ok installed' ||
     { say "$package is not installed: apt-get install ${list[*]}"; exit 1; }
 done
 
 say "building with ${list[*]}"
-build "${list[@]}" || { say "FAILED with the whole list"; exit 1; }
-say "the list is enough"
+build "${list[@]}" || { say "FAILED: the listed packages are not sufficient"; exit 1; }
+say "the listed packages are sufficient"
 [ "${1:-}" = --prove ] || exit 0
 for without in "${list[@]}"; do
   rest=()
@@ -117,7 +121,7 @@
     [ "$package" = "$without" ] || rest+=("$package")
   done
   if reason=$(build "${rest[@]}"); then
-    say "$without is listed and not needed"
+    say "$without is listed but not needed"
     exit 1
   fi
   say "without $without: $(tail -1 <<<"$reason" | cut -c1-160)"
--- a/scripts/prerequisites.sh
+++ b/scripts/prerequisites.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Says which programs that .ci/run needs are missing, with the Debian packages that
-# bring them, and fails if any is. Go comes in the version that go.mod names.
+# Prints which programs required by .ci/run are missing, with the Debian packages
+# that contain them, and fails if any is missing. go.mod names the Go version.
 set -euo pipefail
 
-# Each line: a program, and the package that has it.
+# Each line: a program and the Debian package that contains it.
 readonly needed='
 gcc gcc
 make make
@@ -24,7 +24,7 @@
   fi
 done <<<"$needed"
 if ! command -v go >/dev/null; then
-  echo "missing: go (go.mod names the version; it is no Debian package here)"
+  echo "missing: go (see go.mod for the version; not installed from a Debian package)"
   missing+=("go")
 fi
 if [ ! -e /usr/include/stdlib.h ]; then
@@ -32,6 +32,6 @@
   missing+=(libc6-dev)
 fi
 if [ "${#missing[@]}" -gt 0 ]; then
-  echo "README.md has the line that installs them"
+  echo "see README.md for the command that installs them"
   exit 1
 fi
--- a/scripts/test-counts.sh
+++ b/scripts/test-counts.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
 # Counts the tests, the other test functions (fuzz targets, benchmarks, examples)
 # and the assertion lines of all *_test.go files at a revision and in the working
-# tree, prints them side by side, and fails if a count fell.
+# tree, prints them side by side, and fails if a count has decreased.
 #
 # Usage: scripts/test-counts.sh [REVISION]     default: HEAD
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 revision=${1:-HEAD}
-git rev-parse --verify --quiet "$revision^{commit}" > /dev/null || { echo "no revision $revision" >&2; exit 2; }
+git rev-parse --verify --quiet "$revision^{commit}" > /dev/null || { echo "unknown revision $revision" >&2; exit 2; }
 
-# count prints how many lines of test files match: at a revision, or in the
-# working tree with its untracked files.
+# count prints how many lines of test files match a pattern, at a revision or in
+# the working tree including untracked files.
 count() {
   local where=$1 pattern=$2
   if [ "$where" = tree ]; then
@@ -28,7 +28,7 @@
   after=$(count tree "$pattern")
   note=
   if [ "$after" -lt "$before" ]; then
-    note="  FELL by $((before - after))"
+    note="  DECREASED by $((before - after))"
     status=1
   fi
   printf '%-12s %12d %12d%s\n' "$name" "$before" "$after" "$note"
--- a/scripts/unmeasured.py
+++ b/scripts/unmeasured.py
@@ -1,9 +1,10 @@
 #!/usr/bin/env python3
-"""Prints the product code that changed since the bench last measured it.
+"""Prints the product code that changed since the last measurement by the bench.
 
-The newest finished score or hunt of journal/ names the commit that it measured.
-Tests, programs that no deployment runs, and pages do not count. Exits 1 if there
-is such code, or if the newest entry measured sources that were not committed.
+The newest finished score or hunt entry in journal/ names the commit that it
+measured. Tests, documentation and programs that are not deployed are ignored.
+Exits with status 1 if product code has changed, or if the newest entry measured
+uncommitted sources.
 """
 import glob
 import json
@@ -15,7 +16,7 @@
 
 
 def newest():
-    """Returns the newest entry of a finished score or hunt."""
+    """Returns the newest journal entry of a finished score or hunt, or None."""
     found = None
     for path in glob.glob("journal/*.json"):
         with open(path) as file:
@@ -30,15 +31,15 @@
 def main():
     entry = newest()
     if entry is None:
-        sys.exit("nothing was measured")
+        sys.exit("journal/ has no finished score or hunt")
     print(f"last measured: {entry['head'][:12]}, {entry['cmd']} of {entry['site']}, {entry['at'][1]}")
     if entry.get("dirty"):
-        print("it measured sources that were not committed")
+        print("the measured sources were not committed")
     paths = PRODUCT + [f":!cmd/deckpulley-{tool}" for tool in TOOLS] + [":!cmd/standin-*"]
     changed = subprocess.run(
         ["git", "diff", "--stat", entry["head"], "--", *paths], check=True, capture_output=True, text=True
     ).stdout
-    print(changed or "no product code changed since", end="" if changed else "\n")
+    print(changed or "no product code has changed since", end="" if changed else "\n")
     sys.exit(1 if changed or entry.get("dirty") else 0)
 
 
--- a/scripts/vary-site.py
+++ b/scripts/vary-site.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Writes a deployment that nobody has tuned to: a variant of one of the bench's site files.
+"""Writes a random variant of one of the bench's site files, a deployment that no setting was tuned for.
 
 Usage: vary-site.py SITE.toml OUT-FOLDER SEED
 
 Sizes, delays, disks, the engines' speeds, the distance between regions (about 5 to 80 ms where a site has 35)
-and the replicas of each zone are drawn from the seed, and every kind of trouble that the bench lists joins the
-site's own, so that `fleetbench hunt OUT-FOLDER/NAME.toml` mixes them. The variant is for hunts alone: its marks
-are the site's and mean nothing, and it stays out of the repository. The draws of 2026-12-02 differ from those
-before: seeds 11 to 14 name other variants since.
+and the replicas of each zone are drawn from the seed. Every kind of trouble that the bench lists is added to the
+site's own, so that `fleetbench hunt OUT-FOLDER/NAME.toml` mixes them. Use the variant for hunts only: its marks are
+copied from the site and have no meaning for the variant. Do not commit it. The draws changed on 2026-12-02: the
+seeds 11 to 14 give other variants than before.
 """
 import pathlib
 import random
@@ -15,7 +15,7 @@
 import shutil
 import sys
 
-# Troubles beside a site's own, with the fields that each needs.
+# Troubles added to the site's own, with the fields that each kind requires.
 MORE = """
   { kind = "retry_abuse", share = 0.3, x = 2, for_s = 6.0 },
   { kind = "give_up", share = 0.3, x = 300, for_s = 6.0 },
@@ -61,7 +61,7 @@
 
 
 def scaled(text, name, factor):
-    """Multiplies every number that a field has."""
+    """Multiplies every value of a field by a factor."""
     return re.sub(
         rf"\b{name} = ([0-9.]+)",
         lambda found: f"{name} = {type_of(found[1])(float(found[1]) * factor)}",
@@ -74,7 +74,7 @@
 
 
 def uneven(servers, draw):
-    """Gives each zone another number of replicas, at least one."""
+    """Scales the number of replicas of each zone by a random factor, to at least one."""
     return re.sub(
         r"count = (\d+)",
         lambda found: f"count = {max(1, round(int(found[1]) * draw.choice([0.7, 1.0, 1.4])))}",
